--- a/crates/heathroad-fleet/tests/common/mod.rs
+++ b/crates/heathroad-fleet/tests/common/mod.rs
@@ -232,3 +232,14 @@
         self.news.iter().filter(|(_, _, n)| matches!(n, News::Gone { .. })).count()
     }
 }
+
+/// A golden file: what an earlier program wrote.
+pub fn golden(name: &str) -> std::path::PathBuf {
+    std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+}
+
+/// Holds what is written now against a golden file; a difference prints what is written now.
+pub fn assert_golden(name: &str, actual: &str) {
+    let expected = std::fs::read_to_string(golden(name)).unwrap_or_default();
+    assert!(actual == expected, "{name} differs; it is now:\n{actual}<<<");
+}
