--- a/crates/heathroad/src/configuration/duty.rs
+++ b/crates/heathroad/src/configuration/duty.rs
@@ -191,3 +191,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/duty_configuration.rs"]
+mod golden_tests;
--- a/crates/heathroad/src/duty/store.rs
+++ b/crates/heathroad/src/duty/store.rs
@@ -76,3 +76,7 @@
         self.write(COLLECTED, bytes, Durability::Immediate)
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/duty_store.rs"]
+mod tests;
--- a/crates/heathroad/src/duty/told.rs
+++ b/crates/heathroad/src/duty/told.rs
@@ -213,3 +213,7 @@
     };
     json!({"name": name, "spells": by.into_iter().map(spell).collect::<Vec<_>>()})
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/duty_told.rs"]
+mod tests;
