--- a/crates/heathroad-budget/src/ledger.rs
+++ b/crates/heathroad-budget/src/ledger.rs
@@ -1,8 +1,10 @@
-//! One proxy's books: which requests entered with what, what is lent to calls below, and what the tier above is told.
+//! One proxy's books: which requests entered with what, what is lent to calls below, and what the
+//! tier above is told.
 //!
-//! Calls that one parent makes copy its budget as it is, and share what it holds by the number of the loan: whichever of
-//! them comes first opens the account, and the others draw on it. It is kept until the time it was told has passed, so that
-//! a call that comes after the others have ended finds what they have left.
+//! Calls that one parent makes copy its budget as it is, and share what it holds by the number of
+//! the loan: whichever of them comes first opens the account, and the others draw on it. It is kept
+//! until the time it was told has passed, so that a call that comes after the others have ended
+//! finds what they have left.
 
 use crate::account::{Account, Grants, Loan};
 use crate::path::{self, Held, Mark, Way};
@@ -30,7 +32,8 @@
     pub hops: u8,
     /// How often a request may come back here by its routes.
     pub reentries: usize,
-    /// So many requests of one key, class and tenant from inside that carry no path may be here at once; 0 does not look.
+    /// So many requests of one key, class and tenant from inside that carry no path may be here at
+    /// once; 0 does not look.
     pub same: usize,
     /// Its backends make calls through proxies that know budgets: attempts are lent to them.
     pub lends: bool,
@@ -110,7 +113,8 @@
     swept: Millis,
 }
 
-/// Numbers that nobody guesses by chance (SplitMix64: Steele, Lea and Flood 2014); they are names and no secrets.
+/// Numbers that nobody guesses by chance (SplitMix64: Steele, Lea and Flood 2014); they are names
+/// and no secrets.
 #[derive(Debug)]
 struct Numbers(u64);
 
@@ -146,7 +150,15 @@
     pub fn new(terms: Terms, seed: u64) -> Ledger {
         let grants = Grants::new(terms.share, terms.depth);
         let (entries, held) = (HashMap::new(), Held::default());
-        Ledger { terms, grants, entries, held, rng: Numbers(seed), figures: Figures::default(), swept: 0 }
+        Ledger {
+            terms,
+            grants,
+            entries,
+            held,
+            rng: Numbers(seed),
+            figures: Figures::default(),
+            swept: 0,
+        }
     }
 
     /// What the books say in figures.
@@ -165,7 +177,13 @@
     }
 
     /// A request enters, and would wait so long.
-    pub fn enter(&mut self, now: Millis, told: Told, mark: Mark, wait_ms: u32) -> Result<Ticket, Turned> {
+    pub fn enter(
+        &mut self,
+        now: Millis,
+        told: Told,
+        mark: Mark,
+        wait_ms: u32,
+    ) -> Result<Ticket, Turned> {
         self.sweep(now);
         let spoilt = u64::from(told.budget.is_err()) + u64::from(told.path.is_err());
         self.figures.spoilt += spoilt;
@@ -179,7 +197,12 @@
         };
         let mut admitted = Budget::admit(budget, told.inner, own);
         let told_path = told.path.unwrap_or_default();
-        let path = match path::enter(&told_path, &self.terms.name, self.terms.reentries, admitted.hops) {
+        let path = match path::enter(
+            &told_path,
+            &self.terms.name,
+            self.terms.reentries,
+            admitted.hops,
+        ) {
             Way::On(path) => path,
             Way::Loop => {
                 self.figures.loops += 1;
@@ -209,7 +232,13 @@
         };
         admitted.hops -= 1;
         let mark = looks.then_some(mark);
-        Ok(Ticket { account, tells: carries, mark, budget: admitted, path })
+        Ok(Ticket {
+            account,
+            tells: carries,
+            mark,
+            budget: admitted,
+            path,
+        })
     }
 
     /// A loan from above: whoever comes with its number first opens the account.
@@ -227,15 +256,31 @@
         let room = self.entries.len() < MOST;
         let account = Account::new(if room { told.attempts } else { 0 });
         let number = if room { told.loan } else { self.number() };
-        self.entries.insert(number, Entry { account, users: 1, until: room.then_some(until) });
+        self.entries.insert(
+            number,
+            Entry {
+                account,
+                users: 1,
+                until: room.then_some(until),
+            },
+        );
         number
     }
 
     fn grant(&mut self, want: u16) -> u64 {
-        let account = self.grants.enter(if self.entries.len() < MOST { want } else { 0 });
+        let account = self
+            .grants
+            .enter(if self.entries.len() < MOST { want } else { 0 });
         self.figures.granted += u64::from(account.left());
         let number = self.number();
-        self.entries.insert(number, Entry { account, users: 1, until: None });
+        self.entries.insert(
+            number,
+            Entry {
+                account,
+                users: 1,
+                until: None,
+            },
+        );
         number
     }
 
@@ -249,12 +294,16 @@
     }
 
     fn account(&mut self, ticket: &Ticket) -> Option<&mut Account> {
-        self.entries.get_mut(&ticket.account).map(|e| &mut e.account)
+        self.entries
+            .get_mut(&ticket.account)
+            .map(|e| &mut e.account)
     }
 
     /// How many attempts beyond those that went out may still do so.
     pub fn left(&self, ticket: &Ticket) -> u16 {
-        self.entries.get(&ticket.account).map_or(0, |e| e.account.usable())
+        self.entries
+            .get(&ticket.account)
+            .map_or(0, |e| e.account.usable())
     }
 
     /// A further attempt goes out, if one may.
@@ -264,20 +313,32 @@
         may
     }
 
-    /// What an attempt takes along: the loan, and the budget that its call is told, whose time is the sender's to fill in.
+    /// What an attempt takes along: the loan, and the budget that its call is told, whose time is
+    /// the sender's to fill in.
     pub fn lend(&mut self, ticket: &Ticket) -> (Loan, Budget) {
         let lends = self.terms.lends;
         let loan = match self.account(ticket) {
             Some(account) if lends => account.lend_most(),
             _ => Account::new(0).lend(0),
         };
-        let budget = Budget { attempts: loan.attempts(), loan: self.number(), ..ticket.budget };
+        let budget = Budget {
+            attempts: loan.attempts(),
+            loan: self.number(),
+            ..ticket.budget
+        };
         (loan, budget)
     }
 
     /// An attempt ended, and told what was spent below. One that was never sent has spent nothing.
     pub fn settle(&mut self, ticket: &Ticket, loan: Loan, told: Option<Spent>, unsent: bool) {
-        let told = if unsent { Some(Spent { attempts: 0, stop: false }) } else { told };
+        let told = if unsent {
+            Some(Spent {
+                attempts: 0,
+                stop: false,
+            })
+        } else {
+            told
+        };
         if told.is_none() {
             self.figures.lost += u64::from(loan.attempts());
         }
@@ -286,8 +347,8 @@
         }
     }
 
-    /// What the tier above is told with the answer, where it asked by a budget; `failed` where this tier has tried and could
-    /// not help, so that another way to the same will not either.
+    /// What the tier above is told with the answer, where it asked by a budget; `failed` where this
+    /// tier has tried and could not help, so that another way to the same will not either.
     pub fn spent(&self, ticket: &Ticket, failed: bool) -> Option<Spent> {
         let entry = self.entries.get(&ticket.account).filter(|_| ticket.tells)?;
         Some(entry.account.spent(failed))
@@ -298,7 +359,9 @@
         if let Some(mark) = ticket.mark {
             self.held.leave(mark);
         }
-        let Some(entry) = self.entries.get_mut(&ticket.account) else { return };
+        let Some(entry) = self.entries.get_mut(&ticket.account) else {
+            return;
+        };
         entry.users -= 1;
         let over = entry.users == 0 && entry.until.is_none_or(|until| until <= now);
         if over && let Some(entry) = self.entries.remove(&ticket.account) {
@@ -313,7 +376,8 @@
     fn sweep(&mut self, now: Millis) {
         if now >= self.swept + 1_000 {
             self.swept = now;
-            self.entries.retain(|_, e| e.users > 0 || e.until.is_none_or(|until| until > now));
+            self.entries
+                .retain(|_, e| e.users > 0 || e.until.is_none_or(|until| until > now));
         }
     }
 }
--- a/crates/heathroad-budget/src/path.rs
+++ b/crates/heathroad-budget/src/path.rs
@@ -1,5 +1,5 @@
-//! Requests that come round again. Those that carry their path are found by it; where what lies between strips unknown
-//! headers, by what is still held here when the same comes from inside.
+//! Requests that come round again. Those that carry their path are found by it; where what lies
+//! between strips unknown headers, by what is still held here when the same comes from inside.
 
 use crate::wire::Path;
 use std::collections::HashMap;
@@ -37,19 +37,21 @@
     pub tenant: u16,
 }
 
-/// The requests that are held, by mark. Callers outside may repeat what is held, since they time out and try again; one that
-/// comes from inside while the same is held has been sent by what it waits for.
+/// The requests that are held, by mark. Callers outside may repeat what is held, since they time
+/// out and try again; one that comes from inside while the same is held has been sent by what it
+/// waits for.
 #[derive(Debug, Default)]
 pub struct Held {
     held: HashMap<Mark, usize>,
 }
 
-/// Most requests that are looked after; past that, further ones are not, and a loop ends by its hops or its time.
+/// Most requests that are looked after; past that, further ones are not, and a loop ends by its
+/// hops or its time.
 const MOST: usize = 100_000;
 
 impl Held {
-    /// A request enters; false if it is the same come round again, more often than a route allows. One that may go on is to
-    /// be let go by [`Held::leave`].
+    /// A request enters; false if it is the same come round again, more often than a route allows.
+    /// One that may go on is to be let go by [`Held::leave`].
     pub fn enter(&mut self, mark: Mark, inner: bool, reentries: usize) -> bool {
         if mark.key == 0 {
             return true;
--- a/crates/heathroad-budget/src/wire.rs
+++ b/crates/heathroad-budget/src/wire.rs
@@ -1,8 +1,9 @@
-//! Budgets as headers, which a backend can copy as they are: `Req-Budget: t=1850, a=2, w=750, h=6, i=00c0ffee00c0ffee` and
-//! `Req-Path: gate-1, policy-2` with a request, `Req-Spent: a=1` or `Req-Spent: a=1, stop` with its answer.
+//! Budgets as headers, which a backend can copy as they are: `Req-Budget: t=1850, a=2, w=750, h=6,
+//! i=00c0ffee00c0ffee` and `Req-Path: gate-1, policy-2` with a request, `Req-Spent: a=1` or
+//! `Req-Spent: a=1, stop` with its answer.
 //!
-//! One spelling for each value: no spaces but behind commas, no signs, no leading zeros, all members in their order. What is
-//! spoilt counts as absent, whole.
+//! One spelling for each value: no spaces but behind commas, no signs, no leading zeros, all
+//! members in their order. What is spoilt counts as absent, whole.
 
 use std::fmt;
 
@@ -66,20 +67,26 @@
 
 /// The one value of a header; one that comes twice is spoilt, even if both say the same.
 fn once<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Result<Option<&'a str>, Spoilt> {
-    let Some(value) = values.next() else { return Ok(None) };
+    let Some(value) = values.next() else {
+        return Ok(None);
+    };
     if values.next().is_some() {
         return Err(Spoilt("the header once"));
     }
     if value.len() > MAX_BYTES {
         return Err(Spoilt("a shorter header"));
     }
-    std::str::from_utf8(value).map(Some).map_err(|_| Spoilt("plain text"))
+    std::str::from_utf8(value)
+        .map(Some)
+        .map_err(|_| Spoilt("plain text"))
 }
 
 impl Budget {
     /// Reads `Req-Budget` from all the values that came under its name; none is none.
     pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> Result<Option<Budget>, Spoilt> {
-        let Some(text) = once(values)? else { return Ok(None) };
+        let Some(text) = once(values)? else {
+            return Ok(None);
+        };
         let spoilt = Spoilt("t=MILLISECONDS, a=ATTEMPTS, w=THOUSANDTHS, h=HOPS, i=LOAN");
         let mut members = text.split(", ");
         let mut member = |name: &str, most: u32| {
@@ -91,15 +98,29 @@
             let attempts = member("a", u32::from(MAX_ATTEMPTS))? as u16;
             let worth = member("w", u32::from(WHOLE_WORTH))? as u16;
             let hops = member("h", u32::from(MAX_HOPS))? as u8;
-            Some(Budget { time_ms, attempts, worth, hops, loan: 0 })
+            Some(Budget {
+                time_ms,
+                attempts,
+                worth,
+                hops,
+                loan: 0,
+            })
         };
         let budget = all().ok_or(spoilt)?;
-        let loan = members.next().and_then(|m| loan(m.strip_prefix("i=")?)).ok_or(spoilt)?;
-        if members.next().is_some() { Err(spoilt) } else { Ok(Some(Budget { loan, ..budget })) }
+        let loan = members
+            .next()
+            .and_then(|m| loan(m.strip_prefix("i=")?))
+            .ok_or(spoilt)?;
+        if members.next().is_some() {
+            Err(spoilt)
+        } else {
+            Ok(Some(Budget { loan, ..budget }))
+        }
     }
 
-    /// What counts of a budget that a request told: from an inner peer all of it, within what is granted here at the most
-    /// in time and hops; from outside it can lower what is granted here, and never raise it.
+    /// What counts of a budget that a request told: from an inner peer all of it, within what is
+    /// granted here at the most in time and hops; from outside it can lower what is granted here,
+    /// and never raise it.
     pub fn admit(told: Option<Budget>, inner: bool, own: Budget) -> Budget {
         let Some(told) = told else { return own };
         let (time_ms, hops) = (told.time_ms.min(own.time_ms), told.hops.min(own.hops));
@@ -109,26 +130,45 @@
         };
         // A number that anybody outside may have made up names no loan.
         let loan = if inner { told.loan } else { 0 };
-        Budget { time_ms, attempts, worth, hops, loan }
+        Budget {
+            time_ms,
+            attempts,
+            worth,
+            hops,
+            loan,
+        }
     }
 }
 
 impl fmt::Display for Budget {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Budget { time_ms, attempts, worth, hops, loan } = self;
-        write!(f, "t={time_ms}, a={attempts}, w={worth}, h={hops}, i={loan:016x}")
+        let Budget {
+            time_ms,
+            attempts,
+            worth,
+            hops,
+            loan,
+        } = self;
+        write!(
+            f,
+            "t={time_ms}, a={attempts}, w={worth}, h={hops}, i={loan:016x}"
+        )
     }
 }
 
 impl Spent {
     /// Reads `Req-Spent`.
     pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> Result<Option<Spent>, Spoilt> {
-        let Some(text) = once(values)? else { return Ok(None) };
+        let Some(text) = once(values)? else {
+            return Ok(None);
+        };
         let (count, stop) = match text.strip_suffix(", stop") {
             Some(count) => (count, true),
             None => (text, false),
         };
-        let count = count.strip_prefix("a=").and_then(|n| number(n, u32::from(MAX_ATTEMPTS)));
+        let count = count
+            .strip_prefix("a=")
+            .and_then(|n| number(n, u32::from(MAX_ATTEMPTS)));
         let attempts = count.ok_or(Spoilt("a=ATTEMPTS, or a=ATTEMPTS, stop"))? as u16;
         Ok(Some(Spent { attempts, stop }))
     }
@@ -136,7 +176,12 @@
 
 impl fmt::Display for Spent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a={}{}", self.attempts, if self.stop { ", stop" } else { "" })
+        write!(
+            f,
+            "a={}{}",
+            self.attempts,
+            if self.stop { ", stop" } else { "" }
+        )
     }
 }
 
@@ -149,7 +194,9 @@
 impl Path {
     /// Reads `Req-Path`; none is an empty one.
     pub fn read<'a>(values: impl Iterator<Item = &'a [u8]>) -> Result<Path, Spoilt> {
-        let Some(text) = once(values)? else { return Ok(Path::default()) };
+        let Some(text) = once(values)? else {
+            return Ok(Path::default());
+        };
         let names: Vec<String> = text.split(", ").map(String::from).collect();
         if names.len() > usize::from(MAX_HOPS) || !names.iter().all(|n| is_name(n)) {
             return Err(Spoilt("names with a comma and a space between, 32 at most"));
--- a/crates/heathroad-budget/tests/wire.rs
+++ b/crates/heathroad-budget/tests/wire.rs
@@ -18,8 +18,15 @@
             loan: rng.u64(..),
         };
         assert_eq!(budget(&b.to_string()), Some(b), "seed {seed}");
-        let s = Spent { attempts: rng.u16(..=64), stop: rng.bool() };
-        assert_eq!(Spent::read([s.to_string().as_bytes()].into_iter()), Ok(Some(s)), "seed {seed}");
+        let s = Spent {
+            attempts: rng.u16(..=64),
+            stop: rng.bool(),
+        };
+        assert_eq!(
+            Spent::read([s.to_string().as_bytes()].into_iter()),
+            Ok(Some(s)),
+            "seed {seed}"
+        );
         // Any flipped bit is another value in its one spelling, or nothing.
         let mut bytes = b.to_string().into_bytes();
         let at = rng.usize(..bytes.len());
@@ -63,17 +70,39 @@
     assert!(Budget::read([good, good].into_iter()).is_err(), "twice");
     assert_eq!(Budget::read([].into_iter()), Ok(None));
     assert!(Budget::read([b"\xff".as_slice()].into_iter()).is_err());
-    for text in ["a=", "a=1,stop", "a=1, halt", "stop", "a=1, stop, stop", "a=65"] {
-        assert!(Spent::read([text.as_bytes()].into_iter()).is_err(), "{text}");
+    for text in [
+        "a=",
+        "a=1,stop",
+        "a=1, halt",
+        "stop",
+        "a=1, stop, stop",
+        "a=65",
+    ] {
+        assert!(
+            Spent::read([text.as_bytes()].into_iter()).is_err(),
+            "{text}"
+        );
     }
 }
 
 #[test]
 fn paths_are_bounded() {
     let read = |text: &str| Path::read([text.as_bytes()].into_iter());
-    assert_eq!(read("gate-1, policy.2").expect("good").names(), ["gate-1", "policy.2"]);
+    assert_eq!(
+        read("gate-1, policy.2").expect("good").names(),
+        ["gate-1", "policy.2"]
+    );
     let long = vec!["x"; 33].join(", ");
-    for text in ["", "a,b", "a, ", "a b", "a, b;c", &"x".repeat(33), &long, &"y".repeat(64 * 1024)] {
+    for text in [
+        "",
+        "a,b",
+        "a, ",
+        "a b",
+        "a, b;c",
+        &"x".repeat(33),
+        &long,
+        &"y".repeat(64 * 1024),
+    ] {
         assert!(read(text).is_err(), "{:.40}", text);
     }
     let mut path = Path::default();
@@ -99,11 +128,20 @@
         let (told, own) = (any(), any());
         let outside = Budget::admit(Some(told), false, own);
         let no_more = |a: Budget, b: Budget| {
-            a.time_ms <= b.time_ms && a.attempts <= b.attempts && a.worth <= b.worth && a.hops <= b.hops
+            a.time_ms <= b.time_ms
+                && a.attempts <= b.attempts
+                && a.worth <= b.worth
+                && a.hops <= b.hops
         };
-        assert!(no_more(outside, own) && no_more(outside, told) && outside.loan == 0, "seed {seed}");
+        assert!(
+            no_more(outside, own) && no_more(outside, told) && outside.loan == 0,
+            "seed {seed}"
+        );
         let inner = Budget::admit(Some(told), true, own);
-        assert!(inner.attempts == told.attempts && inner.time_ms <= own.time_ms, "seed {seed}");
+        assert!(
+            inner.attempts == told.attempts && inner.time_ms <= own.time_ms,
+            "seed {seed}"
+        );
         assert_eq!(Budget::admit(None, false, own), own);
     }
 }
--- a/crates/heathroad-cost/src/bare.rs
+++ b/crates/heathroad-cost/src/bare.rs
@@ -1,5 +1,5 @@
-//! The yardstick: a proxy that passes requests on to backends in turn, over kept connections, on one thread, and does nothing
-//! else. What it takes is what hyper and the system take.
+//! The yardstick: a proxy that passes requests on to backends in turn, over kept connections, on
+//! one thread, and does nothing else. What it takes is what hyper and the system take.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -25,9 +25,15 @@
 
 /// Serves for ever, once it has told where.
 pub fn serve(nodes: Vec<SocketAddr>, tell: impl FnOnce(SocketAddr)) -> Result<(), Error> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let idle = RefCell::new(nodes.iter().map(|_| Vec::new()).collect());
-    let bare = Rc::new(Bare { nodes, turn: Cell::new(0), idle });
+    let bare = Rc::new(Bare {
+        nodes,
+        turn: Cell::new(0),
+        idle,
+    });
     LocalSet::new().block_on(&runtime, async move {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         tell(listener.local_addr()?);
@@ -41,7 +47,9 @@
                     async move { bare.pass(request).await }
                 });
                 // However it ends, its caller is gone.
-                let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+                let _ = http1::Builder::new()
+                    .serve_connection(TokioIo::new(stream), service)
+                    .await;
             });
         }
     })
@@ -64,7 +72,9 @@
                 sender
             }
         };
-        let answer = sender.send_request(Request::from_parts(head, Full::new(body))).await?;
+        let answer = sender
+            .send_request(Request::from_parts(head, Full::new(body)))
+            .await?;
         let (head, body) = answer.into_parts();
         let body = body.collect().await?.to_bytes();
         self.idle.borrow_mut()[turn].push(sender);
--- a/crates/heathroad-cost/src/case.rs
+++ b/crates/heathroad-cost/src/case.rs
@@ -55,18 +55,82 @@
 /// All of them.
 pub const ALL: &[Case] = &[
     PLAIN,
-    Case { name: "get-1k", about: "GET, 1 KiB in answer", answers: 1024, ..PLAIN },
-    Case { name: "get-64k", about: "GET, 64 KiB in answer", answers: 64 * 1024, ..PLAIN },
-    Case { name: "post-1k", about: "POST of 1 KiB", class: "once", asks: 1024, ..PLAIN },
-    Case { name: "post-64k", about: "POST of 64 KiB", class: "once", asks: 64 * 1024, ..PLAIN },
-    Case { name: "keyed", about: "POST of 1 KiB with a key", class: "keep", asks: 1024, ..PLAIN },
-    Case { name: "resent", about: "GET, declined once and sent to another", declines: true, ..PLAIN },
-    Case { name: "fresh", about: "GET on a connection of its own", way: Way::Fresh, ..PLAIN },
-    Case { name: "hang-up", about: "GET, left before its answer", way: Way::HangUp, ..PLAIN },
-    Case { name: "routes", about: "GET by a file of routes", routes: true, ..PLAIN },
-    Case { name: "budget", about: "GET with budgets kept", budget: true, ..PLAIN },
-    Case { name: "fleet", about: "GET with a record of acts kept", fleet: true, ..PLAIN },
-    Case { name: "json-rpc", about: "a call over JSON-RPC", way: Way::Rpc, routes: true, ..PLAIN },
+    Case {
+        name: "get-1k",
+        about: "GET, 1 KiB in answer",
+        answers: 1024,
+        ..PLAIN
+    },
+    Case {
+        name: "get-64k",
+        about: "GET, 64 KiB in answer",
+        answers: 64 * 1024,
+        ..PLAIN
+    },
+    Case {
+        name: "post-1k",
+        about: "POST of 1 KiB",
+        class: "once",
+        asks: 1024,
+        ..PLAIN
+    },
+    Case {
+        name: "post-64k",
+        about: "POST of 64 KiB",
+        class: "once",
+        asks: 64 * 1024,
+        ..PLAIN
+    },
+    Case {
+        name: "keyed",
+        about: "POST of 1 KiB with a key",
+        class: "keep",
+        asks: 1024,
+        ..PLAIN
+    },
+    Case {
+        name: "resent",
+        about: "GET, declined once and sent to another",
+        declines: true,
+        ..PLAIN
+    },
+    Case {
+        name: "fresh",
+        about: "GET on a connection of its own",
+        way: Way::Fresh,
+        ..PLAIN
+    },
+    Case {
+        name: "hang-up",
+        about: "GET, left before its answer",
+        way: Way::HangUp,
+        ..PLAIN
+    },
+    Case {
+        name: "routes",
+        about: "GET by a file of routes",
+        routes: true,
+        ..PLAIN
+    },
+    Case {
+        name: "budget",
+        about: "GET with budgets kept",
+        budget: true,
+        ..PLAIN
+    },
+    Case {
+        name: "fleet",
+        about: "GET with a record of acts kept",
+        fleet: true,
+        ..PLAIN
+    },
+    Case {
+        name: "json-rpc",
+        about: "a call over JSON-RPC",
+        way: Way::Rpc,
+        routes: true,
+        ..PLAIN
+    },
 ];
 
 impl Case {
@@ -82,7 +146,10 @@
         // Writing to memory does not fail.
         let _ = match self.way {
             Way::Rpc => {
-                writeln!(out, "{{\"jsonrpc\":\"2.0\",\"method\":\"look\",\"params\":{{}},\"id\":{number}}}")
+                writeln!(
+                    out,
+                    "{{\"jsonrpc\":\"2.0\",\"method\":\"look\",\"params\":{{}},\"id\":{number}}}"
+                )
             }
             _ => {
                 let method = if self.class == "look" { "GET" } else { "POST" };
@@ -108,7 +175,9 @@
     pub fn routes(&self, nodes: &[SocketAddr]) -> Option<String> {
         let nodes: Vec<String> = nodes.iter().map(|n| format!("\"{n}\"")).collect();
         let class = |name: &str, effect: &str| {
-            format!("[[pool.class]]\nname = \"{name}\"\n{effect}\naim_ms = 20000\ndeadline_ms = 60000\n")
+            format!(
+                "[[pool.class]]\nname = \"{name}\"\n{effect}\naim_ms = 20000\ndeadline_ms = 60000\n"
+            )
         };
         let listener = "[[listener]]\nname = \"calls\"\nlisten = \"127.0.0.1:0\"\nprotocol = \"json-rpc\"\n\
              tenant = \"acme\"\n[[listener.method]]\nname = \"look\"\nclass = \"look\"\n";
--- a/crates/heathroad-cost/src/load.rs
+++ b/crates/heathroad-cost/src/load.rs
@@ -29,7 +29,10 @@
     /// A percentile, in microseconds.
     pub fn percentile(&self, share: f64) -> u32 {
         let last = self.latencies.len().saturating_sub(1) as f64;
-        self.latencies.get((last * share).round() as usize).copied().unwrap_or(0)
+        self.latencies
+            .get((last * share).round() as usize)
+            .copied()
+            .unwrap_or(0)
     }
 }
 
@@ -45,7 +48,12 @@
     /// So many, who call there.
     pub fn new(case: &'static Case, to: SocketAddr, many: usize) -> Callers {
         let streams = (0..many).map(|_| None).collect();
-        Callers { case, to, streams, next: Arc::new(AtomicU64::new(1)) }
+        Callers {
+            case,
+            to,
+            streams,
+            next: Arc::new(AtomicU64::new(1)),
+        }
     }
 
     /// So many requests, by all of them together.
@@ -80,7 +88,8 @@
     next: &AtomicU64,
     until: u64,
 ) -> Called {
-    let (mut seen, mut request, mut answer) = (Seen::default(), Vec::new(), Vec::with_capacity(128 * 1024));
+    let (mut seen, mut request, mut answer) =
+        (Seen::default(), Vec::new(), Vec::with_capacity(128 * 1024));
     loop {
         let number = next.fetch_add(1, Relaxed);
         if number >= until {
@@ -91,14 +100,18 @@
         let mut stream = match kept.take() {
             Some(stream) => stream,
             None => {
-                let stream =
-                    timeout(LONG, TcpStream::connect(to)).await.map_err(|_| "no connection in time")?;
+                let stream = timeout(LONG, TcpStream::connect(to))
+                    .await
+                    .map_err(|_| "no connection in time")?;
                 let stream = stream.map_err(|e| format!("connect: {e}"))?;
                 stream.set_nodelay(true).map_err(|e| e.to_string())?;
                 stream
             }
         };
-        stream.write_all(&request).await.map_err(|e| format!("write: {e}"))?;
+        stream
+            .write_all(&request)
+            .await
+            .map_err(|e| format!("write: {e}"))?;
         if case.way == Way::HangUp {
             seen.served += 1;
             continue;
@@ -120,20 +133,33 @@
 pub async fn read(stream: &mut TcpStream, way: Way, answer: &mut Vec<u8>) -> Result<u16, String> {
     answer.clear();
     loop {
-        let n = stream.read_buf(answer).await.map_err(|e| format!("read: {e}"))?;
+        let n = stream
+            .read_buf(answer)
+            .await
+            .map_err(|e| format!("read: {e}"))?;
         if n == 0 {
             return Err("the connection was closed without an answer".into());
         }
         if way == Way::Rpc {
             if answer.ends_with(b"\n") {
-                return Ok(if answer.windows(9).any(|w| w == b"\"result\":") { 200 } else { 500 });
+                return Ok(if answer.windows(9).any(|w| w == b"\"result\":") {
+                    200
+                } else {
+                    500
+                });
             }
             continue;
         }
-        let Some(end) = head_end(answer) else { continue };
-        let length = header(&answer[..end], "content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+        let Some(end) = head_end(answer) else {
+            continue;
+        };
+        let length = header(&answer[..end], "content-length")
+            .and_then(|l| l.parse().ok())
+            .unwrap_or(0);
         if answer.len() >= end + length {
-            let status = answer.get(9..12).and_then(|s| std::str::from_utf8(s).ok()?.parse().ok());
+            let status = answer
+                .get(9..12)
+                .and_then(|s| std::str::from_utf8(s).ok()?.parse().ok());
             return status.ok_or_else(|| "an answer without a status".to_string());
         }
     }
--- a/crates/heathroad-cost/src/main.rs
+++ b/crates/heathroad-cost/src/main.rs
@@ -1,10 +1,12 @@
-//! What a request costs the daemon: allocations, reads and writes, tasks and timers, CPU time and latency, beside a bare hyper
-//! proxy that decides nothing, in the same run.
+//! What a request costs the daemon: allocations, reads and writes, tasks and timers, CPU time and
+//! latency, beside a bare hyper proxy that decides nothing, in the same run.
 //!
 //! - `case` says what is sent and how backends answer, `node` is a backend, `load` the callers.
-//! - `bare` is the yardstick. It and the daemon run as processes of this program, see `subject`, with an allocator that counts.
-//! - `overload` offers more than a core can do. `measure` runs subjects by turns and says what came out. Times mean something beside each other only; counts do by
-//!   themselves, and `tests/guard.rs` holds them to `ceilings.toml`.
+//! - `bare` is the yardstick. It and the daemon run as processes of this program, see `subject`,
+//!   with an allocator that counts.
+//! - `overload` offers more than a core can do. `measure` runs subjects by turns and says what came
+//!   out. Times mean something beside each other only; counts do by themselves, and
+//!   `tests/guard.rs` holds them to `ceilings.toml`.
 
 mod bare;
 mod case;
@@ -38,7 +40,8 @@
     /// Counts only, on one connection, one JSON object a line.
     #[arg(long)]
     counts: bool,
-    /// Requests that come at a rate, from half of what a core can do to five times that, whatever becomes of them.
+    /// Requests that come at a rate, from half of what a core can do to five times that, whatever
+    /// becomes of them.
     #[arg(long)]
     overload: bool,
     /// The daemon alone.
@@ -62,21 +65,29 @@
 
 fn run(cli: &Cli) -> Result<(), String> {
     if cli.list {
-        case::ALL.iter().for_each(|c| println!("{:12} {}", c.name, c.about));
+        case::ALL
+            .iter()
+            .for_each(|c| println!("{:12} {}", c.name, c.about));
         return Ok(());
     }
     if let Some(n) = cli.connections.iter().find(|n| !(1..=4000).contains(*n)) {
         return Err(format!("--connections {n}: expected 1 to 4000"));
     }
     let named = |name: &String| {
-        case::ALL.iter().find(|c| c.name == name).ok_or_else(|| format!("{name}: no such case, see --list"))
+        case::ALL
+            .iter()
+            .find(|c| c.name == name)
+            .ok_or_else(|| format!("{name}: no such case, see --list"))
     };
     let cases = match cli.cases.is_empty() {
         true => case::ALL.iter().collect(),
         false => cli.cases.iter().map(named).collect::<Result<Vec<_>, _>>()?,
     };
     subject::measure_beside()?;
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(3)
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     runtime.block_on(async {
         if cli.overload {
--- a/crates/heathroad-cost/src/measure.rs
+++ b/crates/heathroad-cost/src/measure.rs
@@ -6,7 +6,8 @@
 use crate::subject::{LONG, Subject, Used};
 use serde_json::{Map, Value, json};
 
-/// Requests of each connection before anything is measured, and the least of all together: the limit has grown by then.
+/// Requests of each connection before anything is measured, and the least of all together: the
+/// limit has grown by then.
 const WARM_UP: [u64; 2] = [20, 5_000];
 
 /// A run of a subject, for each request.
@@ -35,7 +36,9 @@
             cpu_us: each(after.cpu_ns, before.cpu_ns) / 1000.0,
             allocations: each(after.allocations, before.allocations),
             bytes: each(after.bytes, before.bytes),
-            effort: effort.map(|((name, a), (_, b))| (name.clone(), each(*a, *b))).collect(),
+            effort: effort
+                .map(|((name, a), (_, b))| (name.clone(), each(*a, *b)))
+                .collect(),
             peak_kb: after.peak_kb,
         }
     }
@@ -47,7 +50,8 @@
     all.get(all.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// Counts of each case on one connection, as JSON, a line a case: what a request takes, without the time.
+/// Counts of each case on one connection, as JSON, a line a case: what a request takes, without the
+/// time.
 pub async fn counts(cases: &[&'static Case], requests: u64) -> Result<(), String> {
     for case in cases {
         let nodes = node::start(case).await.map_err(|e| e.to_string())?;
@@ -55,7 +59,11 @@
         let mut callers = Callers::new(case, daemon.at, 1);
         callers.run(requests / 4 + 100).await?;
         let run = run(&mut daemon, &mut callers, requests).await?;
-        let mut figures: Map<String, Value> = run.effort.iter().map(|(n, x)| (n.clone(), json!(x))).collect();
+        let mut figures: Map<String, Value> = run
+            .effort
+            .iter()
+            .map(|(n, x)| (n.clone(), json!(x)))
+            .collect();
         figures.insert("allocations".into(), json!(run.allocations));
         figures.insert("kilobytes".into(), json!(run.bytes / 1000.0));
         println!(
@@ -99,9 +107,14 @@
     if case.bare() && !alone {
         subjects.push(Subject::bare(&nodes).await?);
     }
-    let mut callers: Vec<Callers> = subjects.iter().map(|s| Callers::new(case, s.at, many)).collect();
+    let mut callers: Vec<Callers> = subjects
+        .iter()
+        .map(|s| Callers::new(case, s.at, many))
+        .collect();
     for callers in &mut callers {
-        callers.run((WARM_UP[0] * many as u64).max(WARM_UP[1])).await?;
+        callers
+            .run((WARM_UP[0] * many as u64).max(WARM_UP[1]))
+            .await?;
     }
     let mut done: Vec<Vec<Run>> = subjects.iter().map(|_| Vec::new()).collect();
     for _ in 0..runs {
@@ -114,19 +127,26 @@
         each.join(" ")
     };
     let both = |of: &dyn Fn(&Run) -> f64, digits: usize| {
-        let sides: Vec<String> =
-            done.iter().map(|runs| format!("{:.digits$}", median(runs.iter().map(of)))).collect();
+        let sides: Vec<String> = done
+            .iter()
+            .map(|runs| format!("{:.digits$}", median(runs.iter().map(of))))
+            .collect();
         sides.join(", ")
     };
     let daemon = &done[0];
     let bare = done.get(1).map_or("-".to_string(), |b| list(b));
-    let ratio = done
-        .get(1)
-        .map_or(f64::NAN, |b| median(daemon.iter().map(|r| r.cpu_us)) / median(b.iter().map(|r| r.cpu_us)));
+    let ratio = done.get(1).map_or(f64::NAN, |b| {
+        median(daemon.iter().map(|r| r.cpu_us)) / median(b.iter().map(|r| r.cpu_us))
+    });
     let effort: Vec<String> = ["reads", "writes", "looks", "tasks", "timers"]
         .iter()
         .map(|name| {
-            let of = |r: &Run| r.effort.iter().find(|(n, _)| n == name).map_or(f64::NAN, |(_, x)| *x);
+            let of = |r: &Run| {
+                r.effort
+                    .iter()
+                    .find(|(n, _)| n == name)
+                    .map_or(f64::NAN, |(_, x)| *x)
+            };
             format!("{:.2}", median(daemon.iter().map(of)))
         })
         .collect();
--- a/crates/heathroad-cost/src/overload.rs
+++ b/crates/heathroad-cost/src/overload.rs
@@ -1,5 +1,6 @@
-//! Overload: requests that come at a rate, whatever becomes of them, from half of what the core can do to five times that. What
-//! is served in time should not fall, and what is turned away should cost little.
+//! Overload: requests that come at a rate, whatever becomes of them, from half of what the core can
+//! do to five times that. What is served in time should not fall, and what is turned away should
+//! cost little.
 
 use crate::case::Case;
 use crate::load::{self, Callers};
@@ -60,7 +61,10 @@
     callers.run(CLOSED.0).await?;
     let rate = CLOSED.0 as f64 / begun.elapsed().as_secs_f64();
     drop(callers);
-    println!("{}: {rate:.0} a second in a closed loop of {}", case.name, CLOSED.1);
+    println!(
+        "{}: {rate:.0} a second in a closed loop of {}",
+        case.name, CLOSED.1
+    );
     println!(
         "| offered | of that | asked a second | in time a second | late | refused | failed | given up | broken | unasked | CPU |\n|{}",
         " --- |".repeat(11)
@@ -111,7 +115,11 @@
 
 /// Offers so many a second. Each takes a connection that rests, or makes one.
 async fn offer(case: &'static Case, to: SocketAddr, rate: f64, first: u64) -> Seen {
-    let (idle, mut seen, mut asked) = (Arc::new(Mutex::new(Vec::new())), Seen::default(), JoinSet::new());
+    let (idle, mut seen, mut asked) = (
+        Arc::new(Mutex::new(Vec::new())),
+        Seen::default(),
+        JoinSet::new(),
+    );
     let begun = Instant::now();
     let mut tick = interval(Duration::from_millis(1));
     tick.set_missed_tick_behavior(MissedTickBehavior::Skip);
@@ -150,7 +158,12 @@
     }
 }
 
-async fn ask(case: &'static Case, to: SocketAddr, number: u64, idle: &Mutex<Vec<TcpStream>>) -> End {
+async fn ask(
+    case: &'static Case,
+    to: SocketAddr,
+    number: u64,
+    idle: &Mutex<Vec<TcpStream>>,
+) -> End {
     let begun = Instant::now();
     let kept = idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
     let exchange = async {
@@ -164,9 +177,14 @@
         };
         let (mut request, mut answer) = (Vec::new(), Vec::with_capacity(4096));
         case.request(number, AIM[1] as u64, &mut request);
-        stream.write_all(&request).await.map_err(|e| e.to_string())?;
+        stream
+            .write_all(&request)
+            .await
+            .map_err(|e| e.to_string())?;
         let status = load::read(&mut stream, case.way, &mut answer).await?;
-        idle.lock().unwrap_or_else(PoisonError::into_inner).push(stream);
+        idle.lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(stream);
         Ok::<_, String>(status)
     };
     match timeout(Duration::from_secs_f64(AIM[1] / 1000.0), exchange).await {
--- a/crates/heathroad-cost/src/subject.rs
+++ b/crates/heathroad-cost/src/subject.rs
@@ -1,5 +1,6 @@
-//! What is measured: the daemon, or the yardstick, as a process of this program with an allocator that counts. Each line that
-//! comes on its standard input is answered on standard output by what was allocated until then.
+//! What is measured: the daemon, or the yardstick, as a process of this program with an allocator
+//! that counts. Each line that comes on its standard input is answered on standard output by what
+//! was allocated until then.
 
 use crate::bare;
 use crate::case::{Case, Way};
@@ -41,7 +42,11 @@
             let s = COUNTED.stats();
             let told = [s.allocations + s.reallocations, s.bytes_allocated];
             let mut out = std::io::stdout().lock();
-            if line.is_err() || writeln!(out, "{} {}", told[0], told[1]).and_then(|()| out.flush()).is_err() {
+            if line.is_err()
+                || writeln!(out, "{} {}", told[0], told[1])
+                    .and_then(|()| out.flush())
+                    .is_err()
+            {
                 break;
             }
         }
@@ -53,13 +58,15 @@
     }
     let nodes = std::env::var(NODES).unwrap_or_default();
     let nodes = nodes.split(',').filter_map(|n| n.parse().ok()).collect();
-    Some(match bare::serve(nodes, |at| eprintln!("listening on {at}")) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("bare: {e}");
-            ExitCode::FAILURE
-        }
-    })
+    Some(
+        match bare::serve(nodes, |at| eprintln!("listening on {at}")) {
+            Ok(()) => ExitCode::SUCCESS,
+            Err(e) => {
+                eprintln!("bare: {e}");
+                ExitCode::FAILURE
+            }
+        },
+    )
 }
 
 /// A subject that runs.
@@ -92,11 +99,14 @@
 impl Drop for Subject {
     fn drop(&mut self) {
         // The process ends with its standard input; what can't be removed was not written.
-        self.files.iter().for_each(|f| drop(std::fs::remove_file(f)));
+        self.files
+            .iter()
+            .for_each(|f| drop(std::fs::remove_file(f)));
     }
 }
 
-/// Wanted within the one, given up after the other, in milliseconds: nothing is turned away for its time.
+/// Wanted within the one, given up after the other, in milliseconds: nothing is turned away for its
+/// time.
 pub const LONG: [f64; 2] = [20_000.0, 60_000.0];
 
 fn settings([aim, give_up]: [f64; 2]) -> Value {
@@ -115,16 +125,22 @@
     })
 }
 
-/// The processor that a subject has for itself: the last one that this process may use, where there are four or more.
+/// The processor that a subject has for itself: the last one that this process may use, where there
+/// are four or more.
 fn own_processor() -> Option<usize> {
-    let set = ALLOWED.get_or_init(|| sched_getaffinity(None).ok()).as_ref()?;
+    let set = ALLOWED
+        .get_or_init(|| sched_getaffinity(None).ok())
+        .as_ref()?;
     let usable = || (0..CpuSet::MAX_CPU).filter(|cpu| set.is_set(*cpu));
     usable().next_back().filter(|_| usable().count() >= 4)
 }
 
-/// Callers and backends keep to the other processors. Threads that begin later, and those alone, do the same.
+/// Callers and backends keep to the other processors. Threads that begin later, and those alone, do
+/// the same.
 pub fn measure_beside() -> Result<(), String> {
-    let Some(last) = own_processor() else { return Ok(()) };
+    let Some(last) = own_processor() else {
+        return Ok(());
+    };
     let mut set = sched_getaffinity(None).map_err(|e| e.to_string())?;
     set.unset(last);
     sched_setaffinity(None, &set).map_err(|e| format!("processors: {e}"))
@@ -142,9 +158,19 @@
             command
         }
     };
-    command.env(BE, be).env_remove("RELAY_LISTEN").env_remove("RELAY_ADMIN").env_remove("RELAY_DISCOVERY");
-    command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
-    let child = command.env(name, value).spawn().map_err(|e| format!("{be}: {e}"))?;
+    command
+        .env(BE, be)
+        .env_remove("RELAY_LISTEN")
+        .env_remove("RELAY_ADMIN")
+        .env_remove("RELAY_DISCOVERY");
+    command
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped());
+    let child = command
+        .env(name, value)
+        .spawn()
+        .map_err(|e| format!("{be}: {e}"))?;
     // A processor of its own, where there are enough: see `measure_beside`.
     let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
     if let (Some(last), Some(pid)) = (own_processor(), pid) {
@@ -155,7 +181,10 @@
     Ok(child)
 }
 
-async fn address(log: &mut Lines<BufReader<ChildStderr>>, says: &str) -> Result<SocketAddr, String> {
+async fn address(
+    log: &mut Lines<BufReader<ChildStderr>>,
+    says: &str,
+) -> Result<SocketAddr, String> {
     let find = async {
         while let Some(line) = log.next_line().await.map_err(|e| e.to_string())? {
             if let Some((_, at)) = line.split_once(says) {
@@ -164,16 +193,24 @@
         }
         Err(format!("it ended before it said `{says}`"))
     };
-    timeout(SOON, find).await.map_err(|_| format!("it never said `{says}`"))?
+    timeout(SOON, find)
+        .await
+        .map_err(|_| format!("it never said `{says}`"))?
 }
 
 impl Subject {
     /// Starts the daemon for a case whose requests are wanted and given up by these times.
     pub async fn daemon(case: &Case, nodes: &Nodes, times: [f64; 2]) -> Result<Subject, String> {
-        let name = format!("heathroad-cost-{}-{}", std::process::id(), nodes.registry.port());
-        let [file, routes] = ["json", "toml"].map(|e| std::env::temp_dir().join(format!("{name}.{e}")));
-        let write =
-            |f: &PathBuf, text: &str| std::fs::write(f, text).map_err(|e| format!("{}: {e}", f.display()));
+        let name = format!(
+            "heathroad-cost-{}-{}",
+            std::process::id(),
+            nodes.registry.port()
+        );
+        let [file, routes] =
+            ["json", "toml"].map(|e| std::env::temp_dir().join(format!("{name}.{e}")));
+        let write = |f: &PathBuf, text: &str| {
+            std::fs::write(f, text).map_err(|e| format!("{}: {e}", f.display()))
+        };
         let mut config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": nodes.registry.to_string(),
             "admin": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "settings": settings(times),
             "limits": {"cores": 1.0, "memory_mb": 1024, "sockets": 16_384}});
@@ -184,11 +221,19 @@
         if case.budget {
             config["budget"] = json!({"name": "gate", "inner": [], "lends": false});
         }
-        let [fleet, key] = ["fleet", "key"].map(|e| std::env::temp_dir().join(format!("{name}.{e}")));
+        let [fleet, key] =
+            ["fleet", "key"].map(|e| std::env::temp_dir().join(format!("{name}.{e}")));
         if case.fleet {
-            // Its one fellow is never there: what it asks of that one is next to nothing beside the requests.
+            // Its one fellow is never there: what it asks of that one is next to nothing beside the
+            // requests.
             write(&key, "a key that nobody else has")?;
-            write(&fleet, &format!("name = \"cost\"\nkey_file = {:?}\n", key.display().to_string()))?;
+            write(
+                &fleet,
+                &format!(
+                    "name = \"cost\"\nkey_file = {:?}\n",
+                    key.display().to_string()
+                ),
+            )?;
             config["fleet"] = fleet.display().to_string().into();
             config["peer_listen"] = "127.0.0.1:0".into();
             config["peers"] = json!(["127.0.0.1:9", "127.0.0.1:9"]);
@@ -225,16 +270,29 @@
         };
         let (told, log) = (BufReader::new(out).lines(), BufReader::new(log).lines());
         let at = SocketAddr::from(([127, 0, 0, 1], 0));
-        Ok(Subject { at, admin: None, child, tell, told, files, _log: log })
+        Ok(Subject {
+            at,
+            admin: None,
+            child,
+            tell,
+            told,
+            files,
+            _log: log,
+        })
     }
 
     async fn ready(&self, http: SocketAddr) -> Result<(), String> {
         let wait = async {
-            while !get(http, "/health/ready").await.is_ok_and(|(status, _)| status == 200) {
+            while !get(http, "/health/ready")
+                .await
+                .is_ok_and(|(status, _)| status == 200)
+            {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        timeout(SOON, wait).await.map_err(|_| "it is not ready".to_string())
+        timeout(SOON, wait)
+            .await
+            .map_err(|_| "it is not ready".to_string())
     }
 
     /// What it has used until now.
@@ -244,23 +302,43 @@
             let (_, body) = get(admin, "/counts").await?;
             let counts: Value = serde_json::from_str(&body).map_err(|e| format!("/counts: {e}"))?;
             let effort = counts["effort"].as_object().ok_or("/counts: no effort")?;
-            used.effort = effort.iter().filter_map(|(name, n)| Some((name.clone(), n.as_u64()?))).collect();
+            used.effort = effort
+                .iter()
+                .filter_map(|(name, n)| Some((name.clone(), n.as_u64()?)))
+                .collect();
         }
-        self.tell.write_all(b"\n").await.map_err(|e| e.to_string())?;
-        let line = timeout(SOON, self.told.next_line()).await.map_err(|_| "it tells nothing")?;
+        self.tell
+            .write_all(b"\n")
+            .await
+            .map_err(|e| e.to_string())?;
+        let line = timeout(SOON, self.told.next_line())
+            .await
+            .map_err(|_| "it tells nothing")?;
         let line = line.map_err(|e| e.to_string())?.ok_or("it ended")?;
         let figures: Vec<u64> = line.split(' ').filter_map(|n| n.parse().ok()).collect();
-        let [allocations, bytes] = figures[..] else { return Err(format!("it told {line:?}")) };
+        let [allocations, bytes] = figures[..] else {
+            return Err(format!("it told {line:?}"));
+        };
         (used.allocations, used.bytes) = (allocations, bytes);
         let id = self.child.id().ok_or("it ended")?;
         let tasks = std::fs::read_dir(format!("/proc/{id}/task")).map_err(|e| e.to_string())?;
         for task in tasks.flatten() {
             let stat = std::fs::read_to_string(task.path().join("schedstat")).unwrap_or_default();
-            used.cpu_ns += stat.split(' ').next().and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
+            used.cpu_ns += stat
+                .split(' ')
+                .next()
+                .and_then(|n| n.parse::<u64>().ok())
+                .unwrap_or(0);
         }
-        let status = std::fs::read_to_string(format!("/proc/{id}/status")).map_err(|e| e.to_string())?;
-        let peak =
-            status.lines().find_map(|l| l.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB")?.parse().ok());
+        let status =
+            std::fs::read_to_string(format!("/proc/{id}/status")).map_err(|e| e.to_string())?;
+        let peak = status.lines().find_map(|l| {
+            l.strip_prefix("VmHWM:")?
+                .trim()
+                .strip_suffix(" kB")?
+                .parse()
+                .ok()
+        });
         used.peak_kb = peak.unwrap_or(0);
         Ok(used)
     }
@@ -276,9 +354,14 @@
         stream.read_to_string(&mut answer).await?;
         Ok::<_, std::io::Error>(answer)
     };
-    let answer = timeout(SOON, ask).await.map_err(|_| format!("{path}: no answer in time"))?;
+    let answer = timeout(SOON, ask)
+        .await
+        .map_err(|_| format!("{path}: no answer in time"))?;
     let answer = answer.map_err(|e| format!("{path}: {e}"))?;
-    let status = answer.get(9..12).and_then(|s| s.parse().ok()).ok_or(format!("{path}: no status"))?;
+    let status = answer
+        .get(9..12)
+        .and_then(|s| s.parse().ok())
+        .ok_or(format!("{path}: no status"))?;
     let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
     Ok((status, body.to_string()))
 }
--- a/crates/heathroad-cost/tests/golden_command_line.rs
+++ b/crates/heathroad-cost/tests/golden_command_line.rs
@@ -1,4 +1,5 @@
-//! The command line stays as it is: its commands, arguments and options. The wording of the help is free.
+//! The command line stays as it is: its commands, arguments and options. The wording of the help is
+//! free.
 
 #[path = "../../heathroad/tests/rig/help_forms.rs"]
 mod help_forms;
--- a/crates/heathroad-duty/examples/duty-bench.rs
+++ b/crates/heathroad-duty/examples/duty-bench.rs
@@ -1,5 +1,5 @@
-//! How long nobody holds a duty after a fault, how many messages it takes, and what a shorter lease costs: in time of its own, so that
-//! every machine finds the same.
+//! How long nobody holds a duty after a fault, how many messages it takes, and what a shorter lease
+//! costs: in time of its own, so that every machine finds the same.
 //!
 //!     cargo run --release -p heathroad-duty --example duty-bench 200
 
@@ -17,7 +17,9 @@
 
 fn begin(members: u16, seed: u64, lease: u64) -> World {
     let mut world = World::with_lease(members, 3, seed, lease);
-    world.run_until(HOUR, |w| w.holder().is_some()).expect("it is held");
+    world
+        .run_until(HOUR, |w| w.holder().is_some())
+        .expect("it is held");
     world.run(lease * 6);
     world
 }
@@ -33,7 +35,9 @@
     let mut world = begin(9, seed, lease);
     world.faults.loss = loss;
     world.run(lease * 2 + Rng::with_seed(seed).u64(0..lease));
-    let Some((holder, last)) = world.holders().first().copied() else { return 0 };
+    let Some((holder, last)) = world.holders().first().copied() else {
+        return 0;
+    };
     match fault {
         "kill" => world.kill(holder),
         "stall" => world.stall(holder, HOUR),
@@ -47,16 +51,26 @@
 }
 
 fn main() {
-    let count = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(20);
+    let count = std::env::args()
+        .nth(1)
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(20);
     println!(
         "time without a new holder after a fault, ms: median, p99 of {count}; 9 members, ways of 1 to 12 ms"
     );
     for fault in ["kill", "stall", "cut", "resign"] {
         for loss in [0.0, 0.1, 0.3] {
-            let mut times: Vec<u64> = (0..count).map(|seed| after(fault, loss, seed, LEASE)).collect();
+            let mut times: Vec<u64> = (0..count)
+                .map(|seed| after(fault, loss, seed, LEASE))
+                .collect();
             times.sort_unstable();
             let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
-            println!("| {fault} | {:.0}% | {} | {} |", loss * 100.0, at(0.5), at(0.99));
+            println!(
+                "| {fault} | {:.0}% | {} | {} |",
+                loss * 100.0,
+                at(0.5),
+                at(0.99)
+            );
         }
     }
     println!("messages a second at rest, one duty");
@@ -67,7 +81,10 @@
         world.run(100_000);
         let (a_second, longest) = ((world.sent - sent) as f64 / 100.0, world.longest);
         let holds = world.begun().len();
-        println!("| {members} | {:.0}% | {a_second:.1} | {longest} bytes | {holds} holds |", loss * 100.0);
+        println!(
+            "| {members} | {:.0}% | {a_second:.1} | {longest} bytes | {holds} holds |",
+            loss * 100.0
+        );
     }
     println!(
         "the holder stalls for 0.2 to 3 s once in 20 s, for an hour: lease, hand-ons, and the median after a kill"
@@ -84,8 +101,14 @@
             }
         }
         let handed = world.begun().len() - before;
-        let mut times: Vec<u64> = (0..20).map(|seed| after("kill", 0.0, seed, lease)).collect();
+        let mut times: Vec<u64> = (0..20)
+            .map(|seed| after("kill", 0.0, seed, lease))
+            .collect();
         times.sort_unstable();
-        println!("| {:.1} s | {handed} | {} ms |", lease as f64 / 1000.0, times[10]);
+        println!(
+            "| {:.1} s | {handed} | {} ms |",
+            lease as f64 / 1000.0,
+            times[10]
+        );
     }
 }
--- a/crates/heathroad-duty/src/duties.rs
+++ b/crates/heathroad-duty/src/duties.rs
@@ -1,4 +1,5 @@
-//! A proxy's whole part in the duties of its fleet: it seeks and holds some, and votes where it is a voter.
+//! A proxy's whole part in the duties of its fleet: it seeks and holds some, and votes where it is
+//! a voter.
 
 use crate::electorate::Electorate;
 use crate::message::{MAX_MESSAGE, Message, Send, What};
@@ -11,7 +12,8 @@
 use heathroad_fleet::{Millis, Place};
 use std::collections::BTreeMap;
 
-/// What is to be done, in this order: what is to be kept must be on disk before what is behind it goes.
+/// What is to be done, in this order: what is to be kept must be on disk before what is behind it
+/// goes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// Keep this, where there is a disk.
@@ -67,15 +69,38 @@
 }
 
 impl Duties {
-    /// A proxy that starts, with what it remembers as a voter, at a Unix time in milliseconds as far as it is known.
+    /// A proxy that starts, with what it remembers as a voter, at a Unix time in milliseconds as
+    /// far as it is known.
     pub fn new(now: Millis, unix: u64, settings: Settings, memory: Memory) -> Duties {
-        let Settings { own, electorate, terms, duties, seed } = settings;
+        let Settings {
+            own,
+            electorate,
+            terms,
+            duties,
+            seed,
+        } = settings;
         let (clock, generation) = (count_at(unix), electorate.generation());
-        let voter = electorate.votes(own).then(|| Voter::new(now, clock, terms, generation, memory));
-        let seats: Vec<Seat> = duties.into_iter().map(|duty| Seat::new(now, duty)).collect();
+        let voter = electorate
+            .votes(own)
+            .then(|| Voter::new(now, clock, terms, generation, memory));
+        let seats: Vec<Seat> = duties
+            .into_iter()
+            .map(|duty| Seat::new(now, duty))
+            .collect();
         let rng = Rng::with_seed(seed);
         let (present, ranks, out) = (Vec::new(), BTreeMap::new(), Vec::new());
-        let mut all = Duties { own, electorate, terms, seats, voter, present, ranks, clock, rng, out };
+        let mut all = Duties {
+            own,
+            electorate,
+            terms,
+            seats,
+            voter,
+            present,
+            ranks,
+            clock,
+            rng,
+            out,
+        };
         all.present(vec![own]);
         all
     }
@@ -87,8 +112,12 @@
         }
         for seat in &self.seats {
             let order = turn(seat.duty(), &present);
-            let rank = order.iter().position(|p| *p == self.own).unwrap_or(usize::MAX);
-            self.ranks.insert(seat.duty(), u16::try_from(rank).unwrap_or(u16::MAX));
+            let rank = order
+                .iter()
+                .position(|p| *p == self.own)
+                .unwrap_or(usize::MAX);
+            self.ranks
+                .insert(seat.duty(), u16::try_from(rank).unwrap_or(u16::MAX));
         }
         self.present = present;
     }
@@ -100,7 +129,11 @@
 
     /// When [`Duties::tick`] is to be called at the latest.
     pub fn due(&self) -> Millis {
-        self.seats.iter().map(|s| s.due(self.rank(s.duty()))).min().unwrap_or(Millis::MAX)
+        self.seats
+            .iter()
+            .map(|s| s.due(self.rank(s.duty())))
+            .min()
+            .unwrap_or(Millis::MAX)
     }
 
     fn rank(&self, duty: DutyId) -> u16 {
@@ -112,7 +145,11 @@
         self.out.drain(..)
     }
 
-    fn with<R>(&mut self, duty: DutyId, act: impl FnOnce(&mut Seat, &mut With<'_>) -> R) -> Option<R> {
+    fn with<R>(
+        &mut self,
+        duty: DutyId,
+        act: impl FnOnce(&mut Seat, &mut With<'_>) -> R,
+    ) -> Option<R> {
         let rank = self.rank(duty);
         let seat = self.seats.iter_mut().find(|s| s.duty() == duty)?;
         let mut out = Vec::new();
@@ -126,7 +163,8 @@
             out: &mut out,
         };
         let done = act(seat, &mut with);
-        self.out.extend(seat.events().map(|e| Output::Event(duty, e)));
+        self.out
+            .extend(seat.events().map(|e| Output::Event(duty, e)));
         self.out.extend(out.into_iter().map(Output::Send));
         Some(done)
     }
@@ -149,15 +187,20 @@
     /// A message has come from a member in one of its lives.
     pub fn hear(&mut self, now: Millis, from: Place, life: u64, message: Message) {
         let Message { duty, what } = message;
-        let to_voter =
-            matches!(what, What::Ask { .. } | What::Resign { .. } | What::Keep { .. } | What::Look { .. });
+        let to_voter = matches!(
+            what,
+            What::Ask { .. } | What::Resign { .. } | What::Keep { .. } | What::Look { .. }
+        );
         if to_voter {
             let Some(voter) = &mut self.voter else { return };
             let (answer, changed) = voter.hear(now, from, life, duty, what);
             if changed {
                 self.out.push(Output::Keep(voter.memory().clone()));
             }
-            let answer = answer.map(|what| Send { to: from, message: Message { duty, what } });
+            let answer = answer.map(|what| Send {
+                to: from,
+                message: Message { duty, what },
+            });
             self.out.extend(answer.map(Output::Send));
             return;
         }
@@ -179,7 +222,9 @@
 
     /// Lets a duty go, and does not seek it for a while. Whoever is next in turn is told.
     pub fn resign(&mut self, now: Millis, duty: DutyId, why: Ended) {
-        let next = turn(duty, &self.present).into_iter().find(|p| *p != self.own);
+        let next = turn(duty, &self.present)
+            .into_iter()
+            .find(|p| *p != self.own);
         self.with(duty, |seat, with| seat.resign(now, why, next, with));
     }
 
@@ -188,17 +233,27 @@
         self.with(duty, |seat, _| seat.seen(token));
     }
 
-    /// What a duty's work has come to, to be kept by a quorum: its number, told by [`Event::Saved`] once it is.
+    /// What a duty's work has come to, to be kept by a quorum: its number, told by [`Event::Saved`]
+    /// once it is.
     pub fn mark(&mut self, now: Millis, duty: DutyId, state: Vec<u8>) -> Option<u32> {
-        self.with(duty, |seat, with| seat.mark(now, state, with)).flatten()
+        self.with(duty, |seat, with| seat.mark(now, state, with))
+            .flatten()
     }
 
     /// Asks all voters how a duty stands; they are told by [`Output::Stands`].
     pub fn look(&mut self, duty: DutyId) {
         let round = self.rng.u32(..);
         let to = self.electorate.all();
-        let message = Message { duty, what: What::Look { round } };
-        self.out.extend(to.map(|to| Output::Send(Send { to, message: message.clone() })));
+        let message = Message {
+            duty,
+            what: What::Look { round },
+        };
+        self.out.extend(to.map(|to| {
+            Output::Send(Send {
+                to,
+                message: message.clone(),
+            })
+        }));
     }
 
     /// Who votes.
--- a/crates/heathroad-duty/src/electorate.rs
+++ b/crates/heathroad-duty/src/electorate.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// The voters under one number. While the set is changed, a quorum is a majority of the old and one of the new: quorums of
-/// neighbouring generations have a voter in common.
+/// The voters under one number. While the set is changed, a quorum is a majority of the old and one
+/// of the new: quorums of neighbouring generations have a voter in common.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Electorate {
     generation: u8,
@@ -56,7 +56,8 @@
 }
 
 impl Electorate {
-    /// Of a fleet of `members`; `previous` is empty once no proxy goes by the generation before any more.
+    /// Of a fleet of `members`; `previous` is empty once no proxy goes by the generation before any
+    /// more.
     pub fn new(
         generation: u8,
         voters: Vec<Place>,
@@ -70,10 +71,15 @@
                 return Err(Unfit::First);
             }
         }
-        Ok(Electorate { generation, voters, previous })
+        Ok(Electorate {
+            generation,
+            voters,
+            previous,
+        })
     }
 
-    /// Its number. A proxy that goes by a lower one is refused by each voter that has heard of this one.
+    /// Its number. A proxy that goes by a lower one is refused by each voter that has heard of this
+    /// one.
     pub fn generation(&self) -> u8 {
         self.generation
     }
@@ -91,12 +97,17 @@
 
     /// The highest value that a quorum reaches, where each voter has one or none.
     pub fn reached<T: Ord + Copy>(&self, of: impl Fn(Place) -> Option<T>) -> Option<T> {
-        let sets = [&self.voters, &self.previous].into_iter().filter(|s| !s.is_empty());
+        let sets = [&self.voters, &self.previous]
+            .into_iter()
+            .filter(|s| !s.is_empty());
         let reached = |set: &Vec<Place>| {
             let mut values: Vec<T> = set.iter().filter_map(|p| of(*p)).collect();
             values.sort_unstable();
             // A majority of the set has at least the value that so many from the top have.
-            values.len().checked_sub(set.len() / 2 + 1).map(|at| values[at])
+            values
+                .len()
+                .checked_sub(set.len() / 2 + 1)
+                .map(|at| values[at])
         };
         // None is less than any value: a set without a majority has no quorum.
         sets.map(reached).min().flatten()
--- a/crates/heathroad-duty/src/lib.rs
+++ b/crates/heathroad-duty/src/lib.rs
@@ -1,13 +1,17 @@
-//! Duties that one proxy of a fleet alone may hold at a time, granted and fenced without I/O or clock.
+//! Duties that one proxy of a fleet alone may hold at a time, granted and fenced without I/O or
+//! clock.
 //!
-//! A few members are voters ([`electorate`]). Whoever wants a duty asks all of them under a [`token`] of its own; a [`voter`] grants it
-//! for a time, to nobody else meanwhile, and to nobody ever under a lower token. Who has a quorum's grants holds the duty until
-//! the first of them may end ([`seat`]). What it has come to is told to the voters as a [`mark`](voter::Mark), which the next holder
-//! begins with. Who is acted on keeps the highest token it has seen ([`fence`]) and refuses lower ones: that is what nothing
-//! double rests on; the time of a grant serves to hand a duty on.
+//! A few members are voters ([`electorate`]). Whoever wants a duty asks all of them under a
+//! [`token`] of its own; a [`voter`] grants it for a time, to nobody else meanwhile, and to nobody
+//! ever under a lower token. Who has a quorum's grants holds the duty until the first of them may
+//! end ([`seat`]). What it has come to is told to the voters as a [`mark`](voter::Mark), which the
+//! next holder begins with. Who is acted on keeps the highest token it has seen ([`fence`]) and
+//! refuses lower ones: that is what nothing double rests on; the time of a grant serves to hand a
+//! duty on.
 //!
-//! [`duties`] is a proxy's whole part in it; [`message`] is what is sent; [`history`] is who held what, as far as is known.
-//! `docs/design/duties.md` says what was weighed, `docs/specs/duty-messages.md` gives the bytes.
+//! [`duties`] is a proxy's whole part in it; [`message`] is what is sent; [`history`] is who held
+//! what, as far as is known. `docs/design/duties.md` says what was weighed,
+//! `docs/specs/duty-messages.md` gives the bytes.
 
 pub mod duties;
 pub mod electorate;
@@ -58,13 +62,15 @@
 pub const LEASE_MS: std::ops::RangeInclusive<u64> = 200..=60_000;
 
 impl Terms {
-    /// A voter counts a grant for so long from when it gave it: a fiftieth more than the holder, so that clocks whose rates differ by less
-    /// than that agree on who may act. It is also how long a voter that has started keeps silent, of whatever it may have granted before.
+    /// A voter counts a grant for so long from when it gave it: a fiftieth more than the holder, so
+    /// that clocks whose rates differ by less than that agree on who may act. It is also how long a
+    /// voter that has started keeps silent, of whatever it may have granted before.
     pub fn kept(self, lease: Millis) -> Millis {
         lease + lease / 50 + 1
     }
 
-    /// A first grant, before a quorum is known to have given it, is for half as long: what a loser was granted is soon free.
+    /// A first grant, before a quorum is known to have given it, is for half as long: what a loser
+    /// was granted is soon free.
     pub fn first(self) -> Millis {
         self.lease / 2
     }
@@ -74,7 +80,8 @@
         self.lease / 4
     }
 
-    /// Nothing came back for so long: it is asked again. A lease holds several of these, so that losses alone end none.
+    /// Nothing came back for so long: it is asked again. A lease holds several of these, so that
+    /// losses alone end none.
     pub fn again(self) -> Millis {
         (self.lease / 16).max(1)
     }
--- a/crates/heathroad-duty/src/message.rs
+++ b/crates/heathroad-duty/src/message.rs
@@ -1,5 +1,6 @@
-//! What proxies tell each other of duties: a few fields each, in postcard's form, inside the fleet's sealed datagrams, which say from
-//! whom and for which of the receiver's lives they are and let none in twice.
+//! What proxies tell each other of duties: a few fields each, in postcard's form, inside the
+//! fleet's sealed datagrams, which say from whom and for which of the receiver's lives they are and
+//! let none in twice.
 
 use crate::DutyId;
 use crate::token::Token;
@@ -109,7 +110,8 @@
     Silent,
     /// The last holders died soon after they had got it.
     HeldBack,
-    /// The asker goes by an older electorate than the voter has heard of, or the voter keeps too many duties.
+    /// The asker goes by an older electorate than the voter has heard of, or the voter keeps too
+    /// many duties.
     Foreign,
 }
 
--- a/crates/heathroad-duty/src/seat.rs
+++ b/crates/heathroad-duty/src/seat.rs
@@ -1,7 +1,7 @@
 //! One duty as a proxy seeks and holds it.
 //!
-//! All times of a hold are counted from before its grants were asked for, and [`Seat::holds`] is to be asked before each act: a holder that
-//! has stalled finds out then.
+//! All times of a hold are counted from before its grants were asked for, and [`Seat::holds`] is to
+//! be asked before each act: a holder that has stalled finds out then.
 
 use crate::electorate::Electorate;
 use crate::message::{Message, Send, What, Why};
@@ -15,7 +15,8 @@
 
 /// Most questions that are remembered; an answer to an older one counts for nothing.
 const ROUNDS: usize = 32;
-/// Rounds in which an end is told to voters; what they did not hear by then they learn by the lapse.
+/// Rounds in which an end is told to voters; what they did not hear by then they learn by the
+/// lapse.
 const PARTING: u8 = 6;
 
 /// Why a hold ended.
@@ -34,7 +35,8 @@
     Unfit,
     /// Something acted on had seen a higher token.
     Overtaken,
-    /// A voter has started that grants nothing under so low a token any more: it is sought anew, at once, by the same proxy.
+    /// A voter has started that grants nothing under so low a token any more: it is sought anew, at
+    /// once, by the same proxy.
     Anew,
 }
 
@@ -64,8 +66,9 @@
     },
 }
 
-/// Voters are asked first how it stands: a question that can be lost by nobody. To be granted it by a minority would take that voter from
-/// whoever holds it (Raft's pre-vote, Ongaro 2014, section 9.6).
+/// Voters are asked first how it stands: a question that can be lost by nobody. To be granted it by
+/// a minority would take that voter from whoever holds it (Raft's pre-vote, Ongaro 2014, section
+/// 9.6).
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Looking {
     round: u32,
@@ -224,7 +227,8 @@
         phase.min(parting)
     }
 
-    /// What is over is over: work that has looked has stopped, and an answer that comes now must not bring its hold back.
+    /// What is over is over: work that has looked has stopped, and an answer that comes now must
+    /// not bring its hold back.
     fn lapse(&mut self, now: Millis, with: &mut With<'_>) {
         if let Phase::Holding(h) = &self.phase
             && now >= h.until
@@ -250,7 +254,8 @@
                     l.again = now + with.terms.again();
                     let (round, heard) = (l.round, [&l.free[..], &l.held[..]].concat());
                     let to = with.electorate.all().filter(|v| !heard.contains(v));
-                    with.out.extend(to.map(|to| self.message(to, What::Look { round })));
+                    with.out
+                        .extend(to.map(|to| self.message(to, What::Look { round })));
                 }
             }
             Phase::Asking(a) if now >= a.until => {
@@ -263,12 +268,19 @@
                 if now >= a.again {
                     a.again = now + with.terms.again();
                     let (token, granted) = (a.token, a.granted.clone());
-                    self.ask(now, token, with.terms.first(), |p| !granted.contains_key(&p), with);
+                    self.ask(
+                        now,
+                        token,
+                        with.terms.first(),
+                        |p| !granted.contains_key(&p),
+                        with,
+                    );
                 }
             }
             Phase::Holding(h) => {
                 if now >= h.renew {
-                    // Those who have not answered the last time are asked again sooner than the next renewal is due.
+                    // Those who have not answered the last time are asked again sooner than the
+                    // next renewal is due.
                     let late: Vec<Place> = with
                         .electorate
                         .all()
@@ -301,15 +313,35 @@
         self.round = self.round.wrapping_add(1);
         let (round, until) = (self.round, now + with.terms.patience());
         let (free, held) = (Vec::new(), Vec::new());
-        self.phase = Phase::Looking(Looking { round, until, again: now + with.terms.again(), free, held });
+        self.phase = Phase::Looking(Looking {
+            round,
+            until,
+            again: now + with.terms.again(),
+            free,
+            held,
+        });
         let to = with.electorate.all();
-        with.out.extend(to.map(|to| self.message(to, What::Look { round })));
+        with.out
+            .extend(to.map(|to| self.message(to, What::Look { round })));
     }
 
     /// A voter has said how it stands.
-    fn stands(&mut self, now: Millis, from: Place, left: Millis, why: Option<Why>, with: &mut With<'_>) {
-        let Phase::Looking(l) = &mut self.phase else { return };
-        let heard = if why.is_none() { &mut l.free } else { &mut l.held };
+    fn stands(
+        &mut self,
+        now: Millis,
+        from: Place,
+        left: Millis,
+        why: Option<Why>,
+        with: &mut With<'_>,
+    ) {
+        let Phase::Looking(l) = &mut self.phase else {
+            return;
+        };
+        let heard = if why.is_none() {
+            &mut l.free
+        } else {
+            &mut l.held
+        };
         if !heard.contains(&from) {
             heard.push(from);
         }
@@ -339,7 +371,10 @@
     }
 
     fn seek(&mut self, now: Millis, with: &mut With<'_>) {
-        let Some(token) = self.highest.above(with.clock, with.electorate.generation(), with.own) else {
+        let Some(token) = self
+            .highest
+            .above(with.clock, with.electorate.generation(), with.own)
+        else {
             // Counts are used up, or a later electorate votes: nothing can be asked for.
             return self.away(now + with.terms.barred());
         };
@@ -368,13 +403,23 @@
         }
         self.rounds.push_back((self.round, now));
         let lease = u32::try_from(lease).unwrap_or(u32::MAX);
-        let what = What::Ask { token, round: self.round, lease };
+        let what = What::Ask {
+            token,
+            round: self.round,
+            lease,
+        };
         let to = with.electorate.all().filter(|p| whom(*p));
         with.out.extend(to.map(|to| self.message(to, what.clone())));
     }
 
     fn message(&self, to: Place, what: What) -> Send {
-        Send { to, message: Message { duty: self.duty, what } }
+        Send {
+            to,
+            message: Message {
+                duty: self.duty,
+                what,
+            },
+        }
     }
 
     fn away(&mut self, next: Millis) {
@@ -382,29 +427,53 @@
         self.next = next;
     }
 
-    fn end(&mut self, now: Millis, token: Token, why: Ended, next: Option<Place>, with: &mut With<'_>) {
+    fn end(
+        &mut self,
+        now: Millis,
+        token: Token,
+        why: Ended,
+        next: Option<Place>,
+        with: &mut With<'_>,
+    ) {
         self.events.push_back(Event::End { token, why });
-        // Whoever is next in turn is first: this one has just shown that it is cut off, or slow, or not willing.
+        // Whoever is next in turn is first: this one has just shown that it is cut off, or slow, or
+        // not willing.
         self.away(now + with.terms.lease / 2);
         self.let_go(now, token, next, with);
     }
 
     fn let_go(&mut self, now: Millis, token: Token, next: Option<Place>, with: &mut With<'_>) {
-        self.parting = Some(Parting { token, freed: Vec::new(), again: now, rounds: 0, next });
+        self.parting = Some(Parting {
+            token,
+            freed: Vec::new(),
+            again: now,
+            rounds: 0,
+            next,
+        });
         self.part(now, with);
     }
 
     /// Tells voters of an end, again and again until all know or it is too late to be of use.
     fn part(&mut self, now: Millis, with: &mut With<'_>) {
-        let Some(p) = self.parting.as_mut().filter(|p| now >= p.again) else { return };
+        let Some(p) = self.parting.as_mut().filter(|p| now >= p.again) else {
+            return;
+        };
         (p.again, p.rounds) = (now + with.terms.again(), p.rounds + 1);
         let (token, over, next) = (p.token, p.rounds >= PARTING, p.next);
-        let to: Vec<Place> = with.electorate.all().filter(|v| !p.freed.contains(v)).collect();
+        let to: Vec<Place> = with
+            .electorate
+            .all()
+            .filter(|v| !p.freed.contains(v))
+            .collect();
         if over || to.is_empty() {
             self.parting = None;
         }
-        with.out.extend(to.into_iter().map(|to| self.message(to, What::Resign { token })));
-        with.out.extend(next.map(|to| self.message(to, What::Yours)));
+        with.out.extend(
+            to.into_iter()
+                .map(|to| self.message(to, What::Resign { token })),
+        );
+        with.out
+            .extend(next.map(|to| self.message(to, What::Yours)));
     }
 
     /// Lets the duty go, or does not seek it for a while. `next` is who should have it now.
@@ -434,40 +503,67 @@
         self.highest = self.highest.max(token);
     }
 
-    /// What the work has come to, to be kept by a quorum: its number; none if the duty is not held, or the state is too long.
+    /// What the work has come to, to be kept by a quorum: its number; none if the duty is not held,
+    /// or the state is too long.
     pub fn mark(&mut self, now: Millis, state: Vec<u8>, with: &mut With<'_>) -> Option<u32> {
         if state.len() > MAX_STATE || self.holds(now).is_none() {
             return None;
         }
-        let Phase::Holding(h) = &mut self.phase else { return None };
+        let Phase::Holding(h) = &mut self.phase else {
+            return None;
+        };
         // What the last holder left counts as none of this one's.
-        let seq = h.mark.as_ref().filter(|m| m.token == h.token).map_or(0, |m| m.seq).checked_add(1)?;
-        h.mark = Some(Mark { token: h.token, seq, state });
+        let seq = h
+            .mark
+            .as_ref()
+            .filter(|m| m.token == h.token)
+            .map_or(0, |m| m.seq)
+            .checked_add(1)?;
+        h.mark = Some(Mark {
+            token: h.token,
+            seq,
+            state,
+        });
         (h.kept, h.saved, h.again) = (Vec::new(), false, now);
         self.tell_mark(now, with);
         Some(seq)
     }
 
     fn tell_mark(&mut self, now: Millis, with: &mut With<'_>) {
-        let Phase::Holding(h) = &mut self.phase else { return };
+        let Phase::Holding(h) = &mut self.phase else {
+            return;
+        };
         if h.saved || now < h.again {
             return;
         }
         let Some(mark) = h.mark.clone() else { return };
         h.again = now + with.terms.again();
-        let to: Vec<Place> = with.electorate.all().filter(|v| !h.kept.contains(v)).collect();
+        let to: Vec<Place> = with
+            .electorate
+            .all()
+            .filter(|v| !h.kept.contains(v))
+            .collect();
         let what = What::Keep { mark };
-        with.out.extend(to.into_iter().map(|to| self.message(to, what.clone())));
+        with.out
+            .extend(to.into_iter().map(|to| self.message(to, what.clone())));
     }
 
     /// A voter has answered, or somebody says that it is free.
     pub fn hear(&mut self, now: Millis, from: Place, what: What, with: &mut With<'_>) {
         self.lapse(now, with);
         match what {
-            What::Granted { token, round, lease, mark } => {
-                self.granted(now, from, token, round, lease, mark, with)
-            }
-            What::Refused { round, highest, left, why } => {
+            What::Granted {
+                token,
+                round,
+                lease,
+                mark,
+            } => self.granted(now, from, token, round, lease, mark, with),
+            What::Refused {
+                round,
+                highest,
+                left,
+                why,
+            } => {
                 if self.rounds.iter().any(|(r, _)| *r == round) {
                     self.highest = self.highest.max(highest);
                     self.anew(now, highest, why, with);
@@ -490,7 +586,13 @@
                     self.look(now, with);
                 }
             }
-            What::Stands { round, highest, left, why, .. } => {
+            What::Stands {
+                round,
+                highest,
+                left,
+                why,
+                ..
+            } => {
                 self.highest = self.highest.max(highest);
                 if matches!(&self.phase, Phase::Looking(l) if l.round == round) {
                     self.stands(now, from, u64::from(left), why, with);
@@ -511,8 +613,14 @@
         mark: Option<Mark>,
         with: &mut With<'_>,
     ) {
-        let asked = self.rounds.iter().find(|(r, _)| *r == round).map(|(_, at)| *at);
-        let Some(until) = asked.map(|at| at + u64::from(lease)) else { return };
+        let asked = self
+            .rounds
+            .iter()
+            .find(|(r, _)| *r == round)
+            .map(|(_, at)| *at);
+        let Some(until) = asked.map(|at| at + u64::from(lease)) else {
+            return;
+        };
         if !with.electorate.votes(from) {
             return;
         }
@@ -520,7 +628,9 @@
             Phase::Asking(a) if a.token == token => {
                 let counts = a.granted.entry(from).or_insert(until);
                 *counts = until.max(*counts);
-                if mark.as_ref().map(|m| (m.token, m.seq)) > a.mark.as_ref().map(|m| (m.token, m.seq)) {
+                if mark.as_ref().map(|m| (m.token, m.seq))
+                    > a.mark.as_ref().map(|m| (m.token, m.seq))
+                {
                     a.mark = mark;
                 }
                 let reached = with.electorate.reached(|p| a.granted.get(&p).copied());
@@ -528,7 +638,10 @@
                     let (granted, mark) = (std::mem::take(&mut a.granted), a.mark.take());
                     self.highest = self.highest.max(token);
                     self.why = None;
-                    self.events.push_back(Event::Begin { token, mark: mark.clone() });
+                    self.events.push_back(Event::Begin {
+                        token,
+                        mark: mark.clone(),
+                    });
                     self.phase = Phase::Holding(Holding {
                         token,
                         granted,
@@ -550,7 +663,11 @@
                 h.until = h.until.max(reached.unwrap_or(0));
                 // A voter that has forgotten the mark, or never had it, is told again.
                 let theirs = mark.map_or(0, |m| if m.token == token { m.seq } else { 0 });
-                let ours = h.mark.as_ref().filter(|m| m.token == token).map_or(0, |m| m.seq);
+                let ours = h
+                    .mark
+                    .as_ref()
+                    .filter(|m| m.token == token)
+                    .map_or(0, |m| m.seq);
                 if theirs < ours && h.saved {
                     let mark = h.mark.clone().unwrap_or_default();
                     with.out.push(self.message(from, What::Keep { mark }));
@@ -560,8 +677,8 @@
         }
     }
 
-    /// A voter that has started, and remembers nothing, would be one less for as long as this hold lasts, and the next one that starts would
-    /// end it by a lapse.
+    /// A voter that has started, and remembers nothing, would be one less for as long as this hold
+    /// lasts, and the next one that starts would end it by a lapse.
     fn anew(&mut self, now: Millis, highest: Token, why: Why, with: &mut With<'_>) {
         if let Phase::Holding(h) = &self.phase
             && why == Why::Low
@@ -569,12 +686,15 @@
         {
             let token = h.token;
             self.end(now, token, Ended::Anew, None, with);
-            (self.next, self.promised) = (now + with.terms.again() / 4, now + with.terms.patience());
+            (self.next, self.promised) =
+                (now + with.terms.again() / 4, now + with.terms.patience());
         }
     }
 
     fn refusal(&mut self, now: Millis, from: Place, left: Millis, why: Why, with: &mut With<'_>) {
-        let Phase::Asking(a) = &mut self.phase else { return };
+        let Phase::Asking(a) = &mut self.phase else {
+            return;
+        };
         a.refused.insert(from, why);
         a.granted.remove(&from);
         // Some quorum may yet grant it, unless these say no.
@@ -589,8 +709,13 @@
     }
 
     fn kept(&mut self, from: Place, token: Token, seq: u32, with: &With<'_>) {
-        let Phase::Holding(h) = &mut self.phase else { return };
-        let ours = h.mark.as_ref().is_some_and(|m| (m.token, m.seq) == (token, seq));
+        let Phase::Holding(h) = &mut self.phase else {
+            return;
+        };
+        let ours = h
+            .mark
+            .as_ref()
+            .is_some_and(|m| (m.token, m.seq) == (token, seq));
         if !ours || h.token != token || h.saved || !with.electorate.votes(from) {
             return;
         }
--- a/crates/heathroad-duty/src/token.rs
+++ b/crates/heathroad-duty/src/token.rs
@@ -5,11 +5,13 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// A grant's number. It only grows from one holder of a duty to the next, and names one holder alone: eight bits of the
-/// electorate's generation, then a count of 40 bits, then the place of whoever asked.
+/// A grant's number. It only grows from one holder of a duty to the next, and names one holder
+/// alone: eight bits of the electorate's generation, then a count of 40 bits, then the place of
+/// whoever asked.
 ///
-/// The count is at least the Unix time in hundredths of a second of some voter's start, and grows more slowly than that time goes by: a
-/// voter that has forgotten everything asks for a higher one than whatever was granted before it started.
+/// The count is at least the Unix time in hundredths of a second of some voter's start, and grows
+/// more slowly than that time goes by: a voter that has forgotten everything asks for a higher one
+/// than whatever was granted before it started.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Token(u64);
 
@@ -43,7 +45,8 @@
         self.0 as u16
     }
 
-    /// The least that is above this one, with a count of `floor` or more; none if there is no further count.
+    /// The least that is above this one, with a count of `floor` or more; none if there is no
+    /// further count.
     pub fn above(self, floor: u64, generation: u8, place: Place) -> Option<Token> {
         let token = Token::new(generation, floor, place);
         if token > self {
@@ -52,7 +55,8 @@
         if generation < self.generation() {
             return None;
         }
-        let here = [self.count(), self.count() + 1].map(|count| Token::new(generation, count, place));
+        let here =
+            [self.count(), self.count() + 1].map(|count| Token::new(generation, count, place));
         here.into_iter().find(|token| *token > self)
     }
 }
@@ -75,13 +79,19 @@
     fn from_str(text: &str) -> Result<Token, Self::Err> {
         let whole = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
         let number = whole.then(|| u64::from_str_radix(text, 16).ok()).flatten();
-        number.map(Token).ok_or("expected a token of 16 hexadecimal digits")
+        number
+            .map(Token)
+            .ok_or("expected a token of 16 hexadecimal digits")
     }
 }
 
 impl Serialize for Token {
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        if s.is_human_readable() { s.collect_str(self) } else { self.0.to_be_bytes().serialize(s) }
+        if s.is_human_readable() {
+            s.collect_str(self)
+        } else {
+            self.0.to_be_bytes().serialize(s)
+        }
     }
 }
 
--- a/crates/heathroad-duty/src/voter.rs
+++ b/crates/heathroad-duty/src/voter.rs
@@ -1,8 +1,10 @@
 //! A voter: what it has granted, and what it may grant.
 //!
-//! A grant is a promise to others for a time, by this proxy's clock, and for ever to grant nothing under a lower token. The promise for
-//! ever is kept on disk where there is one ([`Hard`], before the answer goes); where there is none, or an old copy of it, a
-//! voter that starts is silent for longer than anything it may have granted counts, and asks for counts above its start in Unix time.
+//! A grant is a promise to others for a time, by this proxy's clock, and for ever to grant nothing
+//! under a lower token. The promise for ever is kept on disk where there is one ([`Hard`], before
+//! the answer goes); where there is none, or an old copy of it, a voter that starts is silent for
+//! longer than anything it may have granted counts, and asks for counts above its start in Unix
+//! time.
 
 use crate::history::{End, Spell};
 use crate::message::{What, Why};
@@ -60,7 +62,8 @@
     since: Millis,
     /// Until when it was renewed.
     until: Millis,
-    /// It was renewed: its holder has known that it holds. Others were candidates that did not win, and whose end says nothing.
+    /// It was renewed: its holder has known that it holds. Others were candidates that did not win,
+    /// and whose end says nothing.
     renewed: bool,
     /// Its holder has let it go. One that has stalled and wakes does so too: it did not die.
     resigned: bool,
@@ -87,8 +90,8 @@
 }
 
 impl Voter {
-    /// One that starts, of an electorate's generation, with what it remembers. Tokens that it grants count from `floor`, see
-    /// [`count_at`](crate::token::count_at).
+    /// One that starts, of an electorate's generation, with what it remembers. Tokens that it
+    /// grants count from `floor`, see [`count_at`](crate::token::count_at).
     pub fn new(now: Millis, floor: u64, terms: Terms, generation: u8, mut memory: Memory) -> Voter {
         memory.generation = memory.generation.max(generation);
         Voter {
@@ -117,8 +120,8 @@
         self.silent_until
     }
 
-    /// A message from a member in one of its lives: the answer, and whether [`Voter::memory`] has changed, which must be kept
-    /// before that goes.
+    /// A message from a member in one of its lives: the answer, and whether [`Voter::memory`] has
+    /// changed, which must be kept before that goes.
     pub fn hear(
         &mut self,
         now: Millis,
@@ -128,9 +131,11 @@
         what: What,
     ) -> (Option<What>, bool) {
         match what {
-            What::Ask { token, round, lease } if token.place() == from => {
-                self.ask(now, life, duty, token, round, lease)
-            }
+            What::Ask {
+                token,
+                round,
+                lease,
+            } if token.place() == from => self.ask(now, life, duty, token, round, lease),
             What::Resign { token } if token.place() == from => {
                 (Some(self.resign(now, life, duty, token)), false)
             }
@@ -138,14 +143,26 @@
             What::Look { round } => {
                 let (highest, (left, why)) = (self.highest(duty), self.held(now, duty));
                 let died = self.dead(now, duty);
-                (Some(What::Stands { round, highest, left: short(left), why, died }), false)
+                (
+                    Some(What::Stands {
+                        round,
+                        highest,
+                        left: short(left),
+                        why,
+                        died,
+                    }),
+                    false,
+                )
             }
             _ => (None, false),
         }
     }
 
     fn highest(&self, duty: DutyId) -> Token {
-        self.memory.duties.get(&duty).map_or(Token::default(), |h| h.token)
+        self.memory
+            .duties
+            .get(&duty)
+            .map_or(Token::default(), |h| h.token)
     }
 
     /// For how long it is granted to nobody but its holder, and why.
@@ -153,12 +170,17 @@
         if now < self.silent_until {
             return (self.silent_until - now, Some(Why::Silent));
         }
-        let Some(grant) = self.grants.get(&duty) else { return (0, None) };
+        let Some(grant) = self.grants.get(&duty) else {
+            return (0, None);
+        };
         if grant.runs(now) {
             return (grant.until - now, Some(Why::Held));
         }
         let back = self.held_back(self.dead(now, duty));
-        match (grant.until + back).checked_sub(now).filter(|left| *left > 0 && !grant.resigned) {
+        match (grant.until + back)
+            .checked_sub(now)
+            .filter(|left| *left > 0 && !grant.resigned)
+        {
             Some(left) => (left, Some(Why::HeldBack)),
             None => (0, None),
         }
@@ -179,7 +201,9 @@
     }
 
     fn held_back(&self, died: u8) -> Millis {
-        let doubled = 1_u64.checked_shl(u32::from(died.saturating_sub(CHANCE))).unwrap_or(u64::MAX);
+        let doubled = 1_u64
+            .checked_shl(u32::from(died.saturating_sub(CHANCE)))
+            .unwrap_or(u64::MAX);
         (doubled - 1).min(MOST_HELD_BACK) * self.terms.lease
     }
 
@@ -194,7 +218,15 @@
     ) -> (Option<What>, bool) {
         let refused = |highest, left, why| {
             let left = short(left);
-            (Some(What::Refused { round, highest, left, why }), false)
+            (
+                Some(What::Refused {
+                    round,
+                    highest,
+                    left,
+                    why,
+                }),
+                false,
+            )
         };
         let known = self.memory.duties.get(&duty);
         let highest = self.highest(duty);
@@ -216,7 +248,15 @@
                 return refused(highest, 0, Why::Low);
             }
             let until = self.grants.get(&duty).map_or(until, |g| g.until.max(until));
-            self.grants.insert(duty, Grant { since, until, renewed: true, resigned: false });
+            self.grants.insert(
+                duty,
+                Grant {
+                    since,
+                    until,
+                    renewed: true,
+                    resigned: false,
+                },
+            );
             if until - since >= self.terms.young() {
                 self.died.remove(&duty);
             }
@@ -235,16 +275,43 @@
             self.memory.generation = token.generation();
             let hard = self.memory.duties.entry(duty).or_default();
             (hard.token, hard.life) = (token, life);
-            self.grants.insert(duty, Grant { since: now, until, renewed: false, resigned: false });
+            self.grants.insert(
+                duty,
+                Grant {
+                    since: now,
+                    until,
+                    renewed: false,
+                    resigned: false,
+                },
+            );
             let spells = self.history.entry(duty).or_default();
             if spells.len() >= MAX_SPELLS {
                 spells.pop_front();
             }
-            spells.push_back(Spell { token, life, from: now, until, end: End::Open });
+            spells.push_back(Spell {
+                token,
+                life,
+                from: now,
+                until,
+                end: End::Open,
+            });
             changed = true;
         }
-        let mark = self.memory.duties.get(&duty).map(|h| h.mark.clone()).filter(|m| m.seq > 0);
-        (Some(What::Granted { token, round, lease: short(lease), mark }), changed)
+        let mark = self
+            .memory
+            .duties
+            .get(&duty)
+            .map(|h| h.mark.clone())
+            .filter(|m| m.seq > 0);
+        (
+            Some(What::Granted {
+                token,
+                round,
+                lease: short(lease),
+                mark,
+            }),
+            changed,
+        )
     }
 
     fn note(&mut self, duty: DutyId, by: impl FnOnce(&mut Spell)) {
@@ -254,25 +321,36 @@
     }
 
     fn resign(&mut self, now: Millis, life: u64, duty: DutyId, token: Token) -> What {
-        let theirs = self.memory.duties.get(&duty).is_some_and(|h| h.token == token && h.life == life);
+        let theirs = self
+            .memory
+            .duties
+            .get(&duty)
+            .is_some_and(|h| h.token == token && h.life == life);
         if theirs
             && let Some(grant) = self.grants.get_mut(&duty)
             && !grant.resigned
         {
             grant.resigned = true;
             let until = now.min(grant.until);
-            self.note(duty, |spell| (spell.until, spell.end) = (until, End::Resigned));
+            self.note(duty, |spell| {
+                (spell.until, spell.end) = (until, End::Resigned)
+            });
         }
         What::Freed { token }
     }
 
     fn keep(&mut self, life: u64, duty: DutyId, mark: Mark) -> (Option<What>, bool) {
-        let Some(hard) = self.memory.duties.get_mut(&duty) else { return (None, false) };
+        let Some(hard) = self.memory.duties.get_mut(&duty) else {
+            return (None, false);
+        };
         // A holder that others have followed has nothing to say any more.
         if hard.token != mark.token || hard.life != life || mark.state.len() > MAX_STATE {
             return (None, false);
         }
-        let kept = What::Kept { token: mark.token, seq: mark.seq };
+        let kept = What::Kept {
+            token: mark.token,
+            seq: mark.seq,
+        };
         let newer = (hard.mark.token, hard.mark.seq) < (mark.token, mark.seq);
         if newer {
             hard.mark = mark;
--- a/crates/heathroad-duty/tests/common/mod.rs
+++ b/crates/heathroad-duty/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet with duties on a network of the test's own, in time of the test's own; and a judge of what its holders did.
+//! A fleet with duties on a network of the test's own, in time of the test's own; and a judge of
+//! what its holders did.
 #![allow(dead_code, reason = "each test file uses its part of it")]
 
 use fastrand::Rng;
@@ -66,7 +67,8 @@
     token: Token,
 }
 
-/// When a message comes, its number, to whom in which life, from whom in which life, and what it is.
+/// When a message comes, its number, to whom in which life, from whom in which life, and what it
+/// is.
 type Due = (Millis, u64, Place, u64, Place, u64, Message);
 
 pub struct World {
@@ -122,7 +124,10 @@
         let mut world = World {
             now: 0,
             proxies: (0..members).map(proxy).collect(),
-            faults: Faults { delay: 12, ..Faults::default() },
+            faults: Faults {
+                delay: 12,
+                ..Faults::default()
+            },
             rng: Rng::with_seed(seed),
             events: Vec::new(),
             fences: Fences::default(),
@@ -164,7 +169,11 @@
             duties: vec![duty()],
             seed,
         };
-        let memory = if p.has_disk { p.disk.clone() } else { Memory::default() };
+        let memory = if p.has_disk {
+            p.disk.clone()
+        } else {
+            Memory::default()
+        };
         p.duties = Some(Duties::new(now, unix, settings, memory));
         self.see();
     }
@@ -189,7 +198,9 @@
     }
 
     pub fn running(&self) -> Vec<Place> {
-        (0..self.proxies.len() as Place).filter(|p| self.proxies[usize::from(*p)].duties.is_some()).collect()
+        (0..self.proxies.len() as Place)
+            .filter(|p| self.proxies[usize::from(*p)].duties.is_some())
+            .collect()
     }
 
     /// Nothing goes from the one side to the other, nor back.
@@ -202,7 +213,10 @@
     }
 
     pub fn duties(&self, place: Place) -> &Duties {
-        self.proxies[usize::from(place)].duties.as_ref().expect("it runs")
+        self.proxies[usize::from(place)]
+            .duties
+            .as_ref()
+            .expect("it runs")
     }
 
     /// Does something with one, and what follows from that.
@@ -214,11 +228,15 @@
         self.collect(place);
     }
 
-    /// Whoever believes to hold it now, and by which token. Stalled ones believe nothing: they look when they wake.
+    /// Whoever believes to hold it now, and by which token. Stalled ones believe nothing: they look
+    /// when they wake.
     pub fn holders(&self) -> Vec<(Place, Token)> {
         let holds = |p: Place| {
             let proxy = &self.proxies[usize::from(p)];
-            let duties = proxy.duties.as_ref().filter(|_| proxy.stalled <= self.now)?;
+            let duties = proxy
+                .duties
+                .as_ref()
+                .filter(|_| proxy.stalled <= self.now)?;
             duties.holds(self.clock(p), duty()).map(|t| (p, t))
         };
         (0..self.proxies.len() as Place).filter_map(holds).collect()
@@ -231,7 +249,9 @@
     fn collect(&mut self, place: Place) {
         let at = usize::from(place);
         loop {
-            let Some(d) = &mut self.proxies[at].duties else { return };
+            let Some(d) = &mut self.proxies[at].duties else {
+                return;
+            };
             let outputs: Vec<Output> = d.outputs().collect();
             if outputs.is_empty() {
                 return;
@@ -253,8 +273,10 @@
                     }
                     Output::Send(send) => {
                         self.sent += 1;
-                        self.asked[at] +=
-                            u64::from(matches!(send.message.what, What::Ask { .. } | What::Look { .. }));
+                        self.asked[at] += u64::from(matches!(
+                            send.message.what,
+                            What::Ask { .. } | What::Look { .. }
+                        ));
                         self.longest = self.longest.max(send.message.write().len());
                         let copies = 1 + u64::from(self.rng.f64() < self.faults.twice);
                         for _ in 0..copies {
@@ -264,11 +286,24 @@
                                 continue;
                             }
                             // A copy may come very late.
-                            let late = if copies > 1 { self.rng.u64(0..3 * LEASE) } else { 0 };
-                            let due = self.now + 1 + self.rng.u64(0..self.faults.delay.max(1)) + late;
+                            let late = if copies > 1 {
+                                self.rng.u64(0..3 * LEASE)
+                            } else {
+                                0
+                            };
+                            let due =
+                                self.now + 1 + self.rng.u64(0..self.faults.delay.max(1)) + late;
                             self.count += 1;
                             let theirs = self.proxies[usize::from(send.to)].life;
-                            let one = (due, self.count, send.to, theirs, place, life, send.message.clone());
+                            let one = (
+                                due,
+                                self.count,
+                                send.to,
+                                theirs,
+                                place,
+                                life,
+                                send.message.clone(),
+                            );
                             self.queue.push(Reverse(one));
                         }
                     }
@@ -280,7 +315,8 @@
     fn bring(&mut self, to: Place, theirs: u64, from: Place, life: u64, message: Message) {
         let now = self.clock(to);
         let proxy = &mut self.proxies[usize::from(to)];
-        // The fleet's datagrams name the receiver's life, and those of a sender's ended life are turned away.
+        // The fleet's datagrams name the receiver's life, and those of a sender's ended life are
+        // turned away.
         if proxy.life == theirs && proxy.life > 0 {
             if let Some(d) = &mut proxy.duties {
                 let bytes = message.write();
@@ -298,24 +334,52 @@
             return;
         }
         let now = self.clock(place);
-        let Some(token) = self.proxies[at].duties.as_ref().and_then(|d| d.holds(now, duty())) else { return };
+        let Some(token) = self.proxies[at]
+            .duties
+            .as_ref()
+            .and_then(|d| d.holds(now, duty()))
+        else {
+            return;
+        };
         self.next_act[at] = self.now + every;
-        let most = if self.rng.f64() < self.late { 2 * LEASE } else { 20 };
+        let most = if self.rng.f64() < self.late {
+            2 * LEASE
+        } else {
+            20
+        };
         let way = 1 + self.rng.u64(0..most);
         let life = self.proxies[at].life;
-        self.under_way.push(UnderWay { at: self.now + way, by: place, life, token });
+        self.under_way.push(UnderWay {
+            at: self.now + way,
+            by: place,
+            life,
+            token,
+        });
     }
 
     fn acts_come(&mut self) {
         let now = self.now;
         let stalled: Vec<Millis> = self.proxies.iter().map(|p| p.stalled).collect();
-        let lives: Vec<u64> =
-            self.proxies.iter().map(|p| if p.duties.is_some() { p.life } else { 0 }).collect();
-        // What a stalled holder had looked for is written when it wakes; what a dead one had, never.
-        self.under_way.retain(|u| lives[usize::from(u.by)] == u.life);
-        for u in self.under_way.extract_if(.., |u| now >= u.at.max(stalled[usize::from(u.by)])) {
+        let lives: Vec<u64> = self
+            .proxies
+            .iter()
+            .map(|p| if p.duties.is_some() { p.life } else { 0 })
+            .collect();
+        // What a stalled holder had looked for is written when it wakes; what a dead one had,
+        // never.
+        self.under_way
+            .retain(|u| lives[usize::from(u.by)] == u.life);
+        for u in self
+            .under_way
+            .extract_if(.., |u| now >= u.at.max(stalled[usize::from(u.by)]))
+        {
             let taken = self.fences.admit(duty(), u.token) || !self.checks;
-            self.acts.push(Done { at: now, by: u.by, token: u.token, taken });
+            self.acts.push(Done {
+                at: now,
+                by: u.by,
+                token: u.token,
+                taken,
+            });
         }
     }
 
@@ -333,10 +397,19 @@
             }
             self.now += 1;
             self.acts_come();
-            while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= self.now) {
-                let Some(Reverse((_, _, to, theirs, from, life, message))) = self.queue.pop() else { break };
+            while self
+                .queue
+                .peek()
+                .is_some_and(|Reverse((at, ..))| *at <= self.now)
+            {
+                let Some(Reverse((_, _, to, theirs, from, life, message))) = self.queue.pop()
+                else {
+                    break;
+                };
                 if self.proxies[usize::from(to)].stalled > self.now {
-                    self.proxies[usize::from(to)].waiting.push((from, theirs, life, message));
+                    self.proxies[usize::from(to)]
+                        .waiting
+                        .push((from, theirs, life, message));
                 } else {
                     self.bring(to, theirs, from, life, message);
                 }
@@ -368,7 +441,8 @@
         self.events.iter().filter_map(begin).collect()
     }
 
-    /// What the rules say of all that was done: acts that were taken are in the order of their tokens, and each token is one holder's.
+    /// What the rules say of all that was done: acts that were taken are in the order of their
+    /// tokens, and each token is one holder's.
     pub fn judge(&self) -> Result<(), String> {
         let mut last = Token::default();
         for done in self.acts.iter().filter(|d| d.taken) {
--- a/crates/heathroad-duty/tests/golden_messages.rs
+++ b/crates/heathroad-duty/tests/golden_messages.rs
@@ -1,4 +1,5 @@
-//! The bytes of lease messages and the words of their reasons in JSON stay as they were when the golden files were written.
+//! The bytes of lease messages and the words of their reasons in JSON stay as they were when the
+//! golden files were written.
 
 use heathroad_duty::DutyId;
 use heathroad_duty::history::{End, Spell};
@@ -17,31 +18,83 @@
 }
 
 fn mark() -> Mark {
-    Mark { token: Token::new(2, 300, 5), seq: 77, state: b"state".to_vec() }
+    Mark {
+        token: Token::new(2, 300, 5),
+        seq: 77,
+        state: b"state".to_vec(),
+    }
 }
 
 /// One message of each kind, with each reason.
 fn messages() -> Vec<(String, Message)> {
     let (token, round, lease, highest) = (token(), 300, 5000, Token::new(1, 70_000, 2));
     let mut all = vec![
-        ("ask".to_string(), What::Ask { token, round, lease }),
-        ("granted".into(), What::Granted { token, round, lease, mark: None }),
-        ("granted with a mark".into(), What::Granted { token, round, lease, mark: Some(mark()) }),
+        (
+            "ask".to_string(),
+            What::Ask {
+                token,
+                round,
+                lease,
+            },
+        ),
+        (
+            "granted".into(),
+            What::Granted {
+                token,
+                round,
+                lease,
+                mark: None,
+            },
+        ),
+        (
+            "granted with a mark".into(),
+            What::Granted {
+                token,
+                round,
+                lease,
+                mark: Some(mark()),
+            },
+        ),
         ("resign".into(), What::Resign { token }),
         ("freed".into(), What::Freed { token }),
         ("keep".into(), What::Keep { mark: mark() }),
         ("kept".into(), What::Kept { token, seq: 77 }),
         ("yours".into(), What::Yours),
         ("look".into(), What::Look { round }),
-        ("stands free".into(), What::Stands { round, highest, left: 0, why: None, died: 0 }),
+        (
+            "stands free".into(),
+            What::Stands {
+                round,
+                highest,
+                left: 0,
+                why: None,
+                died: 0,
+            },
+        ),
     ];
     for (name, why) in reasons() {
-        all.push((format!("refused {name}"), What::Refused { round, highest, left: 129, why }));
-        let stands = What::Stands { round, highest, left: 1200, why: Some(why), died: 4 };
+        all.push((
+            format!("refused {name}"),
+            What::Refused {
+                round,
+                highest,
+                left: 129,
+                why,
+            },
+        ));
+        let stands = What::Stands {
+            round,
+            highest,
+            left: 1200,
+            why: Some(why),
+            died: 4,
+        };
         all.push((format!("stands {name}"), stands));
     }
     let duty = DutyId::of("conductor");
-    all.into_iter().map(|(name, what)| (name, Message { duty, what })).collect()
+    all.into_iter()
+        .map(|(name, what)| (name, Message { duty, what }))
+        .collect()
 }
 
 fn reasons() -> [(&'static str, Why); 5] {
@@ -60,11 +113,16 @@
 
 fn unhex(text: &str) -> Vec<u8> {
     let digits = text.as_bytes().chunks(2);
-    digits.map(|d| u8::from_str_radix(std::str::from_utf8(d).expect("ASCII"), 16).expect("hex")).collect()
+    digits
+        .map(|d| u8::from_str_radix(std::str::from_utf8(d).expect("ASCII"), 16).expect("hex"))
+        .collect()
 }
 
 fn compare(golden: &str, actual: &str) {
-    assert!(golden == actual, "differs from the golden file; the actual text is:\n{actual}");
+    assert!(
+        golden == actual,
+        "differs from the golden file; the actual text is:\n{actual}"
+    );
 }
 
 #[test]
@@ -98,9 +156,22 @@
         Ended::Anew,
     ];
     let spells = [End::Open, End::Resigned, End::Lapsed];
-    let spells = spells.map(|end| Spell { token: token(), life: 4, from: 5, until: 6, end });
-    let hard = Hard { token: token(), life: 9, mark: mark() };
-    let memory = Memory { generation: 3, duties: BTreeMap::from([(DutyId::of("conductor"), hard)]) };
+    let spells = spells.map(|end| Spell {
+        token: token(),
+        life: 4,
+        from: 5,
+        until: 6,
+        end,
+    });
+    let hard = Hard {
+        token: token(),
+        life: 9,
+        mark: mark(),
+    };
+    let memory = Memory {
+        generation: 3,
+        duties: BTreeMap::from([(DutyId::of("conductor"), hard)]),
+    };
     let mut actual = String::new();
     let texts = [
         serde_json::to_string(&ends),
--- a/crates/heathroad-duty/tests/grants.rs
+++ b/crates/heathroad-duty/tests/grants.rs
@@ -16,7 +16,9 @@
 
 fn held(members: u16, voters: u16, seed: u64) -> World {
     let mut world = World::new(members, voters, seed);
-    world.run_until(LONG, |w| w.holder().is_some()).expect("it is held");
+    world
+        .run_until(LONG, |w| w.holder().is_some())
+        .expect("it is held");
     world
 }
 
@@ -25,7 +27,15 @@
     let (begun, end) = (world.now, world.now + LONG);
     let later = |w: &World| w.holders().iter().any(|(_, t)| *t > last);
     let at = world.run_until(end, later).expect("it is held again");
-    (world.holders().iter().find(|(_, t)| *t > last).expect("it is").0, at - begun)
+    (
+        world
+            .holders()
+            .iter()
+            .find(|(_, t)| *t > last)
+            .expect("it is")
+            .0,
+        at - begun,
+    )
 }
 
 fn token(world: &World) -> Token {
@@ -38,13 +48,18 @@
 #[test]
 fn it_is_held_by_whose_turn_it_is() {
     let world = held(9, 3, 1);
-    assert_eq!(world.holder(), turn(duty(), &world.running()).first().copied());
+    assert_eq!(
+        world.holder(),
+        turn(duty(), &world.running()).first().copied()
+    );
 }
 
 #[test]
 fn duties_are_spread() {
     let all: Vec<Place> = (0..30).collect();
-    let mut first: Vec<Place> = (0..30).map(|n| turn(DutyId::of(&format!("duty {n}")), &all)[0]).collect();
+    let mut first: Vec<Place> = (0..30)
+        .map(|n| turn(DutyId::of(&format!("duty {n}")), &all)[0])
+        .collect();
     first.sort_unstable();
     first.dedup();
     assert!(first.len() > 12, "{first:?}");
@@ -68,7 +83,10 @@
         let (first, last) = (world.holder().expect("held"), token(&world));
         world.with(first, |d, now| d.resign(now, duty(), Ended::Told));
         let (second, took) = next(&mut world, last);
-        assert!(second != first && took < LEASE / 10, "{second} after {took}");
+        assert!(
+            second != first && took < LEASE / 10,
+            "{second} after {took}"
+        );
         world.run(LEASE * 4);
         assert_eq!(world.holder(), Some(second));
     }
@@ -87,7 +105,10 @@
         let (_, took) = next(&mut world, last);
         slow += u32::from(took > LEASE / 4);
     }
-    assert!(slow <= 2, "{slow} of 100 took longer than a quarter of a lease");
+    assert!(
+        slow <= 2,
+        "{slow} of 100 took longer than a quarter of a lease"
+    );
 }
 
 /// Who has been told that it is free asks again soon, though voters have not heard that yet.
@@ -97,13 +118,27 @@
         let mut world = World::new(3, 3, 1);
         let d = world.proxies[0].duties.as_mut().expect("it runs");
         if promised {
-            d.hear(10, 1, 1, Message { duty: duty(), what: What::Yours });
+            d.hear(
+                10,
+                1,
+                1,
+                Message {
+                    duty: duty(),
+                    what: What::Yours,
+                },
+            );
         } else {
             d.tick(10);
         }
         let (highest, why) = (Token::default(), Some(Why::Held));
         for voter in 1..3 {
-            let what = What::Stands { round: 1, highest, left: 900, why, died: 0 };
+            let what = What::Stands {
+                round: 1,
+                highest,
+                left: 900,
+                why,
+                died: 0,
+            };
             d.hear(20, voter, 1, Message { duty: duty(), what });
         }
         assert_eq!(d.due() < 20 + LEASE / 16, promised, "{}", d.due());
@@ -116,14 +151,18 @@
     let mut world = held(3, 3, 19);
     for _ in 0..3 {
         let end = world.now + LONG;
-        world.run_until(end, |w| w.holder().is_some()).expect("it is held");
+        world
+            .run_until(end, |w| w.holder().is_some())
+            .expect("it is held");
         let holder = world.holder().expect("held");
         world.with(holder, |d, now| d.resign(now, duty(), Ended::Unfit));
     }
     let end = world.now + LEASE * 7;
     assert_eq!(world.run_until(end, |w| w.holder().is_some()), None);
     let end = world.now + LEASE * 5;
-    world.run_until(end, |w| w.holder().is_some()).expect("it is tried again");
+    world
+        .run_until(end, |w| w.holder().is_some())
+        .expect("it is tried again");
 }
 
 /// Of a large fleet a few ask, and the others are silent.
@@ -135,8 +174,17 @@
     world.run(LEASE * 20);
     // Also where they are told of the time for another reason.
     (0..30).for_each(|p| world.with(p, Duties::tick));
-    assert_eq!(world.asked.iter().filter(|n| **n > 0).count(), 3, "{:?}", world.asked);
-    assert!((world.sent - sent) / 20 < 50, "{} a lease", (world.sent - sent) / 20);
+    assert_eq!(
+        world.asked.iter().filter(|n| **n > 0).count(),
+        3,
+        "{:?}",
+        world.asked
+    );
+    assert!(
+        (world.sent - sent) / 20 < 50,
+        "{} a lease",
+        (world.sent - sent) / 20
+    );
 }
 
 /// What is not answered is asked again under the same token, of those who did not answer.
@@ -148,69 +196,181 @@
         let d = world.proxies[0].duties.as_mut().expect("it runs");
         d.tick(at);
         let asked = |o: Output| match o {
-            Output::Send(Send { to, message: Message { what: What::Ask { token, round, .. }, .. } }) => {
-                Some((to, token, round))
-            }
+            Output::Send(Send {
+                to,
+                message:
+                    Message {
+                        what: What::Ask { token, round, .. },
+                        ..
+                    },
+            }) => Some((to, token, round)),
             _ => None,
         };
         d.outputs().filter_map(asked).collect::<Vec<_>>()
     };
-    assert_eq!(asks(&mut world, 10), [], "voters are asked first whether it is free");
-    let free = |round| What::Stands { round, highest: Token::default(), left: 0, why: None, died: 0 };
+    assert_eq!(
+        asks(&mut world, 10),
+        [],
+        "voters are asked first whether it is free"
+    );
+    let free = |round| What::Stands {
+        round,
+        highest: Token::default(),
+        left: 0,
+        why: None,
+        died: 0,
+    };
     let d = world.proxies[0].duties.as_mut().expect("it runs");
     let looked = |d: &mut Duties| {
         let to = |o: Output| match o {
-            Output::Send(Send { to, message: Message { what: What::Look { .. }, .. } }) => Some(to),
+            Output::Send(Send {
+                to,
+                message:
+                    Message {
+                        what: What::Look { .. },
+                        ..
+                    },
+            }) => Some(to),
             _ => None,
         };
         d.outputs().filter_map(to).collect::<Vec<_>>()
     };
-    d.hear(10, 1, 1, Message { duty: duty(), what: free(1) });
+    d.hear(
+        10,
+        1,
+        1,
+        Message {
+            duty: duty(),
+            what: free(1),
+        },
+    );
     assert_eq!(looked(d), []);
     d.tick(10 + LEASE / 16);
-    assert_eq!(looked(d), [0, 2], "those who did not answer are asked again");
+    assert_eq!(
+        looked(d),
+        [0, 2],
+        "those who did not answer are asked again"
+    );
     for voter in 1..3 {
-        let stands = Message { duty: duty(), what: free(1) };
-        world.proxies[0].duties.as_mut().expect("it runs").hear(10, voter, 1, stands);
+        let stands = Message {
+            duty: duty(),
+            what: free(1),
+        };
+        world.proxies[0]
+            .duties
+            .as_mut()
+            .expect("it runs")
+            .hear(10, voter, 1, stands);
     }
     let first = asks(&mut world, 10);
-    assert_eq!(first.iter().map(|(to, ..)| *to).collect::<Vec<_>>(), [0, 1, 2]);
+    assert_eq!(
+        first.iter().map(|(to, ..)| *to).collect::<Vec<_>>(),
+        [0, 1, 2]
+    );
     let (_, token, round) = first[1];
-    let granted = What::Granted { token, round, lease: 500, mark: None };
+    let granted = What::Granted {
+        token,
+        round,
+        lease: 500,
+        mark: None,
+    };
     world.proxies[0].duties.as_mut().expect("it runs").hear(
         11,
         1,
         1,
-        Message { duty: duty(), what: granted },
+        Message {
+            duty: duty(),
+            what: granted,
+        },
     );
     let again = asks(&mut world, 10 + LEASE / 16);
-    assert_eq!(again.iter().map(|(to, t, _)| (*to, *t)).collect::<Vec<_>>(), [(0, token), (2, token)]);
+    assert_eq!(
+        again.iter().map(|(to, t, _)| (*to, *t)).collect::<Vec<_>>(),
+        [(0, token), (2, token)]
+    );
     // An answer to a question that was never asked is none.
-    let granted = What::Granted { token, round: 999, lease: 500, mark: None };
+    let granted = What::Granted {
+        token,
+        round: 999,
+        lease: 500,
+        mark: None,
+    };
     let d = world.proxies[0].duties.as_mut().expect("it runs");
-    d.hear(90, 2, 1, Message { duty: duty(), what: granted });
+    d.hear(
+        90,
+        2,
+        1,
+        Message {
+            duty: duty(),
+            what: granted,
+        },
+    );
     assert_eq!(d.holds(90, duty()), None);
-    let granted = What::Granted { token, round: again[1].2, lease: 500, mark: None };
-    d.hear(90, 2, 1, Message { duty: duty(), what: granted });
+    let granted = What::Granted {
+        token,
+        round: again[1].2,
+        lease: 500,
+        mark: None,
+    };
+    d.hear(
+        90,
+        2,
+        1,
+        Message {
+            duty: duty(),
+            what: granted,
+        },
+    );
     assert_eq!(d.holds(90, duty()), Some(token));
     // Counted from when the first of the two was asked, and not from when it answered.
-    assert_eq!((d.holds(509, duty()), d.holds(510, duty())), (Some(token), None));
-    // Work may have looked then, and stopped: what comes later brings nothing back, though it was asked for in time.
+    assert_eq!(
+        (d.holds(509, duty()), d.holds(510, duty())),
+        (Some(token), None)
+    );
+    // Work may have looked then, and stopped: what comes later brings nothing back, though it was
+    // asked for in time.
     let renewed = d.outputs().filter_map(|o| match o {
-        Output::Send(Send { message: Message { what: What::Ask { round, .. }, .. }, .. }) => Some(round),
+        Output::Send(Send {
+            message:
+                Message {
+                    what: What::Ask { round, .. },
+                    ..
+                },
+            ..
+        }) => Some(round),
         _ => None,
     });
     let round = renewed.max().expect("it has its grants renewed at once");
-    let granted = What::Granted { token, round, lease: 1000, mark: None };
+    let granted = What::Granted {
+        token,
+        round,
+        lease: 1000,
+        mark: None,
+    };
     for voter in 0..3 {
-        d.hear(520, voter, 1, Message { duty: duty(), what: granted.clone() });
+        d.hear(
+            520,
+            voter,
+            1,
+            Message {
+                duty: duty(),
+                what: granted.clone(),
+            },
+        );
     }
     assert_eq!(d.holds(520, duty()), None);
-    let lapsed = Event::End { token, why: Ended::Lapsed };
-    assert!(d.outputs().any(|o| o == Output::Event(duty(), lapsed.clone())));
+    let lapsed = Event::End {
+        token,
+        why: Ended::Lapsed,
+    };
+    assert!(
+        d.outputs()
+            .any(|o| o == Output::Event(duty(), lapsed.clone()))
+    );
 }
 
-/// A voter that starts anew is not taken from a holder by one that stands by: each such vote would be one less for whoever holds.
+/// A voter that starts anew is not taken from a holder by one that stands by: each such vote would
+/// be one less for whoever holds.
 #[test]
 fn voters_that_start_come_back_to_the_holder() {
     for (seed, disk) in (60..80).map(|n| (n, n % 2 == 0)) {
@@ -226,7 +386,10 @@
             let gap = |w: &World| w.holder().is_none();
             if let Some(from) = world.run_until(end, gap) {
                 let to = world.run_until(end, |w| !gap(w)).expect("it is held again");
-                assert!(!disk && to - from < LEASE / 5, "seed {seed}: {from} to {to}");
+                assert!(
+                    !disk && to - from < LEASE / 5,
+                    "seed {seed}: {from} to {to}"
+                );
                 world.run(end - to);
             }
             assert_eq!(world.holder(), Some(holder), "seed {seed}");
@@ -247,7 +410,19 @@
     let mut voter = Voter::new(0, 5, terms, 0, Memory::default());
     let mut now = terms.kept(LEASE);
     let mut ask = |now, token: Token| {
-        voter.hear(now, token.place(), 1, duty(), What::Ask { token, round: 1, lease: 500 }).0
+        voter
+            .hear(
+                now,
+                token.place(),
+                1,
+                duty(),
+                What::Ask {
+                    token,
+                    round: 1,
+                    lease: 500,
+                },
+            )
+            .0
     };
     let granted = |answer: Option<What>| matches!(answer, Some(What::Granted { .. }));
     for n in 0..9 {
@@ -257,7 +432,10 @@
     // Those who have known that they hold, and are silent, have.
     for n in 20..23 {
         let token = Token::new(0, n, 4);
-        assert!(granted(ask(now, token)) && granted(ask(now + 1, token)), "{n}");
+        assert!(
+            granted(ask(now, token)) && granted(ask(now + 1, token)),
+            "{n}"
+        );
         now += LEASE;
     }
     assert!(!granted(ask(now, Token::new(0, 30, 5))));
@@ -268,35 +446,88 @@
 fn a_voter_listens_to_its_electorate() {
     let terms = Terms { lease: LEASE };
     let mut voter = Voter::new(0, 5, terms, 1, Memory::default());
-    let ask = |generation, place| What::Ask { token: Token::new(generation, 9, place), round: 1, lease: 500 };
+    let ask = |generation, place| What::Ask {
+        token: Token::new(generation, 9, place),
+        round: 1,
+        lease: 500,
+    };
     let why = |answer: (Option<What>, bool)| match answer.0 {
         Some(What::Refused { why, .. }) => Some(why),
         _ => None,
     };
     let later = terms.kept(LEASE);
-    assert_eq!(why(voter.hear(later - 1, 3, 1, duty(), ask(1, 3))), Some(Why::Silent));
+    assert_eq!(
+        why(voter.hear(later - 1, 3, 1, duty(), ask(1, 3))),
+        Some(Why::Silent)
+    );
     assert_eq!(voter.hear(later, 3, 1, duty(), ask(1, 4)), (None, false));
-    assert_eq!(why(voter.hear(later, 3, 1, duty(), ask(0, 3))), Some(Why::Foreign));
-    assert!(matches!(voter.hear(later, 3, 1, duty(), ask(1, 3)), (Some(What::Granted { .. }), true)));
+    assert_eq!(
+        why(voter.hear(later, 3, 1, duty(), ask(0, 3))),
+        Some(Why::Foreign)
+    );
+    assert!(matches!(
+        voter.hear(later, 3, 1, duty(), ask(1, 3)),
+        (Some(What::Granted { .. }), true)
+    ));
     // A later one has been heard of: of another duty, too.
     let other = DutyId::of("other");
-    assert!(matches!(voter.hear(later, 3, 1, other, ask(2, 3)), (Some(What::Granted { .. }), true)));
-    assert_eq!(why(voter.hear(later, 3, 1, DutyId::of("third"), ask(1, 3))), Some(Why::Foreign));
-    // Nothing under a token that is not above all that it granted, or that was resigned, also where it is free.
+    assert!(matches!(
+        voter.hear(later, 3, 1, other, ask(2, 3)),
+        (Some(What::Granted { .. }), true)
+    ));
+    assert_eq!(
+        why(voter.hear(later, 3, 1, DutyId::of("third"), ask(1, 3))),
+        Some(Why::Foreign)
+    );
+    // Nothing under a token that is not above all that it granted, or that was resigned, also where
+    // it is free.
     let free = later + 2 * LEASE;
-    let ask = |count, place| What::Ask { token: Token::new(2, count, place), round: 1, lease: 500 };
-    assert_eq!(why(voter.hear(free, 4, 1, other, ask(8, 4))), Some(Why::Low));
-    assert_eq!(why(voter.hear(free, 3, 2, other, ask(9, 3))), Some(Why::Low), "another life's");
-    assert!(matches!(voter.hear(free, 4, 1, other, ask(9, 4)), (Some(What::Granted { .. }), true)));
-    voter.hear(free, 4, 1, other, What::Resign { token: Token::new(2, 9, 4) });
-    assert_eq!(why(voter.hear(free, 4, 1, other, ask(9, 4))), Some(Why::Low));
+    let ask = |count, place| What::Ask {
+        token: Token::new(2, count, place),
+        round: 1,
+        lease: 500,
+    };
+    assert_eq!(
+        why(voter.hear(free, 4, 1, other, ask(8, 4))),
+        Some(Why::Low)
+    );
+    assert_eq!(
+        why(voter.hear(free, 3, 2, other, ask(9, 3))),
+        Some(Why::Low),
+        "another life's"
+    );
+    assert!(matches!(
+        voter.hear(free, 4, 1, other, ask(9, 4)),
+        (Some(What::Granted { .. }), true)
+    ));
+    voter.hear(
+        free,
+        4,
+        1,
+        other,
+        What::Resign {
+            token: Token::new(2, 9, 4),
+        },
+    );
+    assert_eq!(
+        why(voter.hear(free, 4, 1, other, ask(9, 4))),
+        Some(Why::Low)
+    );
     // For no longer than its own lease, whatever is asked for.
-    let long = What::Ask { token: Token::new(2, 9, 5), round: 1, lease: 1 << 30 };
+    let long = What::Ask {
+        token: Token::new(2, 9, 5),
+        round: 1,
+        lease: 1 << 30,
+    };
     let (granted, _) = voter.hear(later, 5, 1, DutyId::of("fourth"), long);
-    assert!(matches!(granted, Some(What::Granted { lease: 1000, .. })), "{granted:?}");
+    assert!(
+        matches!(granted, Some(What::Granted { lease: 1000, .. })),
+        "{granted:?}"
+    );
 }
 
-/// A stalled holder that is asked before anything else is done on its waking knows that its time is over.
+/// A stalled holder that is asked before anything else is done on its waking knows that its time is
+/// over.
 #[test]
 fn time_is_looked_at_before_an_act() {
     let mut world = held(6, 3, 21);
@@ -306,7 +537,8 @@
     assert_eq!(world.duties(first).holds(world.now, duty()), None);
 }
 
-/// The word to the next one, and all that voters were told of the end, are lost: the grants run out.
+/// The word to the next one, and all that voters were told of the end, are lost: the grants run
+/// out.
 #[test]
 fn a_hand_on_whose_messages_are_lost() {
     let mut world = held(6, 3, 4);
@@ -349,7 +581,12 @@
         let (first, last) = (world.holder().expect("held"), token(&world));
         for voter in (0..3).filter(|v| *v != first) {
             let ways = [(first, voter), (voter, first)];
-            world.faults.cut.extend(ways.into_iter().zip(one_way).filter(|(_, cut)| *cut).map(|(w, _)| w));
+            world.faults.cut.extend(
+                ways.into_iter()
+                    .zip(one_way)
+                    .filter(|(_, cut)| *cut)
+                    .map(|(w, _)| w),
+            );
         }
         let (second, took) = next(&mut world, last);
         assert!(second != first && took < BOUND, "{second} after {took}");
@@ -392,16 +629,33 @@
     let mut world = held(6, 3, 9);
     let (first, last) = (world.holder().expect("held"), token(&world));
     world.faults.loss = 0.3;
-    world.with(first, |d, now| assert_eq!(d.mark(now, duty(), b"one".to_vec()), Some(1)));
-    world.with(first, |d, now| assert_eq!(d.mark(now, duty(), b"two".to_vec()), Some(2)));
-    let saved = |w: &World| w.events.iter().any(|(_, _, e)| matches!(e, Event::Saved { seq: 2, .. }));
+    world.with(first, |d, now| {
+        assert_eq!(d.mark(now, duty(), b"one".to_vec()), Some(1))
+    });
+    world.with(first, |d, now| {
+        assert_eq!(d.mark(now, duty(), b"two".to_vec()), Some(2))
+    });
+    let saved = |w: &World| {
+        w.events
+            .iter()
+            .any(|(_, _, e)| matches!(e, Event::Saved { seq: 2, .. }))
+    };
     let end = world.now + LONG;
     world.run_until(end, saved).expect("a quorum keeps it");
     world.faults.loss = 0.0;
     world.kill(first);
     next(&mut world, last);
-    let mark = world.begun().last().expect("begun").3.clone().expect("a mark");
-    assert_eq!((mark.seq, &mark.state[..], mark.token), (2, &b"two"[..], last));
+    let mark = world
+        .begun()
+        .last()
+        .expect("begun")
+        .3
+        .clone()
+        .expect("a mark");
+    assert_eq!(
+        (mark.seq, &mark.state[..], mark.token),
+        (2, &b"two"[..], last)
+    );
     assert!(world.kept > 0);
 }
 
@@ -411,12 +665,22 @@
     let mut world = held(6, 3, 22);
     let holder = world.holder().expect("held");
     let others: Vec<Place> = (0..3).filter(|v| *v != holder).collect();
-    let voters: Vec<Place> = if holder < 3 { vec![holder, others[0]] } else { others[..2].to_vec() };
+    let voters: Vec<Place> = if holder < 3 {
+        vec![holder, others[0]]
+    } else {
+        others[..2].to_vec()
+    };
     let cut: Vec<Place> = (0..3).filter(|v| !voters.contains(v)).collect();
     world.cut(&cut, &[holder]);
     world.faults.cut.push((holder, others[0]));
-    world.with(holder, |d, now| assert_eq!(d.mark(now, duty(), b"one".to_vec()), Some(1)));
-    let saved = |w: &World| w.events.iter().any(|(_, _, e)| matches!(e, Event::Saved { seq: 1, .. }));
+    world.with(holder, |d, now| {
+        assert_eq!(d.mark(now, duty(), b"one".to_vec()), Some(1))
+    });
+    let saved = |w: &World| {
+        w.events
+            .iter()
+            .any(|(_, _, e)| matches!(e, Event::Saved { seq: 1, .. }))
+    };
     let end = world.now + LEASE / 3;
     assert_eq!(world.run_until(end, saved), None);
     world.faults.cut.retain(|way| *way != (holder, others[0]));
@@ -432,7 +696,8 @@
     assert_eq!(kept(&world, cut[0]), 1);
 }
 
-/// A mark that no quorum keeps may or may not be what the next one begins with; one of a holder that was followed is kept by nobody.
+/// A mark that no quorum keeps may or may not be what the next one begins with; one of a holder
+/// that was followed is kept by nobody.
 #[test]
 fn a_late_mark_is_refused() {
     let mut world = held(6, 3, 10);
@@ -442,15 +707,25 @@
     let (_, _) = next(&mut world, last);
     let kept = world.kept;
     world.run(LEASE);
-    let mark = heathroad_duty::voter::Mark { token: last, seq: 9, state: b"late".to_vec() };
-    let (voter, life) =
-        ((0..3).find(|v| *v != first).expect("another"), world.proxies[usize::from(first)].life);
-    let message = Message { duty: duty(), what: What::Keep { mark } };
+    let mark = heathroad_duty::voter::Mark {
+        token: last,
+        seq: 9,
+        state: b"late".to_vec(),
+    };
+    let (voter, life) = (
+        (0..3).find(|v| *v != first).expect("another"),
+        world.proxies[usize::from(first)].life,
+    );
+    let message = Message {
+        duty: duty(),
+        what: What::Keep { mark },
+    };
     world.with(voter, |d, now| d.hear(now, first, life, message));
     assert_eq!(world.kept, kept);
 }
 
-/// All voters are killed at once and know nothing, or what they had on disk: the next token is higher all the same.
+/// All voters are killed at once and know nothing, or what they had on disk: the next token is
+/// higher all the same.
 #[test]
 fn tokens_grow_over_restarts_of_all_voters() {
     for disk in [true, false] {
@@ -475,7 +750,8 @@
     }
 }
 
-/// All are killed and know nothing, and whoever asks has a clock that is an hour back: the voters' is what counts.
+/// All are killed and know nothing, and whoever asks has a clock that is an hour back: the voters'
+/// is what counts.
 #[test]
 fn tokens_grow_for_one_whose_clock_is_back() {
     let mut world = held(12, 3, 18);
@@ -494,7 +770,8 @@
     assert_eq!(world.judge(), Ok(()));
 }
 
-/// A voter comes back with an old copy of what it had kept, or with nothing: nobody begins beside the holder or under a lower token.
+/// A voter comes back with an old copy of what it had kept, or with nothing: nobody begins beside
+/// the holder or under a lower token.
 #[test]
 fn a_voter_with_an_old_copy() {
     for copy in [true, false] {
@@ -504,13 +781,19 @@
         for n in 0..6 {
             world.run(LEASE * 2);
             let end = world.now + LONG;
-            world.run_until(end, |w| w.holder().is_some()).expect("it is held");
+            world
+                .run_until(end, |w| w.holder().is_some())
+                .expect("it is held");
             let holder = world.holder().expect("held");
             world.with(holder, |d, now| d.resign(now, duty(), Ended::Told));
             world.run(LEASE / 2);
             let voter = n % 3;
             world.kill(voter);
-            world.proxies[usize::from(voter)].disk = if copy { old.clone() } else { Default::default() };
+            world.proxies[usize::from(voter)].disk = if copy {
+                old.clone()
+            } else {
+                Default::default()
+            };
             world.start(voter);
         }
         world.run(LEASE * 3);
@@ -533,14 +816,18 @@
     assert!(took >= Terms { lease: LEASE }.kept(LEASE), "{took}");
 }
 
-/// The set of voters is changed while one is cut off: in between both sets are asked, and who goes by the old one alone is refused.
+/// The set of voters is changed while one is cut off: in between both sets are asked, and who goes
+/// by the old one alone is refused.
 #[test]
 fn voters_are_changed_while_one_is_cut_off() {
     let mut world = held(8, 3, 14);
     world.acting = Some(5);
     let last = token(&world);
     world.cut(&[2], &[0, 1, 3, 4, 5, 6, 7]);
-    let sets = [(1, vec![3, 4, 5], vec![0, 1, 2]), (2, vec![3, 4, 5], vec![])];
+    let sets = [
+        (1, vec![3, 4, 5], vec![0, 1, 2]),
+        (2, vec![3, 4, 5], vec![]),
+    ];
     for (generation, voters, previous) in sets {
         let electorate = Electorate::new(generation, voters, previous, 8).expect("good voters");
         for p in (0..8).filter(|p| *p != 2) {
@@ -576,7 +863,9 @@
     assert!((4..11).contains(&killed.len()), "{killed:?}");
     // One that lives ends that.
     let end = world.now + LEASE * 100;
-    world.run_until(end, |w| w.holder().is_some()).expect("it is tried again");
+    world
+        .run_until(end, |w| w.holder().is_some())
+        .expect("it is tried again");
     let holder = world.holder().expect("held");
     world.run(LEASE * 6);
     assert_eq!(world.holder(), Some(holder));
@@ -600,12 +889,18 @@
     for seed in 0..40 {
         let mut world = World::new(5, 5, 100 + seed);
         world.faults.loss = 0.3;
-        let at = world.run_until(LONG, |w| w.holder().is_some()).expect("somebody wins");
+        let at = world
+            .run_until(LONG, |w| w.holder().is_some())
+            .expect("somebody wins");
         assert!(at < LEASE * 5, "seed {seed}: {at}");
         world.acting = Some(5);
         world.run(LEASE * 10);
         assert_eq!(world.judge(), Ok(()), "seed {seed}");
-        assert_eq!(world.begun().len(), 1, "seed {seed}: losses alone end no hold");
+        assert_eq!(
+            world.begun().len(),
+            1,
+            "seed {seed}: losses alone end no hold"
+        );
     }
 }
 
@@ -622,26 +917,35 @@
         world.acting = Some(2);
         for _ in 0..6 {
             world.run(LEASE * 6);
-            let Some(holder) = world.holder() else { continue };
+            let Some(holder) = world.holder() else {
+                continue;
+            };
             let others: Vec<Place> = (0..5).filter(|p| *p != holder).collect();
             world.cut(&[holder], &others);
             world.run(LEASE * 3);
             world.faults.cut.clear();
         }
         assert_eq!(world.judge(), Ok(()));
-        assert!(world.acts.iter().all(|d| d.taken), "leases alone keep the order");
+        assert!(
+            world.acts.iter().all(|d| d.taken),
+            "leases alone keep the order"
+        );
     }
 }
 
 #[test]
 fn electorates_are_checked() {
-    let new =
-        |voters: &[Place], previous: &[Place]| Electorate::new(1, voters.to_vec(), previous.to_vec(), 9);
+    let new = |voters: &[Place], previous: &[Place]| {
+        Electorate::new(1, voters.to_vec(), previous.to_vec(), 9)
+    };
     assert!(new(&[0, 1, 2], &[3, 4, 5, 6, 7]).is_ok());
     assert_eq!(new(&[0, 1], &[]), Err(Unfit::Count(2)));
     assert_eq!(new(&[0, 1, 1], &[]), Err(Unfit::Twice(1)));
     assert_eq!(new(&[0, 1, 9], &[]), Err(Unfit::Stranger(9)));
-    assert_eq!(Electorate::new(0, vec![0, 1, 2], vec![0, 1, 2], 9), Err(Unfit::First));
+    assert_eq!(
+        Electorate::new(0, vec![0, 1, 2], vec![0, 1, 2], 9),
+        Err(Unfit::First)
+    );
     let joint = new(&[0, 1, 2], &[2, 3, 4]).expect("good");
     assert!(!joint.quorum(|p| p < 3) && joint.quorum(|p| [0, 2, 3].contains(&p)));
     assert_eq!(joint.reached(|p| Some(10 - p)), Some(7));
@@ -651,10 +955,16 @@
 fn tokens_are_in_order() {
     let count = count_at(UNIX);
     let token = Token::new(3, count, 7);
-    assert_eq!((token.generation(), token.count(), token.place()), (3, count, 7));
+    assert_eq!(
+        (token.generation(), token.count(), token.place()),
+        (3, count, 7)
+    );
     assert_eq!(token.to_string().parse(), Ok(token));
     let above = |own, floor| token.above(floor, 3, own).expect("there is one");
-    assert_eq!((above(8, 0), above(6, 0)), (Token::new(3, count, 8), Token::new(3, count + 1, 6)));
+    assert_eq!(
+        (above(8, 0), above(6, 0)),
+        (Token::new(3, count, 8), Token::new(3, count + 1, 6))
+    );
     assert_eq!(above(6, count + 9), Token::new(3, count + 9, 6));
     assert_eq!(token.above(0, 2, 1), None);
     assert_eq!(Token::new(3, u64::MAX, 9).above(0, 3, 1), None);
--- a/crates/heathroad-duty/tests/histories.rs
+++ b/crates/heathroad-duty/tests/histories.rs
@@ -1,5 +1,6 @@
-//! Random histories: whatever is lost, repeated, late, cut, stalled, killed, forgotten or put back, nobody holds beside another by
-//! clocks that are within their bound, tokens begin in order, and what checks tokens takes no act out of order.
+//! Random histories: whatever is lost, repeated, late, cut, stalled, killed, forgotten or put back,
+//! nobody holds beside another by clocks that are within their bound, tokens begin in order, and
+//! what checks tokens takes no act out of order.
 //!
 //! `DUTY_HISTORIES` asks for more of them, from `DUTY_SEED` on.
 
@@ -12,7 +13,10 @@
 use heathroad_fleet::Place;
 
 fn number(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(usual)
+    std::env::var(name)
+        .ok()
+        .and_then(|v| v.parse().ok())
+        .unwrap_or(usual)
 }
 
 fn strike(world: &mut World, rng: &mut Rng, copies: &mut [Memory]) {
@@ -42,7 +46,9 @@
         8 => (0..members).for_each(|p| world.kill(p)),
         9 => world.with(who, |d, now| d.resign(now, duty(), Ended::Told)),
         _ => {
-            let down: Vec<Place> = (0..members).filter(|p| !world.running().contains(p)).collect();
+            let down: Vec<Place> = (0..members)
+                .filter(|p| !world.running().contains(p))
+                .collect();
             for p in down {
                 match rng.u32(0..4) {
                     0 => world.proxies[usize::from(p)].disk = copies[usize::from(p)].clone(),
@@ -75,7 +81,10 @@
             panic!("seed {seed}: {:?} at {}", world.holders(), world.now);
         }
     }
-    world.faults = common::Faults { delay: 12, ..Default::default() };
+    world.faults = common::Faults {
+        delay: 12,
+        ..Default::default()
+    };
     for p in 0..members {
         world.proxies[usize::from(p)].stalled = 0;
         if !world.running().contains(&p) {
--- a/crates/heathroad-duty/tests/orders.rs
+++ b/crates/heathroad-duty/tests/orders.rs
@@ -1,6 +1,7 @@
-//! All orders of a small history by a model checker: three voters, two candidates who want the same duty at the same time, a voter that
-//! starts anew once with nothing. Questions come in any order; answers come at once, but for some that are late: they come at any later
-//! time, also after several others, or never. Time goes on whenever no more than that are under way.
+//! All orders of a small history by a model checker: three voters, two candidates who want the same
+//! duty at the same time, a voter that starts anew once with nothing. Questions come in any order;
+//! answers come at once, but for some that are late: they come at any later time, also after
+//! several others, or never. Time goes on whenever no more than that are under way.
 
 use fastrand::Rng;
 use heathroad_duty::electorate::Electorate;
@@ -64,8 +65,15 @@
             (Rng::with_seed(n as u64), Vec::new(), electorate(), self.now);
         let own = CANDIDATES[n];
         let (rng, sends) = (&mut rng, &mut out);
-        let mut with =
-            With { terms: TERMS, electorate: &electorate, own, clock: 100, rank: n as u16, rng, out: sends };
+        let mut with = With {
+            terms: TERMS,
+            electorate: &electorate,
+            own,
+            clock: 100,
+            rank: n as u16,
+            rng,
+            out: sends,
+        };
         act(&mut self.seats[n], now, &mut with);
         let events: Vec<Event> = self.seats[n].events().collect();
         for event in events {
@@ -79,13 +87,19 @@
                 // Nothing rests on what is answered to a look: it is answered at once.
                 let Message { duty, what } = message;
                 if let Some(answer) = voter.hear(now, own, 1, duty, what).0 {
-                    let hear: Act = Box::new(move |seat, now, with| seat.hear(now, to, answer, with));
+                    let hear: Act =
+                        Box::new(move |seat, now, with| seat.hear(now, to, answer, with));
                     self.seat(n, hear);
                 }
                 continue;
             }
             let life = *life;
-            self.way.insert(Under { from: own, to, life, message });
+            self.way.insert(Under {
+                from: own,
+                to,
+                life,
+                message,
+            });
         }
     }
 }
@@ -93,16 +107,33 @@
 impl State {
     /// A voter hears a question: its answer.
     fn ask(&mut self, one: Under) -> Option<Under> {
-        let Under { from, to, life, message: Message { duty, what } } = one;
+        let Under {
+            from,
+            to,
+            life,
+            message: Message { duty, what },
+        } = one;
         let (own, voter) = &mut self.voters[usize::from(to)];
-        let answer = if *own == life { voter.hear(self.now, from, 1, duty, what).0 } else { None };
-        answer.map(|what| Under { from: to, to: from, life: 1, message: Message { duty, what } })
+        let answer = if *own == life {
+            voter.hear(self.now, from, 1, duty, what).0
+        } else {
+            None
+        };
+        answer.map(|what| Under {
+            from: to,
+            to: from,
+            life: 1,
+            message: Message { duty, what },
+        })
     }
 
     /// A candidate hears an answer.
     fn answer(&mut self, one: Under) {
         let n = usize::from(one.to - CANDIDATES[0]);
-        self.seat(n, Box::new(move |seat, now, with| seat.hear(now, one.from, one.message.what, with)));
+        self.seat(
+            n,
+            Box::new(move |seat, now, with| seat.hear(now, one.from, one.message.what, with)),
+        );
     }
 }
 
@@ -118,7 +149,14 @@
         let seats = CANDIDATES.map(|_| Seat::new(now, duty)).to_vec();
         let voters = vec![voter(), voter(), voter()];
         let (way, begun) = (BTreeSet::new(), Vec::new());
-        let mut state = State { now, voters, seats, way, begun, restarted: 0 };
+        let mut state = State {
+            now,
+            voters,
+            seats,
+            way,
+            begun,
+            restarted: 0,
+        };
         for n in 0..CANDIDATES.len() {
             state.seat(n, Box::new(Seat::tick));
         }
@@ -179,8 +217,13 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        let one =
-            |_: &Small, s: &State| s.seats.iter().filter(|seat| seat.holds(s.now).is_some()).count() < 2;
+        let one = |_: &Small, s: &State| {
+            s.seats
+                .iter()
+                .filter(|seat| seat.holds(s.now).is_some())
+                .count()
+                < 2
+        };
         let order = |_: &Small, s: &State| s.begun.windows(2).all(|w| w[0] < w[1]);
         vec![
             Property::always("one holds", one),
@@ -194,16 +237,24 @@
 /// Whether it was held at all, and by one after another.
 fn check(until: Millis, late: usize, restarts: u8) -> [bool; 2] {
     let start = TERMS.kept(TERMS.lease);
-    let model = Small { until: start + until, late, restarts };
+    let model = Small {
+        until: start + until,
+        late,
+        restarts,
+    };
     let checker = model.checker().threads(2).spawn_bfs().join();
-    println!("{until} ms, {late} late, {restarts} restarts: {} states", checker.unique_state_count());
+    println!(
+        "{until} ms, {late} late, {restarts} restarts: {} states",
+        checker.unique_state_count()
+    );
     for name in ["one holds", "tokens begin in order"] {
         checker.assert_no_discovery(name);
     }
     ["it is held", "it goes on"].map(|name| checker.discovery(name).is_some())
 }
 
-/// `DUTY_ORDERS` and `DUTY_LATE` ask for a longer history, and for more that is late or lost in each of its steps of 2 ms.
+/// `DUTY_ORDERS` and `DUTY_LATE` ask for a longer history, and for more that is late or lost in
+/// each of its steps of 2 ms.
 #[test]
 fn all_orders_of_a_small_history() {
     let number = |name: &str| std::env::var(name).ok().and_then(|v| v.parse::<u8>().ok());
--- a/crates/heathroad-expect/examples/expect-bench.rs
+++ b/crates/heathroad-expect/examples/expect-bench.rs
@@ -1,4 +1,5 @@
-//! How long verdicts take, by routes and expectations: `cargo run --release --example expect-bench -p heathroad-expect`.
+//! How long verdicts take, by routes and expectations: `cargo run --release --example expect-bench
+//! -p heathroad-expect`.
 
 use heathroad_expect::file::read;
 use heathroad_expect::judge::{Here, judge};
@@ -15,9 +16,18 @@
     let mut text = String::new();
     for pool in ["one", "two"] {
         let list: Vec<String> = (0..100)
-            .map(|b| format!("{{ address = \"127.0.0.1:{}\", site = \"s{}\" }}", 9000 + b, b % 4))
+            .map(|b| {
+                format!(
+                    "{{ address = \"127.0.0.1:{}\", site = \"s{}\" }}",
+                    9000 + b,
+                    b % 4
+                )
+            })
             .collect();
-        text += &format!("[[pool]]\nname = {pool:?}\nbackends = [{}]\n", list.join(", "));
+        text += &format!(
+            "[[pool]]\nname = {pool:?}\nbackends = [{}]\n",
+            list.join(", ")
+        );
         for class in 0..CLASSES {
             text += &format!(
                 "[[pool.class]]\nname = \"c{class}\"\neffect = \"safe\"\naim_ms = 1\ndeadline_ms = 1\n"
@@ -30,7 +40,9 @@
         let deeper = match i % 7 {
             0 => "path = \"/v2/*\"\n",
             1 => "path = \"/v2/*\"\nhost = \"*.example.org\"\n",
-            2 => "path = \"/v2/*\"\nhost = \"*.example.org\"\nheader = { name = \"X-Canary\", is = \"1\" }\n",
+            2 => {
+                "path = \"/v2/*\"\nhost = \"*.example.org\"\nheader = { name = \"X-Canary\", is = \"1\" }\n"
+            }
             _ => "",
         };
         text += &format!(
@@ -50,13 +62,25 @@
         2 => format!("class = \"c{}\"\n", i % CLASSES),
         _ => format!("tenant = \"t{}\"\nclass = \"c{}\"\n", i % 50, i % CLASSES),
     };
-    (0..n).map(|i| format!("[[expect]]\nname = \"e{i}\"\n{}{demands}", scope(i))).collect()
+    (0..n)
+        .map(|i| format!("[[expect]]\nname = \"e{i}\"\n{}{demands}", scope(i)))
+        .collect()
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
     let mut out = std::io::stdout();
-    writeln!(out, "routes  expectations  cases     read ms  judge ms (min, median, max of {RUNS})")?;
-    for (r, e) in [(10, 20), (100, 50), (1_000, 50), (1_000, 200), (1_000, 1_000), (10_000, 200)] {
+    writeln!(
+        out,
+        "routes  expectations  cases     read ms  judge ms (min, median, max of {RUNS})"
+    )?;
+    for (r, e) in [
+        (10, 20),
+        (100, 50),
+        (1_000, 50),
+        (1_000, 200),
+        (1_000, 1_000),
+        (10_000, 200),
+    ] {
         let (routes, expected) = (routes(r), expectations(e));
         let begun = Instant::now();
         let generation = Generation::read(1, "routes", &routes)?;
@@ -76,7 +100,11 @@
         took.sort();
         let ms = |d: Duration| d.as_secs_f64() * 1e3;
         let [low, mid, high] = [took[0], took[RUNS / 2], took[RUNS - 1]].map(ms);
-        writeln!(out, "{r:6}  {e:12}  {cases:8}  {:7.1}  {low:.1}, {mid:.1}, {high:.1}", ms(reading))?;
+        writeln!(
+            out,
+            "{r:6}  {e:12}  {cases:8}  {:7.1}  {low:.1}, {mid:.1}, {high:.1}",
+            ms(reading)
+        )?;
     }
     Ok(())
 }
--- a/crates/heathroad-expect/src/file.rs
+++ b/crates/heathroad-expect/src/file.rs
@@ -1,5 +1,6 @@
-//! The file of expectations: TOML, read with lines, checked whole. It says nothing that a file of routes says, so that
-//! either can be changed by itself; names that the routes don't have are found when the two are held together.
+//! The file of expectations: TOML, read with lines, checked whole. It says nothing that a file of
+//! routes says, so that either can be changed by itself; names that the routes don't have are found
+//! when the two are held together.
 
 use crate::nodes::{Kind, Loss, Node, State};
 use heathroad_routing::condition::Match;
@@ -122,7 +123,8 @@
     pub at_most: f64,
 }
 
-/// Places that requests may come to. Of each kind that is named, one must be met; a kind that is not named says nothing.
+/// Places that requests may come to. Of each kind that is named, one must be met; a kind that is
+/// not named says nothing.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Places {
     /// Pools, by name.
@@ -159,12 +161,19 @@
         let nodes = nodes(root);
         let states = states(root);
         let list = expectations(lines, root, &states);
-        Expectations { file: file.to_string(), nodes, states, list }
+        Expectations {
+            file: file.to_string(),
+            nodes,
+            states,
+            list,
+        }
     })
 }
 
 fn addresses(s: &Section<'_, '_>, name: &'static str) -> Vec<SocketAddr> {
-    s.items(name, "addresses and ports, such as 10.1.0.18:9000", |v| v.as_str()?.parse().ok())
+    s.items(name, "addresses and ports, such as 10.1.0.18:9000", |v| {
+        v.as_str()?.parse().ok()
+    })
 }
 
 fn blocks(s: &Section<'_, '_>, name: &'static str) -> Vec<u16> {
@@ -182,16 +191,33 @@
         if s.get("address").is_none() {
             s.missing("address", "an address and port");
         }
-        let registry = s.get("registry").filter(|r| r.get_ref().as_str() != Some("default"));
+        let registry = s
+            .get("registry")
+            .filter(|r| r.get_ref().as_str() != Some("default"));
         let registry = registry.and_then(|r| s.address(r, "registry"));
         let site = s.text("site").unwrap_or_default();
         let class = s.text("class").unwrap_or_default();
         let block = s.whole("block", 0, u32::from(u16::MAX)).unwrap_or(0) as u16;
         let takes = s.flag("takes").unwrap_or(true);
         s.end();
-        let node = address.map(|address| Node { address, registry, site, class, block, takes });
-        if let Some(n) = node.as_ref().filter(|n| nodes.iter().any(|o: &Node| o.address == n.address)) {
-            s.lines.fault(s.at, s.field("address"), format!("{} comes twice", n.address), "each node once");
+        let node = address.map(|address| Node {
+            address,
+            registry,
+            site,
+            class,
+            block,
+            takes,
+        });
+        if let Some(n) = node
+            .as_ref()
+            .filter(|n| nodes.iter().any(|o: &Node| o.address == n.address))
+        {
+            s.lines.fault(
+                s.at,
+                s.field("address"),
+                format!("{} comes twice", n.address),
+                "each node once",
+            );
         }
         nodes.extend(node);
     }
@@ -203,14 +229,24 @@
     let mut states = Vec::new();
     for s in root.sections("state", MAX_LIST) {
         let name = s.name(&mut names);
-        let out: BTreeSet<SocketAddr> =
-            addresses(&s, "drains").into_iter().chain(addresses(&s, "gone")).collect();
+        let out: BTreeSet<SocketAddr> = addresses(&s, "drains")
+            .into_iter()
+            .chain(addresses(&s, "gone"))
+            .collect();
         let sites = s.texts("sites_gone").into_iter().collect();
         let blocks = blocks(&s, "blocks_gone").into_iter().collect();
         s.end();
-        let state = State { name, nodes: out, sites, blocks };
+        let state = State {
+            name,
+            nodes: out,
+            sites,
+            blocks,
+        };
         if state.nodes.is_empty() && state.sites.is_empty() && state.blocks.is_empty() {
-            s.missing("drains", "one of `drains`, `gone`, `sites_gone` and `blocks_gone`, not empty");
+            s.missing(
+                "drains",
+                "one of `drains`, `gone`, `sites_gone` and `blocks_gone`, not empty",
+            );
         }
         states.push(state);
     }
@@ -231,14 +267,22 @@
                 None => {
                     let known: Vec<&str> = states.iter().map(|x| x.name.as_str()).collect();
                     let expected = format!("one of the [[state]] names: {}", known.join(", "));
-                    lines.fault(s.at, s.field("states"), format!("no state {state:?}"), expected);
+                    lines.fault(
+                        s.at,
+                        s.field("states"),
+                        format!("no state {state:?}"),
+                        expected,
+                    );
                 }
             }
         }
         let loss = loss(&s);
         let demands = demands(&s);
         if demands.is_empty() {
-            s.missing("only", "something that is expected, such as `only`, `never`, `served` or `nodes`");
+            s.missing(
+                "only",
+                "something that is expected, such as `only`, `never`, `served` or `nodes`",
+            );
         }
         s.end();
         list.push(Expectation {
@@ -252,38 +296,68 @@
         });
     }
     if list.is_empty() {
-        lines.fault(0, "expect", "is missing or empty", "one [[expect]] at the least");
+        lines.fault(
+            0,
+            "expect",
+            "is missing or empty",
+            "one [[expect]] at the least",
+        );
     }
     list
 }
 
 fn loss(s: &Section<'_, '_>) -> Option<Loss> {
     let table = s.table("losing")?;
-    let kinds = [("nodes", Kind::Node), ("sites", Kind::Site), ("blocks", Kind::Block)];
+    let kinds = [
+        ("nodes", Kind::Node),
+        ("sites", Kind::Site),
+        ("blocks", Kind::Block),
+    ];
     let told: Vec<Loss> = kinds
         .into_iter()
-        .filter_map(|(name, kind)| Some(Loss { kind, count: table.whole(name, 1, MAX_LOST)? as usize }))
+        .filter_map(|(name, kind)| {
+            Some(Loss {
+                kind,
+                count: table.whole(name, 1, MAX_LOST)? as usize,
+            })
+        })
         .collect();
     table.end();
     match told.as_slice() {
         [one] => Some(*one),
         _ => {
             let expected = "one of `nodes`, `sites` and `blocks`, and how many";
-            s.lines.fault(table.at, s.field("losing"), format!("has {} of them", told.len()), expected);
+            s.lines.fault(
+                table.at,
+                s.field("losing"),
+                format!("has {} of them", told.len()),
+                expected,
+            );
             None
         }
     }
 }
 
 fn bound(s: &Section<'_, '_>, high: f64) -> Bound {
-    let (least, most) = (s.number("at_least", 0.0, high), s.number("at_most", 0.0, high));
+    let (least, most) = (
+        s.number("at_least", 0.0, high),
+        s.number("at_most", 0.0, high),
+    );
     if s.get("at_least").is_none() && s.get("at_most").is_none() {
         s.missing("at_least", "`at_least`, `at_most` or both");
     }
-    let bound = Bound { at_least: least.unwrap_or(0.0), at_most: most.unwrap_or(f64::MAX) };
+    let bound = Bound {
+        at_least: least.unwrap_or(0.0),
+        at_most: most.unwrap_or(f64::MAX),
+    };
     if bound.at_least > bound.at_most {
         let reason = format!("{} is past at_most, {}", bound.at_least, bound.at_most);
-        s.lines.fault(s.at, s.field("at_least"), reason, "bounds that something can be within");
+        s.lines.fault(
+            s.at,
+            s.field("at_least"),
+            reason,
+            "bounds that something can be within",
+        );
     }
     bound
 }
@@ -299,7 +373,10 @@
     };
     table.end();
     if places == Places::default() {
-        table.missing("pools", "one of `pools`, `nodes`, `sites`, `blocks` and `kinds`, not empty");
+        table.missing(
+            "pools",
+            "one of `pools`, `nodes`, `sites`, `blocks` and `kinds`, not empty",
+        );
     }
     Some(places)
 }
@@ -311,11 +388,23 @@
     demands.extend(s.flag("served").map(Demand::Served));
     if s.get("again").is_some() {
         let words = [("never", Again::Never), ("keyed", Again::Keyed)];
-        demands.push(Demand::Again(s.choice("again", &words, "\"never\" or \"keyed\"")));
+        demands.push(Demand::Again(s.choice(
+            "again",
+            &words,
+            "\"never\" or \"keyed\"",
+        )));
     }
     if s.get("group").is_some() {
-        let words = [("all", Group::All), ("site", Group::Site), ("block", Group::Block)];
-        demands.push(Demand::Group(s.choice("group", &words, "\"all\", \"site\" or \"block\"")));
+        let words = [
+            ("all", Group::All),
+            ("site", Group::Site),
+            ("block", Group::Block),
+        ];
+        demands.push(Demand::Group(s.choice(
+            "group",
+            &words,
+            "\"all\", \"site\" or \"block\"",
+        )));
     }
     for (name, figure) in FIGURES {
         if let Some(table) = s.table(name) {
@@ -330,7 +419,10 @@
         }
         let within = bound(&share, 1.0);
         share.end();
-        demands.push(Demand::Share { pool: pool.unwrap_or_default(), within });
+        demands.push(Demand::Share {
+            pool: pool.unwrap_or_default(),
+            within,
+        });
     }
     demands
 }
--- a/crates/heathroad-expect/src/judge.rs
+++ b/crates/heathroad-expect/src/judge.rs
@@ -1,5 +1,6 @@
-//! Verdicts: each expectation held against a configuration, over every request of its scope, now and in each state that it
-//! names. What breaks one is told with the smallest request and the smallest state that do, and with the route and its line.
+//! Verdicts: each expectation held against a configuration, over every request of its scope, now
+//! and in each state that it names. What breaks one is told with the smallest request and the
+//! smallest state that do, and with the route and its line.
 
 use crate::file::{Again, Bound, Demand, Expectation, Expectations, Figure, Places};
 use crate::nodes::{self, Node, State};
@@ -136,7 +137,12 @@
 type Broken = Option<(usize, Wrong)>;
 
 fn wrong(found: impl Into<String>, expected: impl Into<String>) -> Option<Wrong> {
-    Some(Wrong { open: false, lost: Vec::new(), found: found.into(), expected: expected.into() })
+    Some(Wrong {
+        open: false,
+        lost: Vec::new(),
+        found: found.into(),
+        expected: expected.into(),
+    })
 }
 
 /// Requests of one class that go by one route to one pool.
@@ -150,7 +156,11 @@
 }
 
 /// Holds expectations against a configuration. An error is about what can't be judged at all.
-pub fn judge(generation: &Generation, expectations: &Expectations, here: &Here) -> Result<Report, String> {
+pub fn judge(
+    generation: &Generation,
+    expectations: &Expectations,
+    here: &Here,
+) -> Result<Report, String> {
     let scopes: Vec<_> = expectations.list.iter().map(|e| &e.scope).collect();
     let space = Space::new(&generation.config, &scopes, here.tenants.as_deref())?;
     let judge = Judge {
@@ -158,12 +168,24 @@
         states: &expectations.states,
         here,
         routes: Routes::new(generation, &space),
-        pools: generation.config.pools.iter().map(|p| nodes::of(p, &here.nodes, here.registry)).collect(),
+        pools: generation
+            .config
+            .pools
+            .iter()
+            .map(|p| nodes::of(p, &here.nodes, here.registry))
+            .collect(),
         space: &space,
     };
-    let verdicts = expectations.list.iter().map(|e| judge.verdict(e)).collect::<Result<_, _>>();
+    let verdicts = expectations
+        .list
+        .iter()
+        .map(|e| judge.verdict(e))
+        .collect::<Result<_, _>>();
     let verdicts = verdicts.map_err(|e: TooMany| e.to_string())?;
-    Ok(Report { file: expectations.file.clone(), verdicts })
+    Ok(Report {
+        file: expectations.file.clone(),
+        verdicts,
+    })
 }
 
 struct Judge<'a> {
@@ -189,7 +211,11 @@
             others: 0,
             open: false,
         };
-        let (mut cases, mut failure) = (0, self.dangling(e).map(|(found, expected)| plain(found, &expected)));
+        let (mut cases, mut failure) = (
+            0,
+            self.dangling(e)
+                .map(|(found, expected)| plain(found, &expected)),
+        );
         if failure.is_none() {
             let taken = self.routes.by_class(self.space, &e.scope)?;
             if taken.is_empty() && !e.may_be_empty {
@@ -198,20 +224,28 @@
             }
             // States from the smallest on: now, then each that is named.
             let now = State::default();
-            let states: Vec<&State> =
-                [&now].into_iter().chain(e.states.iter().map(|s| &self.states[*s])).collect();
-            // But for shares, what breaks an expectation is a matter of pool and class, and not of the route.
+            let states: Vec<&State> = [&now]
+                .into_iter()
+                .chain(e.states.iter().map(|s| &self.states[*s]))
+                .collect();
+            // But for shares, what breaks an expectation is a matter of pool and class, and not of
+            // the route.
             let mut seen: HashMap<(Option<usize>, &str), Broken> = HashMap::new();
             for (class, taken) in &taken {
                 for case in self.cases(class, taken) {
                     cases += 1;
                     let look = || {
                         let each = states.iter().enumerate();
-                        each.filter_map(|(n, s)| Some((n, self.breaks(e, &case, s)?))).next()
+                        each.filter_map(|(n, s)| Some((n, self.breaks(e, &case, s)?)))
+                            .next()
                     };
-                    let by_pool = seen.entry((case.pool.map(|(place, _)| place), class)).or_insert_with(look);
+                    let by_pool = seen
+                        .entry((case.pool.map(|(place, _)| place), class))
+                        .or_insert_with(look);
                     let by_route = self.shares(e, &case).map(|wrong| (0, wrong));
-                    let Some((state, wrong)) = by_pool.clone().or(by_route) else { continue };
+                    let Some((state, wrong)) = by_pool.clone().or(by_route) else {
+                        continue;
+                    };
                     match &mut failure {
                         Some(first) => first.others += 1,
                         None => {
@@ -224,7 +258,12 @@
                 }
             }
         }
-        Ok(Verdict { name: e.name.clone(), line: e.line, cases, failure })
+        Ok(Verdict {
+            name: e.name.clone(),
+            line: e.line,
+            cases,
+            failure,
+        })
     }
 
     /// Names that the configuration does not have: the expectation would hold for the wrong reason.
@@ -238,24 +277,46 @@
         });
         let unknown = named.into_iter().find(|p| !pools.contains(&p.as_str()));
         if let Some(name) = unknown {
-            return Some((format!("no pool {name:?}"), format!("one of {}", pools.join(", "))));
+            return Some((
+                format!("no pool {name:?}"),
+                format!("one of {}", pools.join(", ")),
+            ));
         }
         let tenant = e.scope.tenant.as_ref()?;
-        let (listed, known) = (&config.tenants, self.here.tenants.as_ref().filter(|t| !t.is_empty()));
+        let (listed, known) = (
+            &config.tenants,
+            self.here.tenants.as_ref().filter(|t| !t.is_empty()),
+        );
         let lacks = |list: &Vec<String>| !list.is_empty() && !list.contains(tenant);
-        let list = [Some(listed), known].into_iter().flatten().find(|l| lacks(l))?;
-        Some((format!("no tenant {tenant:?}"), format!("one of {}", list.join(", "))))
+        let list = [Some(listed), known]
+            .into_iter()
+            .flatten()
+            .find(|l| lacks(l))?;
+        Some((
+            format!("no tenant {tenant:?}"),
+            format!("one of {}", list.join(", ")),
+        ))
     }
 
     fn cases<'c>(&'c self, class: &'c str, taken: &'c Taken<'c>) -> Vec<Case<'c>> {
         let Some(route) = taken.route.map(|r| &self.generation.config.routes[r]) else {
-            return vec![Case { taken, class, pool: None, as_served: None }];
+            return vec![Case {
+                taken,
+                class,
+                pool: None,
+                as_served: None,
+            }];
         };
         let gets = route.to.iter().filter(|s| s.weight > 0.0);
         gets.map(|share| {
             let pool = &self.generation.config.pools[share.pool];
             let as_served = pool.classes.iter().find(|c| c.name == class);
-            Case { taken, class, pool: Some((share.pool, pool)), as_served }
+            Case {
+                taken,
+                class,
+                pool: Some((share.pool, pool)),
+                as_served,
+            }
         })
         .collect()
     }
@@ -263,7 +324,9 @@
     fn tell(&self, case: &Case<'_>, request: &Region, wrong: Wrong) -> Failure {
         let route = case.taken.route.map(|r| &self.generation.config.routes[r]);
         // What was reasoned out is held against the table that routes.
-        let asked = self.space.request(request, |r| self.generation.table.route(r).map(|r| r.line));
+        let asked = self
+            .space
+            .request(request, |r| self.generation.table.route(r).map(|r| r.line));
         let agree = asked == route.map(|r| r.line);
         Failure {
             request: Some(self.space.words(request)),
@@ -283,18 +346,27 @@
     }
 
     fn breaks(&self, e: &Expectation, case: &Case<'_>, state: &State) -> Option<Wrong> {
-        e.demands.iter().find_map(|d| self.breaks_one(e, d, case, state))
+        e.demands
+            .iter()
+            .find_map(|d| self.breaks_one(e, d, case, state))
     }
 
-    fn breaks_one(&self, e: &Expectation, demand: &Demand, case: &Case<'_>, state: &State) -> Option<Wrong> {
+    fn breaks_one(
+        &self,
+        e: &Expectation,
+        demand: &Demand,
+        case: &Case<'_>,
+        state: &State,
+    ) -> Option<Wrong> {
         // What no pool serves is turned down, and reaches nothing.
         let served = case.pool.zip(case.as_served);
         match demand {
             Demand::Served(true) => match (case.pool, served) {
                 (None, _) => wrong("no route takes it", "it to be served"),
-                (Some(_), None) => {
-                    wrong(format!("class {:?} is not served there", case.class), "it to be served")
-                }
+                (Some(_), None) => wrong(
+                    format!("class {:?} is not served there", case.class),
+                    "it to be served",
+                ),
                 (_, Some(((place, pool), _))) => {
                     let idle = *state == State::default() && e.loss.is_none();
                     match self.spared(place, state) {
@@ -312,7 +384,9 @@
                     }
                 }
             },
-            Demand::Served(false) => served.and_then(|_| wrong("it is served", "it to be turned down")),
+            Demand::Served(false) => {
+                served.and_then(|_| wrong("it is served", "it to be turned down"))
+            }
             _ => {
                 let ((place, pool), class) = served?;
                 match demand {
@@ -335,26 +409,37 @@
         }
     }
 
-    /// Shares of a route's requests that are out of bounds, once for each route: at the pool that is named, or where that
-    /// gets nothing.
+    /// Shares of a route's requests that are out of bounds, once for each route: at the pool that
+    /// is named, or where that gets nothing.
     fn shares(&self, e: &Expectation, case: &Case<'_>) -> Option<Wrong> {
         let (_, own) = case.pool?;
         let route = &self.generation.config.routes[case.taken.route?];
         let all: f64 = route.to.iter().map(|s| s.weight).sum();
         e.demands.iter().find_map(|demand| {
-            let Demand::Share { pool, within } = demand else { return None };
+            let Demand::Share { pool, within } = demand else {
+                return None;
+            };
             let named = |s: &&Share| self.generation.config.pools[s.pool].name == *pool;
             let gets: f64 = route.to.iter().filter(named).map(|s| s.weight / all).sum();
             if own.name != *pool && gets > 0.0 || within.holds(gets) {
                 return None;
             }
-            wrong(format!("pool {pool:?} gets a share of {gets:.4}"), within.words())
+            wrong(
+                format!("pool {pool:?} gets a share of {gets:.4}"),
+                within.words(),
+            )
         })
     }
 
     /// A pool's nodes that take new work in a state, where they are known.
     fn spared(&self, pool: usize, state: &State) -> Option<Vec<&Node>> {
-        Some(self.pools[pool].as_ref()?.iter().filter(|n| state.spares(n)).collect())
+        Some(
+            self.pools[pool]
+                .as_ref()?
+                .iter()
+                .filter(|n| state.spares(n))
+                .collect(),
+        )
     }
 
     fn only(&self, places: &Places, (place, pool): (usize, &Pool), state: &State) -> Option<Wrong> {
@@ -364,7 +449,8 @@
         }
         let Some(own) = self.spared(place, state) else {
             // What a registry will tell is bound by the labels that are asked of it.
-            let bound = |label: &str, listed: &[String]| listed.is_empty() || selected(pool, label, listed);
+            let bound =
+                |label: &str, listed: &[String]| listed.is_empty() || selected(pool, label, listed);
             let blocks: Vec<String> = places.blocks.iter().map(u16::to_string).collect();
             let sure = places.nodes.is_empty()
                 && bound("site", &places.sites)
@@ -380,12 +466,20 @@
             if within {
                 None
             } else {
-                wrong(format!("it may reach {}", stands(n)), format!("only {}", words(places)))
+                wrong(
+                    format!("it may reach {}", stands(n)),
+                    format!("only {}", words(places)),
+                )
             }
         })
     }
 
-    fn never(&self, places: &Places, (place, pool): (usize, &Pool), state: &State) -> Option<Wrong> {
+    fn never(
+        &self,
+        places: &Places,
+        (place, pool): (usize, &Pool),
+        state: &State,
+    ) -> Option<Wrong> {
         if places.pools.contains(&pool.name) {
             return wrong(
                 format!("it goes to pool {:?}", pool.name),
@@ -393,8 +487,9 @@
             );
         }
         let Some(own) = self.spared(place, state) else {
-            let apart =
-                |label: &str, listed: &[String]| listed.is_empty() || selected_beside(pool, label, listed);
+            let apart = |label: &str, listed: &[String]| {
+                listed.is_empty() || selected_beside(pool, label, listed)
+            };
             let blocks: Vec<String> = places.blocks.iter().map(u16::to_string).collect();
             let sure = places.nodes.is_empty()
                 && apart("site", &places.sites)
@@ -408,7 +503,10 @@
                 || places.blocks.contains(&n.block)
                 || places.kinds.contains(&n.class);
             if named {
-                wrong(format!("it may reach {}", stands(n)), format!("never {}", words(places)))
+                wrong(
+                    format!("it may reach {}", stands(n)),
+                    format!("never {}", words(places)),
+                )
             } else {
                 None
             }
@@ -437,7 +535,9 @@
             Figure::Worth => Ok((class.worth, Vec::new())),
             Figure::Attempts => settings(self.here.attempts, "the number of attempts"),
             Figure::Open => settings(
-                pool.open.map(|n| self.here.open.map_or(n, |cap| cap.min(n))).or(self.here.open),
+                pool.open
+                    .map(|n| self.here.open.map_or(n, |cap| cap.min(n)))
+                    .or(self.here.open),
                 "the number of open requests",
             ),
             Figure::Window => match class.effect {
@@ -464,7 +564,10 @@
             Ok(found) => found,
             Err(wrong) => return wrong,
         };
-        let what = crate::file::FIGURES.iter().find(|(_, f)| *f == figure).map_or("", |(name, _)| name);
+        let what = crate::file::FIGURES
+            .iter()
+            .find(|(_, f)| *f == figure)
+            .map_or("", |(name, _)| name);
         (!bound.holds(found)).then(|| Wrong {
             open: false,
             lost,
@@ -476,23 +579,39 @@
 
 fn unknown(pool: &Pool) -> Option<Wrong> {
     let from = match &pool.source {
-        Source::Registry { address: Some(address), .. } => format!("the registry at {address}"),
+        Source::Registry {
+            address: Some(address),
+            ..
+        } => format!("the registry at {address}"),
         _ => "the default registry".to_string(),
     };
     Some(Wrong {
         open: true,
         lost: Vec::new(),
-        found: format!("the nodes of pool {:?} are told by {from} and not known here", pool.name),
+        found: format!(
+            "the nodes of pool {:?} are told by {from} and not known here",
+            pool.name
+        ),
         expected: "them to be told (`[[node]]`, or a daemon by `--live`)".into(),
     })
 }
 
 fn again(most: Again, is: Effect) -> Option<Wrong> {
     let (fine, expected) = match most {
-        Again::Never => (is == Effect::Unsafe, "it never to be sent again once it may have run (\"unsafe\")"),
-        Again::Keyed => (is != Effect::Safe, "it to be sent again only where repeats are dropped"),
+        Again::Never => (
+            is == Effect::Unsafe,
+            "it never to be sent again once it may have run (\"unsafe\")",
+        ),
+        Again::Keyed => (
+            is != Effect::Safe,
+            "it to be sent again only where repeats are dropped",
+        ),
     };
-    if fine { None } else { wrong(format!("it is {}", effect(is)), expected) }
+    if fine {
+        None
+    } else {
+        wrong(format!("it is {}", effect(is)), expected)
+    }
 }
 
 fn effect(e: Effect) -> String {
@@ -506,24 +625,35 @@
 }
 
 fn selected(pool: &Pool, label: &str, listed: &[String]) -> bool {
-    let Source::Registry { select, .. } = &pool.source else { return false };
+    let Source::Registry { select, .. } = &pool.source else {
+        return false;
+    };
     select.get(label).is_some_and(|want| listed.contains(want))
 }
 
 fn selected_beside(pool: &Pool, label: &str, listed: &[String]) -> bool {
-    let Source::Registry { select, .. } = &pool.source else { return false };
+    let Source::Registry { select, .. } = &pool.source else {
+        return false;
+    };
     select.get(label).is_some_and(|want| !listed.contains(want))
 }
 
 fn stands(n: &Node) -> String {
-    format!("{} (site {:?}, block {}, kind {:?})", n.address, n.site, n.block, n.class)
+    format!(
+        "{} (site {:?}, block {}, kind {:?})",
+        n.address, n.site, n.block, n.class
+    )
 }
 
 fn words(places: &Places) -> String {
-    let list = |what: &str, of: Vec<String>| (!of.is_empty()).then(|| format!("{what} {}", of.join(", ")));
+    let list =
+        |what: &str, of: Vec<String>| (!of.is_empty()).then(|| format!("{what} {}", of.join(", ")));
     let all = [
         list("pools", places.pools.clone()),
-        list("nodes", places.nodes.iter().map(SocketAddr::to_string).collect()),
+        list(
+            "nodes",
+            places.nodes.iter().map(SocketAddr::to_string).collect(),
+        ),
         list("sites", places.sites.clone()),
         list("blocks", places.blocks.iter().map(u16::to_string).collect()),
         list("kinds", places.kinds.clone()),
--- a/crates/heathroad-expect/src/plan.rs
+++ b/crates/heathroad-expect/src/plan.rs
@@ -1,5 +1,6 @@
-//! Drains in batches: which nodes may be out at once so that every expectation holds all along, in as few batches as can be.
-//! Batches are found by first fit, then by search; whether fewer could do is said, not guessed.
+//! Drains in batches: which nodes may be out at once so that every expectation holds all along, in
+//! as few batches as can be. Batches are found by first fit, then by search; whether fewer could do
+//! is said, not guessed.
 
 use crate::file::{Demand, Expectations, Figure};
 use crate::judge::{Here, judge};
@@ -45,7 +46,11 @@
 
 impl Need {
     fn holds(&self, out: &BTreeSet<SocketAddr>) -> bool {
-        let left: Vec<&Node> = self.nodes.iter().filter(|n| !out.contains(&n.address)).collect();
+        let left: Vec<&Node> = self
+            .nodes
+            .iter()
+            .filter(|n| !out.contains(&n.address))
+            .collect();
         let found = match self.group {
             None => nodes::left(&left, self.loss).0,
             Some(group) => nodes::mates(&left, group, self.loss).map_or(0, |(n, _)| n),
@@ -57,16 +62,27 @@
     fn slack(&self) -> Option<usize> {
         let lost = match self.loss {
             None => 0,
-            Some(Loss { kind: nodes::Kind::Node, count }) => count,
+            Some(Loss {
+                kind: nodes::Kind::Node,
+                count,
+            }) => count,
             Some(_) => return None,
         };
-        let least = if self.group.is_some() { return None } else { self.least.ceil() as usize };
+        let least = if self.group.is_some() {
+            return None;
+        } else {
+            self.least.ceil() as usize
+        };
         Some(self.nodes.len().saturating_sub(lost + least))
     }
 }
 
 /// What all expectations need of the nodes, each need once.
-fn needs(generation: &Generation, expectations: &Expectations, here: &Here) -> Result<Vec<Need>, String> {
+fn needs(
+    generation: &Generation,
+    expectations: &Expectations,
+    here: &Here,
+) -> Result<Vec<Need>, String> {
     let scopes: Vec<_> = expectations.list.iter().map(|e| &e.scope).collect();
     let space = Space::new(&generation.config, &scopes, here.tenants.as_deref())?;
     let routes = Routes::new(generation, &space);
@@ -84,8 +100,13 @@
             continue;
         }
         let mut reached: BTreeMap<(usize, &str), Effect> = BTreeMap::new();
-        for (class, taken) in routes.by_class(&space, &e.scope).map_err(|e| e.to_string())? {
-            let Some(route) = taken.route.map(|r| &generation.config.routes[r]) else { continue };
+        for (class, taken) in routes
+            .by_class(&space, &e.scope)
+            .map_err(|e| e.to_string())?
+        {
+            let Some(route) = taken.route.map(|r| &generation.config.routes[r]) else {
+                continue;
+            };
             for share in route.to.iter().filter(|s| s.weight > 0.0) {
                 let pool = &generation.config.pools[share.pool];
                 if let Some(c) = pool.classes.iter().find(|c| c.name == class) {
@@ -93,9 +114,13 @@
                 }
             }
         }
-        let states = [&now].into_iter().chain(e.states.iter().map(|s| &expectations.states[*s]));
-        for (state, ((pool, _), effect)) in states.flat_map(|s| reached.iter().map(move |r| (s, r))) {
-            let Some(own) = nodes::of(&generation.config.pools[*pool], &here.nodes, here.registry) else {
+        let states = [&now]
+            .into_iter()
+            .chain(e.states.iter().map(|s| &expectations.states[*s]));
+        for (state, ((pool, _), effect)) in states.flat_map(|s| reached.iter().map(move |r| (s, r)))
+        {
+            let Some(own) = nodes::of(&generation.config.pools[*pool], &here.nodes, here.registry)
+            else {
                 continue;
             };
             let nodes: Vec<Node> = own.into_iter().filter(|n| state.spares(n)).collect();
@@ -105,9 +130,17 @@
                     (true, Effect::Keyed { group, .. }) => Some(*group),
                     (true, _) => continue,
                 };
-                let key = format!("{pool} {:?} {:?} {group:?} {least} {}", state.name, e.loss, by_mates);
-                let need =
-                    Need { nodes: nodes.clone(), loss: e.loss, group, least: *least, name: e.name.clone() };
+                let key = format!(
+                    "{pool} {:?} {:?} {group:?} {least} {}",
+                    state.name, e.loss, by_mates
+                );
+                let need = Need {
+                    nodes: nodes.clone(),
+                    loss: e.loss,
+                    group,
+                    least: *least,
+                    name: e.name.clone(),
+                };
                 needs.entry(key).or_insert(need);
             }
         }
@@ -115,8 +148,8 @@
     Ok(needs.into_values().collect())
 }
 
-/// Plans the drains of some nodes, so many at once at the most. An error is about what can't be planned at all: expectations
-/// that fail before anything drains.
+/// Plans the drains of some nodes, so many at once at the most. An error is about what can't be
+/// planned at all: expectations that fail before anything drains.
 pub fn drains(
     generation: &Generation,
     expectations: &Expectations,
@@ -125,7 +158,10 @@
     at_once: usize,
 ) -> Result<Plan, String> {
     if drain.len() > MAX_NODES {
-        return Err(format!("{} nodes to drain; expected {MAX_NODES} at most", drain.len()));
+        return Err(format!(
+            "{} nodes to drain; expected {MAX_NODES} at most",
+            drain.len()
+        ));
     }
     let before = judge(generation, expectations, here)?.failures();
     if !before.is_empty() {
@@ -141,18 +177,37 @@
             (0..needs.len()).filter(|n| touches(&needs[*n])).collect()
         })
         .collect();
-    let mut search = Search { needs: &needs, units: &units, touched: &touched, at_once, looks: 0 };
+    let mut search = Search {
+        needs: &needs,
+        units: &units,
+        touched: &touched,
+        at_once,
+        looks: 0,
+    };
     let mut best = search.first_fit();
     let all: usize = units.iter().map(BTreeSet::len).sum();
     let by_need = |need: &Need| {
-        let own = need.nodes.iter().filter(|n| units.iter().any(|u| u.contains(&n.address))).count();
-        need.slack().filter(|s| *s > 0).map_or(0, |s| own.div_ceil(s))
+        let own = need
+            .nodes
+            .iter()
+            .filter(|n| units.iter().any(|u| u.contains(&n.address)))
+            .count();
+        need.slack()
+            .filter(|s| *s > 0)
+            .map_or(0, |s| own.div_ceil(s))
     };
-    let least = needs.iter().map(by_need).chain([all.div_ceil(at_once)]).max().unwrap_or(0);
-    // With more out there is less of what is needed, but for mates: where a whole group is out, nobody there asks for them,
-    // and what is cut off for their sake might have led on.
+    let least = needs
+        .iter()
+        .map(by_need)
+        .chain([all.div_ceil(at_once)])
+        .max()
+        .unwrap_or(0);
+    // With more out there is less of what is needed, but for mates: where a whole group is out,
+    // nobody there asks for them, and what is cut off for their sake might have led on.
     let single = |n: &Need| n.loss.is_none_or(|l| l.kind == nodes::Kind::Node);
-    let sound = needs.iter().all(|n| n.group.is_none_or(|g| g == Group::All && single(n)));
+    let sound = needs
+        .iter()
+        .all(|n| n.group.is_none_or(|g| g == Group::All && single(n)));
     let searched = units.len() <= MAX_SEARCHED;
     let mut proven = searched || best.len() <= least;
     for count in (least..best.len()).take_while(|_| searched) {
@@ -173,8 +228,10 @@
         let mut assumed = here.clone();
         assumed.nodes.retain(|n| !batch.contains(&n.address));
         let known = |a: &SocketAddr| here.nodes.iter().find(|n| n.address == *a).cloned();
-        let out =
-            batch.iter().map(|a| Node { takes: false, ..known(a).unwrap_or_else(|| Node::withdrawn(*a)) });
+        let out = batch.iter().map(|a| Node {
+            takes: false,
+            ..known(a).unwrap_or_else(|| Node::withdrawn(*a))
+        });
         assumed.nodes.extend(out);
         let failures = judge(generation, expectations, &assumed)?.failures();
         if let Some(first) = failures.first() {
@@ -182,7 +239,11 @@
         }
     }
     let batches = best.into_iter().map(|b| b.into_iter().collect()).collect();
-    Ok(Plan { batches, proven, stuck })
+    Ok(Plan {
+        batches,
+        proven,
+        stuck,
+    })
 }
 
 /// What is drained as one: single nodes, and where only a whole block or site can go, that.
@@ -192,8 +253,11 @@
     at_once: usize,
 ) -> (Vec<BTreeSet<SocketAddr>>, Vec<(SocketAddr, String)>) {
     let broken = |out: &BTreeSet<SocketAddr>| needs.iter().find(|n| !n.holds(out));
-    let places: BTreeMap<SocketAddr, &Node> =
-        needs.iter().flat_map(|n| &n.nodes).map(|n| (n.address, n)).collect();
+    let places: BTreeMap<SocketAddr, &Node> = needs
+        .iter()
+        .flat_map(|n| &n.nodes)
+        .map(|n| (n.address, n))
+        .collect();
     let (mut units, mut stuck, mut placed) = (Vec::new(), Vec::new(), BTreeSet::new());
     for address in drain {
         if placed.contains(address) {
@@ -207,7 +271,9 @@
         };
         let with = |same: &dyn Fn(&Node, &Node) -> bool| {
             let own = places.get(address)?;
-            let fits = |a: &&SocketAddr| places.get(a).is_some_and(|n| same(n, own)) && !placed.contains(*a);
+            let fits = |a: &&SocketAddr| {
+                places.get(a).is_some_and(|n| same(n, own)) && !placed.contains(*a)
+            };
             let unit: BTreeSet<SocketAddr> = drain.iter().filter(fits).copied().collect();
             (unit.len() <= at_once && broken(&unit).is_none()).then_some(unit)
         };
@@ -241,7 +307,9 @@
         }
         self.looks += 1;
         batch.extend(own);
-        let holds = self.touched[unit].iter().all(|n| self.needs[*n].holds(batch));
+        let holds = self.touched[unit]
+            .iter()
+            .all(|n| self.needs[*n].holds(batch));
         if !holds {
             batch.retain(|a| !own.contains(a));
         }
@@ -261,7 +329,8 @@
         batches
     }
 
-    /// Places all units from one on in so many batches: whether it can be done; none when it was looked at for too long.
+    /// Places all units from one on in so many batches: whether it can be done; none when it was
+    /// looked at for too long.
     fn place(&mut self, unit: usize, batches: &mut [BTreeSet<SocketAddr>]) -> Option<bool> {
         if unit == self.units.len() {
             return Some(true);
