--- a/crates/heathroad-expect/src/reach.rs
+++ b/crates/heathroad-expect/src/reach.rs
@@ -1,6 +1,7 @@
-//! Which routes the requests of a region take. A route takes what it matches and no narrower route does. Routes are nested
-//! or apart, so that the narrower ones next to it are apart from each other, and counting decides: where the kinds that they
-//! match are as many as the region has, it is left with none.
+//! Which routes the requests of a region take. A route takes what it matches and no narrower route
+//! does. Routes are nested or apart, so that the narrower ones next to it are apart from each
+//! other, and counting decides: where the kinds that they match are as many as the region has, it
+//! is left with none.
 
 use crate::space::{Region, Space};
 use heathroad_routing::condition::Match;
@@ -48,7 +49,9 @@
             hole.start > outer.start || hole.end < outer.end
         };
         if holes.iter().any(narrower) {
-            count = count.checked_mul(u128::from(own.end - own.start)).ok_or(TooMany)?;
+            count = count
+                .checked_mul(u128::from(own.end - own.start))
+                .ok_or(TooMany)?;
         }
     }
     Ok(count)
@@ -59,7 +62,9 @@
     let holes: Vec<&Region> = holes.iter().copied().filter(|h| h.meets(region)).collect();
     let mut left = count(region, region, &holes)?;
     for hole in &holes {
-        let Some(part) = hole.meet(region) else { continue };
+        let Some(part) = hole.meet(region) else {
+            continue;
+        };
         left = left.saturating_sub(count(&part, region, &holes)?);
     }
     Ok(left > 0)
@@ -68,8 +73,12 @@
 impl Routes {
     /// The routes of a checked generation.
     pub fn new(generation: &Generation, space: &Space) -> Routes {
-        let regions: Vec<Option<Region>> =
-            generation.config.routes.iter().map(|r| space.region(&r.when)).collect();
+        let regions: Vec<Option<Region>> = generation
+            .config
+            .routes
+            .iter()
+            .map(|r| space.region(&r.when))
+            .collect();
         let (mut inner, mut roots) = (vec![Vec::new(); regions.len()], Vec::new());
         for (route, outer) in generation.table.outer().into_iter().enumerate() {
             match outer {
@@ -78,7 +87,11 @@
                 None => roots.push(route),
             }
         }
-        Routes { regions, inner, roots }
+        Routes {
+            regions,
+            inner,
+            roots,
+        }
     }
 
     /// By class, what requests that fulfil a match take.
@@ -87,7 +100,9 @@
         space: &'s Space,
         scope: &Match,
     ) -> Result<Vec<(&'s str, Taken<'s>)>, TooMany> {
-        let Some(scope) = space.region(scope) else { return Ok(Vec::new()) };
+        let Some(scope) = space.region(scope) else {
+            return Ok(Vec::new());
+        };
         let mut all = Vec::new();
         for region in space.worlds().iter().filter_map(|world| world.meet(&scope)) {
             for (place, class) in space.classes(&region) {
@@ -105,14 +120,20 @@
         while let Some((route, region, inner)) = open_ends.pop() {
             let mut holes = Vec::new();
             for i in inner {
-                let Some(own) = &self.regions[*i] else { continue };
+                let Some(own) = &self.regions[*i] else {
+                    continue;
+                };
                 if let Some(part) = own.meet(&region) {
                     holes.push(own);
                     open_ends.push((Some(*i), part, &self.inner[*i]));
                 }
             }
             if open(&region, &holes)? {
-                found.push(Taken { route, region, holes });
+                found.push(Taken {
+                    route,
+                    region,
+                    holes,
+                });
             }
         }
         found.sort_by_key(|t| t.route);
@@ -121,8 +142,8 @@
 }
 
 impl Taken<'_> {
-    /// The request that says the least: of all that take the route, one that differs in the fewest things from a request of
-    /// which nothing is told.
+    /// The request that says the least: of all that take the route, one that differs in the fewest
+    /// things from a request of which nothing is told.
     pub fn smallest(&self, space: &Space) -> Result<Region, TooMany> {
         let free: Vec<usize> = (0..self.region.intervals().len())
             .filter(|d| {
@@ -135,7 +156,9 @@
                 let value = space.usual(&r, *d);
                 r.with(*d, value..value + 1)
             };
-            free.iter().filter(|d| !except.contains(d)).fold(self.region.clone(), pin)
+            free.iter()
+                .filter(|d| !except.contains(d))
+                .fold(self.region.clone(), pin)
         };
         for told in subsets(&free) {
             let region = usual(&told);
@@ -173,7 +196,9 @@
         (0, _) => vec![Vec::new()],
         (_, []) => Vec::new(),
         (_, [first, rest @ ..]) => {
-            let with = choose(rest, size - 1).into_iter().map(|c| [vec![*first], c].concat());
+            let with = choose(rest, size - 1)
+                .into_iter()
+                .map(|c| [vec![*first], c].concat());
             with.chain(choose(rest, size)).collect()
         }
     }
--- a/crates/heathroad-expect/src/space.rs
+++ b/crates/heathroad-expect/src/space.rs
@@ -1,6 +1,7 @@
-//! All requests that there can be, as kinds: requests of one kind fulfil the same conditions of every route and of every
-//! expectation. A kind is a point with a value in each dimension, and values are ordered so that what a condition asks
-//! for is an interval: names under one wildcard, or paths under one prefix, stand side by side.
+//! All requests that there can be, as kinds: requests of one kind fulfil the same conditions of
+//! every route and of every expectation. A kind is a point with a value in each dimension, and
+//! values are ordered so that what a condition asks for is an interval: names under one wildcard,
+//! or paths under one prefix, stand side by side.
 
 use heathroad_routing::condition::{Match, Request};
 use heathroad_routing::file::{Config, TenantFrom};
@@ -50,14 +51,21 @@
 impl Region {
     /// What both hold, if there is any.
     pub fn meet(&self, other: &Region) -> Option<Region> {
-        let both = self.0.iter().zip(&other.0).map(|(a, b)| a.start.max(b.start)..a.end.min(b.end));
+        let both = self
+            .0
+            .iter()
+            .zip(&other.0)
+            .map(|(a, b)| a.start.max(b.start)..a.end.min(b.end));
         let both: Vec<Range<u32>> = both.collect();
         both.iter().all(|r| r.start < r.end).then_some(Region(both))
     }
 
     /// Whether some request is in both.
     pub fn meets(&self, other: &Region) -> bool {
-        self.0.iter().zip(&other.0).all(|(a, b)| a.start.max(b.start) < a.end.min(b.end))
+        self.0
+            .iter()
+            .zip(&other.0)
+            .all(|(a, b)| a.start.max(b.start) < a.end.min(b.end))
     }
 
     /// Its intervals, by dimension.
@@ -74,15 +82,23 @@
 }
 
 fn segments(path: &str) -> Vec<String> {
-    path.split('/').filter(|s| !s.is_empty()).map(String::from).collect()
+    path.split('/')
+        .filter(|s| !s.is_empty())
+        .map(String::from)
+        .collect()
 }
 
 /// A host's labels, the last one first.
 fn labels(host: &str) -> Vec<String> {
-    if host.is_empty() { Vec::new() } else { host.split('.').rev().map(String::from).collect() }
+    if host.is_empty() {
+        Vec::new()
+    } else {
+        host.split('.').rev().map(String::from).collect()
+    }
 }
 
-/// The interval of what begins with some parts, and of these themselves where `own`; `sorted` is in order.
+/// The interval of what begins with some parts, and of these themselves where `own`; `sorted` is in
+/// order.
 fn under(sorted: &[Vec<String>], parts: &[String], own: bool) -> Range<u32> {
     let first = sorted.partition_point(|v| v.as_slice() < parts || !own && v == parts);
     let last = sorted.partition_point(|v| v.as_slice() < parts || v.starts_with(parts));
@@ -110,11 +126,19 @@
 }
 
 impl Space {
-    /// The kinds of requests that the routes of a configuration and some further conditions tell apart. Where it is known
-    /// which tenants the daemon takes, there are no others.
-    pub fn new(config: &Config, conditions: &[&Match], tenants: Option<&[String]>) -> Result<Space, String> {
-        let all: Vec<&Match> =
-            config.routes.iter().map(|r| &r.when).chain(conditions.iter().copied()).collect();
+    /// The kinds of requests that the routes of a configuration and some further conditions tell
+    /// apart. Where it is known which tenants the daemon takes, there are no others.
+    pub fn new(
+        config: &Config,
+        conditions: &[&Match],
+        tenants: Option<&[String]>,
+    ) -> Result<Space, String> {
+        let all: Vec<&Match> = config
+            .routes
+            .iter()
+            .map(|r| &r.when)
+            .chain(conditions.iter().copied())
+            .collect();
         let parts = |name: fn(&Match) -> Option<&str>, ends: bool, cut: fn(&str) -> Vec<String>| {
             let of = all.iter().filter_map(|m| name(m));
             of.filter(|n| (n.ends_with("/*") || n.starts_with("*.")) == ends)
@@ -126,11 +150,17 @@
         let hosts = tree(&parts(host, false, labels), &parts(host, true, labels));
         let paths = tree(&parts(path, false, segments), &parts(path, true, segments));
         let told = |of: fn(&Match) -> &Option<String>| {
-            all.iter().filter_map(|m| of(m).clone()).collect::<BTreeSet<String>>()
+            all.iter()
+                .filter_map(|m| of(m).clone())
+                .collect::<BTreeSet<String>>()
         };
 
-        let served: BTreeSet<String> =
-            config.pools.iter().flat_map(|p| &p.classes).map(|c| c.name.clone()).collect();
+        let served: BTreeSet<String> = config
+            .pools
+            .iter()
+            .flat_map(|p| &p.classes)
+            .map(|c| c.name.clone())
+            .collect();
         let mut classes: Vec<String> = served.iter().cloned().collect();
         classes.extend(told(|m| &m.class).difference(&served).cloned());
 
@@ -147,7 +177,11 @@
         let mut tenant_values: Vec<String> = taken.iter().cloned().collect();
         tenant_values.extend(named.difference(&taken).cloned());
         let other = fresh(tenant_values.iter().map(String::as_str));
-        let usual_tenant = if taken.is_empty() { tenant_values.len() as u32 } else { 0 };
+        let usual_tenant = if taken.is_empty() {
+            tenant_values.len() as u32
+        } else {
+            0
+        };
         tenant_values.extend([String::new(), other]);
 
         let mut methods: BTreeSet<String> = told(|m| &m.method);
@@ -181,21 +215,28 @@
 
         let mut listeners: Vec<String> = vec![MAIN.to_string()];
         listeners.extend(config.listeners.iter().map(|l| l.name.clone()));
-        let unknown: Vec<String> =
-            told(|m| &m.listener).into_iter().filter(|l| !listeners.contains(l)).collect();
+        let unknown: Vec<String> = told(|m| &m.listener)
+            .into_iter()
+            .filter(|l| !listeners.contains(l))
+            .collect();
         listeners.extend(unknown);
 
         let mut headers: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         for (name, value) in all.iter().filter_map(|m| m.header.as_ref()) {
-            headers.entry(name.clone()).or_default().insert(value.clone());
+            headers
+                .entry(name.clone())
+                .or_default()
+                .insert(value.clone());
         }
         let dimension = |name: &str, values: Vec<String>, usual: u32| Dimension {
             name: name.to_string(),
             values: values.into_iter().map(Some).collect(),
             usual,
         };
-        let host_values =
-            hosts.iter().map(|h| h.iter().rev().cloned().collect::<Vec<_>>().join(".")).collect();
+        let host_values = hosts
+            .iter()
+            .map(|h| h.iter().rev().cloned().collect::<Vec<_>>().join("."))
+            .collect();
         let path_values = paths.iter().map(|p| format!("/{}", p.join("/"))).collect();
         let mut dimensions = vec![
             dimension("listener", listeners, 0),
@@ -206,38 +247,66 @@
             dimension("class", classes.clone(), 0),
         ];
         for (name, values) in headers {
-            let values = [None].into_iter().chain(values.into_iter().map(Some)).collect();
-            dimensions.push(Dimension { name: format!("header {name}"), values, usual: 0 });
+            let values = [None]
+                .into_iter()
+                .chain(values.into_iter().map(Some))
+                .collect();
+            dimensions.push(Dimension {
+                name: format!("header {name}"),
+                values,
+                usual: 0,
+            });
         }
-        let mut space = Space { dimensions, hosts, paths, served: served.len() as u32, worlds: Vec::new() };
+        let mut space = Space {
+            dimensions,
+            hosts,
+            paths,
+            served: served.len() as u32,
+            worlds: Vec::new(),
+        };
 
-        // Over HTTP anything goes with anything; over JSON-RPC a method has its class and a listener its tenants.
+        // Over HTTP anything goes with anything; over JSON-RPC a method has its class and a
+        // listener its tenants.
         let every = space.every();
-        let closed = if taken.is_empty() { every.0[TENANT].clone() } else { 0..taken.len() as u32 };
-        let at = |list: &[String], name: &str| list.iter().position(|n| n == name).map(|i| i as u32);
+        let closed = if taken.is_empty() {
+            every.0[TENANT].clone()
+        } else {
+            0..taken.len() as u32
+        };
+        let at =
+            |list: &[String], name: &str| list.iter().position(|n| n == name).map(|i| i as u32);
         if space.served > 0 {
             let main = every.with(LISTENER, 0..1).with(TENANT, closed.clone());
             // A call over HTTP has no method; the empty one is the first.
-            space.worlds.push(main.with(METHOD, 0..1).with(CLASS, 0..space.served));
+            space
+                .worlds
+                .push(main.with(METHOD, 0..1).with(CLASS, 0..space.served));
         }
         for (n, method, class) in stand_for {
             let l = &config.listeners[n];
-            let (Some(m), Some(c)) = (at(&methods, &method), at(&classes, &class)) else { continue };
+            let (Some(m), Some(c)) = (at(&methods, &method), at(&classes, &class)) else {
+                continue;
+            };
             let mut one = every.with(LISTENER, n as u32 + 1..n as u32 + 2);
             // Calls have neither host nor path nor headers: these values come first.
-            (HEADERS..one.0.len()).chain([HOST, PATH]).for_each(|d| one.0[d] = 0..1);
+            (HEADERS..one.0.len())
+                .chain([HOST, PATH])
+                .for_each(|d| one.0[d] = 0..1);
             one = one.with(METHOD, m..m + 1).with(CLASS, c..c + 1);
             let named = |name: &str| at(&tenant_values, name).map(|t| t..t + 1);
             let tenants: Vec<Range<u32>> = match &l.tenant {
                 TenantFrom::Nothing => named("").into_iter().collect(),
                 TenantFrom::Fixed(name) => named(name).into_iter().collect(),
                 TenantFrom::Connection(by) => {
-                    let names: BTreeSet<&str> = by.values().map(String::as_str).chain([""]).collect();
+                    let names: BTreeSet<&str> =
+                        by.values().map(String::as_str).chain([""]).collect();
                     names.into_iter().filter_map(named).collect()
                 }
                 TenantFrom::Params(_) => vec![closed.clone()],
             };
-            space.worlds.extend(tenants.into_iter().map(|t| one.with(TENANT, t)));
+            space
+                .worlds
+                .extend(tenants.into_iter().map(|t| one.with(TENANT, t)));
         }
         if space.worlds.len() > MAX_WORLDS {
             return Err(format!(
@@ -250,7 +319,12 @@
 
     /// Every point, also those that no request is at.
     pub fn every(&self) -> Region {
-        Region(self.dimensions.iter().map(|d| 0..d.values.len() as u32).collect())
+        Region(
+            self.dimensions
+                .iter()
+                .map(|d| 0..d.values.len() as u32)
+                .collect(),
+        )
     }
 
     /// The requests that there can be: no two overlap.
@@ -266,9 +340,12 @@
             let at = values.iter().position(|v| v.as_deref() == Some(value))? as u32;
             Some(at..at + 1)
         };
-        for (d, value) in
-            [(LISTENER, &when.listener), (METHOD, &when.method), (TENANT, &when.tenant), (CLASS, &when.class)]
-        {
+        for (d, value) in [
+            (LISTENER, &when.listener),
+            (METHOD, &when.method),
+            (TENANT, &when.tenant),
+            (CLASS, &when.class),
+        ] {
             if let Some(value) = value {
                 all.0[d] = exactly(d, value)?;
             }
@@ -295,7 +372,9 @@
 
     /// The places of the classes in a region, with their names.
     pub fn classes<'a>(&'a self, region: &Region) -> impl Iterator<Item = (u32, &'a str)> {
-        region.0[CLASS].clone().map(|c| (c, self.value(CLASS, c).unwrap_or_default()))
+        region.0[CLASS]
+            .clone()
+            .map(|c| (c, self.value(CLASS, c).unwrap_or_default()))
     }
 
     /// The part of a region that is of one class.
@@ -306,11 +385,18 @@
     /// The value of a request of which nothing is told, where a region has it.
     pub fn usual(&self, region: &Region, dimension: usize) -> u32 {
         let (usual, interval) = (self.dimensions[dimension].usual, &region.0[dimension]);
-        if interval.contains(&usual) { usual } else { interval.start }
+        if interval.contains(&usual) {
+            usual
+        } else {
+            interval.start
+        }
     }
 
     fn value(&self, dimension: usize, value: u32) -> Option<&str> {
-        self.dimensions[dimension].values.get(value as usize)?.as_deref()
+        self.dimensions[dimension]
+            .values
+            .get(value as usize)?
+            .as_deref()
     }
 
     /// A region's first request, as the table is asked for it.
@@ -336,9 +422,16 @@
 
     /// A region's first request in words: what it has beside the usual.
     pub fn words(&self, region: &Region) -> String {
-        let mut words =
-            vec![format!("class {}", self.value(CLASS, region.0[CLASS].start).unwrap_or_default())];
-        for (d, dimension) in self.dimensions.iter().enumerate().filter(|(d, _)| *d != CLASS) {
+        let mut words = vec![format!(
+            "class {}",
+            self.value(CLASS, region.0[CLASS].start).unwrap_or_default()
+        )];
+        for (d, dimension) in self
+            .dimensions
+            .iter()
+            .enumerate()
+            .filter(|(d, _)| *d != CLASS)
+        {
             let value = region.0[d].start;
             match self.value(d, value) {
                 _ if value == dimension.usual => {}
--- a/crates/heathroad-expect/tests/common/mod.rs
+++ b/crates/heathroad-expect/tests/common/mod.rs
@@ -208,7 +208,12 @@
 }
 
 pub fn here(e: &Expectations) -> Here {
-    Here { attempts: Some(3), open: Some(400), nodes: e.nodes.clone(), ..Here::default() }
+    Here {
+        attempts: Some(3),
+        open: Some(400),
+        nodes: e.nodes.clone(),
+        ..Here::default()
+    }
 }
 
 pub fn report(routes: &str, expected: &str) -> Report {
--- a/crates/heathroad-expect/tests/file.rs
+++ b/crates/heathroad-expect/tests/file.rs
@@ -29,8 +29,13 @@
     ] {
         assert!(faults.contains(line), "{line}\n--\n{faults}");
     }
-    let none = read("e.toml", "").expect_err("nothing is expected").to_string();
-    assert_eq!(none, "e.toml:1: expect: is missing or empty; expected one [[expect]] at the least");
+    let none = read("e.toml", "")
+        .expect_err("nothing is expected")
+        .to_string();
+    assert_eq!(
+        none,
+        "e.toml:1: expect: is missing or empty; expected one [[expect]] at the least"
+    );
 }
 
 /// Whatever a text is, it is read or turned down.
@@ -43,7 +48,9 @@
             let at = rng.usize(..bytes.len().max(1));
             match rng.u8(..3) {
                 0 if at < bytes.len() => bytes[at] = b"[]{}=\",.\n09ax"[rng.usize(..13)],
-                1 => drop(bytes.drain(at.min(bytes.len())..(at + rng.usize(1..20)).min(bytes.len()))),
+                1 => {
+                    drop(bytes.drain(at.min(bytes.len())..(at + rng.usize(1..20)).min(bytes.len())))
+                }
                 _ => bytes.truncate(at.max(1)),
             }
         }
--- a/crates/heathroad-expect/tests/judged.rs
+++ b/crates/heathroad-expect/tests/judged.rs
@@ -1,4 +1,5 @@
-//! Verdicts: a good configuration passes, and each way to break it is turned down by the name of what it breaks.
+//! Verdicts: a good configuration passes, and each way to break it is turned down by the name of
+//! what it breaks.
 
 mod common;
 
@@ -9,7 +10,14 @@
 fn a_good_configuration_passes_and_says_what_was_looked_at() {
     let report = report(ROUTES, EXPECTED);
     assert!(report.holds(), "{}", report.failures().join("\n"));
-    let cases = |name: &str| report.verdicts.iter().find(|v| v.name == name).expect("a verdict").cases;
+    let cases = |name: &str| {
+        report
+            .verdicts
+            .iter()
+            .find(|v| v.name == name)
+            .expect("a verdict")
+            .cases
+    };
     // Over HTTP five classes, rates to two pools; over JSON-RPC two methods.
     assert_eq!(cases("all are served"), 5 + 1 + 2);
     assert_eq!(cases("payouts never run twice"), 2);
@@ -115,15 +123,30 @@
         "few rates try the trial",
         "pool \"trial\" gets a share of 0.0594; expected 0.05 at the most",
     ),
-    ("weight = 95", "weight = 0", "few rates try the trial", "gets a share of 1.0000"),
-    ("aim_ms = 500", "aim_ms = 800", "few rates try the trial", "aim_ms is 800"),
+    (
+        "weight = 95",
+        "weight = 0",
+        "few rates try the trial",
+        "gets a share of 1.0000",
+    ),
+    (
+        "aim_ms = 500",
+        "aim_ms = 800",
+        "few rates try the trial",
+        "aim_ms is 800",
+    ),
     (
         "aim_ms = 500\ndeadline_ms = 2000",
         "aim_ms = 500\ndeadline_ms = 3000",
         "few rates try the trial",
         "deadline_ms is 3000; expected 2000 at the most",
     ),
-    ("select = { site = \"kano-dc\" }\nopen = 200", "select = { site = \"kano-dc\" }", "", ""),
+    (
+        "select = { site = \"kano-dc\" }\nopen = 200",
+        "select = { site = \"kano-dc\" }",
+        "",
+        "",
+    ),
     (
         "select = { site = \"kano-dc\" }",
         "",
@@ -224,8 +247,10 @@
         }
         if to.contains("claim-state") || to.contains("rates.read") {
             // Still a good file of routes; else it would be turned down before.
-            routes =
-                routes.replace("[[listener.method]]\nname = \"rates.read\"\nclass = \"rate-lookup\"", "");
+            routes = routes.replace(
+                "[[listener.method]]\nname = \"rates.read\"\nclass = \"rate-lookup\"",
+                "",
+            );
         }
         if to.contains("keyed") {
             // A method of a keyed class would have to say where its key lies.
@@ -239,8 +264,9 @@
         }
         kinds += 1;
         let named = failures.iter().find(|f| f.contains(&format!("{name:?}")));
-        let named =
-            named.unwrap_or_else(|| panic!("{from} -> {to}: not turned down by {name:?}: {failures:#?}"));
+        let named = named.unwrap_or_else(|| {
+            panic!("{from} -> {to}: not turned down by {name:?}: {failures:#?}")
+        });
         assert!(named.contains(words), "{from} -> {to}: {named}");
     }
     assert!(kinds >= 29, "{kinds}");
@@ -251,16 +277,26 @@
 fn a_drain_that_is_known_counts() {
     let e = expectations(EXPECTED);
     let (generation, mut here) = (generation(ROUTES), here(&e));
-    here.nodes.push(heathroad_expect::Node::withdrawn("127.0.0.1:9003".parse().expect("an address")));
+    here.nodes.push(heathroad_expect::Node::withdrawn(
+        "127.0.0.1:9003".parse().expect("an address"),
+    ));
     let report = judge(&generation, &e, &here).expect("can be judged");
     let failures = report.failures();
     // The list says where it stands; what is known of it elsewhere is that it takes nothing.
-    assert!(failures.iter().any(|f| f.contains("mates is 0")), "{failures:?}");
     assert!(
-        failures.iter().any(|f| f.contains("while kano-dc is gone") && f.contains("nodes is 1")),
+        failures.iter().any(|f| f.contains("mates is 0")),
+        "{failures:?}"
+    );
+    assert!(
+        failures
+            .iter()
+            .any(|f| f.contains("while kano-dc is gone") && f.contains("nodes is 1")),
+        "{failures:?}"
+    );
+    assert!(
+        !failures.iter().any(|f| f.contains("survive a site")),
         "{failures:?}"
     );
-    assert!(!failures.iter().any(|f| f.contains("survive a site")), "{failures:?}");
 }
 
 /// What is not known here is never taken for well.
@@ -271,17 +307,36 @@
     let e = expectations(&text[cut..]);
     let report = judge(&generation(ROUTES), &e, &Here::default()).expect("can be judged");
     let failures = report.failures();
-    let words = ["not known here; expected them to be told (`--settings FILE`)", "never blocks 3"];
-    assert!(failures.iter().any(|f| f.contains(words[0])), "{failures:?}");
+    let words = [
+        "not known here; expected them to be told (`--settings FILE`)",
+        "never blocks 3",
+    ];
+    assert!(
+        failures.iter().any(|f| f.contains(words[0])),
+        "{failures:?}"
+    );
     assert!(
-        failures.iter().any(|f| f.contains("pool \"reads\" are told by the default registry")),
+        failures
+            .iter()
+            .any(|f| f.contains("pool \"reads\" are told by the default registry")),
         "{failures:?}"
     );
     // By the labels alone what the registry will tell is all of one site.
     let site = "[[expect]]\nname = \"home\"\nclass = \"claim-status\"\nonly = { sites = [\"kano-dc\"] }\nnever = { sites = [\"jos-dc\"] }";
-    assert!(judge(&generation(ROUTES), &expectations(site), &Here::default()).expect("judged").holds());
-    let other = site.replace("only = { sites = [\"kano-dc\"] }", "only = { sites = [\"jos-dc\"] }");
-    assert!(!judge(&generation(ROUTES), &expectations(&other), &Here::default()).expect("judged").holds());
+    assert!(
+        judge(&generation(ROUTES), &expectations(site), &Here::default())
+            .expect("judged")
+            .holds()
+    );
+    let other = site.replace(
+        "only = { sites = [\"kano-dc\"] }",
+        "only = { sites = [\"jos-dc\"] }",
+    );
+    assert!(
+        !judge(&generation(ROUTES), &expectations(&other), &Here::default())
+            .expect("judged")
+            .holds()
+    );
 }
 
 /// Where the daemon takes listed tenants only, there are no others to be looked after.
@@ -291,8 +346,10 @@
         "name = \"all\"\npool = \"reads\"",
         "name = \"one\"\ntenant = \"kano-textiles\"\npool = \"reads\"\n[[route]]\nname = \"two\"\ntenant = \"zaria-foods\"\npool = \"reads\"",
     );
-    let routes =
-        routes.replace("class = \"claim-submit\"\npool", "class = \"claim-submit\"\npath=\"/*\"\npool");
+    let routes = routes.replace(
+        "class = \"claim-submit\"\npool",
+        "class = \"claim-submit\"\npath=\"/*\"\npool",
+    );
     let text = "[[expect]]\nname = \"status is served\"\nclass = \"claim-status\"\nserved = true";
     // Two routes by class and by tenant would clash: only status is left.
     let routes = routes
@@ -306,12 +363,26 @@
         .join("[[route]]");
     let routes = &routes[..routes.find("[[listener]]").unwrap_or(routes.len())];
     let (generation, e) = (generation(routes), expectations(text));
-    let open = judge(&generation, &e, &Here::default()).expect("judged").failures();
-    assert!(open[0].contains("class claim-status: no route takes it"), "{open:?}");
+    let open = judge(&generation, &e, &Here::default())
+        .expect("judged")
+        .failures();
+    assert!(
+        open[0].contains("class claim-status: no route takes it"),
+        "{open:?}"
+    );
     let two = vec!["kano-textiles".to_string(), "zaria-foods".to_string()];
-    let closed = Here { tenants: Some(two.clone()), ..Here::default() };
+    let closed = Here {
+        tenants: Some(two.clone()),
+        ..Here::default()
+    };
     assert!(judge(&generation, &e, &closed).expect("judged").holds());
-    let three = Here { tenants: Some([two, vec!["sahel-agro".into()]].concat()), ..Here::default() };
+    let three = Here {
+        tenants: Some([two, vec!["sahel-agro".into()]].concat()),
+        ..Here::default()
+    };
     let open = judge(&generation, &e, &three).expect("judged").failures();
-    assert!(open[0].contains("tenant sahel-agro: no route takes it"), "{open:?}");
+    assert!(
+        open[0].contains("tenant sahel-agro: no route takes it"),
+        "{open:?}"
+    );
 }
--- a/crates/heathroad-expect/tests/plan.rs
+++ b/crates/heathroad-expect/tests/plan.rs
@@ -1,4 +1,5 @@
-//! Batches of drains: every expectation holds in each, and no fewer could do, against every way to make them.
+//! Batches of drains: every expectation holds in each, and no fewer could do, against every way to
+//! make them.
 
 mod common;
 
@@ -14,20 +15,28 @@
 }
 
 fn ports(plan: &Plan) -> Vec<Vec<u16>> {
-    plan.batches.iter().map(|b| b.iter().map(SocketAddr::port).collect()).collect()
+    plan.batches
+        .iter()
+        .map(|b| b.iter().map(SocketAddr::port).collect())
+        .collect()
 }
 
 fn drained(batch: &BTreeSet<SocketAddr>) -> Vec<Node> {
     batch.iter().map(|a| Node::withdrawn(*a)).collect()
 }
 
-/// Nodes of a block are each other's mates: one alone leaves the other without, both leave the other block whole.
+/// Nodes of a block are each other's mates: one alone leaves the other without, both leave the
+/// other block whole.
 #[test]
 fn where_only_a_whole_block_can_go_it_goes_whole() {
-    let keyed = EXPECTED.replace("mates = { at_least = 1 }", "mates = { at_least = 1 }\nserved = true");
+    let keyed = EXPECTED.replace(
+        "mates = { at_least = 1 }",
+        "mates = { at_least = 1 }\nserved = true",
+    );
     // Of what the example expects, only this is about how many nodes there are.
-    let cut =
-        keyed.replace("nodes = { at_least = 2 }", "again = \"never\"").replace("losing = { sites = 1 }", "");
+    let cut = keyed
+        .replace("nodes = { at_least = 2 }", "again = \"never\"")
+        .replace("losing = { sites = 1 }", "");
     let e = expectations(&cut.replace("states = [\"node 9001 drains\"]", ""));
     let all: BTreeSet<SocketAddr> = (9001..=9004).map(address).collect();
     let plan = drains(&generation(ROUTES), &e, &here(&e), &all, 10).expect("can be planned");
@@ -45,8 +54,12 @@
     let e = expectations(EXPECTED);
     let routes = ROUTES.replace("worth = 3", "worth = 1");
     let nodes = BTreeSet::from([address(9005)]);
-    let error = drains(&generation(&routes), &e, &here(&e), &nodes, 1).expect_err("worth is too small");
-    assert!(error.starts_with("before anything drains:\nexpect.toml:"), "{error}");
+    let error =
+        drains(&generation(&routes), &e, &here(&e), &nodes, 1).expect_err("worth is too small");
+    assert!(
+        error.starts_with("before anything drains:\nexpect.toml:"),
+        "{error}"
+    );
 }
 
 /// Pools that share nodes, with needs of their own; all drains at random.
@@ -65,7 +78,13 @@
             }
             let list: Vec<String> = members
                 .iter()
-                .map(|m| format!("{{ address = \"127.0.0.1:{}\", site = \"s{}\" }}", 9000 + m, m % 3))
+                .map(|m| {
+                    format!(
+                        "{{ address = \"127.0.0.1:{}\", site = \"s{}\" }}",
+                        9000 + m,
+                        m % 3
+                    )
+                })
                 .collect();
             routes += &format!(
                 "[[pool]]\nname = \"p{pool}\"\nbackends = [{}]\n[[pool.class]]\nname = \"c{pool}\"\neffect = \"safe\"\n\
@@ -75,7 +94,11 @@
             expected += &format!(
                 "[[expect]]\nname = \"e{pool}\"\nclass = \"c{pool}\"\nnodes = {{ at_least = {} }}\n{}",
                 1 + rng.usize(..members.len()),
-                if rng.u8(..4) == 0 { "losing = { sites = 1 }\n" } else { "" }
+                if rng.u8(..4) == 0 {
+                    "losing = { sites = 1 }\n"
+                } else {
+                    ""
+                }
             );
         }
         if routes.is_empty() {
@@ -83,16 +106,26 @@
         }
         let (generation, e) = (generation(&routes), expectations(&expected));
         let holds = |batch: &BTreeSet<SocketAddr>| {
-            let here = Here { nodes: drained(batch), ..Here::default() };
-            judge(&generation, &e, &here).expect("can be judged").holds()
+            let here = Here {
+                nodes: drained(batch),
+                ..Here::default()
+            };
+            judge(&generation, &e, &here)
+                .expect("can be judged")
+                .holds()
         };
         if !holds(&BTreeSet::new()) {
             continue;
         }
         let all: BTreeSet<SocketAddr> = (9000..9000 + n).map(address).collect();
         let at_once = 1 + rng.usize(..4);
-        let plan = drains(&generation, &e, &Here::default(), &all, at_once).expect("can be planned");
-        let can: Vec<SocketAddr> = all.iter().copied().filter(|a| holds(&BTreeSet::from([*a]))).collect();
+        let plan =
+            drains(&generation, &e, &Here::default(), &all, at_once).expect("can be planned");
+        let can: Vec<SocketAddr> = all
+            .iter()
+            .copied()
+            .filter(|a| holds(&BTreeSet::from([*a])))
+            .collect();
         let planned: Vec<SocketAddr> = plan.batches.iter().flatten().copied().collect();
         assert_eq!(
             planned.iter().collect::<BTreeSet<_>>(),
@@ -123,18 +156,31 @@
 }
 
 /// By every set of nodes: the fewest batches that make it up.
-fn fewest(can: &[SocketAddr], at_once: usize, holds: &impl Fn(&BTreeSet<SocketAddr>) -> bool) -> usize {
+fn fewest(
+    can: &[SocketAddr],
+    at_once: usize,
+    holds: &impl Fn(&BTreeSet<SocketAddr>) -> bool,
+) -> usize {
     let sets = 1usize << can.len();
     let set = |mask: usize| -> BTreeSet<SocketAddr> {
-        (0..can.len()).filter(|i| mask & (1 << i) != 0).map(|i| can[i]).collect()
+        (0..can.len())
+            .filter(|i| mask & (1 << i) != 0)
+            .map(|i| can[i])
+            .collect()
     };
-    let good: Vec<usize> =
-        (1..sets).filter(|m| m.count_ones() as usize <= at_once && holds(&set(*m))).collect();
+    let good: Vec<usize> = (1..sets)
+        .filter(|m| m.count_ones() as usize <= at_once && holds(&set(*m)))
+        .collect();
     let mut least = vec![usize::MAX; sets];
     least[0] = 0;
     for mask in 1..sets {
-        let through = good.iter().filter(|g| **g & mask == **g && least[mask ^ **g] < usize::MAX);
-        least[mask] = through.map(|g| least[mask ^ *g] + 1).min().unwrap_or(usize::MAX);
+        let through = good
+            .iter()
+            .filter(|g| **g & mask == **g && least[mask ^ **g] < usize::MAX);
+        least[mask] = through
+            .map(|g| least[mask ^ *g] + 1)
+            .min()
+            .unwrap_or(usize::MAX);
     }
     least[sets - 1]
 }
--- a/crates/heathroad-fleet/examples/fleet-bench.rs
+++ b/crates/heathroad-fleet/examples/fleet-bench.rs
@@ -1,4 +1,5 @@
-//! How soon a fleet knows, what that costs, and how often it is wrong: by size and loss, on a network and in time of its own.
+//! How soon a fleet knows, what that costs, and how often it is wrong: by size and loss, on a
+//! network and in time of its own.
 //!
 //!     cargo run --release -p heathroad-fleet --example fleet-bench
 
@@ -14,8 +15,16 @@
 /// Times in seconds: the median, and the longest.
 fn show(mut times: Vec<u64>) -> String {
     times.sort_unstable();
-    let at = |n: usize| times.get(n).map_or("-".to_string(), |t| format!("{:.1}", *t as f64 / 1000.0));
-    format!("{:>6} {:>6}", at(times.len() / 2), at(times.len().saturating_sub(1)))
+    let at = |n: usize| {
+        times
+            .get(n)
+            .map_or("-".to_string(), |t| format!("{:.1}", *t as f64 / 1000.0))
+    };
+    format!(
+        "{:>6} {:>6}",
+        at(times.len() / 2),
+        at(times.len().saturating_sub(1))
+    )
 }
 
 fn settled(members: u16, loss: f64, seed: u64) -> World {
@@ -29,13 +38,17 @@
 }
 
 fn main() {
-    let tries = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(5_u64);
+    let tries = std::env::args()
+        .nth(1)
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(5_u64);
     println!(
         "members  loss | death known by all, s | version known by all, s | datagrams  bytes, a member and second"
     );
     for members in [3_u16, 24, 300] {
         for loss in [0.0, 0.1, 0.3] {
-            let (mut deaths, mut versions, mut sent, mut bytes) = (Vec::new(), Vec::new(), 0.0, 0.0);
+            let (mut deaths, mut versions, mut sent, mut bytes) =
+                (Vec::new(), Vec::new(), 0.0, 0.0);
             for seed in 0..tries {
                 let mut world = settled(members, loss, seed + 1);
                 let (before, was, begun) = (world.sent.iter().sum::<u64>(), world.bytes, world.now);
@@ -48,13 +61,21 @@
                 let digest = version(2).digest();
                 let all = |w: &World| {
                     w.running().iter().all(|at| {
-                        w.fleet(*at).table().get(1).and_then(|m| m.acts).is_some_and(|a| a.digest == digest)
+                        w.fleet(*at)
+                            .table()
+                            .get(1)
+                            .and_then(|m| m.acts)
+                            .is_some_and(|a| a.digest == digest)
                     })
                 };
                 versions.extend(world.run_until(begun + LIMIT, all).map(|at| at - begun));
                 let begun = world.now;
                 world.kill(2);
-                let gone = |w: &World| w.running().iter().all(|at| w.standing(2, *at) == Standing::Gone);
+                let gone = |w: &World| {
+                    w.running()
+                        .iter()
+                        .all(|at| w.standing(2, *at) == Standing::Gone)
+                };
                 deaths.extend(world.run_until(begun + LIMIT, gone).map(|at| at - begun));
             }
             println!(
@@ -75,9 +96,13 @@
                 }
                 world.run(30_000);
             }
-            let said = |w: &World, is: fn(&News) -> bool| w.news.iter().filter(|(_, _, n)| is(n)).count();
+            let said =
+                |w: &World, is: fn(&News) -> bool| w.news.iter().filter(|(_, _, n)| is(n)).count();
             let reborn = said(&world, |n| matches!(n, News::Reborn { .. }));
-            println!("  loss {:>2}%, stalls of {stall:>4} ms: {reborn}", (loss * 100.0) as u32);
+            println!(
+                "  loss {:>2}%, stalls of {stall:>4} ms: {reborn}",
+                (loss * 100.0) as u32
+            );
         }
     }
 }
--- a/crates/heathroad-fleet/src/fleet/carry.rs
+++ b/crates/heathroad-fleet/src/fleet/carry.rs
@@ -1,4 +1,5 @@
-//! Messages of others than the fleet itself, in its sealed datagrams: from a known life of their sender, for this life, each once.
+//! Messages of others than the fleet itself, in its sealed datagrams: from a known life of their
+//! sender, for this life, each once.
 
 use super::Fleet;
 use crate::wire::{Head, Item, Kind};
@@ -21,11 +22,14 @@
 }
 
 impl Fleet {
-    /// Sends a message, unless it is too long or too many have gone this second: it may be lost, late or overtaken, but comes once at
-    /// the most, and to no later life of its receiver than is known here.
+    /// Sends a message, unless it is too long or too many have gone this second: it may be lost,
+    /// late or overtaken, but comes once at the most, and to no later life of its receiver than is
+    /// known here.
     pub fn carry(&mut self, now: Millis, to: Place, bytes: Vec<u8>) {
         let life = self.table.get(to).map(|m| m.incarnation.life);
-        let Some(life) = life.filter(|_| to != self.own && bytes.len() <= MAX_CARRIED) else { return };
+        let Some(life) = life.filter(|_| to != self.own && bytes.len() <= MAX_CARRIED) else {
+            return;
+        };
         if !self.carries.take(now) {
             self.traffic.held_back += 1;
             return;
@@ -45,9 +49,18 @@
 
     pub(super) fn carry_came(&mut self, head: &Head, items: Vec<Item>) {
         let room = WAITING - self.carried.len();
-        let bytes =
-            items.into_iter().filter_map(|item| if let Item::Bytes(b) = item { Some(b) } else { None });
-        let carried = bytes.map(|bytes| Carried { from: head.from, life: head.from_life, bytes });
+        let bytes = items.into_iter().filter_map(|item| {
+            if let Item::Bytes(b) = item {
+                Some(b)
+            } else {
+                None
+            }
+        });
+        let carried = bytes.map(|bytes| Carried {
+            from: head.from,
+            life: head.from_life,
+            bytes,
+        });
         self.carried.extend(carried.take(room));
     }
 }
--- a/crates/heathroad-fleet/src/fleet/fetch.rs
+++ b/crates/heathroad-fleet/src/fleet/fetch.rs
@@ -1,5 +1,6 @@
-//! Whole texts, on request: a record, or a generation's routes, in parts of a datagram each. Who asks keeps the pace, asks again
-//! for what did not come, and gives up where nothing comes; who is asked keeps a few texts as they were when first asked for.
+//! Whole texts, on request: a record, or a generation's routes, in parts of a datagram each. Who
+//! asks keeps the pace, asks again for what did not come, and gives up where nothing comes; who is
+//! asked keeps a few texts as they were when first asked for.
 
 use super::Fleet;
 use crate::version::Digest;
@@ -19,7 +20,8 @@
 const PATIENCE: Millis = 3000;
 /// Most texts that are kept for those who ask.
 const SERVED: usize = 16;
-/// Texts of up to so many parts are taken for what a first answer says; no buffer is made for more before that.
+/// Texts of up to so many parts are taken for what a first answer says; no buffer is made for more
+/// before that.
 const PARTS: usize = MAX_TEXT.div_ceil(PART);
 
 /// Why a text was not fetched.
@@ -89,7 +91,8 @@
 }
 
 impl Fleet {
-    /// Fetches a text from a member: its number, by which [`Fleet::fetched`] tells it; none if too many are under way.
+    /// Fetches a text from a member: its number, by which [`Fleet::fetched`] tells it; none if too
+    /// many are under way.
     pub fn fetch(&mut self, now: Millis, to: Place, topic: Topic, key: Digest) -> Option<u32> {
         if self.fetches.len() >= FETCHES || to == self.own || to >= self.table.places() {
             return None;
@@ -127,13 +130,21 @@
     pub fn serve(&mut self, now: Millis, asked: Asked, text: Option<Vec<u8>>) {
         let text: Option<Arc<[u8]>> = text.filter(|t| t.len() <= MAX_TEXT).map(Arc::from);
         let Some(text) = text else {
-            let absent = Kind::Part { id: asked.id, length: u32::MAX, at: 0 };
+            let absent = Kind::Part {
+                id: asked.id,
+                length: u32::MAX,
+                at: 0,
+            };
             return self.put_text(now, asked.from, absent, &[]);
         };
         if self.served.len() >= SERVED {
             self.served.pop_front();
         }
-        self.served.push_back(Served { to: asked.from, id: asked.id, text });
+        self.served.push_back(Served {
+            to: asked.from,
+            id: asked.id,
+            text,
+        });
         self.part(now, asked.from, asked.id, 0);
     }
 
@@ -148,11 +159,17 @@
 
     /// One part of a text that is kept for somebody; whether it is.
     fn part(&mut self, now: Millis, to: Place, id: u32, at: u32) -> bool {
-        let Some(served) = self.served.iter().find(|s| s.to == to && s.id == id) else { return false };
+        let Some(served) = self.served.iter().find(|s| s.to == to && s.id == id) else {
+            return false;
+        };
         let text = served.text.clone();
         let from = (at as usize).saturating_mul(PART).min(text.len());
         let bytes = text[from..(from + PART).min(text.len())].to_vec();
-        let kind = Kind::Part { id, length: text.len() as u32, at };
+        let kind = Kind::Part {
+            id,
+            length: text.len() as u32,
+            at,
+        };
         self.put_text(now, to, kind, &[Item::Bytes(bytes)]);
         true
     }
@@ -169,7 +186,12 @@
         if self.part(now, from, id, at) {
             return;
         }
-        let asked = Asked { from, id, topic, key };
+        let asked = Asked {
+            from,
+            id,
+            topic,
+            key,
+        };
         if at > 0 {
             // It was kept, and is no longer.
             return self.serve(now, asked, None);
@@ -180,8 +202,12 @@
     }
 
     pub(super) fn part_came(&mut self, now: Millis, from: Place, kind: Kind, items: Vec<Item>) {
-        let Kind::Part { id, length, at } = kind else { return };
-        let Some(n) = self.fetches.iter().position(|f| f.id == id && f.to == from) else { return };
+        let Kind::Part { id, length, at } = kind else {
+            return;
+        };
+        let Some(n) = self.fetches.iter().position(|f| f.id == id && f.to == from) else {
+            return;
+        };
         let fetch = &mut self.fetches[n];
         let (length, at) = (length as usize, at as usize);
         if length == u32::MAX as usize {
@@ -200,7 +226,11 @@
         }
         fetch.first.get_or_insert(now);
         fetch.out.retain(|(part, _)| *part != at);
-        let size = if at + 1 == count { length - at * PART } else { PART };
+        let size = if at + 1 == count {
+            length - at * PART
+        } else {
+            PART
+        };
         if let Some(Item::Bytes(bytes)) = items.into_iter().next()
             && bytes.len() == size
             && fetch.parts[at].is_none()
@@ -210,15 +240,32 @@
         if fetch.whole() {
             let text: Vec<u8> = fetch.parts.iter().flatten().flatten().copied().collect();
             let sound = fetch.topic != Topic::Routes || Digest::of(&text) == fetch.key;
-            return self.fetch_ends(n, if sound { Ok(text) } else { Err(Unfetched::Spoilt) });
+            return self.fetch_ends(
+                n,
+                if sound {
+                    Ok(text)
+                } else {
+                    Err(Unfetched::Spoilt)
+                },
+            );
         }
         self.fetches_go_on(now);
     }
 
     fn fetch_ends(&mut self, n: usize, with: Result<Vec<u8>, Unfetched>) {
-        let Fetch { id, begun, first, heard, .. } = self.fetches.swap_remove(n);
+        let Fetch {
+            id,
+            begun,
+            first,
+            heard,
+            ..
+        } = self.fetches.swap_remove(n);
         let within = first.unwrap_or(heard).saturating_sub(begun);
-        self.fetched.push(Fetched { id, text: with, within });
+        self.fetched.push(Fetched {
+            id,
+            text: with,
+            within,
+        });
     }
 
     /// When a part is asked for again, or a text is given up.
@@ -226,7 +273,12 @@
         let again = self.terms.answer;
         self.fetches
             .iter()
-            .flat_map(|f| f.out.iter().map(|(_, at)| at + again).chain([f.heard + PATIENCE]))
+            .flat_map(|f| {
+                f.out
+                    .iter()
+                    .map(|(_, at)| at + again)
+                    .chain([f.heard + PATIENCE])
+            })
             .min()
     }
 
@@ -249,7 +301,17 @@
             }
         }
         for (to, id, topic, key, part) in wanted {
-            self.put_text(now, to, Kind::Fetch { id, topic, key, at: part as u32 }, &[]);
+            self.put_text(
+                now,
+                to,
+                Kind::Fetch {
+                    id,
+                    topic,
+                    key,
+                    at: part as u32,
+                },
+                &[],
+            );
         }
     }
 }
--- a/crates/heathroad-fleet/src/fleet/mod.rs
+++ b/crates/heathroad-fleet/src/fleet/mod.rs
@@ -1,8 +1,10 @@
-//! A proxy's own part of the protocol. It is told what happens at which time, and says what is to be sent.
+//! A proxy's own part of the protocol. It is told what happens at which time, and says what is to
+//! be sent.
 //!
-//! Each period one member is asked whether it is there, by turns; if it does not answer in time, some others are asked to
-//! ask it. Who answers nobody is suspected, and can say that it is there; who says nothing is gone. A proxy that has just woken,
-//! or hears nobody, accuses nobody: the fault may be its own.
+//! Each period one member is asked whether it is there, by turns; if it does not answer in time,
+//! some others are asked to ask it. Who answers nobody is suspected, and can say that it is there;
+//! who says nothing is gone. A proxy that has just woken, or hears nobody, accuses nobody: the
+//! fault may be its own.
 
 pub mod carry;
 pub mod fetch;
@@ -37,8 +39,8 @@
     pub gossip: Millis,
     /// to so many members.
     pub gossip_to: usize,
-    /// A suspicion runs for so many periods, times the logarithm to base ten of the members that are there (but at least one),
-    /// once enough accuse;
+    /// A suspicion runs for so many periods, times the logarithm to base ten of the members that
+    /// are there (but at least one), once enough accuse;
     pub suspicion: u64,
     /// and so many times as long while only one does.
     pub doubt: u64,
@@ -57,7 +59,12 @@
     pub fn with_period(period: Millis) -> Terms {
         let usual = Terms::default();
         let scaled = |time: Millis| (time * period / usual.period).max(1);
-        Terms { period, answer: scaled(usual.answer), gossip: scaled(usual.gossip), ..usual }
+        Terms {
+            period,
+            answer: scaled(usual.answer),
+            gossip: scaled(usual.gossip),
+            ..usual
+        }
     }
 }
 
@@ -189,7 +196,8 @@
     pub incarnation: Incarnation,
     /// For so many milliseconds.
     pub for_ms: Millis,
-    /// So many milliseconds ago something of its own was heard; never, if none. Not told of this proxy itself.
+    /// So many milliseconds ago something of its own was heard; never, if none. Not told of this
+    /// proxy itself.
     pub heard_ms: Option<Millis>,
     /// Who accuses it.
     pub accusers: Vec<Place>,
@@ -203,8 +211,8 @@
 
 /// Most news that waits to be taken.
 const NEWS: usize = 256;
-/// A proxy that has heard nobody for so many periods is cut off. (Its doubt of itself does not count: that grows as it hears nobody,
-/// and it would accuse others for as long.)
+/// A proxy that has heard nobody for so many periods is cut off. (Its doubt of itself does not
+/// count: that grows as it hears nobody, and it would accuse others for as long.)
 const SILENCE: u64 = 4;
 /// Most questions that are out to confirm that it is heard.
 const ASKING: usize = 8;
@@ -253,7 +261,8 @@
 }
 
 impl Fleet {
-    /// One of a fleet of `members`, at its place among them, in a life of its own: Unix time in milliseconds.
+    /// One of a fleet of `members`, at its place among them, in a life of its own: Unix time in
+    /// milliseconds.
     pub fn new(
         now: Millis,
         seal: Seal,
@@ -309,10 +318,17 @@
 
     /// When [`Fleet::tick`] is to be called at the latest.
     pub fn due(&self) -> Millis {
-        let suspicions = self.table.all().filter_map(|(_, m)| m.suspicion.as_ref().map(|s| s.until));
+        let suspicions = self
+            .table
+            .all()
+            .filter_map(|(_, m)| m.suspicion.as_ref().map(|s| s.until));
         let helping = self.helping.iter().map(|h| h.nack_at);
         let probe = self.probe.iter().flat_map(Probe::times);
-        let gossip = if self.gossip.any() { self.next_gossip } else { Millis::MAX };
+        let gossip = if self.gossip.any() {
+            self.next_gossip
+        } else {
+            Millis::MAX
+        };
         let fetches = self.fetches_due();
         suspicions
             .chain(helping)
@@ -362,7 +378,14 @@
         if self.acts().is_some_and(|a| a.digest == digest) {
             return;
         }
-        self.table.acts(self.own, Acts { life: self.me.life, change, digest });
+        self.table.acts(
+            self.own,
+            Acts {
+                life: self.me.life,
+                change,
+                digest,
+            },
+        );
         self.table.keep(version);
         self.gossip.news(Topic::Acts(self.own));
     }
@@ -373,7 +396,12 @@
 
     /// Tells some others that this proxy stops, and does nothing from then on.
     pub fn leave(&mut self, now: Millis) {
-        let claim = Claim { member: self.own, standing: Standing::Left, incarnation: self.me, by: self.own };
+        let claim = Claim {
+            member: self.own,
+            standing: Standing::Left,
+            incarnation: self.me,
+            by: self.own,
+        };
         self.table.merge(now, claim);
         self.gossip.news(Topic::Standing(self.own));
         self.spread(now);
@@ -388,16 +416,26 @@
 
     /// A generation was committed here, and is required of all within a time, if that is said.
     pub fn want(&mut self, now: Millis, number: u64, digest: Digest, within: Option<Millis>) {
-        self.wanted(Wanted::One(Want { number, digest, by: self.own }));
+        self.wanted(Wanted::One(Want {
+            number,
+            digest,
+            by: self.own,
+        }));
         if let Some(within) = within {
-            self.required(Required { number, digest, at: now.saturating_add(within) });
+            self.required(Required {
+                number,
+                digest,
+                at: now.saturating_add(within),
+            });
         }
     }
 
     fn required(&mut self, word: Required) {
         if self.table.require(word) {
             self.gossip.news(Topic::Wanted);
-            self.tell(News::Required { number: word.number });
+            self.tell(News::Required {
+                number: word.number,
+            });
         }
     }
 
@@ -405,31 +443,46 @@
         if self.table.want(other) {
             self.gossip.news(Topic::Wanted);
             match self.table.wanted() {
-                Wanted::One(w) => self.tell(News::Wanted { number: w.number, digest: w.digest }),
-                Wanted::Both(c) => self.tell(News::Conflict { number: c.number, digests: c.digests }),
+                Wanted::One(w) => self.tell(News::Wanted {
+                    number: w.number,
+                    digest: w.digest,
+                }),
+                Wanted::Both(c) => self.tell(News::Conflict {
+                    number: c.number,
+                    digests: c.digests,
+                }),
                 Wanted::Nothing => {}
             }
         }
     }
 
-    /// A member that is there and acts on routes with a digest, by chance: where their text can be fetched.
+    /// A member that is there and acts on routes with a digest, by chance: where their text can be
+    /// fetched.
     pub fn source_of(&mut self, routes: Digest) -> Option<Place> {
-        let all: Vec<Place> = self.table.acting_on(routes).filter(|p| *p != self.own).collect();
+        let all: Vec<Place> = self
+            .table
+            .acting_on(routes)
+            .filter(|p| *p != self.own)
+            .collect();
         (!all.is_empty()).then(|| all[self.rng.usize(0..all.len())])
     }
 
-    /// When a question was begun that was answered since: all that the answerer knew then is known here.
+    /// When a question was begun that was answered since: all that the answerer knew then is known
+    /// here.
     pub fn confirmed(&self) -> Option<Millis> {
         self.confirmed
     }
 
-    /// Asks somebody who is there, by chance, beside the periods' questions: for [`Fleet::confirmed`].
+    /// Asks somebody who is there, by chance, beside the periods' questions: for
+    /// [`Fleet::confirmed`].
     pub fn confirm(&mut self, now: Millis) {
         let lately = |(_, begun): &(u32, Millis)| now.saturating_sub(*begun) < self.terms.answer;
         if self.asking.back().is_some_and(lately) {
             return;
         }
-        let Some(to) = self.some(1, None).pop() else { return };
+        let Some(to) = self.some(1, None).pop() else {
+            return;
+        };
         let nonce = self.rng.u32(..);
         if self.asking.len() >= ASKING {
             self.asking.pop_front();
@@ -481,7 +534,11 @@
             incarnation: m.incarnation,
             for_ms: now.saturating_sub(m.since),
             heard_ms: m.heard.map(|h| now.saturating_sub(h)),
-            accusers: m.suspicion.as_ref().map(|s| s.accusers.clone()).unwrap_or_default(),
+            accusers: m
+                .suspicion
+                .as_ref()
+                .map(|s| s.accusers.clone())
+                .unwrap_or_default(),
             protocols: m.spoken,
             acts: m.acts.map(|a| (a.digest, a.change)),
             version: m.acts.and_then(|a| self.table.version(a.digest).cloned()),
@@ -497,24 +554,39 @@
 
     /// This proxy's own word that it is there.
     fn say_alive(&mut self, now: Millis) {
-        let claim = Claim { member: self.own, standing: Standing::Alive, incarnation: self.me, by: self.own };
+        let claim = Claim {
+            member: self.own,
+            standing: Standing::Alive,
+            incarnation: self.me,
+            by: self.own,
+        };
         self.table.merge(now, claim);
         self.gossip.news(Topic::Standing(self.own));
     }
 
     /// Goes on in a life later than one that others know of.
     fn reborn(&mut self, now: Millis, after: u64) {
-        self.me = Incarnation { life: after.max(self.me.life) + 1, turn: 0 };
+        self.me = Incarnation {
+            life: after.max(self.me.life) + 1,
+            turn: 0,
+        };
         self.say_alive(now);
         if let Some(acts) = self.acts() {
-            self.table.acts(self.own, Acts { life: self.me.life, change: 1, digest: acts.digest });
+            self.table.acts(
+                self.own,
+                Acts {
+                    life: self.me.life,
+                    change: 1,
+                    digest: acts.digest,
+                },
+            );
             self.gossip.news(Topic::Acts(self.own));
         }
         self.tell(News::Reborn { life: self.me.life });
     }
 
-    /// A proxy that was stopped, or got no time, finds all its waits over at once. Nothing follows from that: what others
-    /// said meanwhile is not read yet.
+    /// A proxy that was stopped, or got no time, finds all its waits over at once. Nothing follows
+    /// from that: what others said meanwhile is not read yet.
     fn look_at_clock(&mut self, now: Millis) {
         let late = now.saturating_sub(self.planned);
         if late >= self.terms.period {
@@ -537,16 +609,29 @@
         }
     }
 
-    /// Suspected members that said nothing in time are gone, unless it is this proxy that hears nothing.
+    /// Suspected members that said nothing in time are gone, unless it is this proxy that hears
+    /// nothing.
     fn expire(&mut self, now: Millis) {
         if self.cut_off {
             return;
         }
         let over = |m: &Member| m.suspicion.as_ref().is_some_and(|s| s.until <= now);
-        let gone: Vec<Place> = self.table.all().filter(|(_, m)| over(m)).map(|(place, _)| place).collect();
+        let gone: Vec<Place> = self
+            .table
+            .all()
+            .filter(|(_, m)| over(m))
+            .map(|(place, _)| place)
+            .collect();
         for member in gone {
             if let Some(claim) = self.table.claim(member) {
-                self.hear(now, Claim { standing: Standing::Gone, by: self.own, ..claim });
+                self.hear(
+                    now,
+                    Claim {
+                        standing: Standing::Gone,
+                        by: self.own,
+                        ..claim
+                    },
+                );
             }
         }
     }
@@ -558,24 +643,41 @@
             Merged::Old => return,
             Merged::Seconded => {}
             Merged::New { before, life } => match claim.standing {
-                Standing::Suspect => self.tell(News::Suspected { member, by: claim.by }),
+                Standing::Suspect => self.tell(News::Suspected {
+                    member,
+                    by: claim.by,
+                }),
                 Standing::Gone => self.tell(News::Gone { member }),
                 Standing::Left => self.tell(News::Left { member }),
                 _ if before == Standing::Alive && life == claim.incarnation.life => {}
                 _ if before == Standing::Suspect && life == claim.incarnation.life => {
                     self.tell(News::Refuted { member })
                 }
-                _ => self.tell(News::Up { member, life: claim.incarnation.life }),
+                _ => self.tell(News::Up {
+                    member,
+                    life: claim.incarnation.life,
+                }),
             },
         }
         self.gossip.news(Topic::Standing(member));
         let (least, most) = self.suspicion();
         // No more can accuse than are there beside the two.
-        let enough = self.terms.accusers.min(self.table.present().saturating_sub(2));
-        if let Some(s) = self.table.get_mut(member).and_then(|m| m.suspicion.as_mut()) {
+        let enough = self
+            .terms
+            .accusers
+            .min(self.table.present().saturating_sub(2));
+        if let Some(s) = self
+            .table
+            .get_mut(member)
+            .and_then(|m| m.suspicion.as_mut())
+        {
             // Lifeguard: each further accuser, up to enough, shortens the wait.
             let further = s.accusers.len().saturating_sub(1).min(enough) as f64;
-            let share = if enough == 0 { 1.0 } else { (further + 1.0).ln() / (enough as f64 + 1.0).ln() };
+            let share = if enough == 0 {
+                1.0
+            } else {
+                (further + 1.0).ln() / (enough as f64 + 1.0).ln()
+            };
             s.until = s.since + (most as f64 - (most - least) as f64 * share) as u64;
         }
     }
@@ -587,25 +689,35 @@
         (least as u64, least as u64 * self.terms.doubt)
     }
 
-    /// Tells news to some members, by chance, and asks after versions that are known by their digests alone.
+    /// Tells news to some members, by chance, and asks after versions that are known by their
+    /// digests alone.
     fn spread(&mut self, now: Millis) {
         let to = self.some(self.terms.gossip_to, None);
         if to.is_empty() {
             // Nobody was heard yet, or all are gone: somebody is asked, by chance.
             if !self.order.is_empty() {
-                let (to, nonce) = (self.order[self.rng.usize(0..self.order.len())], self.rng.u32(..));
+                let (to, nonce) = (
+                    self.order[self.rng.usize(0..self.order.len())],
+                    self.rng.u32(..),
+                );
                 self.send(now, to, Kind::Ping { nonce });
             }
             return;
         }
-        to.into_iter().for_each(|to| self.send(now, to, Kind::Gossip));
+        to.into_iter()
+            .for_each(|to| self.send(now, to, Kind::Gossip));
         self.ask(now);
     }
 
-    /// Asks after versions that are known by their digests alone; in quiet times too, since an answer may have been lost.
+    /// Asks after versions that are known by their digests alone; in quiet times too, since an
+    /// answer may have been lost.
     fn ask(&mut self, now: Millis) {
         let mut wanted: Vec<(Digest, Place)> = Vec::new();
-        for (place, m) in self.table.all().filter(|(p, m)| *p != self.own && m.standing == Standing::Alive) {
+        for (place, m) in self
+            .table
+            .all()
+            .filter(|(p, m)| *p != self.own && m.standing == Standing::Alive)
+        {
             if let Some(acts) = m.acts.filter(|a| self.table.version(a.digest).is_none()) {
                 wanted.push((acts.digest, place));
             }
@@ -623,7 +735,10 @@
     /// Some members that are there, by chance, but one.
     fn some(&mut self, count: usize, but: Option<Place>) -> Vec<Place> {
         let there = |m: &Member| matches!(m.standing, Standing::Alive | Standing::Suspect);
-        let all = self.table.all().filter(|(p, m)| *p != self.own && Some(*p) != but && there(m));
+        let all = self
+            .table
+            .all()
+            .filter(|(p, m)| *p != self.own && Some(*p) != but && there(m));
         let mut all: Vec<Place> = all.map(|(p, _)| p).collect();
         let count = count.min(all.len());
         for at in 0..count {
@@ -644,8 +759,16 @@
         }
     }
 
-    /// Sends a datagram with these items as far as there is room, unless too many have gone; how many were written.
-    fn put(&mut self, now: Millis, to: Place, life: u64, kind: Kind, items: &[wire::Item]) -> Option<usize> {
+    /// Sends a datagram with these items as far as there is room, unless too many have gone; how
+    /// many were written.
+    fn put(
+        &mut self,
+        now: Millis,
+        to: Place,
+        life: u64,
+        kind: Kind,
+        items: &[wire::Item],
+    ) -> Option<usize> {
         if !self.pace.take(now) {
             self.traffic.held_back += 1;
             return None;
@@ -656,7 +779,11 @@
     fn write(&mut self, to: Place, life: u64, kind: Kind, items: &[wire::Item]) -> usize {
         self.number = self.number.wrapping_add(1);
         let head = Head {
-            protocol: self.table.get(to).and_then(|m| wire::common(SPOKEN, m.spoken)).unwrap_or(SPOKEN[0]),
+            protocol: self
+                .table
+                .get(to)
+                .and_then(|m| wire::common(SPOKEN, m.spoken))
+                .unwrap_or(SPOKEN[0]),
             spoken: SPOKEN,
             fleet: self.seal.name().to_vec(),
             from: self.own,
--- a/crates/heathroad-fleet/src/fleet/probe.rs
+++ b/crates/heathroad-fleet/src/fleet/probe.rs
@@ -39,7 +39,8 @@
 
 /// Most questions that are asked for others at a time.
 pub(super) const HELPING: usize = 16;
-/// One period in so many goes to a member that is taken for gone: a cut that heals is found so, from both sides.
+/// One period in so many goes to a member that is taken for gone: a cut that heals is found so,
+/// from both sides.
 const KNOCK: u32 = 3;
 
 impl Fleet {
@@ -47,7 +48,12 @@
     fn next_member(&mut self) -> Option<Place> {
         let over = |f: &Fleet, place: Place| f.table.get(place).is_none_or(|m| m.standing.over());
         if self.rng.u32(0..KNOCK) == 0 {
-            let gone: Vec<Place> = self.order.iter().copied().filter(|p| over(self, *p)).collect();
+            let gone: Vec<Place> = self
+                .order
+                .iter()
+                .copied()
+                .filter(|p| over(self, *p))
+                .collect();
             if !gone.is_empty() {
                 return Some(gone[self.rng.usize(0..gone.len())]);
             }
@@ -64,13 +70,16 @@
                 return Some(place);
             }
         }
-        // The round began anew on the way, and has passed those who are there; where nobody is, anybody may be.
+        // The round began anew on the way, and has passed those who are there; where nobody is,
+        // anybody may be.
         let there = self.order.iter().copied().find(|p| !over(self, *p));
         there.or(self.order.first().copied())
     }
 
     pub(super) fn begin_probe(&mut self, now: Millis) {
-        let Some(member) = self.next_member() else { return };
+        let Some(member) = self.next_member() else {
+            return;
+        };
         let (nonce, factor) = (self.rng.u32(..), self.health.factor());
         self.probe = Some(Probe {
             member,
@@ -87,7 +96,9 @@
 
     /// Asks others where no answer came, and concludes at the end of the period.
     pub(super) fn probe_goes_on(&mut self, now: Millis) {
-        let Some(mut probe) = self.probe.take() else { return };
+        let Some(mut probe) = self.probe.take() else {
+            return;
+        };
         let known = self.table.get(probe.member).is_some_and(|m| {
             matches!(m.standing, Standing::Alive | Standing::Suspect) && m.incarnation.life > 0
         });
@@ -95,7 +106,14 @@
             probe.help_at = None;
             if !probe.answered && known {
                 for helper in self.some(self.terms.helpers, Some(probe.member)) {
-                    self.send(now, helper, Kind::Help { nonce: probe.nonce, after: probe.member });
+                    self.send(
+                        now,
+                        helper,
+                        Kind::Help {
+                            nonce: probe.nonce,
+                            after: probe.member,
+                        },
+                    );
                     probe.helpers += 1;
                 }
             }
@@ -107,11 +125,12 @@
         if probe.answered {
             return self.health.better();
         }
-        // Lifeguard: helpers who said nothing at all are a sign that this proxy hears badly; where all of them did speak, the
-        // fault is the member's.
+        // Lifeguard: helpers who said nothing at all are a sign that this proxy hears badly; where
+        // all of them did speak, the fault is the member's.
         let missing = probe.helpers.saturating_sub(probe.nacks);
         if known {
-            self.health.worse(if probe.helpers == 0 { 1 } else { missing });
+            self.health
+                .worse(if probe.helpers == 0 { 1 } else { missing });
         }
         if known && !self.cut_off && !(probe.helpers > 0 && missing == probe.helpers) {
             self.accuse(now, probe.member);
@@ -120,7 +139,14 @@
 
     fn accuse(&mut self, now: Millis, member: Place) {
         if let Some(claim) = self.table.claim(member).filter(|c| !c.standing.over()) {
-            self.hear(now, Claim { standing: Standing::Suspect, by: self.own, ..claim });
+            self.hear(
+                now,
+                Claim {
+                    standing: Standing::Suspect,
+                    by: self.own,
+                    ..claim
+                },
+            );
         }
     }
 
--- a/crates/heathroad-fleet/src/fleet/receive.rs
+++ b/crates/heathroad-fleet/src/fleet/receive.rs
@@ -20,7 +20,9 @@
     }
 
     fn take(&mut self, now: Millis, bytes: &[u8]) {
-        let Some((head, mut rest)) = self.seal.open(bytes, &mut self.traffic.dropped) else { return };
+        let Some((head, mut rest)) = self.seal.open(bytes, &mut self.traffic.dropped) else {
+            return;
+        };
         let known = self.table.get(head.from).map(|m| m.incarnation.life);
         let Some(known) = known.filter(|_| head.to == self.own && head.from != self.own) else {
             self.traffic.dropped.astray += 1;
@@ -38,7 +40,9 @@
         if head.to_life < self.me.life || head.from_life < known {
             return self.stranger(now, &head, known, kind);
         }
-        let Some(member) = self.table.get_mut(head.from) else { return };
+        let Some(member) = self.table.get_mut(head.from) else {
+            return;
+        };
         if !member.window.take(head.from_life, head.number) {
             self.traffic.dropped.replayed += 1;
             return;
@@ -50,9 +54,20 @@
             self.tell(News::Heard);
         }
         if head.from_life > known {
-            let incarnation = Incarnation { life: head.from_life, turn: 0 };
+            let incarnation = Incarnation {
+                life: head.from_life,
+                turn: 0,
+            };
             let (member, by) = (head.from, head.from);
-            self.hear(now, Claim { member, standing: Standing::Alive, incarnation, by });
+            self.hear(
+                now,
+                Claim {
+                    member,
+                    standing: Standing::Alive,
+                    incarnation,
+                    by,
+                },
+            );
         }
         match kind {
             Kind::Part { .. } => return self.part_came(now, head.from, kind, items),
@@ -63,14 +78,20 @@
         self.answer(now, head.from, kind);
     }
 
-    /// Who does not know this proxy's life, or is of an ended life itself, is answered, so that it learns; nothing that it says is
-    /// used, since it may be a recording.
+    /// Who does not know this proxy's life, or is of an ended life itself, is answered, so that it
+    /// learns; nothing that it says is used, since it may be a recording.
     fn stranger(&mut self, now: Millis, head: &Head, known: u64, kind: Kind) {
         if head.to_life != 0 {
             self.traffic.dropped.stale += 1;
         }
         if let Kind::Ping { nonce } = kind {
-            self.put(now, head.from, known.max(head.from_life), Kind::Ack { nonce }, &[]);
+            self.put(
+                now,
+                head.from,
+                known.max(head.from_life),
+                Kind::Ack { nonce },
+                &[],
+            );
         }
         let period = self.terms.period;
         let greet = |m: &mut crate::table::Member| {
@@ -90,21 +111,49 @@
         match item {
             Item::Claim(claim) if claim.member == self.own => self.hear_of_me(now, claim),
             Item::Claim(claim) => self.hear(now, claim),
-            Item::Acts { member, life, change, digest } => {
-                if member != self.own && self.table.acts(member, Acts { life, change, digest }) {
+            Item::Acts {
+                member,
+                life,
+                change,
+                digest,
+            } => {
+                if member != self.own
+                    && self.table.acts(
+                        member,
+                        Acts {
+                            life,
+                            change,
+                            digest,
+                        },
+                    )
+                {
                     self.gossip.news(Topic::Acts(member));
                     self.tell(News::Acts { member, digest });
                 }
             }
             Item::Whole(version) => {
-                let acted = |d| self.table.all().any(|(_, m)| m.acts.is_some_and(|a| a.digest == d));
+                let acted = |d| {
+                    self.table
+                        .all()
+                        .any(|(_, m)| m.acts.is_some_and(|a| a.digest == d))
+                };
                 if acted(version.digest()) {
                     self.table.keep(version);
                 }
             }
-            Item::Want { number, digest, by } => self.wanted(Wanted::One(Want { number, digest, by })),
-            Item::Required { number, digest, left } => {
-                self.required(Required { number, digest, at: now + u64::from(left) });
+            Item::Want { number, digest, by } => {
+                self.wanted(Wanted::One(Want { number, digest, by }))
+            }
+            Item::Required {
+                number,
+                digest,
+                left,
+            } => {
+                self.required(Required {
+                    number,
+                    digest,
+                    at: now + u64::from(left),
+                });
             }
             Item::Conflict { number, digests } => {
                 if digests[0] != digests[1] {
@@ -121,7 +170,10 @@
         let Incarnation { life, turn } = claim.incarnation;
         if life > self.me.life || life == self.me.life && claim.standing.over() {
             self.reborn(now, life);
-        } else if life == self.me.life && claim.standing == Standing::Suspect && turn >= self.me.turn {
+        } else if life == self.me.life
+            && claim.standing == Standing::Suspect
+            && turn >= self.me.turn
+        {
             if turn == u16::MAX {
                 return self.reborn(now, life);
             }
@@ -136,13 +188,18 @@
             Kind::Ping { nonce } => self.send(now, from, Kind::Ack { nonce }),
             Kind::Ack { nonce } => {
                 if let Some(at) = self.asking.iter().position(|(asked, _)| *asked == nonce) {
-                    self.confirmed = self.confirmed.max(self.asking.remove(at).map(|(_, begun)| begun));
+                    self.confirmed = self
+                        .confirmed
+                        .max(self.asking.remove(at).map(|(_, begun)| begun));
                 }
                 if let Some(p) = self.probe.as_mut().filter(|p| p.nonce == nonce) {
                     p.answered = true;
                     self.confirmed = self.confirmed.max(Some(p.begun));
                 }
-                let ours = self.helping.iter().position(|h| h.ours == nonce && h.after == from);
+                let ours = self
+                    .helping
+                    .iter()
+                    .position(|h| h.ours == nonce && h.after == from);
                 if let Some(h) = ours.map(|at| self.helping.swap_remove(at)) {
                     self.send(now, h.whom, Kind::Ack { nonce: h.theirs });
                 }
@@ -153,11 +210,20 @@
                 }
             }
             Kind::Help { nonce, after } => {
-                if after == self.own || after >= self.table.places() || self.helping.len() >= HELPING {
+                if after == self.own
+                    || after >= self.table.places()
+                    || self.helping.len() >= HELPING
+                {
                     return;
                 }
                 let (ours, nack_at) = (self.rng.u32(..), now + self.terms.answer);
-                self.helping.push(Helping { whom: from, theirs: nonce, after, ours, nack_at });
+                self.helping.push(Helping {
+                    whom: from,
+                    theirs: nonce,
+                    after,
+                    ours,
+                    nack_at,
+                });
                 self.send(now, after, Kind::Ping { nonce: ours });
             }
             Kind::Ask { member, digest } => {
--- a/crates/heathroad-fleet/src/gossip.rs
+++ b/crates/heathroad-fleet/src/gossip.rs
@@ -1,5 +1,6 @@
-//! What is passed on next. News goes a bounded number of times from each who hears it, the least told first; what room is left
-//! in a datagram goes to old news by turns, so that whoever missed something hears it again.
+//! What is passed on next. News goes a bounded number of times from each who hears it, the least
+//! told first; what room is left in a datagram goes to old news by turns, so that whoever missed
+//! something hears it again.
 
 use crate::table::Table;
 use crate::want::{Conflict, Required, Want, Wanted};
@@ -7,8 +8,9 @@
 use crate::{Millis, Place};
 use std::collections::BTreeMap;
 
-/// A piece of news is told so many times the logarithm to base two of the fleet's size by each who has it. Fewer (four times the
-/// logarithm to base ten) left the last of 300 without it for 19 s, and took ten times as long at 30% loss.
+/// A piece of news is told so many times the logarithm to base two of the fleet's size by each who
+/// has it. Fewer (four times the logarithm to base ten) left the last of 300 without it for 19 s,
+/// and took ten times as long at 30% loss.
 const TIMES: f64 = 3.0;
 /// Most items that are looked up for a datagram; it holds fewer.
 const MOST: usize = 16;
@@ -38,7 +40,9 @@
             Topic::Wanted => match table.wanted() {
                 Wanted::Nothing => None,
                 Wanted::One(Want { number, digest, by }) => Some(Item::Want { number, digest, by }),
-                Wanted::Both(Conflict { number, digests }) => Some(Item::Conflict { number, digests }),
+                Wanted::Both(Conflict { number, digests }) => {
+                    Some(Item::Conflict { number, digests })
+                }
             },
         }
     }
@@ -63,24 +67,51 @@
         !self.hot.is_empty()
     }
 
-    /// What a datagram to somebody should tell, the first the most: what it must know of itself, news, old news.
+    /// What a datagram to somebody should tell, the first the most: what it must know of itself,
+    /// news, old news.
     pub fn items(&mut self, table: &Table, to: Place, now: Millis) -> Vec<(Option<Topic>, Item)> {
-        let own = table.get(to).filter(|m| m.standing != crate::table::Standing::Alive);
-        let own = own.and_then(|_| Topic::Standing(to).item(table)).map(|item| (None, item));
-        let mut hot: Vec<(u32, Topic)> = self.hot.iter().map(|(topic, told)| (*told, *topic)).collect();
+        let own = table
+            .get(to)
+            .filter(|m| m.standing != crate::table::Standing::Alive);
+        let own = own
+            .and_then(|_| Topic::Standing(to).item(table))
+            .map(|item| (None, item));
+        let mut hot: Vec<(u32, Topic)> = self
+            .hot
+            .iter()
+            .map(|(topic, told)| (*told, *topic))
+            .collect();
         hot.sort_unstable();
-        let known = hot.into_iter().map(|(_, topic)| topic).filter(|t| *t != Topic::Wanted);
+        let known = hot
+            .into_iter()
+            .map(|(_, topic)| topic)
+            .filter(|t| *t != Topic::Wanted);
         let known: Vec<Topic> = known.take(MOST).collect();
         let mut items: Vec<(Option<Topic>, Item)> = own.into_iter().collect();
         // Whoever is answered knows what is wanted from then on: there is always room for that.
-        items.extend(Topic::Wanted.item(table).map(|item| (Some(Topic::Wanted), item)));
+        items.extend(
+            Topic::Wanted
+                .item(table)
+                .map(|item| (Some(Topic::Wanted), item)),
+        );
         let left = |at: Millis| u32::try_from(at.saturating_sub(now)).unwrap_or(u32::MAX);
         let required = table.required().all().iter();
         items.extend(required.map(|r| {
             let Required { number, digest, at } = *r;
-            (None, Item::Required { number, digest, left: left(at) })
+            (
+                None,
+                Item::Required {
+                    number,
+                    digest,
+                    left: left(at),
+                },
+            )
         }));
-        items.extend(known.iter().filter_map(|t| Some((Some(*t), t.item(table)?))));
+        items.extend(
+            known
+                .iter()
+                .filter_map(|t| Some((Some(*t), t.item(table)?))),
+        );
         for _ in 0..table.places() {
             if items.len() >= MOST {
                 break;
@@ -93,8 +124,8 @@
         items
     }
 
-    /// These were told once more; what was told often enough is news no longer. Old news that found no room is told first next
-    /// time.
+    /// These were told once more; what was told often enough is news no longer. Old news that found
+    /// no room is told first next time.
     pub fn told(&mut self, items: &[(Option<Topic>, Item)], written: usize, places: u16) {
         let most = (TIMES * f64::from(places.max(2)).log2()).ceil() as u32;
         for topic in items[..written].iter().filter_map(|(topic, _)| *topic) {
@@ -105,11 +136,13 @@
                 }
             }
         }
-        let unheard = items[written..].iter().find_map(|(topic, item)| match (topic, item) {
-            (None, Item::Claim(c)) => Some(c.member),
-            (None, Item::Acts { member, .. }) => Some(*member),
-            _ => None,
-        });
+        let unheard = items[written..]
+            .iter()
+            .find_map(|(topic, item)| match (topic, item) {
+                (None, Item::Claim(c)) => Some(c.member),
+                (None, Item::Acts { member, .. }) => Some(*member),
+                _ => None,
+            });
         if let Some(member) = unheard {
             self.turn = (member + places.max(1) - 1) % places.max(1);
         }
--- a/crates/heathroad-fleet/src/health.rs
+++ b/crates/heathroad-fleet/src/health.rs
@@ -1,5 +1,5 @@
-//! A proxy's doubt of itself (Lifeguard's local health multiplier): who is slow, or hears little, asks more slowly and waits
-//! for longer before it accuses anybody.
+//! A proxy's doubt of itself (Lifeguard's local health multiplier): who is slow, or hears little,
+//! asks more slowly and waits for longer before it accuses anybody.
 
 /// Most doubt: everything then takes nine times as long.
 pub const MOST: u8 = 8;
--- a/crates/heathroad-fleet/src/pace.rs
+++ b/crates/heathroad-fleet/src/pace.rs
@@ -17,13 +17,19 @@
     /// So many a second.
     pub fn new(now: Millis, most: u32) -> Pace {
         let most = u64::from(most) * ONE;
-        Pace { most, left: most, then: now }
+        Pace {
+            most,
+            left: most,
+            then: now,
+        }
     }
 
     /// Whether one more may go now.
     pub fn take(&mut self, now: Millis) -> bool {
         // A millisecond earns a thousandth of a second's.
-        let earned = now.saturating_sub(self.then).saturating_mul(self.most / ONE);
+        let earned = now
+            .saturating_sub(self.then)
+            .saturating_mul(self.most / ONE);
         (self.left, self.then) = (self.left.saturating_add(earned).min(self.most), now);
         let may = self.left >= ONE;
         if may {
--- a/crates/heathroad-fleet/src/record.rs
+++ b/crates/heathroad-fleet/src/record.rs
@@ -1,9 +1,11 @@
-//! The record of a proxy's acts: under which version, from when to when, the first and the last, how many of which kind.
+//! The record of a proxy's acts: under which version, from when to when, the first and the last,
+//! how many of which kind.
 //!
-//! A page is one interval in which one version was in force. What is done for a request is written on the page that was open
-//! when the request was bound, also when it is done long after; so a page's acts go on after its interval. The record is bounded:
-//! past [`MAX_PAGES`], neighbours that differ in their lists of backends alone become one page, which says of how many; where there
-//! are none, the oldest page is given up, and what it held is told as lost.
+//! A page is one interval in which one version was in force. What is done for a request is written
+//! on the page that was open when the request was bound, also when it is done long after; so a
+//! page's acts go on after its interval. The record is bounded: past [`MAX_PAGES`], neighbours that
+//! differ in their lists of backends alone become one page, which says of how many; where there are
+//! none, the oldest page is given up, and what it held is told as lost.
 
 use crate::version::{Digest, Version};
 use serde::{Deserialize, Serialize};
@@ -87,7 +89,16 @@
 
     /// All of them.
     pub fn sum(&self) -> u64 {
-        let Acts { bound, sent, served, refused, failed, fenced, applied, undone } = *self;
+        let Acts {
+            bound,
+            sent,
+            served,
+            refused,
+            failed,
+            fenced,
+            applied,
+            undone,
+        } = *self;
         bound + sent + served + refused + failed + fenced + applied + undone
     }
 }
@@ -104,7 +115,8 @@
     pub version: Version,
     /// Its digest.
     pub digest: Digest,
-    /// How many versions the page is of; more than one only where they differ in lists of backends alone.
+    /// How many versions the page is of; more than one only where they differ in lists of backends
+    /// alone.
     pub versions: u64,
     /// From when on.
     pub from: Unix,
@@ -219,7 +231,10 @@
 
 impl Page {
     fn new(kept: Kept) -> Rc<Page> {
-        Rc::new(Page { kept: RefCell::new(kept), into: RefCell::default() })
+        Rc::new(Page {
+            kept: RefCell::new(kept),
+            into: RefCell::default(),
+        })
     }
 
     /// Writes an act down.
@@ -281,7 +296,10 @@
         };
         if let Some(told) = before {
             record.turned_down = told.turned_down.into();
-            let ended = |s: Spell| Spell { to: s.to.or(Some(told.at)), ..s };
+            let ended = |s: Spell| Spell {
+                to: s.to.or(Some(told.at)),
+                ..s
+            };
             record.spells = told.spells.into_iter().map(ended).collect();
             for mut kept in told.pages {
                 if kept.to.is_none() {
@@ -304,8 +322,14 @@
             }
         }
         self.close(now);
-        let page =
-            Page::new(Kept { life, version, digest, versions: 1, from: now, ..blank(Acts::default()) });
+        let page = Page::new(Kept {
+            life,
+            version,
+            digest,
+            versions: 1,
+            from: now,
+            ..blank(Acts::default())
+        });
         self.pages.push_back(page.clone());
         self.bound();
         page
@@ -350,7 +374,11 @@
 
     /// The spell of a kind that lasts is over.
     pub fn spell_over(&mut self, trouble: Trouble, now: Unix) {
-        let lasting = self.spells.iter_mut().rev().find(|s| s.trouble == trouble && s.to.is_none());
+        let lasting = self
+            .spells
+            .iter_mut()
+            .rev()
+            .find(|s| s.trouble == trouble && s.to.is_none());
         if let Some(spell) = lasting {
             spell.to = Some(now);
         }
@@ -359,7 +387,10 @@
     fn bound(&mut self) {
         while self.pages.len() > MAX_PAGES {
             let alike = |at: &usize| {
-                let (one, next) = (self.pages[*at].kept.borrow(), self.pages[*at + 1].kept.borrow());
+                let (one, next) = (
+                    self.pages[*at].kept.borrow(),
+                    self.pages[*at + 1].kept.borrow(),
+                );
                 let (a, b) = (&one.version, &next.version);
                 one.life == next.life
                     && one.torn == next.torn
@@ -370,7 +401,9 @@
             match (0..self.pages.len() - 2).find(alike) {
                 Some(at) => self.join(at),
                 None => {
-                    let Some(page) = self.pages.pop_front() else { return };
+                    let Some(page) = self.pages.pop_front() else {
+                        return;
+                    };
                     let lost = self.lost.kept.borrow().acts.plus(page.kept.borrow().acts);
                     self.lost.kept.borrow_mut().acts = lost;
                     self.lost_until = page.kept.borrow().to;
@@ -383,7 +416,9 @@
 
     /// A page takes the one before it in.
     fn join(&mut self, at: usize) {
-        let Some(before) = self.pages.remove(at) else { return };
+        let Some(before) = self.pages.remove(at) else {
+            return;
+        };
         let page = &self.pages[at];
         {
             let (mut kept, old) = (page.kept.borrow_mut(), before.kept.borrow());
@@ -403,7 +438,11 @@
             at: now,
             since: self.since,
             pages: self.pages.iter().map(|p| p.kept.borrow().clone()).collect(),
-            lost: Lost { pages: self.lost_pages, acts, until: self.lost_until },
+            lost: Lost {
+                pages: self.lost_pages,
+                acts,
+                until: self.lost_until,
+            },
             spells: self.spells.iter().copied().collect(),
             turned_down: self.turned_down.iter().cloned().collect(),
         }
--- a/crates/heathroad-fleet/src/seal.rs
+++ b/crates/heathroad-fleet/src/seal.rs
@@ -1,8 +1,9 @@
-//! Who gets in: datagrams of this fleet, whole, made with its key, for this proxy's present life, and each once. All else is
-//! counted and dropped.
+//! Who gets in: datagrams of this fleet, whole, made with its key, for this proxy's present life,
+//! and each once. All else is counted and dropped.
 //!
-//! A datagram names the life of its receiver. One that was recorded names a life that has ended once the receiver starts anew,
-//! and within a life its number is seen only once: nothing can be replayed, without any clock that two proxies would share.
+//! A datagram names the life of its receiver. One that was recorded names a life that has ended
+//! once the receiver starts anew, and within a life its number is seen only once: nothing can be
+//! replayed, without any clock that two proxies would share.
 
 use crate::wire::{Head, MAX_DATAGRAM, MAX_NAME, Reader, SEAL, SPOKEN, Torn, Writer};
 use hmac::{Hmac, Mac};
@@ -36,7 +37,15 @@
 impl Dropped {
     /// All of them.
     pub fn sum(&self) -> u64 {
-        let Dropped { torn, foreign, protocol, forged, astray, stale, replayed } = *self;
+        let Dropped {
+            torn,
+            foreign,
+            protocol,
+            forged,
+            astray,
+            stale,
+            replayed,
+        } = *self;
         torn + foreign + protocol + forged + astray + stale + replayed
     }
 }
@@ -78,7 +87,10 @@
             return Err(Unfit::Key);
         }
         let mac = Hmac::new_from_slice(key).map_err(|_| Unfit::Key)?;
-        Ok(Seal { name: name.as_bytes().to_vec(), mac })
+        Ok(Seal {
+            name: name.as_bytes().to_vec(),
+            mac,
+        })
     }
 
     /// The fleet's name.
@@ -88,7 +100,12 @@
 
     /// Ends a datagram: the first bytes of an HMAC-SHA-256 over all before it.
     pub fn close(&self, mut datagram: Writer) -> Vec<u8> {
-        let sum = self.mac.clone().chain_update(datagram.as_slice()).finalize().into_bytes();
+        let sum = self
+            .mac
+            .clone()
+            .chain_update(datagram.as_slice())
+            .finalize()
+            .into_bytes();
         datagram.bytes(&sum[..SEAL]);
         datagram.into_vec()
     }
@@ -111,7 +128,13 @@
         // Cheap looks first: what another fleet sends here costs no sum.
         let why = if head.fleet != self.name {
             &mut dropped.foreign
-        } else if self.mac.clone().chain_update(text).verify_truncated_left(sum).is_err() {
+        } else if self
+            .mac
+            .clone()
+            .chain_update(text)
+            .verify_truncated_left(sum)
+            .is_err()
+        {
             &mut dropped.forged
         } else if head.protocol < SPOKEN[0] || head.protocol > SPOKEN[1] {
             &mut dropped.protocol
@@ -136,12 +159,20 @@
     pub fn take(&mut self, life: u64, number: u32) -> bool {
         if life != self.life {
             // Lives only grow; an ended one was turned away before.
-            *self = Window { life, highest: number, seen: 1 };
+            *self = Window {
+                life,
+                highest: number,
+                seen: 1,
+            };
             return true;
         }
         if number > self.highest {
             let by = number - self.highest;
-            self.seen = if by < u64::BITS { self.seen << by | 1 } else { 1 };
+            self.seen = if by < u64::BITS {
+                self.seen << by | 1
+            } else {
+                1
+            };
             self.highest = number;
             return true;
         }
--- a/crates/heathroad-fleet/src/table.rs
+++ b/crates/heathroad-fleet/src/table.rs
@@ -1,5 +1,5 @@
-//! What is known of every member. Any two words on a member can be compared, and the higher one stands: whoever has heard the
-//! same words holds the same, in whatever order they came.
+//! What is known of every member. Any two words on a member can be compared, and the higher one
+//! stands: whoever has heard the same words holds the same, in whatever order they came.
 
 use crate::seal::Window;
 use crate::version::{Digest, Version};
@@ -27,9 +27,14 @@
 
 impl Standing {
     pub(crate) fn read(byte: u8) -> Option<Standing> {
-        [Standing::Alive, Standing::Suspect, Standing::Left, Standing::Gone]
-            .into_iter()
-            .find(|s| *s as u8 == byte)
+        [
+            Standing::Alive,
+            Standing::Suspect,
+            Standing::Left,
+            Standing::Gone,
+        ]
+        .into_iter()
+        .find(|s| *s as u8 == byte)
     }
 
     /// Whether nothing is expected of it in this life any more.
@@ -41,7 +46,8 @@
 /// Which of a member's lives, and its how-manieth word in it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize)]
 pub struct Incarnation {
-    /// Unix time in milliseconds at the process's start, or more where an earlier life is known to have had as much.
+    /// Unix time in milliseconds at the process's start, or more where an earlier life is known to
+    /// have had as much.
     pub life: u64,
     /// Grows as the member refutes suspicions.
     pub turn: u16,
@@ -61,8 +67,8 @@
 }
 
 impl Claim {
-    /// What decides between two: the later life; in one life its end before all else, since nobody comes back in it; then
-    /// the later turn; then the worse standing.
+    /// What decides between two: the later life; in one life its end before all else, since nobody
+    /// comes back in it; then the later turn; then the worse standing.
     pub fn weight(&self) -> (u64, u8, u16, u8) {
         let Incarnation { life, turn } = self.incarnation;
         if self.standing.over() {
@@ -188,7 +194,10 @@
 
     /// All members with their places.
     pub fn all(&self) -> impl Iterator<Item = (Place, &Member)> {
-        self.members.iter().enumerate().map(|(place, m)| (place as Place, m))
+        self.members
+            .iter()
+            .enumerate()
+            .map(|(place, m)| (place as Place, m))
     }
 
     pub(crate) fn all_mut(&mut self) -> impl Iterator<Item = &mut Member> {
@@ -203,19 +212,30 @@
     /// Those who are there, suspected or not.
     pub fn there(&self) -> impl Iterator<Item = Place> {
         let there = |m: &Member| matches!(m.standing, Standing::Alive | Standing::Suspect);
-        self.all().filter(move |(_, m)| there(m)).map(|(place, _)| place)
+        self.all()
+            .filter(move |(_, m)| there(m))
+            .map(|(place, _)| place)
     }
 
     /// What stands of a member, as a word that can be passed on.
     pub fn claim(&self, place: Place) -> Option<Claim> {
-        let m = self.get(place).filter(|m| m.standing != Standing::Unknown)?;
-        Some(Claim { member: place, standing: m.standing, incarnation: m.incarnation, by: m.by })
+        let m = self
+            .get(place)
+            .filter(|m| m.standing != Standing::Unknown)?;
+        Some(Claim {
+            member: place,
+            standing: m.standing,
+            incarnation: m.incarnation,
+            by: m.by,
+        })
     }
 
     /// Takes a word on a member.
     pub fn merge(&mut self, now: Millis, claim: Claim) -> Merged {
         let stands = self.claim(claim.member);
-        let Some(m) = self.get_mut(claim.member) else { return Merged::Old };
+        let Some(m) = self.get_mut(claim.member) else {
+            return Merged::Old;
+        };
         match stands.map(|s| s.weight().cmp(&claim.weight())) {
             Some(std::cmp::Ordering::Greater) => Merged::Old,
             Some(std::cmp::Ordering::Equal) => match &mut m.suspicion {
@@ -233,8 +253,11 @@
                 }
                 (m.standing, m.incarnation, m.by) = (claim.standing, claim.incarnation, claim.by);
                 let suspected = claim.standing == Standing::Suspect;
-                m.suspicion =
-                    suspected.then(|| Suspicion { since: now, until: Millis::MAX, accusers: vec![claim.by] });
+                m.suspicion = suspected.then(|| Suspicion {
+                    since: now,
+                    until: Millis::MAX,
+                    accusers: vec![claim.by],
+                });
                 Merged::New { before, life }
             }
         }
@@ -242,8 +265,12 @@
 
     /// Takes what a member is told to act on; whether that is news.
     pub fn acts(&mut self, place: Place, acts: Acts) -> bool {
-        let Some(m) = self.get_mut(place) else { return false };
-        let news = m.acts.is_none_or(|a| (a.life, a.change) < (acts.life, acts.change));
+        let Some(m) = self.get_mut(place) else {
+            return false;
+        };
+        let news = m
+            .acts
+            .is_none_or(|a| (a.life, a.change) < (acts.life, acts.change));
         if news {
             m.acts = Some(acts);
         }
@@ -272,15 +299,24 @@
 
     /// The highest number of a generation that anybody is known to have committed or to act on.
     pub fn highest_generation(&self) -> u64 {
-        self.versions.values().map(|v| v.generation).max().unwrap_or(0).max(self.wanted.number())
+        self.versions
+            .values()
+            .map(|v| v.generation)
+            .max()
+            .unwrap_or(0)
+            .max(self.wanted.number())
     }
 
     /// Members that are there and act on routes with a digest.
     pub fn acting_on(&self, routes: Digest) -> impl Iterator<Item = Place> {
         let acts = move |m: &Member| {
-            m.acts.and_then(|a| self.versions.get(&a.digest)).is_some_and(|v| v.routes == routes)
+            m.acts
+                .and_then(|a| self.versions.get(&a.digest))
+                .is_some_and(|v| v.routes == routes)
         };
-        self.all().filter(move |(_, m)| m.standing == Standing::Alive && acts(m)).map(|(place, _)| place)
+        self.all()
+            .filter(move |(_, m)| m.standing == Standing::Alive && acts(m))
+            .map(|(place, _)| place)
     }
 
     /// The whole version that a digest stands for, where it was told.
@@ -291,7 +327,11 @@
     /// Keeps a whole version. Where there is no room, those go that no member is told to act on.
     pub fn keep(&mut self, version: Version) -> bool {
         if self.versions.len() >= MAX_VERSIONS {
-            let acted: Vec<Digest> = self.members.iter().filter_map(|m| m.acts.map(|a| a.digest)).collect();
+            let acted: Vec<Digest> = self
+                .members
+                .iter()
+                .filter_map(|m| m.acts.map(|a| a.digest))
+                .collect();
             self.versions.retain(|digest, _| acted.contains(digest));
         }
         let room = self.versions.len() < MAX_VERSIONS;
--- a/crates/heathroad-fleet/src/version.rs
+++ b/crates/heathroad-fleet/src/version.rs
@@ -1,5 +1,5 @@
-//! What a proxy acts on, as one value. It spreads as a digest; the value itself is told on request, and always fits one
-//! datagram.
+//! What a proxy acts on, as one value. It spreads as a digest; the value itself is told on request,
+//! and always fits one datagram.
 
 use crate::wire::{Reader, Torn, Writer};
 use serde::{Deserialize, Serialize};
@@ -89,14 +89,17 @@
 }
 
 impl Version {
-    /// Cuts what would not fit a datagram. What is told of such a version says how much was left out.
+    /// Cuts what would not fit a datagram. What is told of such a version says how much was left
+    /// out.
     pub fn bounded(mut self) -> Version {
         while self.build.len() > MAX_BUILD {
             self.build.pop();
         }
         if self.sources.len() > MAX_SOURCES {
             let past = self.sources.len() - MAX_SOURCES;
-            self.further = self.further.saturating_add(u16::try_from(past).unwrap_or(u16::MAX));
+            self.further = self
+                .further
+                .saturating_add(u16::try_from(past).unwrap_or(u16::MAX));
             self.sources.truncate(MAX_SOURCES);
         }
         self
@@ -129,7 +132,9 @@
         if length > MAX_BUILD {
             return Err(Torn);
         }
-        let build = std::str::from_utf8(from.bytes(length)?).map_err(|_| Torn)?.to_string();
+        let build = std::str::from_utf8(from.bytes(length)?)
+            .map_err(|_| Torn)?
+            .to_string();
         let protocols = from.array()?;
         let (settings, generation) = (Digest(from.array()?), from.u64()?);
         let (routes, further) = (Digest(from.array()?), from.u16()?);
@@ -139,8 +144,19 @@
         }
         let mut sources = Vec::with_capacity(count);
         for _ in 0..count {
-            sources.push(Source { source: Digest(from.array()?), seq: from.u64()? });
+            sources.push(Source {
+                source: Digest(from.array()?),
+                seq: from.u64()?,
+            });
         }
-        Ok(Version { build, protocols, settings, generation, routes, sources, further })
+        Ok(Version {
+            build,
+            protocols,
+            settings,
+            generation,
+            routes,
+            sources,
+            further,
+        })
     }
 }
--- a/crates/heathroad-fleet/src/want.rs
+++ b/crates/heathroad-fleet/src/want.rs
@@ -1,5 +1,6 @@
-//! What the fleet wants: the highest generation of routes that was committed at any member. Two texts under one number are a
-//! conflict that has a name and is settled by a higher number alone: who knows of it tells neither on.
+//! What the fleet wants: the highest generation of routes that was committed at any member. Two
+//! texts under one number are a conflict that has a name and is settled by a higher number alone:
+//! who knows of it tells neither on.
 
 use crate::version::Digest;
 use crate::{Millis, Place};
@@ -16,8 +17,8 @@
     pub by: Place,
 }
 
-/// From a time on nobody is to act on a generation below this one. It holds also once a higher one is wanted, which need not be
-/// required of anybody.
+/// From a time on nobody is to act on a generation below this one. It holds also once a higher one
+/// is wanted, which need not be required of anybody.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Required {
     /// The generation's number.
@@ -44,7 +45,8 @@
 
     /// Takes a word on what is required; whether it is news.
     pub fn merge(&mut self, word: Required) -> bool {
-        // What a higher one asks for sooner says nothing beside it; one that has lain in some message is told as a little later.
+        // What a higher one asks for sooner says nothing beside it; one that has lain in some
+        // message is told as a little later.
         let covers = |r: &Required| r.number >= word.number && r.at <= word.at.saturating_add(NEAR);
         if self.0.iter().any(covers) {
             for r in self.0.iter_mut().filter(|r| r.number == word.number) {
@@ -52,7 +54,8 @@
             }
             return false;
         }
-        self.0.retain(|r| r.number > word.number || r.at < word.at && r.number < word.number);
+        self.0
+            .retain(|r| r.number > word.number || r.at < word.at && r.number < word.number);
         self.0.push(word);
         self.0.sort_by_key(|r| r.number);
         if self.0.len() > MAX_REQUIRED {
@@ -84,7 +87,8 @@
     Both(Conflict),
 }
 
-/// A deadline that is sooner by less, in milliseconds, is no news: it has lain in some message for so long.
+/// A deadline that is sooner by less, in milliseconds, is no news: it has lain in some message for
+/// so long.
 const NEAR: Millis = 200;
 
 impl Wanted {
@@ -106,12 +110,16 @@
             }
             return higher;
         }
-        let (mut digests, was): (Vec<Digest>, _) = (self.digests().chain(other.digests()).collect(), *self);
+        let (mut digests, was): (Vec<Digest>, _) =
+            (self.digests().chain(other.digests()).collect(), *self);
         digests.sort_unstable();
         digests.dedup();
         match (self, &digests[..]) {
             (mine, [one, another, ..]) => {
-                *mine = Wanted::Both(Conflict { number: mine.number(), digests: [*one, *another] });
+                *mine = Wanted::Both(Conflict {
+                    number: mine.number(),
+                    digests: [*one, *another],
+                });
                 *mine != was
             }
             _ => false,
--- a/crates/heathroad-fleet/src/wire.rs
+++ b/crates/heathroad-fleet/src/wire.rs
@@ -1,5 +1,6 @@
-//! The form of the fleet's datagrams: at most 256 bytes, big-endian, no padding. `docs/specs/fleet-datagrams.md` is its page.
-//! What can't be read is torn as a whole: nothing of it is used.
+//! The form of the fleet's datagrams: at most 256 bytes, big-endian, no padding.
+//! `docs/specs/fleet-datagrams.md` is its page. What can't be read is torn as a whole: nothing of
+//! it is used.
 
 use crate::Place;
 use crate::table::{Claim, Incarnation, Standing};
@@ -121,7 +122,12 @@
     /// Writes it.
     pub fn write(&self, to: &mut Writer) {
         to.bytes(&MAGIC);
-        to.bytes(&[self.protocol, self.spoken[0], self.spoken[1], self.fleet.len() as u8]);
+        to.bytes(&[
+            self.protocol,
+            self.spoken[0],
+            self.spoken[1],
+            self.fleet.len() as u8,
+        ]);
         to.bytes(&self.fleet);
         to.u16(self.from);
         to.life(self.from_life);
@@ -289,7 +295,12 @@
                 to.u16(c.incarnation.turn);
                 to.u16(c.by);
             }
-            Item::Acts { member, life, change, digest } => {
+            Item::Acts {
+                member,
+                life,
+                change,
+                digest,
+            } => {
                 to.u8(2);
                 to.u16(*member);
                 to.life(*life);
@@ -312,7 +323,11 @@
                 to.bytes(&digest.0);
                 to.u16(*by);
             }
-            Item::Required { number, digest, left } => {
+            Item::Required {
+                number,
+                digest,
+                left,
+            } => {
                 to.u8(7);
                 to.u64(*number);
                 to.bytes(&digest.0);
@@ -331,8 +346,16 @@
             1 => {
                 let member = from.u16()?;
                 let standing = Standing::read(from.u8()?).ok_or(Torn)?;
-                let incarnation = Incarnation { life: from.life()?, turn: from.u16()? };
-                Ok(Item::Claim(Claim { member, standing, incarnation, by: from.u16()? }))
+                let incarnation = Incarnation {
+                    life: from.life()?,
+                    turn: from.u16()?,
+                };
+                Ok(Item::Claim(Claim {
+                    member,
+                    standing,
+                    incarnation,
+                    by: from.u16()?,
+                }))
             }
             2 => Ok(Item::Acts {
                 member: from.u16()?,
@@ -345,11 +368,22 @@
                 let length = usize::from(from.u8()?);
                 Ok(Item::Bytes(from.bytes(length)?.to_vec()))
             }
-            5 => Ok(Item::Want { number: from.u64()?, digest: Digest(from.array()?), by: from.u16()? }),
-            7 => Ok(Item::Required { number: from.u64()?, digest: Digest(from.array()?), left: from.u32()? }),
+            5 => Ok(Item::Want {
+                number: from.u64()?,
+                digest: Digest(from.array()?),
+                by: from.u16()?,
+            }),
+            7 => Ok(Item::Required {
+                number: from.u64()?,
+                digest: Digest(from.array()?),
+                left: from.u32()?,
+            }),
             6 => {
                 let number = from.u64()?;
-                Ok(Item::Conflict { number, digests: [Digest(from.array()?), Digest(from.array()?)] })
+                Ok(Item::Conflict {
+                    number,
+                    digests: [Digest(from.array()?), Digest(from.array()?)],
+                })
             }
             _ => Err(Torn),
         }
@@ -395,10 +429,16 @@
     let kind = match from.u8()? {
         1 => Kind::Ping { nonce: from.u32()? },
         2 => Kind::Ack { nonce: from.u32()? },
-        3 => Kind::Help { nonce: from.u32()?, after: from.u16()? },
+        3 => Kind::Help {
+            nonce: from.u32()?,
+            after: from.u16()?,
+        },
         4 => Kind::Nack { nonce: from.u32()? },
         5 => Kind::Gossip,
-        6 => Kind::Ask { member: from.u16()?, digest: Digest(from.array()?) },
+        6 => Kind::Ask {
+            member: from.u16()?,
+            digest: Digest(from.array()?),
+        },
         7 => Kind::Tell,
         8 => {
             let id = from.u32()?;
@@ -409,10 +449,19 @@
                 4 => Topic::Collected,
                 _ => return Err(Torn),
             };
-            Kind::Fetch { id, topic, key: Digest(from.array()?), at: from.u32()? }
+            Kind::Fetch {
+                id,
+                topic,
+                key: Digest(from.array()?),
+                at: from.u32()?,
+            }
         }
         10 => Kind::Carry,
-        9 => Kind::Part { id: from.u32()?, length: from.u32()?, at: from.u32()? },
+        9 => Kind::Part {
+            id: from.u32()?,
+            length: from.u32()?,
+            at: from.u32()?,
+        },
         _ => return Err(Torn),
     };
     let mut items = Vec::new();
--- a/crates/heathroad-fleet/tests/common/mod.rs
+++ b/crates/heathroad-fleet/tests/common/mod.rs
@@ -19,7 +19,13 @@
 
 pub fn version(generation: u64) -> Version {
     let (build, routes) = ("0.2.0".to_string(), Digest::of(&generation.to_be_bytes()));
-    Version { build, protocols: [1, 1], generation, routes, ..Version::default() }
+    Version {
+        build,
+        protocols: [1, 1],
+        generation,
+        routes,
+        ..Version::default()
+    }
 }
 
 /// What may go wrong with a datagram.
@@ -29,7 +35,8 @@
     pub loss: f64,
     /// Share that comes twice.
     pub twice: f64,
-    /// Longest way, in milliseconds; each takes some time of its own, so that they overtake each other.
+    /// Longest way, in milliseconds; each takes some time of its own, so that they overtake each
+    /// other.
     pub delay: Millis,
     /// Ways on which nothing comes through.
     pub cut: HashSet<(Place, Place)>,
@@ -67,7 +74,10 @@
             now: 0,
             fleets: vec![None; n],
             stalled: vec![0; n],
-            faults: Faults { delay: 12, ..Faults::default() },
+            faults: Faults {
+                delay: 12,
+                ..Faults::default()
+            },
             news: Vec::new(),
             sent: vec![0; n],
             bytes: 0,
@@ -92,7 +102,15 @@
 
     pub fn start_in(&mut self, place: Place, life: u64) {
         let seed = self.rng.u64(..);
-        let mut fleet = Fleet::new(self.now, seal(), place, self.members, life, seed, self.terms.clone());
+        let mut fleet = Fleet::new(
+            self.now,
+            seal(),
+            place,
+            self.members,
+            life,
+            seed,
+            self.terms.clone(),
+        );
         fleet.act_on(version(1));
         self.waiting[usize::from(place)].clear();
         self.fleets[usize::from(place)] = Some(fleet);
@@ -131,7 +149,9 @@
     }
 
     pub fn running(&self) -> Vec<Place> {
-        (0..self.members).filter(|p| self.fleets[usize::from(*p)].is_some()).collect()
+        (0..self.members)
+            .filter(|p| self.fleets[usize::from(*p)].is_some())
+            .collect()
     }
 
     /// Brings a datagram to somebody now.
@@ -144,21 +164,30 @@
     }
 
     fn collect(&mut self, place: Place) {
-        let Some(fleet) = &mut self.fleets[usize::from(place)] else { return };
+        let Some(fleet) = &mut self.fleets[usize::from(place)] else {
+            return;
+        };
         self.dues[usize::from(place)] = fleet.due();
         let (now, sends): (_, Vec<_>) = (self.now, fleet.sends().collect());
-        self.news.extend(fleet.news().map(|news| (now, place, news)));
+        self.news
+            .extend(fleet.news().map(|news| (now, place, news)));
         for send in sends {
             self.sent[usize::from(place)] += 1;
             self.bytes += send.bytes.len() as u64;
             self.longest = self.longest.max(send.bytes.len());
             let copies = 1 + u64::from(self.rng.f64() < self.faults.twice);
             for _ in 0..copies {
-                let lost = self.rng.f64() < self.faults.loss || self.faults.cut.contains(&(place, send.to));
+                let lost = self.rng.f64() < self.faults.loss
+                    || self.faults.cut.contains(&(place, send.to));
                 if !lost {
                     let way = 1 + self.rng.u64(0..self.faults.delay.max(1));
                     self.count += 1;
-                    self.queue.push(Reverse((now + way, self.count, send.to, send.bytes.clone())));
+                    self.queue.push(Reverse((
+                        now + way,
+                        self.count,
+                        send.to,
+                        send.bytes.clone(),
+                    )));
                 }
             }
         }
@@ -177,8 +206,14 @@
                 return Some(self.now);
             }
             self.now += 1;
-            while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= self.now) {
-                let Some(Reverse((_, _, to, bytes))) = self.queue.pop() else { break };
+            while self
+                .queue
+                .peek()
+                .is_some_and(|Reverse((at, ..))| *at <= self.now)
+            {
+                let Some(Reverse((_, _, to, bytes))) = self.queue.pop() else {
+                    break;
+                };
                 if self.stalled[usize::from(to)] > self.now {
                     // The system keeps some for it.
                     let waiting = &mut self.waiting[usize::from(to)];
@@ -208,7 +243,8 @@
         holds(self).then_some(self.now)
     }
 
-    /// Everybody who runs takes exactly those who run for there, with the version that each acts on.
+    /// Everybody who runs takes exactly those who run for there, with the version that each acts
+    /// on.
     pub fn agree(&self) -> bool {
         let running = self.running();
         running.iter().all(|at| {
@@ -229,17 +265,25 @@
 
     /// Members that were taken for gone while they ran.
     pub fn false_deaths(&self) -> usize {
-        self.news.iter().filter(|(_, _, n)| matches!(n, News::Gone { .. })).count()
+        self.news
+            .iter()
+            .filter(|(_, _, n)| matches!(n, News::Gone { .. }))
+            .count()
     }
 }
 
 /// A golden file: what an earlier program wrote.
 pub fn golden(name: &str) -> std::path::PathBuf {
-    std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+    std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name)
 }
 
 /// Holds what is written now against a golden file; a difference prints what is written now.
 pub fn assert_golden(name: &str, actual: &str) {
     let expected = std::fs::read_to_string(golden(name)).unwrap_or_default();
-    assert!(actual == expected, "{name} differs; it is now:\n{actual}<<<");
+    assert!(
+        actual == expected,
+        "{name} differs; it is now:\n{actual}<<<"
+    );
 }
--- a/crates/heathroad-fleet/tests/golden_json.rs
+++ b/crates/heathroad-fleet/tests/golden_json.rs
@@ -23,27 +23,67 @@
         News::Refuted { member: 1 },
         News::Gone { member: 1 },
         News::Left { member: 1 },
-        News::Acts { member: 1, digest: one },
+        News::Acts {
+            member: 1,
+            digest: one,
+        },
         News::Reborn { life: 4 },
         News::Woke { after: 5 },
-        News::Wanted { number: 6, digest: one },
+        News::Wanted {
+            number: 6,
+            digest: one,
+        },
         News::Required { number: 7 },
-        News::Conflict { number: 8, digests: [one, other] },
+        News::Conflict {
+            number: 8,
+            digests: [one, other],
+        },
         News::CutOff,
         News::Heard,
     ] {
         text += &line(&news);
     }
-    for standing in [Standing::Unknown, Standing::Alive, Standing::Suspect, Standing::Left, Standing::Gone] {
+    for standing in [
+        Standing::Unknown,
+        Standing::Alive,
+        Standing::Suspect,
+        Standing::Left,
+        Standing::Gone,
+    ] {
         text += &line(&standing);
     }
     text += &line(&Wanted::Nothing);
-    text += &line(&Wanted::One(Want { number: 9, digest: one, by: 2 }));
-    text += &line(&Wanted::Both(Conflict { number: 10, digests: [one, other] }));
+    text += &line(&Wanted::One(Want {
+        number: 9,
+        digest: one,
+        by: 2,
+    }));
+    text += &line(&Wanted::Both(Conflict {
+        number: 10,
+        digests: [one, other],
+    }));
     let mut required = Requirements::default();
-    assert!(required.merge(Required { number: 11, digest: one, at: 12 }));
+    assert!(required.merge(Required {
+        number: 11,
+        digest: one,
+        at: 12
+    }));
     text += &line(&required);
-    let dropped = Dropped { torn: 1, foreign: 2, protocol: 3, forged: 4, astray: 5, stale: 6, replayed: 7 };
-    text += &line(&Traffic { sent: 1, sent_bytes: 2, heard: 3, held_back: 4, dropped });
+    let dropped = Dropped {
+        torn: 1,
+        foreign: 2,
+        protocol: 3,
+        forged: 4,
+        astray: 5,
+        stale: 6,
+        replayed: 7,
+    };
+    text += &line(&Traffic {
+        sent: 1,
+        sent_bytes: 2,
+        heard: 3,
+        held_back: 4,
+        dropped,
+    });
     common::assert_golden("json.txt", &text);
 }
--- a/crates/heathroad-fleet/tests/golden_record.rs
+++ b/crates/heathroad-fleet/tests/golden_record.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use heathroad_fleet::record::{Act, Acts, Lost, MAX_PAGES, Record, Spell, Told, Trouble, TurnedDown};
+use heathroad_fleet::record::{
+    Act, Acts, Lost, MAX_PAGES, Record, Spell, Told, Trouble, TurnedDown,
+};
 use heathroad_fleet::version::{Digest, Source, Version};
 
 const START: u64 = 1_790_000_000_000;
@@ -18,16 +20,22 @@
         settings: digest(0xaa),
         generation,
         routes: digest(generation as u8),
-        sources: vec![Source { source: digest(0xbb), seq: 41 }],
+        sources: vec![Source {
+            source: digest(0xbb),
+            seq: 41,
+        }],
         further: 2,
     }
 }
 
-/// A record with everything that a record can hold: two lives, a page that was not closed, pages given up.
+/// A record with everything that a record can hold: two lives, a page that was not closed, pages
+/// given up.
 fn record() -> Told {
     let mut first = Record::new(START, START, None);
     for generation in 1..=MAX_PAGES as u64 {
-        first.begin(START + generation, version(generation)).act(Act::Sent, START + generation);
+        first
+            .begin(START + generation, version(generation))
+            .act(Act::Sent, START + generation);
     }
     let mut told = first.told(START + 1000);
     // A short file does: the oldest go, as they do where there is no room.
@@ -49,11 +57,32 @@
         (0..times).for_each(|n| page.act(act, START + 2100 + n));
     }
     second.begin(START + 2500, version(301));
-    second.spell(Spell { trouble: Trouble::CutOff, from: START + 2600, to: Some(START + 2700) });
-    second.spell(Spell { trouble: Trouble::Stalled, from: START + 2710, to: Some(START + 2720) });
-    second.spell(Spell { trouble: Trouble::Fenced, from: START + 2730, to: None });
-    let (at, routes, why) = (START + 2800, digest(0xcc), "pool \"main\": is missing".to_string());
-    second.turn_down(TurnedDown { at, generation: 302, routes, why });
+    second.spell(Spell {
+        trouble: Trouble::CutOff,
+        from: START + 2600,
+        to: Some(START + 2700),
+    });
+    second.spell(Spell {
+        trouble: Trouble::Stalled,
+        from: START + 2710,
+        to: Some(START + 2720),
+    });
+    second.spell(Spell {
+        trouble: Trouble::Fenced,
+        from: START + 2730,
+        to: None,
+    });
+    let (at, routes, why) = (
+        START + 2800,
+        digest(0xcc),
+        "pool \"main\": is missing".to_string(),
+    );
+    second.turn_down(TurnedDown {
+        at,
+        generation: 302,
+        routes,
+        why,
+    });
     second.told(START + 3000)
 }
 
@@ -66,28 +95,60 @@
 
 #[test]
 fn a_record_stored_before_is_read() {
-    let text = std::fs::read_to_string(common::golden("activity_record.json")).expect("it is there");
+    let text =
+        std::fs::read_to_string(common::golden("activity_record.json")).expect("it is there");
     let told: Told = serde_json::from_str(&text).expect("it is read");
     assert_eq!(told, record());
     assert_eq!((told.at, told.since), (START + 3000, START));
-    let lost = Lost { pages: 255, acts: Acts { sent: 255, ..Acts::default() }, until: Some(START + 256) };
+    let lost = Lost {
+        pages: 255,
+        acts: Acts {
+            sent: 255,
+            ..Acts::default()
+        },
+        until: Some(START + 256),
+    };
     assert_eq!(told.lost, lost);
-    let [torn, whole, open] = &told.pages[..] else { panic!("{told:?}") };
-    assert_eq!((torn.torn, torn.life, torn.to, torn.versions), (true, START, Some(START + 1000), 1));
+    let [torn, whole, open] = &told.pages[..] else {
+        panic!("{told:?}")
+    };
+    assert_eq!(
+        (torn.torn, torn.life, torn.to, torn.versions),
+        (true, START, Some(START + 1000), 1)
+    );
     assert_eq!((whole.from, whole.to), (START + 2000, Some(START + 2500)));
-    assert_eq!((whole.first, whole.last), (Some(START + 2100), Some(START + 2108)));
-    let acts = Acts { bound: 9, sent: 8, served: 7, refused: 6, failed: 5, fenced: 4, applied: 3, undone: 2 };
+    assert_eq!(
+        (whole.first, whole.last),
+        (Some(START + 2100), Some(START + 2108))
+    );
+    let acts = Acts {
+        bound: 9,
+        sent: 8,
+        served: 7,
+        refused: 6,
+        failed: 5,
+        fenced: 4,
+        applied: 3,
+        undone: 2,
+    };
     assert_eq!(whole.acts, acts);
-    assert_eq!((open.version.clone(), open.digest, open.to), (version(301), version(301).digest(), None));
+    assert_eq!(
+        (open.version.clone(), open.digest, open.to),
+        (version(301), version(301).digest(), None)
+    );
     let troubles: Vec<Trouble> = told.spells.iter().map(|s| s.trouble).collect();
-    assert_eq!(troubles, [Trouble::CutOff, Trouble::Stalled, Trouble::Fenced]);
+    assert_eq!(
+        troubles,
+        [Trouble::CutOff, Trouble::Stalled, Trouble::Fenced]
+    );
     assert_eq!(told.turned_down[0].why, "pool \"main\": is missing");
 }
 
 /// Records of the first programs, which told neither spells nor what was turned down.
 #[test]
 fn a_record_without_the_later_fields_is_read() {
-    let text = r#"{"at":5,"since":1,"pages":[],"lost":{"pages":0,"acts":{"bound":1},"until":null}}"#;
+    let text =
+        r#"{"at":5,"since":1,"pages":[],"lost":{"pages":0,"acts":{"bound":1},"until":null}}"#;
     let told: Told = serde_json::from_str(text).expect("it is read");
     assert_eq!((told.at, told.since, told.lost.acts.bound), (5, 1, 1));
     assert!(told.pages.is_empty() && told.spells.is_empty() && told.turned_down.is_empty());
--- a/crates/heathroad-fleet/tests/golden_trace.rs
+++ b/crates/heathroad-fleet/tests/golden_trace.rs
@@ -47,7 +47,15 @@
 
     fn start(&mut self, place: Place, life: u64) {
         let seed = self.rng.u64(..);
-        let mut fleet = Fleet::new(self.now, seal(), place, MEMBERS, life, seed, Terms::default());
+        let mut fleet = Fleet::new(
+            self.now,
+            seal(),
+            place,
+            MEMBERS,
+            life,
+            seed,
+            Terms::default(),
+        );
         fleet.act_on(version(1));
         self.fleets[usize::from(place)] = Some(fleet);
     }
@@ -59,7 +67,9 @@
     /// Takes what one member sends and tells.
     fn collect(&mut self, place: Place) {
         let (now, cut) = (self.now, self.cut);
-        let Some(fleet) = self.fleets[usize::from(place)].as_mut() else { return };
+        let Some(fleet) = self.fleets[usize::from(place)].as_mut() else {
+            return;
+        };
         let asked: Vec<_> = fleet.asked().collect();
         for question in asked {
             let there = question.key != Digest::of(b"absent");
@@ -67,20 +77,38 @@
             fleet.serve(now, question, there.then_some(text));
         }
         for news in fleet.news() {
-            let _ = writeln!(self.seen, "{now} {place} {}", serde_json::to_string(&news).expect("plain"));
+            let _ = writeln!(
+                self.seen,
+                "{now} {place} {}",
+                serde_json::to_string(&news).expect("plain")
+            );
         }
         for fetched in fleet.fetched() {
             let text = fetched.text.map(|text| Digest::of(&text));
-            let outcome = text.map_or_else(|_| "not fetched".to_string(), |digest| digest.to_string());
-            let _ = writeln!(self.seen, "{now} {place} {} {} {outcome}", fetched.id, fetched.within);
+            let outcome =
+                text.map_or_else(|_| "not fetched".to_string(), |digest| digest.to_string());
+            let _ = writeln!(
+                self.seen,
+                "{now} {place} {} {} {outcome}",
+                fetched.id, fetched.within
+            );
         }
         for message in fleet.carried() {
-            let _ = writeln!(self.seen, "{now} {place} {} {:?}", message.from, message.bytes);
+            let _ = writeln!(
+                self.seen,
+                "{now} {place} {} {:?}",
+                message.from, message.bytes
+            );
         }
         let sends: Vec<_> = fleet.sends().collect();
         for send in sends {
             self.datagrams += 1;
-            let _ = writeln!(self.seen, "{now} {place} {} {}", send.to, Digest::of(&send.bytes));
+            let _ = writeln!(
+                self.seen,
+                "{now} {place} {} {}",
+                send.to,
+                Digest::of(&send.bytes)
+            );
             let apart = (place < cut) != (send.to < cut);
             let copies = match self.rng.u32(0..100) {
                 0..10 => 0,
@@ -118,7 +146,11 @@
         }
         if now.is_multiple_of(STEP) {
             let digest = Digest::of(std::mem::take(&mut self.seen).as_bytes());
-            let _ = writeln!(self.text, "{now} ms: {} datagrams, {digest}", self.datagrams);
+            let _ = writeln!(
+                self.text,
+                "{now} ms: {} datagrams, {digest}",
+                self.datagrams
+            );
         }
     }
 
@@ -131,7 +163,9 @@
     fn describe(&mut self) {
         for place in 0..MEMBERS {
             let now = self.now;
-            let Some(fleet) = self.fleets[usize::from(place)].as_ref() else { continue };
+            let Some(fleet) = self.fleets[usize::from(place)].as_ref() else {
+                continue;
+            };
             let facts = serde_json::json!({
                 "members": fleet.members(now), "traffic": fleet.traffic(), "doubt": fleet.doubt(),
                 "cut_off": fleet.cut_off(), "silent_ms": fleet.silent_for(now), "confirmed": fleet.confirmed(),
@@ -157,9 +191,15 @@
         t.fleet(place).act_on(version(2 + u64::from(place % 2)));
     }
     t.fleet(0).want(now, 4, Digest::of(b"four"), Some(30_000));
-    t.fleet(1).fetch(now, 2, Topic::Record, Digest::default()).expect("room");
-    t.fleet(1).fetch(now, 3, Topic::Record, Digest::of(b"absent")).expect("room");
-    t.fleet(2).fetch(now, 4, Topic::Routes, Digest::of(b"other")).expect("room");
+    t.fleet(1)
+        .fetch(now, 2, Topic::Record, Digest::default())
+        .expect("room");
+    t.fleet(1)
+        .fetch(now, 3, Topic::Record, Digest::of(b"absent"))
+        .expect("room");
+    t.fleet(2)
+        .fetch(now, 4, Topic::Routes, Digest::of(b"other"))
+        .expect("room");
     t.run_to(20_000);
     let routes = version(2).routes;
     let source = t.fleet(5).source_of(routes);
--- a/crates/heathroad-fleet/tests/histories.rs
+++ b/crates/heathroad-fleet/tests/histories.rs
@@ -1,12 +1,16 @@
-//! Random histories of small fleets, held against the truth: whoever runs is known, whoever does not is not taken for there, as
-//! soon as the faults are over. `FLEET_HISTORIES` asks for more of them, from `FLEET_SEED` on.
+//! Random histories of small fleets, held against the truth: whoever runs is known, whoever does
+//! not is not taken for there, as soon as the faults are over. `FLEET_HISTORIES` asks for more of
+//! them, from `FLEET_SEED` on.
 
 mod common;
 
 use common::{Faults, World, version};
 
 fn number(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(usual)
+    std::env::var(name)
+        .ok()
+        .and_then(|v| v.parse().ok())
+        .unwrap_or(usual)
 }
 
 fn history(seed: u64) {
@@ -21,9 +25,10 @@
             0 if runs => world.kill(who),
             1 if !runs => world.start(who),
             // Its clock was set back, or forward.
-            2 if !runs => {
-                world.start_in(who, common::EPOCH.wrapping_add_signed(rng.i64(-5_000_000..5_000_000)))
-            }
+            2 if !runs => world.start_in(
+                who,
+                common::EPOCH.wrapping_add_signed(rng.i64(-5_000_000..5_000_000)),
+            ),
             3 => world.stall(who, rng.u64(0..30_000)),
             4 => {
                 let one: Vec<u16> = (0..members).filter(|_| rng.bool()).collect();
@@ -45,7 +50,10 @@
         }
         world.run(rng.u64(0..15_000));
     }
-    world.faults = Faults { delay: 12, ..Faults::default() };
+    world.faults = Faults {
+        delay: 12,
+        ..Faults::default()
+    };
     world.stalled.iter_mut().for_each(|s| *s = 0);
     if world.running().len() < 2 {
         world.start(0);
@@ -59,7 +67,10 @@
             println!("{at}: {:#?}", world.fleet(at).members(world.now));
         }
     }
-    assert!(settled.is_some(), "seed {seed}: no agreement after the last fault");
+    assert!(
+        settled.is_some(),
+        "seed {seed}: no agreement after the last fault"
+    );
     assert!(world.longest <= 256, "seed {seed}");
 }
 
--- a/crates/heathroad-fleet/tests/hostile.rs
+++ b/crates/heathroad-fleet/tests/hostile.rs
@@ -18,13 +18,31 @@
 /// Well-formed, for any life, and about somebody's end.
 fn death(seal: &Seal, number: u32) -> Vec<u8> {
     let (fleet, life) = (seal.name().to_vec(), common::EPOCH + 1_000_000);
-    let head =
-        Head { protocol: 1, spoken: SPOKEN, fleet, from: 1, from_life: life, to: 0, to_life: life, number };
+    let head = Head {
+        protocol: 1,
+        spoken: SPOKEN,
+        fleet,
+        from: 1,
+        from_life: life,
+        to: 0,
+        to_life: life,
+        number,
+    };
     let (standing, incarnation) = (Standing::Gone, Incarnation { life, turn: 0 });
-    let claim = Claim { member: 2, standing, incarnation, by: 1 };
+    let claim = Claim {
+        member: 2,
+        standing,
+        incarnation,
+        by: 1,
+    };
     let mut datagram = Writer::default();
     head.write(&mut datagram);
-    wire::write(Kind::Gossip, &[Item::Claim(claim)], MAX_DATAGRAM, &mut datagram);
+    wire::write(
+        Kind::Gossip,
+        &[Item::Claim(claim)],
+        MAX_DATAGRAM,
+        &mut datagram,
+    );
     seal.close(datagram)
 }
 
@@ -34,7 +52,8 @@
     world
 }
 
-/// 10,000 of them: noise, bits turned, cut short, other fleets, other keys, records of earlier ones.
+/// 10,000 of them: noise, bits turned, cut short, other fleets, other keys, records of earlier
+/// ones.
 #[test]
 fn ten_thousand_datagrams_change_nothing() {
     let mut world = quiet_pair();
@@ -71,7 +90,13 @@
         world.bring(0, &bytes);
     }
     assert_eq!(held(&world, 0), before);
-    let Dropped { torn, foreign, forged, replayed, .. } = world.fleet(0).traffic().dropped;
+    let Dropped {
+        torn,
+        foreign,
+        forged,
+        replayed,
+        ..
+    } = world.fleet(0).traffic().dropped;
     assert_eq!(world.fleet(0).traffic().dropped.sum(), dropped + 10_000);
     assert!(torn > 0 && foreign > 1_000 && forged > 1_000 && replayed > 1_000);
 }
@@ -96,7 +121,10 @@
     recorded.iter().for_each(|bytes| world.bring(0, bytes));
     assert!(!recorded.is_empty());
     assert_eq!(held(&world, 0), before);
-    assert_eq!(world.fleet(0).traffic().dropped.stale, recorded.len() as u64);
+    assert_eq!(
+        world.fleet(0).traffic().dropped.stale,
+        recorded.len() as u64
+    );
 }
 
 #[test]
--- a/crates/heathroad-fleet/tests/membership.rs
+++ b/crates/heathroad-fleet/tests/membership.rs
@@ -24,10 +24,18 @@
         let end = world.now + LONG;
         let known = |w: &World| {
             let table = w.fleet(0).table();
-            let acts = table.get(1).and_then(|m| m.acts).expect("it acts on something");
-            w.agree() && table.version(acts.digest).is_some_and(|v| v.generation == 7)
+            let acts = table
+                .get(1)
+                .and_then(|m| m.acts)
+                .expect("it acts on something");
+            w.agree()
+                && table
+                    .version(acts.digest)
+                    .is_some_and(|v| v.generation == 7)
         };
-        world.run_until(end, known).expect("the digest and then the whole version are heard");
+        world
+            .run_until(end, known)
+            .expect("the digest and then the whole version are heard");
         assert_eq!(world.false_deaths(), 0);
     }
 }
@@ -39,9 +47,16 @@
         world.faults.loss = loss;
         world.kill(5);
         let end = world.now + LONG;
-        let gone = |w: &World| w.running().iter().all(|at| w.standing(5, *at) == Standing::Gone);
+        let gone = |w: &World| {
+            w.running()
+                .iter()
+                .all(|at| w.standing(5, *at) == Standing::Gone)
+        };
         world.run_until(end, gone).expect("it is gone for all");
-        let others = world.news.iter().filter(|(_, _, n)| matches!(n, News::Gone { member } if *member != 5));
+        let others = world
+            .news
+            .iter()
+            .filter(|(_, _, n)| matches!(n, News::Gone { member } if *member != 5));
         assert_eq!(others.count(), 0, "loss {loss}");
     }
 }
@@ -53,10 +68,17 @@
         let mut world = settled(6, seed);
         world.stall(2, 1800);
         world.run(10_000);
-        let woke = world.news.iter().any(|(_, at, n)| *at == 2 && matches!(n, News::Woke { .. }));
+        let woke = world
+            .news
+            .iter()
+            .any(|(_, at, n)| *at == 2 && matches!(n, News::Woke { .. }));
         assert!(woke, "seed {seed}");
         let accused = |n: &News| matches!(n, News::Suspected { by: 2, .. } | News::Gone { .. });
-        assert!(!world.news.iter().any(|(_, _, n)| accused(n)), "seed {seed}: {:?}", world.news);
+        assert!(
+            !world.news.iter().any(|(_, _, n)| accused(n)),
+            "seed {seed}: {:?}",
+            world.news
+        );
     }
 }
 
@@ -68,7 +90,10 @@
     world.fleet_mut(1).act_on(version(7));
     world.kill(5);
     world.run(60_000);
-    let woke = world.news.iter().filter(|(_, _, n)| matches!(n, News::Woke { .. }));
+    let woke = world
+        .news
+        .iter()
+        .filter(|(_, _, n)| matches!(n, News::Woke { .. }));
     assert_eq!(woke.count(), 0);
 }
 
@@ -81,9 +106,16 @@
     world.run(39_000);
     assert_eq!(world.standing(2, 0), Standing::Gone);
     let end = world.now + LONG;
-    world.run_until(end, World::agree).expect("it is back for all");
+    world
+        .run_until(end, World::agree)
+        .expect("it is back for all");
     assert!(world.fleet(2).incarnation().life > life);
-    assert!(world.news.iter().any(|(_, at, n)| *at == 2 && matches!(n, News::Reborn { .. })));
+    assert!(
+        world
+            .news
+            .iter()
+            .any(|(_, at, n)| *at == 2 && matches!(n, News::Reborn { .. }))
+    );
 }
 
 /// Who hears nobody accuses nobody, and knows that it is cut off.
@@ -91,18 +123,27 @@
 fn one_way_cut() {
     let mut world = settled(6, 5);
     // Nothing comes to member 3; what it sends is heard.
-    world.faults.cut.extend((0..6).filter(|p| *p != 3).map(|p| (p, 3)));
+    world
+        .faults
+        .cut
+        .extend((0..6).filter(|p| *p != 3).map(|p| (p, 3)));
     world.run(6_000);
     assert!(world.fleet(3).cut_off(), "it knows within some periods");
     world.run(54_000);
     assert!(world.fleet(3).cut_off());
     let by_it = |n: &News| matches!(n, News::Suspected { by: 3, .. });
-    assert!(!world.news.iter().any(|(_, _, n)| by_it(n)), "{:?}", world.news);
+    assert!(
+        !world.news.iter().any(|(_, _, n)| by_it(n)),
+        "{:?}",
+        world.news
+    );
     let gone = |n: &News| matches!(n, News::Gone { member } if *member != 3);
     assert!(!world.news.iter().any(|(_, _, n)| gone(n)));
     world.faults.cut.clear();
     let end = world.now + LONG;
-    world.run_until(end, World::agree).expect("it is among the others again");
+    world
+        .run_until(end, World::agree)
+        .expect("it is among the others again");
 }
 
 #[test]
@@ -112,12 +153,20 @@
     world.run(60_000);
     let across = |(a, b): (u16, u16)| [world.standing(a, b), world.standing(b, a)];
     let pairs = (0..4).flat_map(|a| (4..8).map(move |b| (a, b)));
-    assert!(pairs.flat_map(across).all(|s| s == Standing::Gone), "nobody is asked but by a knock");
-    assert_eq!((world.standing(2, 0), world.standing(4, 6)), (Standing::Alive, Standing::Alive));
+    assert!(
+        pairs.flat_map(across).all(|s| s == Standing::Gone),
+        "nobody is asked but by a knock"
+    );
+    assert_eq!(
+        (world.standing(2, 0), world.standing(4, 6)),
+        (Standing::Alive, Standing::Alive)
+    );
     world.fleet_mut(6).act_on(version(9));
     world.faults.cut.clear();
     let end = world.now + LONG;
-    world.run_until(end, World::agree).expect("all know all again");
+    world
+        .run_until(end, World::agree)
+        .expect("all know all again");
 }
 
 /// A clock that an hour was taken from: the new life would be an older one.
@@ -128,7 +177,9 @@
     world.run(500);
     world.start_in(2, EPOCH - 3_600_000);
     let end = world.now + LONG;
-    world.run_until(end, World::agree).expect("it is known in a life above its former one");
+    world
+        .run_until(end, World::agree)
+        .expect("it is known in a life above its former one");
     assert!(world.fleet(2).incarnation().life > EPOCH);
 }
 
@@ -150,7 +201,11 @@
         for s in old {
             let heard = world.fleet(s.to).traffic().heard;
             world.bring(s.to, &s.bytes);
-            assert_eq!(world.fleet(s.to).traffic().heard, heard, "nothing of it is used");
+            assert_eq!(
+                world.fleet(s.to).traffic().heard,
+                heard,
+                "nothing of it is used"
+            );
         }
         world.run(500);
     }
@@ -170,11 +225,18 @@
     last.iter().for_each(|s| world.bring(s.to, &s.bytes));
     world.kill(3);
     let end = world.now + 5_000;
-    let left = |w: &World| w.running().iter().all(|at| w.standing(3, *at) == Standing::Left);
-    world.run_until(end, left).expect("sooner than any suspicion");
+    let left = |w: &World| {
+        w.running()
+            .iter()
+            .all(|at| w.standing(3, *at) == Standing::Left)
+    };
+    world
+        .run_until(end, left)
+        .expect("sooner than any suspicion");
 }
 
-/// Half of a fleet that comes back at once asks nobody in particular, and nobody sends more than it may.
+/// Half of a fleet that comes back at once asks nobody in particular, and nobody sends more than it
+/// may.
 #[test]
 fn half_of_a_fleet_killed_and_back_together() {
     let mut world = settled(100, 10);
@@ -184,19 +246,31 @@
     let (heard, begun) = (|w: &World, p| w.fleet(p).traffic().heard, world.now);
     let before: Vec<u64> = (0..100).map(|p| heard(&world, p)).collect();
     world.run(2_000);
-    let most = (0..100).map(|p| heard(&world, p) - before[usize::from(p)]).max().expect("some");
+    let most = (0..100)
+        .map(|p| heard(&world, p) - before[usize::from(p)])
+        .max()
+        .expect("some");
     assert!(most < 200, "{most} in two seconds");
-    world.run_until(begun + LONG, World::agree).expect("all know all");
+    world
+        .run_until(begun + LONG, World::agree)
+        .expect("all know all");
 }
 
-/// However large a fleet is, a member sends no more than its bound a second, and no datagram is longer than may be.
+/// However large a fleet is, a member sends no more than its bound a second, and no datagram is
+/// longer than may be.
 #[test]
 fn three_hundred_members() {
     let mut world = World::new(300, 11);
     world.run_until(LONG, World::agree).expect("all know all");
     let (quiet, bytes, begun) = (world.sent.clone(), world.bytes, world.now);
     world.run(10_000);
-    let most = world.sent.iter().zip(&quiet).map(|(a, b)| a - b).max().expect("some");
+    let most = world
+        .sent
+        .iter()
+        .zip(&quiet)
+        .map(|(a, b)| a - b)
+        .max()
+        .expect("some");
     println!("all known after {begun} ms; then at most {most} datagrams a member in 10 s");
     println!("{} bytes a member and second", (world.bytes - bytes) / 3000);
     assert!(most <= 10 * 41);
@@ -204,9 +278,16 @@
     world.kill(17);
     world.fleet_mut(3).act_on(version(5));
     let end = world.now + LONG;
-    world.run_until(end, World::agree).expect("a death and a version are known to all");
+    world
+        .run_until(end, World::agree)
+        .expect("a death and a version are known to all");
     assert_eq!(
-        world.fleet(9).table().get(3).and_then(|m| m.acts).map(|a| a.digest),
+        world
+            .fleet(9)
+            .table()
+            .get(3)
+            .and_then(|m| m.acts)
+            .map(|a| a.digest),
         Some(version(5).digest())
     );
     assert_ne!(version(5).digest(), Digest::default());
--- a/crates/heathroad-fleet/tests/merge.rs
+++ b/crates/heathroad-fleet/tests/merge.rs
@@ -5,16 +5,22 @@
 use stateright::{Checker, Model, Property};
 
 fn standing() -> impl Strategy<Value = Standing> {
-    prop::sample::select(vec![Standing::Alive, Standing::Suspect, Standing::Left, Standing::Gone])
+    prop::sample::select(vec![
+        Standing::Alive,
+        Standing::Suspect,
+        Standing::Left,
+        Standing::Gone,
+    ])
 }
 
 fn claims() -> impl Strategy<Value = Vec<Claim>> {
-    let claim = (standing(), 1..4_u64, 0..4_u16, 0..5_u16).prop_map(|(standing, life, turn, by)| Claim {
-        member: 0,
-        standing,
-        incarnation: Incarnation { life, turn },
-        by,
-    });
+    let claim =
+        (standing(), 1..4_u64, 0..4_u16, 0..5_u16).prop_map(|(standing, life, turn, by)| Claim {
+            member: 0,
+            standing,
+            incarnation: Incarnation { life, turn },
+            by,
+        });
     prop::collection::vec(claim, 1..12)
 }
 
@@ -37,11 +43,16 @@
     }
 }
 
-/// Whatever a member said before its end, and however late that comes: nobody is back in the same life.
+/// Whatever a member said before its end, and however late that comes: nobody is back in the same
+/// life.
 #[test]
 fn an_end_holds_in_its_life() {
-    let claim =
-        |standing, life, turn| Claim { member: 0, standing, incarnation: Incarnation { life, turn }, by: 1 };
+    let claim = |standing, life, turn| Claim {
+        member: 0,
+        standing,
+        incarnation: Incarnation { life, turn },
+        by: 1,
+    };
     for end in [Standing::Left, Standing::Gone] {
         let words = [claim(end, 1, 0), claim(Standing::Alive, 1, 9)];
         assert_eq!(after(&words), claim(end, 1, 0).weight());
@@ -50,8 +61,8 @@
     }
 }
 
-/// A member in three lives, its accuser and its judge, and a listener who hears their words in any order, some twice and some
-/// never.
+/// A member in three lives, its accuser and its judge, and a listener who hears their words in any
+/// order, some twice and some never.
 struct Words;
 
 /// What was said so far, the member's own incarnation, what each of two listeners has heard.
@@ -87,8 +98,18 @@
 
     fn init_states(&self) -> Vec<Said> {
         let me = Incarnation { life: 1, turn: 0 };
-        let alive = Claim { member: 0, standing: Standing::Alive, incarnation: me, by: 0 };
-        vec![Said { me, over: false, said: vec![alive], heard: [Vec::new(), Vec::new()] }]
+        let alive = Claim {
+            member: 0,
+            standing: Standing::Alive,
+            incarnation: me,
+            by: 0,
+        };
+        vec![Said {
+            me,
+            over: false,
+            said: vec![alive],
+            heard: [Vec::new(), Vec::new()],
+        }]
     }
 
     fn actions(&self, state: &Said, steps: &mut Vec<Step>) {
@@ -112,7 +133,12 @@
     fn next_state(&self, last: &Said, step: Step) -> Option<Said> {
         let mut state = last.clone();
         let mut say = |standing, incarnation| {
-            state.said.push(Claim { member: 0, standing, incarnation, by: 1 });
+            state.said.push(Claim {
+                member: 0,
+                standing,
+                incarnation,
+                by: 1,
+            });
         };
         match step {
             Step::Accuse => say(Standing::Suspect, last.me),
@@ -121,12 +147,18 @@
                 state.over = true;
             }
             Step::Refute => {
-                let me = Incarnation { turn: last.me.turn + 1, ..last.me };
+                let me = Incarnation {
+                    turn: last.me.turn + 1,
+                    ..last.me
+                };
                 say(Standing::Alive, me);
                 state.me = me;
             }
             Step::Return => {
-                let me = Incarnation { life: last.me.life + 1, turn: 0 };
+                let me = Incarnation {
+                    life: last.me.life + 1,
+                    turn: 0,
+                };
                 say(Standing::Alive, me);
                 (state.me, state.over) = (me, false);
             }
@@ -153,9 +185,12 @@
                 let last = s.said.last().map(Claim::weight);
                 (0..2).all(|who| s.heard[who].len() < s.said.len() || Words::stands(s, who) == last)
             }),
-            Property::sometimes("a member is back in a second life, and known", |_, s: &Said| {
-                Words::stands(s, 0).is_some_and(|(life, ended, ..)| life == 2 && ended == 0)
-            }),
+            Property::sometimes(
+                "a member is back in a second life, and known",
+                |_, s: &Said| {
+                    Words::stands(s, 0).is_some_and(|(life, ended, ..)| life == 2 && ended == 0)
+                },
+            ),
         ]
     }
 }
--- a/crates/heathroad-fleet/tests/record.rs
+++ b/crates/heathroad-fleet/tests/record.rs
@@ -9,7 +9,13 @@
 use std::rc::Rc;
 
 fn listed(generation: u64, seq: u64) -> Version {
-    Version { sources: vec![Source { source: Digest::of(b"registry"), seq }], ..version(generation) }
+    Version {
+        sources: vec![Source {
+            source: Digest::of(b"registry"),
+            seq,
+        }],
+        ..version(generation)
+    }
 }
 
 fn sum(told: &Told) -> u64 {
@@ -26,16 +32,33 @@
     second.act(Act::Bound, 260);
     first.act(Act::Served, 300);
     let told = record.told(400);
-    let [one, two] = &told.pages[..] else { panic!("{told:?}") };
-    assert_eq!((one.from, one.to, one.first, one.last), (100, Some(200), Some(110), Some(300)));
-    assert_eq!(one.acts, Acts { bound: 1, sent: 1, served: 1, ..Acts::default() });
-    assert_eq!((two.from, two.to, two.acts.bound, two.life), (200, None, 1, 7));
+    let [one, two] = &told.pages[..] else {
+        panic!("{told:?}")
+    };
+    assert_eq!(
+        (one.from, one.to, one.first, one.last),
+        (100, Some(200), Some(110), Some(300))
+    );
+    assert_eq!(
+        one.acts,
+        Acts {
+            bound: 1,
+            sent: 1,
+            served: 1,
+            ..Acts::default()
+        }
+    );
+    assert_eq!(
+        (two.from, two.to, two.acts.bound, two.life),
+        (200, None, 1, 7)
+    );
     // The same again begins no page; going back to the first does.
     assert!(Rc::ptr_eq(&record.begin(450, version(2)), &second));
     assert!(!Rc::ptr_eq(&record.begin(500, version(1)), &first));
 }
 
-/// Pages past the most that differ in their lists alone become one, which goes on taking the acts of both.
+/// Pages past the most that differ in their lists alone become one, which goes on taking the acts
+/// of both.
 #[test]
 fn a_full_record_joins_what_differs_in_lists_alone() {
     let mut record = Record::new(0, 1, None);
@@ -49,15 +72,25 @@
     assert_eq!((told.lost.pages, sum(&told)), (0, 1000));
     assert_eq!(told.pages.iter().map(|p| p.versions).sum::<u64>(), 1000);
     assert_eq!(told.pages[0].from, 0);
-    let ends: Vec<_> = told.pages.windows(2).map(|w| (w[0].to, w[1].from)).collect();
-    assert!(ends.iter().all(|(to, from)| *to == Some(*from)), "no interval is lost: {ends:?}");
+    let ends: Vec<_> = told
+        .pages
+        .windows(2)
+        .map(|w| (w[0].to, w[1].from))
+        .collect();
+    assert!(
+        ends.iter().all(|(to, from)| *to == Some(*from)),
+        "no interval is lost: {ends:?}"
+    );
 }
 
-/// Where nothing can be joined the oldest is given up, and what it held is told as lost; late acts too.
+/// Where nothing can be joined the oldest is given up, and what it held is told as lost; late acts
+/// too.
 #[test]
 fn a_full_record_says_what_it_has_lost() {
     let mut record = Record::new(0, 1, None);
-    let pages: Vec<_> = (0..MAX_PAGES as u64 + 10).map(|n| record.begin(n, version(n))).collect();
+    let pages: Vec<_> = (0..MAX_PAGES as u64 + 10)
+        .map(|n| record.begin(n, version(n)))
+        .collect();
     pages.iter().for_each(|p| p.act(Act::Refused, 5000));
     let told = record.told(5000);
     assert_eq!((told.pages.len(), told.lost.pages), (MAX_PAGES, 10));
@@ -65,18 +98,25 @@
     assert_eq!(sum(&told), MAX_PAGES as u64 + 10);
 }
 
-/// A process that was killed has closed no page: what it did after it wrote last is on no record, and that is said.
+/// A process that was killed has closed no page: what it did after it wrote last is on no record,
+/// and that is said.
 #[test]
 fn a_restart_says_where_the_record_is_torn() {
     let mut record = Record::new(100, 7, None);
     record.begin(100, version(1)).act(Act::Sent, 120);
     let kept: Told =
-        serde_json::from_str(&serde_json::to_string(&record.told(500)).expect("plain")).expect("same");
+        serde_json::from_str(&serde_json::to_string(&record.told(500)).expect("plain"))
+            .expect("same");
     let mut next = Record::new(900, 8, Some(kept));
     next.begin(900, version(1));
     let told = next.told(1000);
-    let [one, two] = &told.pages[..] else { panic!("{told:?}") };
-    assert_eq!((one.life, one.to, one.torn, one.acts.sent), (7, Some(500), true, 1));
+    let [one, two] = &told.pages[..] else {
+        panic!("{told:?}")
+    };
+    assert_eq!(
+        (one.life, one.to, one.torn, one.acts.sent),
+        (7, Some(500), true, 1)
+    );
     assert_eq!((two.life, two.from, two.torn), (8, 900, false));
     assert_eq!(told.since, 100);
     // One that was stopped as planned had closed it.
@@ -87,7 +127,8 @@
 }
 
 proptest! {
-    /// Whatever versions come and whenever acts are done, none is unaccounted for, and pages lie in order.
+    /// Whatever versions come and whenever acts are done, none is unaccounted for, and pages lie in
+    /// order.
     #[test]
     fn no_act_is_unaccounted_for(steps in prop::collection::vec((0..6_u64, 0..40_u64, 0..8_usize), 1..900)) {
         let mut record = Record::new(0, 1, None);
--- a/crates/heathroad-fleet/tests/texts.rs
+++ b/crates/heathroad-fleet/tests/texts.rs
@@ -8,16 +8,26 @@
 use heathroad_fleet::wire::Topic;
 
 /// Lets 0 fetch from 1, which has `text`.
-fn fetch(world: &mut World, topic: Topic, key: Digest, text: Option<Vec<u8>>) -> Result<Vec<u8>, Unfetched> {
+fn fetch(
+    world: &mut World,
+    topic: Topic,
+    key: Digest,
+    text: Option<Vec<u8>>,
+) -> Result<Vec<u8>, Unfetched> {
     let now = world.now;
-    let id = world.fleet_mut(0).fetch(now, 1, topic, key).expect("there is room");
+    let id = world
+        .fleet_mut(0)
+        .fetch(now, 1, topic, key)
+        .expect("there is room");
     let begun = now;
     for _ in 0..200_000 {
         world.run(1);
         let now = world.now;
         if world.running().contains(&1) {
             let asked: Vec<_> = world.fleet_mut(1).asked().collect();
-            asked.into_iter().for_each(|a| world.fleet_mut(1).serve(now, a, text.clone()));
+            asked
+                .into_iter()
+                .for_each(|a| world.fleet_mut(1).serve(now, a, text.clone()));
         }
         let done: Vec<_> = world.fleet_mut(0).fetched().collect();
         if let Some(fetched) = done.into_iter().next() {
@@ -42,7 +52,12 @@
         for length in [0, 1, PART, PART + 1, 40_000] {
             let text: Vec<u8> = (0..length).map(|n| (n * 7 % 251) as u8).collect();
             let mut world = pair(loss);
-            let came = fetch(&mut world, Topic::Routes, Digest::of(&text), Some(text.clone()));
+            let came = fetch(
+                &mut world,
+                Topic::Routes,
+                Digest::of(&text),
+                Some(text.clone()),
+            );
             assert_eq!(came.as_ref(), Ok(&text), "{length} bytes, loss {loss}");
         }
     }
@@ -52,15 +67,29 @@
 fn what_is_not_there_or_not_what_it_should_be() {
     let mut world = pair(0.0);
     let text = vec![1; 1000];
-    assert_eq!(fetch(&mut world, Topic::Record, Digest::default(), None), Err(Unfetched::NotThere));
+    assert_eq!(
+        fetch(&mut world, Topic::Record, Digest::default(), None),
+        Err(Unfetched::NotThere)
+    );
     let other = Digest::of(b"another text");
-    assert_eq!(fetch(&mut world, Topic::Routes, other, Some(text.clone())), Err(Unfetched::Spoilt));
     assert_eq!(
-        fetch(&mut world, Topic::Record, other, Some(vec![0; MAX_TEXT + 1])),
+        fetch(&mut world, Topic::Routes, other, Some(text.clone())),
+        Err(Unfetched::Spoilt)
+    );
+    assert_eq!(
+        fetch(
+            &mut world,
+            Topic::Record,
+            other,
+            Some(vec![0; MAX_TEXT + 1])
+        ),
         Err(Unfetched::NotThere)
     );
     world.faults.loss = 1.0;
-    assert_eq!(fetch(&mut world, Topic::Record, other, Some(text)), Err(Unfetched::Silence));
+    assert_eq!(
+        fetch(&mut world, Topic::Record, other, Some(text)),
+        Err(Unfetched::Silence)
+    );
 }
 
 /// The one that has a text dies while it is fetched: that is told, and soon.
@@ -68,15 +97,23 @@
 fn a_source_that_dies_on_the_way() {
     let mut world = pair(0.0);
     let (now, text) = (world.now, vec![1; 60_000]);
-    let id = world.fleet_mut(0).fetch(now, 1, Topic::Record, Digest::default()).expect("there is room");
+    let id = world
+        .fleet_mut(0)
+        .fetch(now, 1, Topic::Record, Digest::default())
+        .expect("there is room");
     for _ in 0..50 {
         world.run(1);
         let now = world.now;
         let asked: Vec<_> = world.fleet_mut(1).asked().collect();
-        asked.into_iter().for_each(|a| world.fleet_mut(1).serve(now, a, Some(text.clone())));
+        asked
+            .into_iter()
+            .for_each(|a| world.fleet_mut(1).serve(now, a, Some(text.clone())));
     }
     world.kill(1);
     world.run(4_000);
     let done: Vec<_> = world.fleet_mut(0).fetched().collect();
-    assert_eq!(done.iter().map(|f| (f.id, &f.text)).collect::<Vec<_>>(), [(id, &Err(Unfetched::Silence))]);
+    assert_eq!(
+        done.iter().map(|f| (f.id, &f.text)).collect::<Vec<_>>(),
+        [(id, &Err(Unfetched::Silence))]
+    );
 }
--- a/crates/heathroad-fleet/tests/want.rs
+++ b/crates/heathroad-fleet/tests/want.rs
@@ -8,7 +8,11 @@
 use proptest::prelude::*;
 
 fn want(number: u64, text: &str) -> Wanted {
-    Wanted::One(Want { number, digest: Digest::of(text.as_bytes()), by: 0 })
+    Wanted::One(Want {
+        number,
+        digest: Digest::of(text.as_bytes()),
+        by: 0,
+    })
 }
 
 fn after(words: &[Wanted]) -> Wanted {
@@ -26,13 +30,22 @@
 
 fn required() -> impl Strategy<Value = Vec<Required>> {
     let digest = Digest::default();
-    let one = (1..6_u64, 0..6_u64).prop_map(move |(number, at)| Required { number, digest, at: at * 1000 });
+    let one = (1..6_u64, 0..6_u64).prop_map(move |(number, at)| Required {
+        number,
+        digest,
+        at: at * 1000,
+    });
     prop::collection::vec(one, 1..8)
 }
 
 /// The lowest generation that may be acted on at a time.
 fn least(words: &[Required], at: u64) -> u64 {
-    words.iter().filter(|r| r.at <= at).map(|r| r.number).max().unwrap_or(0)
+    words
+        .iter()
+        .filter(|r| r.at <= at)
+        .map(|r| r.number)
+        .max()
+        .unwrap_or(0)
 }
 
 proptest! {
@@ -43,7 +56,8 @@
         prop_assert_eq!(after(&words), after(&other));
     }
 
-    /// What is kept asks for no less than all that was said, but for what was given up for want of room; and never for more.
+    /// What is kept asks for no less than all that was said, but for what was given up for want of
+    /// room; and never for more.
     #[test]
     fn what_is_required_is_kept(words in required()) {
         let (mut kept, mut given_up) = (Requirements::default(), Vec::new());
@@ -70,19 +84,25 @@
 
 #[test]
 fn the_highest_number_stands() {
-    assert_eq!(after(&[want(1, "a"), want(2, "b"), want(1, "c")]), want(2, "b"));
+    assert_eq!(
+        after(&[want(1, "a"), want(2, "b"), want(1, "c")]),
+        want(2, "b")
+    );
     let Wanted::Both(Conflict { number: 2, .. }) = after(&[want(2, "b"), want(2, "c")]) else {
         panic!("two texts under one number")
     };
-    assert_eq!(after(&[want(2, "b"), want(2, "c"), want(3, "d")]), want(3, "d"));
+    assert_eq!(
+        after(&[want(2, "b"), want(2, "c"), want(3, "d")]),
+        want(3, "d")
+    );
 }
 
 fn wants(world: &World, at: u16) -> Wanted {
     world.fleet(at).table().wanted()
 }
 
-/// Deadlines are told as what is left of them: clocks that are far apart, and hops, move them by the ways' delay alone. They hold
-/// on when a higher generation is wanted that is not required.
+/// Deadlines are told as what is left of them: clocks that are far apart, and hops, move them by
+/// the ways' delay alone. They hold on when a higher generation is wanted that is not required.
 #[test]
 fn a_deadline_is_the_same_for_all_and_stays() {
     let mut world = World::new(24, 3);
@@ -95,15 +115,25 @@
     world.run(5_000);
     for at in 0..24 {
         assert_eq!(wants(&world, at).number(), 8);
-        let [Required { number: 7, at: required, .. }] = world.fleet(at).table().required().all() else {
+        let [
+            Required {
+                number: 7,
+                at: required,
+                ..
+            },
+        ] = world.fleet(at).table().required().all()
+        else {
             panic!("{at}: {:?}", world.fleet(at).table().required())
         };
-        assert!((now + 30_000..now + 31_000).contains(required), "{at}: {required}");
+        assert!(
+            (now + 30_000..now + 31_000).contains(required),
+            "{at}: {required}"
+        );
     }
 }
 
-/// Two changes under one number on both sides of a cut: healed, all know of the conflict and nobody spreads either; a higher
-/// number settles it.
+/// Two changes under one number on both sides of a cut: healed, all know of the conflict and nobody
+/// spreads either; a higher number settles it.
 #[test]
 fn two_changes_under_one_number() {
     let mut world = World::new(8, 4);
@@ -120,9 +150,13 @@
     world.faults.cut.clear();
     let end = world.now + 60_000;
     let known = |w: &World| (0..8).all(|at| matches!(wants(w, at), Wanted::Both(_)));
-    world.run_until(end, known).expect("the conflict is known to all");
+    world
+        .run_until(end, known)
+        .expect("the conflict is known to all");
     let now = world.now;
     world.fleet_mut(2).want(now, 6, Digest::of(b"third"), None);
     let end = world.now + 60_000;
-    world.run_until(end, |w| (0..8).all(|at| wants(w, at).number() == 6)).expect("it is settled");
+    world
+        .run_until(end, |w| (0..8).all(|at| wants(w, at).number() == 6))
+        .expect("it is settled");
 }
--- a/crates/heathroad-jsonrpc/src/framing.rs
+++ b/crates/heathroad-jsonrpc/src/framing.rs
@@ -9,10 +9,11 @@
     /// One text a line, which ends with a line feed. Empty lines say nothing.
     #[default]
     Lines,
-    /// Each text has a head as HTTP messages do, with `Content-Length` in bytes (as the Language Server Protocol's base
-    /// protocol has it).
+    /// Each text has a head as HTTP messages do, with `Content-Length` in bytes (as the Language
+    /// Server Protocol's base protocol has it).
     Headers,
-    /// Texts follow each other with white space between them or nothing: an object or array ends with its bracket.
+    /// Texts follow each other with white space between them or nothing: an object or array ends
+    /// with its bracket.
     RunOn,
 }
 
@@ -29,7 +30,11 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { text: 1 << 20, depth: 128, batch: 10_000 }
+        Limits {
+            text: 1 << 20,
+            depth: 128,
+            batch: 10_000,
+        }
     }
 }
 
@@ -170,8 +175,9 @@
         self.buffer.advance(blanks);
     }
 
-    /// Looks at the next byte; true where the outermost bracket closes. Depth is looked at on the way, so that nobody has
-    /// to look again. (What opens nothing closes nothing: whether it is a text at all the parser says.)
+    /// Looks at the next byte; true where the outermost bracket closes. Depth is looked at on the
+    /// way, so that nobody has to look again. (What opens nothing closes nothing: whether it is a
+    /// text at all the parser says.)
     fn look(&mut self, byte: u8) -> Result<bool, Broken> {
         let ends = self.scan.look(byte);
         self.seen += 1;
@@ -214,7 +220,11 @@
             } else if BOM.starts_with(&self.buffer) {
                 return Ok(None);
             }
-            if self.buffer.first().is_some_and(|b| !matches!(b, b'{' | b'[')) {
+            if self
+                .buffer
+                .first()
+                .is_some_and(|b| !matches!(b, b'{' | b'['))
+            {
                 return Err(Broken::NoText);
             }
         }
@@ -263,7 +273,9 @@
     fn head_end(&mut self) -> Option<usize> {
         while let Some(at) = self.buffer[self.seen..].iter().position(|b| *b == b'\n') {
             let at = self.seen + at;
-            let line = self.buffer[..at].strip_suffix(b"\r").unwrap_or(&self.buffer[..at]);
+            let line = self.buffer[..at]
+                .strip_suffix(b"\r")
+                .unwrap_or(&self.buffer[..at]);
             if line.is_empty() || line.ends_with(b"\n") {
                 return Some(at + 1);
             }
@@ -276,18 +288,29 @@
     }
 }
 
-/// The one length that a head tells. Two are wrong, even alike: who reads the other would cut elsewhere.
+/// The one length that a head tells. Two are wrong, even alike: who reads the other would cut
+/// elsewhere.
 fn content_length(head: &[u8]) -> Result<usize, Broken> {
     let mut length = None;
-    for line in head.split(|b| *b == b'\n').map(|l| l.strip_suffix(b"\r").unwrap_or(l)) {
+    for line in head
+        .split(|b| *b == b'\n')
+        .map(|l| l.strip_suffix(b"\r").unwrap_or(l))
+    {
         if line.is_empty() {
             continue;
         }
-        let colon = line.iter().position(|b| *b == b':').ok_or(Broken::Head("`Name: value` lines"))?;
+        let colon = line
+            .iter()
+            .position(|b| *b == b':')
+            .ok_or(Broken::Head("`Name: value` lines"))?;
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         if name.eq_ignore_ascii_case(b"content-length") {
-            let digits = !value.is_empty() && value.len() <= 18 && value.iter().all(u8::is_ascii_digit);
-            let told = std::str::from_utf8(value).ok().filter(|_| digits).and_then(|v| v.parse().ok());
+            let digits =
+                !value.is_empty() && value.len() <= 18 && value.iter().all(u8::is_ascii_digit);
+            let told = std::str::from_utf8(value)
+                .ok()
+                .filter(|_| digits)
+                .and_then(|v| v.parse().ok());
             let told = told.ok_or(Broken::Head("a Content-Length in decimal digits"))?;
             if length.replace(told).is_some() {
                 return Err(Broken::Head("one Content-Length"));
--- a/crates/heathroad-jsonrpc/src/message.rs
+++ b/crates/heathroad-jsonrpc/src/message.rs
@@ -42,8 +42,8 @@
     pub carried: Carried,
 }
 
-/// Members of an extension: budgets down a chain of services, as the texts that HTTP has in headers of the same names. A
-/// member that is no plain text, or comes twice, is there and empty.
+/// Members of an extension: budgets down a chain of services, as the texts that HTTP has in headers
+/// of the same names. A member that is no plain text, or comes twice, is there and empty.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Carried {
     /// `req-budget`, without its quotes.
@@ -67,7 +67,11 @@
 pub const NULL: Bytes = Bytes::from_static(b"null");
 
 fn wrong(code: i64, expected: &'static str) -> Wrong {
-    Wrong { code, expected, id: NULL }
+    Wrong {
+        code,
+        expected,
+        id: NULL,
+    }
 }
 
 /// A server's text.
@@ -122,7 +126,11 @@
 
 impl<'a> Extra<'a> {
     fn put(&mut self, value: &'a RawValue) {
-        *self = if matches!(self, Extra::None) { Extra::Once(value) } else { Extra::Twice };
+        *self = if matches!(self, Extra::None) {
+            Extra::Once(value)
+        } else {
+            Extra::Twice
+        };
     }
 
     fn text(self, whole: &Bytes) -> Option<Bytes> {
@@ -132,7 +140,11 @@
             Extra::Twice => return Some(Bytes::new()),
         };
         let plain = value.len() >= 2 && value.starts_with(b"\"") && !value.contains(&b'\\');
-        Some(if plain { value.slice(1..value.len() - 1) } else { Bytes::new() })
+        Some(if plain {
+            value.slice(1..value.len() - 1)
+        } else {
+            Bytes::new()
+        })
     }
 }
 
@@ -210,8 +222,8 @@
     }
 }
 
-/// A member's name as it stands, without its quotes where it needs no reading. Half a surrogate in it, which is nobody's
-/// name here, is nobody's trouble.
+/// A member's name as it stands, without its quotes where it needs no reading. Half a surrogate in
+/// it, which is nobody's name here, is nobody's trouble.
 pub(crate) fn name(raw: &RawValue) -> Option<Cow<'_, str>> {
     let inside = raw.get().strip_prefix('"')?.strip_suffix('"')?;
     if inside.contains('\\') {
@@ -227,12 +239,17 @@
 }
 
 fn is_id(value: &RawValue) -> bool {
-    value.get().starts_with(|c: char| c == '"' || c == '-' || c.is_ascii_digit()) || value.get() == "null"
+    value
+        .get()
+        .starts_with(|c: char| c == '"' || c == '-' || c.is_ascii_digit())
+        || value.get() == "null"
 }
 
-/// A text without the mark that some systems put before it (RFC 8259, section 8.1, lets it be ignored).
+/// A text without the mark that some systems put before it (RFC 8259, section 8.1, lets it be
+/// ignored).
 fn unmarked(text: &Bytes) -> Bytes {
-    text.strip_prefix(b"\xef\xbb\xbf").map_or_else(|| text.clone(), |rest| text.slice_ref(rest))
+    text.strip_prefix(b"\xef\xbb\xbf")
+        .map_or_else(|| text.clone(), |rest| text.slice_ref(rest))
 }
 
 /// Reads a caller's text.
@@ -243,13 +260,17 @@
         return Ok(Message::One(call(text)));
     }
     let mut json = serde_json::Deserializer::from_str(utf8);
-    let members = Members(most).deserialize(&mut json).and_then(|m| json.end().map(|()| m));
+    let members = Members(most)
+        .deserialize(&mut json)
+        .and_then(|m| json.end().map(|()| m));
     let list = members.map_err(|_| wrong(PARSE_ERROR, "JSON"))?;
     let list = list.ok_or(wrong(INVALID_REQUEST, "a smaller batch"))?;
     if list.is_empty() {
         return Err(wrong(INVALID_REQUEST, "a batch that is not empty"));
     }
-    Ok(Message::Batch(list.into_iter().map(|m| part(text, m)).collect()))
+    Ok(Message::Batch(
+        list.into_iter().map(|m| part(text, m)).collect(),
+    ))
 }
 
 /// Reads a batch's members; none where there are more than this. Those past it are not kept.
@@ -291,10 +312,16 @@
         Err(_) => return Err(wrong(PARSE_ERROR, "JSON")),
     };
     // Of an id that comes twice neither can be answered.
-    let id = e.id.filter(|id| is_id(id) && !e.twice).map(|id| part(text, id));
+    let id =
+        e.id.filter(|id| is_id(id) && !e.twice)
+            .map(|id| part(text, id));
     let invalid = |expected| {
         let id = id.clone().unwrap_or(NULL);
-        Err(Wrong { code: INVALID_REQUEST, expected, id })
+        Err(Wrong {
+            code: INVALID_REQUEST,
+            expected,
+            id,
+        })
     };
     if e.twice {
         return invalid("each member once");
@@ -305,34 +332,53 @@
     if e.version.is_none_or(|v| v.get() != "\"2.0\"") {
         return invalid("`\"jsonrpc\": \"2.0\"`");
     }
-    let Some(method) = e.method else { return invalid("a `method`") };
+    let Some(method) = e.method else {
+        return invalid("a `method`");
+    };
     let Ok(name) = serde_json::from_str::<String>(method.get()) else {
         return invalid("a `method` that is a text");
     };
     // Null is what several clients send for none.
-    if e.params.is_some_and(|p| !p.get().starts_with(['{', '[', 'n'])) {
+    if e.params
+        .is_some_and(|p| !p.get().starts_with(['{', '[', 'n']))
+    {
         return invalid("`params` that are an object or an array");
     }
     if e.result.is_some() || e.error.is_some() {
         return invalid("a call without `result` or `error`");
     }
     let (method_text, params) = (part(text, method), e.params.map(|p| part(text, p)));
-    let carried = Carried { budget: e.budget.text(text), path: e.path.text(text) };
-    Ok(Call { id, method: name, method_text, params, carried })
+    let carried = Carried {
+        budget: e.budget.text(text),
+        path: e.path.text(text),
+    };
+    Ok(Call {
+        id,
+        method: name,
+        method_text,
+        params,
+        carried,
+    })
 }
 
 /// Reads a server's text.
 pub fn reply(text: &Bytes) -> Reply {
     let text = &unmarked(text);
-    let Ok(utf8) = std::str::from_utf8(text) else { return Reply::Wrong("UTF-8") };
-    let Ok(e) = serde_json::from_str::<Envelope<'_>>(utf8) else { return Reply::Wrong("an object") };
+    let Ok(utf8) = std::str::from_utf8(text) else {
+        return Reply::Wrong("UTF-8");
+    };
+    let Ok(e) = serde_json::from_str::<Envelope<'_>>(utf8) else {
+        return Reply::Wrong("an object");
+    };
     if e.twice {
         return Reply::Wrong("each member once");
     }
     if e.method.is_some() {
         return Reply::Call(e.id.map(|id| part(text, id)));
     }
-    let Some(id) = e.id else { return Reply::Wrong("an `id`") };
+    let Some(id) = e.id else {
+        return Reply::Wrong("an `id`");
+    };
     let (name, value) = match (e.result, e.error) {
         (Some(result), None) => ("result", result),
         (None, Some(error)) => ("error", error),
@@ -343,8 +389,19 @@
         code: i64,
     }
     let error = name == "error";
-    let code = serde_json::from_str::<Code>(value.get()).ok().filter(|_| error).map(|c| c.code);
-    let member = [b"\"", name.as_bytes(), b"\":", value.get().as_bytes()].concat().into();
+    let code = serde_json::from_str::<Code>(value.get())
+        .ok()
+        .filter(|_| error)
+        .map(|c| c.code);
+    let member = [b"\"", name.as_bytes(), b"\":", value.get().as_bytes()]
+        .concat()
+        .into();
     let spent = e.spent.text(text);
-    Reply::Answer(Answer { id: part(text, id), member, code, error, spent })
+    Reply::Answer(Answer {
+        id: part(text, id),
+        member,
+        code,
+        error,
+        spent,
+    })
 }
--- a/crates/heathroad-jsonrpc/src/pointer.rs
+++ b/crates/heathroad-jsonrpc/src/pointer.rs
@@ -56,7 +56,9 @@
         let mut here: &RawValue = serde_json::from_str(text).map_err(|_| Missing::Nothing)?;
         for step in &self.0 {
             let mut d = serde_json::Deserializer::from_str(here.get());
-            let Found { value, twice } = Step(step).deserialize(&mut d).map_err(|_| Missing::Nothing)?;
+            let Found { value, twice } = Step(step)
+                .deserialize(&mut d)
+                .map_err(|_| Missing::Nothing)?;
             if twice {
                 return Err(Missing::Twice);
             }
@@ -88,7 +90,10 @@
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Found<'de>, A::Error> {
-        let mut found = Found { value: None, twice: false };
+        let mut found = Found {
+            value: None,
+            twice: false,
+        };
         while let Some(raw) = map.next_key::<&RawValue>()? {
             if name(raw).is_some_and(|name| name == self.0) {
                 found.twice |= found.value.replace(map.next_value()?).is_some();
@@ -101,7 +106,8 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Found<'de>, A::Error> {
         // RFC 6901, section 4: digits without a leading zero; `-` is behind the last.
-        let plain = self.0 == "0" || !self.0.starts_with('0') && self.0.bytes().all(|b| b.is_ascii_digit());
+        let plain =
+            self.0 == "0" || !self.0.starts_with('0') && self.0.bytes().all(|b| b.is_ascii_digit());
         let place: Option<usize> = Some(self.0).filter(|_| plain).and_then(|p| p.parse().ok());
         let (mut at, mut value) = (0, None);
         while let Some(element) = seq.next_element::<&RawValue>()? {
@@ -110,7 +116,10 @@
             }
             at += 1;
         }
-        Ok(Found { value, twice: false })
+        Ok(Found {
+            value,
+            twice: false,
+        })
     }
 }
 
--- a/crates/heathroad-jsonrpc/src/write.rs
+++ b/crates/heathroad-jsonrpc/src/write.rs
@@ -14,7 +14,8 @@
     out.put_u8(b'}');
 }
 
-/// The `error` member of an answer, with milliseconds after which to come back if that is to be told.
+/// The `error` member of an answer, with milliseconds after which to come back if that is to be
+/// told.
 pub fn error(code: i64, message: &str, retry_after_ms: Option<u64>) -> Bytes {
     let mut error = json!({"code": code, "message": message});
     if let Some(ms) = retry_after_ms {
@@ -23,20 +24,26 @@
     format!("\"error\":{error}").into()
 }
 
-/// A call's members of the extension for budgets, to be put before its end: plain texts, which need no escapes.
+/// A call's members of the extension for budgets, to be put before its end: plain texts, which need
+/// no escapes.
 pub fn carry(call: &mut BytesMut, budget: &str, path: &str) {
     if call.last() == Some(&b'}') {
         call.truncate(call.len() - 1);
-        call.put_slice(format!(",\"req-budget\":\"{budget}\",\"req-path\":\"{path}\"}}").as_bytes());
+        call.put_slice(
+            format!(",\"req-budget\":\"{budget}\",\"req-path\":\"{path}\"}}").as_bytes(),
+        );
     }
 }
 
 /// What was spent, behind the member of an answer.
 pub fn spent(member: &[u8], spent: &str) -> Bytes {
-    [member, b",\"req-spent\":\"", spent.as_bytes(), b"\""].concat().into()
+    [member, b",\"req-spent\":\"", spent.as_bytes(), b"\""]
+        .concat()
+        .into()
 }
 
-/// A call under an id of the sender's own, or a notification where there is none; `method` in quotes.
+/// A call under an id of the sender's own, or a notification where there is none; `method` in
+/// quotes.
 pub fn call(id: Option<u64>, method: &[u8], params: Option<&[u8]>, out: &mut BytesMut) {
     out.reserve(method.len() + params.map_or(0, <[u8]>::len) + 64);
     out.put_slice(b"{\"jsonrpc\":\"2.0\",\"method\":");
@@ -52,15 +59,18 @@
     out.put_u8(b'}');
 }
 
-/// A text as it goes out. In a framing of lines it must be one: line feeds between its tokens, which mean nothing, are
-/// made spaces (inside of texts JSON allows none).
+/// A text as it goes out. In a framing of lines it must be one: line feeds between its tokens,
+/// which mean nothing, are made spaces (inside of texts JSON allows none).
 pub fn frame(framing: Framing, text: &[u8], out: &mut BytesMut) {
     match framing {
         Framing::Lines => {
             out.reserve(text.len() + 1);
             let from = out.len();
             out.put_slice(text);
-            out[from..].iter_mut().filter(|b| matches!(b, b'\n' | b'\r')).for_each(|b| *b = b' ');
+            out[from..]
+                .iter_mut()
+                .filter(|b| matches!(b, b'\n' | b'\r'))
+                .for_each(|b| *b = b' ');
             out.put_u8(b'\n');
         }
         Framing::Headers => {
--- a/crates/heathroad-jsonrpc/tests/specification.rs
+++ b/crates/heathroad-jsonrpc/tests/specification.rs
@@ -31,40 +31,67 @@
 fn is_call(text: &'static str, id: Option<&str>, method: &str, params: Option<&str>) {
     let call = one(text).expect("sound");
     assert_eq!(call.id.as_deref(), id.map(str::as_bytes));
-    assert_eq!((call.method.as_str(), call.params.as_deref()), (method, params.map(str::as_bytes)));
+    assert_eq!(
+        (call.method.as_str(), call.params.as_deref()),
+        (method, params.map(str::as_bytes))
+    );
 }
 
 #[test]
 fn calls_and_notifications() {
     let text = r#"{"jsonrpc": "2.0", "method": "subtract", "params": [42, 23], "id": 1}"#;
     is_call(text, Some("1"), "subtract", Some("[42, 23]"));
-    let text =
-        r#"{"jsonrpc": "2.0", "method": "subtract", "params": {"subtrahend": 23, "minuend": 42}, "id": 3}"#;
-    is_call(text, Some("3"), "subtract", Some(r#"{"subtrahend": 23, "minuend": 42}"#));
+    let text = r#"{"jsonrpc": "2.0", "method": "subtract", "params": {"subtrahend": 23, "minuend": 42}, "id": 3}"#;
+    is_call(
+        text,
+        Some("3"),
+        "subtract",
+        Some(r#"{"subtrahend": 23, "minuend": 42}"#),
+    );
     is_call(
         r#"{"jsonrpc": "2.0", "method": "update", "params": [1,2,3,4,5]}"#,
         None,
         "update",
         Some("[1,2,3,4,5]"),
     );
-    is_call(r#"{"jsonrpc": "2.0", "method": "foobar"}"#, None, "foobar", None);
-    is_call(r#"{"jsonrpc": "2.0", "method": "foobar", "id": "1"}"#, Some("\"1\""), "foobar", None);
+    is_call(
+        r#"{"jsonrpc": "2.0", "method": "foobar"}"#,
+        None,
+        "foobar",
+        None,
+    );
+    is_call(
+        r#"{"jsonrpc": "2.0", "method": "foobar", "id": "1"}"#,
+        Some("\"1\""),
+        "foobar",
+        None,
+    );
 }
 
 #[test]
 fn errors_of_the_specification() {
     let null = Bytes::from_static(b"null");
     assert_eq!(
-        code(one(r#"{"jsonrpc": "2.0", "method": "foobar, "params": "bar", "baz]"#)),
+        code(one(
+            r#"{"jsonrpc": "2.0", "method": "foobar, "params": "bar", "baz]"#
+        )),
         (-32700, null.clone())
     );
-    assert_eq!(code(one(r#"{"jsonrpc": "2.0", "method": 1, "params": "bar"}"#)), (-32600, null.clone()));
-    let cut =
-        r#"[{"jsonrpc": "2.0", "method": "sum", "params": [1,2,4], "id": "1"}, {"jsonrpc": "2.0", "method"]"#;
+    assert_eq!(
+        code(one(r#"{"jsonrpc": "2.0", "method": 1, "params": "bar"}"#)),
+        (-32600, null.clone())
+    );
+    let cut = r#"[{"jsonrpc": "2.0", "method": "sum", "params": [1,2,4], "id": "1"}, {"jsonrpc": "2.0", "method"]"#;
     assert_eq!(code(read(cut)), (-32700, null.clone()));
     assert_eq!(code(read("[]")), (-32600, null.clone()));
-    assert_eq!(members("[1]").into_iter().map(code).collect::<Vec<_>>(), [(-32600, null.clone())]);
-    assert_eq!(members("[1,2,3]").into_iter().map(code).collect::<Vec<_>>(), vec![(-32600, null); 3]);
+    assert_eq!(
+        members("[1]").into_iter().map(code).collect::<Vec<_>>(),
+        [(-32600, null.clone())]
+    );
+    assert_eq!(
+        members("[1,2,3]").into_iter().map(code).collect::<Vec<_>>(),
+        vec![(-32600, null); 3]
+    );
 }
 
 #[test]
@@ -79,67 +106,155 @@
         {"jsonrpc": "2.0", "method": "get_data", "id": "9"}
     ]"#,
     );
-    let ids: Vec<Option<Bytes>> = list.iter().map(|c| c.as_ref().ok().and_then(|c| c.id.clone())).collect();
+    let ids: Vec<Option<Bytes>> = list
+        .iter()
+        .map(|c| c.as_ref().ok().and_then(|c| c.id.clone()))
+        .collect();
     let text = |t: &'static str| Some(Bytes::from_static(t.as_bytes()));
-    assert_eq!(ids, [text("\"1\""), None, text("\"2\""), None, text("\"5\""), text("\"9\"")]);
+    assert_eq!(
+        ids,
+        [
+            text("\"1\""),
+            None,
+            text("\"2\""),
+            None,
+            text("\"5\""),
+            text("\"9\"")
+        ]
+    );
     assert_eq!(list[3].clone().err().map(|w| w.code), Some(-32600));
     assert!(list[1].is_ok(), "a notification");
-    assert_eq!(code(read("[1,2,3,4,5,6,7,8,9,10,11]")).0, -32600, "more than is taken");
+    assert_eq!(
+        code(read("[1,2,3,4,5,6,7,8,9,10,11]")).0,
+        -32600,
+        "more than is taken"
+    );
 }
 
 /// Ids, amounts and the order of names pass as they stand.
 #[test]
 fn values_pass_byte_for_byte() {
-    for id in
-        ["1", "1.0", "\"1\"", "null", "-0", "1e2", "123456789012345678901234567890", "0.30", r#""\ud800""#]
-    {
-        let text = format!(r#"{{"id":{id},"params":{{"z":1.10,"a":1e2}},"method":"m","jsonrpc":"2.0"}}"#);
+    for id in [
+        "1",
+        "1.0",
+        "\"1\"",
+        "null",
+        "-0",
+        "1e2",
+        "123456789012345678901234567890",
+        "0.30",
+        r#""\ud800""#,
+    ] {
+        let text =
+            format!(r#"{{"id":{id},"params":{{"z":1.10,"a":1e2}},"method":"m","jsonrpc":"2.0"}}"#);
         let Ok(Message::One(Ok(call))) = message::read(&Bytes::from(text.clone()), 1) else {
             panic!("{text}")
         };
         assert_eq!(call.id.as_deref(), Some(id.as_bytes()));
         assert_eq!(call.params.as_deref(), Some(&br#"{"z":1.10,"a":1e2}"#[..]));
         let mut out = BytesMut::new();
-        write::answer(id.as_bytes(), br#""result":12345678901234567890.01"#, &mut out);
-        assert_eq!(out, format!(r#"{{"jsonrpc":"2.0","result":12345678901234567890.01,"id":{id}}}"#));
+        write::answer(
+            id.as_bytes(),
+            br#""result":12345678901234567890.01"#,
+            &mut out,
+        );
+        assert_eq!(
+            out,
+            format!(r#"{{"jsonrpc":"2.0","result":12345678901234567890.01,"id":{id}}}"#)
+        );
     }
     let params = r#"[1.10, 1e2,	12345678901234567890.01, "\u0041\ud800", {"b":0,"a":0,"b":1}]"#;
-    let text = Bytes::from(format!(r#"{{"jsonrpc":"2.0","method":"m","params":{params}}}"#));
+    let text = Bytes::from(format!(
+        r#"{{"jsonrpc":"2.0","method":"m","params":{params}}}"#
+    ));
     let call = message::call(&text).expect("sound");
     let mut out = BytesMut::new();
     write::call(Some(7), &call.method_text, call.params.as_deref(), &mut out);
-    assert_eq!(out, format!(r#"{{"jsonrpc":"2.0","method":"m","params":{params},"id":7}}"#));
+    assert_eq!(
+        out,
+        format!(r#"{{"jsonrpc":"2.0","method":"m","params":{params},"id":7}}"#)
+    );
 }
 
 #[test]
 fn envelopes_that_no_two_readers_read_alike() {
     for (text, want, id) in [
-        (r#"{"jsonrpc":"2.0","method":"a","id":1,"id":2}"#, -32600, "null"),
-        (r#"{"jsonrpc":"2.0","method":"a","method":"b","id":1}"#, -32600, "null"),
-        (r#"{"jsonrpc":"2.0","method":"a","params":[1],"params":[2],"id":1}"#, -32600, "null"),
-        (r#"{"jsonrpc":"2.0","method":"a","id":1,"\u0069d":2}"#, -32600, "null"),
-        (r#"{"jsonrpc":"2.0","method":"a","id":true}"#, -32600, "null"),
+        (
+            r#"{"jsonrpc":"2.0","method":"a","id":1,"id":2}"#,
+            -32600,
+            "null",
+        ),
+        (
+            r#"{"jsonrpc":"2.0","method":"a","method":"b","id":1}"#,
+            -32600,
+            "null",
+        ),
+        (
+            r#"{"jsonrpc":"2.0","method":"a","params":[1],"params":[2],"id":1}"#,
+            -32600,
+            "null",
+        ),
+        (
+            r#"{"jsonrpc":"2.0","method":"a","id":1,"\u0069d":2}"#,
+            -32600,
+            "null",
+        ),
+        (
+            r#"{"jsonrpc":"2.0","method":"a","id":true}"#,
+            -32600,
+            "null",
+        ),
         (r#"{"jsonrpc":"2.0","method":"a","id":[1]}"#, -32600, "null"),
         (r#"{"jsonrpc":"1.0","method":"a","id":4}"#, -32600, "4"),
         (r#"{"method":"a","id":"x"}"#, -32600, "\"x\""),
         (r#"{"jsonrpc":"2.0","id":5}"#, -32600, "5"),
-        (r#"{"jsonrpc":"2.0","method":"a","params":"text","id":5}"#, -32600, "5"),
-        (r#"{"jsonrpc":"2.0","method":"a","params":true,"id":5}"#, -32600, "5"),
+        (
+            r#"{"jsonrpc":"2.0","method":"a","params":"text","id":5}"#,
+            -32600,
+            "5",
+        ),
+        (
+            r#"{"jsonrpc":"2.0","method":"a","params":true,"id":5}"#,
+            -32600,
+            "5",
+        ),
         (r#"{"jsonrpc":"2.0","method":"\ud800","id":5}"#, -32600, "5"),
-        (r#"{"jsonrpc":"2.0","method":"a","result":1,"id":5}"#, -32600, "5"),
-        (r#"{"jsonrpc":"2.0","method":"a","id":5} {}"#, -32700, "null"),
-        ("{\"jsonrpc\":\"2.0\",\"method\":\"a\",\"params\u{0}\":[],\"id\":5}", -32700, "null"),
-        ("{\"jsonrpc\":\"2.0\",\"method\":\"a\u{0}\",\"id\":5}", -32700, "null"),
+        (
+            r#"{"jsonrpc":"2.0","method":"a","result":1,"id":5}"#,
+            -32600,
+            "5",
+        ),
+        (
+            r#"{"jsonrpc":"2.0","method":"a","id":5} {}"#,
+            -32700,
+            "null",
+        ),
+        (
+            "{\"jsonrpc\":\"2.0\",\"method\":\"a\",\"params\u{0}\":[],\"id\":5}",
+            -32700,
+            "null",
+        ),
+        (
+            "{\"jsonrpc\":\"2.0\",\"method\":\"a\u{0}\",\"id\":5}",
+            -32700,
+            "null",
+        ),
         ("\"text\"", -32600, "null"),
         ("nothing", -32700, "null"),
         ("", -32700, "null"),
     ] {
-        assert_eq!(code(one(text)), (want, Bytes::from_static(id.as_bytes())), "{text}");
+        assert_eq!(
+            code(one(text)),
+            (want, Bytes::from_static(id.as_bytes())),
+            "{text}"
+        );
     }
     let invalid = Bytes::from_static(b"{\"jsonrpc\":\"2.0\",\"method\":\"\xff\",\"id\":5}");
     assert_eq!(code(message::read(&invalid, 1)).0, -32700, "no UTF-8");
-    // A mark at the begin is no part of the text; a name that nobody knows is passed over, whatever it is.
-    let marked = Bytes::from("\u{feff}{\"jsonrpc\":\"2.0\",\"method\":\"a\",\"\\ud800\":1}".to_string());
+    // A mark at the begin is no part of the text; a name that nobody knows is passed over, whatever
+    // it is.
+    let marked =
+        Bytes::from("\u{feff}{\"jsonrpc\":\"2.0\",\"method\":\"a\",\"\\ud800\":1}".to_string());
     assert!(matches!(message::read(&marked, 1), Ok(Message::One(Ok(_)))));
     // Nobody's stack grows with brackets.
     let deep = format!(
@@ -147,7 +262,10 @@
         "[".repeat(100_000),
         "]".repeat(100_000)
     );
-    assert!(matches!(message::read(&Bytes::from(deep), 1), Ok(Message::One(Ok(_)))));
+    assert!(matches!(
+        message::read(&Bytes::from(deep), 1),
+        Ok(Message::One(Ok(_)))
+    ));
 }
 
 #[test]
@@ -158,13 +276,25 @@
         other => panic!("{other:?}"),
     };
     let a = answer(r#"{"jsonrpc":"2.0","result":{"b":1.10,"a":2},"id":12}"#);
-    assert_eq!((&a.id[..], &a.member[..]), (&b"12"[..], &br#""result":{"b":1.10,"a":2}"#[..]));
+    assert_eq!(
+        (&a.id[..], &a.member[..]),
+        (&b"12"[..], &br#""result":{"b":1.10,"a":2}"#[..])
+    );
     assert_eq!((a.code, a.error), (None, false));
     let a = answer(r#"{"id":12,"error":{"code":-32603,"message":"no"},"jsonrpc":"2.0"}"#);
     assert_eq!((a.code, a.error), (Some(-32603), true));
-    assert!(answer(r#"{"result":null,"id":1}"#).code.is_none(), "older servers leave the version out");
-    assert!(matches!(reply(r#"{"jsonrpc":"2.0","method":"ping","id":9}"#), Reply::Call(Some(_))));
-    assert!(matches!(reply(r#"{"jsonrpc":"2.0","method":"log"}"#), Reply::Call(None)));
+    assert!(
+        answer(r#"{"result":null,"id":1}"#).code.is_none(),
+        "older servers leave the version out"
+    );
+    assert!(matches!(
+        reply(r#"{"jsonrpc":"2.0","method":"ping","id":9}"#),
+        Reply::Call(Some(_))
+    ));
+    assert!(matches!(
+        reply(r#"{"jsonrpc":"2.0","method":"log"}"#),
+        Reply::Call(None)
+    ));
     for text in [
         r#"{"result":1,"error":{},"id":1}"#,
         r#"{"id":1}"#,
@@ -179,8 +309,12 @@
 
 #[test]
 fn pointers() {
-    let find =
-        |p: &str, text: &str| Pointer::read(p).expect("a pointer").find(text).map(|v| v.get().to_string());
+    let find = |p: &str, text: &str| {
+        Pointer::read(p)
+            .expect("a pointer")
+            .find(text)
+            .map(|v| v.get().to_string())
+    };
     // RFC 6901, section 5.
     let text = r#"{"foo":["bar","baz"],"":0,"a/b":1,"c%d":2,"m~n":8," ":7,"k\"l":6}"#;
     for (p, want) in [
@@ -196,11 +330,16 @@
         assert_eq!(find(p, text).as_deref(), Ok(want), "{p}");
     }
     use pointer::Missing::{Nothing, Twice};
-    for p in ["/bar", "/foo/2", "/foo/00", "/foo/01", "/foo/-", "/foo/0/x", "/foo/1e0", "/foo/+1"] {
+    for p in [
+        "/bar", "/foo/2", "/foo/00", "/foo/01", "/foo/-", "/foo/0/x", "/foo/1e0", "/foo/+1",
+    ] {
         assert_eq!(find(p, text), Err(Nothing), "{p}");
     }
     assert_eq!(find("/a/b", r#"{"a":{"b":1,"b":2}}"#), Err(Twice));
-    assert_eq!(find("/a/b", r#"{"a":{"b":1.10},"x":{"b":2}}"#).as_deref(), Ok("1.10"));
+    assert_eq!(
+        find("/a/b", r#"{"a":{"b":1.10},"x":{"b":2}}"#).as_deref(),
+        Ok("1.10")
+    );
     for wrong in ["", "a", "a/b", "/~", "/~2"] {
         assert!(Pointer::read(wrong).is_err(), "{wrong:?}");
     }
