--- a/crates/heathroad-jsonrpc/tests/streams.rs
+++ b/crates/heathroad-jsonrpc/tests/streams.rs
@@ -6,10 +6,19 @@
 use serde::de::IgnoredAny;
 
 const ALL: [Framing; 3] = [Framing::Lines, Framing::Headers, Framing::RunOn];
-const SMALL: Limits = Limits { text: 200, depth: 8, batch: 10 };
+const SMALL: Limits = Limits {
+    text: 200,
+    depth: 8,
+    batch: 10,
+};
 
 /// The texts of a stream that comes in pieces of these sizes, by turns, and how it broke.
-fn cut(framing: Framing, limits: Limits, bytes: &[u8], sizes: &[usize]) -> (Vec<Bytes>, Option<Broken>) {
+fn cut(
+    framing: Framing,
+    limits: Limits,
+    bytes: &[u8],
+    sizes: &[usize],
+) -> (Vec<Bytes>, Option<Broken>) {
     let (mut decoder, mut texts) = (Decoder::new(framing, limits), Vec::new());
     let (mut rest, mut turn) = (bytes, 0);
     loop {
@@ -28,11 +37,19 @@
 
 fn framed(framing: Framing, texts: &[&str]) -> Vec<u8> {
     let mut out = BytesMut::new();
-    texts.iter().for_each(|t| write::frame(framing, t.as_bytes(), &mut out));
+    texts
+        .iter()
+        .for_each(|t| write::frame(framing, t.as_bytes(), &mut out));
     out.to_vec()
 }
 
-const TEXTS: [&str; 5] = [r#"{"a":"}]\"{"}"#, "[]", r#"[[1],"\\"]"#, "{}", r#"{"b":"\\\"","c":[{}]}"#];
+const TEXTS: [&str; 5] = [
+    r#"{"a":"}]\"{"}"#,
+    "[]",
+    r#"[[1],"\\"]"#,
+    "{}",
+    r#"{"b":"\\\"","c":[{}]}"#,
+];
 
 #[test]
 fn texts_come_out_whole_in_pieces_of_any_size() {
@@ -56,13 +73,19 @@
 #[test]
 fn what_says_nothing_is_passed_over() {
     let texts = |framing, bytes: &str| cut(framing, SMALL, bytes.as_bytes(), &[1]);
-    assert_eq!(texts(Framing::Lines, "\r\n\n  {}\r\n\n[]\n {"), (vec!["{}\r".into(), "[]".into()], None));
+    assert_eq!(
+        texts(Framing::Lines, "\r\n\n  {}\r\n\n[]\n {"),
+        (vec!["{}\r".into(), "[]".into()], None)
+    );
     assert_eq!(
         texts(Framing::RunOn, "\u{feff} {}[]\n\t{} {"),
         (vec!["{}".into(), "[]".into(), "{}".into()], None)
     );
     let heads = "\r\ncontent-LENGTH: 2\r\nContent-Type: x; y\r\n\r\n{}\r\nContent-Length:3\n\n[1]";
-    assert_eq!(texts(Framing::Headers, heads), (vec!["{}".into(), "[1]".into()], None));
+    assert_eq!(
+        texts(Framing::Headers, heads),
+        (vec!["{}".into(), "[1]".into()], None)
+    );
     let mut decoder = Decoder::new(Framing::Lines, SMALL);
     decoder.buffer().put_slice(b" \n");
     assert!(!decoder.begun());
@@ -88,26 +111,66 @@
         (Framing::RunOn, deep.clone(), Broken::TooDeep),
         (Framing::RunOn, "{} 1".into(), Broken::NoText),
         (Framing::RunOn, "}".into(), Broken::NoText),
-        (Framing::Headers, format!("Content-Length: 9\r\n\r\n{deep}"), Broken::TooDeep),
-        (Framing::Headers, head("Content-Length: 1000000000"), Broken::TooLong),
+        (
+            Framing::Headers,
+            format!("Content-Length: 9\r\n\r\n{deep}"),
+            Broken::TooDeep,
+        ),
+        (
+            Framing::Headers,
+            head("Content-Length: 1000000000"),
+            Broken::TooLong,
+        ),
         (
             Framing::Headers,
             head("Content-Length: 99999999999999999999"),
             Broken::Head("a Content-Length in decimal digits"),
         ),
-        (Framing::Headers, head("Content-Length: -2"), Broken::Head("a Content-Length in decimal digits")),
-        (Framing::Headers, head("Content-Length: +2"), Broken::Head("a Content-Length in decimal digits")),
-        (Framing::Headers, head("Content-Length:"), Broken::Head("a Content-Length in decimal digits")),
+        (
+            Framing::Headers,
+            head("Content-Length: -2"),
+            Broken::Head("a Content-Length in decimal digits"),
+        ),
+        (
+            Framing::Headers,
+            head("Content-Length: +2"),
+            Broken::Head("a Content-Length in decimal digits"),
+        ),
+        (
+            Framing::Headers,
+            head("Content-Length:"),
+            Broken::Head("a Content-Length in decimal digits"),
+        ),
         (
             Framing::Headers,
             head("Content-Length: 2\r\nContent-Length: 2"),
             Broken::Head("one Content-Length"),
         ),
-        (Framing::Headers, head("Content-Length : 2"), Broken::Head("`Name: value` lines")),
-        (Framing::Headers, head("noise"), Broken::Head("`Name: value` lines")),
-        (Framing::Headers, head("X: y"), Broken::Head("a Content-Length")),
-        (Framing::Headers, "X: y\r\n".repeat(1000), Broken::Head("a head of 4 KiB at most")),
-        (Framing::Headers, "x".repeat(10_000), Broken::Head("a head of 4 KiB at most")),
+        (
+            Framing::Headers,
+            head("Content-Length : 2"),
+            Broken::Head("`Name: value` lines"),
+        ),
+        (
+            Framing::Headers,
+            head("noise"),
+            Broken::Head("`Name: value` lines"),
+        ),
+        (
+            Framing::Headers,
+            head("X: y"),
+            Broken::Head("a Content-Length"),
+        ),
+        (
+            Framing::Headers,
+            "X: y\r\n".repeat(1000),
+            Broken::Head("a head of 4 KiB at most"),
+        ),
+        (
+            Framing::Headers,
+            "x".repeat(10_000),
+            Broken::Head("a head of 4 KiB at most"),
+        ),
     ];
     for (framing, bytes, want) in cases {
         for size in [1, 3, 100_000] {
@@ -119,18 +182,28 @@
     decoder.buffer().put_slice(b"x{}");
     assert_eq!(decoder.next_text(), Err(Broken::NoText));
     decoder.buffer().put_slice(b"{}");
-    assert_eq!(decoder.next_text(), Err(Broken::NoText), "it is not known where that is");
+    assert_eq!(
+        decoder.next_text(),
+        Err(Broken::NoText),
+        "it is not known where that is"
+    );
 }
 
-/// 10,000 hostile streams, made of the corpus by cuts, repeats, flips and joins: nothing panics, pieces decide
-/// nothing, nothing longer than the bound comes out, and what is called no JSON is none.
+/// 10,000 hostile streams, made of the corpus by cuts, repeats, flips and joins: nothing panics,
+/// pieces decide nothing, nothing longer than the bound comes out, and what is called no JSON is
+/// none.
 #[test]
 fn hostile_streams() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus");
-    let mut files: Vec<_> =
-        std::fs::read_dir(folder).expect("it is there").map(|f| f.expect("read").path()).collect();
+    let mut files: Vec<_> = std::fs::read_dir(folder)
+        .expect("it is there")
+        .map(|f| f.expect("read").path())
+        .collect();
     files.sort();
-    let corpus: Vec<Vec<u8>> = files.iter().map(|f| std::fs::read(f).expect("a file")).collect();
+    let corpus: Vec<Vec<u8>> = files
+        .iter()
+        .map(|f| std::fs::read(f).expect("a file"))
+        .collect();
     assert!(corpus.len() >= 10);
     let (mut texts_seen, mut calls, mut breaks) = (0, 0, 0);
     for seed in 0..10_000u64 {
@@ -138,7 +211,11 @@
         let mut bytes = Vec::new();
         for _ in 0..1 + rng.usize(..6) {
             let part = &corpus[rng.usize(..corpus.len())];
-            let from = if rng.bool() { 0 } else { rng.usize(..=part.len()) };
+            let from = if rng.bool() {
+                0
+            } else {
+                rng.usize(..=part.len())
+            };
             bytes.extend_from_slice(&part[from..]);
         }
         for _ in 0..rng.usize(..4) {
@@ -154,7 +231,11 @@
             }
         }
         let framing = ALL[rng.usize(..3)];
-        let limits = Limits { text: 1 + rng.usize(..2_000), depth: 1 + rng.u32(..20), batch: 10 };
+        let limits = Limits {
+            text: 1 + rng.usize(..2_000),
+            depth: 1 + rng.u32(..20),
+            batch: 10,
+        };
         let sizes: Vec<usize> = (0..5).map(|_| 1 + rng.usize(..50)).collect();
         let whole = cut(framing, limits, &bytes, &[bytes.len().max(1)]);
         assert_eq!(whole, cut(framing, limits, &bytes, &sizes), "seed {seed}");
@@ -162,12 +243,15 @@
         for text in whole.0 {
             assert!(text.len() <= limits.text, "seed {seed}");
             texts_seen += 1;
-            let json =
-                serde_json::from_slice::<IgnoredAny>(text.strip_prefix(b"\xef\xbb\xbf").unwrap_or(&text))
-                    .is_ok()
-                    && std::str::from_utf8(&text).is_ok();
+            let json = serde_json::from_slice::<IgnoredAny>(
+                text.strip_prefix(b"\xef\xbb\xbf").unwrap_or(&text),
+            )
+            .is_ok()
+                && std::str::from_utf8(&text).is_ok();
             match message::read(&text, 10) {
-                Ok(message::Message::One(Err(wrong))) | Err(wrong) if wrong.code == message::PARSE_ERROR => {
+                Ok(message::Message::One(Err(wrong))) | Err(wrong)
+                    if wrong.code == message::PARSE_ERROR =>
+                {
                     assert!(!json, "seed {seed}: {text:?}");
                 }
                 Ok(message::Message::One(Ok(call))) => {
@@ -175,7 +259,11 @@
                     let mut out = BytesMut::new();
                     write::call(Some(1), &call.method_text, call.params.as_deref(), &mut out);
                     let again = message::call(&out.freeze()).expect("what is written can be read");
-                    assert_eq!((again.method, again.params), (call.method, call.params), "seed {seed}");
+                    assert_eq!(
+                        (again.method, again.params),
+                        (call.method, call.params),
+                        "seed {seed}"
+                    );
                     calls += 1;
                 }
                 Ok(message::Message::Batch(members)) => {
@@ -187,11 +275,14 @@
             let _ = message::reply(&text);
         }
     }
-    assert!(texts_seen > 10_000 && calls > 2_000 && breaks > 1_000, "{texts_seen} {calls} {breaks}");
+    assert!(
+        texts_seen > 10_000 && calls > 2_000 && breaks > 1_000,
+        "{texts_seen} {calls} {breaks}"
+    );
 }
 
-/// A measurement and no test: bytes a second beside a bare parse by the same library. Run in release with
-/// `--ignored --nocapture`.
+/// A measurement and no test: bytes a second beside a bare parse by the same library. Run in
+/// release with `--ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
 fn throughput() {
@@ -206,8 +297,10 @@
     let mut bytes = [0; 3].map(|_| 0);
     for round in 0..3 {
         let begun = std::time::Instant::now();
-        let parsed: usize =
-            texts.iter().map(|t| usize::from(serde_json::from_str::<IgnoredAny>(t).is_ok())).sum();
+        let parsed: usize = texts
+            .iter()
+            .map(|t| usize::from(serde_json::from_str::<IgnoredAny>(t).is_ok()))
+            .sum();
         let bare = begun.elapsed().as_secs_f64();
         assert_eq!(parsed, texts.len());
         for (n, framing) in ALL.into_iter().enumerate() {
@@ -219,7 +312,11 @@
             let took = begun.elapsed().as_secs_f64();
             assert_eq!(calls, texts.len());
             let mb = stream.len() as f64 / 1e6;
-            println!("round {round} {framing:?}: {:.0} MB/s; bare parse {:.0} MB/s", mb / took, mb / bare);
+            println!(
+                "round {round} {framing:?}: {:.0} MB/s; bare parse {:.0} MB/s",
+                mb / took,
+                mb / bare
+            );
         }
     }
 }
--- a/crates/heathroad-rehearsal/examples/bad-proxy.rs
+++ b/crates/heathroad-rehearsal/examples/bad-proxy.rs
@@ -1,5 +1,6 @@
-//! A small proxy for the judge's own tests: it keeps the four rules in the simplest way, but for the one vice that
-//! its file name asks for. No model for anybody: one thread for each caller, no limit, no retries.
+//! A small proxy for the judge's own tests: it keeps the four rules in the simplest way, but for
+//! the one vice that its file name asks for. No model for anybody: one thread for each caller, no
+//! limit, no retries.
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -39,18 +40,33 @@
 
 fn run() -> Result<(), String> {
     let name = std::env::args().next().unwrap_or_default();
-    let vice = name.rsplit('/').next().unwrap_or_default().trim_start_matches("bad-").to_string();
+    let vice = name
+        .rsplit('/')
+        .next()
+        .unwrap_or_default()
+        .trim_start_matches("bad-")
+        .to_string();
     let path = std::env::var("RELAY_CONFIG").map_err(|e| e.to_string())?;
     let text = std::fs::read_to_string(&path).map_err(|e| e.to_string())?;
     let config: Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
-    let shared = Arc::new(Shared { vice, ..Shared::default() });
+    let shared = Arc::new(Shared {
+        vice,
+        ..Shared::default()
+    });
     let listen = || TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string());
     let (front, admin) = (listen()?, listen()?);
-    let registry: SocketAddr =
-        config["discovery"].as_str().and_then(|a| a.parse().ok()).ok_or("no registry address")?;
-    let cold = config["settings"]["guarantees"]["cold"].as_f64().unwrap_or(0.0);
+    let registry: SocketAddr = config["discovery"]
+        .as_str()
+        .and_then(|a| a.parse().ok())
+        .ok_or("no registry address")?;
+    let cold = config["settings"]["guarantees"]["cold"]
+        .as_f64()
+        .unwrap_or(0.0);
     for (word, listener) in [("listening", &front), ("admin", &admin)] {
-        eprintln!("bad-proxy: {word} on {}", listener.local_addr().map_err(|e| e.to_string())?);
+        eprintln!(
+            "bad-proxy: {word} on {}",
+            listener.local_addr().map_err(|e| e.to_string())?
+        );
     }
     let s = shared.clone();
     thread::spawn(move || follow(&s, registry));
@@ -68,8 +84,10 @@
         }
     });
     // Until told to stop, by the one signal that it takes notice of.
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|e| e.to_string())?;
     runtime.block_on(async {
         let term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate());
         if let Ok(mut term) = term {
@@ -88,7 +106,11 @@
         json!({"class": class, "tenant": tenant,
         "answer": answer, "count": if answer == "served" { n * factor } else { *n }})
     };
-    let rows: Vec<Value> = s.counts.lock().map(|c| c.iter().map(row).collect()).unwrap_or_default();
+    let rows: Vec<Value> = s
+        .counts
+        .lock()
+        .map(|c| c.iter().map(row).collect())
+        .unwrap_or_default();
     let attempts = s.attempts.lock().map(|a| a.clone()).unwrap_or_default();
     let resends = json!({"served": s.resends.load(SeqCst)});
     json!({"requests": rows, "attempts": attempts, "resends": resends, "limit": 1.0, "in_flight": s.open.load(SeqCst)})
@@ -101,15 +123,24 @@
 }
 
 fn http(status: u16, headers: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status} \r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status} \r\nContent-Length: {}\r\n{headers}\r\n{body}",
+        body.len()
+    )
 }
 
 /// Reads one message: its head and its body. None at the connection's end.
 fn message(stream: &mut TcpStream, kept: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
     loop {
-        if let Some(end) = kept.windows(4).position(|w| w == b"\r\n\r\n").map(|p| p + 4) {
+        if let Some(end) = kept
+            .windows(4)
+            .position(|w| w == b"\r\n\r\n")
+            .map(|p| p + 4)
+        {
             let head = String::from_utf8_lossy(&kept[..end]).into_owned();
-            let length = header(&head, "content-length").and_then(|l| l.parse::<usize>().ok()).unwrap_or(0);
+            let length = header(&head, "content-length")
+                .and_then(|l| l.parse::<usize>().ok())
+                .unwrap_or(0);
             if length > 1 << 16 {
                 return None;
             }
@@ -128,8 +159,11 @@
 }
 
 fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
-    let line =
-        head.lines().skip(1).find(|l| l.split(':').next().is_some_and(|n| n.eq_ignore_ascii_case(name)))?;
+    let line = head.lines().skip(1).find(|l| {
+        l.split(':')
+            .next()
+            .is_some_and(|n| n.eq_ignore_ascii_case(name))
+    })?;
     Some(line.split_once(':')?.1.trim())
 }
 
@@ -139,7 +173,9 @@
         let page = (|| {
             let mut stream = TcpStream::connect(registry).ok()?;
             stream.set_read_timeout(Some(Duration::from_secs(1))).ok()?;
-            stream.write_all(b"GET /registry/instances HTTP/1.1\r\nHost: r\r\n\r\n").ok()?;
+            stream
+                .write_all(b"GET /registry/instances HTTP/1.1\r\nHost: r\r\n\r\n")
+                .ok()?;
             let (_, body) = message(&mut stream, &mut Vec::new())?;
             serde_json::from_slice::<Value>(&body).ok()
         })();
@@ -147,8 +183,13 @@
             let mut now = BTreeMap::new();
             for h in page["hosts"].as_array().into_iter().flatten() {
                 let text = |name: &str| h[name].as_str().unwrap_or_default().to_string();
-                let Ok(addr) = text("dial").parse() else { continue };
-                now.insert(text("host"), (addr, text("health"), h["born_ms"].as_f64().unwrap_or(0.0)));
+                let Ok(addr) = text("dial").parse() else {
+                    continue;
+                };
+                now.insert(
+                    text("host"),
+                    (addr, text("health"), h["born_ms"].as_f64().unwrap_or(0.0)),
+                );
             }
             *hosts = now;
         }
@@ -162,24 +203,41 @@
     let young = |born: f64| born > 0.0 && now - born < cold;
     let mut pool: Vec<SocketAddr> = match s.vice.as_str() {
         "keeps-sending" => hosts.values().map(|h| h.0).collect(),
-        "pushes-cold" => hosts.values().filter(|h| h.1 == "SERVING" && young(h.2)).map(|h| h.0).collect(),
-        _ => hosts.values().filter(|h| h.1 == "SERVING" && !young(h.2)).map(|h| h.0).collect(),
+        "pushes-cold" => hosts
+            .values()
+            .filter(|h| h.1 == "SERVING" && young(h.2))
+            .map(|h| h.0)
+            .collect(),
+        _ => hosts
+            .values()
+            .filter(|h| h.1 == "SERVING" && !young(h.2))
+            .map(|h| h.0)
+            .collect(),
     };
     if pool.is_empty() {
-        pool = hosts.values().filter(|h| h.1 == "SERVING").map(|h| h.0).collect();
+        pool = hosts
+            .values()
+            .filter(|h| h.1 == "SERVING")
+            .map(|h| h.0)
+            .collect();
     }
-    pool.get(turn.checked_rem(pool.len() as u64)? as usize).copied()
+    pool.get(turn.checked_rem(pool.len() as u64)? as usize)
+        .copied()
 }
 
 /// One attempt: status and body, or that nothing was sent (false) or no answer came (true).
 fn attempt(s: &Shared, to: SocketAddr, line: &str, head: &str) -> Result<(u16, Vec<u8>), bool> {
     let result = (|| {
-        let mut stream = TcpStream::connect_timeout(&to, Duration::from_millis(250)).map_err(|_| false)?;
+        let mut stream =
+            TcpStream::connect_timeout(&to, Duration::from_millis(250)).map_err(|_| false)?;
         let _ = stream.set_nodelay(true);
-        let wait = header(head, "req-deadline-ms").and_then(|d| d.parse().ok()).unwrap_or(1000);
+        let wait = header(head, "req-deadline-ms")
+            .and_then(|d| d.parse().ok())
+            .unwrap_or(1000);
         stream
             .set_read_timeout(Some(
-                Duration::from_millis(wait).max(Duration::from_millis(60)) - Duration::from_millis(40),
+                Duration::from_millis(wait).max(Duration::from_millis(60))
+                    - Duration::from_millis(40),
             ))
             .map_err(|_| false)?;
         let mut request = format!("{line}\r\nHost: b\r\n");
@@ -188,9 +246,15 @@
                 request += &format!("{name}: {value}\r\n");
             }
         }
-        stream.write_all((request + "\r\n").as_bytes()).map_err(|_| false)?;
+        stream
+            .write_all((request + "\r\n").as_bytes())
+            .map_err(|_| false)?;
         let (head, body) = message(&mut stream, &mut Vec::new()).ok_or(true)?;
-        let status = head.split_whitespace().nth(1).and_then(|s| s.parse().ok()).ok_or(true)?;
+        let status = head
+            .split_whitespace()
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .ok_or(true)?;
         Ok((status, body))
     })();
     let word = match &result {
@@ -216,8 +280,13 @@
             continue;
         }
         let line = head.lines().next().unwrap_or_default().to_string();
-        let class = line.split(['/', '?']).nth(1).unwrap_or_default().to_string();
-        let usable = header(&head, "req-id").is_some() && header(&head, "transfer-encoding").is_none();
+        let class = line
+            .split(['/', '?'])
+            .nth(1)
+            .unwrap_or_default()
+            .to_string();
+        let usable =
+            header(&head, "req-id").is_some() && header(&head, "transfer-encoding").is_none();
         if !usable {
             let _ = stream.write_all(http(400, "Connection: close\r\n", "").as_bytes());
             return;
--- a/crates/heathroad-rehearsal/src/agreement.rs
+++ b/crates/heathroad-rehearsal/src/agreement.rs
@@ -1,5 +1,5 @@
-//! Agreement: what the ledgers hold beside what the daemon itself counted, line by line. A daemon that miscounts is
-//! found out here, and so is a judge that missed something.
+//! Agreement: what the ledgers hold beside what the daemon itself counted, line by line. A daemon
+//! that miscounts is found out here, and so is a judge that missed something.
 
 use crate::ledger::{Answer, End, Fate};
 use crate::stage::{Counted, Seen};
@@ -11,8 +11,8 @@
 pub struct Line {
     /// What is counted.
     pub what: String,
-    /// What the ledgers allow: the least and the most. They differ where one side can't know, as when a client has
-    /// left while its answer was under way.
+    /// What the ledgers allow: the least and the most. They differ where one side can't know, as
+    /// when a client has left while its answer was under way.
     pub seen: [u64; 2],
     /// What the daemons counted.
     pub counted: u64,
@@ -45,16 +45,27 @@
 /// Final answers by class, tenant and kind, over all processes.
 fn finals(counts: &[&Counted]) -> BTreeMap<(String, String, String), u64> {
     let mut sums = BTreeMap::new();
-    for row in counts.iter().filter_map(|c| c.counts.as_ref()?.get("requests")?.as_array()).flatten() {
-        let text = |name: &str| row.get(name).and_then(Value::as_str).unwrap_or_default().to_string();
+    for row in counts
+        .iter()
+        .filter_map(|c| c.counts.as_ref()?.get("requests")?.as_array())
+        .flatten()
+    {
+        let text = |name: &str| {
+            row.get(name)
+                .and_then(Value::as_str)
+                .unwrap_or_default()
+                .to_string()
+        };
         let n = row.get("count").and_then(Value::as_u64).unwrap_or(0);
-        *sums.entry((text("class"), text("tenant"), text("answer"))).or_default() += n;
+        *sums
+            .entry((text("class"), text("tenant"), text("answer")))
+            .or_default() += n;
     }
     sums
 }
 
-/// Sets the ledgers beside the daemons' counts: the first tier's answers by class and tenant, and every tier's
-/// attempts by what backends did with them.
+/// Sets the ledgers beside the daemons' counts: the first tier's answers by class and tenant, and
+/// every tier's attempts by what backends did with them.
 pub fn compare(seen: &Seen) -> Vec<Line> {
     let mut lines = Vec::new();
     for tier in 0..seen.plan.scenario.tier.len() as u8 {
@@ -70,13 +81,15 @@
     lines
 }
 
-/// Calls that came round, ended by 508 wherever that was. Who lost its connection can't tell whether it was.
+/// Calls that came round, ended by 508 wherever that was. Who lost its connection can't tell
+/// whether it was.
 fn came_round(seen: &Seen) -> Line {
     let all: Vec<&Counted> = seen.counts.iter().collect();
     let round = || seen.ledgers.tries.iter().filter(|t| t.came_round());
     let sure = round().filter(|t| t.end == LOOPED).count() as u64;
-    let unsure =
-        round().filter(|t| matches!(t.end, End::HungUp | End::Broken(_) | End::Silence)).count() as u64;
+    let unsure = round()
+        .filter(|t| matches!(t.end, End::HungUp | End::Broken(_) | End::Silence))
+        .count() as u64;
     Line {
         what: "calls that came round, ended".into(),
         seen: [sure, sure + unsure],
@@ -97,23 +110,53 @@
                 ours && (usize::from(try_.class), usize::from(try_.tenant)) == (c, t)
             };
             let tries: Vec<_> = seen.ledgers.tries.iter().filter(of).collect();
-            let ends = |is: &dyn Fn(&End) -> bool| tries.iter().filter(|t| is(&t.end)).count() as u64;
-            // Who left or lost its connection can't tell what the proxy had done with it, or whether it was read.
-            let unclear = |e: &End| matches!(e, End::HungUp | End::Broken(_) | End::Silence | End::Garbled);
-            let unsure = tries.iter().filter(|t| unclear(&t.end) || t.crossed.is_some()).count() as u64;
+            let ends =
+                |is: &dyn Fn(&End) -> bool| tries.iter().filter(|t| is(&t.end)).count() as u64;
+            // Who left or lost its connection can't tell what the proxy had done with it, or
+            // whether it was read.
+            let unclear = |e: &End| {
+                matches!(
+                    e,
+                    End::HungUp | End::Broken(_) | End::Silence | End::Garbled
+                )
+            };
+            let unsure = tries
+                .iter()
+                .filter(|t| unclear(&t.end) || t.crossed.is_some())
+                .count() as u64;
             let said = |kinds: &[&str]| {
                 let key = |k: &&str| (class.name.clone(), tenant.name.clone(), (*k).to_string());
-                kinds.iter().filter_map(|k| finals.get(&key(k))).sum::<u64>()
+                kinds
+                    .iter()
+                    .filter_map(|k| finals.get(&key(k)))
+                    .sum::<u64>()
             };
             let kinds: [(&str, u64, u64); 4] = [
-                ("served", ends(&|e| matches!(e, End::Served(_) | End::Alien(_))), said(&["served"])),
-                ("refused", ends(&|e| matches!(e, End::Refused { .. })), said(&["refused"])),
-                ("failed", ends(&|e| matches!(e, End::Failed(_))), said(&["failed", "timed_out"])),
+                (
+                    "served",
+                    ends(&|e| matches!(e, End::Served(_) | End::Alien(_))),
+                    said(&["served"]),
+                ),
+                (
+                    "refused",
+                    ends(&|e| matches!(e, End::Refused { .. })),
+                    said(&["refused"]),
+                ),
+                (
+                    "failed",
+                    ends(&|e| matches!(e, End::Failed(_))),
+                    said(&["failed", "timed_out"]),
+                ),
                 ("left", 0, said(&["left"])),
             ];
             for (kind, sure, counted) in kinds {
                 let what = format!("{} of {}: {kind}", class.name, tenant.name);
-                lines.push(Line { what, seen: [sure, sure + unsure], counted, killed });
+                lines.push(Line {
+                    what,
+                    seen: [sure, sure + unsure],
+                    counted,
+                    killed,
+                });
             }
         }
     }
@@ -122,16 +165,31 @@
 
 fn attempts(seen: &Seen, tier: u8, counts: &[&Counted], killed: bool) -> Vec<Line> {
     let name = &seen.plan.scenario.tier[usize::from(tier)].name;
-    let arrivals: Vec<_> = seen.ledgers.arrivals.iter().filter(|a| a.tier == tier).collect();
-    let tally =
-        |is: &dyn Fn(&crate::ledger::Arrival) -> bool| arrivals.iter().filter(|a| is(a)).count() as u64;
+    let arrivals: Vec<_> = seen
+        .ledgers
+        .arrivals
+        .iter()
+        .filter(|a| a.tier == tier)
+        .collect();
+    let tally = |is: &dyn Fn(&crate::ledger::Arrival) -> bool| {
+        arrivals.iter().filter(|a| is(a)).count() as u64
+    };
     let ended = |outcome: &str| count(counts, &["attempts", outcome]);
     let late = |outcome: &str| count(counts, &["late_ends", outcome]);
-    let all: u64 = ["served", "error", "declined", "timeout", "reset", "cancelled", "rejected"]
-        .iter()
-        .map(|o| ended(o))
-        .sum();
-    // What timed out or was cancelled may never have left, or have gone to a machine that no longer reads.
+    let all: u64 = [
+        "served",
+        "error",
+        "declined",
+        "timeout",
+        "reset",
+        "cancelled",
+        "rejected",
+    ]
+    .iter()
+    .map(|o| ended(o))
+    .sum();
+    // What timed out or was cancelled may never have left, or have gone to a machine that no longer
+    // reads.
     let unsure = ended("timeout") + ended("cancelled") + ended("reset");
     let whole = |kind: Answer| tally(&|a| a.answer == kind && a.done.is_some());
     let line = |what: &str, seen: [u64; 2], counted: u64| Line {
@@ -142,31 +200,51 @@
     };
     let arrived = arrivals.len() as u64;
     vec![
-        line("attempts that came whole to a backend", [arrived, arrived + unsure], all),
-        // Answers that came late, or were written to a connection just given up, are counted as late ends or unseen.
+        line(
+            "attempts that came whole to a backend",
+            [arrived, arrived + unsure],
+            all,
+        ),
+        // Answers that came late, or were written to a connection just given up, are counted as
+        // late ends or unseen.
         line(
             "attempts served",
-            [whole(Answer::Served).saturating_sub(unsure), whole(Answer::Served)],
+            [
+                whole(Answer::Served).saturating_sub(unsure),
+                whole(Answer::Served),
+            ],
             ended("served") + late("served"),
         ),
         line(
             "attempts declined",
-            [whole(Answer::Declined).saturating_sub(unsure), whole(Answer::Declined)],
+            [
+                whole(Answer::Declined).saturating_sub(unsure),
+                whole(Answer::Declined),
+            ],
             ended("declined") + late("declined"),
         ),
         line(
             "attempts answered with an error",
-            [whole(Answer::Error).saturating_sub(unsure), whole(Answer::Error)],
+            [
+                whole(Answer::Error).saturating_sub(unsure),
+                whole(Answer::Error),
+            ],
             ended("error") + late("error"),
         ),
         line(
             "resends",
             {
                 let mut by_id: BTreeMap<u64, u64> = BTreeMap::new();
-                arrivals.iter().for_each(|a| *by_id.entry(a.id).or_default() += 1);
+                arrivals
+                    .iter()
+                    .for_each(|a| *by_id.entry(a.id).or_default() += 1);
                 let again = by_id.values().map(|n| n - 1).sum::<u64>();
                 // Those that their senders sent once more may have come twice with nobody's resend.
-                let crossed = seen.ledgers.tries.iter().filter(|t| t.tier == tier && t.crossed.is_some());
+                let crossed = seen
+                    .ledgers
+                    .tries
+                    .iter()
+                    .filter(|t| t.tier == tier && t.crossed.is_some());
                 let least = again.saturating_sub(crossed.count() as u64);
                 // Those before or behind which nothing arrived are seen by the daemon alone.
                 let unseen = ended("connect_failed") + ended("unsent") + unsure;
--- a/crates/heathroad-rehearsal/src/audited.rs
+++ b/crates/heathroad-rehearsal/src/audited.rs
@@ -1,4 +1,5 @@
-//! The fleet's audit beside what backends saw: an act that one of them knows of and the other does not is nobody's.
+//! The fleet's audit beside what backends saw: an act that one of them knows of and the other does
+//! not is nobody's.
 
 use crate::clock::Micros;
 use crate::ledger::{Did, ProxyNo};
@@ -10,7 +11,9 @@
 pub const SLACK: Micros = 500_000;
 
 fn members(seen: &Seen) -> impl Iterator<Item = &Value> {
-    seen.audit.iter().flat_map(|a| a["members"].as_array().into_iter().flatten())
+    seen.audit
+        .iter()
+        .flat_map(|a| a["members"].as_array().into_iter().flatten())
 }
 
 fn pages(member: &Value) -> impl Iterator<Item = &Value> {
@@ -27,7 +30,9 @@
         "fleet_past_bound" => past_bound(seen),
         "fleet_fenced" => {
             let fenced = |m: &&Value| {
-                m["spells"].as_array().is_some_and(|s| s.iter().any(|s| s["trouble"] == "fenced"))
+                m["spells"]
+                    .as_array()
+                    .is_some_and(|s| s.iter().any(|s| s["trouble"] == "fenced"))
             };
             members(seen).filter(fenced).count() as u64
         }
@@ -36,28 +41,46 @@
     Some(count as f64)
 }
 
-/// Attempts that backends saw and no page tells of under their version, and the other way round. What a killed proxy had not
-/// written down yet may be missing from its pages.
+/// Attempts that backends saw and no page tells of under their version, and the other way round.
+/// What a killed proxy had not written down yet may be missing from its pages.
 fn unaccounted(seen: &Seen) -> u64 {
     let mut apart = 0;
     for (no, member) in members(seen).enumerate() {
-        let killed = seen.ledgers.acts.iter().any(|a| usize::from(a.proxy) == no && a.what == Did::Killed);
+        let killed = seen
+            .ledgers
+            .acts
+            .iter()
+            .any(|a| usize::from(a.proxy) == no && a.what == Did::Killed);
         let mut told: BTreeMap<&str, u64> = BTreeMap::new();
         for page in pages(member) {
-            *told.entry(page["digest"].as_str().unwrap_or("")).or_default() +=
-                page["acts"]["sent"].as_u64().unwrap_or(0);
+            *told
+                .entry(page["digest"].as_str().unwrap_or(""))
+                .or_default() += page["acts"]["sent"].as_u64().unwrap_or(0);
         }
         let mut saw: BTreeMap<&str, u64> = BTreeMap::new();
-        for a in seen.ledgers.arrivals.iter().filter(|a| usize::from(a.proxy) == no) {
+        for a in seen
+            .ledgers
+            .arrivals
+            .iter()
+            .filter(|a| usize::from(a.proxy) == no)
+        {
             *saw.entry(a.version.as_deref().unwrap_or("")).or_default() += 1;
         }
-        let versions = told.keys().chain(saw.keys()).copied().collect::<std::collections::BTreeSet<_>>();
+        let versions = told
+            .keys()
+            .chain(saw.keys())
+            .copied()
+            .collect::<std::collections::BTreeSet<_>>();
         for version in versions {
             let of = |all: &BTreeMap<&str, u64>| all.get(version).copied().unwrap_or(0);
             let (told, saw) = (of(&told), of(&saw));
             // An attempt whose connection failed was sent by the record and came to nobody.
-            let lost =
-                seen.counts.iter().filter(|c| usize::from(c.proxy) == no).filter_map(unsent).sum::<u64>();
+            let lost = seen
+                .counts
+                .iter()
+                .filter(|c| usize::from(c.proxy) == no)
+                .filter_map(unsent)
+                .sum::<u64>();
             apart += match told.cmp(&saw) {
                 std::cmp::Ordering::Less if killed => 0,
                 std::cmp::Ordering::Less => saw - told,
@@ -75,7 +98,11 @@
 
 /// Proxies that act on an older generation than another one does.
 fn behind(seen: &Seen) -> u64 {
-    let now = |m: &Value| pages(m).last().and_then(|p| p["version"]["generation"].as_u64());
+    let now = |m: &Value| {
+        pages(m)
+            .last()
+            .and_then(|p| p["version"]["generation"].as_u64())
+    };
     let highest = members(seen).filter_map(now).max();
     members(seen).filter(|m| now(m) != highest).count() as u64
 }
@@ -84,16 +111,24 @@
 fn past_bound(seen: &Seen) -> u64 {
     let mut generations: BTreeMap<&str, u64> = BTreeMap::new();
     for page in members(seen).flat_map(pages) {
-        if let (Some(digest), Some(n)) = (page["digest"].as_str(), page["version"]["generation"].as_u64()) {
+        if let (Some(digest), Some(n)) = (
+            page["digest"].as_str(),
+            page["version"]["generation"].as_u64(),
+        ) {
             generations.insert(digest, n);
         }
     }
     let fleet = |proxy: ProxyNo| seen.proxy_tier.get(usize::from(proxy)) == Some(&0);
     let past = |a: &&crate::ledger::Arrival| {
         let generation = a.version.as_deref().and_then(|v| generations.get(v));
-        seen.bounds
-            .iter()
-            .any(|(required, bound)| a.first_byte > bound + SLACK && generation.is_none_or(|g| g < required))
+        seen.bounds.iter().any(|(required, bound)| {
+            a.first_byte > bound + SLACK && generation.is_none_or(|g| g < required)
+        })
     };
-    seen.ledgers.arrivals.iter().filter(|a| fleet(a.proxy)).filter(past).count() as u64
+    seen.ledgers
+        .arrivals
+        .iter()
+        .filter(|a| fleet(a.proxy))
+        .filter(past)
+        .count() as u64
 }
--- a/crates/heathroad-rehearsal/src/caller.rs
+++ b/crates/heathroad-rehearsal/src/caller.rs
@@ -1,5 +1,6 @@
-//! One call to a proxy, as a client makes it: over a kept connection if there is a sound one, its end classified.
-//! Shared by the load driver, for clients from outside, and by stand-in backends, which call the next tier.
+//! One call to a proxy, as a client makes it: over a kept connection if there is a sound one, its
+//! end classified. Shared by the load driver, for clients from outside, and by stand-in backends,
+//! which call the next tier.
 
 use crate::clock::{Clock, Micros, seconds};
 use crate::http::{Broken, Buffer};
@@ -82,7 +83,8 @@
 }
 
 impl Caller {
-    /// The requests behind whose answer something came on their connections; those still kept are looked at now.
+    /// The requests behind whose answer something came on their connections; those still kept are
+    /// looked at now.
     pub fn extras(&self) -> Vec<u64> {
         for kept in self.kept.borrow_mut().drain().flat_map(|(_, k)| k) {
             if resting(&kept.stream) == Err(true) {
@@ -132,8 +134,18 @@
         };
         let end = timeout(limit, call).await;
         let (sent, crossed) = (sent.get(), crossed.get());
-        let end = end.unwrap_or(if sent.is_some() { End::Silence } else { End::Unsent });
-        Told { sent, crossed, end, ended: clock.now(), spent: spent.take() }
+        let end = end.unwrap_or(if sent.is_some() {
+            End::Silence
+        } else {
+            End::Unsent
+        });
+        Told {
+            sent,
+            crossed,
+            end,
+            ended: clock.now(),
+            spent: spent.take(),
+        }
     }
 
     async fn exchange(
@@ -155,7 +167,9 @@
                     Ok(Err(_)) | Err(_) => return End::Unsent,
                 },
             };
-            if stream.set_nodelay(true).is_err() || stream.write_all(ask.head().as_bytes()).await.is_err() {
+            if stream.set_nodelay(true).is_err()
+                || stream.write_all(ask.head().as_bytes()).await.is_err()
+            {
                 if kept {
                     continue;
                 }
@@ -170,7 +184,8 @@
             let response = match timeout(patience, buffer.response(&mut stream)).await {
                 Err(_) => return End::Silence,
                 Ok(Err(Broken::Garbled)) => return End::Garbled,
-                // The proxy's close has crossed the request: it is sent once more on a new connection.
+                // The proxy's close has crossed the request: it is sent once more on a new
+                // connection.
                 Ok(Err(Broken::Ended(false))) if kept => {
                     sent.set(None);
                     crossed.set(Some(clock.now()));
@@ -182,7 +197,9 @@
             spent.set(response.spent);
             let end = match response.status {
                 200 => served(ask.id, &response.body),
-                429 | 503 => End::Refused { after: response.retry_after.map(seconds) },
+                429 | 503 => End::Refused {
+                    after: response.retry_after.map(seconds),
+                },
                 status => End::Failed(status),
             };
             if !buffer.is_empty() {
@@ -203,7 +220,9 @@
 /// Reads such a body.
 pub fn served(id: u64, body: &[u8]) -> End {
     let text = String::from_utf8_lossy(body);
-    let mark = text.split_once(' ').filter(|(of, _)| u64::from_str_radix(of, 16) == Ok(id));
+    let mark = text
+        .split_once(' ')
+        .filter(|(of, _)| u64::from_str_radix(of, 16) == Ok(id));
     match mark.and_then(|(_, mark)| u64::from_str_radix(mark, 16).ok()) {
         Some(mark) => End::Served(mark),
         None => End::Alien(text.chars().take(80).collect()),
@@ -230,7 +249,9 @@
             head += "Req-Retry: 1\r\n";
         }
         for (name, value) in ["Req-Budget", "Req-Path"].iter().zip(&self.carried) {
-            head += &value.as_ref().map_or(String::new(), |v| format!("{name}: {v}\r\n"));
+            head += &value
+                .as_ref()
+                .map_or(String::new(), |v| format!("{name}: {v}\r\n"));
         }
         if !self.safe {
             head += "Content-Length: 0\r\n";
--- a/crates/heathroad-rehearsal/src/cli.rs
+++ b/crates/heathroad-rehearsal/src/cli.rs
@@ -19,13 +19,17 @@
 /// The scenario that is rehearsed when none is named.
 const DEFAULT: &str = "month-end";
 
-/// Rehearse heathroad's worst nights on this machine: real daemons, stand-in backends and registry, open-loop load, a
-/// judge of the four rules.
+/// Rehearse heathroad's worst nights on this machine: real daemons, stand-in backends and registry,
+/// open-loop load, a judge of the four rules.
 ///
-/// Exit code 0: all kept; 1: a rule broken, an expectation missed or counts that differ; 2: bad input; 3: void, the
-/// machine ran late.
+/// Exit code 0: all kept; 1: a rule broken, an expectation missed or counts that differ; 2: bad
+/// input; 3: void, the machine ran late.
 #[derive(Parser)]
-#[command(name = "heathroad-rehearse", version, args_conflicts_with_subcommands = true)]
+#[command(
+    name = "heathroad-rehearse",
+    version,
+    args_conflicts_with_subcommands = true
+)]
 struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
@@ -112,26 +116,47 @@
         s.run.seconds,
         s.run.rate,
         s.run.proxies,
-        s.tier.iter().map(|t| format!("{} {}", t.backends, t.name)).collect::<Vec<_>>().join(", ")
+        s.tier
+            .iter()
+            .map(|t| format!("{} {}", t.backends, t.name))
+            .collect::<Vec<_>>()
+            .join(", ")
     ));
     for f in &s.fault {
         let [from, to] = f.at_s.ends();
-        let when = if from == to { format!("{from} s") } else { format!("{from} to {to} s") };
+        let when = if from == to {
+            format!("{from} s")
+        } else {
+            format!("{from} to {to} s")
+        };
         let whom = match (&f.tier, f.on.is_empty()) {
             (_, false) => format!(" on {}", f.on.join(", ")),
             (Some(tier), true) => format!(" on {} of {tier}", f.count),
             (None, true) => String::new(),
         };
-        let size = if f.size == 0.0 { String::new() } else { format!(" ({})", f.size) };
-        say(&format!("  at {when} for {} s: {}{size}{whom}", f.for_s, f.what.name()));
+        let size = if f.size == 0.0 {
+            String::new()
+        } else {
+            format!(" ({})", f.size)
+        };
+        say(&format!(
+            "  at {when} for {} s: {}{size}{whom}",
+            f.for_s,
+            f.what.name()
+        ));
     }
     if let Some(d) = &s.drawn {
         let kinds: Vec<&str> = d.kinds.iter().map(|k| k.name()).collect();
         let [from, to] = d.for_s;
-        say(&format!("  {} faults drawn by the seed, of {from} to {to} s: {}", d.count, kinds.join(", ")));
+        say(&format!(
+            "  {} faults drawn by the seed, of {from} to {to} s: {}",
+            d.count,
+            kinds.join(", ")
+        ));
     }
     for e in &s.expect {
-        let bound = |word: &str, b: Option<f64>| b.map(|b| format!(" {word} {b}")).unwrap_or_default();
+        let bound =
+            |word: &str, b: Option<f64>| b.map(|b| format!(" {word} {b}")).unwrap_or_default();
         say(&format!(
             "  expects {}{}{}",
             e.figure,
@@ -161,7 +186,8 @@
     }
     s.run.rate = run.rate.unwrap_or(s.run.rate);
     s.run.proxies = run.proxies.unwrap_or(s.run.proxies);
-    s.check().map_err(|e| format!("{name}: with the command line's figures: {e}"))?;
+    s.check()
+        .map_err(|e| format!("{name}: with the command line's figures: {e}"))?;
     Ok(s)
 }
 
@@ -175,7 +201,10 @@
         }
     };
     if !path.is_file() {
-        return Err(format!("{}: no daemon there: build it, or name it with --heathroad", path.display()));
+        return Err(format!(
+            "{}: no daemon there: build it, or name it with --heathroad",
+            path.display()
+        ));
     }
     Ok(path)
 }
@@ -184,7 +213,11 @@
     let name = run.scenario.as_deref().unwrap_or(DEFAULT);
     let program = program(run.heathroad.as_deref())?;
     let plan = Arc::new(plan::draw(scaled(run, name)?, run.seed));
-    for file in [&run.json, &run.report].into_iter().flatten().filter(|f| f.as_os_str() != "-") {
+    for file in [&run.json, &run.report]
+        .into_iter()
+        .flatten()
+        .filter(|f| f.as_os_str() != "-")
+    {
         // Found out now, not after the rehearsal.
         std::fs::write(file, "").map_err(|e| format!("{}: {e}", file.display()))?;
     }
@@ -192,7 +225,12 @@
     let (stop, stopped) = watch::channel(false);
     std::thread::spawn(move || wait_for_signals(&stop));
     let bar = show_progress(&plan, &progress);
-    let setting = Setting { program, plan, progress, stop: stopped };
+    let setting = Setting {
+        program,
+        plan,
+        progress,
+        stop: stopped,
+    };
     let seen = stage::run(setting);
     bar.finish_and_clear();
     let outcome = Outcome::of(seen?);
@@ -214,10 +252,17 @@
 
 /// Sets `stop` on Ctrl-C or SIGTERM: everything is ended in order, and what was seen is reported.
 fn wait_for_signals(stop: &watch::Sender<bool>) {
-    let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else { return };
+    let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    else {
+        return;
+    };
     runtime.block_on(async {
-        let (Ok(mut int), Ok(mut term)) = (signal(SignalKind::interrupt()), signal(SignalKind::terminate()))
-        else {
+        let (Ok(mut int), Ok(mut term)) = (
+            signal(SignalKind::interrupt()),
+            signal(SignalKind::terminate()),
+        ) else {
             return;
         };
         tokio::select! {
--- a/crates/heathroad-rehearsal/src/clock.rs
+++ b/crates/heathroad-rehearsal/src/clock.rs
@@ -1,5 +1,5 @@
-//! One clock for all ledgers: microseconds of a monotonic clock since the rehearsal's start. Steps of the wall clock
-//! move nothing here.
+//! One clock for all ledgers: microseconds of a monotonic clock since the rehearsal's start. Steps
+//! of the wall clock move nothing here.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -20,8 +20,14 @@
 impl Clock {
     /// A clock that starts at 0 so long from now; before that it tells 0.
     pub fn starting_in(wait: Duration) -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default() + wait;
-        Clock { start: Instant::now() + wait, unix_ms: unix.as_secs_f64() * 1000.0 }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            + wait;
+        Clock {
+            start: Instant::now() + wait,
+            unix_ms: unix.as_secs_f64() * 1000.0,
+        }
     }
 
     /// The time now.
@@ -45,9 +51,14 @@
     }
 }
 
-/// Seconds as microseconds. What is no sensible number of seconds counts as none; a day is the most.
+/// Seconds as microseconds. What is no sensible number of seconds counts as none; a day is the
+/// most.
 pub fn seconds(s: f64) -> Micros {
-    if s.is_finite() { (s.clamp(0.0, 86_400.0) * SECOND as f64) as Micros } else { 0 }
+    if s.is_finite() {
+        (s.clamp(0.0, 86_400.0) * SECOND as f64) as Micros
+    } else {
+        0
+    }
 }
 
 /// Microseconds as text in seconds.
--- a/crates/heathroad-rehearsal/src/daemon.rs
+++ b/crates/heathroad-rehearsal/src/daemon.rs
@@ -1,4 +1,5 @@
-//! Real daemon processes: written configurations, starts, signals, ends. No child outlives its handle.
+//! Real daemon processes: written configurations, starts, signals, ends. No child outlives its
+//! handle.
 
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
@@ -25,19 +26,24 @@
 /// Clock ticks of the system's accounts, a second; Linux tells processes nothing else.
 const TICKS: u64 = 100;
 
-/// Writes what daemons of one fleet are told of it: `fleet.toml`, ending with what it says of duties, and a key beside it.
+/// Writes what daemons of one fleet are told of it: `fleet.toml`, ending with what it says of
+/// duties, and a key beside it.
 pub fn fleet_files(
     folder: &Path,
     period_ms: u64,
     fence_unsure_after_ms: Option<u64>,
     duties: &str,
 ) -> io::Result<()> {
-    let unsure =
-        fence_unsure_after_ms.map(|ms| format!("fence_unsure_after_ms = {ms}\n")).unwrap_or_default();
+    let unsure = fence_unsure_after_ms
+        .map(|ms| format!("fence_unsure_after_ms = {ms}\n"))
+        .unwrap_or_default();
     let file = format!(
         "name = \"rehearsal\"\nkey_file = \"fleet.key\"\ntells_backends = true\nperiod_ms = {period_ms}\n{unsure}{duties}"
     );
-    std::fs::write(folder.join("fleet.key"), "a key for rehearsals alone, of some length\n")?;
+    std::fs::write(
+        folder.join("fleet.key"),
+        "a key for rehearsals alone, of some length\n",
+    )?;
     std::fs::write(folder.join("fleet.toml"), file)
 }
 
@@ -75,9 +81,16 @@
     file: PathBuf,
 }
 
-/// Starts `program` with a configuration, under its own limit on descriptors, and waits until it is ready.
-pub async fn start(program: &Path, file: &Path, config: &Value, sockets: u32) -> Result<Daemon, String> {
-    let fail = |what: &str, e: &dyn std::fmt::Display| format!("{}: {what}: {e}", program.display());
+/// Starts `program` with a configuration, under its own limit on descriptors, and waits until it is
+/// ready.
+pub async fn start(
+    program: &Path,
+    file: &Path,
+    config: &Value,
+    sockets: u32,
+) -> Result<Daemon, String> {
+    let fail =
+        |what: &str, e: &dyn std::fmt::Display| format!("{}: {what}: {e}", program.display());
     std::fs::write(file, config.to_string()).map_err(|e| fail("its configuration", &e))?;
     let mut child = Command::new("/bin/sh")
         .args(["-c", "ulimit -n \"$1\" && exec \"$0\""])
@@ -97,10 +110,22 @@
         let heard = heard.clone();
         std::thread::spawn(move || follow(BufReader::new(stderr), &heard))
     });
-    let out = child.stdout.take().map(|stdout| std::thread::spawn(move || last_line(BufReader::new(stdout))));
+    let out = child
+        .stdout
+        .take()
+        .map(|stdout| std::thread::spawn(move || last_line(BufReader::new(stdout))));
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
     let file = file.to_path_buf();
-    let mut daemon = Daemon { child, heard, log, out, listens: nowhere, admin: nowhere, remote: None, file };
+    let mut daemon = Daemon {
+        child,
+        heard,
+        log,
+        out,
+        listens: nowhere,
+        admin: nowhere,
+        remote: None,
+        file,
+    };
     match timeout(READY, daemon.ready()).await {
         Ok(Ok(())) => Ok(daemon),
         Ok(Err(e)) => Err(fail("did not get ready", &e)),
@@ -111,7 +136,10 @@
 fn follow(lines: impl BufRead, heard: &Mutex<Heard>) {
     for line in lines.lines().map_while(Result::ok) {
         let Ok(mut heard) = heard.lock() else { return };
-        let address = |says| line.split_once(says).and_then(|(_, a): (&str, &str)| a.trim().parse().ok());
+        let address = |says| {
+            line.split_once(says)
+                .and_then(|(_, a): (&str, &str)| a.trim().parse().ok())
+        };
         heard.listens = address("listening on ").or(heard.listens);
         heard.admin = address("admin on ").or(heard.admin);
         heard.remote = address("listener remote on ").or(heard.remote);
@@ -145,7 +173,10 @@
             };
             if let (Some(listens), Some(admin)) = (listens, admin) {
                 (self.listens, self.admin, self.remote) = (listens, admin, remote);
-                if get(listens, "/health/ready").await.is_ok_and(|(status, _)| status == 200) {
+                if get(listens, "/health/ready")
+                    .await
+                    .is_ok_and(|(status, _)| status == 200)
+                {
                     return Ok(());
                 }
             } else if ended {
@@ -156,8 +187,13 @@
     }
 
     fn last_log(&self) -> String {
-        let log = self.heard.lock().map(|h| h.log.iter().cloned().collect::<Vec<_>>().join(" | "));
-        log.ok().filter(|l| !l.is_empty()).unwrap_or_else(|| "it said nothing".into())
+        let log = self
+            .heard
+            .lock()
+            .map(|h| h.log.iter().cloned().collect::<Vec<_>>().join(" | "));
+        log.ok()
+            .filter(|l| !l.is_empty())
+            .unwrap_or_else(|| "it said nothing".into())
     }
 
     /// The number of its process.
@@ -204,8 +240,8 @@
         self.signal(Signal::TERM)
     }
 
-    /// Waits until it has ended; kills it if that takes too long. Its last line on standard output, which tells its
-    /// counts, and whether it ended by itself and well.
+    /// Waits until it has ended; kills it if that takes too long. Its last line on standard output,
+    /// which tells its counts, and whether it ended by itself and well.
     pub async fn finish(mut self, most: Duration) -> (Option<Value>, bool) {
         let until = Instant::now() + most;
         let status = loop {
@@ -216,8 +252,15 @@
             }
         };
         self.kill();
-        let line = self.out.take().and_then(|out| out.join().ok()).unwrap_or_default();
-        (serde_json::from_str(&line).ok(), status.is_some_and(|s| s.success()))
+        let line = self
+            .out
+            .take()
+            .and_then(|out| out.join().ok())
+            .unwrap_or_default();
+        (
+            serde_json::from_str(&line).ok(),
+            status.is_some_and(|s| s.success()),
+        )
     }
 
     /// What it has used until now.
@@ -237,7 +280,8 @@
     }
 }
 
-/// What a process has used, by the system's accounts (proc(5): /proc/PID/stat, fields 14 and 15; VmHWM).
+/// What a process has used, by the system's accounts (proc(5): /proc/PID/stat, fields 14 and 15;
+/// VmHWM).
 fn usage(pid: u32) -> Option<Usage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
@@ -258,14 +302,24 @@
 }
 
 /// The same where an answer may take so long.
-pub async fn get_within(addr: SocketAddr, path: &str, most: Duration) -> io::Result<(u16, Vec<u8>)> {
-    call(addr, format!("GET {path} HTTP/1.1\r\nHost: heathroad\r\n\r\n"), most).await
+pub async fn get_within(
+    addr: SocketAddr,
+    path: &str,
+    most: Duration,
+) -> io::Result<(u16, Vec<u8>)> {
+    call(
+        addr,
+        format!("GET {path} HTTP/1.1\r\nHost: heathroad\r\n\r\n"),
+        most,
+    )
+    .await
 }
 
 /// A plain POST on a connection of its own.
 pub async fn post(addr: SocketAddr, path: &str, body: &str) -> io::Result<(u16, Vec<u8>)> {
     let length = body.len();
-    let head = format!("POST {path} HTTP/1.1\r\nHost: heathroad\r\nContent-Length: {length}\r\n\r\n");
+    let head =
+        format!("POST {path} HTTP/1.1\r\nHost: heathroad\r\nContent-Length: {length}\r\n\r\n");
     call(addr, head + body, PATIENCE).await
 }
 
@@ -275,7 +329,11 @@
         stream.write_all(request.as_bytes()).await?;
         let mut buffer = crate::http::Buffer::default();
         let response = buffer.response(&mut stream).await;
-        response.map_err(|_| io::Error::other("no whole answer")).map(|r| (r.status, r.body))
+        response
+            .map_err(|_| io::Error::other("no whole answer"))
+            .map(|r| (r.status, r.body))
     };
-    timeout(most, call).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
+    timeout(most, call)
+        .await
+        .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
 }
--- a/crates/heathroad-rehearsal/src/fleet.rs
+++ b/crates/heathroad-rehearsal/src/fleet.rs
@@ -1,5 +1,6 @@
-//! Several daemons of one fleet with the kit's network between them, for plain tests: killed, stalled, restarted with nothing or
-//! with an old copy of their state, their ways cut or spoilt; and what one backend saw of what they did.
+//! Several daemons of one fleet with the kit's network between them, for plain tests: killed,
+//! stalled, restarted with nothing or with an old copy of their state, their ways cut or spoilt;
+//! and what one backend saw of what they did.
 
 use crate::clock::{Clock, Micros};
 use crate::daemon::{self, Daemon};
@@ -32,7 +33,8 @@
 /// How a fleet is.
 #[derive(Debug, Clone, Default)]
 pub struct Options {
-    /// Routes and pools, as the text of their file, `BACKEND` standing for the backend's address; else each has one pool.
+    /// Routes and pools, as the text of their file, `BACKEND` standing for the backend's address;
+    /// else each has one pool.
     pub routes: Option<String>,
     /// A period of the fleet's protocol, in milliseconds.
     pub period_ms: u64,
@@ -94,12 +96,21 @@
             while let Ok(request) = buffer.request(&mut stream).await {
                 let (at, proxy) = (clock.now(), (request.id.unwrap_or(0) >> 32) as u16);
                 if let Ok(mut noted) = noted.lock() {
-                    noted.push(Noted { at, proxy, version: request.version });
+                    noted.push(Noted {
+                        at,
+                        proxy,
+                        version: request.version,
+                    });
                 }
                 let hold = *held.borrow_and_update();
                 // Its sender ends with the fleet.
                 let waited = !hold || held.wait_for(|hold| !hold).await.is_ok();
-                if !waited || stream.write_all(&http::answer(200, "", "done")).await.is_err() {
+                if !waited
+                    || stream
+                        .write_all(&http::answer(200, "", "done"))
+                        .await
+                        .is_err()
+                {
                     return;
                 }
             }
@@ -108,21 +119,38 @@
 }
 
 fn write(folder: &Path, options: &Options) -> std::io::Result<()> {
-    daemon::fleet_files(folder, options.period_ms, options.fence_unsure_after_ms, &options.duties)
+    daemon::fleet_files(
+        folder,
+        options.period_ms,
+        options.fence_unsure_after_ms,
+        &options.duties,
+    )
 }
 
 impl Fleet {
     /// Starts so many, with what a seed draws.
-    pub async fn begin(program: &Path, proxies: u16, seed: u64, options: Options) -> Result<Fleet, String> {
+    pub async fn begin(
+        program: &Path,
+        proxies: u16,
+        seed: u64,
+        options: Options,
+    ) -> Result<Fleet, String> {
         println!("fleet of {proxies}, seed {seed}");
         let clock = Clock::starting_in(Duration::ZERO);
         let ip = crate::stage::network();
-        let network = Network::begin(ip, proxies, seed, clock).map_err(|e| format!("network: {e}"))?;
-        let name = format!("heathroad-fleet-{}-{:x}", std::process::id(), fastrand::Rng::new().u32(..));
+        let network =
+            Network::begin(ip, proxies, seed, clock).map_err(|e| format!("network: {e}"))?;
+        let name = format!(
+            "heathroad-fleet-{}-{:x}",
+            std::process::id(),
+            fastrand::Rng::new().u32(..)
+        );
         let folder = std::env::temp_dir().join(name);
         let made = std::fs::create_dir(&folder).and_then(|()| write(&folder, &options));
         made.map_err(|e| format!("{}: {e}", folder.display()))?;
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| format!("backend: {e}"))?;
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(|e| format!("backend: {e}"))?;
         let backend = listener.local_addr().map_err(|e| format!("backend: {e}"))?;
         let noted = Arc::<Mutex<Vec<Noted>>>::default();
         let held = watch::Sender::new(false);
@@ -150,7 +178,12 @@
         let mut starting = JoinSet::new();
         for proxy in 0..proxies {
             let (program, file, config) = fleet.launch(proxy)?;
-            starting.spawn(async move { (proxy, daemon::start(&program, &file, &config, SOCKETS).await) });
+            starting.spawn(async move {
+                (
+                    proxy,
+                    daemon::start(&program, &file, &config, SOCKETS).await,
+                )
+            });
         }
         while let Some(started) = starting.join_next().await {
             let (proxy, daemon) = started.map_err(|e| e.to_string())?;
@@ -171,7 +204,12 @@
     fn config(&self, proxy: u16) -> Value {
         let path = |name: &str| self.folder.join(name).display().to_string();
         let routes = self.options.routes.as_ref().map(|_| path("routes.toml"));
-        let peers: Vec<String> = self.network.peers(proxy).iter().map(ToString::to_string).collect();
+        let peers: Vec<String> = self
+            .network
+            .peers(proxy)
+            .iter()
+            .map(ToString::to_string)
+            .collect();
         json!({
             "name": format!("proxy-{proxy}"), "listen": "127.0.0.1:0", "admin": "127.0.0.1:0",
             // Nobody tells lists here; the one that was known last names the backend.
@@ -196,7 +234,10 @@
 
     /// What one is started with: the program, its file and what is to stand there.
     fn launch(&self, proxy: u16) -> Result<(PathBuf, PathBuf, Value), String> {
-        let (state, file) = (self.state(proxy), self.folder.join(format!("proxy-{proxy}.json")));
+        let (state, file) = (
+            self.state(proxy),
+            self.folder.join(format!("proxy-{proxy}.json")),
+        );
         if !state.exists() {
             std::fs::create_dir(&state).map_err(|e| e.to_string())?;
         }
@@ -220,8 +261,14 @@
     /// Asks one to let go of a duty.
     pub async fn resign(&self, proxy: u16, duty: &str) -> Result<(), String> {
         let path = format!("/duty/resign?name={duty}");
-        let told = daemon::post(self.daemon(proxy)?.admin, &path, "").await.map_err(|e| e.to_string())?;
-        if told.0 == 200 { Ok(()) } else { Err(String::from_utf8_lossy(&told.1).into_owned()) }
+        let told = daemon::post(self.daemon(proxy)?.admin, &path, "")
+            .await
+            .map_err(|e| e.to_string())?;
+        if told.0 == 200 {
+            Ok(())
+        } else {
+            Err(String::from_utf8_lossy(&told.1).into_owned())
+        }
     }
 
     /// Its process.
@@ -237,10 +284,16 @@
 
     /// Stops one as planned.
     pub async fn stop(&mut self, proxy: u16) -> Result<(), String> {
-        let Some(daemon) = self.daemons[usize::from(proxy)].take() else { return Ok(()) };
+        let Some(daemon) = self.daemons[usize::from(proxy)].take() else {
+            return Ok(());
+        };
         daemon.terminate().map_err(|e| e.to_string())?;
         let (_, well) = daemon.finish(STOP).await;
-        if well { Ok(()) } else { Err(format!("proxy {proxy} did not stop as planned")) }
+        if well {
+            Ok(())
+        } else {
+            Err(format!("proxy {proxy} did not stop as planned"))
+        }
     }
 
     /// Takes away all that one has kept.
@@ -262,16 +315,21 @@
     pub fn put_back(&self, proxy: u16, copy: &[(PathBuf, Vec<u8>)]) -> std::io::Result<()> {
         self.forget(proxy)?;
         std::fs::create_dir(self.state(proxy))?;
-        copy.iter().try_for_each(|(path, bytes)| std::fs::write(path, bytes))
+        copy.iter()
+            .try_for_each(|(path, bytes)| std::fs::write(path, bytes))
     }
 
     /// Asks one at its admin address.
     pub async fn ask(&self, proxy: u16, path: &str) -> Result<Value, String> {
         let admin = self.daemon(proxy)?.admin;
-        let (status, body) =
-            daemon::get_within(admin, path, ANSWER).await.map_err(|e| format!("{path}: {e}"))?;
+        let (status, body) = daemon::get_within(admin, path, ANSWER)
+            .await
+            .map_err(|e| format!("{path}: {e}"))?;
         if status != 200 {
-            return Err(format!("{path}: {status}: {}", String::from_utf8_lossy(&body)));
+            return Err(format!(
+                "{path}: {status}: {}",
+                String::from_utf8_lossy(&body)
+            ));
         }
         serde_json::from_slice(&body).map_err(|e| format!("{path}: {e}"))
     }
@@ -297,19 +355,28 @@
         };
         match timeout(LONG, look).await {
             Ok(told) => Ok(told),
-            Err(_) => Err(format!("{path} of proxy {proxy} is not as wanted: {last:?}")),
+            Err(_) => Err(format!(
+                "{path} of proxy {proxy} is not as wanted: {last:?}"
+            )),
         }
     }
 
     /// Waits until one takes another to stand like this.
-    pub async fn until_stands(&self, proxy: u16, other: u16, standing: &str) -> Result<Value, String> {
+    pub async fn until_stands(
+        &self,
+        proxy: u16,
+        other: u16,
+        standing: &str,
+    ) -> Result<Value, String> {
         let stands = |told: &Value| told["members"][usize::from(other)]["standing"] == standing;
         self.until(proxy, "/fleet/members", stands).await
     }
 
     /// Waits until all that run take each other for there.
     pub async fn until_all_there(&self) -> Result<(), String> {
-        let there: Vec<u16> = (0..self.daemons.len() as u16).filter(|p| self.daemon(*p).is_ok()).collect();
+        let there: Vec<u16> = (0..self.daemons.len() as u16)
+            .filter(|p| self.daemon(*p).is_ok())
+            .collect();
         for at in &there {
             for of in &there {
                 self.until_stands(*at, *of, "alive").await?;
@@ -329,7 +396,10 @@
         proxy: u16,
     ) -> Result<impl Future<Output = Result<u16, String>> + use<>, String> {
         self.calls += 1;
-        let (id, at) = (u64::from(proxy) << 32 | self.calls, self.daemon(proxy)?.listens);
+        let (id, at) = (
+            u64::from(proxy) << 32 | self.calls,
+            self.daemon(proxy)?.listens,
+        );
         let call = async move {
             let mut stream = TcpStream::connect(at).await?;
             let head = format!(
@@ -337,11 +407,14 @@
             );
             stream.write_all(head.as_bytes()).await?;
             let answer = Buffer::default().response(&mut stream).await;
-            answer.map(|a| a.status).map_err(|_| std::io::Error::other("no whole answer"))
+            answer
+                .map(|a| a.status)
+                .map_err(|_| std::io::Error::other("no whole answer"))
         };
         Ok(async {
             let done = timeout(CALL, call).await;
-            done.map_err(|_| "no answer".to_string())?.map_err(|e| e.to_string())
+            done.map_err(|_| "no answer".to_string())?
+                .map_err(|e| e.to_string())
         })
     }
 
@@ -352,16 +425,25 @@
 
     /// The same, required of all within so many milliseconds from its commit on.
     pub async fn require(&self, proxy: u16, text: &str, within_ms: u64) -> Result<(), String> {
-        self.propose(proxy, &format!("/config/apply?required_ms={within_ms}"), text).await
+        self.propose(
+            proxy,
+            &format!("/config/apply?required_ms={within_ms}"),
+            text,
+        )
+        .await
     }
 
     async fn propose(&self, proxy: u16, path: &str, text: &str) -> Result<(), String> {
         let admin = self.daemon(proxy)?.admin;
-        let told = daemon::post(admin, path, &self.routes(text)).await.map_err(|e| e.to_string())?;
+        let told = daemon::post(admin, path, &self.routes(text))
+            .await
+            .map_err(|e| e.to_string())?;
         if told.0 != 200 {
             return Err(String::from_utf8_lossy(&told.1).into_owned());
         }
-        self.until(proxy, "/config/status", |s| s["open"].is_null()).await.map(drop)
+        self.until(proxy, "/config/status", |s| s["open"].is_null())
+            .await
+            .map(drop)
     }
 
     /// The backend holds what comes from now on, to answer it once it holds no more.
--- a/crates/heathroad-rehearsal/src/http.rs
+++ b/crates/heathroad-rehearsal/src/http.rs
@@ -1,6 +1,6 @@
-//! HTTP/1.1 messages on raw sockets, as far as stand-ins need it (RFC 9112): heads are parsed by `httparse`, bodies
-//! have a length. Raw, so that a stand-in can break off, spoil and stall where it is told to, and a client can see
-//! what comes behind an answer.
+//! HTTP/1.1 messages on raw sockets, as far as stand-ins need it (RFC 9112): heads are parsed by
+//! `httparse`, bodies have a length. Raw, so that a stand-in can break off, spoil and stall where
+//! it is told to, and a client can see what comes behind an answer.
 
 use serde_json::{Value, json};
 use std::io;
@@ -34,7 +34,8 @@
     pub carried: [Option<String>; 2],
     /// `Req-Version`: by which version it was bound.
     pub version: Option<String>,
-    /// `Duty-Token`, a hexadecimal number, `Duty-Holder` and `Duty-Number`, of a call that a duty makes.
+    /// `Duty-Token`, a hexadecimal number, `Duty-Holder` and `Duty-Number`, of a call that a duty
+    /// makes.
     pub duty: Option<(u64, String, u64)>,
 }
 
@@ -117,7 +118,10 @@
     }
 
     /// Reads a request.
-    pub async fn request(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> Result<Request, Broken> {
+    pub async fn request(
+        &mut self,
+        stream: &mut (impl AsyncRead + Unpin),
+    ) -> Result<Request, Broken> {
         let (mut request, body) = self.take(stream, parse_request).await?;
         request.body = body.len();
         Ok(request)
@@ -128,7 +132,8 @@
         self.0.first() == Some(&b'{')
     }
 
-    /// Reads a call over JSON-RPC, a text a line. What tells it apart and its key stand in its parameters.
+    /// Reads a call over JSON-RPC, a text a line. What tells it apart and its key stand in its
+    /// parameters.
     pub async fn call(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> Result<Request, Broken> {
         let end = loop {
             match self.0.iter().position(|b| *b == b'\n') {
@@ -156,7 +161,10 @@
     }
 
     /// Reads an answer; those that are only provisional are passed over.
-    pub async fn response(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> Result<Response, Broken> {
+    pub async fn response(
+        &mut self,
+        stream: &mut (impl AsyncRead + Unpin),
+    ) -> Result<Response, Broken> {
         loop {
             let (mut response, body) = self.take(stream, parse_response).await?;
             if response.status >= 200 {
@@ -173,8 +181,15 @@
 }
 
 fn duty(headers: &[httparse::Header<'_>]) -> Option<(u64, String, u64)> {
-    let (token, holder) = (number(headers, "duty-token")?, text(headers, "duty-holder")?);
-    Some((token, holder.to_string(), text(headers, "duty-number")?.parse().ok()?))
+    let (token, holder) = (
+        number(headers, "duty-token")?,
+        text(headers, "duty-holder")?,
+    );
+    Some((
+        token,
+        holder.to_string(),
+        text(headers, "duty-number")?.parse().ok()?,
+    ))
 }
 
 fn number(headers: &[httparse::Header], name: &str) -> Option<u64> {
@@ -186,16 +201,19 @@
     if text(headers, "transfer-encoding").is_some() {
         return Err(Broken::Garbled);
     }
-    let mut lengths = headers.iter().filter(|h| h.name.eq_ignore_ascii_case("content-length"));
+    let mut lengths = headers
+        .iter()
+        .filter(|h| h.name.eq_ignore_ascii_case("content-length"));
     let first = lengths.next();
     if lengths.next().is_some() {
         return Err(Broken::Garbled);
     }
     match first {
         None => Ok(0),
-        Some(h) => {
-            std::str::from_utf8(h.value).ok().and_then(|v| v.trim().parse().ok()).ok_or(Broken::Garbled)
-        }
+        Some(h) => std::str::from_utf8(h.value)
+            .ok()
+            .and_then(|v| v.trim().parse().ok())
+            .ok_or(Broken::Garbled),
     }
 }
 
@@ -214,7 +232,8 @@
         deadline_ms: text(head.headers, "req-deadline-ms").and_then(|v| v.parse().ok()),
         body: 0,
         rpc: None,
-        carried: ["req-budget", "req-path"].map(|name| text(head.headers, name).map(str::to_string)),
+        carried: ["req-budget", "req-path"]
+            .map(|name| text(head.headers, name).map(str::to_string)),
         version: text(head.headers, "req-version").map(str::to_string),
         duty: duty(head.headers),
     };
@@ -237,7 +256,11 @@
         body: Vec::new(),
     };
     let bodiless = status < 200 || status == 204 || status == 304;
-    Ok(Some((response, end, if bodiless { 0 } else { length(head.headers)? })))
+    Ok(Some((
+        response,
+        end,
+        if bodiless { 0 } else { length(head.headers)? },
+    )))
 }
 
 /// The code of a stand-in's word for: turned away unseen.
@@ -245,7 +268,9 @@
 
 /// An answer as bytes, in the words of the request.
 pub fn reply(to: &Request, status: u16, headers: &str, body: &str) -> Vec<u8> {
-    let Some(id) = &to.rpc else { return answer(status, headers, body) };
+    let Some(id) = &to.rpc else {
+        return answer(status, headers, body);
+    };
     let error = |code: i64| json!({"code": code, "message": format!("status {status}")});
     let member = match status {
         200 => format!("\"result\":{}", json!(body)),
@@ -258,7 +283,11 @@
 
 /// An answer as bytes.
 pub fn answer(status: u16, headers: &str, body: &str) -> Vec<u8> {
-    format!("HTTP/1.1 {status} \r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len()).into_bytes()
+    format!(
+        "HTTP/1.1 {status} \r\nContent-Length: {}\r\n{headers}\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
 }
 
 #[cfg(test)]
@@ -272,11 +301,17 @@
             abcGET /b HTTP/1.1\r\n\r\n";
         let mut buffer = Buffer::default();
         let one = buffer.request(&mut bytes).await.expect("whole");
-        assert_eq!((one.method.as_str(), one.target.as_str(), one.body), ("POST", "/a?k=1", 3));
+        assert_eq!(
+            (one.method.as_str(), one.target.as_str(), one.body),
+            ("POST", "/a?k=1", 3)
+        );
         assert_eq!((one.id, one.key), (Some(0x1f), Some(2)));
         let two = buffer.request(&mut bytes).await.expect("whole");
         assert_eq!((two.target.as_str(), two.id), ("/b", None));
-        assert!(matches!(buffer.request(&mut bytes).await, Err(Broken::Ended(false))));
+        assert!(matches!(
+            buffer.request(&mut bytes).await,
+            Err(Broken::Ended(false))
+        ));
     }
 
     #[tokio::test]
@@ -286,11 +321,20 @@
         let mut buffer = Buffer::default();
         assert!(buffer.begun(&mut bytes).await && buffer.speaks_rpc());
         let call = buffer.call(&mut bytes).await.expect("whole");
-        assert_eq!((call.target.as_str(), call.id, call.key), ("/payout", Some(0x1f), Some(2)));
-        assert_eq!(reply(&call, 200, "", "done"), b"{\"jsonrpc\":\"2.0\",\"result\":\"done\",\"id\":7}\n");
+        assert_eq!(
+            (call.target.as_str(), call.id, call.key),
+            ("/payout", Some(0x1f), Some(2))
+        );
+        assert_eq!(
+            reply(&call, 200, "", "done"),
+            b"{\"jsonrpc\":\"2.0\",\"result\":\"done\",\"id\":7}\n"
+        );
         let declined = reply(&call, 503, "", "");
         assert!(String::from_utf8_lossy(&declined).contains("\"code\":-32050"));
-        assert!(matches!(buffer.call(&mut bytes).await, Err(Broken::Ended(true))));
+        assert!(matches!(
+            buffer.call(&mut bytes).await,
+            Err(Broken::Ended(true))
+        ));
     }
 
     #[tokio::test]
@@ -299,17 +343,29 @@
             Buffer::default().response(&mut bytes).await
         }
         assert!(matches!(read(b"").await, Err(Broken::Ended(false))));
-        assert!(matches!(read(b"HTTP/1.1 200 OK\r\nConte").await, Err(Broken::Ended(true))));
+        assert!(matches!(
+            read(b"HTTP/1.1 200 OK\r\nConte").await,
+            Err(Broken::Ended(true))
+        ));
         assert!(matches!(
             read(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf").await,
             Err(Broken::Ended(true))
         ));
-        assert!(matches!(read(b"\x01noise\r\n\r\n").await, Err(Broken::Garbled)));
-        assert!(matches!(read(b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n").await, Err(Broken::Garbled)));
+        assert!(matches!(
+            read(b"\x01noise\r\n\r\n").await,
+            Err(Broken::Garbled)
+        ));
+        assert!(matches!(
+            read(b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n").await,
+            Err(Broken::Garbled)
+        ));
         let good =
             read(b"HTTP/1.1 100 \r\n\r\nHTTP/1.1 503 \r\nRetry-After: 0.25\r\nContent-Length: 2\r\n\r\nno")
                 .await;
         let good = good.expect("whole");
-        assert_eq!((good.status, good.retry_after, good.body.as_slice()), (503, Some(0.25), &b"no"[..]));
+        assert_eq!(
+            (good.status, good.retry_after, good.body.as_slice()),
+            (503, Some(0.25), &b"no"[..])
+        );
     }
 }
--- a/crates/heathroad-rehearsal/src/judge/client.rs
+++ b/crates/heathroad-rehearsal/src/judge/client.rs
@@ -1,4 +1,5 @@
-//! What attempts owe the client they are for: none is begun once it has left, and none is told more time than it has.
+//! What attempts owe the client they are for: none is begun once it has left, and none is told more
+//! time than it has.
 
 use super::Terms;
 use super::rules::{Breach, Rule, SLACK, describe};
@@ -12,7 +13,11 @@
 const TOLD_SLACK: Micros = 150_000;
 
 /// Attempts that were begun for a client who had left, or with more time than theirs.
-pub(super) fn breaches(terms: &Terms, ledgers: &Ledgers, by_id: &HashMap<u64, Vec<&Arrival>>) -> Vec<Breach> {
+pub(super) fn breaches(
+    terms: &Terms,
+    ledgers: &Ledgers,
+    by_id: &HashMap<u64, Vec<&Arrival>>,
+) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for t in &ledgers.tries {
         let arrivals = by_id.get(&t.id).map(Vec::as_slice).unwrap_or_default();
@@ -20,7 +25,12 @@
             let wrongs = [begun_for_nobody(t, arrival), told_too_much(t, arrival)];
             for wrong in wrongs.into_iter().flatten() {
                 let proof = format!("{wrong}: {}", describe(terms, arrival));
-                breaches.push(Breach { rule: Rule::Lost, at: arrival.first_byte, id: Some(t.id), proof });
+                breaches.push(Breach {
+                    rule: Rule::Lost,
+                    at: arrival.first_byte,
+                    id: Some(t.id),
+                    proof,
+                });
             }
         }
     }
@@ -32,7 +42,11 @@
     let begun = arrival.first_byte;
     let late = t.end == End::HungUp && begun > left + AFTER_CLOSE + SLACK;
     late.then(|| {
-        format!("an attempt was begun at {}, after its client had left at {}", show(begun), show(left))
+        format!(
+            "an attempt was begun at {}, after its client had left at {}",
+            show(begun),
+            show(left)
+        )
     })
 }
 
@@ -42,5 +56,11 @@
     let sent = t.crossed.map_or(sent, |crossed| crossed.max(sent));
     let left = (sent + t.patience).saturating_sub(arrival.first_byte);
     let much = told > left + TOLD_SLACK + SLACK;
-    much.then(|| format!("its backend was told {}, and its client had {} left", show(told), show(left)))
+    much.then(|| {
+        format!(
+            "its backend was told {}, and its client had {} left",
+            show(told),
+            show(left)
+        )
+    })
 }
--- a/crates/heathroad-rehearsal/src/judge/mod.rs
+++ b/crates/heathroad-rehearsal/src/judge/mod.rs
@@ -1,5 +1,5 @@
-//! The judge: service worth and the four rules, from the ledgers alone. A pure function, so that it can be tried
-//! against proxies that break each rule, without a socket.
+//! The judge: service worth and the four rules, from the ledgers alone. A pure function, so that it
+//! can be tried against proxies that break each rule, without a socket.
 
 mod client;
 mod effort;
@@ -30,11 +30,15 @@
 
 impl Terms<'_> {
     fn host(&self, host: HostNo) -> &str {
-        self.hosts.get(usize::from(host)).map_or("?", String::as_str)
+        self.hosts
+            .get(usize::from(host))
+            .map_or("?", String::as_str)
     }
 
     fn proxy(&self, proxy: u16) -> &str {
-        self.proxies.get(usize::from(proxy)).map_or("?", String::as_str)
+        self.proxies
+            .get(usize::from(proxy))
+            .map_or("?", String::as_str)
     }
 }
 
@@ -45,7 +49,8 @@
     pub worth: Worth,
     /// Every breach of the four rules.
     pub breaches: Vec<Breach>,
-    /// Claims that ran twice at the first tier by their clients' doing: repeated later than backends remember.
+    /// Claims that ran twice at the first tier by their clients' doing: repeated later than
+    /// backends remember.
     pub by_clients: Vec<String>,
     /// Tries by answer: served, refused, failed, without any.
     pub tries: [u64; 4],
@@ -57,7 +62,8 @@
     pub remote_served: u64,
     /// Calls that came round to the first tier and reached a backend of it once more.
     pub loops_open: u64,
-    /// The part of backends' work that was begun when the client it was for had left or had its answer.
+    /// The part of backends' work that was begun when the client it was for had left or had its
+    /// answer.
     pub work_for_nobody: f64,
     /// Latencies of served first tries, retries folded in, in microseconds: sorted.
     pub latencies: Vec<Micros>,
@@ -95,7 +101,10 @@
     /// A percentile of the latencies; 0 where nothing was served.
     pub fn latency(&self, share: f64) -> Micros {
         let last = self.latencies.len().saturating_sub(1) as f64;
-        self.latencies.get((last * share).round() as usize).copied().unwrap_or(0)
+        self.latencies
+            .get((last * share).round() as usize)
+            .copied()
+            .unwrap_or(0)
     }
 }
 
@@ -113,8 +122,19 @@
         };
         tries[kind] += 1;
     }
-    let left = ledgers.rude.iter().filter(|r| rules::left_with_nothing(r)).count();
-    let remote = |t: &&Try| t.of_client() && terms.plan.tries.get(t.first as usize).is_some_and(|f| f.remote);
+    let left = ledgers
+        .rude
+        .iter()
+        .filter(|r| rules::left_with_nothing(r))
+        .count();
+    let remote = |t: &&Try| {
+        t.of_client()
+            && terms
+                .plan
+                .tries
+                .get(t.first as usize)
+                .is_some_and(|f| f.remote)
+    };
     let remote = ledgers.tries.iter().filter(remote);
     let remote_served = remote.filter(|t| matches!(t.end, End::Served(_))).count() as u64;
     let (worth, latencies) = worth::of(terms.plan, &ledgers.tries);
--- a/crates/heathroad-rehearsal/src/judge/rules.rs
+++ b/crates/heathroad-rehearsal/src/judge/rules.rs
@@ -1,5 +1,5 @@
-//! The four rules: no request lost, no double effect, drains kept, no cold backend pushed over. Each breach is told
-//! with the events that prove it.
+//! The four rules: no request lost, no double effect, drains kept, no cold backend pushed over.
+//! Each breach is told with the events that prove it.
 
 use super::{Terms, client};
 use crate::clock::{Micros, show};
@@ -11,7 +11,8 @@
 
 /// On real sockets each limit is so much longer.
 pub(super) const SLACK: Micros = 50_000;
-/// The part of a cold backend's load that must have come from proxies told of its start, for the rule to be theirs.
+/// The part of a cold backend's load that must have come from proxies told of its start, for the
+/// rule to be theirs.
 const TOLD_PART: f64 = 2.0 / 3.0;
 
 /// A rule.
@@ -60,11 +61,17 @@
     r.ended.is_none_or(|ended| ended > r.at + RUDE_OWED + SLACK)
 }
 
-/// Every breach, the claims that clients ran twice, and how many requests backends saw again under their id.
+/// Every breach, the claims that clients ran twice, and how many requests backends saw again under
+/// their id.
 pub fn all(terms: &Terms, ledgers: &Ledgers) -> (Vec<Breach>, Vec<String>, u64) {
     let mut by_id: HashMap<u64, Vec<&Arrival>> = HashMap::new();
-    ledgers.arrivals.iter().for_each(|a| by_id.entry(a.id).or_default().push(a));
-    by_id.values_mut().for_each(|arrivals| arrivals.sort_by_key(|a| a.whole));
+    ledgers
+        .arrivals
+        .iter()
+        .for_each(|a| by_id.entry(a.id).or_default().push(a));
+    by_id
+        .values_mut()
+        .for_each(|arrivals| arrivals.sort_by_key(|a| a.whole));
     let mut breaches = lost(terms, ledgers, &by_id);
     breaches.extend(client::breaches(terms, ledgers, &by_id));
     let resends = by_id.values().map(|a| a.len() as u64 - 1).sum();
@@ -75,16 +82,25 @@
     (breaches, run_twice(ledgers), resends)
 }
 
-/// Whether a proxy's process was killed, or had crashed, at some time in a span. What it held is its clients'.
+/// Whether a proxy's process was killed, or had crashed, at some time in a span. What it held is
+/// its clients'.
 fn died(acts: &[Act], proxy: ProxyNo, from: Micros, to: Micros) -> bool {
-    let killed = acts.iter().filter(|a| a.proxy == proxy && a.what == Did::Killed);
-    killed.into_iter().any(|a| a.at <= to + SLACK && a.until >= from)
+    let killed = acts
+        .iter()
+        .filter(|a| a.proxy == proxy && a.what == Did::Killed);
+    killed
+        .into_iter()
+        .any(|a| a.at <= to + SLACK && a.until >= from)
 }
 
-/// Whether a proxy's process was held still at some time in a span: nothing is owed by one that is given no time.
+/// Whether a proxy's process was held still at some time in a span: nothing is owed by one that is
+/// given no time.
 fn stalled(acts: &[Act], proxy: ProxyNo, from: Micros, to: Micros) -> bool {
-    let held = acts.iter().filter(|a| a.proxy == proxy && a.what == Did::Stalled);
-    held.into_iter().any(|a| a.at <= to + SLACK && a.until >= from)
+    let held = acts
+        .iter()
+        .filter(|a| a.proxy == proxy && a.what == Did::Stalled);
+    held.into_iter()
+        .any(|a| a.at <= to + SLACK && a.until >= from)
 }
 
 fn lost(terms: &Terms, ledgers: &Ledgers, by_id: &HashMap<u64, Vec<&Arrival>>) -> Vec<Breach> {
@@ -97,48 +113,82 @@
         let took = t.ended.saturating_sub(sent + t.slow);
         let still = stalled(&ledgers.acts, t.proxy, sent, t.ended);
         let late = took > t.patience + grace && !still;
-        let owed = || format!("sent to {who} at {}, owed an answer within {}", show(sent), show(t.patience));
+        let owed = || {
+            format!(
+                "sent to {who} at {}, owed an answer within {}",
+                show(sent),
+                show(t.patience)
+            )
+        };
         let wrong = match &t.end {
             End::Served(mark) => {
                 // Made for this request, and made before it was passed on.
-                let made = |a: &&&Arrival| a.mark == *mark && a.tier == t.tier && a.whole <= t.ended;
+                let made =
+                    |a: &&&Arrival| a.mark == *mark && a.tier == t.tier && a.whole <= t.ended;
                 match arrivals.iter().find(made) {
-                    None => Some(format!("served with mark {mark:x}, which no backend made for it")),
+                    None => Some(format!(
+                        "served with mark {mark:x}, which no backend made for it"
+                    )),
                     Some(_) if late => Some(format!("served after {}", show(took))),
                     Some(_) => None,
                 }
             }
-            End::Alien(text) => Some(format!("served with {text:?}, which no backend made for it")),
-            End::Refused { .. } | End::Failed(_) if late => Some(format!("answered after {}", show(took))),
+            End::Alien(text) => Some(format!(
+                "served with {text:?}, which no backend made for it"
+            )),
+            End::Refused { .. } | End::Failed(_) if late => {
+                Some(format!("answered after {}", show(took)))
+            }
             End::Refused { .. } | End::Failed(_) | End::HungUp | End::Unsent => None,
             // An answer that breaks off where the client can tell has failed and is not lost.
             End::Broken(true) => None,
             End::Broken(false) if died(&ledgers.acts, t.proxy, sent, t.ended) => None,
-            End::Broken(false) => {
-                Some(format!("the connection was closed without an answer at {}", show(t.ended)))
-            }
-            End::Garbled => Some(format!("an answer that can't be read came at {}", show(t.ended))),
+            End::Broken(false) => Some(format!(
+                "the connection was closed without an answer at {}",
+                show(t.ended)
+            )),
+            End::Garbled => Some(format!(
+                "an answer that can't be read came at {}",
+                show(t.ended)
+            )),
             End::Silence if still => None,
             End::Silence if died(&ledgers.acts, t.proxy, sent, t.ended) => None,
             End::Silence => Some(format!("no answer had come by {}", show(t.ended))),
         };
-        let twice = t.extra.then(|| "a second answer came behind the first on its connection".to_string());
-        // A close between requests may cross one that was not read; what was passed on had been read.
-        let taken = t.crossed.and_then(|at| arrivals.iter().find(|a| a.whole <= at));
-        let taken = taken.filter(|a| !died(&ledgers.acts, t.proxy, a.whole, t.ended)).map(|a| {
-            format!(
-                "its connection was closed without an answer after it had been passed on: {}",
-                describe(terms, a)
-            )
-        });
+        let twice = t
+            .extra
+            .then(|| "a second answer came behind the first on its connection".to_string());
+        // A close between requests may cross one that was not read; what was passed on had been
+        // read.
+        let taken = t
+            .crossed
+            .and_then(|at| arrivals.iter().find(|a| a.whole <= at));
+        let taken = taken
+            .filter(|a| !died(&ledgers.acts, t.proxy, a.whole, t.ended))
+            .map(|a| {
+                format!(
+                    "its connection was closed without an answer after it had been passed on: {}",
+                    describe(terms, a)
+                )
+            });
         for wrong in wrong.into_iter().chain(twice).chain(taken) {
             let proof = format!("{}; {wrong}", owed());
-            breaches.push(Breach { rule: Rule::Lost, at: t.ended, id: Some(t.id), proof });
+            breaches.push(Breach {
+                rule: Rule::Lost,
+                at: t.ended,
+                id: Some(t.id),
+                proof,
+            });
         }
     }
     for r in ledgers.rude.iter().filter(|r| r.status == Some(200)) {
         let proof = format!("a client that sent {} at {} was served", r.kind, show(r.at));
-        breaches.push(Breach { rule: Rule::Lost, at: r.at, id: r.hidden, proof });
+        breaches.push(Breach {
+            rule: Rule::Lost,
+            at: r.at,
+            id: r.hidden,
+            proof,
+        });
     }
     breaches
 }
@@ -149,20 +199,33 @@
         Fate::Repeat => "dropped as a repeat",
         Fate::Declined => "declined",
     };
-    format!("at {} from {} to {}: {what}", show(a.whole), terms.proxy(a.proxy), terms.host(a.host))
+    format!(
+        "at {} from {} to {}: {what}",
+        show(a.whole),
+        terms.proxy(a.proxy),
+        terms.host(a.host)
+    )
 }
 
 fn double(terms: &Terms, ledgers: &Ledgers, by_id: &HashMap<u64, Vec<&Arrival>>) -> Vec<Breach> {
     let mut breaches = Vec::new();
     let classes = &terms.plan.scenario.class;
-    // What its sender sent once more, since its connection was closed, is not the proxy's second try.
-    let crossed: HashMap<u64, Micros> =
-        ledgers.tries.iter().filter_map(|t| Some((t.id, t.crossed?))).collect();
+    // What its sender sent once more, since its connection was closed, is not the proxy's second
+    // try.
+    let crossed: HashMap<u64, Micros> = ledgers
+        .tries
+        .iter()
+        .filter_map(|t| Some((t.id, t.crossed?)))
+        .collect();
     for (&id, arrivals) in by_id {
         // What was declined never ran, and is sent again freely.
         let mut may_have_run = arrivals.iter().filter(|a| a.fate != Fate::Declined);
-        let Some(first) = may_have_run.next() else { continue };
-        let Some(class) = classes.get(usize::from(first.class)) else { continue };
+        let Some(first) = may_have_run.next() else {
+            continue;
+        };
+        let Some(class) = classes.get(usize::from(first.class)) else {
+            continue;
+        };
         let window = (class.window_ms * 1000.0) as Micros + SLACK;
         let cell = |a: &Arrival| terms.cells.get(usize::from(a.host));
         let again = crossed.get(&id).filter(|at| first.whole <= **at);
@@ -179,47 +242,87 @@
                 Effect::Keyed => None,
             };
             if let Some(wrong) = wrong {
-                let proof = format!("{wrong}: {}; then {}", describe(terms, first), describe(terms, a));
-                breaches.push(Breach { rule: Rule::Double, at: a.whole, id: Some(id), proof });
+                let proof = format!(
+                    "{wrong}: {}; then {}",
+                    describe(terms, first),
+                    describe(terms, a)
+                );
+                breaches.push(Breach {
+                    rule: Rule::Double,
+                    at: a.whole,
+                    id: Some(id),
+                    proof,
+                });
             }
         }
     }
     // A refusal promises that trying again is harmless.
-    for t in ledgers.tries.iter().filter(|t| matches!(t.end, End::Refused { .. })) {
+    for t in ledgers
+        .tries
+        .iter()
+        .filter(|t| matches!(t.end, End::Refused { .. }))
+    {
         let class = &classes[usize::from(t.class)];
-        let free = class.effect == Effect::Safe || class.effect == Effect::Keyed && class.group == Group::All;
+        let free = class.effect == Effect::Safe
+            || class.effect == Effect::Keyed && class.group == Group::All;
         let arrivals = by_id.get(&t.id).map(Vec::as_slice).unwrap_or_default();
         if let Some(ran) = arrivals.iter().find(|a| a.fate != Fate::Declined && !free) {
-            let proof =
-                format!("refused at {} though it may have run: {}", show(t.ended), describe(terms, ran));
-            breaches.push(Breach { rule: Rule::Double, at: t.ended, id: Some(t.id), proof });
+            let proof = format!(
+                "refused at {} though it may have run: {}",
+                show(t.ended),
+                describe(terms, ran)
+            );
+            breaches.push(Breach {
+                rule: Rule::Double,
+                at: t.ended,
+                id: Some(t.id),
+                proof,
+            });
         }
     }
     for hidden in ledgers.rude.iter().filter_map(|r| r.hidden) {
         if let Some(a) = by_id.get(&hidden).and_then(|a| a.first()) {
-            let proof = format!("a request hidden in another's body was passed on: {}", describe(terms, a));
-            breaches.push(Breach { rule: Rule::Double, at: a.whole, id: Some(hidden), proof });
+            let proof = format!(
+                "a request hidden in another's body was passed on: {}",
+                describe(terms, a)
+            );
+            breaches.push(Breach {
+                rule: Rule::Double,
+                at: a.whole,
+                id: Some(hidden),
+                proof,
+            });
         }
     }
     breaches
 }
 
-/// Claims that ran twice at the first tier under different ids: the client asked again later than the backends
-/// remember. (Under one id it is the proxy's doing, and a breach.)
+/// Claims that ran twice at the first tier under different ids: the client asked again later than
+/// the backends remember. (Under one id it is the proxy's doing, and a breach.)
 fn run_twice(ledgers: &Ledgers) -> Vec<String> {
     let mut by_key: BTreeMap<u64, Vec<&Arrival>> = BTreeMap::new();
-    for a in ledgers.arrivals.iter().filter(|a| a.tier == 0 && a.fate == Fate::Ran) {
+    for a in ledgers
+        .arrivals
+        .iter()
+        .filter(|a| a.tier == 0 && a.fate == Fate::Ran)
+    {
         if let Some(key) = a.key {
             by_key.entry(key).or_default().push(a);
         }
     }
-    let tries: HashMap<u64, &Try> =
-        ledgers.tries.iter().filter(|t| t.of_client()).map(|t| (t.id, t)).collect();
+    let tries: HashMap<u64, &Try> = ledgers
+        .tries
+        .iter()
+        .filter(|t| t.of_client())
+        .map(|t| (t.id, t))
+        .collect();
     let mut twice = Vec::new();
     for (key, mut runs) in by_key {
         runs.sort_by_key(|a| a.whole);
         let ids: HashSet<u64> = runs.iter().map(|a| a.id).collect();
-        let ([first, .., last], true) = (&runs[..], ids.len() > 1) else { continue };
+        let ([first, .., last], true) = (&runs[..], ids.len() > 1) else {
+            continue;
+        };
         let sent = tries.get(&last.id).map_or(last.first_byte, |t| t.due);
         twice.push(format!(
             "key {key:016x} ran at {} as {:016x} and at {} as {:016x}: its client sent it again at {}, {} later",
@@ -237,14 +340,23 @@
 fn drain(terms: &Terms, ledgers: &Ledgers) -> Vec<Breach> {
     let grace = (terms.plan.scenario.rules.drain_grace_ms * 1000.0) as Micros + SLACK;
     let mut told: HashMap<(ProxyNo, u16), Vec<&Told>> = HashMap::new();
-    ledgers.told.iter().for_each(|t| told.entry((t.proxy, t.host)).or_default().push(t));
-    told.values_mut().for_each(|list| list.sort_by_key(|t| t.at));
+    ledgers
+        .told
+        .iter()
+        .for_each(|t| told.entry((t.proxy, t.host)).or_default().push(t));
+    told.values_mut()
+        .for_each(|list| list.sort_by_key(|t| t.at));
     let mut breaches = Vec::new();
     for a in &ledgers.arrivals {
-        let Some(list) = told.get(&(a.proxy, a.host)) else { continue };
+        let Some(list) = told.get(&(a.proxy, a.host)) else {
+            continue;
+        };
         // An older state that comes behind a newer one changes nothing.
         let (mut newest, mut since) = (0, None);
-        for t in list.iter().filter(|t| t.at <= a.first_byte && t.life == a.life) {
+        for t in list
+            .iter()
+            .filter(|t| t.at <= a.first_byte && t.life == a.life)
+        {
             if t.version < newest {
                 continue;
             }
@@ -264,7 +376,12 @@
                 show(a.first_byte),
                 show(a.first_byte - at)
             );
-            breaches.push(Breach { rule: Rule::Drain, at: a.first_byte, id: Some(a.id), proof });
+            breaches.push(Breach {
+                rule: Rule::Drain,
+                at: a.first_byte,
+                id: Some(a.id),
+                proof,
+            });
         }
     }
     breaches
@@ -274,9 +391,14 @@
 fn cold(terms: &Terms, ledgers: &Ledgers) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for life in ledgers.lives.iter().filter(|l| !l.warm) {
-        let Some(make) = terms.makes.get(usize::from(life.host)) else { continue };
-        let mut sent: Vec<&Arrival> =
-            ledgers.arrivals.iter().filter(|a| (a.host, a.life) == (life.host, life.life)).collect();
+        let Some(make) = terms.makes.get(usize::from(life.host)) else {
+            continue;
+        };
+        let mut sent: Vec<&Arrival> = ledgers
+            .arrivals
+            .iter()
+            .filter(|a| (a.host, a.life) == (life.host, life.life))
+            .collect();
         sent.sort_by_key(|a| a.whole);
         let (mut pressure, mut ran) = (Pressure::default(), 0);
         for (i, a) in sent.iter().enumerate() {
@@ -290,16 +412,24 @@
             let (mut all, mut knowing, mut by) = (0, 0, BTreeMap::<&str, u64>::new());
             for s in span {
                 let knew = |t: &&Told| {
-                    (t.proxy, t.host, t.life) == (s.proxy, life.host, life.life) && t.at <= s.first_byte
+                    (t.proxy, t.host, t.life) == (s.proxy, life.host, life.life)
+                        && t.at <= s.first_byte
                 };
                 all += s.work;
-                knowing += if ledgers.told.iter().any(|t| knew(&t)) { s.work } else { 0 };
+                knowing += if ledgers.told.iter().any(|t| knew(&t)) {
+                    s.work
+                } else {
+                    0
+                };
                 *by.entry(terms.proxy(s.proxy)).or_default() += s.work;
             }
             if (knowing as f64) < TOLD_PART * all as f64 {
                 break;
             }
-            let by: Vec<String> = by.iter().map(|(p, w)| format!("{p} {} ms", w / 1000)).collect();
+            let by: Vec<String> = by
+                .iter()
+                .map(|(p, w)| format!("{p} {} ms", w / 1000))
+                .collect();
             let proof = format!(
                 "{} started at {}; by {} it was sent {multiple:.2} times what it can do at that moment over {} \
                  (at most {}): {}",
@@ -310,7 +440,12 @@
                 make.fall_multiple,
                 by.join(", ")
             );
-            breaches.push(Breach { rule: Rule::Cold, at: a.whole, id: Some(a.id), proof });
+            breaches.push(Breach {
+                rule: Rule::Cold,
+                at: a.whole,
+                id: Some(a.id),
+                proof,
+            });
             break;
         }
     }
--- a/crates/heathroad-rehearsal/src/judge/worth.rs
+++ b/crates/heathroad-rehearsal/src/judge/worth.rs
@@ -1,5 +1,6 @@
-//! Service worth: what was answered within the wanted time against what was asked, a client's retries folded into
-//! its first try. Arrivals were drawn ahead, so what a stalled proxy never let a client ask counts as asked.
+//! Service worth: what was answered within the wanted time against what was asked, a client's
+//! retries folded into its first try. Arrivals were drawn ahead, so what a stalled proxy never let
+//! a client ask counts as asked.
 
 use crate::clock::{Micros, SECOND};
 use crate::ledger::{End, Try};
@@ -39,13 +40,18 @@
 }
 
 fn worst(sums: &[[f64; 2]]) -> f64 {
-    sums.iter().filter_map(|s| share(*s)).fold(f64::INFINITY, f64::min)
+    sums.iter()
+        .filter_map(|s| share(*s))
+        .fold(f64::INFINITY, f64::min)
 }
 
 /// Worth by the plan and the tries, and the sorted latencies of what was served.
 pub fn of(plan: &Plan, tries: &[Try]) -> (Worth, Vec<Micros>) {
     let mut served = vec![None; plan.tries.len()];
-    for t in tries.iter().filter(|t| t.of_client() && t.number != PLANNED_REPEAT) {
+    for t in tries
+        .iter()
+        .filter(|t| t.of_client() && t.number != PLANNED_REPEAT)
+    {
         if let (End::Served(_), Some(s)) = (&t.end, served.get_mut(t.first as usize)) {
             // A slow reader's own time is not the service's.
             let at = t.ended.saturating_sub(t.slow);
@@ -60,7 +66,12 @@
     let (mut whole, mut late, mut latencies) = ([0.0; 2], 0.0, Vec::new());
     for (first, served) in plan.tries.iter().zip(&served) {
         let class = plan.class(first.class);
-        let asked = class.worth * if first.over { s.run.over_share_worth } else { 1.0 };
+        let asked = class.worth
+            * if first.over {
+                s.run.over_share_worth
+            } else {
+                1.0
+            };
         let earned = match served.map(|at| at.saturating_sub(first.at)) {
             Some(took) => {
                 latencies.push(took);
@@ -89,9 +100,17 @@
     }
     latencies.sort_unstable();
     let width = (WINDOW / SECOND) as usize;
-    let sum = |part: &[[f64; 2]]| part.iter().fold([0.0; 2], |a, b| [a[0] + b[0], a[1] + b[1]]);
+    let sum = |part: &[[f64; 2]]| {
+        part.iter()
+            .fold([0.0; 2], |a, b| [a[0] + b[0], a[1] + b[1]])
+    };
     let windows: Vec<[f64; 2]> = by_second.windows(width.min(seconds)).map(sum).collect();
-    let parts = [share(whole).unwrap_or(0.0), worst(&windows), worst(&by_class), worst(&by_tenant)];
+    let parts = [
+        share(whole).unwrap_or(0.0),
+        worst(&windows),
+        worst(&by_class),
+        worst(&by_tenant),
+    ];
     let parts = parts.map(|p| if p.is_finite() { p } else { 0.0 });
     let goal = parts.iter().zip(WEIGHTS).map(|(p, w)| p * w).sum();
     let [whole_share, worst_window, worst_class, worst_tenant] = parts;
--- a/crates/heathroad-rehearsal/src/ledger.rs
+++ b/crates/heathroad-rehearsal/src/ledger.rs
@@ -1,5 +1,5 @@
-//! The three ledgers of a rehearsal, kept apart by who writes them: what clients got, what backends ran, what the
-//! registry told. Plain records; what they mean is the judge's to say.
+//! The three ledgers of a rehearsal, kept apart by who writes them: what clients got, what backends
+//! ran, what the registry told. Plain records; what they mean is the judge's to say.
 
 use crate::clock::Micros;
 
@@ -50,8 +50,8 @@
     pub due: Micros,
     /// When its last byte was written, if it was.
     pub sent: Option<Micros>,
-    /// When it was given up on a kept connection that the proxy had closed without a byte, to be sent once more on a
-    /// new one: rightly so only if the proxy had not read it.
+    /// When it was given up on a kept connection that the proxy had closed without a byte, to be
+    /// sent once more on a new one: rightly so only if the proxy had not read it.
     pub crossed: Option<Micros>,
     /// How long its sender said to wait.
     pub patience: Micros,
@@ -66,7 +66,8 @@
 }
 
 impl Try {
-    /// Whether a client from outside asked; else a backend did, of the next tier or, gone astray, of the first again.
+    /// Whether a client from outside asked; else a backend did, of the next tier or, gone astray,
+    /// of the first again.
     pub fn of_client(&self) -> bool {
         self.parent.is_none()
     }
--- a/crates/heathroad-rehearsal/src/load.rs
+++ b/crates/heathroad-rehearsal/src/load.rs
@@ -1,6 +1,6 @@
-//! The load driver: an open loop on a thread of its own. Arrivals were drawn ahead and wait for nobody, so that a
-//! slow proxy delays no request but its own; how late the driver itself is gets measured, and voids what it can't
-//! vouch for.
+//! The load driver: an open loop on a thread of its own. Arrivals were drawn ahead and wait for
+//! nobody, so that a slow proxy delays no request but its own; how late the driver itself is gets
+//! measured, and voids what it can't vouch for.
 
 use crate::caller::{Ask, Caller, Told};
 use crate::clock::{Clock, Micros};
@@ -29,12 +29,14 @@
 const MOST_OPEN: usize = 20_000;
 /// Time that a slow reader takes.
 const SLOW: Micros = 150_000;
-/// A client that sends what can't be used is owed an answer or a close within this (and is waited for a bit more).
+/// A client that sends what can't be used is owed an answer or a close within this (and is waited
+/// for a bit more).
 pub const RUDE_OWED: Micros = 3_000_000;
 /// The number of a repeat that the plan orders, in place of a retry's.
 pub const PLANNED_REPEAT: u8 = u8::MAX;
 
-/// The layer before the first tier's proxies: it knows those that were ready, and notices a death late.
+/// The layer before the first tier's proxies: it knows those that were ready, and notices a death
+/// late.
 #[derive(Default)]
 pub struct Front(Mutex<Vec<(ProxyNo, SocketAddr, Option<SocketAddr>)>>);
 
@@ -103,7 +105,9 @@
     stop: watch::Receiver<bool>,
 ) -> JoinHandle<Result<Driven, String>> {
     std::thread::spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
         let runtime = runtime.map_err(|e| format!("the driver's runtime: {e}"))?;
         LocalSet::new().block_on(&runtime, drive(plan, clock, front, progress, stop))
     })
@@ -116,10 +120,23 @@
     progress: Arc<Progress>,
     mut stop: watch::Receiver<bool>,
 ) -> Result<Driven, String> {
-    let (caller, tries, rude, starved) =
-        (Rc::default(), RefCell::default(), RefCell::default(), Cell::new(0));
+    let (caller, tries, rude, starved) = (
+        Rc::default(),
+        RefCell::default(),
+        RefCell::default(),
+        Cell::new(0),
+    );
     let remote = Remote::new(clock, usize::from(plan.scenario.clients.batch));
-    let driver = Rc::new(Driver { plan: plan.clone(), clock, front, caller, remote, tries, rude, starved });
+    let driver = Rc::new(Driver {
+        plan: plan.clone(),
+        clock,
+        front,
+        caller,
+        remote,
+        tries,
+        rude,
+        starved,
+    });
     let mut lateness = Histogram::new_with_max(600_000_000, 3).map_err(|e| e.to_string())?;
     let (mut open, mut dropped) = (JoinSet::new(), 0);
     let mut rude = plan.rude.iter().peekable();
@@ -154,9 +171,17 @@
     let mut extras = driver.caller.extras();
     extras.extend(driver.remote.extras());
     let mut tries = driver.tries.take();
-    tries.iter_mut().for_each(|t| t.extra = extras.contains(&t.id));
+    tries
+        .iter_mut()
+        .for_each(|t| t.extra = extras.contains(&t.id));
     tries.sort_by_key(|t| (t.first, t.number));
-    Ok(Driven { tries, rude: driver.rude.take(), lateness, dropped, starved: driver.starved.get() })
+    Ok(Driven {
+        tries,
+        rude: driver.rude.take(),
+        lateness,
+        dropped,
+        starved: driver.starved.get(),
+    })
 }
 
 /// Whether a client may ask again by itself after such an end, so long after its first try.
@@ -166,7 +191,9 @@
         End::Refused { .. } | End::Unsent => true,
         _ => match class.effect {
             Effect::Safe => true,
-            Effect::Keyed => class.group == Group::All && passed < (class.window_ms * 1000.0) as Micros,
+            Effect::Keyed => {
+                class.group == Group::All && passed < (class.window_ms * 1000.0) as Micros
+            }
             Effect::Unsafe => false,
         },
     }
@@ -184,9 +211,13 @@
             if left < LEAST {
                 break;
             }
-            // A call over JSON-RPC doesn't say how long it waits: its class's time is taken for it, of retries too.
-            let patience =
-                if first.remote { whole } else { ((first.patience * whole as f64) as Micros).min(left) };
+            // A call over JSON-RPC doesn't say how long it waits: its class's time is taken for it,
+            // of retries too.
+            let patience = if first.remote {
+                whole
+            } else {
+                ((first.patience * whole as f64) as Micros).min(left)
+            };
             if patience < LEAST {
                 break;
             }
@@ -210,28 +241,64 @@
 
     async fn attempt(&self, number: u32, first: &FirstTry, retry: u8, patience: Micros) -> End {
         let class = self.plan.class(first.class);
-        let id = mix(mix(self.plan.seed, u64::from(number) + 1), u64::from(retry) + 1);
-        let due = if retry == 0 { first.at } else { self.clock.now() };
+        let id = mix(
+            mix(self.plan.seed, u64::from(number) + 1),
+            u64::from(retry) + 1,
+        );
+        let due = if retry == 0 {
+            first.at
+        } else {
+            self.clock.now()
+        };
         let slow = if first.slow { SLOW } else { 0 };
         let key = self.plan.keyed(first.class).then_some(first.key);
         let told = match self.front.pick(id) {
             None => (0, None),
             Some((proxy, _, Some(addr))) if first.remote => {
-                let tenant = self.plan.scenario.tenant[usize::from(first.tenant)].name.clone();
-                let call = Call { id, method: class.name.clone(), tenant, key, patience };
-                let remote::Told { sent, crossed, end, ended } = self.remote.call(addr, &call).await;
-                (proxy, Some(Told { sent, crossed, end, ended, spent: None }))
+                let tenant = self.plan.scenario.tenant[usize::from(first.tenant)]
+                    .name
+                    .clone();
+                let call = Call {
+                    id,
+                    method: class.name.clone(),
+                    tenant,
+                    key,
+                    patience,
+                };
+                let remote::Told {
+                    sent,
+                    crossed,
+                    end,
+                    ended,
+                } = self.remote.call(addr, &call).await;
+                (
+                    proxy,
+                    Some(Told {
+                        sent,
+                        crossed,
+                        end,
+                        ended,
+                        spent: None,
+                    }),
+                )
             }
             Some((proxy, addr, _)) => {
                 let ask = Ask {
                     id,
                     path: format!("/{}?k={:x}", class.name, first.key),
-                    tenant: Some(self.plan.scenario.tenant[usize::from(first.tenant)].name.clone()),
+                    tenant: Some(
+                        self.plan.scenario.tenant[usize::from(first.tenant)]
+                            .name
+                            .clone(),
+                    ),
                     key,
                     safe: class.effect == Effect::Safe,
                     patience,
                     retry: retry > 0,
-                    hang_up: first.hang_up.filter(|_| retry == 0).map(|h| (h * patience as f64) as Micros),
+                    hang_up: first
+                        .hang_up
+                        .filter(|_| retry == 0)
+                        .map(|h| (h * patience as f64) as Micros),
                     slow,
                     carried: [None, None],
                 };
@@ -272,7 +339,9 @@
     async fn rude(self: Rc<Self>, order: RudeTry) {
         let at = self.clock.now();
         let id = mix(mix(self.plan.seed, order.at), 0x52_55_44_45);
-        let Some((_, addr, _)) = self.front.pick(id) else { return };
+        let Some((_, addr, _)) = self.front.pick(id) else {
+            return;
+        };
         let (kind, bytes, hidden) = self.noise(order.kind, id);
         let owed = Duration::from_micros(RUDE_OWED + RUDE_OWED / 10);
         let status = Cell::new(None);
@@ -300,13 +369,23 @@
             return;
         }
         let ended = done.is_ok().then(|| self.clock.now());
-        self.rude.borrow_mut().push(Rude { kind, hidden, at, status: status.get(), ended });
+        self.rude.borrow_mut().push(Rude {
+            kind,
+            hidden,
+            at,
+            status: status.get(),
+            ended,
+        });
     }
 
     fn noise(&self, kind: usize, id: u64) -> (&'static str, Vec<u8>, Option<u64>) {
         let scenario = &self.plan.scenario;
         let owner = &scenario.tenant[0].name;
-        let safe = scenario.class.iter().find(|c| c.effect == Effect::Safe).unwrap_or(&scenario.class[0]);
+        let safe = scenario
+            .class
+            .iter()
+            .find(|c| c.effect == Effect::Safe)
+            .unwrap_or(&scenario.class[0]);
         let head = |line: &str, rest: &str| {
             format!("{line} HTTP/1.1\r\nHost: o\r\nReq-Owner: {owner}\r\n{rest}\r\n")
         };
@@ -314,23 +393,54 @@
         let get = format!("GET /{}?k=1", safe.name);
         let post = format!("POST /{}?k=1", safe.name);
         let (name, text, hidden) = match kind % RUDE_KINDS {
-            0 => ("noise", "\u{1}\u{2} not a request at all\r\n\r\n".to_string(), None),
-            1 => ("a head without end", format!("{get} HTTP/1.1\r\nReq-Owner: {owner}\r\nX: "), None),
-            2 => ("a negative length", head(&post, &format!("{sound}Content-Length: -5\r\n")), None),
-            3 => ("a huge length", head(&post, &format!("{sound}Content-Length: 99999999999\r\n")), None),
+            0 => (
+                "noise",
+                "\u{1}\u{2} not a request at all\r\n\r\n".to_string(),
+                None,
+            ),
+            1 => (
+                "a head without end",
+                format!("{get} HTTP/1.1\r\nReq-Owner: {owner}\r\nX: "),
+                None,
+            ),
+            2 => (
+                "a negative length",
+                head(&post, &format!("{sound}Content-Length: -5\r\n")),
+                None,
+            ),
+            3 => (
+                "a huge length",
+                head(&post, &format!("{sound}Content-Length: 99999999999\r\n")),
+                None,
+            ),
             4 => ("an unknown class", head("GET /no-such-class", &sound), None),
             5 => ("no id", head(&get, "Req-Deadline-Ms: 1000\r\n"), None),
             6 => (
                 "a deadline that is no number",
-                head(&get, &format!("Req-Id: {id:016x}\r\nReq-Deadline-Ms: soon\r\n")),
+                head(
+                    &get,
+                    &format!("Req-Id: {id:016x}\r\nReq-Deadline-Ms: soon\r\n"),
+                ),
                 None,
             ),
             _ => {
                 let inner = head(&get, &sound);
-                let both = format!("Content-Length: {}\r\nTransfer-Encoding: chunked\r\n", inner.len() + 5);
-                let outer =
-                    head(&post, &format!("Req-Id: {:016x}\r\nReq-Deadline-Ms: 1000\r\n{both}", mix(id, 1)));
-                ("a request hidden in another", format!("{outer}0\r\n\r\n{inner}"), Some(id))
+                let both = format!(
+                    "Content-Length: {}\r\nTransfer-Encoding: chunked\r\n",
+                    inner.len() + 5
+                );
+                let outer = head(
+                    &post,
+                    &format!(
+                        "Req-Id: {:016x}\r\nReq-Deadline-Ms: 1000\r\n{both}",
+                        mix(id, 1)
+                    ),
+                );
+                (
+                    "a request hidden in another",
+                    format!("{outer}0\r\n\r\n{inner}"),
+                    Some(id),
+                )
             }
         };
         (name, text.into_bytes(), hidden)
--- a/crates/heathroad-rehearsal/src/outcome.rs
+++ b/crates/heathroad-rehearsal/src/outcome.rs
@@ -1,5 +1,5 @@
-//! A rehearsal's outcome: verdict, agreement and expectations, and whether the machine kept up so that they mean
-//! anything.
+//! A rehearsal's outcome: verdict, agreement and expectations, and whether the machine kept up so
+//! that they mean anything.
 
 use crate::agreement::{self, Line};
 use crate::audited;
@@ -100,7 +100,13 @@
         let lines = agreement::compare(&seen);
         let expectations = expectations(&seen, &verdict);
         let void = void(&seen);
-        Outcome { seen, verdict, lines, expectations, void }
+        Outcome {
+            seen,
+            verdict,
+            lines,
+            expectations,
+            void,
+        }
     }
 
     /// Whether the daemon's counts agree with the ledgers.
@@ -126,16 +132,31 @@
         let (mut cpu, mut answered) = (0, 0);
         for c in &self.seen.counts {
             // A process that was killed took its count with it; its time would be nobody's.
-            let Some(rows) = c.counts.as_ref().and_then(|v| v.get("requests")?.as_array()) else { continue };
+            let Some(rows) = c
+                .counts
+                .as_ref()
+                .and_then(|v| v.get("requests")?.as_array())
+            else {
+                continue;
+            };
             cpu += c.usage.cpu_us;
-            answered += rows.iter().filter_map(|r| r.get("count")?.as_u64()).sum::<u64>();
+            answered += rows
+                .iter()
+                .filter_map(|r| r.get("count")?.as_u64())
+                .sum::<u64>();
         }
         cpu as f64 / (answered.max(1)) as f64
     }
 
     /// Most memory that any daemon held, in MB.
     pub fn peak_rss_mb(&self) -> f64 {
-        self.seen.counts.iter().map(|c| c.usage.peak_kb).max().unwrap_or(0) as f64 / 1024.0
+        self.seen
+            .counts
+            .iter()
+            .map(|c| c.usage.peak_kb)
+            .max()
+            .unwrap_or(0) as f64
+            / 1024.0
     }
 
     /// The outcome as one JSON object, under the scenario's name.
@@ -204,12 +225,22 @@
             self.peak_rss_mb(),
             v.resends
         )?;
-        writeln!(out, "  effort     {:.4} of the work was begun for nobody", v.work_for_nobody)?;
+        writeln!(
+            out,
+            "  effort     {:.4} of the work was begun for nobody",
+            v.work_for_nobody
+        )?;
         if v.rude[0] > 0 {
-            writeln!(out, "  misuse     {} bad clients, left with nothing {}", v.rude[0], v.rude[1])?;
+            writeln!(
+                out,
+                "  misuse     {} bad clients, left with nothing {}",
+                v.rude[0], v.rude[1]
+            )?;
         }
-        let rules: Vec<String> =
-            Rule::ALL.iter().map(|r| format!("{} {}", r.name(), v.breaches_of(*r))).collect();
+        let rules: Vec<String> = Rule::ALL
+            .iter()
+            .map(|r| format!("{} {}", r.name(), v.breaches_of(*r)))
+            .collect();
         writeln!(out, "  breaches   {}", rules.join(", "))?;
         for b in &v.breaches {
             let id = b.id.map(|id| format!("{id:016x} ")).unwrap_or_default();
@@ -218,7 +249,11 @@
         for twice in &v.by_clients {
             writeln!(out, "  run twice by its client: {twice}")?;
         }
-        let apart = self.lines.iter().filter(|l| !l.agrees()).collect::<Vec<_>>();
+        let apart = self
+            .lines
+            .iter()
+            .filter(|l| !l.agrees())
+            .collect::<Vec<_>>();
         writeln!(
             out,
             "  agreement  {} figures beside the daemons' own, {} differ",
@@ -227,14 +262,26 @@
         )?;
         for l in apart {
             let [least, most] = l.seen;
-            writeln!(out, "    {}: seen {least} to {most}, counted {}", l.what, l.counted)?;
+            writeln!(
+                out,
+                "    {}: seen {least} to {most}, counted {}",
+                l.what, l.counted
+            )?;
         }
         for (no, became) in &self.seen.changes {
-            writeln!(out, "  change     {}: {became}", self.seen.proxies[usize::from(*no)])?;
+            writeln!(
+                out,
+                "  change     {}: {became}",
+                self.seen.proxies[usize::from(*no)]
+            )?;
         }
         for e in &self.expectations {
             let word = if e.ok { "met" } else { "MISSED" };
-            writeln!(out, "  expected   {} {}: {:.3}, {word}", e.name, e.bound, e.figure)?;
+            writeln!(
+                out,
+                "  expected   {} {}: {:.3}, {word}",
+                e.name, e.bound, e.figure
+            )?;
         }
         for trouble in &self.seen.troubles {
             writeln!(out, "  trouble    {trouble}")?;
@@ -255,8 +302,12 @@
 fn expectations(seen: &Seen, verdict: &Verdict) -> Vec<Expectation> {
     let mut list = Vec::new();
     for e in &seen.plan.scenario.expect {
-        let changes =
-            |word: &str| seen.changes.iter().filter(|(_, became)| became.contains(word)).count() as f64;
+        let changes = |word: &str| {
+            seen.changes
+                .iter()
+                .filter(|(_, became)| became.contains(word))
+                .count() as f64
+        };
         let figure = match e.figure.as_str() {
             "changes_committed" => Some(changes("is committed")),
             "changes_undone" => Some(changes("is undone by")),
@@ -264,13 +315,20 @@
             "attempts_multiple" => Some(multiple(seen)),
             "loops_ended" => Some(counted(seen, |v| v["budget"]["loops"].as_f64())),
             other if other.starts_with("fleet_") => audited::figure(seen, other),
-            other if other.starts_with("duty_") => seen.duty.as_ref().and_then(|d| gate::figure(d, other)),
+            other if other.starts_with("duty_") => {
+                seen.duty.as_ref().and_then(|d| gate::figure(d, other))
+            }
             other => verdict.figure(other),
         };
         let Some(figure) = figure else { continue };
         let mut hold = |side: &str, bound: Option<f64>, ok: &dyn Fn(f64) -> bool| {
             if let Some(bound) = bound {
-                list.push(Expectation { name: format!("{} {side}", e.figure), ok: ok(bound), figure, bound });
+                list.push(Expectation {
+                    name: format!("{} {side}", e.figure),
+                    ok: ok(bound),
+                    figure,
+                    bound,
+                });
             }
         };
         hold("at least", e.at_least, &|b| figure >= b);
@@ -281,20 +339,40 @@
 
 /// A figure of the daemons' own counts, summed.
 fn counted(seen: &Seen, of: impl Fn(&serde_json::Value) -> Option<f64>) -> f64 {
-    seen.counts.iter().filter_map(|c| of(c.counts.as_ref()?)).sum()
+    seen.counts
+        .iter()
+        .filter_map(|c| of(c.counts.as_ref()?))
+        .sum()
 }
 
-/// Attempts over all tiers, as the daemons counted them, beside one for each tier and request that came to the first.
+/// Attempts over all tiers, as the daemons counted them, beside one for each tier and request that
+/// came to the first.
 fn multiple(seen: &Seen) -> f64 {
     let attempts = |v: &serde_json::Value| {
         let by = v["attempts"].as_object()?;
-        Some(by.iter().filter(|(how, _)| *how != "unsent").filter_map(|(_, n)| n.as_f64()).sum::<f64>())
+        Some(
+            by.iter()
+                .filter(|(how, _)| *how != "unsent")
+                .filter_map(|(_, n)| n.as_f64())
+                .sum::<f64>(),
+        )
     };
     let first = |c: &&crate::stage::Counted| seen.proxy_tier.get(usize::from(c.proxy)) == Some(&0);
     let rows = |v: &serde_json::Value| {
-        Some(v["requests"].as_array()?.iter().filter_map(|r| r["count"].as_f64()).sum::<f64>())
+        Some(
+            v["requests"]
+                .as_array()?
+                .iter()
+                .filter_map(|r| r["count"].as_f64())
+                .sum::<f64>(),
+        )
     };
-    let asked: f64 = seen.counts.iter().filter(first).filter_map(|c| rows(c.counts.as_ref()?)).sum();
+    let asked: f64 = seen
+        .counts
+        .iter()
+        .filter(first)
+        .filter_map(|c| rows(c.counts.as_ref()?))
+        .sum();
     counted(seen, attempts) / (asked * seen.plan.scenario.tier.len() as f64).max(1.0)
 }
 
@@ -304,10 +382,16 @@
     why.extend(late("the driver", &seen.driver_late));
     why.extend(late("the stand-ins", &seen.stage_late));
     if seen.dropped > 0 {
-        why.push(format!("{} first tries could not be begun by the driver", seen.dropped));
+        why.push(format!(
+            "{} first tries could not be begun by the driver",
+            seen.dropped
+        ));
     }
     if seen.starved > 0 {
-        why.push(format!("descriptors ran out at the driver or the stand-ins, {} times", seen.starved));
+        why.push(format!(
+            "descriptors ran out at the driver or the stand-ins, {} times",
+            seen.starved
+        ));
     }
     if seen.interrupted {
         why.push("it was ended early".into());
@@ -317,8 +401,13 @@
 
 fn late(who: &str, late: &Histogram<u64>) -> Option<String> {
     let (p99, most) = (late.value_at_quantile(0.99), late.max());
-    (p99 > LATE || most > STALLED)
-        .then(|| format!("{who} ran late: {} in the 99th percentile, {} at most", show(p99), show(most)))
+    (p99 > LATE || most > STALLED).then(|| {
+        format!(
+            "{who} ran late: {} in the 99th percentile, {} at most",
+            show(p99),
+            show(most)
+        )
+    })
 }
 
 #[cfg(test)]
@@ -336,7 +425,14 @@
         assert_eq!(of(&[]), None);
         let often = of(&[[100; 100], [LATE + 1000; 100]].concat()).expect("late");
         assert!(often.contains("the driver ran late"), "{often}");
-        assert_eq!(of(&[vec![100; 300], vec![LATE + 1000]].concat()), None, "once is chance");
-        assert!(of(&[vec![100; 300], vec![STALLED + 1000]].concat()).is_some(), "not when all stood still");
+        assert_eq!(
+            of(&[vec![100; 300], vec![LATE + 1000]].concat()),
+            None,
+            "once is chance"
+        );
+        assert!(
+            of(&[vec![100; 300], vec![STALLED + 1000]].concat()).is_some(),
+            "not when all stood still"
+        );
     }
 }
--- a/crates/heathroad-rehearsal/src/plan.rs
+++ b/crates/heathroad-rehearsal/src/plan.rs
@@ -1,5 +1,5 @@
-//! Everything that a rehearsal will do, drawn ahead from its seed: every arrival and every fault. A plan is the same
-//! for the same scenario, seed and size, and its digest says so.
+//! Everything that a rehearsal will do, drawn ahead from its seed: every arrival and every fault. A
+//! plan is the same for the same scenario, seed and size, and its digest says so.
 
 use crate::clock::{Micros, SECOND, seconds};
 use crate::scenario::{Effect, Scenario, What};
@@ -105,14 +105,26 @@
     let length = seconds(scenario.run.seconds);
     let root = Rng::with_seed(seed);
     // Each part has a stream of its own: more faults must not move the arrivals.
-    let [mut arrivals, mut faults, mut rude, mut ways] = [1u64, 2, 3, 4]
-        .map(|part| Rng::with_seed(root.clone().u64(..) ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
+    let [mut arrivals, mut faults, mut rude, mut ways] = [1u64, 2, 3, 4].map(|part| {
+        Rng::with_seed(root.clone().u64(..) ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+    });
     let mut tries = draw_tries(&scenario, length, &mut arrivals);
     mark_over_share(&scenario, &mut tries);
-    tries.iter_mut().for_each(|t| t.remote = ways.f64() < scenario.clients.remote);
+    tries
+        .iter_mut()
+        .for_each(|t| t.remote = ways.f64() < scenario.clients.remote);
     let rude = draw_rude(&scenario, length, &mut rude);
     let faults = draw_faults(&scenario, &mut faults);
-    let mut plan = Plan { scenario, seed, start: 0, length, tries, rude, faults, digest: String::new() };
+    let mut plan = Plan {
+        scenario,
+        seed,
+        start: 0,
+        length,
+        tries,
+        rude,
+        faults,
+        digest: String::new(),
+    };
     plan.digest = digest(&plan);
     plan
 }
@@ -156,7 +168,8 @@
         });
         at = next_arrival(rng, at, s.run.rate);
     }
-    let place = |names: Vec<&String>, name| names.iter().position(|n| *n == name).unwrap_or(0) as u16;
+    let place =
+        |names: Vec<&String>, name| names.iter().position(|n| *n == name).unwrap_or(0) as u16;
     for r in &s.repeat {
         tries.push(FirstTry {
             at: seconds(r.at_s),
@@ -182,15 +195,22 @@
 /// Each tenant's share of the rate, in requests a second.
 pub fn quotas(s: &Scenario) -> Vec<f64> {
     let sent: f64 = s.tenant.iter().map(|t| t.share * t.usage).sum();
-    s.tenant.iter().map(|t| HEADROOM * t.share * s.run.rate / sent.max(1e-9)).collect()
+    s.tenant
+        .iter()
+        .map(|t| HEADROOM * t.share * s.run.rate / sent.max(1e-9))
+        .collect()
 }
 
-/// What is past its tenant's share counts for little, whoever serves it. A second's worth may come at once.
+/// What is past its tenant's share counts for little, whoever serves it. A second's worth may come
+/// at once.
 fn mark_over_share(s: &Scenario, tries: &mut [FirstTry]) {
     let quotas = quotas(s);
     let mut buckets: Vec<(f64, Micros)> = quotas.iter().map(|q| (q.max(2.0), 0)).collect();
     for t in tries {
-        let (quota, bucket) = (quotas[usize::from(t.tenant)], &mut buckets[usize::from(t.tenant)]);
+        let (quota, bucket) = (
+            quotas[usize::from(t.tenant)],
+            &mut buckets[usize::from(t.tenant)],
+        );
         let passed = (t.at - bucket.1) as f64 / SECOND as f64;
         let tokens = (bucket.0 + quota * passed).min(quota.max(2.0));
         t.over = tokens < 1.0;
@@ -203,7 +223,10 @@
     if rate > 0.0 {
         let mut at = next_arrival(rng, 0.0, rate);
         while seconds(at) < length {
-            rude.push(RudeTry { at: seconds(at), kind: rng.usize(..RUDE_KINDS) });
+            rude.push(RudeTry {
+                at: seconds(at),
+                kind: rng.usize(..RUDE_KINDS),
+            });
             at = next_arrival(rng, at, rate);
         }
     }
@@ -218,16 +241,35 @@
     for f in &s.fault {
         let [from, to] = f.at_s.ends();
         let at = from + (to - from) * rng.f64();
-        let named =
-            f.on.first().and_then(|n| s.tier.iter().position(|t| n.starts_with(&format!("{}-", t.name))));
-        let tier = f.tier.as_deref().and_then(|t| s.tier_named(t)).or(named).unwrap_or(0);
+        let named = f.on.first().and_then(|n| {
+            s.tier
+                .iter()
+                .position(|t| n.starts_with(&format!("{}-", t.name)))
+        });
+        let tier = f
+            .tier
+            .as_deref()
+            .and_then(|t| s.tier_named(t))
+            .or(named)
+            .unwrap_or(0);
         let number = |name: &String| name.rsplit('-').next().and_then(|n| n.parse::<u16>().ok());
-        let mut victims: Vec<u16> = f.on.iter().filter_map(number).map(|n| n.saturating_sub(1)).collect();
+        let mut victims: Vec<u16> =
+            f.on.iter()
+                .filter_map(number)
+                .map(|n| n.saturating_sub(1))
+                .collect();
         if victims.is_empty() {
             victims = draw_victims(s, f.what, tier, f.count, &mut struck, rng);
         }
         let (what, size) = (f.what, f.size);
-        faults.push(Planned { what, at: seconds(at), until: seconds(at + f.for_s), size, tier, victims });
+        faults.push(Planned {
+            what,
+            at: seconds(at),
+            until: seconds(at + f.for_s),
+            size,
+            tier,
+            victims,
+        });
     }
     if let Some(d) = &s.drawn {
         for _ in 0..d.count {
@@ -237,7 +279,14 @@
             let tier = rng.usize(..s.tier.len());
             let victims = draw_victims(s, what, tier, 1, &mut struck, rng);
             let (at, until, size) = (seconds(at), seconds(until), what.usual_size());
-            faults.push(Planned { what, at, until, size, tier, victims });
+            faults.push(Planned {
+                what,
+                at,
+                until,
+                size,
+                tier,
+                victims,
+            });
         }
     }
     faults.sort_by_key(|f| f.at);
@@ -293,7 +342,9 @@
         f.victims.iter().for_each(|v| hash.update(v.to_le_bytes()));
     }
     if plan.scenario.clients.remote > 0.0 {
-        plan.tries.iter().for_each(|t| hash.update([u8::from(t.remote)]));
+        plan.tries
+            .iter()
+            .for_each(|t| hash.update([u8::from(t.remote)]));
     }
     hash.update(plan.scenario.routes.as_deref().unwrap_or_default());
     for c in &plan.scenario.change {
@@ -320,7 +371,9 @@
         plan.start = start;
         plan.tries.iter_mut().for_each(|t| t.at += by);
         plan.rude.iter_mut().for_each(|r| r.at += by);
-        plan.faults.iter_mut().for_each(|f| (f.at, f.until) = (f.at + by, f.until + by));
+        plan.faults
+            .iter_mut()
+            .for_each(|f| (f.at, f.until) = (f.at + by, f.until + by));
         plan
     }
 
@@ -336,6 +389,9 @@
 
     /// A digest of the plan and of how the rehearsal is told apart from others.
     pub fn title(&self) -> String {
-        format!("{} (seed {}, plan {})", self.scenario.title, self.seed, self.digest)
+        format!(
+            "{} (seed {}, plan {})",
+            self.scenario.title, self.seed, self.digest
+        )
     }
 }
--- a/crates/heathroad-rehearsal/src/remote.rs
+++ b/crates/heathroad-rehearsal/src/remote.rs
@@ -1,5 +1,5 @@
-//! Calls to a proxy over JSON-RPC, as older finance systems make them: one connection to each proxy, calls pipelined or
-//! gathered into batches, each call's end classified.
+//! Calls to a proxy over JSON-RPC, as older finance systems make them: one connection to each
+//! proxy, calls pipelined or gathered into batches, each call's end classified.
 
 use crate::clock::{Clock, Micros, seconds};
 use crate::ledger::End;
@@ -97,7 +97,9 @@
     match error["code"].as_i64() {
         Some(code) if code == CODES[0] => {
             let after = error["data"]["retry_after_ms"].as_f64();
-            End::Refused { after: after.map(|ms| seconds(ms / 1000.0)) }
+            End::Refused {
+                after: after.map(|ms| seconds(ms / 1000.0)),
+            }
         }
         Some(code) if code == CODES[1] => End::Failed(502),
         Some(code) if code == CODES[2] => End::Failed(504),
@@ -114,7 +116,12 @@
     /// Connects to nobody yet.
     pub fn new(clock: Clock, batch: usize) -> Rc<Remote> {
         let (wires, extra) = Default::default();
-        Rc::new(Remote { clock, batch: batch.max(1), wires, extra })
+        Rc::new(Remote {
+            clock,
+            batch: batch.max(1),
+            wires,
+            extra,
+        })
     }
 
     /// Calls to whose answer another came, or that were never made.
@@ -130,7 +137,11 @@
         stream.set_nodelay(true).ok()?;
         let (reader, writer) = stream.into_split();
         let (writer, waiters, gathering) = (Mutex::new(writer), Rc::default(), RefCell::default());
-        let wire = Rc::new(Wire { writer, waiters, gathering });
+        let wire = Rc::new(Wire {
+            writer,
+            waiters,
+            gathering,
+        });
         spawn_local(self.clone().read(to, reader, wire.waiters.clone()));
         // Two that connected at once each use their own; the later one is kept.
         self.wires.borrow_mut().insert(to, wire.clone());
@@ -156,8 +167,13 @@
             }
         }
         let own = |w: &Rc<Wire>| Rc::ptr_eq(&w.waiters, &waiters);
-        self.wires.borrow_mut().retain(|addr, w| *addr != to || !own(w));
-        waiters.borrow_mut().drain().for_each(|(_, w)| drop(w.send(End::Broken(false))));
+        self.wires
+            .borrow_mut()
+            .retain(|addr, w| *addr != to || !own(w));
+        waiters
+            .borrow_mut()
+            .drain()
+            .for_each(|(_, w)| drop(w.send(End::Broken(false))));
     }
 
     /// Makes one call.
@@ -166,15 +182,25 @@
         match told.end {
             End::Broken(false) => {
                 let crossed = Some(told.ended);
-                Told { crossed, ..self.once(to, call).await }
+                Told {
+                    crossed,
+                    ..self.once(to, call).await
+                }
             }
             _ => told,
         }
     }
 
     async fn once(self: &Rc<Self>, to: SocketAddr, call: &Call) -> Told {
-        let told = |sent, end| Told { sent, crossed: None, end, ended: self.clock.now() };
-        let Some(wire) = self.wire(to).await else { return told(None, End::Unsent) };
+        let told = |sent, end| Told {
+            sent,
+            crossed: None,
+            end,
+            ended: self.clock.now(),
+        };
+        let Some(wire) = self.wire(to).await else {
+            return told(None, End::Unsent);
+        };
         let (waiter, end) = oneshot::channel();
         wire.waiters.borrow_mut().insert(call.id, waiter);
         let Some(sent) = self.send(&wire, text(call)).await else {
@@ -184,7 +210,10 @@
         let patience = Duration::from_micros(call.patience) + PAST;
         // Its waiter stays: an answer after that is a late one, and no extra.
         let end = timeout(patience, end).await;
-        told(Some(sent), end.map_or(End::Silence, |end| end.unwrap_or(End::Broken(false))))
+        told(
+            Some(sent),
+            end.map_or(End::Silence, |end| end.unwrap_or(End::Broken(false))),
+        )
     }
 
     /// Writes a member, alone or with others; when its last byte was written.
@@ -197,7 +226,10 @@
             let mut gathering = wire.gathering.borrow_mut();
             gathering.members.push(member);
             gathering.sent.push(tell);
-            (gathering.members.len() == 1, gathering.members.len() >= self.batch)
+            (
+                gathering.members.len() == 1,
+                gathering.members.len() >= self.batch,
+            )
         };
         if full {
             self.post(wire).await;
@@ -223,7 +255,10 @@
 
     async fn write(&self, wire: &Wire, value: &Value) -> Option<Micros> {
         let mut writer = wire.writer.lock().await;
-        writer.write_all(format!("{value}\n").as_bytes()).await.ok()?;
+        writer
+            .write_all(format!("{value}\n").as_bytes())
+            .await
+            .ok()?;
         Some(self.clock.now())
     }
 }
@@ -235,14 +270,34 @@
     #[test]
     fn answers_mean_what_they_say() {
         let of = |text: &str| meaning(0x1f, &serde_json::from_str(text).expect("JSON"));
-        assert_eq!(of(r#"{"result":"000000000000001f 0000000000000002"}"#), End::Served(2));
-        assert!(matches!(of(r#"{"result":"0000000000000020 0000000000000002"}"#), End::Alien(_)));
+        assert_eq!(
+            of(r#"{"result":"000000000000001f 0000000000000002"}"#),
+            End::Served(2)
+        );
+        assert!(matches!(
+            of(r#"{"result":"0000000000000020 0000000000000002"}"#),
+            End::Alien(_)
+        ));
         assert!(matches!(of(r#"{"result":7}"#), End::Alien(_)));
         let refused = r#"{"error":{"code":-32001,"message":"","data":{"retry_after_ms":250}}}"#;
-        assert_eq!(of(refused), End::Refused { after: Some(250_000) });
-        assert_eq!(of(r#"{"error":{"code":-32001,"message":""}}"#), End::Refused { after: None });
-        assert_eq!(of(r#"{"error":{"code":-32002,"message":""}}"#), End::Failed(502));
-        assert_eq!(of(r#"{"error":{"code":-32003,"message":""}}"#), End::Failed(504));
+        assert_eq!(
+            of(refused),
+            End::Refused {
+                after: Some(250_000)
+            }
+        );
+        assert_eq!(
+            of(r#"{"error":{"code":-32001,"message":""}}"#),
+            End::Refused { after: None }
+        );
+        assert_eq!(
+            of(r#"{"error":{"code":-32002,"message":""}}"#),
+            End::Failed(502)
+        );
+        assert_eq!(
+            of(r#"{"error":{"code":-32003,"message":""}}"#),
+            End::Failed(504)
+        );
         assert_eq!(of(r#"{"error":{"code":7,"message":""}}"#), End::Failed(400));
         assert_eq!(of(r#"{"id":1}"#), End::Garbled);
     }
--- a/crates/heathroad-rehearsal/src/report.rs
+++ b/crates/heathroad-rehearsal/src/report.rs
@@ -1,5 +1,5 @@
-//! The report: one self-contained page with the verdict, plots through time and what was counted on both sides. The
-//! plots are SVG inside the page; it asks for nothing from anywhere.
+//! The report: one self-contained page with the verdict, plots through time and what was counted on
+//! both sides. The plots are SVG inside the page; it asks for nothing from anywhere.
 
 use crate::clock::{Micros, SECOND, show};
 use crate::ledger::End;
@@ -47,7 +47,11 @@
 pub fn page(outcome: &Outcome) -> Result<String, String> {
     let plan = &outcome.seen.plan;
     let at = |t: Micros| seconds(t, plan.start);
-    let changes = plan.scenario.change.iter().map(|c| (c.at_s, c.at_s, "change of routes".to_string()));
+    let changes = plan
+        .scenario
+        .change
+        .iter()
+        .map(|c| (c.at_s, c.at_s, "change of routes".to_string()));
     let back = Backdrop {
         length: plan.length as f64 / SECOND as f64,
         bands: plan
@@ -98,7 +102,11 @@
         for b in &outcome.verdict.breaches {
             let id = b.id.map(|id| format!("{id:016x}")).unwrap_or_default();
             let (rule, at, proof) = (b.rule.name(), show(b.at), escape(&b.proof));
-            write!(out, "<tr><td>{rule}<td class=n>{at}<td>{id}<td>{proof}</tr>").map_err(text)?;
+            write!(
+                out,
+                "<tr><td>{rule}<td class=n>{at}<td>{id}<td>{proof}</tr>"
+            )
+            .map_err(text)?;
         }
         out.push_str("</table>");
     }
@@ -107,10 +115,19 @@
     );
     for l in &outcome.lines {
         let [least, most] = l.seen;
-        let seen = if least == most { least.to_string() } else { format!("{least} to {most}") };
+        let seen = if least == most {
+            least.to_string()
+        } else {
+            format!("{least} to {most}")
+        };
         let off = if l.agrees() { "" } else { " class=off" };
         let what = escape(&l.what);
-        write!(out, "<tr{off}><td>{what}<td class=n>{seen}<td class=n>{}</tr>", l.counted).map_err(text)?;
+        write!(
+            out,
+            "<tr{off}><td>{what}<td class=n>{seen}<td class=n>{}</tr>",
+            l.counted
+        )
+        .map_err(text)?;
     }
     out.push_str("</table></html>\n");
     Ok(())
@@ -132,9 +149,25 @@
 
 fn worth(outcome: &Outcome) -> Vec<Series> {
     let by_second = &outcome.verdict.worth.by_second;
-    let points = |i: usize| by_second.iter().enumerate().map(|(s, w)| (s as f64 + 0.5, w[i])).collect();
-    let asked = Series { name: "asked".into(), colour: BAND, points: points(0), filled: false };
-    let earned = Series { name: "earned".into(), colour: COLOURS[0], points: points(1), filled: true };
+    let points = |i: usize| {
+        by_second
+            .iter()
+            .enumerate()
+            .map(|(s, w)| (s as f64 + 0.5, w[i]))
+            .collect()
+    };
+    let asked = Series {
+        name: "asked".into(),
+        colour: BAND,
+        points: points(0),
+        filled: false,
+    };
+    let earned = Series {
+        name: "earned".into(),
+        colour: COLOURS[0],
+        points: points(1),
+        filled: true,
+    };
     vec![earned, asked]
 }
 
@@ -142,8 +175,16 @@
     let plan = &outcome.seen.plan;
     let mut seconds = vec![Vec::new(); plan.length.div_ceil(SECOND).max(1) as usize];
     let last = seconds.len() - 1;
-    for t in outcome.seen.ledgers.tries.iter().filter(|t| t.of_client() && t.number != PLANNED_REPEAT) {
-        let (End::Served(_), Some(first)) = (&t.end, plan.tries.get(t.first as usize)) else { continue };
+    for t in outcome
+        .seen
+        .ledgers
+        .tries
+        .iter()
+        .filter(|t| t.of_client() && t.number != PLANNED_REPEAT)
+    {
+        let (End::Served(_), Some(first)) = (&t.end, plan.tries.get(t.first as usize)) else {
+            continue;
+        };
         let second = (first.at.saturating_sub(plan.start) / SECOND) as usize;
         seconds[second.min(last)].push(t.ended.saturating_sub(t.slow + first.at));
     }
@@ -153,18 +194,26 @@
             let at = (s.len().checked_sub(1)? as f64 * share).round() as usize;
             Some((i as f64 + 0.5, *s.get(at)? as f64 / 1000.0))
         };
-        seconds.iter().enumerate().filter_map(of).collect::<Vec<_>>()
+        seconds
+            .iter()
+            .enumerate()
+            .filter_map(of)
+            .collect::<Vec<_>>()
     };
-    [("median", 0.5), ("90th percentile", 0.9), ("99th percentile", 0.99)]
-        .into_iter()
-        .zip(COLOURS)
-        .map(|((name, share), colour)| Series {
-            name: name.into(),
-            colour,
-            points: percentile(share),
-            filled: false,
-        })
-        .collect()
+    [
+        ("median", 0.5),
+        ("90th percentile", 0.9),
+        ("99th percentile", 0.99),
+    ]
+    .into_iter()
+    .zip(COLOURS)
+    .map(|((name, share), colour)| Series {
+        name: name.into(),
+        colour,
+        points: percentile(share),
+        filled: false,
+    })
+    .collect()
 }
 
 fn limits(outcome: &Outcome) -> Vec<Series> {
@@ -173,13 +222,27 @@
     let of_first = |i: &usize| seen.proxy_tier.get(*i) == Some(&0);
     for (n, no) in (0..seen.proxies.len()).filter(of_first).enumerate() {
         let colour = COLOURS[n % COLOURS.len()];
-        let samples = || seen.samples.iter().filter(move |s| usize::from(s.proxy) == no);
+        let samples = || {
+            seen.samples
+                .iter()
+                .filter(move |s| usize::from(s.proxy) == no)
+        };
         let at = |t| seconds(t, seen.plan.start).max(0.0);
         let limit = samples().map(|s| (at(s.at), s.limit)).collect();
         let in_flight = samples().map(|s| (at(s.at), s.in_flight)).collect();
         let name = &seen.proxies[no];
-        series.push(Series { name: format!("{name} in flight"), colour, points: in_flight, filled: true });
-        series.push(Series { name: format!("{name} limit"), colour, points: limit, filled: false });
+        series.push(Series {
+            name: format!("{name} in flight"),
+            colour,
+            points: in_flight,
+            filled: true,
+        });
+        series.push(Series {
+            name: format!("{name} limit"),
+            colour,
+            points: limit,
+            filled: false,
+        });
     }
     series
 }
@@ -196,7 +259,13 @@
     unit: &str,
     series: &[Series],
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let top = series.iter().flat_map(|s| &s.points).map(|p| p.1).fold(0.0, f64::max).max(1e-3) * 1.25;
+    let top = series
+        .iter()
+        .flat_map(|s| &s.points)
+        .map(|p| p.1)
+        .fold(0.0, f64::max)
+        .max(1e-3)
+        * 1.25;
     let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
@@ -206,7 +275,10 @@
         .build_cartesian_2d(0.0..back.length, 0.0..top)?;
     for (from, to, _) in &back.bands {
         // What strikes at one moment still shows.
-        let area = [(*from, 0.0), (to.max(from + back.length / 400.0).min(back.length), top)];
+        let area = [
+            (*from, 0.0),
+            (to.max(from + back.length / 400.0).min(back.length), top),
+        ];
         chart.draw_series([Rectangle::new(area, BAND.mix(0.14).filled())])?;
     }
     chart
@@ -222,18 +294,28 @@
             let area = AreaSeries::new(s.points.iter().copied(), 0.0, s.colour.mix(0.25));
             chart.draw_series(area.border_style(s.colour.mix(0.7)))?
         } else {
-            chart.draw_series(LineSeries::new(s.points.iter().copied(), s.colour.stroke_width(2)))?
+            chart.draw_series(LineSeries::new(
+                s.points.iter().copied(),
+                s.colour.stroke_width(2),
+            ))?
         }
         .label(s.name.as_str())
         .legend(|(x, y)| Rectangle::new([(x, y - 2), (x + 16, y + 2)], s.colour.filled()));
     }
     for at in &back.breaches {
-        chart.draw_series(LineSeries::new([(*at, 0.0), (*at, top)], BREACH.stroke_width(1)))?;
+        chart.draw_series(LineSeries::new(
+            [(*at, 0.0), (*at, top)],
+            BREACH.stroke_width(1),
+        ))?;
     }
     for (i, (from, _, label)) in back.bands.iter().enumerate() {
         let y = top * (0.98 - 0.075 * (i % ROWS) as f64);
         let style = ("sans-serif", 12).into_font().color(&BLACK.mix(0.75));
-        chart.draw_series([Text::new(label.clone(), (from + back.length * 0.004, y), style)])?;
+        chart.draw_series([Text::new(
+            label.clone(),
+            (from + back.length * 0.004, y),
+            style,
+        )])?;
     }
     chart
         .configure_series_labels()
--- a/crates/heathroad-rehearsal/src/scenario.rs
+++ b/crates/heathroad-rehearsal/src/scenario.rs
@@ -1,33 +1,91 @@
-//! A scenario: what is rehearsed, as a TOML file that is checked whole before anything starts. What a file leaves
-//! out of classes, tenants, tiers, clients, rules or run is taken from `rehearsals/common.toml`.
+//! A scenario: what is rehearsed, as a TOML file that is checked whole before anything starts. What
+//! a file leaves out of classes, tenants, tiers, clients, rules or run is taken from
+//! `rehearsals/common.toml`.
 
 use serde::Deserialize;
 use std::path::Path;
 
 /// The scenarios that come with the kit, by name.
 pub const SHIPPED: &[(&str, &str)] = &[
-    ("month-end", include_str!("../../../rehearsals/month-end.toml")),
-    ("small-hours", include_str!("../../../rehearsals/small-hours.toml")),
+    (
+        "month-end",
+        include_str!("../../../rehearsals/month-end.toml"),
+    ),
+    (
+        "small-hours",
+        include_str!("../../../rehearsals/small-hours.toml"),
+    ),
     ("crawl", include_str!("../../../rehearsals/crawl.toml")),
-    ("late-repeat", include_str!("../../../rehearsals/late-repeat.toml")),
-    ("rolling-restart", include_str!("../../../rehearsals/rolling-restart.toml")),
+    (
+        "late-repeat",
+        include_str!("../../../rehearsals/late-repeat.toml"),
+    ),
+    (
+        "rolling-restart",
+        include_str!("../../../rehearsals/rolling-restart.toml"),
+    ),
     ("spoilt", include_str!("../../../rehearsals/spoilt.toml")),
-    ("registry", include_str!("../../../rehearsals/registry.toml")),
-    ("switch-over", include_str!("../../../rehearsals/switch-over.toml")),
-    ("harmful-change", include_str!("../../../rehearsals/harmful-change.toml")),
-    ("batch-claims", include_str!("../../../rehearsals/batch-claims.toml")),
-    ("vanish-mid-reply", include_str!("../../../rehearsals/vanish-mid-reply.toml")),
-    ("undo-meets-drain", include_str!("../../../rehearsals/undo-meets-drain.toml")),
-    ("chain-outage", include_str!("../../../rehearsals/chain-outage.toml")),
-    ("chain-slow", include_str!("../../../rehearsals/chain-slow.toml")),
+    (
+        "registry",
+        include_str!("../../../rehearsals/registry.toml"),
+    ),
+    (
+        "switch-over",
+        include_str!("../../../rehearsals/switch-over.toml"),
+    ),
+    (
+        "harmful-change",
+        include_str!("../../../rehearsals/harmful-change.toml"),
+    ),
+    (
+        "batch-claims",
+        include_str!("../../../rehearsals/batch-claims.toml"),
+    ),
+    (
+        "vanish-mid-reply",
+        include_str!("../../../rehearsals/vanish-mid-reply.toml"),
+    ),
+    (
+        "undo-meets-drain",
+        include_str!("../../../rehearsals/undo-meets-drain.toml"),
+    ),
+    (
+        "chain-outage",
+        include_str!("../../../rehearsals/chain-outage.toml"),
+    ),
+    (
+        "chain-slow",
+        include_str!("../../../rehearsals/chain-slow.toml"),
+    ),
     ("loop", include_str!("../../../rehearsals/loop.toml")),
-    ("fleet-straggler", include_str!("../../../rehearsals/fleet-straggler.toml")),
-    ("fleet-split", include_str!("../../../rehearsals/fleet-split.toml")),
-    ("fleet-stall", include_str!("../../../rehearsals/fleet-stall.toml")),
-    ("duty-handover", include_str!("../../../rehearsals/duty-handover.toml")),
-    ("duty-split", include_str!("../../../rehearsals/duty-split.toml")),
-    ("any-night", include_str!("../../../rehearsals/any-night.toml")),
-    ("overlapping-faults", include_str!("../../../rehearsals/overlapping-faults.toml")),
+    (
+        "fleet-straggler",
+        include_str!("../../../rehearsals/fleet-straggler.toml"),
+    ),
+    (
+        "fleet-split",
+        include_str!("../../../rehearsals/fleet-split.toml"),
+    ),
+    (
+        "fleet-stall",
+        include_str!("../../../rehearsals/fleet-stall.toml"),
+    ),
+    (
+        "duty-handover",
+        include_str!("../../../rehearsals/duty-handover.toml"),
+    ),
+    (
+        "duty-split",
+        include_str!("../../../rehearsals/duty-split.toml"),
+    ),
+    (
+        "any-night",
+        include_str!("../../../rehearsals/any-night.toml"),
+    ),
+    (
+        "overlapping-faults",
+        include_str!("../../../rehearsals/overlapping-faults.toml"),
+    ),
     ("flood", include_str!("../../../rehearsals/flood.toml")),
     ("short", include_str!("../../../rehearsals/short.toml")),
 ];
@@ -58,10 +116,12 @@
     /// Budgets carried down the chain, where they are kept; stand-ins copy their headers.
     #[serde(default)]
     pub budget: Option<Budget>,
-    /// Routes and pools of the first tier's proxies, as the text of their file; else each has the one pool.
+    /// Routes and pools of the first tier's proxies, as the text of their file; else each has the
+    /// one pool.
     #[serde(default)]
     pub routes: Option<String>,
-    /// The first tier's proxies are a fleet, with the kit's network between them; else they know nothing of each other.
+    /// The first tier's proxies are a fleet, with the kit's network between them; else they know
+    /// nothing of each other.
     #[serde(default)]
     pub fleet: Option<FleetRun>,
     /// Changes of these, proposed to every proxy of the first tier, or to one.
@@ -241,7 +301,8 @@
     /// A proxy that can't know what is required fences itself after so long.
     #[serde(default)]
     pub fence_unsure_after_ms: Option<u64>,
-    /// They have a duty, whose lease is so long: its holder acts on the kit's gate each 50 ms. The first three vote.
+    /// They have a duty, whose lease is so long: its holder acts on the kit's gate each 50 ms. The
+    /// first three vote.
     #[serde(default)]
     pub lease_ms: Option<u64>,
 }
@@ -280,8 +341,8 @@
     pub slow: f64,
     /// Clients a second that send what can't be used.
     pub rude_per_s: f64,
-    /// Share of first tries that come over JSON-RPC, to the listener `remote` of the routes. They say neither how long
-    /// they wait nor that they leave.
+    /// Share of first tries that come over JSON-RPC, to the listener `remote` of the routes. They
+    /// say neither how long they wait nor that they leave.
     #[serde(default)]
     pub remote: f64,
     /// These come in batches of so many; 1 is one by one.
@@ -323,8 +384,8 @@
     /// How many are drawn.
     #[serde(default = "one_of")]
     pub count: u16,
-    /// Its size: times slower (crawl), share taken (starve), odds (reset, spoil, decline), seconds (registry-late,
-    /// registry-clock).
+    /// Its size: times slower (crawl), share taken (starve), odds (reset, spoil, decline), seconds
+    /// (registry-late, registry-clock).
     #[serde(default)]
     pub size: f64,
 }
@@ -367,7 +428,8 @@
     Spoil,
     /// Turns requests away.
     Decline,
-    /// Calls a proxy of the first tier in place of the next tier, as a wrong configuration would have it.
+    /// Calls a proxy of the first tier in place of the next tier, as a wrong configuration would
+    /// have it.
     Loop,
     /// A proxy of the first tier is killed and started again.
     KillProxy,
@@ -377,7 +439,8 @@
     ReloadProxy,
     /// A proxy of the first tier does nothing for a time, and goes on.
     StallProxy,
-    /// A proxy of the first tier is held up again and again, by up to so many milliseconds each time; it owes what it owes.
+    /// A proxy of the first tier is held up again and again, by up to so many milliseconds each
+    /// time; it owes what it owes.
     PauseProxy,
     /// Proxies of the first tier are cut off from their fellows, together, both ways.
     CutProxy,
@@ -562,7 +625,9 @@
     }
     let path = Path::new(name);
     if path.extension().is_none_or(|e| e != "toml") {
-        return Err(format!("{name}: no scenario of this name (see `list`), and no .toml file"));
+        return Err(format!(
+            "{name}: no scenario of this name (see `list`), and no .toml file"
+        ));
     }
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
     parse(name, &text)
@@ -571,11 +636,14 @@
 /// Reads a scenario's text; an error is one line with file, field and reason.
 pub fn parse(file: &str, text: &str) -> Result<Scenario, String> {
     let wrong = |e: toml::de::Error| {
-        let line = e.span().map_or(0, |s| text[..s.start.min(text.len())].lines().count().max(1));
+        let line = e.span().map_or(0, |s| {
+            text[..s.start.min(text.len())].lines().count().max(1)
+        });
         format!("{file}:{line}: {}", e.message().replace('\n', " "))
     };
     let mut table: toml::Table = toml::from_str(text).map_err(wrong)?;
-    let common: toml::Table = toml::from_str(COMMON).map_err(|e| format!("rehearsals/common.toml: {e}"))?;
+    let common: toml::Table =
+        toml::from_str(COMMON).map_err(|e| format!("rehearsals/common.toml: {e}"))?;
     for (key, value) in common {
         match (table.get_mut(&key), value) {
             // A table is completed field by field; a list is taken whole or not at all.
@@ -588,8 +656,13 @@
             (None, value) => drop(table.insert(key, value)),
         }
     }
-    let scenario: Scenario = serde_path_to_error::deserialize(table)
-        .map_err(|e| format!("{file}: {}: {}", e.path(), e.inner().message().replace('\n', " ")))?;
+    let scenario: Scenario = serde_path_to_error::deserialize(table).map_err(|e| {
+        format!(
+            "{file}: {}: {}",
+            e.path(),
+            e.inner().message().replace('\n', " ")
+        )
+    })?;
     scenario.check().map_err(|e| format!("{file}: {e}"))?;
     Ok(scenario)
 }
@@ -614,9 +687,15 @@
 
     /// Whether a backend's or proxy's name can be on the stage of this scenario.
     fn names_backend(&self, name: &str, tier: Option<usize>) -> bool {
-        let number = |t: &Tier| name.strip_prefix(&t.name)?.strip_prefix('-')?.parse::<u16>().ok();
+        let number = |t: &Tier| {
+            name.strip_prefix(&t.name)?
+                .strip_prefix('-')?
+                .parse::<u16>()
+                .ok()
+        };
         let of = |(i, t): (usize, &Tier)| {
-            tier.is_none_or(|tier| tier == i) && number(t).is_some_and(|n| (1..=t.backends).contains(&n))
+            tier.is_none_or(|tier| tier == i)
+                && number(t).is_some_and(|n| (1..=t.backends).contains(&n))
         };
         self.tier.iter().enumerate().any(of)
     }
@@ -626,38 +705,114 @@
         let mut ranges: Vec<(String, f64, [f64; 2])> = vec![
             ("run.seconds".into(), self.run.seconds, [1.0, 3600.0]),
             ("run.rate".into(), self.run.rate, [1.0, 20_000.0]),
-            ("run.proxies".into(), f64::from(self.run.proxies), [1.0, 64.0]),
-            ("run.over_share_worth".into(), self.run.over_share_worth, [0.0, 1.0]),
-            ("run.memory_mb".into(), f64::from(self.run.memory_mb), [8.0, 65_536.0]),
-            ("run.sockets".into(), f64::from(self.run.sockets), [64.0, 65_536.0]),
-            ("run.retry_after_ms".into(), self.run.retry_after_ms, [0.0, 60_000.0]),
-            ("run.conn_idle_ms".into(), self.run.conn_idle_ms, [100.0, 3.6e6]),
-            ("run.connect_timeout_ms".into(), self.run.connect_timeout_ms, [10.0, 60_000.0]),
-            ("run.probation_s".into(), self.run.probation_s, [0.02, 3600.0]),
+            (
+                "run.proxies".into(),
+                f64::from(self.run.proxies),
+                [1.0, 64.0],
+            ),
+            (
+                "run.over_share_worth".into(),
+                self.run.over_share_worth,
+                [0.0, 1.0],
+            ),
+            (
+                "run.memory_mb".into(),
+                f64::from(self.run.memory_mb),
+                [8.0, 65_536.0],
+            ),
+            (
+                "run.sockets".into(),
+                f64::from(self.run.sockets),
+                [64.0, 65_536.0],
+            ),
+            (
+                "run.retry_after_ms".into(),
+                self.run.retry_after_ms,
+                [0.0, 60_000.0],
+            ),
+            (
+                "run.conn_idle_ms".into(),
+                self.run.conn_idle_ms,
+                [100.0, 3.6e6],
+            ),
+            (
+                "run.connect_timeout_ms".into(),
+                self.run.connect_timeout_ms,
+                [10.0, 60_000.0],
+            ),
+            (
+                "run.probation_s".into(),
+                self.run.probation_s,
+                [0.02, 3600.0],
+            ),
             ("class".into(), self.class.len() as f64, [1.0, 64.0]),
             ("tenant".into(), self.tenant.len() as f64, [1.0, 1000.0]),
             ("tier".into(), self.tier.len() as f64, [1.0, 4.0]),
-            ("clients.retries".into(), f64::from(self.clients.retries), [0.0, 10.0]),
-            ("clients.backoff_ms".into(), self.clients.backoff_ms, [0.0, 60_000.0]),
+            (
+                "clients.retries".into(),
+                f64::from(self.clients.retries),
+                [0.0, 10.0],
+            ),
+            (
+                "clients.backoff_ms".into(),
+                self.clients.backoff_ms,
+                [0.0, 60_000.0],
+            ),
             ("clients.heed".into(), self.clients.heed, [0.0, 1.0]),
-            ("clients.patience[0]".into(), self.clients.patience[0], [0.05, self.clients.patience[1]]),
-            ("clients.patience[1]".into(), self.clients.patience[1], [0.05, 1.0]),
+            (
+                "clients.patience[0]".into(),
+                self.clients.patience[0],
+                [0.05, self.clients.patience[1]],
+            ),
+            (
+                "clients.patience[1]".into(),
+                self.clients.patience[1],
+                [0.05, 1.0],
+            ),
             ("clients.hang_up".into(), self.clients.hang_up, [0.0, 1.0]),
             ("clients.slow".into(), self.clients.slow, [0.0, 1.0]),
             ("clients.remote".into(), self.clients.remote, [0.0, 1.0]),
-            ("clients.batch".into(), f64::from(self.clients.batch), [1.0, 1000.0]),
-            ("clients.rude_per_s".into(), self.clients.rude_per_s, [0.0, 100.0]),
-            ("rules.drain_grace_ms".into(), self.rules.drain_grace_ms, [1.0, 60_000.0]),
-            ("rules.fall_multiple".into(), self.rules.fall_multiple, [1.0, 100.0]),
-            ("rules.fall_ms".into(), self.rules.fall_ms, [100.0, 60_000.0]),
-            ("rules.answer_grace_ms".into(), self.rules.answer_grace_ms, [0.0, 10_000.0]),
+            (
+                "clients.batch".into(),
+                f64::from(self.clients.batch),
+                [1.0, 1000.0],
+            ),
+            (
+                "clients.rude_per_s".into(),
+                self.clients.rude_per_s,
+                [0.0, 100.0],
+            ),
+            (
+                "rules.drain_grace_ms".into(),
+                self.rules.drain_grace_ms,
+                [1.0, 60_000.0],
+            ),
+            (
+                "rules.fall_multiple".into(),
+                self.rules.fall_multiple,
+                [1.0, 100.0],
+            ),
+            (
+                "rules.fall_ms".into(),
+                self.rules.fall_ms,
+                [100.0, 60_000.0],
+            ),
+            (
+                "rules.answer_grace_ms".into(),
+                self.rules.answer_grace_ms,
+                [0.0, 10_000.0],
+            ),
         ];
         for (i, c) in self.class.iter().enumerate() {
             let keyed = if c.effect == Effect::Keyed { 1.0 } else { 0.0 };
             ranges.extend([
                 (format!("class[{i}].share"), c.share, [0.0, 1e6]),
                 (format!("class[{i}].aim_ms"), c.aim_ms, [1.0, c.deadline_ms]),
-                (format!("class[{i}].deadline_ms"), c.deadline_ms, [10.0, 600_000.0]),
+                (
+                    format!("class[{i}].deadline_ms"),
+                    c.deadline_ms,
+                    [10.0, 600_000.0],
+                ),
                 (format!("class[{i}].worth"), c.worth, [0.0, 1e6]),
                 (format!("class[{i}].late_worth"), c.late_worth, [0.0, 1.0]),
                 (format!("class[{i}].work_ms"), c.work_ms, [0.01, 60_000.0]),
@@ -670,13 +825,29 @@
         }
         for (i, t) in self.tier.iter().enumerate() {
             ranges.extend([
-                (format!("tier[{i}].backends"), f64::from(t.backends), [1.0, 200.0]),
+                (
+                    format!("tier[{i}].backends"),
+                    f64::from(t.backends),
+                    [1.0, 200.0],
+                ),
                 (format!("tier[{i}].work"), t.work, [0.0, 1.0]),
                 (format!("tier[{i}].cores"), f64::from(t.cores), [1.0, 64.0]),
                 (format!("tier[{i}].speed"), t.speed, [0.01, 100.0]),
-                (format!("tier[{i}].slots"), f64::from(t.slots), [1.0, 10_000.0]),
-                (format!("tier[{i}].connections"), f64::from(t.connections), [1.0, 10_000.0]),
-                (format!("tier[{i}].handshake_ms"), t.handshake_ms, [0.0, 1000.0]),
+                (
+                    format!("tier[{i}].slots"),
+                    f64::from(t.slots),
+                    [1.0, 10_000.0],
+                ),
+                (
+                    format!("tier[{i}].connections"),
+                    f64::from(t.connections),
+                    [1.0, 10_000.0],
+                ),
+                (
+                    format!("tier[{i}].handshake_ms"),
+                    t.handshake_ms,
+                    [0.0, 1000.0],
+                ),
                 (format!("tier[{i}].cold_from"), t.cold_from, [0.01, 1.0]),
                 (format!("tier[{i}].cold_s"), t.cold_s, [0.1, 600.0]),
                 (format!("tier[{i}].calls"), f64::from(t.calls), [0.0, 8.0]),
@@ -702,7 +873,11 @@
         }
         for (i, r) in self.repeat.iter().enumerate() {
             ranges.push((format!("repeat[{i}].at_s"), r.at_s, [0.0, self.run.seconds]));
-            ranges.push((format!("repeat[{i}].after_s"), r.after_s, [0.01, self.run.seconds]));
+            ranges.push((
+                format!("repeat[{i}].after_s"),
+                r.after_s,
+                [0.01, self.run.seconds],
+            ));
         }
         for (field, x, [low, high]) in ranges {
             if !(x >= low && x <= high) {
@@ -718,7 +893,9 @@
             for (i, name) in names.enumerate() {
                 let plain = |c: char| c.is_ascii_alphanumeric() || c == '-';
                 if name.is_empty() || !name.chars().all(plain) {
-                    return Err(format!("{list}[{i}].name: {name:?} is not of letters, digits and -"));
+                    return Err(format!(
+                        "{list}[{i}].name: {name:?} is not of letters, digits and -"
+                    ));
                 }
                 if !seen.insert(name) {
                     return Err(format!("{list}[{i}].name: {name:?} comes twice"));
@@ -730,22 +907,35 @@
         names("tenant", self.tenant.iter().map(|t| &t.name))?;
         names("tier", self.tier.iter().map(|t| &t.name))?;
         let weight = |what: &str, sum: f64| {
-            if sum > 0.0 { Ok(()) } else { Err(format!("{what}: all shares are 0, nothing would be sent")) }
+            if sum > 0.0 {
+                Ok(())
+            } else {
+                Err(format!("{what}: all shares are 0, nothing would be sent"))
+            }
         };
         weight("class", self.class.iter().map(|c| c.share).sum())?;
-        weight("tenant", self.tenant.iter().map(|t| t.share * t.usage).sum())?;
+        weight(
+            "tenant",
+            self.tenant.iter().map(|t| t.share * t.usage).sum(),
+        )?;
         for (i, f) in self.fault.iter().enumerate() {
             let tier = match &f.tier {
                 None => None,
                 Some(name) => Some(
-                    self.tier_named(name).ok_or_else(|| format!("fault[{i}].tier: {name:?} is no tier"))?,
+                    self.tier_named(name)
+                        .ok_or_else(|| format!("fault[{i}].tier: {name:?} is no tier"))?,
                 ),
             };
             if f.what.strikes_backends() && f.on.is_empty() && tier.is_none() {
-                return Err(format!("fault[{i}]: {} needs `tier` or `on`", f.what.name()));
+                return Err(format!(
+                    "fault[{i}]: {} needs `tier` or `on`",
+                    f.what.name()
+                ));
             }
             for name in &f.on {
-                let proxy = name.strip_prefix("proxy-").and_then(|n| n.parse::<u16>().ok());
+                let proxy = name
+                    .strip_prefix("proxy-")
+                    .and_then(|n| n.parse::<u16>().ok());
                 let known = if f.what.strikes_proxies() {
                     proxy.is_some_and(|n| (1..=self.run.proxies).contains(&n))
                 } else {
@@ -759,30 +949,55 @@
         for (i, r) in self.repeat.iter().enumerate() {
             let class = self.class.iter().find(|c| c.name == r.class);
             if class.is_none_or(|c| c.effect != Effect::Keyed) {
-                return Err(format!("repeat[{i}].class: {:?} is no keyed class", r.class));
+                return Err(format!(
+                    "repeat[{i}].class: {:?} is no keyed class",
+                    r.class
+                ));
             }
             if !self.tenant.iter().any(|t| t.name == r.tenant) {
                 return Err(format!("repeat[{i}].tenant: {:?} is no tenant", r.tenant));
             }
         }
-        if self.clients.remote > 0.0 && !self.routes.as_deref().unwrap_or_default().contains("\"remote\"") {
+        if self.clients.remote > 0.0
+            && !self
+                .routes
+                .as_deref()
+                .unwrap_or_default()
+                .contains("\"remote\"")
+        {
             return Err("clients.remote: `routes` have no listener \"remote\"".into());
         }
         let ways = |f: &Fault| matches!(f.what, What::CutProxy | What::DeafProxy);
-        if let Some(i) = self.fault.iter().position(ways).filter(|_| self.fleet.is_none()) {
+        if let Some(i) = self
+            .fault
+            .iter()
+            .position(ways)
+            .filter(|_| self.fleet.is_none())
+        {
             return Err(format!("fault[{i}]: there is no `fleet` to be cut"));
         }
         for (i, c) in self.change.iter().enumerate() {
-            let proxy = |name: &String| name.strip_prefix("proxy-").and_then(|n| n.parse::<u16>().ok());
-            if c.on.as_ref().is_some_and(|on| !proxy(on).is_some_and(|n| (1..=self.run.proxies).contains(&n)))
+            let proxy = |name: &String| {
+                name.strip_prefix("proxy-")
+                    .and_then(|n| n.parse::<u16>().ok())
+            };
+            if c.on
+                .as_ref()
+                .is_some_and(|on| !proxy(on).is_some_and(|n| (1..=self.run.proxies).contains(&n)))
             {
                 return Err(format!("change[{i}].on: {:?} is not on the stage", c.on));
             }
             if c.required_ms.is_some() && self.fleet.is_none() {
-                return Err(format!("change[{i}].required_ms: there is no `fleet` to require it of"));
+                return Err(format!(
+                    "change[{i}].required_ms: there is no `fleet` to require it of"
+                ));
             }
         }
-        if self.fleet.as_ref().is_some_and(|f| !(100..=60_000).contains(&f.period_ms)) {
+        if self
+            .fleet
+            .as_ref()
+            .is_some_and(|f| !(100..=60_000).contains(&f.period_ms))
+        {
             return Err("fleet.period_ms: is not between 100 and 60000".into());
         }
         let duty = self.fleet.as_ref().and_then(|f| f.lease_ms);
@@ -797,7 +1012,11 @@
         }
         for (i, e) in self.expect.iter().enumerate() {
             if !FIGURES.contains(&e.figure.as_str()) {
-                return Err(format!("expect[{i}].figure: {:?} is none of {}", e.figure, FIGURES.join(", ")));
+                return Err(format!(
+                    "expect[{i}].figure: {:?} is none of {}",
+                    e.figure,
+                    FIGURES.join(", ")
+                ));
             }
             if e.at_least.is_none() && e.at_most.is_none() {
                 return Err(format!("expect[{i}]: neither at_least nor at_most"));
