--- a/crates/heathroad-rehearsal/src/stage.rs
+++ b/crates/heathroad-rehearsal/src/stage.rs
@@ -1,5 +1,6 @@
-//! One rehearsal, put on: daemons, backends and registry are started, the load is driven, faults strike by the plan,
-//! and everything is ended again. What was seen is handed on as ledgers; nothing is judged here.
+//! One rehearsal, put on: daemons, backends and registry are started, the load is driven, faults
+//! strike by the plan, and everything is ended again. What was seen is handed on as ledgers;
+//! nothing is judged here.
 
 use crate::clock::{Clock, Micros, SECOND};
 use crate::daemon::{self, Daemon, Usage};
@@ -42,7 +43,12 @@
 /// Work that nobody waits for any more gets so long to end by itself after the load.
 const SETTLE: Duration = Duration::from_millis(500);
 /// The gate looks at tokens, and one act in fifty comes late, by up to two seconds.
-const GATE: gate::Options = gate::Options { checks: true, late: 0.02, by: Duration::from_secs(2), seed: 1 };
+const GATE: gate::Options = gate::Options {
+    checks: true,
+    late: 0.02,
+    by: Duration::from_secs(2),
+    seed: 1,
+};
 /// A duty's holder acts so often.
 const ACTS: Duration = Duration::from_millis(50);
 /// The fleet's audit is asked for so long after the load.
@@ -165,16 +171,20 @@
     ip: Cell<[u8; 3]>,
 }
 
-/// A loopback network of this process's own, so that a port that a stand-in has left is taken by nobody else.
+/// A loopback network of this process's own, so that a port that a stand-in has left is taken by
+/// nobody else.
 pub fn network() -> [u8; 3] {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let id = std::process::id().wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed).wrapping_mul(7919));
+    let id =
+        std::process::id().wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed).wrapping_mul(7919));
     [127, 16 + (id % 224) as u8, (id / 224 % 250) as u8]
 }
 
 /// Puts a rehearsal on. What can't be put on is an error in one line.
 pub fn run(setting: Setting) -> Result<Seen, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
         let folder = std::env::temp_dir().join(format!(
@@ -195,7 +205,11 @@
     let clock = Clock::starting_in(Duration::ZERO);
     let world = World::new(clock, plan.clone());
     let gate = match plan.scenario.fleet.as_ref().and_then(|f| f.lease_ms) {
-        Some(_) => Some(Gate::open(clock, GATE).await.map_err(|e| format!("gate: {e}"))?),
+        Some(_) => Some(
+            Gate::open(clock, GATE)
+                .await
+                .map_err(|e| format!("gate: {e}"))?,
+        ),
         None => None,
     };
     let stage = Rc::new(Stage::build(setting, world, folder, gate)?);
@@ -217,8 +231,19 @@
         let mut slots = Vec::new();
         let mut slot = |name: String, tier, owner, copy: usize, copies| {
             let file = folder.join(format!("{name}.json"));
-            let (daemon, registry, away) = (RefCell::default(), RefCell::default(), Cell::new(true));
-            slots.push(Slot { name, tier, owner, copy, copies, file, daemon, registry, away });
+            let (daemon, registry, away) =
+                (RefCell::default(), RefCell::default(), Cell::new(true));
+            slots.push(Slot {
+                name,
+                tier,
+                owner,
+                copy,
+                copies,
+                file,
+                daemon,
+                registry,
+                away,
+            });
         };
         let proxies = usize::from(scenario.run.proxies);
         (0..proxies).for_each(|i| slot(format!("proxy-{}", i + 1), 0, None, i, proxies));
@@ -236,11 +261,24 @@
         let between = match &scenario.fleet {
             None => None,
             Some(fleet) => {
-                let duty = gate.as_ref().zip(fleet.lease_ms).map(|(gate, lease)| gate.duty(lease, ACTS));
+                let duty = gate
+                    .as_ref()
+                    .zip(fleet.lease_ms)
+                    .map(|(gate, lease)| gate.duty(lease, ACTS));
                 let duties = duty.unwrap_or_default();
-                daemon::fleet_files(&folder, fleet.period_ms, fleet.fence_unsure_after_ms, &duties)
-                    .map_err(|e| format!("{}: {e}", folder.display()))?;
-                let network = Network::begin(network(), scenario.run.proxies, setting.plan.seed, world.clock);
+                daemon::fleet_files(
+                    &folder,
+                    fleet.period_ms,
+                    fleet.fence_unsure_after_ms,
+                    &duties,
+                )
+                .map_err(|e| format!("{}: {e}", folder.display()))?;
+                let network = Network::begin(
+                    network(),
+                    scenario.run.proxies,
+                    setting.plan.seed,
+                    world.clock,
+                );
                 Some(network.map_err(|e| format!("network: {e}"))?)
             }
         };
@@ -277,12 +315,23 @@
                 let ip = self.ip();
                 let doors = doors(ip, &senders).map_err(|e| format!("{ip}: {e}"))?;
                 let name = format!("{}-{}", t.name, i + 1);
-                let host = self.host(tier, name, i / 2, memories[usize::from(i / 2)].clone(), doors);
+                let host = self.host(
+                    tier,
+                    name,
+                    i / 2,
+                    memories[usize::from(i / 2)].clone(),
+                    doors,
+                );
                 host.kind.replace(plan.scenario.kind(tier, i).to_string());
             }
         }
         // Those that will come up at another's address, down until then.
-        for (n, fault) in plan.faults.iter().enumerate().filter(|(_, f)| f.what == What::Replace) {
+        for (n, fault) in plan
+            .faults
+            .iter()
+            .enumerate()
+            .filter(|(_, f)| f.what == What::Replace)
+        {
             for v in &fault.victims {
                 let old = self.victim(fault.tier, *v);
                 self.host(
@@ -335,20 +384,33 @@
 
     /// The proxies that send to a tier.
     fn senders(&self, tier: usize) -> Vec<ProxyNo> {
-        (0..self.slots.len()).filter(|i| self.slots[*i].tier == tier).map(|i| i as ProxyNo).collect()
+        (0..self.slots.len())
+            .filter(|i| self.slots[*i].tier == tier)
+            .map(|i| i as ProxyNo)
+            .collect()
     }
 
     fn victim(&self, tier: usize, number: u16) -> Rc<Backend> {
         let hosts = self.hosts.borrow();
-        let of_tier = hosts.iter().filter(|h| h.tier == tier).nth(usize::from(number));
+        let of_tier = hosts
+            .iter()
+            .filter(|h| h.tier == tier)
+            .nth(usize::from(number));
         of_tier.unwrap_or(&hosts[0]).clone()
     }
 
     async fn start_backends(&self) -> Result<(), String> {
-        let hosts: Vec<_> =
-            self.hosts.borrow().iter().filter(|h| !h.name.contains("-new")).cloned().collect();
+        let hosts: Vec<_> = self
+            .hosts
+            .borrow()
+            .iter()
+            .filter(|h| !h.name.contains("-new"))
+            .cloned()
+            .collect();
         for host in hosts {
-            host.start(true).await.map_err(|e| format!("{}: {e}", host.name))?;
+            host.start(true)
+                .await
+                .map_err(|e| format!("{}: {e}", host.name))?;
             self.registry.publish(&host, Health::Serving);
         }
         Ok(())
@@ -376,7 +438,9 @@
         let slot = &self.slots[usize::from(no)];
         let [a, b, c] = self.ip.get();
         let ip = IpAddr::V4(Ipv4Addr::new(a, b, c, 254));
-        let (listener, addr) = Registry::address(ip).await.map_err(|e| format!("registry: {e}"))?;
+        let (listener, addr) = Registry::address(ip)
+            .await
+            .map_err(|e| format!("registry: {e}"))?;
         let task = self.registry.serve(slot.tier, no, listener);
         if let Some((_, old)) = slot.registry.replace(Some((addr, task))) {
             spawn_local(async move {
@@ -400,11 +464,19 @@
         };
         let sockets = self.world.plan.scenario.run.sockets;
         let mut config = self.config(slot, registry);
-        if let Some(text) = self.world.plan.scenario.routes.as_ref().filter(|_| slot.tier == 0) {
+        if let Some(text) = self
+            .world
+            .plan
+            .scenario
+            .routes
+            .as_ref()
+            .filter(|_| slot.tier == 0)
+        {
             let file = slot.file.with_extension("toml");
             std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
             config["routes"] = file.display().to_string().into();
-            config["probation_ms"] = ((self.world.plan.scenario.run.probation_s * 1000.0) as u64).into();
+            config["probation_ms"] =
+                ((self.world.plan.scenario.run.probation_s * 1000.0) as u64).into();
         }
         if let Some(network) = self.network.as_ref().filter(|_| slot.tier == 0) {
             let state = slot.file.with_extension("state");
@@ -412,7 +484,12 @@
                 std::fs::create_dir(&state).map_err(|e| format!("{}: {e}", state.display()))?;
             }
             let peers: Vec<String> = network.peers(no).iter().map(ToString::to_string).collect();
-            config["fleet"] = slot.file.with_file_name("fleet.toml").display().to_string().into();
+            config["fleet"] = slot
+                .file
+                .with_file_name("fleet.toml")
+                .display()
+                .to_string()
+                .into();
             config["peer_listen"] = network.listens(no).to_string().into();
             config["peers"] = peers.into();
             config["state"] = state.display().to_string().into();
@@ -428,7 +505,9 @@
         self.act(no, Did::Started);
         match slot.owner {
             None => self.front.put(no, listens, remote),
-            Some(owner) => self.hosts.borrow()[usize::from(owner)].side.set(Some((no, listens))),
+            Some(owner) => self.hosts.borrow()[usize::from(owner)]
+                .side
+                .set(Some((no, listens))),
         }
         Ok(())
     }
@@ -440,7 +519,12 @@
     /// An act that was begun at a time is done.
     fn acted(&self, at: Micros, proxy: ProxyNo, what: Did) {
         let until = self.world.clock.now();
-        self.world.ledgers.borrow_mut().acts.push(Act { at, until, proxy, what });
+        self.world.ledgers.borrow_mut().acts.push(Act {
+            at,
+            until,
+            proxy,
+            what,
+        });
     }
 
     fn config(&self, slot: &Slot, registry: std::net::SocketAddr) -> Value {
@@ -456,13 +540,17 @@
                 "lateWorth": c.late_worth, "semantics": semantics, "group": group, "window": c.window_ms})
         };
         let tenants: Vec<Value> = match slot.tier {
-            0 => {
-                s.tenant.iter().zip(quotas(s)).map(|(t, q)| json!({"name": t.name, "quotaPerS": q})).collect()
-            }
+            0 => s
+                .tenant
+                .iter()
+                .zip(quotas(s))
+                .map(|(t, q)| json!({"name": t.name, "quotaPerS": q}))
+                .collect(),
             _ => Vec::new(),
         };
         let tier = &s.tier[slot.tier];
-        // Clients come from outside; whoever calls a proxy behind the first tier is a server of the chain.
+        // Clients come from outside; whoever calls a proxy behind the first tier is a server of the
+        // chain.
         let inner: &[&str] = if slot.tier == 0 { &[] } else { &["127.0.0.1"] };
         let budget = s.budget.as_ref().map(|b| {
             json!({"name": format!("to-{}", tier.name), "inner": inner, "lends": slot.tier + 1 < s.tier.len(),
@@ -496,8 +584,11 @@
         beside.spawn_local(self.clone().sample());
         beside.spawn_local(self.clone().beat());
         beside.spawn_local(self.clone().watch());
-        let (front, progress, stop) =
-            (self.front.clone(), self.setting.progress.clone(), self.setting.stop.clone());
+        let (front, progress, stop) = (
+            self.front.clone(),
+            self.setting.progress.clone(),
+            self.setting.stop.clone(),
+        );
         let driver = load::start(plan.clone(), self.world.clock, front, progress, stop);
         let mut faults = JoinSet::new();
         for fault in &plan.faults {
@@ -510,10 +601,17 @@
             });
         }
         for (n, change) in plan.scenario.change.iter().enumerate() {
-            let named =
-                |no: &ProxyNo| change.on.as_ref().is_none_or(|on| self.slots[usize::from(*no)].name == *on);
+            let named = |no: &ProxyNo| {
+                change
+                    .on
+                    .as_ref()
+                    .is_none_or(|on| self.slots[usize::from(*no)].name == *on)
+            };
             for no in self.senders(0).into_iter().filter(named) {
-                let (stage, at) = (self.clone(), plan.start + (change.at_s * SECOND as f64) as Micros);
+                let (stage, at) = (
+                    self.clone(),
+                    plan.start + (change.at_s * SECOND as f64) as Micros,
+                );
                 beside.spawn_local(async move {
                     stage.world.clock.until(at).await;
                     let became = stage.change(n, no).await.unwrap_or_else(|e| e);
@@ -524,7 +622,9 @@
         while !driver.is_finished() {
             sleep(Duration::from_millis(20)).await;
         }
-        let driven = driver.join().map_err(|_| "the driver panicked".to_string())?;
+        let driven = driver
+            .join()
+            .map_err(|_| "the driver panicked".to_string())?;
         let mut stop = self.setting.stop.clone();
         let last = Instant::now() + STOP;
         // What has begun to strike is let end, so that no start is left half-way.
@@ -545,13 +645,28 @@
         loop {
             for no in self.senders(0) {
                 let slot = &self.slots[usize::from(no)];
-                let admin = slot.daemon.borrow().as_ref().filter(|_| !slot.away.get()).map(|d| d.admin);
+                let admin = slot
+                    .daemon
+                    .borrow()
+                    .as_ref()
+                    .filter(|_| !slot.away.get())
+                    .map(|d| d.admin);
                 let Some(admin) = admin else { continue };
-                let Ok((200, body)) = daemon::get(admin, "/counts").await else { continue };
-                let Ok(counts) = serde_json::from_slice::<Value>(&body) else { continue };
+                let Ok((200, body)) = daemon::get(admin, "/counts").await else {
+                    continue;
+                };
+                let Ok(counts) = serde_json::from_slice::<Value>(&body) else {
+                    continue;
+                };
                 let figure = |name: &str| counts[name].as_f64().unwrap_or(0.0);
-                let (at, limit, in_flight) = (self.world.clock.now(), figure("limit"), figure("in_flight"));
-                self.samples.borrow_mut().push(Sample { at, proxy: no, limit, in_flight });
+                let (at, limit, in_flight) =
+                    (self.world.clock.now(), figure("limit"), figure("in_flight"));
+                self.samples.borrow_mut().push(Sample {
+                    at,
+                    proxy: no,
+                    limit,
+                    in_flight,
+                });
             }
             sleep(SAMPLE).await;
         }
@@ -559,24 +674,43 @@
 
     /// Proposes a change to a proxy, and waits for what becomes of it.
     async fn change(&self, n: usize, no: ProxyNo) -> Result<String, String> {
-        let admin = self.slots[usize::from(no)].daemon.borrow().as_ref().map(|d| d.admin);
+        let admin = self.slots[usize::from(no)]
+            .daemon
+            .borrow()
+            .as_ref()
+            .map(|d| d.admin);
         let admin = admin.ok_or("given up: the proxy was away")?;
         let begun = self.world.clock.now();
         let change = &self.world.plan.scenario.change[n];
-        let path = change.required_ms.map(|ms| format!("/config/apply?required_ms={ms}"));
+        let path = change
+            .required_ms
+            .map(|ms| format!("/config/apply?required_ms={ms}"));
         let path = path.as_deref().unwrap_or("/config/apply");
-        let (status, said) = daemon::post(admin, path, &change.routes).await.map_err(|e| e.to_string())?;
+        let (status, said) = daemon::post(admin, path, &change.routes)
+            .await
+            .map_err(|e| e.to_string())?;
         if status != 200 {
             return Err(format!("turned down: {}", String::from_utf8_lossy(&said)));
         }
         loop {
             sleep(WATCH / 4).await;
-            let Ok((200, body)) = daemon::get(admin, "/config/status").await else { continue };
-            let Ok(status) = serde_json::from_slice::<Value>(&body) else { continue };
+            let Ok((200, body)) = daemon::get(admin, "/config/status").await else {
+                continue;
+            };
+            let Ok(status) = serde_json::from_slice::<Value>(&body) else {
+                continue;
+            };
             if status["open"].is_null() {
-                let last = status["told"].as_array().and_then(|t| t.last()?.as_str()).unwrap_or_default();
-                if let (Some(ms), Some(generation)) = (change.required_ms, status["generation"].as_u64()) {
-                    self.bounds.borrow_mut().push((generation, self.world.clock.now() + ms * 1000));
+                let last = status["told"]
+                    .as_array()
+                    .and_then(|t| t.last()?.as_str())
+                    .unwrap_or_default();
+                if let (Some(ms), Some(generation)) =
+                    (change.required_ms, status["generation"].as_u64())
+                {
+                    self.bounds
+                        .borrow_mut()
+                        .push((generation, self.world.clock.now() + ms * 1000));
                 }
                 let after = self.world.clock.now().saturating_sub(begun) as f64 / SECOND as f64;
                 return Ok(format!("{last}, {after:.1} s after it was proposed"));
@@ -589,7 +723,9 @@
         loop {
             let due = Instant::now() + BEAT;
             sleep_until(due).await;
-            self.stage_late.borrow_mut().saturating_record(due.elapsed().as_micros() as u64);
+            self.stage_late
+                .borrow_mut()
+                .saturating_record(due.elapsed().as_micros() as u64);
         }
     }
 
@@ -605,7 +741,9 @@
                     slot.away.set(true);
                     self.act(no as ProxyNo, Did::Crashed);
                     self.front.take(no as ProxyNo);
-                    self.troubles.borrow_mut().push(format!("{} ended by itself: {status}", slot.name));
+                    self.troubles
+                        .borrow_mut()
+                        .push(format!("{} ended by itself: {status}", slot.name));
                 }
             }
         }
@@ -613,7 +751,10 @@
 
     /// The proxy that belongs to a backend.
     fn side(&self, host: &Backend) -> Option<ProxyNo> {
-        self.slots.iter().position(|s| s.owner == Some(host.no)).map(|i| i as ProxyNo)
+        self.slots
+            .iter()
+            .position(|s| s.owner == Some(host.no))
+            .map(|i| i as ProxyNo)
     }
 
     fn kill_proxy(&self, no: ProxyNo) {
@@ -624,7 +765,11 @@
             let (usage, begun) = (daemon.usage(), self.world.clock.now());
             daemon.kill();
             self.acted(begun, no, Did::Killed);
-            self.counts.borrow_mut().push(Counted { proxy: no, counts: None, usage });
+            self.counts.borrow_mut().push(Counted {
+                proxy: no,
+                counts: None,
+                usage,
+            });
         }
     }
 
@@ -636,15 +781,23 @@
             self.act(no, Did::Stopped);
             // One that a pause holds up could not take the signal.
             if let Err(e) = daemon.wake().and_then(|()| daemon.terminate()) {
-                self.troubles.borrow_mut().push(format!("{}: {e}", slot.name));
+                self.troubles
+                    .borrow_mut()
+                    .push(format!("{}: {e}", slot.name));
             }
             let usage = daemon.usage();
             let (counts, well) = daemon.finish(STOP).await;
             if !well {
                 self.act(no, Did::Crashed);
-                self.troubles.borrow_mut().push(format!("{} did not stop as planned", slot.name));
+                self.troubles
+                    .borrow_mut()
+                    .push(format!("{} did not stop as planned", slot.name));
             }
-            self.counts.borrow_mut().push(Counted { proxy: no, counts, usage });
+            self.counts.borrow_mut().push(Counted {
+                proxy: no,
+                counts,
+                usage,
+            });
         }
     }
 
@@ -657,13 +810,18 @@
                 self.still(&fault.victims, Daemon::stall)?;
                 clock.until(until).await;
                 self.still(&fault.victims, Daemon::wake)?;
-                fault.victims.iter().for_each(|no| self.acted(begun, *no, Did::Stalled));
+                fault
+                    .victims
+                    .iter()
+                    .for_each(|no| self.acted(begun, *no, Did::Stalled));
             }
             What::PauseProxy => {
                 let mut pausing = JoinSet::new();
                 for no in fault.victims.iter().copied() {
                     let (stage, longest) = (self.clone(), fault.size);
-                    pausing.spawn_local(async move { stage.pause_again_and_again(no, longest, until).await });
+                    pausing.spawn_local(async move {
+                        stage.pause_again_and_again(no, longest, until).await
+                    });
                 }
                 while let Some(ended) = pausing.join_next().await {
                     ended.map_err(|e| e.to_string())??;
@@ -672,8 +830,13 @@
             What::CutProxy | What::DeafProxy => {
                 let cut = |cut: bool| {
                     let Some(network) = &self.network else { return };
-                    let others = self.senders(0).into_iter().filter(|no| !fault.victims.contains(no));
-                    for (other, victim) in others.flat_map(|o| fault.victims.iter().map(move |v| (o, *v))) {
+                    let others = self
+                        .senders(0)
+                        .into_iter()
+                        .filter(|no| !fault.victims.contains(no));
+                    for (other, victim) in
+                        others.flat_map(|o| fault.victims.iter().map(move |v| (o, *v)))
+                    {
                         network.way(other, victim, |w| w.cut = cut);
                         if fault.what == What::CutProxy {
                             network.way(victim, other, |w| w.cut = cut);
@@ -690,7 +853,9 @@
                 }
             }
             What::RegistryLate => {
-                self.registry.delay.set((fault.size * SECOND as f64) as Micros);
+                self.registry
+                    .delay
+                    .set((fault.size * SECOND as f64) as Micros);
                 clock.until(until).await;
                 self.registry.delay.set(0);
             }
@@ -714,7 +879,9 @@
                 for v in &fault.victims {
                     let (stage, fault) = (self.clone(), fault.clone());
                     let host = self.victim(fault.tier, *v);
-                    struck.spawn_local(async move { stage.strike_backend(&fault, &host, until).await });
+                    struck.spawn_local(
+                        async move { stage.strike_backend(&fault, &host, until).await },
+                    );
                 }
                 while let Some(ended) = struck.join_next().await {
                     ended.map_err(|e| e.to_string())??;
@@ -725,7 +892,12 @@
     }
 
     /// Holds a process up, lets it run for a while, and so on until a time.
-    async fn pause_again_and_again(&self, no: ProxyNo, longest_ms: f64, until: Micros) -> Result<(), String> {
+    async fn pause_again_and_again(
+        &self,
+        no: ProxyNo,
+        longest_ms: f64,
+        until: Micros,
+    ) -> Result<(), String> {
         let clock = self.world.clock;
         let mut rng = Rng::with_seed(self.world.plan.seed ^ until ^ u64::from(no));
         let drawn = |rng: &mut Rng, [from, to]: [f64; 2]| {
@@ -741,11 +913,16 @@
     }
 
     /// Holds processes still, or lets them go on.
-    fn still(&self, proxies: &[ProxyNo], how: fn(&Daemon) -> std::io::Result<()>) -> Result<(), String> {
+    fn still(
+        &self,
+        proxies: &[ProxyNo],
+        how: fn(&Daemon) -> std::io::Result<()>,
+    ) -> Result<(), String> {
         for no in proxies {
             let slot = &self.slots[usize::from(*no)];
             let done = slot.daemon.borrow().as_ref().map(how);
-            done.unwrap_or(Ok(())).map_err(|e| format!("{}: {e}", slot.name))?;
+            done.unwrap_or(Ok(()))
+                .map_err(|e| format!("{}: {e}", slot.name))?;
         }
         Ok(())
     }
@@ -753,13 +930,17 @@
     /// The fleet's audit once all are reached, or as it is in the end.
     async fn audit(&self) {
         let admin = self.slots[0].daemon.borrow().as_ref().map(|d| d.admin);
-        let Some(admin) = admin.filter(|_| self.network.is_some()) else { return };
+        let Some(admin) = admin.filter(|_| self.network.is_some()) else {
+            return;
+        };
         let last = Instant::now() + AUDIT;
         while Instant::now() < last {
             if let Ok((200, body)) = daemon::get_within(admin, "/fleet/audit", AUDIT).await {
                 let audit: Option<Value> = serde_json::from_slice(&body).ok();
                 let all = |a: &Value| {
-                    a["members"].as_array().is_some_and(|m| m.iter().all(|m| m["reached"] == true))
+                    a["members"]
+                        .as_array()
+                        .is_some_and(|m| m.iter().all(|m| m["reached"] == true))
                 };
                 let reached = audit.as_ref().is_some_and(all);
                 self.audit.replace(audit);
@@ -771,7 +952,12 @@
         }
     }
 
-    async fn strike_proxy(self: &Rc<Self>, what: What, no: ProxyNo, until: Micros) -> Result<(), String> {
+    async fn strike_proxy(
+        self: &Rc<Self>,
+        what: What,
+        no: ProxyNo,
+        until: Micros,
+    ) -> Result<(), String> {
         match what {
             What::ReloadProxy => {
                 let addr = self.registry_address(no).await?;
@@ -779,7 +965,9 @@
                 let config = self.config(slot, addr);
                 self.act(no, Did::Reloaded);
                 let told = slot.daemon.borrow().as_ref().map(|d| d.reload(&config));
-                return told.unwrap_or(Ok(())).map_err(|e| format!("{}: {e}", slot.name));
+                return told
+                    .unwrap_or(Ok(()))
+                    .map_err(|e| format!("{}: {e}", slot.name));
             }
             What::KillProxy => {
                 self.kill_proxy(no);
@@ -788,7 +976,8 @@
                     notice.await;
                     front.take(no);
                 });
-                // It comes back once that is noticed; before, the old address would be taken out late.
+                // It comes back once that is noticed; before, the old address would be taken out
+                // late.
                 self.world
                     .clock
                     .until(until.max(self.world.clock.now() + 2 * NOTICE.as_micros() as Micros))
@@ -832,7 +1021,9 @@
                 host.machine.neighbour.set(0.0);
             }
             What::Reset | What::Spoil | What::Decline => {
-                let i = [What::Reset, What::Spoil, What::Decline].iter().position(|w| *w == fault.what);
+                let i = [What::Reset, What::Spoil, What::Decline]
+                    .iter()
+                    .position(|w| *w == fault.what);
                 let i = i.unwrap_or(0);
                 odd(i, fault.size);
                 clock.until(until).await;
@@ -841,7 +1032,11 @@
             What::Loop => {
                 // Each to one of them; where that is away, its calls find nobody.
                 let no = host.no % self.world.plan.scenario.run.proxies;
-                let at = self.slots[usize::from(no)].daemon.borrow().as_ref().map(|d| d.listens);
+                let at = self.slots[usize::from(no)]
+                    .daemon
+                    .borrow()
+                    .as_ref()
+                    .map(|d| d.listens);
                 host.astray.set(at.map(|at| (no, at)));
                 clock.until(until).await;
                 host.astray.set(None);
@@ -874,9 +1069,13 @@
                 clock.until(until).await;
                 let hosts = self.hosts.borrow().clone();
                 let heir = format!("{}-new", host.name);
-                let heir = hosts.iter().find(|h| h.name.starts_with(&heir) && h.mode() == Mode::Down);
+                let heir = hosts
+                    .iter()
+                    .find(|h| h.name.starts_with(&heir) && h.mode() == Mode::Down);
                 if let Some(heir) = heir {
-                    heir.start(false).await.map_err(|e| format!("{}: {e}", heir.name))?;
+                    heir.start(false)
+                        .await
+                        .map_err(|e| format!("{}: {e}", heir.name))?;
                     self.hand_over(host, heir).await?;
                     self.registry.publish(heir, Health::Serving);
                 }
@@ -913,7 +1112,9 @@
         if host.mode() != Mode::Down {
             return Ok(());
         }
-        host.start(false).await.map_err(|e| format!("{}: {e}", host.name))?;
+        host.start(false)
+            .await
+            .map_err(|e| format!("{}: {e}", host.name))?;
         self.registry.publish(host, Health::Serving);
         Ok(())
     }
@@ -931,7 +1132,10 @@
         hosts.iter().for_each(|h| h.kill());
         let mut ledgers = self.world.ledgers.take();
         let extras: Vec<u64> = hosts.iter().flat_map(|h| h.extras()).collect();
-        ledgers.tries.iter_mut().for_each(|t| t.extra = extras.contains(&t.id));
+        ledgers
+            .tries
+            .iter_mut()
+            .for_each(|t| t.extra = extras.contains(&t.id));
         ledgers.tries.extend(driven.tries);
         ledgers.rude = driven.rude;
         Ok(Seen {
--- a/crates/heathroad-rehearsal/src/stand_in/backend.rs
+++ b/crates/heathroad-rehearsal/src/stand_in/backend.rs
@@ -1,5 +1,6 @@
-//! A stand-in backend: a process on a machine, behind one address for each proxy that may send to it, so that every
-//! request's sender is known. It works, waits for the next tier, answers, and fails where it is told to.
+//! A stand-in backend: a process on a machine, behind one address for each proxy that may send to
+//! it, so that every request's sender is known. It works, waits for the next tier, answers, and
+//! fails where it is told to.
 
 use crate::caller::{Ask, Caller, body};
 use crate::clock::{Clock, Micros};
@@ -147,9 +148,13 @@
 
 /// Binds an address of one's own for each proxy, and tells the ports.
 pub fn doors(ip: std::net::IpAddr, proxies: &[ProxyNo]) -> io::Result<Vec<(ProxyNo, SocketAddr)>> {
-    let held: Vec<_> =
-        proxies.iter().map(|p| Ok((*p, listen(SocketAddr::new(ip, 0))?))).collect::<io::Result<_>>()?;
-    held.iter().map(|(p, l)| Ok((*p, l.local_addr()?))).collect()
+    let held: Vec<_> = proxies
+        .iter()
+        .map(|p| Ok((*p, listen(SocketAddr::new(ip, 0))?)))
+        .collect::<io::Result<_>>()?;
+    held.iter()
+        .map(|(p, l)| Ok((*p, l.local_addr()?)))
+        .collect()
 }
 
 impl Backend {
@@ -172,7 +177,10 @@
             world: world.clone(),
             memory,
             doors,
-            state: watch::Sender::new(State { life: 0, mode: Mode::Down }),
+            state: watch::Sender::new(State {
+                life: 0,
+                mode: Mode::Down,
+            }),
             accepting: RefCell::default(),
             stuffing: RefCell::default(),
             slots: Semaphore::new(slots),
@@ -191,7 +199,10 @@
 
     /// Where a proxy reaches it.
     pub fn door(&self, proxy: ProxyNo) -> Option<SocketAddr> {
-        self.doors.iter().find(|(p, _)| *p == proxy).map(|(_, addr)| *addr)
+        self.doors
+            .iter()
+            .find(|(p, _)| *p == proxy)
+            .map(|(_, addr)| *addr)
     }
 
     /// What it remembers of keyed requests, with those of its group.
@@ -221,9 +232,18 @@
             self.machine.restart();
         }
         let started = self.machine.started.get();
-        self.world.ledgers.borrow_mut().lives.push(Life { host: self.no, life, started, warm, fell: None });
+        self.world.ledgers.borrow_mut().lives.push(Life {
+            host: self.no,
+            life,
+            started,
+            warm,
+            fell: None,
+        });
         self.draining.set(false);
-        self.state.send_replace(State { life, mode: Mode::Up });
+        self.state.send_replace(State {
+            life,
+            mode: Mode::Up,
+        });
         for (proxy, addr) in self.doors.clone() {
             let mut tries = 0;
             let listener = loop {
@@ -234,14 +254,19 @@
                 }
                 sleep(REBIND).await;
             };
-            self.accepting.borrow_mut().push(spawn_local(self.clone().accept(proxy, listener, life)));
+            self.accepting
+                .borrow_mut()
+                .push(spawn_local(self.clone().accept(proxy, listener, life)));
         }
         Ok(())
     }
 
     /// Its process dies: connections are reset, new ones are refused.
     pub fn kill(&self) {
-        self.accepting.borrow_mut().drain(..).for_each(|task| task.abort());
+        self.accepting
+            .borrow_mut()
+            .drain(..)
+            .for_each(|task| task.abort());
         self.stuffing.borrow_mut().clear();
         self.state.send_modify(|s| s.mode = Mode::Down);
     }
@@ -324,7 +349,9 @@
             let request = match read {
                 Ok(request) => request,
                 Err(Broken::Garbled) => {
-                    let _ = stream.write_all(&answer(400, "Connection: close\r\n", "")).await;
+                    let _ = stream
+                        .write_all(&answer(400, "Connection: close\r\n", ""))
+                        .await;
                     return false;
                 }
                 Err(Broken::Ended(_)) => return false,
@@ -340,7 +367,11 @@
                 let _ = stream.write_all(&reply(&request, 404, "", "")).await;
                 continue;
             };
-            let handshake = if std::mem::take(&mut fresh) { self.handshake() } else { 0 };
+            let handshake = if std::mem::take(&mut fresh) {
+                self.handshake()
+            } else {
+                0
+            };
             let arrival = self.arrival(proxy, life, id, class, &request, first_byte, handshake);
             let (mark, at) = (arrival.mark, self.note(arrival));
             let work = self.world.ledgers.borrow().arrivals[at].work;
@@ -351,7 +382,14 @@
             let (bytes, kind) = self.process(at, id, mark, class, &request, work).await;
             self.present().await;
             let cut = kind == Answer::Cut;
-            let whole = stream.write_all(if cut { &bytes[..bytes.len() / 2] } else { &bytes }).await.is_ok();
+            let whole = stream
+                .write_all(if cut {
+                    &bytes[..bytes.len() / 2]
+                } else {
+                    &bytes
+                })
+                .await
+                .is_ok();
             {
                 let arrival = &mut self.world.ledgers.borrow_mut().arrivals[at];
                 arrival.answer = kind;
@@ -383,9 +421,16 @@
     }
 
     fn class(&self, request: &Request) -> Option<u16> {
-        let name = request.target.trim_start_matches('/').split(['/', '?']).next()?;
+        let name = request
+            .target
+            .trim_start_matches('/')
+            .split(['/', '?'])
+            .next()?;
         let classes = &self.world.plan.scenario.class;
-        classes.iter().position(|c| c.name == name).map(|c| c as u16)
+        classes
+            .iter()
+            .position(|c| c.name == name)
+            .map(|c| c as u16)
     }
 
     fn handshake(&self) -> u64 {
@@ -438,7 +483,10 @@
     fn fall_over(&self, life: u16) {
         let now = self.world.clock.now();
         let lives = &mut self.world.ledgers.borrow_mut().lives;
-        if let Some(life) = lives.iter_mut().find(|l| (l.host, l.life) == (self.no, life)) {
+        if let Some(life) = lives
+            .iter_mut()
+            .find(|l| (l.host, l.life) == (self.no, life))
+        {
             life.fell.get_or_insert(now);
         }
         self.kill();
@@ -447,7 +495,8 @@
     fn load(&self) -> String {
         let (at, now) = (self.report.get().0, self.world.clock.now());
         if now >= at + REPORT || at == 0 {
-            self.report.set((now.max(1), self.in_work.get(), self.waiting.get()));
+            self.report
+                .set((now.max(1), self.in_work.get(), self.waiting.get()));
         }
         let (_, inflight, queue) = self.report.get();
         format!("TEXT inflight={inflight}, queue={queue}")
@@ -467,11 +516,15 @@
         let [cut, spoil, decline] = self.odds.get();
         let drawn = self.rng.borrow_mut().f64();
         let tier = &self.world.plan.scenario.tier[self.tier];
-        let full = self.waiting.get() >= usize::from(tier.queue) && self.slots.available_permits() == 0
+        let full = self.waiting.get() >= usize::from(tier.queue)
+            && self.slots.available_permits() == 0
             || self.connections.get() > usize::from(tier.connections);
         if self.draining.get() || full || drawn < decline {
             fate(Fate::Declined);
-            return (reply(request, 503, "Srv-Declined: 1\r\n", ""), Answer::Declined);
+            return (
+                reply(request, 503, "Srv-Declined: 1\r\n", ""),
+                Answer::Declined,
+            );
         }
         let (plan, now) = (&self.world.plan, self.world.clock.now());
         let head = || format!("Srv-Load: {}\r\n", self.load());
@@ -479,11 +532,15 @@
             let window = (plan.class(class).window_ms * 1000.0) as Micros;
             if self.memory.borrow_mut().repeats(now, key, window) {
                 fate(Fate::Repeat);
-                return (reply(request, 200, &head(), &body(id, mark)), Answer::Served);
+                return (
+                    reply(request, 200, &head(), &body(id, mark)),
+                    Answer::Served,
+                );
             }
         }
         if self.mode() == Mode::Hang {
-            // It has taken the request, and its repeats are dropped: nobody knows what became of it.
+            // It has taken the request, and its repeats are dropped: nobody knows what became of
+            // it.
             std::future::pending::<()>().await;
         }
         let _slot = {
@@ -495,24 +552,37 @@
         self.machine.work(work as f64 / 2.0).await;
         let mut spent = None;
         // One of the last tier, which calls nobody else, goes astray as well.
-        let calls = if self.astray.get().is_some() { tier.calls.max(1) } else { tier.calls };
+        let calls = if self.astray.get().is_some() {
+            tier.calls.max(1)
+        } else {
+            tier.calls
+        };
         for call in 0..calls {
             let (served, told) = self.call(id, mark, call, class, request, now).await;
             spent = told.or(spent);
             if !served {
-                return (reply(request, 500, &with(head(), &spent), ""), Answer::Error);
+                return (
+                    reply(request, 500, &with(head(), &spent), ""),
+                    Answer::Error,
+                );
             }
         }
         let head = || with(head(), &spent);
         self.machine.work(work as f64 / 2.0).await;
         match drawn {
             d if d < decline + cut => (reply(request, 200, &head(), &body(id, mark)), Answer::Cut),
-            d if d < decline + cut + spoil => (b"\x07\x00 noise 200 \r\n\r\n".to_vec(), Answer::Spoilt),
-            _ => (reply(request, 200, &head(), &body(id, mark)), Answer::Served),
+            d if d < decline + cut + spoil => {
+                (b"\x07\x00 noise 200 \r\n\r\n".to_vec(), Answer::Spoilt)
+            }
+            _ => (
+                reply(request, 200, &head(), &body(id, mark)),
+                Answer::Served,
+            ),
         }
     }
 
-    /// Calls the next tier for a request, or the first, where it has gone astray; whether it was served, and what it was told of budgets.
+    /// Calls the next tier for a request, or the first, where it has gone astray; whether it was
+    /// served, and what it was told of budgets.
     async fn call(
         &self,
         parent: u64,
@@ -523,7 +593,9 @@
         since: Micros,
     ) -> (bool, Option<String>) {
         let astray = self.astray.get();
-        let Some((proxy, addr)) = astray.or(self.side.get()) else { return (false, None) };
+        let Some((proxy, addr)) = astray.or(self.side.get()) else {
+            return (false, None);
+        };
         let (plan, clock) = (&self.world.plan, self.world.clock);
         let passed = clock.now().saturating_sub(since) + HOP;
         let patience = (of.deadline_ms.unwrap_or(0) * 1000).saturating_sub(passed);
@@ -549,7 +621,11 @@
         let served = matches!(told.end, End::Served(_));
         self.world.ledgers.borrow_mut().tries.push(Try {
             id,
-            tier: if astray.is_some() { 0 } else { self.tier as u8 + 1 },
+            tier: if astray.is_some() {
+                0
+            } else {
+                self.tier as u8 + 1
+            },
             parent: Some(parent),
             first: 0,
             number: 0,
@@ -577,7 +653,9 @@
 
 /// A head with what was spent, as it was told.
 fn with(head: String, spent: &Option<String>) -> String {
-    spent.as_ref().map_or(head.clone(), |s| format!("{head}Req-Spent: {s}\r\n"))
+    spent
+        .as_ref()
+        .map_or(head.clone(), |s| format!("{head}Req-Spent: {s}\r\n"))
 }
 
 /// A number made of two; never 0.
@@ -590,7 +668,13 @@
 
 /// The memories of a tier: one for all its backends, or one for each cell.
 pub fn memories(plan: &Plan, cells: u16) -> Vec<Rc<RefCell<Memory>>> {
-    let apart = plan.scenario.class.iter().any(|c| c.effect == Effect::Keyed && c.group == Group::Cell);
+    let apart = plan
+        .scenario
+        .class
+        .iter()
+        .any(|c| c.effect == Effect::Keyed && c.group == Group::Cell);
     let one = Rc::<RefCell<Memory>>::default();
-    (0..cells.max(1)).map(|_| if apart { Rc::default() } else { one.clone() }).collect()
+    (0..cells.max(1))
+        .map(|_| if apart { Rc::default() } else { one.clone() })
+        .collect()
 }
--- a/crates/heathroad-rehearsal/src/stand_in/gate.rs
+++ b/crates/heathroad-rehearsal/src/stand_in/gate.rs
@@ -1,7 +1,8 @@
-//! What duties act on: an address that keeps the highest token it has seen and answers 412 to a lower one, and a judge of what it took.
+//! What duties act on: an address that keeps the highest token it has seen and answers 412 to a
+//! lower one, and a judge of what it took.
 //!
-//! Acts may be late on their way to it, which is what a token is for; and its look may be left out, to see what the lease alone is
-//! worth.
+//! Acts may be late on their way to it, which is what a token is for; and its look may be left out,
+//! to see what the lease alone is worth.
 
 use crate::clock::{Clock, Micros};
 use crate::http::{self, Buffer};
@@ -75,11 +76,23 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (acts, answers) = (Arc::default(), Arc::default());
-        let serving = tokio::spawn(serve(listener, clock, options, Arc::clone(&acts), Arc::clone(&answers)));
-        Ok(Gate { address, acts, answers, serving })
+        let serving = tokio::spawn(serve(
+            listener,
+            clock,
+            options,
+            Arc::clone(&acts),
+            Arc::clone(&answers),
+        ));
+        Ok(Gate {
+            address,
+            acts,
+            answers,
+            serving,
+        })
     }
 
-    /// What the fleet's file says of a duty `tick` that acts here, the first three places being its voters.
+    /// What the fleet's file says of a duty `tick` that acts here, the first three places being its
+    /// voters.
     pub fn duty(&self, lease_ms: u64, every: Duration) -> String {
         format!(
             "[duties]\nvoters = [0, 1, 2]\nlease_ms = {lease_ms}\n[[duty]]\nname = \"tick\"\nwork = \"call\"\n\
@@ -112,24 +125,43 @@
     let mut rng = Rng::with_seed(options.seed);
     let highest = Arc::new(AtomicU64::new(0));
     while let Ok((mut stream, _)) = listener.accept().await {
-        let late = if rng.f64() < options.late { options.by.mul_f64(rng.f64()) } else { Duration::ZERO };
+        let late = if rng.f64() < options.late {
+            options.by.mul_f64(rng.f64())
+        } else {
+            Duration::ZERO
+        };
         let (acts, answers, highest) = (acts.clone(), answers.clone(), highest.clone());
         tokio::spawn(async move {
             let mut buffer = Buffer::default();
             while let Ok(request) = buffer.request(&mut stream).await {
-                let Some((token, holder, number)) = request.duty else { return };
+                let Some((token, holder, number)) = request.duty else {
+                    return;
+                };
                 sleep(late).await;
                 let told = answers.lock().ok().and_then(|a| *a);
                 let status = told.unwrap_or_else(|| {
-                    let Ok(mut acts) = acts.lock() else { return 500 };
-                    let taken = token >= highest.fetch_max(token, Ordering::Relaxed) || !options.checks;
+                    let Ok(mut acts) = acts.lock() else {
+                        return 500;
+                    };
+                    let taken =
+                        token >= highest.fetch_max(token, Ordering::Relaxed) || !options.checks;
                     if acts.len() < MAX_ACTS {
-                        acts.push(Act { at: clock.now(), token, holder, number, taken });
+                        acts.push(Act {
+                            at: clock.now(),
+                            token,
+                            holder,
+                            number,
+                            taken,
+                        });
                     }
                     if taken { 200 } else { 412 }
                 });
                 let seen = format!("Duty-Token: {:016x}\r\n", highest.load(Ordering::Relaxed));
-                if stream.write_all(&http::answer(status, &seen, "")).await.is_err() {
+                if stream
+                    .write_all(&http::answer(status, &seen, ""))
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -137,7 +169,8 @@
     }
 }
 
-/// What is wrong with what was taken: acts out of the order of their tokens, and tokens that two held.
+/// What is wrong with what was taken: acts out of the order of their tokens, and tokens that two
+/// held.
 pub fn judge(acts: &[Act]) -> Vec<String> {
     let mut wrong = Vec::new();
     let mut last: Option<&Act> = None;
@@ -162,7 +195,11 @@
     let taken: Vec<&Act> = acts.iter().filter(|a| a.taken).collect();
     let figure = match name {
         "duty_acts" => taken.len() as f64,
-        "duty_holds" => taken.iter().map(|a| a.token).collect::<std::collections::BTreeSet<_>>().len() as f64,
+        "duty_holds" => taken
+            .iter()
+            .map(|a| a.token)
+            .collect::<std::collections::BTreeSet<_>>()
+            .len() as f64,
         "duty_refused" => (acts.len() - taken.len()) as f64,
         "duty_out_of_order" => judge(acts).len() as f64,
         "duty_pause_s" => {
@@ -180,8 +217,19 @@
 
     #[test]
     fn what_is_wrong_is_found() {
-        let act = |token, holder: &str, taken| Act { at: 0, token, holder: holder.into(), number: 1, taken };
-        let good = [act(1, "a", true), act(2, "b", true), act(1, "a", false), act(2, "b", true)];
+        let act = |token, holder: &str, taken| Act {
+            at: 0,
+            token,
+            holder: holder.into(),
+            number: 1,
+            taken,
+        };
+        let good = [
+            act(1, "a", true),
+            act(2, "b", true),
+            act(1, "a", false),
+            act(2, "b", true),
+        ];
         assert_eq!(judge(&good), Vec::<String>::new());
         assert_eq!(judge(&[act(2, "b", true), act(1, "a", true)]).len(), 1);
         assert_eq!(judge(&[act(2, "b", true), act(2, "a", true)]).len(), 1);
--- a/crates/heathroad-rehearsal/src/stand_in/machine.rs
+++ b/crates/heathroad-rehearsal/src/stand_in/machine.rs
@@ -1,4 +1,5 @@
-//! A backend's machine: cores that work through time, a cold start, and falling over. No sockets here.
+//! A backend's machine: cores that work through time, a cold start, and falling over. No sockets
+//! here.
 
 use crate::clock::{Clock, Micros, SECOND};
 use std::cell::{Cell, RefCell};
@@ -47,8 +48,8 @@
     }
 }
 
-/// The work sent to one process within the span that the fourth rule looks at. Stand-ins use it to fall over, the
-/// judge to say so from the ledgers.
+/// The work sent to one process within the span that the fourth rule looks at. Stand-ins use it to
+/// fall over, the judge to say so from the ledgers.
 #[derive(Debug, Default)]
 pub struct Pressure {
     recent: VecDeque<(Micros, u64)>,
@@ -56,12 +57,17 @@
 }
 
 impl Pressure {
-    /// Takes note of work that came, and tells the multiple of what the machine can do at that moment, over the
-    /// span that ends there.
+    /// Takes note of work that came, and tells the multiple of what the machine can do at that
+    /// moment, over the span that ends there.
     pub fn sent(&mut self, make: &Make, at: Micros, work: u64, warmth: f64) -> f64 {
         self.recent.push_back((at, work));
         self.sum += work;
-        while let Some((_, work)) = self.recent.front().copied().filter(|(t, _)| *t + make.fall <= at) {
+        while let Some((_, work)) = self
+            .recent
+            .front()
+            .copied()
+            .filter(|(t, _)| *t + make.fall <= at)
+        {
             self.recent.pop_front();
             self.sum -= work;
         }
@@ -93,7 +99,17 @@
         let cores = Semaphore::new(usize::from(make.cores));
         let (started, warm, ran) = (Cell::new(0), Cell::new(true), Cell::new(0));
         let (crawl, neighbour) = (Cell::new(1.0), Cell::new(0.0));
-        Machine { make, clock, cores, started, warm, ran, pressure: RefCell::default(), crawl, neighbour }
+        Machine {
+            make,
+            clock,
+            cores,
+            started,
+            warm,
+            ran,
+            pressure: RefCell::default(),
+            crawl,
+            neighbour,
+        }
     }
 
     /// A new process starts on it, cold.
@@ -109,13 +125,19 @@
         if self.warm.get() {
             return 1.0;
         }
-        self.make.warmth(self.clock.now().saturating_sub(self.started.get()), self.ran.get())
+        self.make.warmth(
+            self.clock.now().saturating_sub(self.started.get()),
+            self.ran.get(),
+        )
     }
 
     /// Takes note of work sent to it; whether it falls over by that.
     pub fn falls(&self, work: u64) -> bool {
         let (now, warmth) = (self.clock.now(), self.warmth());
-        let pressure = self.pressure.borrow_mut().sent(&self.make, now, work, warmth);
+        let pressure = self
+            .pressure
+            .borrow_mut()
+            .sent(&self.make, now, work, warmth);
         warmth < 1.0 && pressure > self.make.fall_multiple
     }
 
@@ -125,15 +147,18 @@
         (self.make.speed * self.warmth() * left / self.crawl.get()).max(1e-3)
     }
 
-    /// Does work, in microseconds of a standard core, once a core is free. The time that a piece really took
-    /// counts, so that late timers cost no capacity.
+    /// Does work, in microseconds of a standard core, once a core is free. The time that a piece
+    /// really took counts, so that late timers cost no capacity.
     pub async fn work(&self, mut work: f64) {
         // It is never closed.
         let _core = self.cores.acquire().await;
         while work > 0.0 {
             let speed = self.speed();
             let begun = Instant::now();
-            sleep(Duration::from_micros((work / speed).clamp(100.0, PIECE) as u64)).await;
+            sleep(Duration::from_micros(
+                (work / speed).clamp(100.0, PIECE) as u64
+            ))
+            .await;
             work -= begun.elapsed().as_micros() as f64 * speed;
         }
         self.ran.set(self.ran.get().saturating_add(1));
@@ -159,9 +184,18 @@
     #[test]
     fn it_warms_by_time_or_by_requests() {
         let by_time = make();
-        assert_eq!([0, 5, 10, 20].map(|s| by_time.warmth(s * SECOND, 0)), [0.25, 0.625, 1.0, 1.0]);
-        let by_requests = Make { warm_requests: 10, ..make() };
-        assert_eq!([0, 5, 10, 20].map(|n| by_requests.warmth(0, n)), [0.25, 0.625, 1.0, 1.0]);
+        assert_eq!(
+            [0, 5, 10, 20].map(|s| by_time.warmth(s * SECOND, 0)),
+            [0.25, 0.625, 1.0, 1.0]
+        );
+        let by_requests = Make {
+            warm_requests: 10,
+            ..make()
+        };
+        assert_eq!(
+            [0, 5, 10, 20].map(|n| by_requests.warmth(0, n)),
+            [0.25, 0.625, 1.0, 1.0]
+        );
     }
 
     /// A tenth of a second's work at a time: 3 x 0.2 x 2 s of one standard core in all are borne.
@@ -171,17 +205,29 @@
         let sent = |p: &mut Pressure, at| p.sent(&make, at, SECOND / 10, 0.2);
         let multiples: Vec<f64> = (0..13).map(|i| sent(&mut pressure, i * 1000)).collect();
         assert!(multiples[11] <= 3.0 && multiples[12] > 3.0, "{multiples:?}");
-        assert!(sent(&mut pressure, 4 * SECOND) < 0.3, "what is older counts no longer");
+        assert!(
+            sent(&mut pressure, 4 * SECOND) < 0.3,
+            "what is older counts no longer"
+        );
     }
 
     #[tokio::test]
     async fn cores_are_shared_and_a_crawl_slows_them() {
-        let machine = Machine::new(Make { speed: 1.0, ..make() }, Clock::starting_in(Duration::ZERO));
+        let machine = Machine::new(
+            Make {
+                speed: 1.0,
+                ..make()
+            },
+            Clock::starting_in(Duration::ZERO),
+        );
         let begun = Instant::now();
         let three = async { tokio::join!(machine.work(2e4), machine.work(2e4), machine.work(2e4)) };
         three.await;
         let calm = begun.elapsed();
-        assert!(calm >= Duration::from_millis(40), "three calls on two cores: {calm:?}");
+        assert!(
+            calm >= Duration::from_millis(40),
+            "three calls on two cores: {calm:?}"
+        );
         machine.crawl.set(4.0);
         let begun = Instant::now();
         machine.work(2e4).await;
--- a/crates/heathroad-rehearsal/src/stand_in/memory.rs
+++ b/crates/heathroad-rehearsal/src/stand_in/memory.rs
@@ -1,5 +1,5 @@
-//! What backends remember of keyed requests: a repeat inside the window is dropped, a later one can run again. One
-//! memory serves all backends that drop each other's repeats.
+//! What backends remember of keyed requests: a repeat inside the window is dropped, a later one can
+//! run again. One memory serves all backends that drop each other's repeats.
 
 use crate::clock::Micros;
 use std::collections::{HashMap, VecDeque};
@@ -13,10 +13,15 @@
 }
 
 impl Memory {
-    /// Takes note of a key at a time, to be remembered for `window`; whether it is a repeat of one remembered. A
-    /// repeat does not make it remembered for longer.
+    /// Takes note of a key at a time, to be remembered for `window`; whether it is a repeat of one
+    /// remembered. A repeat does not make it remembered for longer.
     pub fn repeats(&mut self, now: Micros, key: u64, window: Micros) -> bool {
-        while let Some((_, key)) = self.order.front().copied().filter(|(until, _)| *until <= now) {
+        while let Some((_, key)) = self
+            .order
+            .front()
+            .copied()
+            .filter(|(until, _)| *until <= now)
+        {
             self.order.pop_front();
             if self.seen.get(&key).is_some_and(|until| *until <= now) {
                 self.seen.remove(&key);
@@ -27,7 +32,9 @@
         }
         self.seen.insert(key, now + window);
         // Windows differ by class: what is forgotten late is forgotten when it is asked for.
-        let place = self.order.partition_point(|(until, _)| *until <= now + window);
+        let place = self
+            .order
+            .partition_point(|(until, _)| *until <= now + window);
         self.order.insert(place, (now + window, key));
         false
     }
@@ -45,7 +52,10 @@
         assert!(!memory.repeats(10, 7, 10), "the repeat did not lengthen it");
         assert!(memory.repeats(19, 7, 10));
         assert!(!memory.repeats(12, 8, 100));
-        assert!(!memory.repeats(25, 9, 1), "shorter windows end behind longer ones");
+        assert!(
+            !memory.repeats(25, 9, 1),
+            "shorter windows end behind longer ones"
+        );
         assert!(!memory.repeats(26, 9, 1));
         assert_eq!(memory.seen.len(), 2, "what is past is forgotten");
     }
--- a/crates/heathroad-rehearsal/src/stand_in/mod.rs
+++ b/crates/heathroad-rehearsal/src/stand_in/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what surrounds the daemon: backends, the registry, the network between proxies. They follow the protocol that the daemon
-//! speaks, and fail where they are told to.
+//! Stand-ins for what surrounds the daemon: backends, the registry, the network between proxies.
+//! They follow the protocol that the daemon speaks, and fail where they are told to.
 
 pub mod backend;
 pub mod gate;
--- a/crates/heathroad-rehearsal/src/stand_in/network.rs
+++ b/crates/heathroad-rehearsal/src/stand_in/network.rs
@@ -1,8 +1,10 @@
-//! The network between proxies. Each directed pair talks through a relay of its own, which loses, delays, repeats, tears or cuts
-//! by what it is told, drawn from a seed; what was done to each message is on record.
+//! The network between proxies. Each directed pair talks through a relay of its own, which loses,
+//! delays, repeats, tears or cuts by what it is told, drawn from a seed; what was done to each
+//! message is on record.
 //!
-//! Proxies reach each other by datagrams alone (the platform knows no other way), so these are all that is relayed. A proxy is told
-//! addresses of its own for all others, as on the platform, and hears each from the address that it sends to.
+//! Proxies reach each other by datagrams alone (the platform knows no other way), so these are all
+//! that is relayed. A proxy is told addresses of its own for all others, as on the platform, and
+//! hears each from the address that it sends to.
 
 use crate::clock::{Clock, Micros};
 use fastrand::Rng;
@@ -136,7 +138,10 @@
     // The proxies open theirs themselves: an address of this process's own keeps its port for them.
     let listens = (0..proxies).map(|i| {
         let [a, b, c] = ip;
-        SocketAddr::new(IpAddr::V4(Ipv4Addr::new(a, b, c, (i % 250) as u8 + 1)), 7946 + i / 250)
+        SocketAddr::new(
+            IpAddr::V4(Ipv4Addr::new(a, b, c, (i % 250) as u8 + 1)),
+            7946 + i / 250,
+        )
     });
     let listens: Vec<SocketAddr> = listens.collect();
     let mut relays = Vec::new();
@@ -149,30 +154,57 @@
 }
 
 impl Network {
-    /// Begins a network for so many proxies (64 at most), on a loopback network `ip` that nobody else uses.
+    /// Begins a network for so many proxies (64 at most), on a loopback network `ip` that nobody
+    /// else uses.
     pub fn begin(ip: [u8; 3], proxies: u16, seed: u64, clock: Clock) -> io::Result<Network> {
         if proxies > 64 {
             return Err(io::Error::other("64 proxies at most"));
         }
         let (listens, relays) = sockets(ip, proxies)?;
         let n = usize::from(proxies);
-        let addresses = relays.iter().map(std::net::UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
-        // What a proxy sends to its address for another comes in there; the one for itself is its own.
+        let addresses = relays
+            .iter()
+            .map(std::net::UdpSocket::local_addr)
+            .collect::<io::Result<Vec<_>>>()?;
+        // What a proxy sends to its address for another comes in there; the one for itself is its
+        // own.
         let peers = (0..n).map(|from| {
-            (0..n).map(|to| if from == to { listens[to] } else { addresses[from * n + to] }).collect()
+            (0..n)
+                .map(|to| {
+                    if from == to {
+                        listens[to]
+                    } else {
+                        addresses[from * n + to]
+                    }
+                })
+                .collect()
         });
         let peers = peers.collect();
         let ways = vec![Way::default(); n * n];
-        let ways = Arc::new(Mutex::new(Ways { all: ways, proxies, record: Vec::new(), unrecorded: 0 }));
+        let ways = Arc::new(Mutex::new(Ways {
+            all: ways,
+            proxies,
+            record: Vec::new(),
+            unrecorded: 0,
+        }));
         let (stop, stopped) = watch::channel(());
         let (shared, to) = (ways.clone(), listens.clone());
         let thread = std::thread::Builder::new().name("network".into());
         let thread = thread.spawn(move || relay(relays, &to, &shared, seed, clock, stopped))?;
-        Ok(Network { seed, ways, listens, peers, _stop: stop, thread: Some(thread) })
+        Ok(Network {
+            seed,
+            ways,
+            listens,
+            peers,
+            _stop: stop,
+            thread: Some(thread),
+        })
     }
 
     fn ways(&self) -> MutexGuard<'_, Ways> {
-        self.ways.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.ways
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Where a proxy is to listen.
@@ -207,7 +239,8 @@
         }
     }
 
-    /// Nothing comes from one group to another any more. Who is in none is a group with the others that are in none.
+    /// Nothing comes from one group to another any more. Who is in none is a group with the others
+    /// that are in none.
     pub fn cut(&self, groups: &[&[u16]]) {
         let group = |p: u16| groups.iter().position(|g| g.contains(&p));
         let n = self.listens.len() as u16;
@@ -244,17 +277,25 @@
     clock: Clock,
     mut stopped: watch::Receiver<()>,
 ) {
-    let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else { return };
+    let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    else {
+        return;
+    };
     let tasks = LocalSet::new();
     tasks.block_on(&runtime, async {
-        let sockets: io::Result<Vec<Rc<UdpSocket>>> =
-            relays.into_iter().map(|s| UdpSocket::from_std(s).map(Rc::new)).collect();
+        let sockets: io::Result<Vec<Rc<UdpSocket>>> = relays
+            .into_iter()
+            .map(|s| UdpSocket::from_std(s).map(Rc::new))
+            .collect();
         let Ok(sockets) = sockets else { return };
         let n = listens.len();
         for (place, socket) in sockets.iter().enumerate() {
             let (from, to) = (place / n, place % n);
             if from != to {
-                // What comes in here goes on from the address that the receiver knows the sender by.
+                // What comes in here goes on from the address that the receiver knows the sender
+                // by.
                 let out = sockets[to * n + from].clone();
                 let pair = Pair {
                     from: from as u16,
@@ -285,7 +326,10 @@
     async fn carry(self, socket: Rc<UdpSocket>, out: Rc<UdpSocket>) {
         let mut rng = Rng::with_seed(self.seed);
         let (begun, mut bytes) = (Instant::now(), [0; 2048]);
-        let mut link = Link { free: begun, under_way: Rc::default() };
+        let mut link = Link {
+            free: begun,
+            under_way: Rc::default(),
+        };
         loop {
             // A port that nobody listens on any more shows here as an error; the relay goes on.
             let Ok((length, _)) = socket.recv_from(&mut bytes).await else {
@@ -293,7 +337,10 @@
                 continue;
             };
             let way = {
-                let ways = self.ways.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+                let ways = self
+                    .ways
+                    .lock()
+                    .unwrap_or_else(std::sync::PoisonError::into_inner);
                 ways.all[ways.place(self.from, self.to)]
             };
             let (fate, at) = fate(&way, &mut rng, &mut link, begun, length);
@@ -308,7 +355,10 @@
                 later: later.as_micros() as Micros,
             };
             {
-                let mut ways = self.ways.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+                let mut ways = self
+                    .ways
+                    .lock()
+                    .unwrap_or_else(std::sync::PoisonError::into_inner);
                 if ways.record.len() < MAX_RECORD {
                     ways.record.push(message);
                 } else {
@@ -320,7 +370,11 @@
                 Fate::Twice => 2,
                 _ => continue,
             };
-            let half = if fate == Fate::Torn { length / 2 } else { length };
+            let half = if fate == Fate::Torn {
+                length / 2
+            } else {
+                length
+            };
             for _ in 0..copies {
                 let (text, out, to) = (bytes[..half].to_vec(), out.clone(), self.listens);
                 if later.is_zero() {
@@ -340,9 +394,15 @@
     }
 }
 
-/// What is done to a message, and when it goes on. Each message draws as many numbers, so that what is done to one does not hang
-/// on what the way did before.
-fn fate(way: &Way, rng: &mut Rng, link: &mut Link, begun: Instant, length: usize) -> (Fate, Instant) {
+/// What is done to a message, and when it goes on. Each message draws as many numbers, so that what
+/// is done to one does not hang on what the way did before.
+fn fate(
+    way: &Way,
+    rng: &mut Rng,
+    link: &mut Link,
+    begun: Instant,
+    length: usize,
+) -> (Fate, Instant) {
     let (now, [loss, twice, torn, jitter]) = (Instant::now(), [(); 4].map(|()| rng.f64()));
     let down = |every: Duration| (begun.elapsed().as_nanos() / every.as_nanos().max(1)) % 2 == 1;
     if length > MAX_DATAGRAM {
--- a/crates/heathroad-rehearsal/src/stand_in/registry.rs
+++ b/crates/heathroad-rehearsal/src/stand_in/registry.rs
@@ -1,5 +1,5 @@
-//! A stand-in registry: the list of backends as each proxy is told it, through an address of its own. It can be late,
-//! down, out of order, or wrong about the time.
+//! A stand-in registry: the list of backends as each proxy is told it, through an address of its
+//! own. It can be late, down, out of order, or wrong about the time.
 
 use crate::clock::{Clock, Micros};
 use crate::http::{Buffer, answer};
@@ -56,7 +56,12 @@
     /// The state before the last of the host that changed last.
     fn old(&self) -> Option<Entry> {
         let last = self.changes.last()?;
-        self.changes.iter().rev().skip(1).find(|e| e.host == last.host).cloned()
+        self.changes
+            .iter()
+            .rev()
+            .skip(1)
+            .find(|e| e.host == last.host)
+            .cloned()
     }
 }
 
@@ -73,7 +78,8 @@
     pub disorder: Cell<bool>,
     /// Its clock is off by so many milliseconds.
     pub off_ms: Cell<f64>,
-    /// Hosts whose old state was told out of order, by proxy and list version, so that each is told once.
+    /// Hosts whose old state was told out of order, by proxy and list version, so that each is told
+    /// once.
     repeated: RefCell<Vec<(ProxyNo, u64)>>,
 }
 
@@ -107,13 +113,23 @@
     pub fn publish(self: &Rc<Self>, host: &Rc<Backend>, health: Health) {
         let started = host.machine.started.get();
         let clock: Clock = self.world.clock;
-        let born_ms = if host.machine.warm.get() { 0.0 } else { clock.unix_ms(started) + self.off_ms.get() };
+        let born_ms = if host.machine.warm.get() {
+            0.0
+        } else {
+            clock.unix_ms(started) + self.off_ms.get()
+        };
         let (no, life, tier) = (host.no, host.life(), host.tier);
         let (registry, delay) = (self.clone(), self.delay.get());
         let list = move || {
             let list = &mut registry.lists.borrow_mut()[tier];
             let version = list.seq() + 1;
-            list.changes.push(Entry { host: no, life, version, health, born_ms });
+            list.changes.push(Entry {
+                host: no,
+                life,
+                version,
+                health,
+                born_ms,
+            });
             registry.changed.send_modify(|n| *n += 1);
         };
         if delay == 0 {
@@ -127,7 +143,12 @@
     }
 
     /// Answers a proxy of a tier at a listener until the task is ended.
-    pub fn serve(self: &Rc<Self>, tier: usize, proxy: ProxyNo, listener: TcpListener) -> JoinHandle<()> {
+    pub fn serve(
+        self: &Rc<Self>,
+        tier: usize,
+        proxy: ProxyNo,
+        listener: TcpListener,
+    ) -> JoinHandle<()> {
         let registry = self.clone();
         spawn_local(async move {
             // Ended with the task: who has moved on must not be told here any more.
@@ -149,7 +170,9 @@
         let mut down = self.down.subscribe();
         while let Ok(request) = buffer.request(&mut stream).await {
             if *down.borrow() {
-                let _ = stream.write_all(&answer(503, "Connection: close\r\n", "")).await;
+                let _ = stream
+                    .write_all(&answer(503, "Connection: close\r\n", ""))
+                    .await;
                 return;
             }
             let page = tokio::select! {
@@ -162,7 +185,8 @@
         }
     }
 
-    /// Waits for what is asked for: the list's version from which on it is wanted, and whether it is whole.
+    /// Waits for what is asked for: the list's version from which on it is wanted, and whether it
+    /// is whole.
     async fn page(&self, tier: usize, target: &str) -> Option<u64> {
         let query = target.split_once('?').map(|(_, q)| q).unwrap_or_default();
         let value = |name: &str| {
@@ -197,7 +221,9 @@
             let again = (proxy, seq);
             match (after, list.old()) {
                 (Some(after), Some(old))
-                    if self.disorder.get() && after == seq && !self.repeated.borrow().contains(&again) =>
+                    if self.disorder.get()
+                        && after == seq
+                        && !self.repeated.borrow().contains(&again) =>
                 {
                     // An old state, in an answer that says itself that it is old.
                     self.repeated.borrow_mut().push(again);
@@ -214,11 +240,15 @@
         let hosts = self.hosts.borrow().clone();
         let mut lines = Vec::new();
         for e in &entries {
-            let Some(host) = hosts.iter().find(|h| h.no == e.host) else { continue };
+            let Some(host) = hosts.iter().find(|h| h.no == e.host) else {
+                continue;
+            };
             if whole && e.health == Health::Deleted {
                 continue;
             }
-            let Some(dial) = host.door(proxy) else { continue };
+            let Some(dial) = host.door(proxy) else {
+                continue;
+            };
             lines.push(json!({"host": host.name, "dial": dial.to_string(), "site": ZONE, "class": *host.kind.borrow(),
                 "block": host.cell, "health": e.health.word(), "share": 1.0, "born_ms": e.born_ms}));
         }
@@ -227,7 +257,14 @@
         let at = self.world.clock.now();
         let told_entry = |e: &Entry| {
             let (host, life, version, health) = (e.host, e.life, e.version, e.health);
-            Told { at, proxy, host, life, version, health }
+            Told {
+                at,
+                proxy,
+                host,
+                life,
+                version,
+                health,
+            }
         };
         let ledgers: &mut Ledgers = &mut self.world.ledgers.borrow_mut();
         ledgers.told.extend(entries.iter().map(told_entry));
--- a/crates/heathroad-rehearsal/tests/cli.rs
+++ b/crates/heathroad-rehearsal/tests/cli.rs
@@ -1,4 +1,5 @@
-//! The program itself: what it says of bad input, what it writes, and that nothing of it stays behind.
+//! The program itself: what it says of bad input, what it writes, and that nothing of it stays
+//! behind.
 
 mod common;
 
@@ -9,7 +10,9 @@
 
 fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_heathroad-rehearse"));
-    command.stdin(Stdio::null()).env("TMPDIR", env!("CARGO_TARGET_TMPDIR"));
+    command
+        .stdin(Stdio::null())
+        .env("TMPDIR", env!("CARGO_TARGET_TMPDIR"));
     command
 }
 
@@ -18,7 +21,8 @@
 }
 
 fn file(name: &str, text: &str) -> PathBuf {
-    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", std::process::id()));
+    let path =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("the folder for tests takes a file");
     path
 }
@@ -28,11 +32,17 @@
     let list = run(&["list"]);
     assert!(list.status.success());
     let list = String::from_utf8_lossy(&list.stdout).into_owned();
-    let names: Vec<&str> = list.lines().filter_map(|l| l.split_whitespace().next()).collect();
+    let names: Vec<&str> = list
+        .lines()
+        .filter_map(|l| l.split_whitespace().next())
+        .collect();
     assert!(names.len() >= 8 && names.contains(&"late-repeat"), "{list}");
     for name in names {
         let explained = run(&["explain", name]);
-        assert!(explained.status.success() && explained.stdout.len() > 200, "{name}");
+        assert!(
+            explained.status.success() && explained.stdout.len() > 200,
+            "{name}"
+        );
     }
 }
 
@@ -44,15 +54,45 @@
         text
     };
     let cases = [
-        (bad(("rate = 60.0", "rate = 0.0")), "run.rate: 0 is not between"),
-        (bad(("rate = 60.0", "rate = \"fast\"")), "run.rate: invalid type"),
-        (bad(("rate = 60.0", "rte = 60.0")), "run.rte: unknown field `rte`"),
-        (bad(("what = \"drain\"", "what = \"explode\"")), "fault[0].what: unknown variant `explode`"),
-        (bad(("at_s = 1.0", "at_s = 9.0")), "fault[0].at_s: 9 is not between"),
-        (bad(("tier = \"store\"\n", "tier = \"shop\"\n")), "fault[0].tier: \"shop\" is no tier"),
-        (bad(("for_s = 2.5", "on = [\"store-4\"]")), "fault[0].on: \"store-4\" is not on the stage"),
-        (format!("{}[[expect]]\nfigure = \"luck\"\nat_least = 1.0\n", common::SMALL), "expect[0].figure"),
-        (format!("{}[[expect]]\nfigure = \"worth\"\n", common::SMALL), "expect[0]: neither"),
+        (
+            bad(("rate = 60.0", "rate = 0.0")),
+            "run.rate: 0 is not between",
+        ),
+        (
+            bad(("rate = 60.0", "rate = \"fast\"")),
+            "run.rate: invalid type",
+        ),
+        (
+            bad(("rate = 60.0", "rte = 60.0")),
+            "run.rte: unknown field `rte`",
+        ),
+        (
+            bad(("what = \"drain\"", "what = \"explode\"")),
+            "fault[0].what: unknown variant `explode`",
+        ),
+        (
+            bad(("at_s = 1.0", "at_s = 9.0")),
+            "fault[0].at_s: 9 is not between",
+        ),
+        (
+            bad(("tier = \"store\"\n", "tier = \"shop\"\n")),
+            "fault[0].tier: \"shop\" is no tier",
+        ),
+        (
+            bad(("for_s = 2.5", "on = [\"store-4\"]")),
+            "fault[0].on: \"store-4\" is not on the stage",
+        ),
+        (
+            format!(
+                "{}[[expect]]\nfigure = \"luck\"\nat_least = 1.0\n",
+                common::SMALL
+            ),
+            "expect[0].figure",
+        ),
+        (
+            format!("{}[[expect]]\nfigure = \"worth\"\n", common::SMALL),
+            "expect[0]: neither",
+        ),
         (bad(("title = \"small\"", "title = ")), "bad.toml:2: "),
         (
             format!(
@@ -86,15 +126,28 @@
         }
         let out = run(&args);
         assert_eq!(out.status.code(), Some(2), "{args:?}");
-        assert_eq!(String::from_utf8_lossy(&out.stderr).lines().count(), 1, "{args:?}");
+        assert_eq!(
+            String::from_utf8_lossy(&out.stderr).lines().count(),
+            1,
+            "{args:?}"
+        );
     }
 }
 
 /// Every process below one, by the system's account.
 fn below(pid: u32) -> Vec<u32> {
-    let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
+    let tasks = std::fs::read_dir(format!("/proc/{pid}/task"))
+        .into_iter()
+        .flatten()
+        .flatten();
     let lists = tasks.filter_map(|t| std::fs::read_to_string(t.path().join("children")).ok());
-    lists.flat_map(|l| l.split_whitespace().filter_map(|p| p.parse().ok()).collect::<Vec<u32>>()).collect()
+    lists
+        .flat_map(|l| {
+            l.split_whitespace()
+                .filter_map(|p| p.parse().ok())
+                .collect::<Vec<u32>>()
+        })
+        .collect()
 }
 
 /// Ctrl-C in the middle: all children end, what was seen is reported as void, no file stays behind.
@@ -102,8 +155,17 @@
 fn an_interrupted_rehearsal_ends_its_children_and_reports_what_it_saw() {
     let (json, page) = (file("out.json", ""), file("out.html", ""));
     let child = program()
-        .args(["month-end", "--heathroad", common::daemon().to_str().expect("text")])
-        .args(["--json", json.to_str().expect("text"), "--report", page.to_str().expect("text")])
+        .args([
+            "month-end",
+            "--heathroad",
+            common::daemon().to_str().expect("text"),
+        ])
+        .args([
+            "--json",
+            json.to_str().expect("text"),
+            "--report",
+            page.to_str().expect("text"),
+        ])
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn()
@@ -119,7 +181,9 @@
     }
     assert_eq!(children.len(), 9, "the daemons run");
     std::thread::sleep(Duration::from_secs(2));
-    let sent = Command::new("kill").args(["-INT", &pid.to_string()]).status();
+    let sent = Command::new("kill")
+        .args(["-INT", &pid.to_string()])
+        .status();
     assert!(sent.expect("kill runs").success());
     let status = loop {
         match child.try_wait().expect("it ran") {
@@ -129,26 +193,47 @@
         }
     };
     assert_eq!(status.code(), Some(3), "void");
-    let report: Value = serde_json::from_slice(&std::fs::read(&json).expect("written")).expect("JSON");
-    assert_eq!((&report["void"], &report["rules"]["lost"]), (&true.into(), &0.into()), "{report}");
-    assert!(report["earned"].as_f64().expect("a number") > 0.0, "{report}");
+    let report: Value =
+        serde_json::from_slice(&std::fs::read(&json).expect("written")).expect("JSON");
+    assert_eq!(
+        (&report["void"], &report["rules"]["lost"]),
+        (&true.into(), &0.into()),
+        "{report}"
+    );
+    assert!(
+        report["earned"].as_f64().expect("a number") > 0.0,
+        "{report}"
+    );
     let page = std::fs::read_to_string(&page).expect("written");
     assert!(page.contains("<svg") && page.ends_with("</html>\n"));
     for pid in children {
-        assert!(!Path::new(&format!("/proc/{pid}")).exists(), "{pid} is still there");
+        assert!(
+            !Path::new(&format!("/proc/{pid}")).exists(),
+            "{pid} is still there"
+        );
     }
-    let folder = std::fs::read_dir(env!("CARGO_TARGET_TMPDIR")).expect("a folder").flatten();
+    let folder = std::fs::read_dir(env!("CARGO_TARGET_TMPDIR"))
+        .expect("a folder")
+        .flatten();
     let left: Vec<_> = folder
-        .filter(|f| f.file_name().to_string_lossy().starts_with(&format!("heathroad-rehearse-{pid}-")))
+        .filter(|f| {
+            f.file_name()
+                .to_string_lossy()
+                .starts_with(&format!("heathroad-rehearse-{pid}-"))
+        })
         .collect();
     assert!(left.is_empty(), "{left:?}");
 }
 
-/// Out of descriptors, neither the driver nor the stand-ins can vouch for anything: void, whatever else was seen.
+/// Out of descriptors, neither the driver nor the stand-ins can vouch for anything: void, whatever
+/// else was seen.
 #[test]
 fn a_rehearsal_that_runs_out_of_descriptors_is_void() {
     let out = Command::new("/bin/sh")
-        .args(["-c", "ulimit -Sn 110 && exec \"$0\" short --seconds 3 --rate 600 --heathroad \"$1\""])
+        .args([
+            "-c",
+            "ulimit -Sn 110 && exec \"$0\" short --seconds 3 --rate 600 --heathroad \"$1\"",
+        ])
         .arg(env!("CARGO_BIN_EXE_heathroad-rehearse"))
         .arg(common::daemon())
         .env("TMPDIR", env!("CARGO_TARGET_TMPDIR"))
@@ -158,7 +243,8 @@
     let said = String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned();
     assert_eq!(out.status.code(), Some(3), "{said}");
     assert!(
-        said.contains("descriptors ran out at the driver or the stand-ins") && said.contains("no verdict"),
+        said.contains("descriptors ran out at the driver or the stand-ins")
+            && said.contains("no verdict"),
         "{said}"
     );
 }
@@ -169,7 +255,15 @@
     let daemon = common::daemon();
     let mut tries = 0;
     let (out, json) = loop {
-        let args = ["short", "--seed", "5", "--json", "-", "--heathroad", daemon.to_str().expect("text")];
+        let args = [
+            "short",
+            "--seed",
+            "5",
+            "--json",
+            "-",
+            "--heathroad",
+            daemon.to_str().expect("text"),
+        ];
         let out = run(&args);
         tries += 1;
         // A machine that was late gives no verdict; it gets another chance.
@@ -178,7 +272,12 @@
             break (out, json);
         }
     };
-    assert_eq!(out.status.code(), Some(0), "{json} {}", String::from_utf8_lossy(&out.stderr));
+    assert_eq!(
+        out.status.code(),
+        Some(0),
+        "{json} {}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     let keys = [
         "scenario",
         "seed",
@@ -196,7 +295,10 @@
     for key in keys {
         assert!(!json[key].is_null(), "{key} is not in {json}");
     }
-    assert_eq!(json["rules"], serde_json::json!({"lost": 0, "double": 0, "drain": 0, "cold": 0}));
+    assert_eq!(
+        json["rules"],
+        serde_json::json!({"lost": 0, "double": 0, "drain": 0, "cold": 0})
+    );
     assert_eq!(
         (&json["agrees"], &json["scenario"], &json["seed"]),
         (&true.into(), &"short".into(), &5.into())
--- a/crates/heathroad-rehearsal/tests/common/mod.rs
+++ b/crates/heathroad-rehearsal/tests/common/mod.rs
@@ -76,7 +76,10 @@
 
 /// A number that the environment names, or the usual one.
 pub fn number(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(usual)
+    std::env::var(name)
+        .ok()
+        .and_then(|v| v.parse().ok())
+        .unwrap_or(usual)
 }
 
 /// Rehearsals take turns: side by side they would make each other late.
@@ -84,13 +87,19 @@
 
 fn target() -> PathBuf {
     let own = std::env::current_exe().expect("it runs");
-    own.parent().and_then(Path::parent).expect("target/PROFILE/deps").to_path_buf()
+    own.parent()
+        .and_then(Path::parent)
+        .expect("target/PROFILE/deps")
+        .to_path_buf()
 }
 
 fn build(args: &[&str]) {
     let release = target().file_name().is_some_and(|n| n == "release");
     let mut command = Command::new(env!("CARGO"));
-    command.args(["build", "--locked", "--quiet"]).args(args).current_dir(env!("CARGO_MANIFEST_DIR"));
+    command
+        .args(["build", "--locked", "--quiet"])
+        .args(args)
+        .current_dir(env!("CARGO_MANIFEST_DIR"));
     if release {
         command.arg("--release");
     }
@@ -120,15 +129,25 @@
 }
 
 pub fn plan(text: &str, seed: u64) -> Plan {
-    plan::draw(scenario::parse("test.toml", text).expect("a good scenario"), seed)
+    plan::draw(
+        scenario::parse("test.toml", text).expect("a good scenario"),
+        seed,
+    )
 }
 
 /// Puts a rehearsal on and judges it.
 pub fn rehearse(program: &Path, text: &str, seed: u64) -> Outcome {
-    let _turn = TURN.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let _turn = TURN
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     let (_stop, stop) = watch::channel(false);
     let (program, plan) = (program.to_path_buf(), Arc::new(plan(text, seed)));
-    let setting = Setting { program, plan, progress: Arc::<Progress>::default(), stop };
+    let setting = Setting {
+        program,
+        plan,
+        progress: Arc::<Progress>::default(),
+        stop,
+    };
     Outcome::of(stage::run(setting).expect("it can be put on"))
 }
 
--- a/crates/heathroad-rehearsal/tests/duties.rs
+++ b/crates/heathroad-rehearsal/tests/duties.rs
@@ -1,4 +1,5 @@
-//! Duties of real daemons: held by one at a time, handed on whatever becomes of its holder, and what the collector keeps.
+//! Duties of real daemons: held by one at a time, handed on whatever becomes of its holder, and
+//! what the collector keeps.
 
 mod common;
 
@@ -14,7 +15,8 @@
 const PERIOD_MS: u64 = 200;
 const LEASE_MS: u64 = 1000;
 
-/// Fleets take turns: side by side they would make each other late, and a holder that is late has lost its duty.
+/// Fleets take turns: side by side they would make each other late, and a holder that is late has
+/// lost its duty.
 static TURN: Mutex<()> = Mutex::const_new(());
 
 fn duties(gate: &Gate, voters: &str) -> String {
@@ -26,13 +28,26 @@
 }
 
 async fn gate() -> Gate {
-    let options = gate::Options { checks: true, late: 0.0, by: Duration::ZERO, seed: 1 };
-    Gate::open(Clock::starting_in(Duration::ZERO), options).await.expect("a port")
+    let options = gate::Options {
+        checks: true,
+        late: 0.0,
+        by: Duration::ZERO,
+        seed: 1,
+    };
+    Gate::open(Clock::starting_in(Duration::ZERO), options)
+        .await
+        .expect("a port")
 }
 
 async fn fleet(proxies: u16, seed: u64, gate: &Gate) -> Fleet {
-    let options = Options { period_ms: PERIOD_MS, duties: duties(gate, "[0, 1, 2]"), ..Options::default() };
-    let fleet = Fleet::begin(&daemon(), proxies, seed, options).await.expect("it starts");
+    let options = Options {
+        period_ms: PERIOD_MS,
+        duties: duties(gate, "[0, 1, 2]"),
+        ..Options::default()
+    };
+    let fleet = Fleet::begin(&daemon(), proxies, seed, options)
+        .await
+        .expect("it starts");
     fleet.until_all_there().await.expect("all know all");
     fleet
 }
@@ -41,24 +56,37 @@
 async fn acted(gate: &Gate, above: u64) -> (u16, u64) {
     let look = async {
         loop {
-            if let Some(act) = gate.acts().iter().rev().find(|a| a.taken && a.token > above) {
+            if let Some(act) = gate
+                .acts()
+                .iter()
+                .rev()
+                .find(|a| a.taken && a.token > above)
+            {
                 return (act.place(), act.token);
             }
             sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(60), look).await.expect("somebody acts")
+    tokio::time::timeout(Duration::from_secs(60), look)
+        .await
+        .expect("somebody acts")
 }
 
 fn duty<'a>(told: &'a Value, name: &str) -> &'a Value {
-    told["duties"].as_array().and_then(|d| d.iter().find(|d| d["name"] == name)).unwrap_or(&Value::Null)
+    told["duties"]
+        .as_array()
+        .and_then(|d| d.iter().find(|d| d["name"] == name))
+        .unwrap_or(&Value::Null)
 }
 
 fn spells(told: &Value) -> &[Value] {
-    duty(told, "tick")["spells"].as_array().map_or(&[], Vec::as_slice)
+    duty(told, "tick")["spells"]
+        .as_array()
+        .map_or(&[], Vec::as_slice)
 }
 
-/// Killed, stalled, told to resign, stopped as planned: another one holds, by a higher token; everyone who is asked says who, and who did.
+/// Killed, stalled, told to resign, stopped as planned: another one holds, by a higher token;
+/// everyone who is asked says who, and who did.
 #[tokio::test]
 async fn a_duty_is_handed_on() {
     let _turn = TURN.lock().await;
@@ -66,17 +94,35 @@
     let mut fleet = fleet(5, 41, &gate).await;
     let (first, one) = acted(&gate, 0).await;
     let held = |t: &Value| duty(t, "tick")["holder"] == first;
-    fleet.until((first + 1) % 5, "/duty/list", held).await.expect("voters say who holds it");
+    fleet
+        .until((first + 1) % 5, "/duty/list", held)
+        .await
+        .expect("voters say who holds it");
     fleet.kill(first);
     let (second, two) = acted(&gate, one).await;
     fleet.start(first).await.expect("it starts again");
     fleet.until_all_there().await.expect("all are there");
 
-    fleet.daemon(second).expect("it runs").stall().expect("stopped");
+    fleet
+        .daemon(second)
+        .expect("it runs")
+        .stall()
+        .expect("stopped");
     let (third, three) = acted(&gate, two).await;
-    fleet.daemon(second).expect("it runs").wake().expect("goes on");
-    let lapsed = |t: &Value| spells(t).iter().any(|s| s["place"] == second && s["why"] == "lapsed");
-    fleet.until(second, "/duty/history", lapsed).await.expect("it knows that its time was over");
+    fleet
+        .daemon(second)
+        .expect("it runs")
+        .wake()
+        .expect("goes on");
+    let lapsed = |t: &Value| {
+        spells(t)
+            .iter()
+            .any(|s| s["place"] == second && s["why"] == "lapsed")
+    };
+    fleet
+        .until(second, "/duty/history", lapsed)
+        .await
+        .expect("it knows that its time was over");
 
     fleet.resign(third, "tick").await.expect("it lets go");
     let (fourth, four) = acted(&gate, three).await;
@@ -84,8 +130,12 @@
     fleet.stop(fourth).await.expect("it stops as planned");
     let (fifth, _) = acted(&gate, four).await;
 
-    let all = |t: &Value| t["unreached"].as_array().is_some_and(Vec::is_empty) && spells(t).len() >= 5;
-    let told = fleet.until(fifth, "/duty/history", all).await.expect("all who are there are asked");
+    let all =
+        |t: &Value| t["unreached"].as_array().is_some_and(Vec::is_empty) && spells(t).len() >= 5;
+    let told = fleet
+        .until(fifth, "/duty/history", all)
+        .await
+        .expect("all who are there are asked");
     let of = |token: u64| {
         let token = format!("{token:016x}");
         spells(&told)
@@ -94,7 +144,10 @@
             .unwrap_or_else(|| panic!("{token}: {told}"))
     };
     // The first one's own knowledge died with it: what voters granted bounds it.
-    assert!(of(one)["known"] == false && of(one)["to"].is_null(), "{told}");
+    assert!(
+        of(one)["known"] == false && of(one)["to"].is_null(),
+        "{told}"
+    );
     assert!(of(one)["at_the_latest"].is_u64(), "{told}");
     assert_eq!(
         (of(two)["place"].as_u64(), &of(three)["why"]),
@@ -103,23 +156,52 @@
     );
     assert_eq!(of(four)["resigned"], true, "{told}");
     assert_eq!(gate::judge(&gate.acts()), Vec::<String>::new());
-    let numbers: Vec<u64> = gate.acts().iter().filter(|a| a.taken).map(|a| a.number).collect();
-    assert!(numbers.windows(2).all(|w| w[1] == w[0] || w[1] == w[0] + 1), "marks are what it goes on from");
+    let numbers: Vec<u64> = gate
+        .acts()
+        .iter()
+        .filter(|a| a.taken)
+        .map(|a| a.number)
+        .collect();
+    assert!(
+        numbers.windows(2).all(|w| w[1] == w[0] || w[1] == w[0] + 1),
+        "marks are what it goes on from"
+    );
 
     let picture = std::env::temp_dir().join(format!("duties-{}.svg", std::process::id()));
     let admin = fleet.daemon(fifth).expect("it runs").admin.to_string();
     let said = |args: &[&str]| {
         let mut command = std::process::Command::new(daemon());
-        let done = command.arg("duty").args(args).args(["--admin", &admin]).output().expect("it runs");
-        assert!(done.status.success(), "{args:?}: {}", String::from_utf8_lossy(&done.stderr));
+        let done = command
+            .arg("duty")
+            .args(args)
+            .args(["--admin", &admin])
+            .output()
+            .expect("it runs");
+        assert!(
+            done.status.success(),
+            "{args:?}: {}",
+            String::from_utf8_lossy(&done.stderr)
+        );
         String::from_utf8_lossy(&done.stdout).into_owned()
     };
-    let (list, history) = (said(&["list"]), said(&["history", "--picture", &picture.display().to_string()]));
-    assert!(list.contains(&format!("held by member {fifth}, token")), "{list}");
-    assert!(history.contains("at the latest, by its voters") && history.contains("(told)"), "{history}");
+    let (list, history) = (
+        said(&["list"]),
+        said(&["history", "--picture", &picture.display().to_string()]),
+    );
+    assert!(
+        list.contains(&format!("held by member {fifth}, token")),
+        "{list}"
+    );
+    assert!(
+        history.contains("at the latest, by its voters") && history.contains("(told)"),
+        "{history}"
+    );
     let drawn = std::fs::read_to_string(&picture).expect("it is drawn");
     std::fs::remove_file(&picture).expect("it is there");
-    assert!(drawn.contains("url(#bound)") && drawn.contains(&format!("member {fifth}, token")), "{drawn}");
+    assert!(
+        drawn.contains("url(#bound)") && drawn.contains(&format!("member {fifth}, token")),
+        "{drawn}"
+    );
 }
 
 /// Work that can't be done is given back, and what it acts on says when it was overtaken.
@@ -130,21 +212,30 @@
     let fleet = fleet(4, 42, &gate).await;
     let (first, _) = acted(&gate, 0).await;
     gate.answer(Some(500));
-    let given_back =
-        |t: &Value| duty(t, "tick")["unfit"].as_str().is_some_and(|w| w.contains("3 calls in a row"));
-    fleet.until(first, "/duty/list", given_back).await.expect("it gives it back, and says why");
+    let given_back = |t: &Value| {
+        duty(t, "tick")["unfit"]
+            .as_str()
+            .is_some_and(|w| w.contains("3 calls in a row"))
+    };
+    fleet
+        .until(first, "/duty/list", given_back)
+        .await
+        .expect("it gives it back, and says why");
     gate.answer(None);
     let look = async {
         while !gate.acts().iter().any(|a| a.place() != first) {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(60), look).await.expect("another one acts");
+    tokio::time::timeout(Duration::from_secs(60), look)
+        .await
+        .expect("another one acts");
     assert_eq!(gate::judge(&gate.acts()), Vec::<String>::new());
 }
 
-/// Without a majority of voters nothing is granted, and it says so; what is in hand is served all the while. With all voters killed at once,
-/// and started with what they had or with nothing, tokens grow.
+/// Without a majority of voters nothing is granted, and it says so; what is in hand is served all
+/// the while. With all voters killed at once, and started with what they had or with nothing,
+/// tokens grow.
 #[tokio::test]
 async fn voters_are_cut_apart_and_killed_at_once() {
     let _turn = TURN.lock().await;
@@ -152,10 +243,14 @@
     let mut fleet = fleet(5, 43, &gate).await;
     let (_, mut last) = acted(&gate, 0).await;
     fleet.network.cut(&[&[0], &[1], &[2]]);
-    let nobody =
-        |t: &Value| duty(t, "tick")["majority_reached"] == false && duty(t, "tick")["held_here"].is_null();
+    let nobody = |t: &Value| {
+        duty(t, "tick")["majority_reached"] == false && duty(t, "tick")["held_here"].is_null()
+    };
     for proxy in 0..5 {
-        fleet.until(proxy, "/duty/list", nobody).await.expect("it says that no majority is there");
+        fleet
+            .until(proxy, "/duty/list", nobody)
+            .await
+            .expect("it says that no majority is there");
     }
     let before = gate.acts().len();
     for proxy in 0..5 {
@@ -178,14 +273,18 @@
     assert_eq!(gate::judge(&gate.acts()), Vec::<String>::new());
 }
 
-/// The audit answers for a member that is gone for good, by what the collector kept; and once that is gone too, by what its voters have of it.
+/// The audit answers for a member that is gone for good, by what the collector kept; and once that
+/// is gone too, by what its voters have of it.
 #[tokio::test]
 async fn the_audit_of_a_member_that_is_gone_for_good() {
     let _turn = TURN.lock().await;
     let gate = gate().await;
     let mut fleet = fleet(5, 44, &gate).await;
     let holder = |t: &Value| duty(t, "collector")["holder"].as_u64();
-    let told = fleet.until(0, "/duty/list", |t| holder(t).is_some()).await.expect("somebody collects");
+    let told = fleet
+        .until(0, "/duty/list", |t| holder(t).is_some())
+        .await
+        .expect("somebody collects");
     let collector = holder(&told).expect("somebody") as u16;
     let lost = (3..5).find(|p| *p != collector).expect("two are no voters");
     for _ in 0..4 {
@@ -197,15 +296,30 @@
     sleep(Duration::from_millis(2500)).await;
     fleet.kill(lost);
     fleet.forget(lost).expect("it is taken away");
-    fleet.until_stands(asked, lost, "gone").await.expect("its death is known");
-    fleet.until(asked, "/fleet/audit", mirrored).await.expect("what it did is told all the same");
+    fleet
+        .until_stands(asked, lost, "gone")
+        .await
+        .expect("its death is known");
+    fleet
+        .until(asked, "/fleet/audit", mirrored)
+        .await
+        .expect("what it did is told all the same");
     fleet.kill(collector);
     fleet.forget(collector).expect("it is taken away");
     for proxy in (0..5).filter(|p| *p != collector && *p != lost) {
-        fleet.until_stands(proxy, collector, "gone").await.expect("its death is known");
-        let audit = fleet.until(proxy, "/fleet/audit", mirrored).await.expect("it is told by a mirror");
+        fleet
+            .until_stands(proxy, collector, "gone")
+            .await
+            .expect("its death is known");
+        let audit = fleet
+            .until(proxy, "/fleet/audit", mirrored)
+            .await
+            .expect("it is told by a mirror");
         let member = &audit["members"][usize::from(lost)];
-        assert_eq!((&member["reached"], &member["collected"]["reached"]), (&false.into(), &false.into()));
+        assert_eq!(
+            (&member["reached"], &member["collected"]["reached"]),
+            (&false.into(), &false.into())
+        );
         let sent: u64 = member["collected"]["pages"]
             .as_array()
             .into_iter()
@@ -216,7 +330,10 @@
     }
     // Its successor begins with all of it, and goes on.
     let next = |t: &Value| holder(t).is_some_and(|h| h != u64::from(collector));
-    fleet.until(asked, "/duty/list", next).await.expect("another one collects");
+    fleet
+        .until(asked, "/duty/list", next)
+        .await
+        .expect("another one collects");
 }
 
 /// Voters are exchanged, one proxy after another, with both sets asked in between.
@@ -226,7 +343,10 @@
     let gate = gate().await;
     let mut fleet = fleet(5, 45, &gate).await;
     let (_, mut last) = acted(&gate, 0).await;
-    let sets = ["[2, 3, 4]\ngeneration = 1\nprevious = [0, 1, 2]", "[2, 3, 4]\ngeneration = 2"];
+    let sets = [
+        "[2, 3, 4]\ngeneration = 1\nprevious = [0, 1, 2]",
+        "[2, 3, 4]\ngeneration = 2",
+    ];
     for set in sets {
         fleet.duties(duties(&gate, set)).expect("written");
         for proxy in 0..5 {
@@ -236,9 +356,13 @@
         }
         (_, last) = acted(&gate, last).await;
     }
-    let voters =
-        |t: &Value| t["voters"] == serde_json::json!([2, 3, 4]) && duty(t, "tick")["holder"].is_u64();
-    let told = fleet.until(0, "/duty/list", voters).await.expect("the new ones vote");
+    let voters = |t: &Value| {
+        t["voters"] == serde_json::json!([2, 3, 4]) && duty(t, "tick")["holder"].is_u64()
+    };
+    let told = fleet
+        .until(0, "/duty/list", voters)
+        .await
+        .expect("the new ones vote");
     assert_eq!(told["votes"], false);
     assert_eq!(gate::judge(&gate.acts()), Vec::<String>::new());
 }
--- a/crates/heathroad-rehearsal/tests/fleet.rs
+++ b/crates/heathroad-rehearsal/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Several processes of the daemon with faults between them: what they know of each other, and what their audit says.
+//! Several processes of the daemon with faults between them: what they know of each other, and what
+//! their audit says.
 
 mod common;
 
@@ -15,8 +16,15 @@
 
 async fn fleet(proxies: u16, seed: u64, with_routes: bool) -> Fleet {
     let routes = with_routes.then(|| routes(1));
-    let options = Options { routes, period_ms: PERIOD_MS, fence_unsure_after_ms: None, ..Options::default() };
-    let fleet = Fleet::begin(&daemon(), proxies, seed, options).await.expect("it starts");
+    let options = Options {
+        routes,
+        period_ms: PERIOD_MS,
+        fence_unsure_after_ms: None,
+        ..Options::default()
+    };
+    let fleet = Fleet::begin(&daemon(), proxies, seed, options)
+        .await
+        .expect("it starts");
     fleet.until_all_there().await.expect("all know all");
     fleet
 }
@@ -40,7 +48,9 @@
 fn seen(fleet: &Fleet, proxy: u16) -> BTreeMap<String, u64> {
     let mut seen = BTreeMap::new();
     for noted in fleet.noted().into_iter().filter(|n| n.proxy == proxy) {
-        *seen.entry(noted.version.expect("every attempt tells its version")).or_insert(0) += 1;
+        *seen
+            .entry(noted.version.expect("every attempt tells its version"))
+            .or_insert(0) += 1;
     }
     seen
 }
@@ -48,17 +58,32 @@
 #[tokio::test]
 async fn a_killed_proxy_is_gone_for_all_and_comes_back_in_a_new_life() {
     let mut fleet = fleet(4, 1, false).await;
-    let life = |told: &Value| member(told, 2)["incarnation"]["life"].as_u64().expect("a life");
+    let life = |told: &Value| {
+        member(told, 2)["incarnation"]["life"]
+            .as_u64()
+            .expect("a life")
+    };
     let before = life(&fleet.ask(0, "/fleet/members").await.expect("told"));
     fleet.kill(2);
     for at in [0, 1, 3] {
-        let told = fleet.until_stands(at, 2, "gone").await.expect("its death is known");
-        assert!((0..4).filter(|p| *p != 2).all(|p| member(&told, p)["standing"] == "alive"), "{told}");
+        let told = fleet
+            .until_stands(at, 2, "gone")
+            .await
+            .expect("its death is known");
+        assert!(
+            (0..4)
+                .filter(|p| *p != 2)
+                .all(|p| member(&told, p)["standing"] == "alive"),
+            "{told}"
+        );
     }
     // Nobody is left to say what it did: that is told, and not guessed.
     let audit = fleet.ask(0, "/fleet/audit").await.expect("told");
     assert_eq!(
-        (&member(&audit, 2)["reached"], &member(&audit, 2)["unknown_until"]),
+        (
+            &member(&audit, 2)["reached"],
+            &member(&audit, 2)["unknown_until"]
+        ),
         (&false.into(), &Value::Null)
     );
     fleet.start(2).await.expect("it starts again");
@@ -67,16 +92,30 @@
     assert!(after > before);
     // Its record was on disk: its former life is known again, and where it is torn.
     let told = fleet.ask(0, "/fleet/audit").await.expect("told");
-    let pages = member(&told, 2)["pages"].as_array().expect("reached").clone();
-    assert!(pages.iter().any(|p| p["life"].as_u64() == Some(before) && p["torn"] == true), "{pages:?}");
+    let pages = member(&told, 2)["pages"]
+        .as_array()
+        .expect("reached")
+        .clone();
+    assert!(
+        pages
+            .iter()
+            .any(|p| p["life"].as_u64() == Some(before) && p["torn"] == true),
+        "{pages:?}"
+    );
     // With nothing kept, the loss shows as a record that begins anew.
     fleet.kill(2);
     fleet.forget(2).expect("its state is taken away");
     fleet.start(2).await.expect("it starts again");
     fleet.until_all_there().await.expect("all know all");
     let told = fleet.ask(0, "/fleet/audit").await.expect("told");
-    let pages = member(&told, 2)["pages"].as_array().expect("reached").clone();
-    assert!(pages.iter().all(|p| p["life"].as_u64() != Some(before)), "{pages:?}");
+    let pages = member(&told, 2)["pages"]
+        .as_array()
+        .expect("reached")
+        .clone();
+    assert!(
+        pages.iter().all(|p| p["life"].as_u64() != Some(before)),
+        "{pages:?}"
+    );
 }
 
 /// A stalled proxy that wakes knows that it stalled, accuses nobody, and is among the others again.
@@ -84,7 +123,10 @@
 async fn a_stalled_proxy_wakes() {
     let fleet = fleet(4, 2, false).await;
     fleet.daemon(1).expect("it runs").stall().expect("stopped");
-    fleet.until_stands(0, 1, "gone").await.expect("it says nothing");
+    fleet
+        .until_stands(0, 1, "gone")
+        .await
+        .expect("it says nothing");
     fleet.daemon(1).expect("it runs").wake().expect("goes on");
     fleet.until_all_there().await.expect("all know all");
     let told = fleet.ask(1, "/fleet/members").await.expect("told");
@@ -93,11 +135,18 @@
     let accused = |n: &&Value| n["news"]["what"] == "suspected" && n["news"]["by"] == 1;
     assert_eq!(news.iter().filter(accused).count(), 0, "{news:?}");
     let audit = fleet.ask(3, "/fleet/audit").await.expect("told");
-    let spells = member(&audit, 1)["spells"].as_array().expect("reached").clone();
-    assert!(spells.iter().any(|s| s["trouble"] == "stalled"), "{spells:?}");
+    let spells = member(&audit, 1)["spells"]
+        .as_array()
+        .expect("reached")
+        .clone();
+    assert!(
+        spells.iter().any(|s| s["trouble"] == "stalled"),
+        "{spells:?}"
+    );
 }
 
-/// An audit that is asked during a cut says whom it did not reach; one that is asked after it fills the gap and contradicts nothing.
+/// An audit that is asked during a cut says whom it did not reach; one that is asked after it fills
+/// the gap and contradicts nothing.
 #[tokio::test]
 async fn an_audit_during_a_cut_and_after_it() {
     let mut fleet = fleet(4, 3, true).await;
@@ -105,21 +154,40 @@
         assert_eq!(fleet.call(proxy).await, Ok(200));
     }
     fleet.network.cut(&[&[0, 1], &[2, 3]]);
-    fleet.until_stands(0, 2, "gone").await.expect("the other side is out of reach");
-    fleet.apply(2, &routes(2)).await.expect("a change on the other side");
+    fleet
+        .until_stands(0, 2, "gone")
+        .await
+        .expect("the other side is out of reach");
+    fleet
+        .apply(2, &routes(2))
+        .await
+        .expect("a change on the other side");
     assert_eq!(fleet.call(2).await, Ok(200));
     let during = fleet.ask(0, "/fleet/audit").await.expect("told");
     assert_eq!(member(&during, 1)["reached"], true);
     let unknown = member(&during, 2);
-    assert_eq!((&unknown["reached"], &unknown["pages"]), (&false.into(), &Value::Null), "{unknown}");
-    assert!(unknown["last_acts"][0].is_string(), "what was heard last is told");
+    assert_eq!(
+        (&unknown["reached"], &unknown["pages"]),
+        (&false.into(), &Value::Null),
+        "{unknown}"
+    );
+    assert!(
+        unknown["last_acts"][0].is_string(),
+        "what was heard last is told"
+    );
     fleet.network.heal();
     fleet.until_all_there().await.expect("all know all");
     let after = fleet.ask(0, "/fleet/audit").await.expect("told");
     for place in [0, 1] {
         let pages = |told: &Value| {
-            let pages = member(told, place)["pages"].as_array().expect("reached").clone();
-            pages.into_iter().map(|p| (p["from"].clone(), p["digest"].clone())).collect::<Vec<_>>()
+            let pages = member(told, place)["pages"]
+                .as_array()
+                .expect("reached")
+                .clone();
+            pages
+                .into_iter()
+                .map(|p| (p["from"].clone(), p["digest"].clone()))
+                .collect::<Vec<_>>()
         };
         let (was, is) = (pages(&during), pages(&after));
         // Another's clock is known to some milliseconds.
@@ -131,8 +199,14 @@
     }
     let known = member(&after, 2);
     assert_eq!(sent(known), seen(&fleet, 2));
-    let last = member(&during, 2)["last_acts"][0].as_str().expect("a digest").to_string();
-    assert!(sent(known).contains_key(&last), "what was heard last is in the record: {known}");
+    let last = member(&during, 2)["last_acts"][0]
+        .as_str()
+        .expect("a digest")
+        .to_string();
+    assert!(
+        sent(known).contains_key(&last),
+        "what was heard last is in the record: {known}"
+    );
 }
 
 /// A proxy that hears and is not heard, or the other way round, accuses nobody who is there.
@@ -142,19 +216,35 @@
     for other in [0, 1] {
         fleet.network.way(other, 2, |w| w.cut = true);
     }
-    let cut = fleet.until(2, "/fleet/members", |t| t["cut_off"] == true).await.expect("it hears nobody");
-    assert_eq!([0, 1].map(|p| member(&cut, p)["standing"].clone()), ["alive", "alive"], "{cut}");
+    let cut = fleet
+        .until(2, "/fleet/members", |t| t["cut_off"] == true)
+        .await
+        .expect("it hears nobody");
+    assert_eq!(
+        [0, 1].map(|p| member(&cut, p)["standing"].clone()),
+        ["alive", "alive"],
+        "{cut}"
+    );
     let others = fleet.ask(0, "/fleet/members").await.expect("told");
     assert_eq!(member(&others, 1)["standing"], "alive");
     fleet.network.heal();
     fleet.until_all_there().await.expect("all know all");
     let audit = fleet.ask(0, "/fleet/audit").await.expect("told");
-    let spells = member(&audit, 2)["spells"].as_array().expect("reached").clone();
-    assert!(spells.iter().any(|s| s["trouble"] == "cut_off" && s["to"].is_u64()), "{spells:?}");
+    let spells = member(&audit, 2)["spells"]
+        .as_array()
+        .expect("reached")
+        .clone();
+    assert!(
+        spells
+            .iter()
+            .any(|s| s["trouble"] == "cut_off" && s["to"].is_u64()),
+        "{spells:?}"
+    );
 }
 
-/// Changes come into force at one proxy after the other, under calls, over ways that lose, repeat and tear: every attempt that the
-/// backend saw is in the audit under the version that the backend was told, and no other.
+/// Changes come into force at one proxy after the other, under calls, over ways that lose, repeat
+/// and tear: every attempt that the backend saw is in the audit under the version that the backend
+/// was told, and no other.
 #[tokio::test]
 async fn the_audit_equals_what_the_backend_saw() {
     let mut fleet = fleet(3, 5, true).await;
@@ -164,7 +254,10 @@
     });
     for round in 0..3 {
         let next = 2 + u64::from(round);
-        fleet.apply(round, &routes(next)).await.expect("it is taken");
+        fleet
+            .apply(round, &routes(next))
+            .await
+            .expect("it is taken");
         // Each is brought up in its own time, under calls.
         for proxy in 0..3 {
             let there = |s: &Value| s["generation"] == next && s["open"].is_null();
@@ -177,7 +270,10 @@
     }
     fleet.until_all_there().await.expect("all know all");
     let all_reached = |t: &Value| (0..3).all(|p| member(t, p)["reached"] == true);
-    let audit = fleet.until(0, "/fleet/audit", all_reached).await.expect("told");
+    let audit = fleet
+        .until(0, "/fleet/audit", all_reached)
+        .await
+        .expect("told");
     for proxy in 0..3 {
         assert_eq!(
             sent(member(&audit, proxy)),
@@ -189,9 +285,17 @@
     }
     let (record, _) = fleet.network.record();
     for fate in [Fate::Passed, Fate::Twice, Fate::Torn, Fate::Lost] {
-        assert!(record.iter().any(|m| m.fate == fate), "{fate:?} was done to none of {}", record.len());
+        assert!(
+            record.iter().any(|m| m.fate == fate),
+            "{fate:?} was done to none of {}",
+            record.len()
+        );
     }
-    assert!(record.iter().all(|m| m.fate != Fate::TooLong && m.length <= 256));
+    assert!(
+        record
+            .iter()
+            .all(|m| m.fate != Fate::TooLong && m.length <= 256)
+    );
     let mut dropped = [0, 0];
     for proxy in 0..3 {
         let told = fleet.ask(proxy, "/fleet/members").await.expect("told");
@@ -199,10 +303,14 @@
         dropped[0] += count("torn") + count("forged");
         dropped[1] += count("replayed");
     }
-    assert!(dropped.iter().all(|n| *n > 0), "half messages and repeats are told apart: {dropped:?}");
+    assert!(
+        dropped.iter().all(|n| *n > 0),
+        "half messages and repeats are told apart: {dropped:?}"
+    );
 }
 
-/// A request that is bound before a change and answered long after it stands under the version that it was bound to.
+/// A request that is bound before a change and answered long after it stands under the version that
+/// it was bound to.
 #[tokio::test]
 async fn an_act_long_after_the_change_is_under_what_it_was_bound_to() {
     let mut fleet = fleet(2, 6, true).await;
@@ -215,13 +323,28 @@
     fleet.hold(false);
     assert_eq!(call.await.expect("no panic"), Ok(200));
     let audit = fleet.ask(1, "/fleet/audit").await.expect("told");
-    let pages = member(&audit, 0)["pages"].as_array().expect("reached").clone();
-    let of =
-        |generation: u64| pages.iter().rfind(|p| p["version"]["generation"] == generation).expect("a page");
+    let pages = member(&audit, 0)["pages"]
+        .as_array()
+        .expect("reached")
+        .clone();
+    let of = |generation: u64| {
+        pages
+            .iter()
+            .rfind(|p| p["version"]["generation"] == generation)
+            .expect("a page")
+    };
     let (old, new) = (of(1), of(2));
-    assert_eq!((&old["acts"]["bound"], &old["acts"]["served"]), (&1.into(), &1.into()), "{old}");
+    assert_eq!(
+        (&old["acts"]["bound"], &old["acts"]["served"]),
+        (&1.into(), &1.into()),
+        "{old}"
+    );
     assert!(old["last"].as_u64() > old["to"].as_u64(), "{old}");
-    assert_eq!((&new["acts"]["bound"], &new["acts"]["served"]), (&0.into(), &0.into()), "{new}");
+    assert_eq!(
+        (&new["acts"]["bound"], &new["acts"]["served"]),
+        (&0.into(), &0.into()),
+        "{new}"
+    );
 }
 
 /// Without a file of the fleet nothing is sent or read on the peers' port, and nothing is kept.
@@ -249,12 +372,16 @@
             "guarantees": {"coldFrom": 0.1, "cold": 1000.0, "fallMultiple": 3.0, "stopSendingWithin": 500.0}}
     });
     let file = folder.join("alone.json");
-    let alone = heathroad_rehearsal::daemon::start(&daemon(), &file, &config, 256).await.expect("it starts");
+    let alone = heathroad_rehearsal::daemon::start(&daemon(), &file, &config, 256)
+        .await
+        .expect("it starts");
     sleep(Duration::from_millis(1500)).await;
     let mut bytes = [0; 512];
     let heard = port.recv_from(&mut bytes).map_err(|e| e.kind());
     assert_eq!(heard.err(), Some(std::io::ErrorKind::WouldBlock));
-    let told = heathroad_rehearsal::daemon::get(alone.admin, "/fleet/members").await.expect("it answers");
+    let told = heathroad_rehearsal::daemon::get(alone.admin, "/fleet/members")
+        .await
+        .expect("it answers");
     assert_eq!(told.0, 404);
     drop(alone);
     std::fs::remove_dir_all(&folder).expect("it is there");
--- a/crates/heathroad-rehearsal/tests/judged.rs
+++ b/crates/heathroad-rehearsal/tests/judged.rs
@@ -1,4 +1,5 @@
-//! The judge on real sockets: it names each vice of a deliberately bad proxy, and none of the sound daemon.
+//! The judge on real sockets: it names each vice of a deliberately bad proxy, and none of the sound
+//! daemon.
 
 mod common;
 
@@ -22,7 +23,11 @@
         ("is-late", &[Rule::Lost], "owed an answer within"),
         ("mixes-up", &[Rule::Lost], "no backend made for it"),
         ("answers-twice", &[Rule::Lost], "second answer"),
-        ("doubles", &[Rule::Double], "sent again though it may have run"),
+        (
+            "doubles",
+            &[Rule::Double],
+            "sent again though it may have run",
+        ),
         ("refuses-what-ran", &[Rule::Double], "refused at"),
         ("keeps-sending", &[Rule::Drain], "is DRAINING"),
     ];
@@ -43,10 +48,22 @@
 fn a_cold_backend_that_is_pushed_over_is_named() {
     let o = rehearse(&bad_proxy("pushes-cold"), PUSHED, 7);
     assert!(breaches(&o).contains(&Rule::Cold), "{}", o.table());
-    let breach = o.verdict.breaches.iter().find(|b| b.rule == Rule::Cold).expect("just seen");
-    assert!(breach.proof.contains("proxy-1") && breach.proof.contains("proxy-2"), "{}", breach.proof);
+    let breach = o
+        .verdict
+        .breaches
+        .iter()
+        .find(|b| b.rule == Rule::Cold)
+        .expect("just seen");
+    assert!(
+        breach.proof.contains("proxy-1") && breach.proof.contains("proxy-2"),
+        "{}",
+        breach.proof
+    );
     let fell = o.seen.ledgers.lives.iter().any(|l| l.fell.is_some());
-    assert!(fell, "the stand-in fell over by it, and the judge says so from the ledgers alone");
+    assert!(
+        fell,
+        "the stand-in fell over by it, and the judge says so from the ledgers alone"
+    );
     // The same day with the daemon: its two proxies together stay within the budget.
     let sound = sound(PUSHED, 7);
     assert_eq!(breaches(&sound), [], "{}", sound.table());
@@ -59,10 +76,26 @@
     let rude = SMALL.replace("rude_per_s = 0.0", "rude_per_s = 10.0");
     let o = rehearse(&bad_proxy("none"), &rude, 7);
     assert_eq!(breaches(&o), [Rule::Lost], "{}", o.table());
-    assert!(o.verdict.breaches.iter().all(|b| b.proof.contains("a client that sent")), "{}", o.table());
-    assert!(o.verdict.rude[1] > 0, "a head without end is owed a close: {}", o.table());
+    assert!(
+        o.verdict
+            .breaches
+            .iter()
+            .all(|b| b.proof.contains("a client that sent")),
+        "{}",
+        o.table()
+    );
+    assert!(
+        o.verdict.rude[1] > 0,
+        "a head without end is owed a close: {}",
+        o.table()
+    );
     let sound = sound(&rude, 7);
-    assert_eq!((breaches(&sound), sound.verdict.rude[1]), (vec![], 0), "{}", sound.table());
+    assert_eq!(
+        (breaches(&sound), sound.verdict.rude[1]),
+        (vec![], 0),
+        "{}",
+        sound.table()
+    );
     assert!(sound.verdict.rude[0] > 20);
 }
 
@@ -71,7 +104,14 @@
     let o = rehearse(&bad_proxy("miscounts"), SMALL, 7);
     assert_eq!(breaches(&o), [], "{}", o.table());
     assert!(!o.agrees());
-    assert_eq!(o.code() as u8, if o.void.is_empty() { Code::Broken as u8 } else { Code::Void as u8 });
+    assert_eq!(
+        o.code() as u8,
+        if o.void.is_empty() {
+            Code::Broken as u8
+        } else {
+            Code::Void as u8
+        }
+    );
     assert!(o.table().contains("served: seen"), "{}", o.table());
 }
 
@@ -82,7 +122,11 @@
     for _ in 0..3 {
         let o = sound(SMALL, 3);
         assert_eq!(o.code() as u8, Code::Kept as u8, "{}", o.table());
-        assert!(o.seen.ledgers.arrivals.len() > 100 && o.verdict.tries[0] > 100, "{}", o.table());
+        assert!(
+            o.seen.ledgers.arrivals.len() > 100 && o.verdict.tries[0] > 100,
+            "{}",
+            o.table()
+        );
         digests.push(o.seen.plan.digest.clone());
     }
     digests.dedup();
@@ -90,20 +134,32 @@
     assert_ne!(plan(SMALL, 4).digest, digests[0]);
 }
 
-/// Calls over JSON-RPC, one by one and in batches, into the pool that HTTP goes to, while a node breaks off in the middle
-/// of replies: each has its one answer, none that may have run runs again unless it may, and the daemon's counts agree.
+/// Calls over JSON-RPC, one by one and in batches, into the pool that HTTP goes to, while a node
+/// breaks off in the middle of replies: each has its one answer, none that may have run runs again
+/// unless it may, and the daemon's counts agree.
 #[test]
 fn calls_over_json_rpc_are_judged_like_requests() {
     let batches = heathroad_rehearsal::scenario::load("batch-claims").expect("it is shipped");
     let routes = batches.routes.expect("it has routes");
     for batch in [1, 10] {
         let remote = SMALL
-            .replace("[clients]", &format!("[clients]\nremote = 0.6\nbatch = {batch}"))
+            .replace(
+                "[clients]",
+                &format!("[clients]\nremote = 0.6\nbatch = {batch}"),
+            )
             .replace("[run]", &format!("routes = \"\"\"\n{routes}\"\"\"\n[run]"))
             + "[[fault]]\nwhat = \"reset\"\ntier = \"store\"\nat_s = 1.0\nfor_s = 2.0\nsize = 0.5\n";
         let o = sound(&remote, 9);
-        assert!(o.verdict.breaches.is_empty() && o.agrees() && o.seen.troubles.is_empty(), "{}", o.table());
-        assert!(o.verdict.figure("remote_served") > Some(80.0), "{}", o.table());
+        assert!(
+            o.verdict.breaches.is_empty() && o.agrees() && o.seen.troubles.is_empty(),
+            "{}",
+            o.table()
+        );
+        assert!(
+            o.verdict.figure("remote_served") > Some(80.0),
+            "{}",
+            o.table()
+        );
         assert!(o.verdict.resends > 0, "{}", o.table());
     }
 }
@@ -111,25 +167,43 @@
 #[test]
 fn a_scenario_without_a_listener_for_remote_calls_is_turned_down() {
     let remote = SMALL.replace("[clients]", "[clients]\nremote = 0.6");
-    let said = heathroad_rehearsal::scenario::parse("x.toml", &remote).expect_err("it has no listener");
-    assert!(said.contains("clients.remote: `routes` have no listener"), "{said}");
+    let said =
+        heathroad_rehearsal::scenario::parse("x.toml", &remote).expect_err("it has no listener");
+    assert!(
+        said.contains("clients.remote: `routes` have no listener"),
+        "{said}"
+    );
 }
 
-/// Backends of the last tier call the first again for a moment. Daemons that keep budgets end each such call as it comes
-/// round; without budgets calls go round until their time is over, and the judge says so.
+/// Backends of the last tier call the first again for a moment. Daemons that keep budgets end each
+/// such call as it comes round; without budgets calls go round until their time is over, and the
+/// judge says so.
 #[test]
 fn loops_are_ended_by_budgets_and_seen_without() {
-    let tier = SMALL[SMALL.find("[[tier]]").expect("one")..SMALL.find("[[fault]]").expect("one")].to_string();
-    let gate = tier.replace("store", "gate").replace("cold_s", "calls = 1\ncold_s");
+    let tier = SMALL[SMALL.find("[[tier]]").expect("one")..SMALL.find("[[fault]]").expect("one")]
+        .to_string();
+    let gate = tier
+        .replace("store", "gate")
+        .replace("cold_s", "calls = 1\ncold_s");
     let head = &SMALL[..SMALL.find("[[tier]]").expect("one")];
-    let astray =
-        "[[fault]]\nwhat = \"loop\"\ntier = \"store\"\non = [\"store-1\"]\nat_s = 1.0\nfor_s = 1.0\n";
+    let astray = "[[fault]]\nwhat = \"loop\"\ntier = \"store\"\non = [\"store-1\"]\nat_s = 1.0\nfor_s = 1.0\n";
     let chain = format!("{head}{gate}{tier}{astray}");
     let without = sound(&chain, 5);
     assert!(without.verdict.loops_open > 0, "{}", without.table());
-    let with = sound(&format!("{chain}[budget]\nattempts = 2\nshare = 0.2\ndepth = 20.0\n"), 5);
+    let with = sound(
+        &format!("{chain}[budget]\nattempts = 2\nshare = 0.2\ndepth = 20.0\n"),
+        5,
+    );
     assert_eq!(with.verdict.loops_open, 0, "{}", with.table());
-    assert!(with.agrees() && with.verdict.breaches.is_empty(), "{}", with.table());
-    let ended = with.lines.iter().find(|l| l.what == "calls that came round, ended").expect("its line");
+    assert!(
+        with.agrees() && with.verdict.breaches.is_empty(),
+        "{}",
+        with.table()
+    );
+    let ended = with
+        .lines
+        .iter()
+        .find(|l| l.what == "calls that came round, ended")
+        .expect("its line");
     assert!(ended.counted > 0 && ended.seen[0] > 0, "{ended:?}");
 }
--- a/crates/heathroad-rehearsal/tests/nights.rs
+++ b/crates/heathroad-rehearsal/tests/nights.rs
@@ -1,5 +1,6 @@
-//! Bad nights of a small fleet, drawn from a seed: whatever is lost, cut, stalled, killed or put back, the audit says of every
-//! attempt that the backend saw on which version it was sent, and past a bound nobody acts on an older one.
+//! Bad nights of a small fleet, drawn from a seed: whatever is lost, cut, stalled, killed or put
+//! back, the audit says of every attempt that the backend saw on which version it was sent, and
+//! past a bound nobody acts on an older one.
 //!
 //! `FLEET_NIGHTS` asks for more of them, from `FLEET_SEED` on.
 
@@ -23,7 +24,8 @@
 /// What a proxy has kept: files and their bytes.
 type State = Vec<(std::path::PathBuf, Vec<u8>)>;
 
-/// What a night does to proxies 1 and 2; proxy 0, where changes are made, is spared, so that it is known when they were made.
+/// What a night does to proxies 1 and 2; proxy 0, where changes are made, is spared, so that it is
+/// known when they were made.
 struct Night {
     fleet: Fleet,
     rng: Rng,
@@ -42,9 +44,15 @@
         let at = usize::from(who);
         match self.rng.u32(0..9) {
             0 => {
-                let (loss, twice, torn) = (self.rng.f64() * 0.3, self.rng.f64() * 0.2, self.rng.f64() * 0.1);
+                let (loss, twice, torn) = (
+                    self.rng.f64() * 0.3,
+                    self.rng.f64() * 0.2,
+                    self.rng.f64() * 0.1,
+                );
                 let jitter = Duration::from_millis(self.rng.u64(0..80));
-                self.fleet.network.all(|w| (w.loss, w.twice, w.torn, w.jitter) = (loss, twice, torn, jitter));
+                self.fleet
+                    .network
+                    .all(|w| (w.loss, w.twice, w.torn, w.jitter) = (loss, twice, torn, jitter));
             }
             1 => self.fleet.network.cut(&[&[who]]),
             2 => self.fleet.network.way(0, who, |w| w.cut = true),
@@ -58,7 +66,11 @@
                 let stalled = self.stalled[at];
                 self.stalled[at] = !stalled;
                 let daemon = self.fleet.daemon(who)?;
-                let done = if stalled { daemon.wake() } else { daemon.stall() };
+                let done = if stalled {
+                    daemon.wake()
+                } else {
+                    daemon.stall()
+                };
                 done.map_err(|e| e.to_string())?;
             }
             7 if !self.killed[at] => {
@@ -94,7 +106,8 @@
         }
         let bound = self.fleet.clock.now() + WITHIN_MS * 1000;
         let status = self.fleet.ask(0, "/config/status").await?;
-        self.bounds.push((status["generation"].as_u64().unwrap_or(0), bound));
+        self.bounds
+            .push((status["generation"].as_u64().unwrap_or(0), bound));
         Ok(())
     }
 
@@ -141,7 +154,16 @@
     fleet.until_all_there().await?;
     let (rng, none) = (Rng::with_seed(seed), [false; 3]);
     let (copies, bounds) = ([const { None }; 3], Vec::new());
-    let mut night = Night { fleet, rng, killed: none, torn: none, stalled: none, copies, changes: 0, bounds };
+    let mut night = Night {
+        fleet,
+        rng,
+        killed: none,
+        torn: none,
+        stalled: none,
+        copies,
+        changes: 0,
+        bounds,
+    };
     let mut calls = JoinSet::new();
     for _ in 0..night.rng.u32(6..12) {
         let who = night.rng.u16(1..3);
@@ -158,7 +180,10 @@
     while let Some(call) = calls.join_next().await {
         // One that was killed answers nobody.
         if let Ok(status) = call.map_err(|e| e.to_string())? {
-            assert!(status == 200 || status == 503 || status == 504 && night.torn != none, "{status}");
+            assert!(
+                status == 200 || status == 503 || status == 504 && night.torn != none,
+                "{status}"
+            );
         }
     }
     let reached = |t: &Value| (0..3).all(|p| t["members"][p]["reached"] == true);
@@ -172,26 +197,38 @@
     let mut generations: BTreeMap<String, u64> = BTreeMap::new();
     for proxy in 0..3_u16 {
         let (mut told, mut torn) = (BTreeMap::<String, u64>::new(), false);
-        for page in audit["members"][usize::from(proxy)]["pages"].as_array().expect("reached") {
+        for page in audit["members"][usize::from(proxy)]["pages"]
+            .as_array()
+            .expect("reached")
+        {
             let digest = page["digest"].as_str().expect("a digest").to_string();
-            generations.insert(digest.clone(), page["version"]["generation"].as_u64().expect("a number"));
+            generations.insert(
+                digest.clone(),
+                page["version"]["generation"].as_u64().expect("a number"),
+            );
             *told.entry(digest).or_default() += page["acts"]["sent"].as_u64().expect("a count");
             torn |= page["torn"] == true;
         }
         told.retain(|_, n| *n > 0);
         let mut seen = BTreeMap::<String, u64>::new();
         for n in noted.iter().filter(|n| n.proxy == proxy) {
-            *seen.entry(n.version.clone().expect("every attempt tells its version")).or_default() += 1;
+            *seen
+                .entry(n.version.clone().expect("every attempt tells its version"))
+                .or_default() += 1;
         }
         if night.torn[usize::from(proxy)] {
             // What was not written down when it was killed is on nobody's record; nothing else is.
             assert!(
-                told.iter().all(|(v, n)| seen.get(v).is_some_and(|s| n <= s)),
+                told.iter()
+                    .all(|(v, n)| seen.get(v).is_some_and(|s| n <= s)),
                 "{proxy}: {told:?} {seen:?}"
             );
             let forgotten = audit["members"][usize::from(proxy)]["since"].as_u64()
                 > audit["members"][0]["since"].as_u64();
-            assert!(told == seen || torn || forgotten, "{proxy}: {told:?} {seen:?}");
+            assert!(
+                told == seen || torn || forgotten,
+                "{proxy}: {told:?} {seen:?}"
+            );
         } else {
             assert_eq!(told, seen, "proxy {proxy}");
         }
@@ -202,7 +239,10 @@
             // A version that no page tells of is one that a killed proxy had acted on before.
             if n.at > bound + SLACK {
                 let past = generation.is_some_and(|g| g >= required);
-                assert!(past, "{n:?} of generation {generation:?}, past {required} at {bound}: {audit}");
+                assert!(
+                    past,
+                    "{n:?} of generation {generation:?}, past {required} at {bound}: {audit}"
+                );
             }
         }
     }
@@ -220,6 +260,8 @@
     let (from, count) = (number("FLEET_SEED", 1), number("FLEET_NIGHTS", 2));
     for seed in from..from + count {
         println!("night of seed {seed}");
-        night(seed).await.unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        night(seed)
+            .await
+            .unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
 }
--- a/crates/heathroad-rehearsal/tests/plans.rs
+++ b/crates/heathroad-rehearsal/tests/plans.rs
@@ -1,9 +1,10 @@
-//! Seeded fault plans against a duty whose acts come late, or not in order: whatever is lost, cut, stalled, killed or put back, what
-//! checks tokens takes no act out of their order and none by two holders of one token; what is asked of the proxies is answered; and once
-//! all is well again the duty is held within the bound.
+//! Seeded fault plans against a duty whose acts come late, or not in order: whatever is lost, cut,
+//! stalled, killed or put back, what checks tokens takes no act out of their order and none by two
+//! holders of one token; what is asked of the proxies is answered; and once all is well again the
+//! duty is held within the bound.
 //!
-//! `DUTY_PLANS` asks for more of them, from `DUTY_SEED` on; with `DUTY_UNCHECKED` what is acted on takes all, and the plans are to show what that
-//! comes to.
+//! `DUTY_PLANS` asks for more of them, from `DUTY_SEED` on; with `DUTY_UNCHECKED` what is acted on
+//! takes all, and the plans are to show what that comes to.
 
 mod common;
 
@@ -18,8 +19,8 @@
 
 const PERIOD_MS: u64 = 200;
 const LEASE_MS: u64 = 600;
-/// After the last fault: voters' silence, and members that were taken for gone, who must be heard again. (What is held back after deaths
-/// is not more than a lease here: plans kill few.)
+/// After the last fault: voters' silence, and members that were taken for gone, who must be heard
+/// again. (What is held back after deaths is not more than a lease here: plans kill few.)
 const BOUND: Duration = Duration::from_secs(15);
 
 type State = Vec<(std::path::PathBuf, Vec<u8>)>;
@@ -39,12 +40,21 @@
 impl Plan {
     /// Whoever acted last: faults are of most use there.
     fn holder(&self) -> Option<u16> {
-        self.gate.acts().iter().rev().find(|a| a.taken).map(gate::Act::place)
+        self.gate
+            .acts()
+            .iter()
+            .rev()
+            .find(|a| a.taken)
+            .map(gate::Act::place)
     }
 
     fn hold_or_any(&mut self) -> u16 {
         let any = self.rng.u16(0..self.proxies);
-        if self.rng.u32(0..3) > 0 { self.holder().unwrap_or(any) } else { any }
+        if self.rng.u32(0..3) > 0 {
+            self.holder().unwrap_or(any)
+        } else {
+            any
+        }
     }
 
     async fn strike(&mut self) -> Result<(), String> {
@@ -52,9 +62,15 @@
         let at = usize::from(who);
         match self.rng.u32(0..10) {
             0 => {
-                let (loss, twice, torn) = (self.rng.f64() * 0.3, self.rng.f64() * 0.3, self.rng.f64() * 0.1);
+                let (loss, twice, torn) = (
+                    self.rng.f64() * 0.3,
+                    self.rng.f64() * 0.3,
+                    self.rng.f64() * 0.1,
+                );
                 let jitter = Duration::from_millis(self.rng.u64(0..150));
-                self.fleet.network.all(|w| (w.loss, w.twice, w.torn, w.jitter) = (loss, twice, torn, jitter));
+                self.fleet
+                    .network
+                    .all(|w| (w.loss, w.twice, w.torn, w.jitter) = (loss, twice, torn, jitter));
             }
             1 => self.fleet.network.cut(&[&[who]]),
             2 => {
@@ -68,7 +84,11 @@
             4 => self.fleet.network.heal(),
             5 | 6 if !self.killed[at] => {
                 let daemon = self.fleet.daemon(who)?;
-                let done = if self.stalled[at] { daemon.wake() } else { daemon.stall() };
+                let done = if self.stalled[at] {
+                    daemon.wake()
+                } else {
+                    daemon.stall()
+                };
                 done.map_err(|e| e.to_string())?;
                 (self.stalled[at], self.hurt) = (!self.stalled[at], true);
             }
@@ -124,13 +144,29 @@
         }
         let (well, before) = (Instant::now(), self.gate.acts().len());
         // One that was under way may come yet: a few are waited for.
-        while self.gate.acts().iter().skip(before).filter(|a| a.taken).count() < 5 {
+        while self
+            .gate
+            .acts()
+            .iter()
+            .skip(before)
+            .filter(|a| a.taken)
+            .count()
+            < 5
+        {
             if well.elapsed() > BOUND {
                 let mut told = Vec::new();
                 for who in 0..self.proxies {
-                    told.push(self.fleet.ask(who, "/duty/list").await.map_or_else(|e| e, |t| t.to_string()));
+                    told.push(
+                        self.fleet
+                            .ask(who, "/duty/list")
+                            .await
+                            .map_or_else(|e| e, |t| t.to_string()),
+                    );
                 }
-                return Err(format!("nobody acts, {BOUND:?} after all is well: {}", told.join("\n")));
+                return Err(format!(
+                    "nobody acts, {BOUND:?} after all is well: {}",
+                    told.join("\n")
+                ));
             }
             sleep(Duration::from_millis(20)).await;
         }
@@ -143,14 +179,34 @@
     let mut rng = Rng::with_seed(seed);
     let proxies = rng.u16(4..6);
     let by = Duration::from_millis(LEASE_MS * 2);
-    let options = gate::Options { checks, late: 0.05, by, seed };
-    let gate = Gate::open(Clock::starting_in(Duration::ZERO), options).await.map_err(|e| e.to_string())?;
+    let options = gate::Options {
+        checks,
+        late: 0.05,
+        by,
+        seed,
+    };
+    let gate = Gate::open(Clock::starting_in(Duration::ZERO), options)
+        .await
+        .map_err(|e| e.to_string())?;
     let duties = gate.duty(LEASE_MS, Duration::from_millis(10));
-    let options = Options { period_ms: PERIOD_MS, duties, ..Options::default() };
+    let options = Options {
+        period_ms: PERIOD_MS,
+        duties,
+        ..Options::default()
+    };
     let fleet = Fleet::begin(&daemon(), proxies, seed, options).await?;
     let n = usize::from(proxies);
     let (stalled, killed, copies) = (vec![false; n], vec![false; n], vec![None; n]);
-    let mut plan = Plan { fleet, gate, rng, proxies, stalled, killed, copies, hurt: false };
+    let mut plan = Plan {
+        fleet,
+        gate,
+        rng,
+        proxies,
+        stalled,
+        killed,
+        copies,
+        hurt: false,
+    };
     let mut calls = JoinSet::new();
     // As things stand once it is held for the first time.
     plan.all_well().await?;
@@ -179,11 +235,20 @@
     let checks = std::env::var_os("DUTY_UNCHECKED").is_none();
     let (mut waits, mut refused, mut wrong, mut with) = (Vec::new(), 0, 0, 0);
     for seed in from..from + count {
-        let (waited, found, late) = plan(seed, checks).await.unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        let (waited, found, late) = plan(seed, checks)
+            .await
+            .unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         assert!(!checks || found.is_empty(), "seed {seed}: {found:?}");
         waits.push(waited);
-        (refused, wrong, with) = (refused + late, wrong + found.len(), with + usize::from(!found.is_empty()));
-        println!("seed {seed}: held after {waited:?}, {late} refused, {} out of order", found.len());
+        (refused, wrong, with) = (
+            refused + late,
+            wrong + found.len(),
+            with + usize::from(!found.is_empty()),
+        );
+        println!(
+            "seed {seed}: held after {waited:?}, {late} refused, {} out of order",
+            found.len()
+        );
     }
     waits.sort_unstable();
     let at = |share: f64| waits[((waits.len() - 1) as f64 * share) as usize];
@@ -192,5 +257,8 @@
         at(0.5),
         at(0.99)
     );
-    assert!(checks || wrong > 0, "the plans hold acts that only a token keeps out");
+    assert!(
+        checks || wrong > 0,
+        "the plans hold acts that only a token keeps out"
+    );
 }
--- a/crates/heathroad-rehearsal/tests/soak.rs
+++ b/crates/heathroad-rehearsal/tests/soak.rs
@@ -1,5 +1,6 @@
-//! A randomized soak of overlapping faults: real daemons, faults whose kind, time and victim the seed draws, and the four rules as the
-//! oracle, beside what the daemons count of themselves. The seeds are printed.
+//! A randomized soak of overlapping faults: real daemons, faults whose kind, time and victim the
+//! seed draws, and the four rules as the oracle, beside what the daemons count of themselves. The
+//! seeds are printed.
 //!
 //! `SOAK_RUNS` asks for more of them, from `SOAK_SEED` on.
 
@@ -12,13 +13,25 @@
 
 /// Rules that daemons saw themselves break, by their last counts.
 fn violations(outcome: &Outcome) -> u64 {
-    let counts = outcome.seen.counts.iter().filter_map(|c| c.counts.as_ref()?.get("violations")?.as_object());
-    counts.flat_map(|rules| rules.values()).filter_map(|n| n.as_u64()).sum()
+    let counts = outcome
+        .seen
+        .counts
+        .iter()
+        .filter_map(|c| c.counts.as_ref()?.get("violations")?.as_object());
+    counts
+        .flat_map(|rules| rules.values())
+        .filter_map(|n| n.as_u64())
+        .sum()
 }
 
 /// Times that daemons saw themselves held up.
 fn pauses(outcome: &Outcome) -> u64 {
-    outcome.seen.counts.iter().filter_map(|c| c.counts.as_ref()?.get("pauses")?.as_u64()).sum()
+    outcome
+        .seen
+        .counts
+        .iter()
+        .filter_map(|c| c.counts.as_ref()?.get("pauses")?.as_u64())
+        .sum()
 }
 
 #[test]
@@ -47,5 +60,8 @@
     }
     println!("{kept} kept, {void} void, broken: {broken:?}");
     assert!(broken.is_empty(), "seeds that broke a rule: {broken:?}");
-    assert!(kept > 0, "the machine was late each time: nothing was shown");
+    assert!(
+        kept > 0,
+        "the machine was late each time: nothing was shown"
+    );
 }
--- a/crates/heathroad-rehearsal/tests/stage.rs
+++ b/crates/heathroad-rehearsal/tests/stage.rs
@@ -1,5 +1,5 @@
-//! Faults that the stage works on processes and on the list, each seen in what the ledgers hold, with the real daemon
-//! between; and agreement under them.
+//! Faults that the stage works on processes and on the list, each seen in what the ledgers hold,
+//! with the real daemon between; and agreement under them.
 
 mod common;
 
@@ -77,7 +77,11 @@
 #[test]
 fn processes_that_come_and_go_are_seen_and_break_nothing() {
     let o = sound(PROCESSES, 2);
-    assert!(o.verdict.breaches.is_empty() && o.agrees() && o.seen.troubles.is_empty(), "{}", o.table());
+    assert!(
+        o.verdict.breaches.is_empty() && o.agrees() && o.seen.troubles.is_empty(),
+        "{}",
+        o.table()
+    );
     let started = o.seen.proxies.len() as u16;
     assert_eq!(started, 5, "two, and one at the side of each gate");
     use Did::{Killed, Reloaded, Started, Stopped};
@@ -87,10 +91,18 @@
     assert_eq!(acts(&o, 2), [Started, Killed, Started, Stopped]);
 
     let host = |name: &str| o.seen.hosts.iter().position(|h| h == name).expect(name) as u16;
-    let told = |host: u16, health| o.seen.ledgers.told.iter().find(|t| t.host == host && t.health == health);
+    let told = |host: u16, health| {
+        o.seen
+            .ledgers
+            .told
+            .iter()
+            .find(|t| t.host == host && t.health == health)
+    };
     let last_sent = |host: u16| {
         let sent = o.seen.ledgers.arrivals.iter().filter(|a| a.host == host);
-        sent.map(|a| a.first_byte).max().expect("it was used before")
+        sent.map(|a| a.first_byte)
+            .max()
+            .expect("it was used before")
     };
     // One that drains is told so, and gets nothing from then on but for the grace.
     let drained = told(host("store-1"), Health::Draining).expect("told").at;
@@ -101,16 +113,40 @@
     let gone = told(host("store-2"), Health::Deleted).expect("told").at;
     assert!(last_sent(host("store-2")) < gone + 550_000);
     // Another host at the same address, under a new id, which starts cold and is used.
-    let heir = o.seen.hosts.iter().position(|h| h.starts_with("gate-1-new")).expect("an heir") as u16;
-    assert!(o.seen.ledgers.lives.iter().any(|l| l.host == heir && !l.warm));
-    assert!(o.seen.ledgers.arrivals.iter().any(|a| a.host == heir && a.fate == Fate::Ran));
+    let heir = o
+        .seen
+        .hosts
+        .iter()
+        .position(|h| h.starts_with("gate-1-new"))
+        .expect("an heir") as u16;
+    assert!(
+        o.seen
+            .ledgers
+            .lives
+            .iter()
+            .any(|l| l.host == heir && !l.warm)
+    );
+    assert!(
+        o.seen
+            .ledgers
+            .arrivals
+            .iter()
+            .any(|a| a.host == heir && a.fate == Fate::Ran)
+    );
     // The reloaded proxy was told of later changes, at its new address.
-    assert!(o.seen.ledgers.told.iter().any(|t| t.proxy == 0 && t.host == heir));
+    assert!(
+        o.seen
+            .ledgers
+            .told
+            .iter()
+            .any(|t| t.proxy == 0 && t.host == heir)
+    );
     // A killed process takes its counts along, and the lines that it may explain say so.
     assert!(o.lines.iter().any(|l| l.killed));
 }
 
-/// Faults that a seed draws: the same night again for the same seed, another for another, each on a victim.
+/// Faults that a seed draws: the same night again for the same seed, another for another, each on a
+/// victim.
 #[test]
 fn a_seed_draws_the_same_faults_again() {
     let text = include_str!("../../../rehearsals/any-night.toml");
@@ -120,7 +156,10 @@
     let mut kinds = std::collections::BTreeSet::new();
     for seed in 0..200 {
         for f in faults(seed) {
-            assert!(f.at >= 2_000_000 && f.until >= f.at && f.until < 20_000_000, "{f:?}");
+            assert!(
+                f.at >= 2_000_000 && f.until >= f.at && f.until < 20_000_000,
+                "{f:?}"
+            );
             assert_eq!(f.victims.len(), 1, "{f:?}");
             kinds.insert(f.what);
         }
@@ -129,17 +168,23 @@
     assert!(!kinds.contains(&What::RegistryDown));
 }
 
-/// Both tiers' first proxies serve by the example of routes, while a gate dies and comes back cold and another drains:
-/// three pools name the same nodes, and together they keep each node's cold budget and its drain.
+/// Both tiers' first proxies serve by the example of routes, while a gate dies and comes back cold
+/// and another drains: three pools name the same nodes, and together they keep each node's cold
+/// budget and its drain.
 #[test]
 fn the_example_of_routes_keeps_the_rules_as_it_stands() {
     let example = include_str!("../../../deploy/routes.example.toml");
     let text = PROCESSES[..PROCESSES.find("[[fault]]").expect("its faults")].to_string()
         + "[[fault]]\nwhat = \"restart\"\non = [\"gate-1\"]\nat_s = 1.0\nfor_s = 0.3\n"
         + "[[fault]]\nwhat = \"drain\"\non = [\"gate-2\"]\nat_s = 5.0\nfor_s = 3.0\n";
-    let text = format!("routes = \'\'\'\n{example}\'\'\'\n{text}").replace("rate = 60.0", "rate = 120.0");
+    let text =
+        format!("routes = \'\'\'\n{example}\'\'\'\n{text}").replace("rate = 60.0", "rate = 120.0");
     let o = sound(&text, 4);
-    assert!(o.verdict.breaches.is_empty() && o.agrees() && o.seen.troubles.is_empty(), "{}", o.table());
+    assert!(
+        o.verdict.breaches.is_empty() && o.agrees() && o.seen.troubles.is_empty(),
+        "{}",
+        o.table()
+    );
     assert!(o.verdict.tries[0] > 800, "{}", o.table());
     let pools = |c: &heathroad_rehearsal::stage::Counted| {
         let rows = c.counts.as_ref()?.get("requests")?.as_array()?.clone();
@@ -149,36 +194,65 @@
                 .collect::<std::collections::BTreeSet<_>>(),
         )
     };
-    let counted =
-        o.seen.counts.iter().filter(|c| o.seen.proxy_tier[usize::from(c.proxy)] == 0).filter_map(pools);
+    let counted = o
+        .seen
+        .counts
+        .iter()
+        .filter(|c| o.seen.proxy_tier[usize::from(c.proxy)] == 0)
+        .filter_map(pools);
     let all: std::collections::BTreeSet<String> = counted.flatten().collect();
-    assert_eq!(all.into_iter().collect::<Vec<_>>(), ["reads", "reads-trial", "writes"]);
+    assert_eq!(
+        all.into_iter().collect::<Vec<_>>(),
+        ["reads", "reads-trial", "writes"]
+    );
     let cold = o.seen.ledgers.lives.iter().any(|l| !l.warm) && o.verdict.tries[0] > 0;
     assert!(cold, "a gate came back cold");
 }
 
-/// A fleet on the stage, one proxy of which stalls past the bound of a change: the audit equals what backends saw, nobody acts on
-/// an older generation past its bound, and the rules hold. Without a fleet there are no such figures.
+/// A fleet on the stage, one proxy of which stalls past the bound of a change: the audit equals
+/// what backends saw, nobody acts on an older generation past its bound, and the rules hold.
+/// Without a fleet there are no such figures.
 #[test]
 fn a_fleet_is_audited_beside_what_backends_saw() {
     let o = sound(include_str!("../../../rehearsals/fleet-stall.toml"), 3);
-    assert!(o.verdict.breaches.is_empty() && o.agrees() && o.seen.troubles.is_empty(), "{}", o.table());
+    assert!(
+        o.verdict.breaches.is_empty() && o.agrees() && o.seen.troubles.is_empty(),
+        "{}",
+        o.table()
+    );
     assert_eq!(o.expectations.len(), 7, "{}", o.table());
     assert!(o.expectations.iter().all(|e| e.ok), "{}", o.table());
     assert_eq!(o.seen.bounds.len(), 1, "one change was required");
     assert!(o.seen.ledgers.acts.iter().any(|a| a.what == Did::Stalled));
-    let versions: std::collections::BTreeSet<_> =
-        o.seen.ledgers.arrivals.iter().filter_map(|a| a.version.clone()).collect();
-    assert!(versions.len() >= 2, "backends are told of versions: {versions:?}");
+    let versions: std::collections::BTreeSet<_> = o
+        .seen
+        .ledgers
+        .arrivals
+        .iter()
+        .filter_map(|a| a.version.clone())
+        .collect();
+    assert!(
+        versions.len() >= 2,
+        "backends are told of versions: {versions:?}"
+    );
     // An attempt that no page tells of is found, and one that no backend saw.
     let mut seen = o.seen;
     let extra = seen.ledgers.arrivals[0].clone();
     seen.ledgers
         .arrivals
-        .push(heathroad_rehearsal::ledger::Arrival { version: Some("other".into()), ..extra });
-    assert_eq!(heathroad_rehearsal::audited::figure(&seen, "fleet_unaccounted"), Some(1.0));
+        .push(heathroad_rehearsal::ledger::Arrival {
+            version: Some("other".into()),
+            ..extra
+        });
+    assert_eq!(
+        heathroad_rehearsal::audited::figure(&seen, "fleet_unaccounted"),
+        Some(1.0)
+    );
     seen.ledgers.arrivals.clear();
     assert!(heathroad_rehearsal::audited::figure(&seen, "fleet_unaccounted") > Some(100.0));
     seen.audit = None;
-    assert_eq!(heathroad_rehearsal::audited::figure(&seen, "fleet_unaccounted"), None);
+    assert_eq!(
+        heathroad_rehearsal::audited::figure(&seen, "fleet_unaccounted"),
+        None
+    );
 }
--- a/crates/heathroad-rehearsal/tests/stand_ins.rs
+++ b/crates/heathroad-rehearsal/tests/stand_ins.rs
@@ -1,4 +1,5 @@
-//! Each fault, on its own, seen on the sockets: what a stand-in does to whoever calls it, with no daemon between.
+//! Each fault, on its own, seen on the sockets: what a stand-in does to whoever calls it, with no
+//! daemon between.
 
 mod common;
 
@@ -49,7 +50,13 @@
         let host = Backend::new(&world, (0, "a".into(), 0, 0), machine, Rc::default(), doors);
         host.start(true).await.expect("its port is free");
         let addr = host.door(0).expect("its one door");
-        Scene { world, host, addr, caller: Rc::default(), next: Cell::new(1) }
+        Scene {
+            world,
+            host,
+            addr,
+            caller: Rc::default(),
+            next: Cell::new(1),
+        }
     }
 
     /// Calls a class by its place; the backends answer as they do to proxies.
@@ -67,7 +74,10 @@
             slow: 0,
             carried: [None, None],
         };
-        timeout(LONG, self.caller.call(self.world.clock, self.addr, &ask)).await.expect("it ends").end
+        timeout(LONG, self.caller.call(self.world.clock, self.addr, &ask))
+            .await
+            .expect("it ends")
+            .end
     }
 
     async fn read(&self) -> End {
@@ -82,7 +92,9 @@
 }
 
 async fn on_stage(play: impl AsyncFnOnce(Scene)) {
-    LocalSet::new().run_until(async { play(Scene::new().await).await }).await;
+    LocalSet::new()
+        .run_until(async { play(Scene::new().await).await })
+        .await;
 }
 
 async fn connects(addr: SocketAddr) -> Result<TcpStream, Option<std::io::ErrorKind>> {
@@ -95,10 +107,17 @@
 #[tokio::test]
 async fn a_sound_backend_serves_what_it_made_and_writes_it_down() {
     on_stage(async |s| {
-        let End::Served(mark) = s.read().await else { panic!("served") };
+        let End::Served(mark) = s.read().await else {
+            panic!("served")
+        };
         let ledgers = s.world.ledgers.borrow();
-        let [a] = &ledgers.arrivals[..] else { panic!("one arrival") };
-        assert_eq!((a.id, a.mark, a.fate, a.answer), (2, mark, Fate::Ran, Answer::Served));
+        let [a] = &ledgers.arrivals[..] else {
+            panic!("one arrival")
+        };
+        assert_eq!(
+            (a.id, a.mark, a.fate, a.answer),
+            (2, mark, Fate::Ran, Answer::Served)
+        );
         assert!(a.done.is_some() && a.work > 0 && a.first_byte <= a.whole);
     })
     .await;
@@ -109,8 +128,14 @@
     on_stage(async |s| {
         assert_eq!(get(s.addr, "/health/live").await.expect("an answer").0, 200);
         let (status, load) = get(s.addr, "/stats").await.expect("an answer");
-        assert_eq!((status, String::from_utf8_lossy(&load).as_ref()), (200, "TEXT inflight=0, queue=0"));
-        assert_eq!(get(s.addr, "/claim-status").await.expect("an answer").0, 404);
+        assert_eq!(
+            (status, String::from_utf8_lossy(&load).as_ref()),
+            (200, "TEXT inflight=0, queue=0")
+        );
+        assert_eq!(
+            get(s.addr, "/claim-status").await.expect("an answer").0,
+            404
+        );
     })
     .await;
 }
@@ -121,17 +146,38 @@
         assert!(matches!(s.read().await, End::Served(_)));
         let mut old = TcpStream::connect(s.addr).await.expect("it listens");
         s.host.turn(Mode::Silent).await;
-        old.write_all(b"GET /health/live HTTP/1.1\r\n\r\n").await.expect("its connection stays open");
+        old.write_all(b"GET /health/live HTTP/1.1\r\n\r\n")
+            .await
+            .expect("its connection stays open");
         let answer = timeout(Duration::from_millis(300), old.read(&mut [0; 9])).await;
-        assert!(answer.is_err(), "nothing comes, neither an answer nor a reset");
-        assert_eq!(s.call(0, None, 100).await, End::Silence, "nor on a kept connection");
+        assert!(
+            answer.is_err(),
+            "nothing comes, neither an answer nor a reset"
+        );
+        assert_eq!(
+            s.call(0, None, 100).await,
+            End::Silence,
+            "nor on a kept connection"
+        );
         let new = [connects(s.addr).await, connects(s.addr).await];
-        assert!(new.iter().any(|c| matches!(c, Err(None))), "new ones hang: {new:?}");
-        assert_eq!(s.world.ledgers.borrow().arrivals.len(), 1, "what lay unread never came");
+        assert!(
+            new.iter().any(|c| matches!(c, Err(None))),
+            "new ones hang: {new:?}"
+        );
+        assert_eq!(
+            s.world.ledgers.borrow().arrivals.len(),
+            1,
+            "what lay unread never came"
+        );
         // It comes back as another process: the old connection is reset.
         s.host.kill();
         s.host.start(false).await.expect("its port is free");
-        assert!(timeout(LONG, old.read(&mut [0; 9])).await.expect("it ends").is_err());
+        assert!(
+            timeout(LONG, old.read(&mut [0; 9]))
+                .await
+                .expect("it ends")
+                .is_err()
+        );
         assert!(matches!(s.read().await, End::Served(_)));
     })
     .await;
@@ -169,7 +215,10 @@
             sleep(Duration::from_secs(1)).await;
             time().await
         }];
-        assert!(slowest.iter().any(|t| *t > 2 * well), "{well:?}, then {slowest:?}");
+        assert!(
+            slowest.iter().any(|t| *t > 2 * well),
+            "{well:?}, then {slowest:?}"
+        );
     })
     .await;
 }
@@ -182,8 +231,17 @@
         assert!(matches!(s.read().await, End::Served(_)));
         s.host.kill();
         let mut held = held;
-        assert!(timeout(LONG, held.read(&mut [0; 1])).await.expect("it ends").is_err(), "reset");
-        assert_eq!(connects(s.addr).await.expect_err("refused"), Some(std::io::ErrorKind::ConnectionRefused));
+        assert!(
+            timeout(LONG, held.read(&mut [0; 1]))
+                .await
+                .expect("it ends")
+                .is_err(),
+            "reset"
+        );
+        assert_eq!(
+            connects(s.addr).await.expect_err("refused"),
+            Some(std::io::ErrorKind::ConnectionRefused)
+        );
         s.host.start(false).await.expect("its port is free");
         assert!(s.host.machine.warmth() < 0.25);
         assert!(matches!(s.read().await, End::Served(_)));
@@ -218,11 +276,17 @@
         });
         let calls: Vec<_> = calls.collect();
         for call in calls {
-            let _ = timeout(LONG, call).await.expect("it ends").expect("no panic");
+            let _ = timeout(LONG, call)
+                .await
+                .expect("it ends")
+                .expect("no panic");
         }
         assert_eq!(s.host.mode(), Mode::Down);
         assert!(s.world.ledgers.borrow().lives[1].fell.is_some());
-        assert_eq!(connects(s.addr).await.expect_err("refused"), Some(std::io::ErrorKind::ConnectionRefused));
+        assert_eq!(
+            connects(s.addr).await.expect_err("refused"),
+            Some(std::io::ErrorKind::ConnectionRefused)
+        );
     })
     .await;
 }
@@ -237,9 +301,15 @@
         s.host.odds.set([0.0, 0.0, 1.0]);
         assert_eq!(s.read().await, End::Refused { after: None });
         let mut stream = connects(s.addr).await.expect("it listens");
-        stream.write_all(b"GET /claim-status HTTP/1.1\r\nReq-Id: ff\r\n\r\n").await.expect("open");
+        stream
+            .write_all(b"GET /claim-status HTTP/1.1\r\nReq-Id: ff\r\n\r\n")
+            .await
+            .expect("open");
         let mut bytes = vec![0; 512];
-        let n = timeout(LONG, stream.read(&mut bytes)).await.expect("it comes").expect("open");
+        let n = timeout(LONG, stream.read(&mut bytes))
+            .await
+            .expect("it comes")
+            .expect("open");
         assert!(String::from_utf8_lossy(&bytes[..n]).contains("Srv-Declined: 1"));
     })
     .await;
@@ -273,9 +343,17 @@
 
 /// Asks a registry, and gives its version and its hosts' healths.
 async fn list(addr: SocketAddr, query: &str) -> Option<(u64, Vec<String>)> {
-    let (status, body) = timeout(LONG, get(addr, &format!("/registry/instances{query}"))).await.ok()?.ok()?;
-    let page: Value = serde_json::from_slice(&body).ok().filter(|_| status == 200)?;
-    let healths = page["hosts"].as_array()?.iter().map(|h| h["health"].as_str().unwrap_or("?").to_string());
+    let (status, body) = timeout(LONG, get(addr, &format!("/registry/instances{query}")))
+        .await
+        .ok()?
+        .ok()?;
+    let page: Value = serde_json::from_slice(&body)
+        .ok()
+        .filter(|_| status == 200)?;
+    let healths = page["hosts"]
+        .as_array()?
+        .iter()
+        .map(|h| h["health"].as_str().unwrap_or("?").to_string());
     Some((page["seq"].as_u64()?, healths.collect()))
 }
 
@@ -294,14 +372,35 @@
         registry.delay.set(300_000);
         registry.publish(&s.host, Health::Draining);
         assert_eq!(list(addr, "?after=1&wait_ms=50").await, Some((1, vec![])));
-        assert_eq!(list(addr, "?after=1&wait_ms=900").await, Some((2, words(&["DRAINING"]))));
+        assert_eq!(
+            list(addr, "?after=1&wait_ms=900").await,
+            Some((2, words(&["DRAINING"])))
+        );
         registry.delay.set(0);
-        // Out of order: the old state again, under its old version, and the ledger says which it was.
+        // Out of order: the old state again, under its old version, and the ledger says which it
+        // was.
         registry.disorder.set(true);
-        assert_eq!(list(addr, "?after=2&wait_ms=900").await, Some((1, words(&["SERVING"]))));
+        assert_eq!(
+            list(addr, "?after=2&wait_ms=900").await,
+            Some((1, words(&["SERVING"])))
+        );
         registry.disorder.set(false);
-        let told: Vec<_> = s.world.ledgers.borrow().told.iter().map(|t| (t.version, t.health)).collect();
-        assert_eq!(told, [(1, Health::Serving), (2, Health::Draining), (1, Health::Serving)]);
+        let told: Vec<_> = s
+            .world
+            .ledgers
+            .borrow()
+            .told
+            .iter()
+            .map(|t| (t.version, t.health))
+            .collect();
+        assert_eq!(
+            told,
+            [
+                (1, Health::Serving),
+                (2, Health::Draining),
+                (1, Health::Serving)
+            ]
+        );
         // Down: calls fail.
         registry.set_down(true);
         assert_eq!(list(addr, "").await, None);
@@ -313,7 +412,11 @@
         registry.publish(&s.host, Health::Serving);
         let (_, body) = get(addr, "/registry/instances").await.expect("an answer");
         let page: Value = serde_json::from_slice(&body).expect("JSON");
-        let unix = std::time::SystemTime::UNIX_EPOCH.elapsed().expect("after 1970").as_secs_f64() * 1000.0;
+        let unix = std::time::SystemTime::UNIX_EPOCH
+            .elapsed()
+            .expect("after 1970")
+            .as_secs_f64()
+            * 1000.0;
         assert!(page["hosts"][0]["born_ms"].as_f64().expect("a number") > unix + 3.5e6);
     })
     .await;
--- a/crates/heathroad-rehearsal/tests/stragglers.rs
+++ b/crates/heathroad-rehearsal/tests/stragglers.rs
@@ -20,7 +20,9 @@
         fence_unsure_after_ms,
         ..Options::default()
     };
-    let fleet = Fleet::begin(&daemon(), proxies, seed, options).await.expect("it starts");
+    let fleet = Fleet::begin(&daemon(), proxies, seed, options)
+        .await
+        .expect("it starts");
     fleet.until_all_there().await.expect("all know all");
     fleet
 }
@@ -31,21 +33,32 @@
 
 async fn until_at(fleet: &Fleet, proxy: u16, number: u64) {
     let there = |s: &Value| generation(s) == number && s["open"].is_null();
-    fleet.until(proxy, "/config/status", there).await.expect("it is brought up");
+    fleet
+        .until(proxy, "/config/status", there)
+        .await
+        .expect("it is brought up");
 }
 
 #[tokio::test]
 async fn a_straggler_is_brought_up() {
     let mut fleet = fleet(4, 11, None).await;
     let old = fleet.copy_state(3).expect("it is there");
-    // One is cut off while a change is made elsewhere: the others are brought up, it is once it is heard again.
+    // One is cut off while a change is made elsewhere: the others are brought up, it is once it is
+    // heard again.
     fleet.network.cut(&[&[2]]);
     fleet.apply(0, &routes(2)).await.expect("it is taken");
     for proxy in [1, 3] {
         until_at(&fleet, proxy, 2).await;
     }
-    assert_eq!(generation(&fleet.ask(2, "/config/status").await.expect("told")), 1);
-    assert_eq!(fleet.call(2).await, Ok(200), "it is not required: who is cut off serves on");
+    assert_eq!(
+        generation(&fleet.ask(2, "/config/status").await.expect("told")),
+        1
+    );
+    assert_eq!(
+        fleet.call(2).await,
+        Ok(200),
+        "it is not required: who is cut off serves on"
+    );
     fleet.network.heal();
     until_at(&fleet, 2, 2).await;
     // One comes back with an old copy of its state.
@@ -81,25 +94,48 @@
 async fn a_change_that_some_turn_down() {
     let fleet = fleet(3, 13, None).await;
     // On one machine only one can listen there.
-    let port =
-        std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port").port();
+    let port = std::net::TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("a port")
+        .port();
     let pool = routes(2).replace("[[route]]", "[pool.rpc]\nframing = \"lines\"\n[[route]]");
     let door = format!(
         "{pool}[[listener]]\nname = \"remote\"\nprotocol = \"json-rpc\"\nlisten = \"127.0.0.1:{port}\"\nframing = \"lines\"\n\
          [[listener.method]]\nname = \"look\"\nclass = \"look\"\n"
     );
-    fleet.apply(0, &door).await.expect("it is taken where it was proposed");
+    fleet
+        .apply(0, &door)
+        .await
+        .expect("it is taken where it was proposed");
     let down = |told: &Value| {
-        (1..3).all(|p| told["members"][p]["turned_down"].as_array().is_some_and(|t| !t.is_empty()))
+        (1..3).all(|p| {
+            told["members"][p]["turned_down"]
+                .as_array()
+                .is_some_and(|t| !t.is_empty())
+        })
     };
-    let audit = fleet.until(0, "/fleet/audit", down).await.expect("both turn it down");
+    let audit = fleet
+        .until(0, "/fleet/audit", down)
+        .await
+        .expect("both turn it down");
     for proxy in 1..3 {
-        let [down] = &audit["members"][proxy]["turned_down"].as_array().expect("a list")[..] else {
+        let [down] = &audit["members"][proxy]["turned_down"]
+            .as_array()
+            .expect("a list")[..]
+        else {
             panic!("it is turned down once: {audit}")
         };
-        assert!(down["why"].as_str().is_some_and(|w| w.contains("listener remote")), "{down}");
+        assert!(
+            down["why"]
+                .as_str()
+                .is_some_and(|w| w.contains("listener remote")),
+            "{down}"
+        );
     }
-    assert_eq!(generation(&fleet.ask(1, "/config/status").await.expect("told")), 1);
+    assert_eq!(
+        generation(&fleet.ask(1, "/config/status").await.expect("told")),
+        1
+    );
     // Numbers are the fleet's: a change made where the second one was not taken is the third.
     fleet.apply(1, &routes(3)).await.expect("it is taken");
     for proxy in 0..3 {
@@ -107,16 +143,27 @@
     }
 }
 
-/// A change does harm wherever there are requests, and none where it was proposed: one keeps it, the others undo it on probation and stay on
-/// what they had; the audit says of each what it did and why.
+/// A change does harm wherever there are requests, and none where it was proposed: one keeps it,
+/// the others undo it on probation and stay on what they had; the audit says of each what it did
+/// and why.
 #[tokio::test]
 async fn a_change_that_most_undo_and_one_keeps() {
     let (routes, probation_ms) = (Some(routes(1)), Some(3000));
-    let options = Options { routes, period_ms: PERIOD_MS, probation_ms, ..Options::default() };
-    let mut fleet = Fleet::begin(&daemon(), 3, 15, options).await.expect("it starts");
+    let options = Options {
+        routes,
+        period_ms: PERIOD_MS,
+        probation_ms,
+        ..Options::default()
+    };
+    let mut fleet = Fleet::begin(&daemon(), 3, 15, options)
+        .await
+        .expect("it starts");
     fleet.until_all_there().await.expect("all know all");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let harmful = common::routes(2).replace("BACKEND", &listener.local_addr().expect("bound").to_string());
+    let harmful = common::routes(2).replace(
+        "BACKEND",
+        &listener.local_addr().expect("bound").to_string(),
+    );
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             tokio::spawn(async move {
@@ -145,19 +192,30 @@
             let _ = fleet.call(proxy).await;
         }
         let audit = fleet.ask(0, "/fleet/audit").await.expect("told");
-        let down = |p: usize| audit["members"][p]["turned_down"].as_array().is_some_and(|t| !t.is_empty());
+        let down = |p: usize| {
+            audit["members"][p]["turned_down"]
+                .as_array()
+                .is_some_and(|t| !t.is_empty())
+        };
         if down(1) && down(2) {
             break audit;
         }
         assert!(tokio::time::Instant::now() < end, "{audit}");
     };
     let generations: Vec<u64> = (0..3)
-        .map(|p| audit["members"][p]["pages"].as_array().and_then(|p| p.last()).expect("a page"))
+        .map(|p| {
+            audit["members"][p]["pages"]
+                .as_array()
+                .and_then(|p| p.last())
+                .expect("a page")
+        })
         .map(|page| page["version"]["generation"].as_u64().expect("a number"))
         .collect();
     assert_eq!(generations[0], 2, "{audit}");
     for proxy in 1..3 {
-        let why = audit["members"][proxy]["turned_down"][0]["why"].as_str().unwrap_or_default();
+        let why = audit["members"][proxy]["turned_down"][0]["why"]
+            .as_str()
+            .unwrap_or_default();
         assert!(why.contains("undone") && why.contains("pool all"), "{why}");
         let undone: u64 = audit["members"][proxy]["pages"]
             .as_array()
@@ -171,7 +229,8 @@
     }
 }
 
-/// Two changes under one number on both sides of a cut: neither is spread once they meet, and the conflict has a name.
+/// Two changes under one number on both sides of a cut: neither is spread once they meet, and the
+/// conflict has a name.
 #[tokio::test]
 async fn two_changes_under_one_number() {
     let fleet = fleet(4, 14, None).await;
@@ -184,7 +243,10 @@
     fleet.network.heal();
     for proxy in 0..4 {
         let both = |t: &Value| t["wanted"]["is"] == "both" && t["wanted"]["number"] == 2;
-        fleet.until(proxy, "/fleet/members", both).await.expect("the conflict is known");
+        fleet
+            .until(proxy, "/fleet/members", both)
+            .await
+            .expect("the conflict is known");
     }
     fleet.apply(2, &routes(4)).await.expect("it is taken");
     for proxy in 0..4 {
@@ -192,27 +254,43 @@
     }
 }
 
-/// A stalled proxy wakes with requests in its sockets, long after another version was required: none is decided on the old one.
+/// A stalled proxy wakes with requests in its sockets, long after another version was required:
+/// none is decided on the old one.
 #[tokio::test]
 async fn no_act_on_an_old_version_past_its_bound() {
     // Where a proxy fences itself when it can't know, and where it has heard before it stalled.
     for (seed, unsure) in [(15, Some(5 * PERIOD_MS)), (16, None)] {
         let mut fleet = fleet(3, seed, unsure).await;
         assert_eq!(fleet.call(1).await, Ok(200));
-        let old = fleet.noted().last().and_then(|n| n.version.clone()).expect("told");
+        let old = fleet
+            .noted()
+            .last()
+            .and_then(|n| n.version.clone())
+            .expect("told");
         let within = 3000;
         if unsure.is_some() {
             fleet.daemon(1).expect("it runs").stall().expect("stopped");
-            fleet.require(0, &routes(2), within).await.expect("it is taken");
+            fleet
+                .require(0, &routes(2), within)
+                .await
+                .expect("it is taken");
         } else {
             // It hears of the change before it stalls.
-            fleet.require(0, &routes(2), within).await.expect("it is taken");
+            fleet
+                .require(0, &routes(2), within)
+                .await
+                .expect("it is taken");
             let known = |t: &Value| t["required"][0]["number"] == 2;
-            fleet.until(1, "/fleet/members", known).await.expect("it hears of it");
+            fleet
+                .until(1, "/fleet/members", known)
+                .await
+                .expect("it hears of it");
             fleet.daemon(1).expect("it runs").stall().expect("stopped");
         }
         let bound = fleet.clock.now() + within * 1000;
-        let calls: Vec<_> = (0..20).map(|_| tokio::spawn(fleet.calling(1).expect("it runs"))).collect();
+        let calls: Vec<_> = (0..20)
+            .map(|_| tokio::spawn(fleet.calling(1).expect("it runs")))
+            .collect();
         sleep(Duration::from_millis(within + 1500)).await;
         assert!(fleet.clock.now() > bound);
         fleet.daemon(1).expect("it runs").wake().expect("goes on");
@@ -222,52 +300,92 @@
             assert!(status == 200 || status == 503, "{status}");
             refused += usize::from(status == 503);
         }
-        let late: Vec<_> = fleet.noted().into_iter().filter(|n| n.proxy == 1 && n.at > bound).collect();
-        assert!(late.iter().all(|n| n.version.as_ref() != Some(&old)), "{late:?}");
-        assert_eq!(refused + late.len(), 20, "refused at once, or decided on what is required");
+        let late: Vec<_> = fleet
+            .noted()
+            .into_iter()
+            .filter(|n| n.proxy == 1 && n.at > bound)
+            .collect();
+        assert!(
+            late.iter().all(|n| n.version.as_ref() != Some(&old)),
+            "{late:?}"
+        );
+        assert_eq!(
+            refused + late.len(),
+            20,
+            "refused at once, or decided on what is required"
+        );
         until_at(&fleet, 1, 2).await;
         let served = |t: &Value| t["fenced"] == false;
-        fleet.until(1, "/fleet/members", served).await.expect("it is no longer fenced");
+        fleet
+            .until(1, "/fleet/members", served)
+            .await
+            .expect("it is no longer fenced");
         assert_eq!(fleet.call(1).await, Ok(200));
         let audit = fleet.ask(2, "/fleet/audit").await.expect("told");
-        let spells = audit["members"][1]["spells"].as_array().expect("reached").clone();
+        let spells = audit["members"][1]["spells"]
+            .as_array()
+            .expect("reached")
+            .clone();
         let fenced = |s: &Value| s["trouble"] == "fenced" && s["to"].is_u64();
         assert!(refused == 0 || spells.iter().any(fenced), "{spells:?}");
     }
 }
 
-/// Cut off, it can't know: it fences itself where that is asked for, says that it is not ready, and is back when it is heard.
+/// Cut off, it can't know: it fences itself where that is asked for, says that it is not ready, and
+/// is back when it is heard.
 #[tokio::test]
 async fn who_cannot_know_fences_itself() {
     let mut fleet = fleet(3, 17, Some(5 * PERIOD_MS)).await;
     fleet.network.cut(&[&[2]]);
-    fleet.until(2, "/fleet/members", |t| t["fenced"] == true).await.expect("it can't know");
+    fleet
+        .until(2, "/fleet/members", |t| t["fenced"] == true)
+        .await
+        .expect("it can't know");
     assert_eq!(fleet.call(2).await, Ok(503));
     let listens = fleet.daemon(2).expect("it runs").listens;
-    let ready = heathroad_rehearsal::daemon::get(listens, "/health/ready").await.expect("it answers");
+    let ready = heathroad_rehearsal::daemon::get(listens, "/health/ready")
+        .await
+        .expect("it answers");
     assert_eq!(ready.0, 503);
     assert_eq!(fleet.call(0).await, Ok(200), "two of three know");
-    let short = fleet.require(0, &routes(2), 1000).await.expect_err("sooner than anybody could know");
+    let short = fleet
+        .require(0, &routes(2), 1000)
+        .await
+        .expect_err("sooner than anybody could know");
     assert!(short.contains("expected 1500 at least"), "{short}");
     fleet.network.heal();
-    fleet.until(2, "/fleet/members", |t| t["fenced"] == false).await.expect("it knows again");
+    fleet
+        .until(2, "/fleet/members", |t| t["fenced"] == false)
+        .await
+        .expect("it knows again");
     assert_eq!(fleet.call(2).await, Ok(200));
 }
 
-/// One that stalls costs the others nothing: most of the fleet is there, and asks each other often enough to be sure.
+/// One that stalls costs the others nothing: most of the fleet is there, and asks each other often
+/// enough to be sure.
 #[tokio::test]
 async fn the_others_are_not_fenced() {
     let fleet = fleet(3, 18, Some(5 * PERIOD_MS)).await;
     let fenced = |audit: &Value, p: usize| {
-        let spells = audit["members"][p]["spells"].as_array().expect("reached").clone();
+        let spells = audit["members"][p]["spells"]
+            .as_array()
+            .expect("reached")
+            .clone();
         spells.iter().filter(|s| s["trouble"] == "fenced").count()
     };
     let before = fleet.ask(0, "/fleet/audit").await.expect("told");
     fleet.daemon(2).expect("it runs").stall().expect("stopped");
     sleep(Duration::from_millis(30 * PERIOD_MS)).await;
-    fleet.until_stands(0, 2, "gone").await.expect("it says nothing");
+    fleet
+        .until_stands(0, 2, "gone")
+        .await
+        .expect("it says nothing");
     let after = fleet.ask(0, "/fleet/audit").await.expect("told");
     for proxy in [0, 1] {
-        assert_eq!(fenced(&after, proxy), fenced(&before, proxy), "proxy {proxy}: {after}");
+        assert_eq!(
+            fenced(&after, proxy),
+            fenced(&before, proxy),
+            "proxy {proxy}: {after}"
+        );
     }
 }
--- a/crates/heathroad-routing/src/condition.rs
+++ b/crates/heathroad-routing/src/condition.rs
@@ -1,4 +1,5 @@
-//! The conditions of a route, and what of a request they look at. Routes with conditions on the same fields are of one shape.
+//! The conditions of a route, and what of a request they look at. Routes with conditions on the
+//! same fields are of one shape.
 
 use serde::Serialize;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -104,7 +105,9 @@
     fn host_part(&self) -> Part {
         match self.host.as_deref().map(|h| h.strip_prefix("*.")) {
             None => Part::Any,
-            Some(Some(rest)) => Part::Some(rest.split('.').count().min(usize::from(u16::MAX)) as u16),
+            Some(Some(rest)) => {
+                Part::Some(rest.split('.').count().min(usize::from(u16::MAX)) as u16)
+            }
             Some(None) => Part::Whole,
         }
     }
@@ -130,10 +133,19 @@
     pub(crate) fn sample<T>(&self, look: impl FnOnce(&Request<'_>) -> T) -> T {
         let own = |name: &Option<String>| name.clone().unwrap_or_default();
         // A wildcard host has one label more than it names.
-        let host = self.host.as_deref().map(|h| h.replace('*', "x")).unwrap_or_default();
-        let path = self.path.as_deref().map(|p| p.strip_suffix("/*").unwrap_or(p)).unwrap_or_default();
+        let host = self
+            .host
+            .as_deref()
+            .map(|h| h.replace('*', "x"))
+            .unwrap_or_default();
+        let path = self
+            .path
+            .as_deref()
+            .map(|p| p.strip_suffix("/*").unwrap_or(p))
+            .unwrap_or_default();
         let value = self.header.as_ref().map(|(_, v)| v.as_str());
-        let header = |name: &str| value.filter(|_| self.header.as_ref().is_some_and(|(n, _)| n == name));
+        let header =
+            |name: &str| value.filter(|_| self.header.as_ref().is_some_and(|(n, _)| n == name));
         look(&Request {
             listener: &own(&self.listener),
             host: &host,
@@ -150,9 +162,10 @@
         let is = |want: &Option<String>, have: &str| want.as_deref().is_none_or(|w| w == have);
         let host = match self.host.as_deref().map(|h| (h, h.strip_prefix("*."))) {
             None => true,
-            Some((_, Some(rest))) => {
-                r.host.strip_suffix(rest).is_some_and(|h| h.len() > 1 && h.ends_with('.'))
-            }
+            Some((_, Some(rest))) => r
+                .host
+                .strip_suffix(rest)
+                .is_some_and(|h| h.len() > 1 && h.ends_with('.')),
             Some((whole, None)) => whole == r.host,
         };
         let path = match self.path.as_deref().map(|p| (p, p.strip_suffix("/*"))) {
@@ -163,7 +176,10 @@
             }
             Some((whole, None)) => segments(whole).eq(segments(r.path)),
         };
-        let header = self.header.as_ref().is_none_or(|(name, value)| (r.header)(name) == Some(value));
+        let header = self
+            .header
+            .as_ref()
+            .is_none_or(|(name, value)| (r.header)(name) == Some(value));
         host && path
             && header
             && is(&self.listener, r.listener)
@@ -182,9 +198,15 @@
             ("class", &self.class),
             ("tenant", &self.tenant),
         ];
-        let mut words: Vec<String> =
-            said.iter().filter_map(|(name, value)| Some(format!("{name} {}", value.as_ref()?))).collect();
-        words.extend(self.header.as_ref().map(|(name, value)| format!("header {name}: {value}")));
+        let mut words: Vec<String> = said
+            .iter()
+            .filter_map(|(name, value)| Some(format!("{name} {}", value.as_ref()?)))
+            .collect();
+        words.extend(
+            self.header
+                .as_ref()
+                .map(|(name, value)| format!("header {name}: {value}")),
+        );
         if words.is_empty() {
             "every request".to_string()
         } else {
@@ -196,7 +218,13 @@
 impl Shape {
     /// Grows with each condition: a match within another's has the higher rank.
     pub(crate) fn rank(&self) -> u32 {
-        let flags = [self.header.is_some(), self.class, self.tenant, self.method, self.listener];
+        let flags = [
+            self.header.is_some(),
+            self.class,
+            self.tenant,
+            self.method,
+            self.listener,
+        ];
         self.path.rank() + self.host.rank() + flags.into_iter().map(u32::from).sum::<u32>()
     }
 
@@ -205,7 +233,10 @@
         Shape {
             path: self.path.min(other.path),
             host: self.host.min(other.host),
-            header: self.header.clone().filter(|h| other.header.as_ref() == Some(h)),
+            header: self
+                .header
+                .clone()
+                .filter(|h| other.header.as_ref() == Some(h)),
             class: self.class && other.class,
             tenant: self.tenant && other.tenant,
             method: self.method && other.method,
@@ -237,7 +268,10 @@
             (self.method, r.method),
             (self.listener, r.listener),
         ];
-        flagged.into_iter().filter(|(on, _)| *on).for_each(|(_, text)| text.hash(&mut hash));
+        flagged
+            .into_iter()
+            .filter(|(on, _)| *on)
+            .for_each(|(_, text)| text.hash(&mut hash));
         Some(hash.finish())
     }
 }
--- a/crates/heathroad-routing/src/diff.rs
+++ b/crates/heathroad-routing/src/diff.rs
@@ -24,7 +24,9 @@
             continue;
         };
         if (&old.tenant, &old.unknown) != (&new.tenant, &new.unknown) {
-            lines.push(format!("listener {name}: its tenants or unknown methods are told otherwise"));
+            lines.push(format!(
+                "listener {name}: its tenants or unknown methods are told otherwise"
+            ));
         }
         let apart = |l: &Listener| Listener {
             methods: Default::default(),
@@ -33,7 +35,9 @@
             ..l.clone()
         };
         if apart(&old) != apart(new) {
-            lines.push(format!("listener {name} changes; connections to it end once they are answered"));
+            lines.push(format!(
+                "listener {name} changes; connections to it end once they are answered"
+            ));
         }
         let mut methods: Vec<_> = old.methods.keys().chain(new.methods.keys()).collect();
         methods.sort();
@@ -47,12 +51,17 @@
                     ));
                 }
                 (Some(a), Some(b)) if a != b => {
-                    lines.push(format!("listener {name}, method {method}: its key lies elsewhere"));
+                    lines.push(format!(
+                        "listener {name}, method {method}: its key lies elsewhere"
+                    ));
                 }
-                (None, Some(b)) => {
-                    lines.push(format!("listener {name} takes method {method}, class {}", b.class))
+                (None, Some(b)) => lines.push(format!(
+                    "listener {name} takes method {method}, class {}",
+                    b.class
+                )),
+                (Some(_), None) => {
+                    lines.push(format!("listener {name} takes method {method} no more"))
                 }
-                (Some(_), None) => lines.push(format!("listener {name} takes method {method} no more")),
                 _ => {}
             }
         }
@@ -70,7 +79,10 @@
         }
     }
     for p in from.pools.iter().filter(|p| of(to, &p.name).is_none()) {
-        lines.push(format!("pool {} is removed; what it has is finished", p.name));
+        lines.push(format!(
+            "pool {} is removed; what it has is finished",
+            p.name
+        ));
     }
 }
 
@@ -78,9 +90,15 @@
     match s {
         Source::List(members) => format!("{} listed backends", members.len()),
         Source::Registry { address, select } => {
-            let at = address.map_or("the default registry".to_string(), |a| format!("the registry at {a}"));
+            let at = address.map_or("the default registry".to_string(), |a| {
+                format!("the registry at {a}")
+            });
             let labels: Vec<String> = select.iter().map(|(k, v)| format!("{k} {v}")).collect();
-            if labels.is_empty() { format!("all of {at}") } else { format!("{} of {at}", labels.join(", ")) }
+            if labels.is_empty() {
+                format!("all of {at}")
+            } else {
+                format!("{} of {at}", labels.join(", "))
+            }
         }
     }
 }
@@ -91,15 +109,22 @@
         (Source::List(a), Source::List(b)) => {
             let [a, b] = [a, b].map(|list| list.iter().map(|m| m.address).collect::<BTreeSet<_>>());
             for (list, word) in [(&b - &a, "joins"), (&a - &b, "leaves")] {
-                lines.extend(list.iter().map(|m| format!("backend {m} {word} pool {name}")));
+                lines.extend(
+                    list.iter()
+                        .map(|m| format!("backend {m} {word} pool {name}")),
+                );
             }
             if a == b && old.source != new.source {
-                lines.push(format!("pool {name}: sites, blocks or weights of its backends change"));
+                lines.push(format!(
+                    "pool {name}: sites, blocks or weights of its backends change"
+                ));
             }
         }
-        (a, b) if a != b => {
-            lines.push(format!("pool {name} takes its backends from {} instead of {}", source(b), source(a)))
-        }
+        (a, b) if a != b => lines.push(format!(
+            "pool {name} takes its backends from {} instead of {}",
+            source(b),
+            source(a)
+        )),
         _ => {}
     }
     for c in &new.classes {
@@ -108,15 +133,25 @@
             Some(o) => class(name, o, c, lines),
         }
     }
-    for o in old.classes.iter().filter(|o| new.classes.iter().all(|c| c.name != o.name)) {
+    for o in old
+        .classes
+        .iter()
+        .filter(|o| new.classes.iter().all(|c| c.name != o.name))
+    {
         lines.push(format!("pool {name} serves class {} no more", o.name));
     }
     if old.rpc != new.rpc {
-        lines.push(format!("pool {name}: its backends are called over JSON-RPC in another way, or no more"));
+        lines.push(format!(
+            "pool {name}: its backends are called over JSON-RPC in another way, or no more"
+        ));
     }
     let say = |x: Option<u32>| x.map_or("the daemon's own".to_string(), |x| x.to_string());
     if old.open != new.open {
-        lines.push(format!("pool {name}: most open requests {} instead of {}", say(new.open), say(old.open)));
+        lines.push(format!(
+            "pool {name}: most open requests {} instead of {}",
+            say(new.open),
+            say(old.open)
+        ));
     }
 }
 
@@ -124,7 +159,9 @@
     match e {
         Effect::Safe => "safe to repeat".into(),
         Effect::Unsafe => "never run twice".into(),
-        Effect::Keyed { group, window_ms } => format!("keyed, {group:?} for {window_ms} ms").to_lowercase(),
+        Effect::Keyed { group, window_ms } => {
+            format!("keyed, {group:?} for {window_ms} ms").to_lowercase()
+        }
     }
 }
 
@@ -137,20 +174,34 @@
             effect(old.effect)
         ));
     }
-    for (what, a, b) in [("aim", old.aim_ms, new.aim_ms), ("deadline", old.deadline_ms, new.deadline_ms)] {
+    for (what, a, b) in [
+        ("aim", old.aim_ms, new.aim_ms),
+        ("deadline", old.deadline_ms, new.deadline_ms),
+    ] {
         if a != b {
-            lines.push(format!("pool {pool}, class {name}: {what} {b} ms instead of {a} ms"));
+            lines.push(format!(
+                "pool {pool}, class {name}: {what} {b} ms instead of {a} ms"
+            ));
         }
     }
     if old.worth != new.worth {
-        lines.push(format!("pool {pool}, class {name}: worth {} instead of {}", new.worth, old.worth));
+        lines.push(format!(
+            "pool {pool}, class {name}: worth {} instead of {}",
+            new.worth, old.worth
+        ));
     }
 }
 
-/// A request that a match is the most general description of, with what no other match asks for elsewhere.
+/// A request that a match is the most general description of, with what no other match asks for
+/// elsewhere.
 fn example<'a>(m: &'a Match, host: &'a str, path: &'a str, r: impl FnOnce(&Request<'_>)) {
     let text = |t: &'a Option<String>| t.as_deref().unwrap_or("\u{1}");
-    let header = |name: &str| m.header.as_ref().filter(|(n, _)| n == name).map(|(_, value)| value.as_str());
+    let header = |name: &str| {
+        m.header
+            .as_ref()
+            .filter(|(n, _)| n == name)
+            .map(|(_, value)| value.as_str())
+    };
     r(&Request {
         listener: text(&m.listener),
         host,
@@ -164,14 +215,22 @@
 
 /// Where a generation sends what a match describes: pools by name with their parts.
 fn goes(g: &Generation, m: &Match) -> Vec<(String, f64)> {
-    let host = m.host.as_deref().map_or("\u{1}".to_string(), |h| h.replace('*', "\u{1}"));
-    let path = m.path.as_deref().map_or("/\u{1}".to_string(), |p| p.replace('*', "\u{1}"));
+    let host = m
+        .host
+        .as_deref()
+        .map_or("\u{1}".to_string(), |h| h.replace('*', "\u{1}"));
+    let path = m
+        .path
+        .as_deref()
+        .map_or("/\u{1}".to_string(), |p| p.replace('*', "\u{1}"));
     let mut found = Vec::new();
     example(m, &host, &path, |request| {
         let to: &[Share] = g.table.route(request).map_or(&[], |r| &r.to);
         let all: f64 = to.iter().map(|s| s.weight).sum();
         let some = to.iter().filter(|s| s.weight > 0.0);
-        found = some.map(|s| (g.config.pools[s.pool].name.clone(), s.weight / all)).collect();
+        found = some
+            .map(|s| (g.config.pools[s.pool].name.clone(), s.weight / all))
+            .collect();
     });
     found.sort_by(|a, b| a.0.cmp(&b.0));
     found
@@ -182,8 +241,10 @@
         [] => "nowhere".to_string(),
         [(pool, _)] => pool.clone(),
         many => {
-            let parts: Vec<String> =
-                many.iter().map(|(p, part)| format!("{:.1}% to {p}", part * 100.0)).collect();
+            let parts: Vec<String> = many
+                .iter()
+                .map(|(p, part)| format!("{:.1}% to {p}", part * 100.0))
+                .collect();
             parts.join(", ")
         }
     }
@@ -201,7 +262,12 @@
     for m in seen {
         let [before, after] = [from, to].map(|g| goes(g, m));
         if before != after {
-            lines.push(format!("{} go to {} instead of {}", m.words(), shares(&after), shares(&before)));
+            lines.push(format!(
+                "{} go to {} instead of {}",
+                m.words(),
+                shares(&after),
+                shares(&before)
+            ));
         }
     }
 }
--- a/crates/heathroad-routing/src/fault.rs
+++ b/crates/heathroad-routing/src/fault.rs
@@ -29,8 +29,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, fault) in self.list.iter().enumerate() {
             let end = if i + 1 == self.list.len() { "" } else { "\n" };
-            let Fault { line, field, reason, expected } = fault;
-            write!(f, "{}:{line}: {field}: {reason}; expected {expected}{end}", self.file)?;
+            let Fault {
+                line,
+                field,
+                reason,
+                expected,
+            } = fault;
+            write!(
+                f,
+                "{}:{line}: {field}: {reason}; expected {expected}{end}",
+                self.file
+            )?;
         }
         Ok(())
     }
