--- a/crates/heathroad-routing/src/file.rs
+++ b/crates/heathroad-routing/src/file.rs
@@ -1,5 +1,5 @@
-//! The configuration file of routes and pools: TOML, read with lines, checked whole. Whatever is wrong is told at
-//! once, so that nobody mends a file error by error.
+//! The configuration file of routes and pools: TOML, read with lines, checked whole. Whatever is
+//! wrong is told at once, so that nobody mends a file error by error.
 
 mod rpc;
 
@@ -138,7 +138,8 @@
     reader::read(file, text, |lines, root| lines.config(root))
 }
 
-/// Whether a connect to an address comes to who listens at another: at all of the machine's, it may be.
+/// Whether a connect to an address comes to who listens at another: at all of the machine's, it may
+/// be.
 pub fn leads_to(address: SocketAddr, listens: SocketAddr) -> bool {
     let any = listens.ip().is_unspecified() && address.ip().is_loopback();
     listens.port() != 0 && address.port() == listens.port() && (address.ip() == listens.ip() || any)
@@ -148,7 +149,9 @@
     /// The pools whose listed backends are at an address where the daemon itself listens for HTTP.
     pub fn rounds(&self, listens: SocketAddr) -> impl Iterator<Item = &Pool> {
         self.pools.iter().filter(move |p| match &p.source {
-            Source::List(members) => members.iter().any(|m| p.rpc.is_none() && leads_to(m.address, listens)),
+            Source::List(members) => members
+                .iter()
+                .any(|m| p.rpc.is_none() && leads_to(m.address, listens)),
             Source::Registry { .. } => false,
         })
     }
@@ -165,7 +168,12 @@
         self.members(&pools);
         self.rounds(&pools, &listeners);
         let pools = pools.into_iter().map(|(p, _)| p).collect();
-        Config { tenants, pools, routes, listeners }
+        Config {
+            tenants,
+            pools,
+            routes,
+            listeners,
+        }
     }
 
     fn pools(&'a self, root: &Section<'a, '_>) -> Vec<(Pool, usize)> {
@@ -175,18 +183,40 @@
             let name = s.name(&mut names);
             let source = s.source();
             let mut class_names = BTreeMap::new();
-            let classes: Vec<Class> =
-                s.sections("class", 1_000).iter().map(|c| c.class(&mut class_names)).collect();
+            let classes: Vec<Class> = s
+                .sections("class", 1_000)
+                .iter()
+                .map(|c| c.class(&mut class_names))
+                .collect();
             if classes.is_empty() {
-                self.fault(s.at, s.field("class"), "is missing or empty", "one [[pool.class]] at the least");
+                self.fault(
+                    s.at,
+                    s.field("class"),
+                    "is missing or empty",
+                    "one [[pool.class]] at the least",
+                );
             }
             let open = s.whole("open", 1, 1_000_000);
             let rpc = s.rpc();
             s.end();
-            pools.push((Pool { name, source, classes, open, rpc }, s.at));
+            pools.push((
+                Pool {
+                    name,
+                    source,
+                    classes,
+                    open,
+                    rpc,
+                },
+                s.at,
+            ));
         }
         if pools.is_empty() {
-            self.fault(0, "pool", "is missing or empty", "one [[pool]] at the least");
+            self.fault(
+                0,
+                "pool",
+                "is missing or empty",
+                "one [[pool]] at the least",
+            );
         }
         pools
     }
@@ -195,7 +225,9 @@
     fn members(&self, pools: &[(Pool, usize)]) {
         let mut seen: BTreeMap<SocketAddr, (&Member, &str)> = BTreeMap::new();
         for (i, (pool, at)) in pools.iter().enumerate() {
-            let Source::List(members) = &pool.source else { continue };
+            let Source::List(members) = &pool.source else {
+                continue;
+            };
             let mut own = BTreeSet::new();
             for m in members {
                 let field = format!("pool[{i}].backends");
@@ -208,12 +240,13 @@
                     );
                 }
                 match seen.get(&m.address) {
-                    Some((other, of)) if (&other.site, other.block) != (&m.site, m.block) => self.fault(
-                        *at,
-                        &field,
-                        format!("{} is of another site or block in pool {of:?}", m.address),
-                        "one node to be the same in all pools",
-                    ),
+                    Some((other, of)) if (&other.site, other.block) != (&m.site, m.block) => self
+                        .fault(
+                            *at,
+                            &field,
+                            format!("{} is of another site or block in pool {of:?}", m.address),
+                            "one node to be the same in all pools",
+                        ),
                     Some(_) => {}
                     None => drop(seen.insert(m.address, (m, &pool.name))),
                 }
@@ -224,15 +257,21 @@
     /// A backend that is one of the daemon's own listeners sends calls round and round.
     fn rounds(&self, pools: &[(Pool, usize)], listeners: &[Listener]) {
         for (i, (pool, at)) in pools.iter().enumerate() {
-            let Source::List(members) = &pool.source else { continue };
+            let Source::List(members) = &pool.source else {
+                continue;
+            };
             for m in members {
                 // Calls go to the port for them, if there is one.
                 let port = pool.rpc.and_then(|r| r.port).unwrap_or(m.address.port());
                 let address = SocketAddr::new(m.address.ip(), port);
-                if let Some(l) = listeners.iter().find(|l| pool.rpc.is_some() && leads_to(address, l.address))
+                if let Some(l) = listeners
+                    .iter()
+                    .find(|l| pool.rpc.is_some() && leads_to(address, l.address))
                 {
-                    let reason =
-                        format!("{address} is listener {:?}, calls would come back for ever", l.name);
+                    let reason = format!(
+                        "{address} is listener {:?}, calls would come back for ever",
+                        l.name
+                    );
                     self.fault(
                         *at,
                         format!("pool[{i}].backends"),
@@ -256,26 +295,52 @@
         for s in root.sections("route", MAX_ROUTES) {
             let name = s.name(&mut names);
             let when = s.when();
-            if let Some(tenant) = when.tenant.as_ref().filter(|t| !tenants.is_empty() && !tenants.contains(t))
+            if let Some(tenant) = when
+                .tenant
+                .as_ref()
+                .filter(|t| !tenants.is_empty() && !tenants.contains(t))
             {
                 let expected = format!("one of `tenants`: {}", tenants.join(", "));
-                self.fault(s.at, s.field("tenant"), format!("no tenant {tenant:?}, unreachable"), expected);
+                self.fault(
+                    s.at,
+                    s.field("tenant"),
+                    format!("no tenant {tenant:?}, unreachable"),
+                    expected,
+                );
             }
             let to = s.to(pool_names);
             for share in &to {
-                let Some((pool, _)) = pools.get(share.pool) else { continue };
+                let Some((pool, _)) = pools.get(share.pool) else {
+                    continue;
+                };
                 let serves = |class: &String| pool.classes.iter().any(|c| c.name == *class);
                 if let Some(class) = when.class.as_ref().filter(|c| !serves(c)) {
-                    let reason = format!("pool {:?} does not serve {class:?}, unreachable", pool.name);
+                    let reason =
+                        format!("pool {:?} does not serve {class:?}, unreachable", pool.name);
                     let known: Vec<&str> = pool.classes.iter().map(|c| c.name.as_str()).collect();
-                    self.fault(s.at, s.field("class"), reason, format!("one of {}", known.join(", ")));
+                    self.fault(
+                        s.at,
+                        s.field("class"),
+                        reason,
+                        format!("one of {}", known.join(", ")),
+                    );
                 }
             }
             s.end();
-            routes.push(Route { name, when, to, line: self.line(s.at) });
+            routes.push(Route {
+                name,
+                when,
+                to,
+                line: self.line(s.at),
+            });
         }
         if routes.is_empty() {
-            self.fault(0, "route", "is missing or empty", "one [[route]] at the least");
+            self.fault(
+                0,
+                "route",
+                "is missing or empty",
+                "one [[route]] at the least",
+            );
         }
         for clash in crate::table::clashes(&routes) {
             let (one, other) = (&routes[clash.one], &routes[clash.other]);
@@ -293,7 +358,11 @@
 
 impl<'t> Section<'_, 't> {
     fn source(&self) -> Source {
-        let (list, registry, select) = (self.get("backends"), self.get("registry"), self.get("select"));
+        let (list, registry, select) = (
+            self.get("backends"),
+            self.get("registry"),
+            self.get("select"),
+        );
         match (list, registry.or(select)) {
             (Some(list), None) => Source::List(self.list(list)),
             (None, Some(_)) => {
@@ -322,7 +391,10 @@
                         );
                     }
                 }
-                Source::Registry { address, select: labels }
+                Source::Registry {
+                    address,
+                    select: labels,
+                }
             }
             (both, _) => {
                 let reason = if both.is_some() {
@@ -330,8 +402,10 @@
                 } else {
                     "neither a list nor a registry"
                 };
-                let expected = "`backends`, or `registry` (an address, or \"default\") with `select`";
-                self.lines.fault(self.at, self.field("backends"), reason, expected);
+                let expected =
+                    "`backends`, or `registry` (an address, or \"default\") with `select`";
+                self.lines
+                    .fault(self.at, self.field("backends"), reason, expected);
                 Source::List(Vec::new())
             }
         }
@@ -341,7 +415,12 @@
     fn list(&self, value: &'t Spanned<DeValue<'t>>) -> Vec<Member> {
         let expected = "a list of addresses, or of tables with `address`";
         let Some(array) = value.get_ref().as_array() else {
-            self.wrong(value, "backends", format!("is {}", kind(value.get_ref())), expected);
+            self.wrong(
+                value,
+                "backends",
+                format!("is {}", kind(value.get_ref())),
+                expected,
+            );
             return Vec::new();
         };
         if array.is_empty() {
@@ -361,7 +440,12 @@
                     let block = s.whole("block", 0, u32::from(u16::MAX)).unwrap_or(0) as u16;
                     let weight = s.number("weight", 0.01, 1000.0).unwrap_or(1.0);
                     s.end();
-                    address.map(|address| Member { address, site, block, weight })
+                    address.map(|address| Member {
+                        address,
+                        site,
+                        block,
+                        weight,
+                    })
                 }
                 _ => self.address(item, "backends").map(|address| Member {
                     address,
@@ -383,22 +467,46 @@
         let window = self.number("window_ms", 1.0, MAX_MS);
         let effect = match (effect.as_deref(), &group, self.get("window_ms")) {
             (Some("keyed"), _, _) => {
-                let groups = [("all", Group::All), ("site", Group::Site), ("block", Group::Block)];
+                let groups = [
+                    ("all", Group::All),
+                    ("site", Group::Site),
+                    ("block", Group::Block),
+                ];
                 let group = self.choice("group", &groups, "\"all\", \"site\" or \"block\"");
                 if self.get("window_ms").is_none() {
-                    self.missing("window_ms", "for how long repeats are dropped, in milliseconds");
+                    self.missing(
+                        "window_ms",
+                        "for how long repeats are dropped, in milliseconds",
+                    );
+                }
+                Effect::Keyed {
+                    group,
+                    window_ms: window.unwrap_or(1.0),
                 }
-                Effect::Keyed { group, window_ms: window.unwrap_or(1.0) }
             }
             (Some(word @ ("safe" | "unsafe")), group, window) => {
                 if group.is_some() || window.is_some() {
                     let reason = format!("{word:?} with a group or a window");
-                    self.lines.fault(self.at, self.field("effect"), reason, "these for \"keyed\" only");
+                    self.lines.fault(
+                        self.at,
+                        self.field("effect"),
+                        reason,
+                        "these for \"keyed\" only",
+                    );
+                }
+                if word == "safe" {
+                    Effect::Safe
+                } else {
+                    Effect::Unsafe
                 }
-                if word == "safe" { Effect::Safe } else { Effect::Unsafe }
             }
             (Some(other), ..) => {
-                self.lines.fault(self.at, self.field("effect"), format!("is {other:?}"), expected);
+                self.lines.fault(
+                    self.at,
+                    self.field("effect"),
+                    format!("is {other:?}"),
+                    expected,
+                );
                 Effect::Unsafe
             }
             (None, ..) => {
@@ -408,59 +516,94 @@
                 Effect::Unsafe
             }
         };
-        let (aim_ms, deadline_ms) = (self.must("aim_ms", 1.0, MAX_MS), self.must("deadline_ms", 1.0, MAX_MS));
+        let (aim_ms, deadline_ms) = (
+            self.must("aim_ms", 1.0, MAX_MS),
+            self.must("deadline_ms", 1.0, MAX_MS),
+        );
         if aim_ms > deadline_ms {
             let reason = format!("{aim_ms} is past the deadline of {deadline_ms}");
-            self.lines.fault(self.at, self.field("aim_ms"), reason, "an aim within the deadline");
+            self.lines.fault(
+                self.at,
+                self.field("aim_ms"),
+                reason,
+                "an aim within the deadline",
+            );
         }
         let worth = self.number("worth", 0.0, 1e6).unwrap_or(1.0);
         self.end();
-        Class { name, effect, aim_ms, deadline_ms, worth }
+        Class {
+            name,
+            effect,
+            aim_ms,
+            deadline_ms,
+            worth,
+        }
     }
 
     /// The conditions that a route has, and whatever else is about some requests only.
     pub fn when(&self) -> Match {
         let path = self.text("path");
-        if let Some(p) = path.as_ref().filter(|p| !p.starts_with('/') || p.contains("/*/") || p.contains('?'))
+        if let Some(p) = path
+            .as_ref()
+            .filter(|p| !p.starts_with('/') || p.contains("/*/") || p.contains('?'))
         {
             let expected = "a path from its /, or a prefix that ends with /*";
-            self.lines.fault(self.at, self.field("path"), format!("is {p:?}"), expected);
+            self.lines
+                .fault(self.at, self.field("path"), format!("is {p:?}"), expected);
         }
         let host = self.text("host").map(|h| h.to_ascii_lowercase());
-        if let Some(h) = host.as_ref().filter(|h| h.trim_start_matches("*.").contains(['*', '/'])) {
+        if let Some(h) = host
+            .as_ref()
+            .filter(|h| h.trim_start_matches("*.").contains(['*', '/']))
+        {
             let expected = "a name, or one that begins with *.";
-            self.lines.fault(self.at, self.field("host"), format!("is {h:?}"), expected);
+            self.lines
+                .fault(self.at, self.field("host"), format!("is {h:?}"), expected);
         }
-        let header = self.get("header").and_then(|value| match value.get_ref().as_table() {
-            Some(table) => {
-                let s = self.lines.section(table, value.span().start, self.field("header"));
-                let (name, is) = (s.text("name"), s.text("is"));
-                if name.is_none() || is.is_none() {
-                    s.missing("name", "`name` and `is`");
+        let header = self
+            .get("header")
+            .and_then(|value| match value.get_ref().as_table() {
+                Some(table) => {
+                    let s = self
+                        .lines
+                        .section(table, value.span().start, self.field("header"));
+                    let (name, is) = (s.text("name"), s.text("is"));
+                    if name.is_none() || is.is_none() {
+                        s.missing("name", "`name` and `is`");
+                    }
+                    s.end();
+                    name.zip(is)
+                        .map(|(name, is)| (name.to_ascii_lowercase(), is))
                 }
-                s.end();
-                name.zip(is).map(|(name, is)| (name.to_ascii_lowercase(), is))
-            }
-            None => {
-                self.wrong(
-                    value,
-                    "header",
-                    format!("is {}", kind(value.get_ref())),
-                    "a table with `name` and `is`",
-                );
-                None
-            }
-        });
+                None => {
+                    self.wrong(
+                        value,
+                        "header",
+                        format!("is {}", kind(value.get_ref())),
+                        "a table with `name` and `is`",
+                    );
+                    None
+                }
+            });
         let [listener, method, class, tenant] =
             ["listener", "method", "class", "tenant"].map(|f| self.text(f));
-        Match { listener, host, path, method, class, tenant, header }
+        Match {
+            listener,
+            host,
+            path,
+            method,
+            class,
+            tenant,
+            header,
+        }
     }
 
     fn to(&self, pools: &[String]) -> Vec<Share> {
         let place = |name: &str| pools.iter().position(|p| p == name);
         let dangling = |at: usize, field: String, name: &str| {
             let expected = format!("one of {}", pools.join(", "));
-            self.lines.fault(at, field, format!("no pool {name:?}"), expected);
+            self.lines
+                .fault(at, field, format!("no pool {name:?}"), expected);
         };
         let (pool, split) = (self.text("pool"), self.sections("split", 64));
         match (pool, split.is_empty()) {
@@ -502,8 +645,11 @@
                 shares
             }
             (pool, _) => {
-                let reason =
-                    if pool.is_some() { "both a pool and a split" } else { "neither a pool nor a split" };
+                let reason = if pool.is_some() {
+                    "both a pool and a split"
+                } else {
+                    "neither a pool nor a split"
+                };
                 self.lines.fault(
                     self.at,
                     self.field("pool"),
--- a/crates/heathroad-routing/src/file/rpc.rs
+++ b/crates/heathroad-routing/src/file/rpc.rs
@@ -1,4 +1,5 @@
-//! What a file says of JSON-RPC: where calls come in, what their methods are, and how pools' backends speak it.
+//! What a file says of JSON-RPC: where calls come in, what their methods are, and how pools'
+//! backends speak it.
 
 use super::{Effect, MAX_MS, Pool, Route};
 use crate::reader::{Lines, Section, kind};
@@ -22,7 +23,8 @@
     pub framing: Framing,
     /// Most calls at once on a connection.
     pub calls: u32,
-    /// The code of an error that says: turned away unseen, never ran. None where they have no such word.
+    /// The code of an error that says: turned away unseen, never ran. None where they have no such
+    /// word.
     pub declined: Option<i64>,
     /// Calls carry budgets, as members beside the specification's.
     pub budget: bool,
@@ -79,7 +81,8 @@
     pub key: Option<Pointer>,
 }
 
-/// The classes that pools which speak JSON-RPC serve, and whether one of them has it keyed or other than unsafe.
+/// The classes that pools which speak JSON-RPC serve, and whether one of them has it keyed or other
+/// than unsafe.
 struct Served {
     keyed: bool,
     repeats: bool,
@@ -87,8 +90,15 @@
 
 fn served(pools: &[(Pool, usize)]) -> BTreeMap<&str, Served> {
     let mut classes = BTreeMap::new();
-    for c in pools.iter().filter(|(p, _)| p.rpc.is_some()).flat_map(|(p, _)| &p.classes) {
-        let entry = classes.entry(c.name.as_str()).or_insert(Served { keyed: false, repeats: false });
+    for c in pools
+        .iter()
+        .filter(|(p, _)| p.rpc.is_some())
+        .flat_map(|(p, _)| &p.classes)
+    {
+        let entry = classes.entry(c.name.as_str()).or_insert(Served {
+            keyed: false,
+            repeats: false,
+        });
         entry.keyed |= matches!(c.effect, Effect::Keyed { .. });
         entry.repeats |= c.effect != Effect::Unsafe;
     }
@@ -127,13 +137,20 @@
                 let reason = format!("{at} is {other:?}'s too");
                 self.fault(s.at, s.field("listen"), reason, "an address of its own");
             }
-            let in_order = s.choice("order", &[("any", false), ("asked", true)], "\"any\" or \"asked\"");
+            let in_order = s.choice(
+                "order",
+                &[("any", false), ("asked", true)],
+                "\"any\" or \"asked\"",
+            );
             let framing = s.framing();
             let tenant = s.tenant_from(tenants);
             let methods = s.methods(&classes);
             let unknown = s.unknown(&classes);
             if methods.is_empty() && unknown.is_none() {
-                s.missing("method", "one [[listener.method]] at the least, or `unknown`");
+                s.missing(
+                    "method",
+                    "one [[listener.method]] at the least, or `unknown`",
+                );
             }
             let figure = |name, low, high, usual| s.whole(name, low, high).unwrap_or(usual);
             listeners.push(Listener {
@@ -155,22 +172,39 @@
         listeners
     }
 
-    /// Routes that name listeners or methods must name such that there are, and lead to where calls can go.
-    pub(super) fn listened(&'a self, routes: &[Route], listeners: &[Listener], pools: &[(Pool, usize)]) {
+    /// Routes that name listeners or methods must name such that there are, and lead to where calls
+    /// can go.
+    pub(super) fn listened(
+        &'a self,
+        routes: &[Route],
+        listeners: &[Listener],
+        pools: &[(Pool, usize)],
+    ) {
         for (i, route) in routes.iter().enumerate() {
-            let (at, field) = (self.start(route.line), |name: &str| format!("route[{i}].{name}"));
+            let (at, field) = (self.start(route.line), |name: &str| {
+                format!("route[{i}].{name}")
+            });
             let listener = route.when.listener.as_deref();
             let found = listeners.iter().find(|l| Some(l.name.as_str()) == listener);
             if let Some(name) = listener.filter(|n| *n != MAIN && found.is_none()) {
-                let known: Vec<&str> =
-                    [MAIN].into_iter().chain(listeners.iter().map(|l| l.name.as_str())).collect();
+                let known: Vec<&str> = [MAIN]
+                    .into_iter()
+                    .chain(listeners.iter().map(|l| l.name.as_str()))
+                    .collect();
                 let reason = format!("no listener {name:?}, unreachable");
-                self.fault(at, field("listener"), reason, format!("one of {}", known.join(", ")));
+                self.fault(
+                    at,
+                    field("listener"),
+                    reason,
+                    format!("one of {}", known.join(", ")),
+                );
             }
             if let Some(method) = &route.when.method {
                 let offers = |l: &&Listener| l.methods.contains_key(method) || l.unknown.is_some();
-                let any =
-                    listeners.iter().filter(|l| listener.is_none_or(|n| n == l.name)).any(|l| offers(&l));
+                let any = listeners
+                    .iter()
+                    .filter(|l| listener.is_none_or(|n| n == l.name))
+                    .any(|l| offers(&l));
                 if !any {
                     let reason = format!("no listener has a method {method:?}, unreachable");
                     self.fault(at, field("method"), reason, "a method of a [[listener]]");
@@ -192,7 +226,11 @@
 
 impl Section<'_, '_> {
     fn framing(&self) -> Framing {
-        let words = [("lines", Framing::Lines), ("headers", Framing::Headers), ("run-on", Framing::RunOn)];
+        let words = [
+            ("lines", Framing::Lines),
+            ("headers", Framing::Headers),
+            ("run-on", Framing::RunOn),
+        ];
         self.choice("framing", &words, "\"lines\", \"headers\" or \"run-on\"")
     }
 
@@ -214,23 +252,33 @@
         let known = |at: usize, field: String, name: &String| {
             if !tenants.is_empty() && !tenants.contains(name) {
                 let expected = format!("one of `tenants`: {}", tenants.join(", "));
-                self.lines.fault(at, field, format!("no tenant {name:?}"), expected);
+                self.lines
+                    .fault(at, field, format!("no tenant {name:?}"), expected);
             }
         };
-        let (fixed, pointer, from) = (self.text("tenant"), self.text("tenant_in"), self.get("tenant_from"));
+        let (fixed, pointer, from) = (
+            self.text("tenant"),
+            self.text("tenant_in"),
+            self.get("tenant_from"),
+        );
         match (fixed, pointer, from) {
             (None, None, None) => TenantFrom::Nothing,
             (Some(name), None, None) => {
                 known(self.at, self.field("tenant"), &name);
                 TenantFrom::Fixed(name)
             }
-            (None, Some(pointer), None) => {
-                self.pointer("tenant_in", &pointer).map_or(TenantFrom::Nothing, TenantFrom::Params)
-            }
+            (None, Some(pointer), None) => self
+                .pointer("tenant_in", &pointer)
+                .map_or(TenantFrom::Nothing, TenantFrom::Params),
             (None, None, Some(value)) => {
                 let expected = "a table of addresses and tenants";
                 let Some(table) = value.get_ref().as_table() else {
-                    self.wrong(value, "tenant_from", format!("is {}", kind(value.get_ref())), expected);
+                    self.wrong(
+                        value,
+                        "tenant_from",
+                        format!("is {}", kind(value.get_ref())),
+                        expected,
+                    );
                     return TenantFrom::Nothing;
                 };
                 let mut by = BTreeMap::new();
@@ -238,19 +286,31 @@
                     let (address, name) = (key.get_ref().parse(), value.get_ref().as_str());
                     match (address, name) {
                         (Ok(address), Some(name)) => {
-                            known(value.span().start, self.field("tenant_from"), &name.to_string());
+                            known(
+                                value.span().start,
+                                self.field("tenant_from"),
+                                &name.to_string(),
+                            );
                             by.insert(address, name.to_string());
                         }
-                        _ => {
-                            self.wrong(value, "tenant_from", format!("{:?} is none", key.get_ref()), expected)
-                        }
+                        _ => self.wrong(
+                            value,
+                            "tenant_from",
+                            format!("{:?} is none", key.get_ref()),
+                            expected,
+                        ),
                     }
                 }
                 TenantFrom::Connection(by)
             }
             _ => {
                 let expected = "one of `tenant`, `tenant_in` and `tenant_from`";
-                self.lines.fault(self.at, self.field("tenant"), "is told more than once", expected);
+                self.lines.fault(
+                    self.at,
+                    self.field("tenant"),
+                    "is told more than once",
+                    expected,
+                );
                 TenantFrom::Nothing
             }
         }
@@ -260,7 +320,8 @@
         match Pointer::read(text) {
             Ok(pointer) => Some(pointer),
             Err(expected) => {
-                self.lines.fault(self.at, self.field(name), format!("is {text:?}"), expected);
+                self.lines
+                    .fault(self.at, self.field(name), format!("is {text:?}"), expected);
                 None
             }
         }
@@ -280,7 +341,8 @@
                 known => format!("one of {}", known.join(", ")),
             };
             let reason = format!("no pool that speaks JSON-RPC serves {class:?}");
-            self.lines.fault(self.at, self.field(field), reason, expected);
+            self.lines
+                .fault(self.at, self.field(field), reason, expected);
         }
         served
     }
@@ -297,7 +359,10 @@
             let served = s.known_class(classes, "class", &class);
             let key = s.text("key").and_then(|k| s.pointer("key", &k));
             if key.is_none() && s.get("key").is_none() && served.is_some_and(|c| c.keyed) {
-                s.missing("key", "where a keyed call's key lies in its params, such as /claim/id");
+                s.missing(
+                    "key",
+                    "where a keyed call's key lies in its params, such as /claim/id",
+                );
             }
             s.end();
             methods.insert(name, Method { class, key });
@@ -305,12 +370,21 @@
         methods
     }
 
-    /// The class of methods that nobody named: nothing is known of them, so that it must be one that never runs twice.
+    /// The class of methods that nobody named: nothing is known of them, so that it must be one
+    /// that never runs twice.
     fn unknown(&self, classes: &BTreeMap<&str, Served>) -> Option<Method> {
         let class = self.text("unknown")?;
-        if self.known_class(classes, "unknown", &class).is_some_and(|c| c.repeats) {
+        if self
+            .known_class(classes, "unknown", &class)
+            .is_some_and(|c| c.repeats)
+        {
             let reason = format!("class {class:?} may run again");
-            self.lines.fault(self.at, self.field("unknown"), reason, "a class that is unsafe in every pool");
+            self.lines.fault(
+                self.at,
+                self.field("unknown"),
+                reason,
+                "a class that is unsafe in every pool",
+            );
         }
         Some(Method { class, key: None })
     }
--- a/crates/heathroad-routing/src/generation.rs
+++ b/crates/heathroad-routing/src/generation.rs
@@ -1,5 +1,5 @@
-//! A configuration as it is in force: an immutable snapshot with number and digest. A request binds to one when it is
-//! taken and keeps it to its final answer.
+//! A configuration as it is in force: an immutable snapshot with number and digest. A request binds
+//! to one when it is taken and keeps it to its final answer.
 
 use crate::condition::Request;
 use crate::fault::{Fault, Faults};
@@ -26,15 +26,18 @@
 
 /// A text's digest: the same on every machine.
 pub fn digest(text: &str) -> String {
-    Sha256::digest(text.as_bytes()).iter().take(8).fold(String::new(), |mut hex, byte| {
-        // Writing to text does not fail.
-        let _ = write!(hex, "{byte:02x}");
-        hex
-    })
+    Sha256::digest(text.as_bytes())
+        .iter()
+        .take(8)
+        .fold(String::new(), |mut hex, byte| {
+            // Writing to text does not fail.
+            let _ = write!(hex, "{byte:02x}");
+            hex
+        })
 }
 
-/// Methods whose calls some route takes to a pool that does not speak JSON-RPC or does not serve their class, whoever
-/// calls: they would never be served.
+/// Methods whose calls some route takes to a pool that does not speak JSON-RPC or does not serve
+/// their class, whoever calls: they would never be served.
 fn unserved(config: &Config, table: &Table) -> Vec<Fault> {
     let mut faults = Vec::new();
     for l in &config.listeners {
@@ -53,7 +56,9 @@
                 },
                 header: &|_| None,
             };
-            let Some(route) = table.route(&request) else { continue };
+            let Some(route) = table.route(&request) else {
+                continue;
+            };
             for pool in route.to.iter().map(|s| &config.pools[s.pool]) {
                 if pool.rpc.is_some() && pool.classes.iter().any(|c| c.name == method.class) {
                     continue;
@@ -61,7 +66,10 @@
                 faults.push(Fault {
                     line: route.line,
                     field: format!("route {:?}", route.name),
-                    reason: format!("calls of {name:?} on listener {:?} go to pool {:?}", l.name, pool.name),
+                    reason: format!(
+                        "calls of {name:?} on listener {:?} go to pool {:?}",
+                        l.name, pool.name
+                    ),
                     expected: format!("a pool with [pool.rpc] that serves {:?}", method.class),
                 });
             }
@@ -77,14 +85,31 @@
         let table = Table::new(&config).map_err(|said| {
             let (reason, expected) = said.split_once("; expected ").unwrap_or((&said, ""));
             let reason = reason.trim_start_matches("route: ").to_string();
-            let fault = Fault { line: 1, field: "route".into(), reason, expected: expected.into() };
-            Faults { file: file.to_string(), list: vec![fault] }
+            let fault = Fault {
+                line: 1,
+                field: "route".into(),
+                reason,
+                expected: expected.into(),
+            };
+            Faults {
+                file: file.to_string(),
+                list: vec![fault],
+            }
         })?;
         let faults = unserved(&config, &table);
         if !faults.is_empty() {
-            return Err(Faults { file: file.to_string(), list: faults });
+            return Err(Faults {
+                file: file.to_string(),
+                list: faults,
+            });
         }
-        Ok(Rc::new(Generation { number, digest: digest(text), text: text.to_string(), config, table }))
+        Ok(Rc::new(Generation {
+            number,
+            digest: digest(text),
+            text: text.to_string(),
+            config,
+            table,
+        }))
     }
 
     /// A pool by its name.
@@ -94,6 +119,10 @@
 
     /// The names of its pools that another generation lacks or words otherwise.
     pub fn pools_unlike<'a>(&'a self, other: &'a Generation) -> impl Iterator<Item = &'a str> {
-        self.config.pools.iter().filter(|p| other.pool(&p.name) != Some(p)).map(|p| p.name.as_str())
+        self.config
+            .pools
+            .iter()
+            .filter(|p| other.pool(&p.name) != Some(p))
+            .map(|p| p.name.as_str())
     }
 }
--- a/crates/heathroad-routing/src/harm.rs
+++ b/crates/heathroad-routing/src/harm.rs
@@ -1,5 +1,5 @@
-//! Whether a change harms: each pool that it touches is held against the time before and against the pools that it
-//! does not touch. What gets worse everywhere is not the change's doing.
+//! Whether a change harms: each pool that it touches is held against the time before and against
+//! the pools that it does not touch. What gets worse everywhere is not the change's doing.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,11 @@
 const ENOUGH: f64 = 40.0;
 /// A difference in a share must surely be larger than this ...
 const MARGIN: f64 = 0.05;
-/// ... and so many standard deviations, in a test that is made again each second for every pool: 5 of them come by
-/// chance once in some millions of looks.
+/// ... and so many standard deviations, in a test that is made again each second for every pool: 5
+/// of them come by chance once in some millions of looks.
 const SIGMAS: f64 = 5.0;
-/// Cold backends so near their budget, as a part of it, are harm at once: past 1 they fall over and stay down.
+/// Cold backends so near their budget, as a part of it, are harm at once: past 1 they fall over and
+/// stay down.
 const COLD: f64 = 0.9;
 
 /// What a pool did in a span of time.
@@ -38,7 +39,11 @@
     }
 
     fn share(&self, of: f64) -> f64 {
-        if self.requests > 0.0 { of / self.requests } else { 0.0 }
+        if self.requests > 0.0 {
+            of / self.requests
+        } else {
+            0.0
+        }
     }
 }
 
@@ -60,7 +65,8 @@
     pub pool: String,
     /// What is worse.
     pub what: &'static str,
-    /// Its share before, now, and what the untouched pools let expect now. For cold backends: their budget's part.
+    /// Its share before, now, and what the untouched pools let expect now. For cold backends: their
+    /// budget's part.
     pub before: f64,
     /// See `before`.
     pub now: f64,
@@ -71,7 +77,13 @@
 impl Harm {
     /// In words.
     pub fn words(&self) -> String {
-        let Harm { pool, what, before, now, expected } = self;
+        let Harm {
+            pool,
+            what,
+            before,
+            now,
+            expected,
+        } = self;
         format!("pool {pool}: {what} {now:.3}, before {before:.3}, expected {expected:.3}")
     }
 }
@@ -93,7 +105,12 @@
         touched: Vec<String>,
         heirs: BTreeMap<String, Vec<String>>,
     ) -> Self {
-        Watch { before, now: BTreeMap::new(), touched, heirs }
+        Watch {
+            before,
+            now: BTreeMap::new(),
+            touched,
+            heirs,
+        }
     }
 
     /// Takes note of what a pool did since the last time.
@@ -110,15 +127,25 @@
     pub fn harm(&self) -> Option<Harm> {
         let untouched = |of: &BTreeMap<String, Sample>| {
             let mut sum = Sample::default();
-            of.iter().filter(|(p, _)| !self.touched.contains(p)).for_each(|(_, s)| sum.add(s));
+            of.iter()
+                .filter(|(p, _)| !self.touched.contains(p))
+                .for_each(|(_, s)| sum.add(s));
             sum
         };
         let (control_before, control_now) = (untouched(&self.before), untouched(&self.now));
         for pool in &self.touched {
-            let Some(now) = self.now.get(pool) else { continue };
+            let Some(now) = self.now.get(pool) else {
+                continue;
+            };
             if now.cold > COLD {
                 let (pool, what) = (pool.clone(), "a cold backend's budget");
-                return Some(Harm { pool, what, before: 0.0, now: now.cold, expected: COLD });
+                return Some(Harm {
+                    pool,
+                    what,
+                    before: 0.0,
+                    now: now.cold,
+                    expected: COLD,
+                });
             }
             if now.requests < ENOUGH {
                 continue;
@@ -132,17 +159,27 @@
                     _ => 0.0,
                 };
                 let expected = (share(&before) + drift).min(1.0);
-                // A rate that was 0 so far is not known to be 0 for ever: one more than was counted (Laplace).
-                let p = ((count(&before) + 1.0) / (before.requests + 2.0)).max(expected).min(1.0);
+                // A rate that was 0 so far is not known to be 0 for ever: one more than was counted
+                // (Laplace).
+                let p = ((count(&before) + 1.0) / (before.requests + 2.0))
+                    .max(expected)
+                    .min(1.0);
                 let n = 1.0 / (1.0 / now.requests + 1.0 / before.requests.max(1.0));
                 let chance = SIGMAS * (p * (1.0 - p) / n).sqrt();
                 let by = share(now) - expected;
-                // And what was seen must itself lie beyond the margin, whatever chance there is in it.
+                // And what was seen must itself lie beyond the margin, whatever chance there is in
+                // it.
                 let seen = share(now);
                 let surely = by - SIGMAS * (seen * (1.0 - seen) / now.requests).sqrt();
                 if by > chance && surely > MARGIN {
                     let (pool, now) = (pool.clone(), share(now));
-                    return Some(Harm { pool, what, before: share(&before), now, expected });
+                    return Some(Harm {
+                        pool,
+                        what,
+                        before: share(&before),
+                        now,
+                        expected,
+                    });
                 }
             }
         }
@@ -153,7 +190,9 @@
         let mut sum = self.before.get(pool).copied().unwrap_or_default();
         if sum.requests < ENOUGH {
             let from = self.heirs.get(pool).map(Vec::as_slice).unwrap_or_default();
-            from.iter().filter_map(|p| self.before.get(p)).for_each(|s| sum.add(s));
+            from.iter()
+                .filter_map(|p| self.before.get(p))
+                .for_each(|s| sum.add(s));
         }
         sum
     }
--- a/crates/heathroad-routing/src/journal.rs
+++ b/crates/heathroad-routing/src/journal.rs
@@ -1,9 +1,9 @@
-//! What survives a kill: a log of records with lengths and checksums. A change is written down before it is made; a
-//! start reads the last committed generation, never one in probation. The disk is behind a trait, so that every point
-//! at which it can fail is tried.
+//! What survives a kill: a log of records with lengths and checksums. A change is written down
+//! before it is made; a start reads the last committed generation, never one in probation. The disk
+//! is behind a trait, so that every point at which it can fail is tried.
 //!
-//! The file: the line `heathroad-routing 1`, then records, each its payload's length and CRC-32 (little-endian, four
-//! bytes each) and the payload, one JSON object.
+//! The file: the line `heathroad-routing 1`, then records, each its payload's length and CRC-32
+//! (little-endian, four bytes each) and the payload, one JSON object.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -96,7 +96,8 @@
     bytes
 }
 
-/// Reads a log as far as it is sound. A torn or spoilt tail is noted, and what stands before it holds.
+/// Reads a log as far as it is sound. A torn or spoilt tail is noted, and what stands before it
+/// holds.
 pub fn read(bytes: &[u8]) -> Result<Recovered, Unusable> {
     let mut r = Recovered::default();
     if bytes.is_empty() {
@@ -104,7 +105,10 @@
     }
     let line = bytes.iter().take(64).position(|b| *b == b'\n');
     let head = line.and_then(|end| std::str::from_utf8(&bytes[..end]).ok());
-    let format = match (head.and_then(|h| h.strip_prefix(NAME)), header().as_bytes().starts_with(bytes)) {
+    let format = match (
+        head.and_then(|h| h.strip_prefix(NAME)),
+        header().as_bytes().starts_with(bytes),
+    ) {
         (Some(rest), _) => rest.trim().parse::<u32>().map_err(|_| Unusable::Foreign)?,
         // Torn in its very first line: nothing was ever written behind it.
         (None, true) => {
@@ -124,8 +128,10 @@
                 r.apply(record);
             }
             Err(why) => {
-                r.note =
-                    Some(format!("{} bytes behind the last sound record are {why}", bytes.len() - r.sound));
+                r.note = Some(format!(
+                    "{} bytes behind the last sound record are {why}",
+                    bytes.len() - r.sound
+                ));
                 break;
             }
         }
@@ -134,7 +140,12 @@
 }
 
 fn next(bytes: &[u8]) -> Result<(Record, usize), &'static str> {
-    let word = |at: usize| bytes.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_le_bytes);
+    let word = |at: usize| {
+        bytes
+            .get(at..at + 4)
+            .and_then(|b| b.try_into().ok())
+            .map(u32::from_le_bytes)
+    };
     let (length, sum) = word(0).zip(word(4)).ok_or("torn")?;
     let length = length as usize;
     if length > MAX_RECORD {
@@ -174,7 +185,8 @@
     }
 }
 
-/// A disk, as far as a log needs one. Each may fail at any time; what was not synced may be lost by a crash.
+/// A disk, as far as a log needs one. Each may fail at any time; what was not synced may be lost by
+/// a crash.
 pub trait Disk {
     /// Why it failed.
     type Error: fmt::Display;
@@ -225,26 +237,46 @@
     pub fn open(mut disk: D) -> Result<(Self, Recovered), OpenError<D::Error>> {
         let bytes = disk.load().map_err(OpenError::Disk)?;
         let found = read(bytes.as_deref().unwrap_or_default()).map_err(OpenError::Log)?;
-        let committed = found.committed.clone().map(|(number, text)| Record::Committed { number, text });
-        let mut journal =
-            Journal { disk, length: found.sound, committed, open: None, applied: None, doubtful: false };
+        let committed = found
+            .committed
+            .clone()
+            .map(|(number, text)| Record::Committed { number, text });
+        let mut journal = Journal {
+            disk,
+            length: found.sound,
+            committed,
+            open: None,
+            applied: None,
+            doubtful: false,
+        };
         if found.sound == 0 {
             // None, or torn in its first line.
             journal.rewrite().map_err(OpenError::Disk)?;
         } else if bytes.is_some_and(|b| b.len() > found.sound) {
-            journal.disk.truncate(found.sound).and_then(|()| journal.disk.sync()).map_err(OpenError::Disk)?;
+            journal
+                .disk
+                .truncate(found.sound)
+                .and_then(|()| journal.disk.sync())
+                .map_err(OpenError::Disk)?;
         }
         if let Some((number, _)) = found.open {
             // It is told that it ended by this start, so that the next start need not.
             let why = "the daemon ended before it was committed".into();
-            journal.write(Record::Closed { number, why }).map_err(OpenError::Disk)?;
+            journal
+                .write(Record::Closed { number, why })
+                .map_err(OpenError::Disk)?;
         }
         Ok((journal, found))
     }
 
-    /// Writes a record down for good. If this fails, nothing of it counts, and it may be tried again.
+    /// Writes a record down for good. If this fails, nothing of it counts, and it may be tried
+    /// again.
     pub fn write(&mut self, record: Record) -> Result<(), D::Error> {
-        let before = (self.committed.clone(), self.open.clone(), self.applied.clone());
+        let before = (
+            self.committed.clone(),
+            self.open.clone(),
+            self.applied.clone(),
+        );
         match &record {
             Record::Committed { .. } => {
                 (self.committed, self.open, self.applied) = (Some(record.clone()), None, None);
@@ -272,7 +304,9 @@
     }
 
     fn records(&self) -> impl Iterator<Item = &Record> {
-        [&self.committed, &self.open, &self.applied].into_iter().flatten()
+        [&self.committed, &self.open, &self.applied]
+            .into_iter()
+            .flatten()
     }
 
     fn live(&self) -> usize {
--- a/crates/heathroad-routing/src/nodes.rs
+++ b/crates/heathroad-routing/src/nodes.rs
@@ -1,5 +1,6 @@
-//! Nodes, by address: what is known of a backend belongs to it and not to the pools or generations that name it. A
-//! node in two pools is one node for drains and cold starts, and no change brings back one that drained or went.
+//! Nodes, by address: what is known of a backend belongs to it and not to the pools or generations
+//! that name it. A node in two pools is one node for drains and cold starts, and no change brings
+//! back one that drained or went.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,12 +14,16 @@
     Withdrawn,
 }
 
-/// How many of several pools, which each send to some nodes, share the node of theirs that most share: each keeps to
-/// that part of its nodes' cold budgets. 1 at the least.
+/// How many of several pools, which each send to some nodes, share the node of theirs that most
+/// share: each keeps to that part of its nodes' cold budgets. 1 at the least.
 pub fn sharers(pools: &[BTreeSet<SocketAddr>]) -> Vec<usize> {
     let mut by_node: BTreeMap<SocketAddr, usize> = BTreeMap::new();
-    pools.iter().flatten().for_each(|node| *by_node.entry(*node).or_default() += 1);
-    let most = |pool: &BTreeSet<SocketAddr>| pool.iter().map(|node| by_node[node]).max().unwrap_or(1);
+    pools
+        .iter()
+        .flatten()
+        .for_each(|node| *by_node.entry(*node).or_default() += 1);
+    let most =
+        |pool: &BTreeSet<SocketAddr>| pool.iter().map(|node| by_node[node]).max().unwrap_or(1);
     pools.iter().map(most).collect()
 }
 
@@ -38,11 +43,16 @@
 }
 
 impl Nodes {
-    /// A pool names these nodes from now on, and no others. What is no longer named by any pool is forgotten, unless
-    /// it was withdrawn: that is what must not be brought back by the next change.
+    /// A pool names these nodes from now on, and no others. What is no longer named by any pool is
+    /// forgotten, unless it was withdrawn: that is what must not be brought back by the next
+    /// change.
     pub fn named(&mut self, pool: &str, addresses: &BTreeSet<SocketAddr>) {
         for address in addresses {
-            self.nodes.entry(*address).or_default().pools.insert(pool.to_string());
+            self.nodes
+                .entry(*address)
+                .or_default()
+                .pools
+                .insert(pool.to_string());
         }
         self.nodes.retain(|address, node| {
             if !addresses.contains(address) {
@@ -52,8 +62,9 @@
         });
     }
 
-    /// A node's process is told: whether it takes new work, and when it started. A later start is another process, on
-    /// which no earlier drain weighs; an older one that comes late changes nothing.
+    /// A node's process is told: whether it takes new work, and when it started. A later start is
+    /// another process, on which no earlier drain weighs; an older one that comes late changes
+    /// nothing.
     pub fn told(&mut self, address: SocketAddr, born: u64, takes: bool) {
         let node = self.nodes.entry(address).or_default();
         if born < node.born {
@@ -82,7 +93,10 @@
 
     /// Nodes that are withdrawn, by address.
     pub fn withdrawn(&self) -> impl Iterator<Item = SocketAddr> {
-        self.nodes.iter().filter(|(_, n)| n.withdrawn).map(|(address, _)| *address)
+        self.nodes
+            .iter()
+            .filter(|(_, n)| n.withdrawn)
+            .map(|(address, _)| *address)
     }
 
     /// How many nodes are kept.
@@ -113,9 +127,15 @@
         let mut nodes = Nodes::default();
         nodes.named("a", &set(&[1, 2]));
         nodes.named("b", &set(&[2, 3]));
-        assert_eq!(sharers(&[set(&[1, 2]), set(&[2, 3]), set(&[4]), set(&[])]), [2, 2, 1, 1]);
+        assert_eq!(
+            sharers(&[set(&[1, 2]), set(&[2, 3]), set(&[4]), set(&[])]),
+            [2, 2, 1, 1]
+        );
         nodes.told(address(2), 0, false);
-        assert_eq!([1, 2, 3].map(|n| nodes.standing(address(n)) == Standing::Takes), [true, false, true]);
+        assert_eq!(
+            [1, 2, 3].map(|n| nodes.standing(address(n)) == Standing::Takes),
+            [true, false, true]
+        );
     }
 
     #[test]
@@ -127,9 +147,17 @@
         nodes.named("a", &set(&[1, 2]));
         assert_eq!(nodes.standing(address(2)), Standing::Withdrawn);
         nodes.told(address(2), 4, true);
-        assert_eq!(nodes.standing(address(2)), Standing::Withdrawn, "an older process that is told late");
+        assert_eq!(
+            nodes.standing(address(2)),
+            Standing::Withdrawn,
+            "an older process that is told late"
+        );
         nodes.told(address(2), 6, true);
-        assert_eq!(nodes.standing(address(2)), Standing::Takes, "another process");
+        assert_eq!(
+            nodes.standing(address(2)),
+            Standing::Takes,
+            "another process"
+        );
     }
 
     #[test]
--- a/crates/heathroad-routing/src/split.rs
+++ b/crates/heathroad-routing/src/split.rs
@@ -1,5 +1,6 @@
-//! Weighted splits, stable by key: weighted rendezvous hashing (Thaler and Ravishankar 1998, weights by the
-//! logarithmic method). When a weight grows, keys move only to that pool; when it shrinks, only away from it.
+//! Weighted splits, stable by key: weighted rendezvous hashing (Thaler and Ravishankar 1998,
+//! weights by the logarithmic method). When a weight grows, keys move only to that pool; when it
+//! shrinks, only away from it.
 
 /// Where a share of a route's requests goes.
 #[derive(Debug, Clone, PartialEq)]
@@ -10,8 +11,8 @@
     pub weight: f64,
 }
 
-/// The share that a key falls to: by the pools' names, so that the order of a file decides nothing. None where all
-/// weights are 0.
+/// The share that a key falls to: by the pools' names, so that the order of a file decides nothing.
+/// None where all weights are 0.
 pub fn pick<'a>(shares: &'a [Share], names: &[String], key: u64) -> Option<&'a Share> {
     if let [only] = shares {
         return Some(only).filter(|s| s.weight > 0.0);
@@ -22,12 +23,18 @@
         let drawn = ((mix(hash(name.as_bytes()) ^ key) >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
         -drawn.ln() / s.weight
     };
-    shares.iter().filter(|s| s.weight > 0.0).min_by(|a, b| cost(a).total_cmp(&cost(b)))
+    shares
+        .iter()
+        .filter(|s| s.weight > 0.0)
+        .min_by(|a, b| cost(a).total_cmp(&cost(b)))
 }
 
-/// FNV-1a: the same on every machine and in every build, as a split must be that several proxies share.
+/// FNV-1a: the same on every machine and in every build, as a split must be that several proxies
+/// share.
 pub fn hash(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3))
+    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 fn mix(mut x: u64) -> u64 {
@@ -45,11 +52,20 @@
     }
 
     fn shares(weights: &[f64]) -> Vec<Share> {
-        weights.iter().enumerate().map(|(pool, weight)| Share { pool, weight: *weight }).collect()
+        weights
+            .iter()
+            .enumerate()
+            .map(|(pool, weight)| Share {
+                pool,
+                weight: *weight,
+            })
+            .collect()
     }
 
     fn pool(weights: &[f64], key: u64) -> usize {
-        pick(&shares(weights), &names(), mix(key)).expect("some weight").pool
+        pick(&shares(weights), &names(), mix(key))
+            .expect("some weight")
+            .pool
     }
 
     #[test]
@@ -64,7 +80,10 @@
     fn a_key_stays_while_weights_change_but_for_the_moved_share() {
         for key in 0..5_000 {
             let (before, after) = (pool(&[90.0, 10.0], key), pool(&[80.0, 20.0], key));
-            assert!(before == after || (before, after) == (0, 1), "only towards the pool that grew");
+            assert!(
+                before == after || (before, after) == (0, 1),
+                "only towards the pool that grew"
+            );
             // Neither the scale of the weights nor a pool without any decides.
             assert_eq!(before, pool(&[9.0, 1.0, 0.0], key));
         }
--- a/crates/heathroad-routing/src/transaction.rs
+++ b/crates/heathroad-routing/src/transaction.rs
@@ -1,8 +1,10 @@
-//! Changing the configuration: staged, applied at one instant, watched, then committed or undone. A state machine
-//! without clock or I/O: it is told what happens, and answers with steps to be carried out in order.
+//! Changing the configuration: staged, applied at one instant, watched, then committed or undone. A
+//! state machine without clock or I/O: it is told what happens, and answers with steps to be
+//! carried out in order.
 //!
-//! One change at a time. Undoing is a change of its own, with a number of its own; what drained, went or was revoked
-//! meanwhile belongs to the nodes and not to generations, and no undoing brings it back.
+//! One change at a time. Undoing is a change of its own, with a number of its own; what drained,
+//! went or was revoked meanwhile belongs to the nodes and not to generations, and no undoing brings
+//! it back.
 
 use crate::condition::Match;
 use crate::file::Route;
@@ -23,7 +25,8 @@
     pub stage: Millis,
     /// A change is watched for so long before it is committed.
     pub probation: Millis,
-    /// Most generations that requests may still be bound to, beside the one in force; a change past that waits.
+    /// Most generations that requests may still be bound to, beside the one in force; a change past
+    /// that waits.
     pub most_alive: usize,
     /// A change is judged before it is applied: [`Step::Judge`] asks, [`Event::Judged`] answers.
     pub judged: bool,
@@ -31,19 +34,25 @@
 
 impl Default for Terms {
     fn default() -> Self {
-        Terms { stage: 30_000, probation: 30_000, most_alive: 4, judged: false }
+        Terms {
+            stage: 30_000,
+            probation: 30_000,
+            most_alive: 4,
+            judged: false,
+        }
     }
 }
 
 /// What happens.
 #[derive(Debug)]
 pub enum Event {
-    /// A checked text is proposed. Its number is this machine's to give, unless it bears one that is higher than any that
-    /// was given here: one that other machines know it by.
+    /// A checked text is proposed. Its number is this machine's to give, unless it bears one that
+    /// is higher than any that was given here: one that other machines know it by.
     Propose(Rc<Generation>),
     /// A pool that a generation stages has nodes and warm connections.
     Ready {
-        /// The generation: an earlier one may have staged a pool of this name that is worded otherwise.
+        /// The generation: an earlier one may have staged a pool of this name that is worded
+        /// otherwise.
         number: u64,
         /// The pool.
         pool: String,
@@ -72,7 +81,8 @@
     Write(Record),
     /// Make these pools of a generation ready: nodes heard, connections warm.
     Stage(Rc<Generation>, Vec<String>),
-    /// All else is ready: say by [`Event::Judged`] whether this generation may be applied as things stand.
+    /// All else is ready: say by [`Event::Judged`] whether this generation may be applied as things
+    /// stand.
     Judge(Rc<Generation>),
     /// From this instant on new requests bind to this generation.
     Apply(Rc<Generation>),
@@ -128,8 +138,17 @@
 #[derive(Debug)]
 enum Phase {
     Steady,
-    Staging { next: Rc<Generation>, missing: BTreeSet<String>, until: Millis, gate: Gate },
-    Probation { before: Rc<Generation>, watch: Watch, until: Millis },
+    Staging {
+        next: Rc<Generation>,
+        missing: BTreeSet<String>,
+        until: Millis,
+        gate: Gate,
+    },
+    Probation {
+        before: Rc<Generation>,
+        watch: Watch,
+        until: Millis,
+    },
 }
 
 /// Changes the configuration, one change at a time.
@@ -151,7 +170,8 @@
     alive: Vec<Weak<Generation>>,
 }
 
-/// A part of what pools did is forgotten with each look, so that the time before a change is the time just before.
+/// A part of what pools did is forgotten with each look, so that the time before a change is the
+/// time just before.
 const FADE: f64 = 0.95;
 
 impl Changer {
@@ -191,19 +211,30 @@
         }
     }
 
-    /// How many generations that are no longer in force requests are still bound to. (What this machine itself keeps,
-    /// to undo, is not counted.)
+    /// How many generations that are no longer in force requests are still bound to. (What this
+    /// machine itself keeps, to undo, is not counted.)
     pub fn alive(&mut self) -> usize {
         self.alive.retain(|g| g.strong_count() > 0);
         let before = match &self.phase {
             Phase::Probation { before, .. } => Some(before),
             _ => None,
         };
-        let own = [before, self.previous.as_ref(), self.stood.as_ref(), Some(&self.stands)];
+        let own = [
+            before,
+            self.previous.as_ref(),
+            self.stood.as_ref(),
+            Some(&self.stands),
+        ];
         let kept = |g: &Weak<Generation>| {
-            own.iter().flatten().filter(|o| std::ptr::eq(Rc::as_ptr(o), g.as_ptr())).count()
+            own.iter()
+                .flatten()
+                .filter(|o| std::ptr::eq(Rc::as_ptr(o), g.as_ptr()))
+                .count()
         };
-        self.alive.iter().filter(|g| g.strong_count() > kept(g)).count()
+        self.alive
+            .iter()
+            .filter(|g| g.strong_count() > kept(g))
+            .count()
     }
 
     /// Takes an event at a time, and appends what is to be done.
@@ -238,7 +269,11 @@
         match said {
             Some(said) => out.push(Step::Say(said)),
             None => {
-                let gate = if self.terms.judged { Gate::Closed } else { Gate::Open };
+                let gate = if self.terms.judged {
+                    Gate::Closed
+                } else {
+                    Gate::Open
+                };
                 self.stage(now, &next, gate, out);
             }
         }
@@ -247,20 +282,39 @@
     fn stage(&mut self, now: Millis, next: &Generation, gate: Gate, out: &mut Vec<Step>) {
         self.highest = next.number.max(self.highest + 1);
         // It was checked when it was read, and reads the same under its number.
-        let Ok(next) = Generation::read(self.highest, "", &next.text) else { return };
-        let missing: BTreeSet<String> = next.pools_unlike(&self.current).map(str::to_string).collect();
-        out.push(Step::Write(Record::Opened { number: next.number, text: next.text.clone() }));
+        let Ok(next) = Generation::read(self.highest, "", &next.text) else {
+            return;
+        };
+        let missing: BTreeSet<String> = next
+            .pools_unlike(&self.current)
+            .map(str::to_string)
+            .collect();
+        out.push(Step::Write(Record::Opened {
+            number: next.number,
+            text: next.text.clone(),
+        }));
         out.push(Step::Say(Said::Staging(next.number)));
         let pools = missing.iter().cloned().collect();
         out.push(Step::Stage(next.clone(), pools));
-        self.phase = Phase::Staging { next, missing, until: now + self.terms.stage, gate };
+        self.phase = Phase::Staging {
+            next,
+            missing,
+            until: now + self.terms.stage,
+            gate,
+        };
         self.staged(now, out);
     }
 
-    /// Applies the change once nothing is missing and it was judged: last, since nodes may have drained meanwhile.
+    /// Applies the change once nothing is missing and it was judged: last, since nodes may have
+    /// drained meanwhile.
     fn staged(&mut self, now: Millis, out: &mut Vec<Step>) {
         let (next, gate) = match &mut self.phase {
-            Phase::Staging { next, missing, gate, .. } if missing.is_empty() => (next.clone(), gate),
+            Phase::Staging {
+                next,
+                missing,
+                gate,
+                ..
+            } if missing.is_empty() => (next.clone(), gate),
             _ => return,
         };
         match gate {
@@ -272,16 +326,24 @@
             Gate::Open => {}
         }
         let watch = self.watch(&next);
-        out.push(Step::Write(Record::Applied { number: next.number }));
+        out.push(Step::Write(Record::Applied {
+            number: next.number,
+        }));
         out.push(Step::Apply(next.clone()));
         out.push(Step::Say(Said::Applied(next.number)));
         let before = self.replace(next);
-        self.phase = Phase::Probation { before, watch, until: now + self.terms.probation };
+        self.phase = Phase::Probation {
+            before,
+            watch,
+            until: now + self.terms.probation,
+        };
     }
 
     fn judged(&mut self, now: Millis, number: u64, why: Option<String>, out: &mut Vec<Step>) {
         let gate = match &mut self.phase {
-            Phase::Staging { next, gate, .. } if next.number == number && *gate == Gate::Asked => gate,
+            Phase::Staging { next, gate, .. } if next.number == number && *gate == Gate::Asked => {
+                gate
+            }
             // The change was given up meanwhile.
             _ => return,
         };
@@ -300,14 +362,27 @@
         before
     }
 
-    /// The pools whose definition or share of the requests changes, and whose requests the new ones take over.
+    /// The pools whose definition or share of the requests changes, and whose requests the new ones
+    /// take over.
     fn watch(&self, next: &Generation) -> Watch {
-        let mut touched: BTreeSet<String> = next.pools_unlike(&self.current).map(str::to_string).collect();
+        let mut touched: BTreeSet<String> = next
+            .pools_unlike(&self.current)
+            .map(str::to_string)
+            .collect();
         let mut heirs: BTreeMap<String, Vec<String>> = BTreeMap::new();
         let named = |g: &Generation, to: &[Share]| -> Vec<String> {
-            to.iter().filter(|s| s.weight > 0.0).map(|s| g.config.pools[s.pool].name.clone()).collect()
+            to.iter()
+                .filter(|s| s.weight > 0.0)
+                .map(|s| g.config.pools[s.pool].name.clone())
+                .collect()
         };
-        let old: HashMap<&Match, &Route> = self.current.config.routes.iter().map(|r| (&r.when, r)).collect();
+        let old: HashMap<&Match, &Route> = self
+            .current
+            .config
+            .routes
+            .iter()
+            .map(|r| (&r.when, r))
+            .collect();
         let mut seen = 0;
         for route in &next.config.routes {
             let now = named(next, &route.to);
@@ -318,7 +393,9 @@
                     let weights = |r: &Route| r.to.iter().map(|s| s.weight).collect::<Vec<_>>();
                     if before != now || weights(was) != weights(route) {
                         touched.extend(before.iter().chain(&now).cloned());
-                        now.iter().for_each(|p| heirs.entry(p.clone()).or_default().extend(before.clone()));
+                        now.iter().for_each(|p| {
+                            heirs.entry(p.clone()).or_default().extend(before.clone())
+                        });
                     }
                 }
                 // A new route takes its requests from some less specific one: from any pool.
@@ -328,7 +405,13 @@
         if seen < self.current.config.routes.len() {
             // What a removed route sent falls to others, which may be any that remain.
             let still: HashSet<&Match> = next.config.routes.iter().map(|r| &r.when).collect();
-            for gone in self.current.config.routes.iter().filter(|r| !still.contains(&r.when)) {
+            for gone in self
+                .current
+                .config
+                .routes
+                .iter()
+                .filter(|r| !still.contains(&r.when))
+            {
                 touched.extend(named(&self.current, &gone.to));
             }
         }
@@ -345,7 +428,13 @@
             }
             _ => {
                 let recent = self.recent.entry(pool.to_string()).or_default();
-                let Sample { requests, failed, refused, late, cold } = *recent;
+                let Sample {
+                    requests,
+                    failed,
+                    refused,
+                    late,
+                    cold,
+                } = *recent;
                 *recent = Sample {
                     requests: requests * FADE + sample.requests,
                     failed: failed * FADE + sample.failed,
@@ -362,7 +451,8 @@
             Phase::Staging { .. } => self.give_up(why, out),
             Phase::Probation { .. } => self.undo_probation(&why, out),
             Phase::Steady if self.stopping => out.push(Step::Say(Said::Stopping)),
-            // A committed one is undone like any change: staged, for its pools may have gone, and watched.
+            // A committed one is undone like any change: staged, for its pools may have gone, and
+            // watched.
             Phase::Steady => match self.previous.clone() {
                 // Not judged: nothing that is expected may stand in the way back.
                 Some(previous) => self.stage(now, &previous, Gate::Open, out),
@@ -373,13 +463,19 @@
 
     /// Back to the generation before, at one instant: its pools were kept.
     fn undo_probation(&mut self, why: &str, out: &mut Vec<Step>) {
-        let Phase::Probation { before, .. } = std::mem::replace(&mut self.phase, Phase::Steady) else {
+        let Phase::Probation { before, .. } = std::mem::replace(&mut self.phase, Phase::Steady)
+        else {
             return;
         };
         let undone = self.current.clone();
         self.highest += 1;
-        let Ok(back) = Generation::read(self.highest, "", &before.text) else { return };
-        out.push(Step::Write(Record::Committed { number: back.number, text: back.text.clone() }));
+        let Ok(back) = Generation::read(self.highest, "", &before.text) else {
+            return;
+        };
+        out.push(Step::Write(Record::Committed {
+            number: back.number,
+            text: back.text.clone(),
+        }));
         out.push(Step::Apply(back.clone()));
         let (number, by, why) = (undone.number, back.number, why.to_string());
         out.push(Step::Say(Said::Undone { number, by, why }));
@@ -408,13 +504,19 @@
     }
 
     fn give_up(&mut self, why: String, out: &mut Vec<Step>) {
-        let Phase::Staging { next, .. } = std::mem::replace(&mut self.phase, Phase::Steady) else { return };
-        out.push(Step::Write(Record::Closed { number: next.number, why: why.clone() }));
+        let Phase::Staging { next, .. } = std::mem::replace(&mut self.phase, Phase::Steady) else {
+            return;
+        };
+        out.push(Step::Write(Record::Closed {
+            number: next.number,
+            why: why.clone(),
+        }));
         out.push(Step::Say(Said::GivenUp(next.number, why)));
         self.retire(&next, out);
     }
 
-    /// A change that is not committed when the daemon stops is not started again; what is in force stays so to the end.
+    /// A change that is not committed when the daemon stops is not started again; what is in force
+    /// stays so to the end.
     fn stop(&mut self, out: &mut Vec<Step>) {
         self.stopping = true;
         if matches!(self.phase, Phase::Staging { .. }) {
@@ -451,8 +553,8 @@
         }
     }
 
-    /// A step could not be carried out. What was not written down is not done: a change that can't be opened or
-    /// applied is given up, one that can't be committed is undone.
+    /// A step could not be carried out. What was not written down is not done: a change that can't
+    /// be opened or applied is given up, one that can't be committed is undone.
     pub fn failed(&mut self, record: &Record, why: &str, out: &mut Vec<Step>) {
         match record {
             Record::Opened { .. } | Record::Applied { .. } => match &self.phase {
@@ -460,16 +562,21 @@
                 Phase::Probation { .. } => self.undo_probation(why, out),
                 Phase::Steady => {}
             },
-            // In force, but not for good: a start would begin with the one that was committed before, and so this
-            // life goes back to it. (An undoing that can't be written down is there already.)
+            // In force, but not for good: a start would begin with the one that was committed
+            // before, and so this life goes back to it. (An undoing that can't be written down is
+            // there already.)
             Record::Committed { number, .. } if *number == self.current.number => {
-                let Some(stands) = self.stood.take() else { return };
+                let Some(stands) = self.stood.take() else {
+                    return;
+                };
                 self.stands = stands.clone();
                 if stands.text == self.current.text {
                     return;
                 }
                 self.highest += 1;
-                let Ok(back) = Generation::read(self.highest, "", &stands.text) else { return };
+                let Ok(back) = Generation::read(self.highest, "", &stands.text) else {
+                    return;
+                };
                 let undone = self.current.clone();
                 out.push(Step::Apply(back.clone()));
                 let (number, by, why) = (*number, back.number, why.to_string());
--- a/crates/heathroad-routing/tests/cold.rs
+++ b/crates/heathroad-routing/tests/cold.rs
@@ -1,13 +1,13 @@
-//! Pools that come and go and share a freshly started node: all together they keep to one cold budget, decided by the
-//! real module of each and shared out by `nodes::sharers`.
+//! Pools that come and go and share a freshly started node: all together they keep to one cold
+//! budget, decided by the real module of each and shared out by `nodes::sharers`.
 
 use heathroad_routing::nodes::sharers;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use turnshift::Balancer;
 use turnshift::api::{
-    Action, Arrival, BackendId, Caps, Class, Effect, Entry, Event, Goal, ListKind, Outcome, Resolved, Rules,
-    Settings,
+    Action, Arrival, BackendId, Caps, Class, Effect, Entry, Event, Goal, ListKind, Outcome,
+    Resolved, Rules, Settings,
 };
 
 const STEP: f64 = 50.0;
@@ -22,9 +22,23 @@
         copies: 1,
         tick: 5.0,
         over_share_worth: 0.05,
-        classes: vec![Class { aim: 1000.0, points: 1.0, effect: Effect::Retryable, in_order: false }],
-        caps: Caps { cancelling: true, try_limit: 3, ..Caps::default() },
-        rules: Rules { cold_from: 0.1, cold: COLD, fall_multiple: 3.0, ..Rules::default() },
+        classes: vec![Class {
+            aim: 1000.0,
+            points: 1.0,
+            effect: Effect::Retryable,
+            in_order: false,
+        }],
+        caps: Caps {
+            cancelling: true,
+            try_limit: 3,
+            ..Caps::default()
+        },
+        rules: Rules {
+            cold_from: 0.1,
+            cold: COLD,
+            fall_multiple: 3.0,
+            ..Rules::default()
+        },
         goal: Goal::default(),
         ..Settings::default()
     }
@@ -47,12 +61,33 @@
     fn new(number: u32, seed: u64, now: f64, started: f64) -> Pool {
         let balancer = Balancer::new(settings(), seed).expect("settings are sound");
         let own = (0..WARM).map(|n| 100 * (number + 1) + n);
-        let mut entries =
-            vec![Entry { backend: FRESH, weight: 1.0, started_at: started, ..Entry::default() }];
-        entries.extend(own.map(|backend| Entry { backend, weight: 1.0, ..Entry::default() }));
+        let mut entries = vec![Entry {
+            backend: FRESH,
+            weight: 1.0,
+            started_at: started,
+            ..Entry::default()
+        }];
+        entries.extend(own.map(|backend| Entry {
+            backend,
+            weight: 1.0,
+            ..Entry::default()
+        }));
         let nodes = entries.iter().map(|e| address(e.backend)).collect();
-        let mut pool = Pool { balancer, nodes, timers: Vec::new(), next: 1, out: Vec::new() };
-        pool.tell(now, Event::List { kind: ListKind::Full, entries }, &mut Vec::new());
+        let mut pool = Pool {
+            balancer,
+            nodes,
+            timers: Vec::new(),
+            next: 1,
+            out: Vec::new(),
+        };
+        pool.tell(
+            now,
+            Event::List {
+                kind: ListKind::Full,
+                entries,
+            },
+            &mut Vec::new(),
+        );
         pool
     }
 
@@ -62,7 +97,9 @@
             self.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
                 match action {
-                    Action::Send { request, backend, .. } => {
+                    Action::Send {
+                        request, backend, ..
+                    } => {
                         sent.push(backend);
                         let attempt = self.out.iter().filter(|o| o.0 == request).count() as u8;
                         self.out.push((request, attempt, backend, now));
@@ -78,13 +115,24 @@
     fn step(&mut self, now: f64, requests: usize, sent: &mut Vec<BackendId>) {
         for (request, attempt, backend, at) in std::mem::take(&mut self.out) {
             let (outcome, wait, closed) = (Outcome::Ok, now - at, true);
-            let resolved = Resolved { request, attempt, backend, outcome, wait, closed, spare: None };
+            let resolved = Resolved {
+                request,
+                attempt,
+                backend,
+                outcome,
+                wait,
+                closed,
+                spare: None,
+            };
             self.tell(now, Event::Resolved(resolved), sent);
         }
-        let (due, later) = std::mem::take(&mut self.timers).into_iter().partition(|(at, _)| *at <= now);
+        let (due, later) = std::mem::take(&mut self.timers)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
         self.timers = later;
         let due: Vec<(f64, u64)> = due;
-        due.into_iter().for_each(|(_, token)| self.tell(now, Event::Wake { token }, sent));
+        due.into_iter()
+            .for_each(|(_, token)| self.tell(now, Event::Wake { token }, sent));
         for _ in 0..requests {
             let request = self.next;
             self.next += 1;
@@ -102,8 +150,9 @@
     }
 }
 
-/// Random histories of one to four pools over a node's first seconds, some joining late and some leaving. Over each
-/// second the node is sent less than its warmth allows beside what the busiest warm node carries.
+/// Random histories of one to four pools over a node's first seconds, some joining late and some
+/// leaving. Over each second the node is sent less than its warmth allows beside what the busiest
+/// warm node carries.
 #[test]
 fn pools_that_share_a_fresh_node_keep_to_one_cold_budget() {
     let (mut cold_sends, mut looks) = (0, 0);
@@ -111,30 +160,46 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let started = 5_000.0;
         let rate = 10 + rng.usize(..20);
-        let mut pools: Vec<Pool> =
-            (0..4).map(|n| Pool::new(n, seed + u64::from(n), 1_000.0, started)).collect();
+        let mut pools: Vec<Pool> = (0..4)
+            .map(|n| Pool::new(n, seed + u64::from(n), 1_000.0, started))
+            .collect();
         // When each joins and leaves; the first stays.
         let spans: Vec<(f64, f64)> = (0..4)
-            .map(|n| if n == 0 { (0.0, 1e9) } else { (rng.f64() * 8_000.0, 8_000.0 + rng.f64() * 8_000.0) })
+            .map(|n| {
+                if n == 0 {
+                    (0.0, 1e9)
+                } else {
+                    (rng.f64() * 8_000.0, 8_000.0 + rng.f64() * 8_000.0)
+                }
+            })
             .collect();
         let (mut now, mut sends) = (1_000.0, VecDeque::<(f64, BackendId)>::new());
         while now < started + COLD {
             let here = |n: usize| spans[n].0 <= now && now < spans[n].1;
-            let named: Vec<BTreeSet<SocketAddr>> =
-                (0..4).filter(|n| here(*n)).map(|n| pools[n].nodes.clone()).collect();
+            let named: Vec<BTreeSet<SocketAddr>> = (0..4)
+                .filter(|n| here(*n))
+                .map(|n| pools[n].nodes.clone())
+                .collect();
             let mut parts = sharers(&named).into_iter();
             for (n, pool) in pools.iter_mut().enumerate().filter(|(n, _)| here(*n)) {
-                pool.balancer.share_cold(parts.next().unwrap_or_else(|| panic!("pool {n} is named")));
+                pool.balancer
+                    .share_cold(parts.next().unwrap_or_else(|| panic!("pool {n} is named")));
                 let mut sent = Vec::new();
                 // It has grown used to its load before the node starts.
                 pool.step(now, rate, &mut sent);
-                sends.extend(sent.into_iter().filter(|_| now >= started).map(|b| (now, b)));
+                sends.extend(
+                    sent.into_iter()
+                        .filter(|_| now >= started)
+                        .map(|b| (now, b)),
+                );
             }
             while sends.front().is_some_and(|(at, _)| *at <= now - SPAN) {
                 sends.pop_front();
             }
             let mut by: BTreeMap<BackendId, usize> = BTreeMap::new();
-            sends.iter().for_each(|(_, b)| *by.entry(*b).or_default() += 1);
+            sends
+                .iter()
+                .for_each(|(_, b)| *by.entry(*b).or_default() += 1);
             let cold = by.remove(&FRESH).unwrap_or(0) as f64;
             let warm = by.values().copied().max().unwrap_or(0) as f64;
             let warmth = 0.1 + 0.9 * ((now - started) / COLD).clamp(0.0, 1.0);
@@ -153,5 +218,8 @@
             now += STEP;
         }
     }
-    assert!(cold_sends > 10_000 && looks > 10_000, "{cold_sends} {looks}");
+    assert!(
+        cold_sends > 10_000 && looks > 10_000,
+        "{cold_sends} {looks}"
+    );
 }
--- a/crates/heathroad-routing/tests/file.rs
+++ b/crates/heathroad-routing/tests/file.rs
@@ -1,4 +1,5 @@
-//! The file: what is read of a good one, and everything that is wrong with a bad one, at once, with lines.
+//! The file: what is read of a good one, and everything that is wrong with a bad one, at once, with
+//! lines.
 
 use heathroad_routing::diff;
 use heathroad_routing::file::{Effect, Group, Source, read};
@@ -55,12 +56,39 @@
 fn a_good_file_is_read() {
     let c = read("routes.toml", GOOD).expect("good");
     assert_eq!((c.tenants.len(), c.pools.len(), c.routes.len()), (2, 2, 2));
-    let Source::List(members) = &c.pools[0].source else { panic!("a list") };
-    assert_eq!((members[1].site.as_str(), members[1].block, members[1].weight), ("kano-dc", 2, 0.5));
-    let Source::Registry { address, select } = &c.pools[1].source else { panic!("a registry") };
-    assert_eq!((address.map(|a| a.port()), select["class"].as_str()), (Some(8500), "m2"));
-    assert_eq!(c.pools[0].classes[1].effect, Effect::Keyed { group: Group::Block, window_ms: 10_000.0 });
-    assert_eq!((c.routes[1].name.as_str(), c.routes[1].to.len(), c.routes[1].line), ("some", 2, 36));
+    let Source::List(members) = &c.pools[0].source else {
+        panic!("a list")
+    };
+    assert_eq!(
+        (
+            members[1].site.as_str(),
+            members[1].block,
+            members[1].weight
+        ),
+        ("kano-dc", 2, 0.5)
+    );
+    let Source::Registry { address, select } = &c.pools[1].source else {
+        panic!("a registry")
+    };
+    assert_eq!(
+        (address.map(|a| a.port()), select["class"].as_str()),
+        (Some(8500), "m2")
+    );
+    assert_eq!(
+        c.pools[0].classes[1].effect,
+        Effect::Keyed {
+            group: Group::Block,
+            window_ms: 10_000.0
+        }
+    );
+    assert_eq!(
+        (
+            c.routes[1].name.as_str(),
+            c.routes[1].to.len(),
+            c.routes[1].line
+        ),
+        ("some", 2, 36)
+    );
 }
 
 /// Every fault of one file at once, each with its line, field, reason and what was expected.
@@ -134,13 +162,27 @@
 fn other_bad_files_are_told_too() {
     let with = |from: &str, to: &str| {
         assert!(GOOD.contains(from), "{from}");
-        read("f", &GOOD.replacen(from, to, 1)).expect_err("bad").to_string()
+        read("f", &GOOD.replacen(from, to, 1))
+            .expect_err("bad")
+            .to_string()
     };
     let cases = [
         ("name = \"some\"", "name = ", "f:37: file:"),
-        ("name = \"some\"", "name = \"all\"", "\"all\" is a name of line"),
-        ("tenant = \"zaria-foods\"", "tenant = \"nobody\"", "no tenant \"nobody\", unreachable"),
-        ("tenant = \"zaria-foods\"", "tenat = \"x\"", "route[1].tenat: unknown field"),
+        (
+            "name = \"some\"",
+            "name = \"all\"",
+            "\"all\" is a name of line",
+        ),
+        (
+            "tenant = \"zaria-foods\"",
+            "tenant = \"nobody\"",
+            "no tenant \"nobody\", unreachable",
+        ),
+        (
+            "tenant = \"zaria-foods\"",
+            "tenat = \"x\"",
+            "route[1].tenat: unknown field",
+        ),
         (
             "class = \"claim-status\"\ntenant = \"zaria-foods\"\n",
             "",
@@ -151,17 +193,41 @@
             "effect = \"sometimes\"",
             "is \"sometimes\"; expected \"safe\", \"keyed\" or \"unsafe\"",
         ),
-        ("window_ms = 10_000", "window_ms = 0", "is 0; expected a number from 1"),
-        ("aim_ms = 700\n", "aim_ms = \"soon\"\n", "is a text; expected a number"),
-        ("weight = 9", "weight = -1", "is -1; expected a number from 0"),
-        ("[\"127.0.0.1:9001\"", "[7", "is a number; expected an address and port"),
-        ("registry = \"127.0.0.1:8500\"", "backends = []", "both a list and a registry"),
+        (
+            "window_ms = 10_000",
+            "window_ms = 0",
+            "is 0; expected a number from 1",
+        ),
+        (
+            "aim_ms = 700\n",
+            "aim_ms = \"soon\"\n",
+            "is a text; expected a number",
+        ),
+        (
+            "weight = 9",
+            "weight = -1",
+            "is -1; expected a number from 0",
+        ),
+        (
+            "[\"127.0.0.1:9001\"",
+            "[7",
+            "is a number; expected an address and port",
+        ),
+        (
+            "registry = \"127.0.0.1:8500\"",
+            "backends = []",
+            "both a list and a registry",
+        ),
         (
             "select = { site = \"kano-dc\", class = \"m2\" }",
             "select = { sit = \"x\" }",
             "pool[1].select.sit: unknown field",
         ),
-        ("pool = \"policy-new\"\nweight = 1", "pool = \"policy\"\nweight = 1", "\"policy\" comes twice"),
+        (
+            "pool = \"policy-new\"\nweight = 1",
+            "pool = \"policy\"\nweight = 1",
+            "\"policy\" comes twice",
+        ),
         (
             "[[route]]\nname = \"all\"\npool = \"policy\"",
             "[[route]]\nname = \"all\"\npath = \"x\"\npool = \"policy\"",
@@ -172,12 +238,22 @@
         let said = with(from, to);
         assert!(said.contains(says), "{says}\nis not in\n{said}");
     }
-    let two = GOOD
-        .replace("registry = \"127.0.0.1:8500\"", "backends = [{ address = \"127.0.0.1:9002\", block = 3 }]");
+    let two = GOOD.replace(
+        "registry = \"127.0.0.1:8500\"",
+        "backends = [{ address = \"127.0.0.1:9002\", block = 3 }]",
+    );
     let two = two.replace("select = { site = \"kano-dc\", class = \"m2\" }", "");
     let said = read("f", &two).expect_err("bad").to_string();
-    assert!(said.contains("127.0.0.1:9002 is of another site or block in pool \"policy\""), "{said}");
-    assert!(read("f", "").expect_err("empty").to_string().contains("pool: is missing or empty"));
+    assert!(
+        said.contains("127.0.0.1:9002 is of another site or block in pool \"policy\""),
+        "{said}"
+    );
+    assert!(
+        read("f", "")
+            .expect_err("empty")
+            .to_string()
+            .contains("pool: is missing or empty")
+    );
 }
 
 /// No text makes the reader panic: good ones with bytes changed, cut and doubled.
@@ -198,10 +274,16 @@
                 }
             }
         }
-        let Ok(text) = String::from_utf8(bytes) else { continue };
+        let Ok(text) = String::from_utf8(bytes) else {
+            continue;
+        };
         if let Err(faults) = read("f", &text) {
             assert!(!faults.list.is_empty(), "seed {seed}");
-            assert_eq!(faults.to_string().lines().count(), faults.list.len(), "seed {seed}: one line each");
+            assert_eq!(
+                faults.to_string().lines().count(),
+                faults.list.len(),
+                "seed {seed}: one line each"
+            );
         }
     }
 }
@@ -214,7 +296,10 @@
     let to = GOOD
         .replace("weight = 9", "weight = 4")
         .replace("\"127.0.0.1:9001\", ", "\"127.0.0.1:9003\", ")
-        .replace("effect = \"keyed\"\ngroup = \"block\"\nwindow_ms = 10_000", "effect = \"unsafe\"")
+        .replace(
+            "effect = \"keyed\"\ngroup = \"block\"\nwindow_ms = 10_000",
+            "effect = \"unsafe\"",
+        )
         .replace("worth = 3", "worth = 4");
     let to = to
         + "[[pool]]\nname = \"third\"\nregistry = \"default\"\n[[pool.class]]\nname = \"c\"\neffect = \"safe\"\n\
@@ -229,9 +314,15 @@
         "requests with class claim-status, tenant zaria-foods go to 80.0% to policy, 20.0% to policy-new instead of 90.0% to policy, 10.0% to policy-new",
         "requests with class c go to third instead of policy",
     ] {
-        assert!(lines.iter().any(|l| l == part), "{part}\nis not in\n{lines:#?}");
+        assert!(
+            lines.iter().any(|l| l == part),
+            "{part}\nis not in\n{lines:#?}"
+        );
     }
     assert_eq!(lines.len(), 7, "{lines:#?}");
     let back = diff::words(&read(&to), &from);
-    assert!(back.iter().any(|l| l.starts_with("pool third is removed")), "{back:#?}");
+    assert!(
+        back.iter().any(|l| l.starts_with("pool third is removed")),
+        "{back:#?}"
+    );
 }
--- a/crates/heathroad-routing/tests/golden_config_keys.rs
+++ b/crates/heathroad-routing/tests/golden_config_keys.rs
@@ -1,5 +1,5 @@
-//! The keys of the file of routes and pools: each is read, and whatever is no key is refused with the list of those that
-//! are. Both golden answers come from commit 1355c4b.
+//! The keys of the file of routes and pools: each is read, and whatever is no key is refused with
+//! the list of those that are. Both golden answers come from commit 1355c4b.
 
 use heathroad_routing::condition::Match;
 use heathroad_routing::file::{Config, TenantFrom, read};
@@ -11,19 +11,28 @@
 
 #[test]
 fn every_key_is_accepted_and_digested_alike() {
-    let generation =
-        Generation::read(7, "f", include_str!("golden/all_keys.toml")).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!(generation.digest, include_str!("golden/all_keys.digest").trim());
+    let generation = Generation::read(7, "f", include_str!("golden/all_keys.toml"))
+        .unwrap_or_else(|e| panic!("{e}"));
+    assert_eq!(
+        generation.digest,
+        include_str!("golden/all_keys.digest").trim()
+    );
 }
 
 #[test]
 fn the_pools_and_conditions_keep_their_values() {
     let config = config();
-    let pools: Vec<String> =
-        config.pools.iter().map(|p| serde_json::to_string(p).expect("JSON") + "\n").collect();
+    let pools: Vec<String> = config
+        .pools
+        .iter()
+        .map(|p| serde_json::to_string(p).expect("JSON") + "\n")
+        .collect();
     let conditions: Vec<&Match> = config.routes.iter().map(|r| &r.when).collect();
     let actual = format!("{}{:#}\n", pools.concat(), serde_json::json!(conditions));
-    assert!(actual == include_str!("golden/all_keys.json"), "now:\n{actual}");
+    assert!(
+        actual == include_str!("golden/all_keys.json"),
+        "now:\n{actual}"
+    );
 }
 
 #[test]
@@ -31,18 +40,41 @@
     let config = config();
     let l = &config.listeners[0];
     assert_eq!(
-        (l.in_order, l.connections, l.calls, l.text, l.batch, l.idle_ms),
+        (
+            l.in_order,
+            l.connections,
+            l.calls,
+            l.text,
+            l.batch,
+            l.idle_ms
+        ),
         (true, 12, 34, 56 * 1024, 78, 90.0)
     );
-    assert_eq!((l.address.port(), l.framing), (7001, heathroad_jsonrpc::Framing::Headers));
+    assert_eq!(
+        (l.address.port(), l.framing),
+        (7001, heathroad_jsonrpc::Framing::Headers)
+    );
     assert_eq!(l.unknown.as_ref().map(|m| m.class.as_str()), Some("once"));
-    assert_eq!((l.methods["look-up"].class.as_str(), l.methods["keep-up"].key.is_some()), ("look", true));
+    assert_eq!(
+        (
+            l.methods["look-up"].class.as_str(),
+            l.methods["keep-up"].key.is_some()
+        ),
+        ("look", true)
+    );
     assert_eq!(l.tenant, TenantFrom::Fixed("zaria-foods".into()));
     assert!(matches!(&config.listeners[1].tenant, TenantFrom::Connection(by) if by.len() == 1));
     assert!(matches!(config.listeners[2].tenant, TenantFrom::Params(_)));
     let d = &config.listeners[2];
     assert_eq!(
-        (d.in_order, d.connections, d.calls, d.text, d.batch, d.idle_ms),
+        (
+            d.in_order,
+            d.connections,
+            d.calls,
+            d.text,
+            d.batch,
+            d.idle_ms
+        ),
         (false, 256, 64, 4096 * 1024, 10_000, 600_000.0)
     );
 }
@@ -50,7 +82,11 @@
 /// Each line of the answer names a section's keys, so that a key that is renamed shows.
 #[test]
 fn unknown_keys_are_refused_with_all_known_ones() {
-    let actual =
-        read("f", include_str!("golden/unknown_keys.toml")).expect_err("it has stray keys").to_string();
-    assert!(actual == include_str!("golden/unknown_keys.txt").trim_end(), "now:\n{actual}");
+    let actual = read("f", include_str!("golden/unknown_keys.toml"))
+        .expect_err("it has stray keys")
+        .to_string();
+    assert!(
+        actual == include_str!("golden/unknown_keys.txt").trim_end(),
+        "now:\n{actual}"
+    );
 }
--- a/crates/heathroad-routing/tests/golden_journal.rs
+++ b/crates/heathroad-routing/tests/golden_journal.rs
@@ -1,5 +1,5 @@
-//! The stored bytes of the routes' journal: a log of every kind of record, written by commit 1355c4b, is read and
-//! written again byte by byte.
+//! The stored bytes of the routes' journal: a log of every kind of record, written by commit
+//! 1355c4b, is read and written again byte by byte.
 
 use heathroad_routing::journal::{Disk, Journal, Record, read};
 use std::convert::Infallible;
@@ -37,14 +37,34 @@
 fn records() -> Vec<Record> {
     let text = |n: u64| format!("# text {n}\n[[pool]]\nname = \"täglich \\\"{n}\\\"\"\n");
     vec![
-        Record::Committed { number: 1, text: text(1) },
-        Record::Opened { number: 2, text: text(2) },
+        Record::Committed {
+            number: 1,
+            text: text(1),
+        },
+        Record::Opened {
+            number: 2,
+            text: text(2),
+        },
         Record::Applied { number: 2 },
-        Record::Committed { number: 2, text: text(2) },
-        Record::Opened { number: 3, text: text(3) },
-        Record::Closed { number: 3, why: "not ready in time: \"p\"".into() },
-        Record::Opened { number: u64::MAX - 1, text: String::new() },
-        Record::Applied { number: u64::MAX - 1 },
+        Record::Committed {
+            number: 2,
+            text: text(2),
+        },
+        Record::Opened {
+            number: 3,
+            text: text(3),
+        },
+        Record::Closed {
+            number: 3,
+            why: "not ready in time: \"p\"".into(),
+        },
+        Record::Opened {
+            number: u64::MAX - 1,
+            text: String::new(),
+        },
+        Record::Applied {
+            number: u64::MAX - 1,
+        },
     ]
 }
 
@@ -55,7 +75,10 @@
     while at < LOG.len() {
         let length = u32::from_le_bytes(LOG[at..at + 4].try_into().expect("four bytes")) as usize;
         at += 8 + length;
-        list.push((serde_json::from_slice(&LOG[at - length..at]).expect("a record"), at));
+        list.push((
+            serde_json::from_slice(&LOG[at - length..at]).expect("a record"),
+            at,
+        ));
     }
     list
 }
@@ -72,7 +95,11 @@
     for (_, end) in decoded() {
         let found = read(&LOG[..end]).expect("a log");
         assert_eq!((found.sound, found.note.as_deref()), (end, None));
-        seen.push((found.committed.expect("one is committed").0, found.open, found.highest));
+        seen.push((
+            found.committed.expect("one is committed").0,
+            found.open,
+            found.highest,
+        ));
     }
     let last = u64::MAX - 1;
     let expected = [
@@ -86,7 +113,11 @@
         (2, Some((last, true)), last),
     ];
     assert_eq!(seen, expected);
-    let text = read(LOG).expect("a log").committed.expect("one is committed").1;
+    let text = read(LOG)
+        .expect("a log")
+        .committed
+        .expect("one is committed")
+        .1;
     assert_eq!(text, "# text 2\n[[pool]]\nname = \"täglich \\\"2\\\"\"\n");
 }
 
@@ -105,5 +136,10 @@
     let (journal, _) = Journal::open(Memory(LOG.to_vec())).unwrap_or_else(|e| panic!("{e}"));
     let bytes = journal.into_disk().0;
     let payload = b"{\"what\":\"closed\",\"number\":18446744073709551614,\"why\":\"the daemon ended before it was committed\"}";
-    assert_eq!(&bytes[LOG.len() + 8..], payload, "{}", bytes[LOG.len()..].escape_ascii());
+    assert_eq!(
+        &bytes[LOG.len() + 8..],
+        payload,
+        "{}",
+        bytes[LOG.len()..].escape_ascii()
+    );
 }
--- a/crates/heathroad-routing/tests/journal.rs
+++ b/crates/heathroad-routing/tests/journal.rs
@@ -1,5 +1,6 @@
-//! The log under every failure of its disk: each write, cut, sync and rename fails or is torn in turn, and each is a
-//! crash. A start always begins with a generation that was committed, and with the last one that was said to be.
+//! The log under every failure of its disk: each write, cut, sync and rename fails or is torn in
+//! turn, and each is a crash. A start always begins with a generation that was committed, and with
+//! the last one that was said to be.
 
 use heathroad_routing::journal::{Disk, Journal, OpenError, Record, Unusable, read};
 
@@ -34,7 +35,11 @@
             lasting
         };
         let found = Some(found).filter(|f| !f.is_empty());
-        Memory { lasting: found.clone(), present: found, ..Memory::default() }
+        Memory {
+            lasting: found.clone(),
+            present: found,
+            ..Memory::default()
+        }
     }
 }
 
@@ -42,7 +47,11 @@
     type Error = &'static str;
 
     fn load(&mut self) -> Result<Option<Vec<u8>>, Self::Error> {
-        if self.fails() { Err("load") } else { Ok(self.present.clone()) }
+        if self.fails() {
+            Err("load")
+        } else {
+            Ok(self.present.clone())
+        }
     }
     fn truncate(&mut self, length: usize) -> Result<(), Self::Error> {
         if self.fails() {
@@ -53,7 +62,11 @@
     }
     fn append(&mut self, bytes: &[u8]) -> Result<(), Self::Error> {
         let fails = self.fails();
-        let part = if fails { bytes.len() * self.torn / 8 } else { bytes.len() };
+        let part = if fails {
+            bytes.len() * self.torn / 8
+        } else {
+            bytes.len()
+        };
         self.present.get_or_insert_default().extend(&bytes[..part]);
         if fails { Err("append") } else { Ok(()) }
     }
@@ -84,8 +97,14 @@
 
 /// A life of changes: two committed, one given up, one undone, one open at the end.
 fn life() -> Vec<Record> {
-    let committed = |number| Record::Committed { number, text: text(number) };
-    let opened = |number| Record::Opened { number, text: text(number) };
+    let committed = |number| Record::Committed {
+        number,
+        text: text(number),
+    };
+    let opened = |number| Record::Opened {
+        number,
+        text: text(number),
+    };
     let applied = |number| Record::Applied { number };
     vec![
         committed(1),
@@ -93,11 +112,17 @@
         applied(2),
         committed(2),
         opened(3),
-        Record::Closed { number: 3, why: "not ready".into() },
+        Record::Closed {
+            number: 3,
+            why: "not ready".into(),
+        },
         opened(4),
         applied(4),
         // The undoing of 4, with the text of 2.
-        Record::Committed { number: 5, text: text(2) },
+        Record::Committed {
+            number: 5,
+            text: text(2),
+        },
         opened(6),
         applied(6),
     ]
@@ -118,23 +143,38 @@
     for r in life() {
         journal.write(r).expect("the disk is well");
     }
-    let (journal, found) = Journal::open(journal.into_disk().crashed(8)).unwrap_or_else(|e| panic!("{e}"));
+    let (journal, found) =
+        Journal::open(journal.into_disk().crashed(8)).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(found.committed, Some((5, text(2))));
-    assert_eq!((found.open, found.highest, found.note), (Some((6, true)), 6, None), "it was in probation");
+    assert_eq!(
+        (found.open, found.highest, found.note),
+        (Some((6, true)), 6, None),
+        "it was in probation"
+    );
     // The start itself closed it.
-    let found = Journal::open(journal.into_disk().crashed(0)).unwrap_or_else(|e| panic!("{e}")).1;
-    assert_eq!((found.committed, found.open, found.highest), (Some((5, text(2))), None, 6));
+    let found = Journal::open(journal.into_disk().crashed(0))
+        .unwrap_or_else(|e| panic!("{e}"))
+        .1;
+    assert_eq!(
+        (found.committed, found.open, found.highest),
+        (Some((5, text(2))), None, 6)
+    );
 }
 
-/// Every call fails in turn, torn at every eighth, and is followed by a crash that keeps any eighth of what was not
-/// synced. Whoever was told that a record is written finds it; what was not may be there or not.
+/// Every call fails in turn, torn at every eighth, and is followed by a crash that keeps any eighth
+/// of what was not synced. Whoever was told that a record is written finds it; what was not may be
+/// there or not.
 #[test]
 fn every_crash_point_starts_on_a_committed_generation() {
     let mut points = 0;
     for fails_at in 0..60 {
         for torn in 0..=8 {
             for kept in 0..=8 {
-                let disk = Memory { fails_at: Some(fails_at), torn, ..Memory::default() };
+                let disk = Memory {
+                    fails_at: Some(fails_at),
+                    torn,
+                    ..Memory::default()
+                };
                 let mut told = Vec::new();
                 let mut tried = None;
                 let disk = match Journal::open(disk.clone()) {
@@ -175,16 +215,27 @@
 fn a_failed_write_is_tried_again_on_a_whole_log() {
     for torn in 0..=8 {
         for fails_at in 2..8 {
-            let (mut journal, _) = Journal::open(Memory::default()).unwrap_or_else(|e| panic!("{e}"));
+            let (mut journal, _) =
+                Journal::open(Memory::default()).unwrap_or_else(|e| panic!("{e}"));
             let mut disk = {
-                journal.write(Record::Committed { number: 1, text: text(1) }).expect("well");
+                journal
+                    .write(Record::Committed {
+                        number: 1,
+                        text: text(1),
+                    })
+                    .expect("well");
                 journal.into_disk()
             };
             (disk.fails_at, disk.torn, disk.calls) = (Some(fails_at), torn, 0);
-            let Ok((mut journal, _)) = Journal::open(disk) else { continue };
+            let Ok((mut journal, _)) = Journal::open(disk) else {
+                continue;
+            };
             let mut failed = 0;
             for number in 2..6 {
-                let record = Record::Committed { number, text: text(number) };
+                let record = Record::Committed {
+                    number,
+                    text: text(number),
+                };
                 while journal.write(record.clone()).is_err() {
                     failed += 1;
                     // The disk is well again.
@@ -194,7 +245,9 @@
                 }
             }
             assert_eq!(failed, 1, "{torn} {fails_at}");
-            let found = Journal::open(journal.into_disk().crashed(0)).unwrap_or_else(|e| panic!("{e}")).1;
+            let found = Journal::open(journal.into_disk().crashed(0))
+                .unwrap_or_else(|e| panic!("{e}"))
+                .1;
             assert_eq!((found.committed, found.note), (Some((5, text(5))), None));
         }
     }
@@ -203,31 +256,50 @@
 #[test]
 fn a_torn_or_spoilt_log_says_so_and_keeps_what_is_sound() {
     let (mut journal, _) = Journal::open(Memory::default()).unwrap_or_else(|e| panic!("{e}"));
-    life().into_iter().for_each(|r| journal.write(r).expect("well"));
+    life()
+        .into_iter()
+        .for_each(|r| journal.write(r).expect("well"));
     let bytes = journal.into_disk().lasting.expect("a log");
     for cut in 0..bytes.len() {
         let found = read(&bytes[..cut]).expect("this format");
-        assert!(found.sound <= cut && (found.sound == cut) == found.note.is_none(), "{cut}: {found:?}");
+        assert!(
+            found.sound <= cut && (found.sound == cut) == found.note.is_none(),
+            "{cut}: {found:?}"
+        );
         if let Some((number, held)) = found.committed {
-            assert!([(1, text(1)), (2, text(2)), (5, text(2))].contains(&(number, held)), "{cut}");
+            assert!(
+                [(1, text(1)), (2, text(2)), (5, text(2))].contains(&(number, held)),
+                "{cut}"
+            );
         }
     }
     for at in 20..bytes.len() {
         let mut spoilt = bytes.clone();
         spoilt[at] ^= 0x20;
         let found = read(&spoilt).expect("this format");
-        assert!(found.note.is_some_and(|n| n.contains("behind the last sound record")), "{at}");
         assert!(
             found
-                .committed
-                .is_none_or(|(n, held)| [(1, text(1)), (2, text(2)), (5, text(2))].contains(&(n, held)))
+                .note
+                .is_some_and(|n| n.contains("behind the last sound record")),
+            "{at}"
         );
+        assert!(found.committed.is_none_or(|(n, held)| {
+            [(1, text(1)), (2, text(2)), (5, text(2))].contains(&(n, held))
+        }));
     }
-    assert_eq!(read(b"heathroad-routing 2\nwhatever"), Err(Unusable::Newer(2)));
+    assert_eq!(
+        read(b"heathroad-routing 2\nwhatever"),
+        Err(Unusable::Newer(2))
+    );
     assert_eq!(read(b"something else\n"), Err(Unusable::Foreign));
-    let newer = Memory { present: Some(b"heathroad-routing 9\n".to_vec()), ..Memory::default() };
+    let newer = Memory {
+        present: Some(b"heathroad-routing 9\n".to_vec()),
+        ..Memory::default()
+    };
     match Journal::open(newer) {
-        Err(OpenError::Log(e)) => assert_eq!(e.to_string(), "the log is of format 9; expected 1 or older"),
+        Err(OpenError::Log(e)) => {
+            assert_eq!(e.to_string(), "the log is of format 9; expected 1 or older")
+        }
         _ => panic!("it is not to be touched"),
     }
 }
@@ -238,11 +310,23 @@
     let (mut journal, _) = Journal::open(Memory::default()).unwrap_or_else(|e| panic!("{e}"));
     let long = "y".repeat(10_000);
     for number in 1..1_000 {
-        journal.write(Record::Opened { number, text: long.clone() }).expect("well");
-        journal.write(Record::Committed { number, text: long.clone() }).expect("well");
+        journal
+            .write(Record::Opened {
+                number,
+                text: long.clone(),
+            })
+            .expect("well");
+        journal
+            .write(Record::Committed {
+                number,
+                text: long.clone(),
+            })
+            .expect("well");
     }
     let disk = journal.into_disk();
     assert!(disk.lasting.as_ref().is_some_and(|b| b.len() < 1_200_000));
-    let found = Journal::open(disk.crashed(0)).unwrap_or_else(|e| panic!("{e}")).1;
+    let found = Journal::open(disk.crashed(0))
+        .unwrap_or_else(|e| panic!("{e}"))
+        .1;
     assert_eq!(found.committed, Some((999, long)));
 }
--- a/crates/heathroad-routing/tests/listeners.rs
+++ b/crates/heathroad-routing/tests/listeners.rs
@@ -64,8 +64,20 @@
         (rpc.port, rpc.framing, rpc.calls, rpc.declined),
         (Some(9100), Framing::Headers, 8, Some(-32050))
     );
-    let Listener { in_order, framing, calls, batch, tenant, unknown, methods, .. } = &g.config.listeners[0];
-    assert_eq!((*in_order, *framing, *calls, *batch), (true, Framing::Lines, 64, 10_000));
+    let Listener {
+        in_order,
+        framing,
+        calls,
+        batch,
+        tenant,
+        unknown,
+        methods,
+        ..
+    } = &g.config.listeners[0];
+    assert_eq!(
+        (*in_order, *framing, *calls, *batch),
+        (true, Framing::Lines, 64, 10_000)
+    );
     assert!(matches!(tenant, TenantFrom::Params(_)));
     assert_eq!(unknown.as_ref().map(|m| m.class.as_str()), Some("payout"));
     assert!(methods["claims.submit"].key.is_some());
@@ -79,18 +91,46 @@
             "protocol = \"soap\"",
             "listener[0].protocol: is \"soap\"; expected \"json-rpc\"",
         ),
-        ("protocol = \"json-rpc\"\n", "", "listener[0].protocol: is missing"),
-        ("order = \"asked\"", "order = \"random\"", "listener[0].order: is \"random\""),
-        ("listen = \"127.0.0.1:9300\"", "listen = \"here\"", "listener[0].listen: is \"here\""),
-        ("listen = \"127.0.0.1:9300\"\n", "", "listener[0].listen: is missing"),
+        (
+            "protocol = \"json-rpc\"\n",
+            "",
+            "listener[0].protocol: is missing",
+        ),
+        (
+            "order = \"asked\"",
+            "order = \"random\"",
+            "listener[0].order: is \"random\"",
+        ),
+        (
+            "listen = \"127.0.0.1:9300\"",
+            "listen = \"here\"",
+            "listener[0].listen: is \"here\"",
+        ),
+        (
+            "listen = \"127.0.0.1:9300\"\n",
+            "",
+            "listener[0].listen: is missing",
+        ),
         (
             "tenant_in = \"/client\"",
             "tenant_in = \"client\"",
             "listener[0].tenant_in: is \"client\"; expected a pointer",
         ),
-        ("tenant_in = \"/client\"", "tenant = \"nobody\"", "listener[0].tenant: no tenant \"nobody\""),
-        ("tenant_in = \"/client\"", "tenant = \"sahel-agro\"\ntenant_in = \"/c\"", "is told more than once"),
-        ("tenant_in = \"/client\"", "tenant_from = { \"here\" = \"x\" }", "\"here\" is none"),
+        (
+            "tenant_in = \"/client\"",
+            "tenant = \"nobody\"",
+            "listener[0].tenant: no tenant \"nobody\"",
+        ),
+        (
+            "tenant_in = \"/client\"",
+            "tenant = \"sahel-agro\"\ntenant_in = \"/c\"",
+            "is told more than once",
+        ),
+        (
+            "tenant_in = \"/client\"",
+            "tenant_from = { \"here\" = \"x\" }",
+            "\"here\" is none",
+        ),
         (
             "unknown = \"payout\"",
             "unknown = \"claim-submit\"",
@@ -101,16 +141,32 @@
             "unknown = \"claim-status\"",
             "no pool that speaks JSON-RPC serves \"claim-status\"",
         ),
-        ("key = \"/claim/id\"", "", "listener[0].method[0].key: is missing"),
-        ("key = \"/claim/id\"", "key = \"/~2\"", "listener[0].method[0].key: is \"/~2\""),
+        (
+            "key = \"/claim/id\"",
+            "",
+            "listener[0].method[0].key: is missing",
+        ),
+        (
+            "key = \"/claim/id\"",
+            "key = \"/~2\"",
+            "listener[0].method[0].key: is \"/~2\"",
+        ),
         (
             "class = \"claim-submit\"\nkey",
             "class = \"nothing\"\nkey",
             "listener[0].method[0].class: no pool that speaks",
         ),
-        ("framing = \"headers\"", "framing = \"xml\"", "pool[0].rpc.framing: is \"xml\""),
+        (
+            "framing = \"headers\"",
+            "framing = \"xml\"",
+            "pool[0].rpc.framing: is \"xml\"",
+        ),
         ("calls = 8", "calls = 0", "pool[0].rpc.calls: is 0"),
-        ("declined = -32050", "odd = 1", "pool[0].rpc.odd: unknown field"),
+        (
+            "declined = -32050",
+            "odd = 1",
+            "pool[0].rpc.odd: unknown field",
+        ),
         (
             "listener = \"batches\"\npool = \"claims\"",
             "listener = \"other\"\npool = \"claims\"",
@@ -133,29 +189,39 @@
         ),
     ] {
         assert!(GOOD.contains(from), "{from}");
-        let said = read(&GOOD.replacen(from, to, 1)).err().unwrap_or_else(|| panic!("{to} is taken"));
+        let said = read(&GOOD.replacen(from, to, 1))
+            .err()
+            .unwrap_or_else(|| panic!("{to} is taken"));
         assert!(said.contains(want), "{to}: {said}");
     }
     // The most general route would take calls to a pool that does not speak it.
-    let said = read(
-        &GOOD
-            .replace("listener = \"main\"\n", "")
-            .replace("listener = \"batches\"\npool = \"claims\"", "class = \"payout\"\npool = \"claims\""),
-    );
+    let said = read(&GOOD.replace("listener = \"main\"\n", "").replace(
+        "listener = \"batches\"\npool = \"claims\"",
+        "class = \"payout\"\npool = \"claims\"",
+    ));
     let said = said.expect_err("it is turned down");
-    assert!(said.contains("calls of \"claims.submit\" on listener \"batches\" go to pool \"web\""), "{said}");
+    assert!(
+        said.contains("calls of \"claims.submit\" on listener \"batches\" go to pool \"web\""),
+        "{said}"
+    );
     let twice = format!(
         "{GOOD}{}",
         &GOOD[GOOD.find("[[listener]]").expect("there")..].replacen("batches", "more", 1)
     );
     let said = read(&twice).expect_err("it is turned down");
-    assert!(said.contains("127.0.0.1:9300 is \"batches\"'s too"), "{said}");
+    assert!(
+        said.contains("127.0.0.1:9300 is \"batches\"'s too"),
+        "{said}"
+    );
 }
 
 #[test]
 fn a_change_of_listeners_is_told_in_words() {
     let other = GOOD
-        .replace("class = \"claim-submit\"\nkey = \"/claim/id\"", "class = \"payout\"")
+        .replace(
+            "class = \"claim-submit\"\nkey = \"/claim/id\"",
+            "class = \"payout\"",
+        )
         .replace("order = \"asked\"\n", "")
         .replace("calls = 8", "calls = 4");
     let [a, b] = [GOOD, &other].map(|t| read(t).unwrap_or_else(|e| panic!("{e}")));
@@ -179,19 +245,29 @@
              protocol = \"json-rpc\"\nlisten = \"{listen}\"\n[[listener.method]]\nname = \"m\"\nclass = \"c\"\n"
         )
     };
-    let said = |text: &str| heathroad_routing::file::read("f", text).map_err(|e| e.to_string()).err();
+    let said = |text: &str| {
+        heathroad_routing::file::read("f", text)
+            .map_err(|e| e.to_string())
+            .err()
+    };
     for (backend, rpc, listen) in [
         ("127.0.0.1:9000", "", "127.0.0.1:9000"),
         ("127.0.0.1:8000", "port = 9000", "127.0.0.1:9000"),
         ("127.0.0.1:9000", "", "0.0.0.0:9000"),
     ] {
         let told = said(&text(backend, rpc, listen)).expect("a loop");
-        assert!(told.contains("is listener \"l\", calls would come back for ever"), "{told}");
+        assert!(
+            told.contains("is listener \"l\", calls would come back for ever"),
+            "{told}"
+        );
     }
-    assert_eq!(said(&text("127.0.0.1:9000", "port = 9001", "127.0.0.1:9000")), None);
+    assert_eq!(
+        said(&text("127.0.0.1:9000", "port = 9001", "127.0.0.1:9000")),
+        None
+    );
     assert_eq!(said(&text("10.0.0.1:9000", "", "0.0.0.0:9000")), None);
-    let config =
-        heathroad_routing::file::read("f", &text("127.0.0.1:9000", "", "127.0.0.1:9001")).expect("good");
+    let config = heathroad_routing::file::read("f", &text("127.0.0.1:9000", "", "127.0.0.1:9001"))
+        .expect("good");
     assert_eq!(
         config.rounds(([127, 0, 0, 1], 9000).into()).count(),
         0,
--- a/crates/heathroad-routing/tests/table.rs
+++ b/crates/heathroad-routing/tests/table.rs
@@ -1,5 +1,5 @@
-//! Routes: the most specific match, against a plain search over every route; and clashes, against a search over every
-//! request of a small world.
+//! Routes: the most specific match, against a plain search over every route; and clashes, against a
+//! search over every request of a small world.
 
 use heathroad_routing::condition::{Match, Request};
 use heathroad_routing::file::{Config, Route, read};
@@ -11,11 +11,25 @@
 const WORDS: [&str; 3] = ["k", "l", "m"];
 
 fn route(name: &str, when: Match) -> Route {
-    Route { name: name.into(), when, to: vec![Share { pool: 0, weight: 1.0 }], line: 1 }
+    Route {
+        name: name.into(),
+        when,
+        to: vec![Share {
+            pool: 0,
+            weight: 1.0,
+        }],
+        line: 1,
+    }
 }
 
 fn table(routes: Vec<Route>) -> Table {
-    Table::new(&Config { tenants: vec![], pools: vec![], routes, listeners: vec![] }).expect("few shapes")
+    Table::new(&Config {
+        tenants: vec![],
+        pools: vec![],
+        routes,
+        listeners: vec![],
+    })
+    .expect("few shapes")
 }
 
 fn some(text: &str) -> Option<String> {
@@ -27,12 +41,21 @@
     for host in HOSTS {
         for path in PATHS {
             for class in WORDS {
-                for (value, tenant) in
-                    [None, Some("1"), Some("2")].into_iter().flat_map(|v| WORDS.map(|t| (v, t)))
+                for (value, tenant) in [None, Some("1"), Some("2")]
+                    .into_iter()
+                    .flat_map(|v| WORDS.map(|t| (v, t)))
                 {
                     let header = |name: &str| value.filter(|_| name == "h");
                     let (listener, method) = ("", "");
-                    look(&Request { listener, host, path, method, class, tenant, header: &header });
+                    look(&Request {
+                        listener,
+                        host,
+                        path,
+                        method,
+                        class,
+                        tenant,
+                        header: &header,
+                    });
                 }
             }
         }
@@ -40,7 +63,10 @@
 }
 
 fn random_match(rng: &mut fastrand::Rng) -> Match {
-    let mut maybe = |list: &[&str]| rng.bool().then(|| list[rng.usize(..list.len())].to_string());
+    let mut maybe = |list: &[&str]| {
+        rng.bool()
+            .then(|| list[rng.usize(..list.len())].to_string())
+    };
     Match {
         host: maybe(&["a.org", "x.a.org", "*.a.org", "*.org", "*.x.a.org"]),
         path: maybe(&["/p", "/p/*", "/p/q", "/p/q/*", "/s/*", "/*"]),
@@ -58,29 +84,40 @@
     all
 }
 
-/// Over 3,000 random tables: where no clash is found, each request takes the one route that is within all others that
-/// match it; where two such could win, a clash is found.
+/// Over 3,000 random tables: where no clash is found, each request takes the one route that is
+/// within all others that match it; where two such could win, a clash is found.
 #[test]
 fn the_most_specific_route_wins_or_a_clash_is_told() {
     let (mut sound, mut clashing) = (0, 0);
     for seed in 0..3_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let n = 1 + rng.usize(..4);
-        let routes: Vec<Route> = (0..n).map(|i| route(&i.to_string(), random_match(&mut rng))).collect();
+        let routes: Vec<Route> = (0..n)
+            .map(|i| route(&i.to_string(), random_match(&mut rng)))
+            .collect();
         let found = clashes(&routes);
         let mut ambiguous = false;
         let compiled = table(routes.clone());
-        let inside: Vec<Vec<bool>> =
-            routes.iter().map(|x| routes.iter().map(|y| within(&x.when, &y.when)).collect()).collect();
+        let inside: Vec<Vec<bool>> = routes
+            .iter()
+            .map(|x| routes.iter().map(|y| within(&x.when, &y.when)).collect())
+            .collect();
         world(|r| {
             let matching: Vec<usize> = (0..n).filter(|i| routes[*i].when.matches(r)).collect();
-            let best: Vec<usize> =
-                matching.iter().copied().filter(|x| matching.iter().all(|y| inside[*x][*y])).collect();
+            let best: Vec<usize> = matching
+                .iter()
+                .copied()
+                .filter(|x| matching.iter().all(|y| inside[*x][*y]))
+                .collect();
             match best[..] {
                 [] if matching.is_empty() => assert!(compiled.route(r).is_none(), "seed {seed}"),
                 [only] if found.is_empty() => {
                     let taken = compiled.route(r).expect("a match");
-                    assert_eq!(taken.name, routes[only].name, "seed {seed}: {} {}", r.host, r.path);
+                    assert_eq!(
+                        taken.name, routes[only].name,
+                        "seed {seed}: {} {}",
+                        r.host, r.path
+                    );
                 }
                 [_] => {}
                 // None is within all others, or two are the same.
@@ -88,7 +125,11 @@
             }
         });
         assert!(!ambiguous || !found.is_empty(), "seed {seed}: {routes:?}");
-        if found.is_empty() { sound += 1 } else { clashing += 1 }
+        if found.is_empty() {
+            sound += 1
+        } else {
+            clashing += 1
+        }
     }
     assert!(sound > 300 && clashing > 300, "{sound} and {clashing}");
 }
@@ -98,33 +139,91 @@
     let one = |when: Match, host: &str, path: &str, class: &str, value: Option<&'static str>| {
         let header = |name: &str| value.filter(|_| name == "x-claims");
         let t = table(vec![route("r", when)]);
-        t.route(&Request { listener: "in", host, path, method: "m", class, tenant: "t", header: &header })
-            .is_some()
+        t.route(&Request {
+            listener: "in",
+            host,
+            path,
+            method: "m",
+            class,
+            tenant: "t",
+            header: &header,
+        })
+        .is_some()
+    };
+    let host = |h: &str| Match {
+        host: some(h),
+        ..Match::default()
     };
-    let host = |h: &str| Match { host: some(h), ..Match::default() };
-    assert!(one(host("a.org"), "a.org", "/", "c", None) && !one(host("a.org"), "x.a.org", "/", "c", None));
     assert!(
-        one(host("*.a.org"), "x.a.org", "/", "c", None) && one(host("*.a.org"), "y.x.a.org", "/", "c", None)
+        one(host("a.org"), "a.org", "/", "c", None)
+            && !one(host("a.org"), "x.a.org", "/", "c", None)
+    );
+    assert!(
+        one(host("*.a.org"), "x.a.org", "/", "c", None)
+            && one(host("*.a.org"), "y.x.a.org", "/", "c", None)
     );
     assert!(
-        !one(host("*.a.org"), "a.org", "/", "c", None) && !one(host("*.a.org"), "xa.org", "/", "c", None)
+        !one(host("*.a.org"), "a.org", "/", "c", None)
+            && !one(host("*.a.org"), "xa.org", "/", "c", None)
     );
-    let path = |p: &str| Match { path: some(p), ..Match::default() };
+    let path = |p: &str| Match {
+        path: some(p),
+        ..Match::default()
+    };
     assert!(one(path("/p/*"), "", "/p", "c", None) && one(path("/p/*"), "", "/p/q/r", "c", None));
     assert!(!one(path("/p/*"), "", "/pq", "c", None) && !one(path("/p"), "", "/p/q", "c", None));
-    let class = Match { class: some("c"), ..Match::default() };
+    let class = Match {
+        class: some("c"),
+        ..Match::default()
+    };
     assert!(one(class.clone(), "", "/", "c", None) && !one(class, "", "/", "d", None));
-    let header = Match { header: Some(("x-claims".into(), "new".into())), ..Match::default() };
+    let header = Match {
+        header: Some(("x-claims".into(), "new".into())),
+        ..Match::default()
+    };
     assert!(one(header.clone(), "", "/", "c", Some("new")));
     assert!(!one(header.clone(), "", "/", "c", Some("old")) && !one(header, "", "/", "c", None));
     for (field, fits) in [("in", true), ("out", false)] {
-        assert_eq!(one(Match { listener: some(field), ..Match::default() }, "", "/", "c", None), fits);
+        assert_eq!(
+            one(
+                Match {
+                    listener: some(field),
+                    ..Match::default()
+                },
+                "",
+                "/",
+                "c",
+                None
+            ),
+            fits
+        );
     }
-    assert!(one(Match { method: some("m"), tenant: some("t"), ..Match::default() }, "", "/", "c", None));
-    assert!(!one(Match { method: some("n"), tenant: some("t"), ..Match::default() }, "", "/", "c", None));
+    assert!(one(
+        Match {
+            method: some("m"),
+            tenant: some("t"),
+            ..Match::default()
+        },
+        "",
+        "/",
+        "c",
+        None
+    ));
+    assert!(!one(
+        Match {
+            method: some("n"),
+            tenant: some("t"),
+            ..Match::default()
+        },
+        "",
+        "/",
+        "c",
+        None
+    ));
 }
 
-/// A measurement and no test: look-ups and memory by the number of routes. `--ignored --nocapture`, in release.
+/// A measurement and no test: look-ups and memory by the number of routes. `--ignored --nocapture`,
+/// in release.
 #[test]
 #[ignore = "a measurement"]
 fn what_a_look_up_costs() {
@@ -143,9 +242,16 @@
             text += &format!("[[route]]\nname = \"r{i}\"\npool = \"a\"\n{when}\n");
         }
         let memory = || {
-            let status = std::fs::read_to_string("/proc/self/status").expect("the system's account");
-            let line = status.lines().find(|l| l.starts_with("VmRSS")).expect("it is there");
-            line.split_whitespace().nth(1).and_then(|kb| kb.parse::<i64>().ok()).expect("a number")
+            let status =
+                std::fs::read_to_string("/proc/self/status").expect("the system's account");
+            let line = status
+                .lines()
+                .find(|l| l.starts_with("VmRSS"))
+                .expect("it is there");
+            line.split_whitespace()
+                .nth(1)
+                .and_then(|kb| kb.parse::<i64>().ok())
+                .expect("a number")
         };
         let before = memory();
         let begun = std::time::Instant::now();
@@ -153,20 +259,30 @@
         let checked = begun.elapsed();
         let t = Table::new(&config).expect("few shapes");
         let held = memory() - before;
-        let asked: Vec<(String, String)> =
-            (0..n).map(|i| (format!("h{i}.org"), format!("/s{i}/x"))).collect();
+        let asked: Vec<(String, String)> = (0..n)
+            .map(|i| (format!("h{i}.org"), format!("/s{i}/x")))
+            .collect();
         let begun = std::time::Instant::now();
         let looks = 1_000_000;
         let mut found = 0;
         for i in 0..looks {
             let (host, path) = &asked[i % n];
             let header = |_: &str| None;
-            let r =
-                Request { listener: "", host, path, method: "", class: "c", tenant: "t", header: &header };
+            let r = Request {
+                listener: "",
+                host,
+                path,
+                method: "",
+                class: "c",
+                tenant: "t",
+                header: &header,
+            };
             found += usize::from(t.route(&r).is_some());
         }
         assert_eq!(found, looks);
         let took = begun.elapsed().as_nanos() as f64 / looks as f64;
-        println!("{n} routes: read and checked in {checked:?}, {took:.0} ns a look-up, {held} KiB held");
+        println!(
+            "{n} routes: read and checked in {checked:?}, {took:.0} ns a look-up, {held} KiB held"
+        );
     }
 }
--- a/crates/heathroad-routing/tests/transactions.rs
+++ b/crates/heathroad-routing/tests/transactions.rs
@@ -1,5 +1,5 @@
-//! Changes: each step by itself, and thousands of random histories of changes, drains, deaths and kills, in which the
-//! same few things must always hold.
+//! Changes: each step by itself, and thousands of random histories of changes, drains, deaths and
+//! kills, in which the same few things must always hold.
 
 use heathroad_routing::file::Source;
 use heathroad_routing::generation::Generation;
@@ -12,7 +12,12 @@
 use std::rc::Rc;
 
 fn terms() -> Terms {
-    Terms { stage: 1_000, probation: 5_000, most_alive: 3, judged: false }
+    Terms {
+        stage: 1_000,
+        probation: 5_000,
+        most_alive: 3,
+        judged: false,
+    }
 }
 
 /// Pools by name, with the ports of their members.
@@ -22,7 +27,10 @@
 fn text(pools: &[(&str, &[u16])]) -> String {
     let mut text = String::new();
     for (name, members) in pools {
-        let list: Vec<String> = members.iter().map(|m| format!("\"127.0.0.1:{m}\"")).collect();
+        let list: Vec<String> = members
+            .iter()
+            .map(|m| format!("\"127.0.0.1:{m}\""))
+            .collect();
         text += &format!(
             "[[pool]]\nname = \"{name}\"\nbackends = [{}]\n[[pool.class]]\nname = \"c\"\neffect = \"safe\"\n\
              aim_ms = 1\ndeadline_ms = 2\n",
@@ -47,7 +55,10 @@
 
 impl Scene {
     fn new(pools: &[(&str, &[u16])]) -> Scene {
-        Scene { changer: Changer::new(terms(), generation(1, pools), 1), steps: Vec::new() }
+        Scene {
+            changer: Changer::new(terms(), generation(1, pools), 1),
+            steps: Vec::new(),
+        }
     }
 
     /// What is said and done, in short.
@@ -73,7 +84,13 @@
     /// A pool of the change under way is ready.
     fn ready(&mut self, now: u64, pool: &str) -> Vec<String> {
         let number = self.changer.open().map_or(0, |(n, _)| n);
-        self.at(now, Event::Ready { number, pool: pool.into() })
+        self.at(
+            now,
+            Event::Ready {
+                number,
+                pool: pool.into(),
+            },
+        )
     }
 
     fn propose(&mut self, now: u64, pools: &[(&str, &[u16])]) -> Vec<String> {
@@ -86,18 +103,31 @@
     let mut s = Scene::new(&[("a", &[1])]);
     let two: &[(&str, &[u16])] = &[("a", &[1]), ("b", &[2])];
     assert_eq!(s.propose(0, two), ["open 2", "Staging(2)", "stage 2 b"]);
-    assert_eq!(s.changer.current().number, 1, "nothing is in force before all is ready");
+    assert_eq!(
+        s.changer.current().number,
+        1,
+        "nothing is in force before all is ready"
+    );
     assert_eq!(s.propose(1, &[("z", &[9])]), ["Busy(2)"], "one at a time");
     assert_eq!(s.ready(2, "a"), [""; 0], "not what is waited for");
-    assert_eq!(s.ready(10, "b"), ["write applied 2", "apply 2", "Applied(2)"]);
+    assert_eq!(
+        s.ready(10, "b"),
+        ["write applied 2", "apply 2", "Applied(2)"]
+    );
     assert_eq!(s.changer.open(), Some((2, true)));
     assert_eq!(s.at(5_009, Event::Tick), [""; 0]);
     assert_eq!(s.at(5_010, Event::Tick), ["commit 2", "Committed(2)"]);
     // The same again: nothing happens.
     assert_eq!(s.propose(6_000, two), ["Same(2)"]);
     // A pool that goes is retired when that stands, and not before.
-    assert_eq!(s.propose(6_000, &[("b", &[2])]).last().expect("steps"), "Applied(3)");
-    assert_eq!(s.at(11_000, Event::Tick), ["commit 3", "Committed(3)", "retire a"]);
+    assert_eq!(
+        s.propose(6_000, &[("b", &[2])]).last().expect("steps"),
+        "Applied(3)"
+    );
+    assert_eq!(
+        s.at(11_000, Event::Tick),
+        ["commit 3", "Committed(3)", "retire a"]
+    );
 }
 
 #[test]
@@ -106,17 +136,39 @@
     s.propose(0, &[("b", &[2])]);
     assert_eq!(s.at(999, Event::Tick), [""; 0]);
     let steps = s.at(1_000, Event::Tick);
-    assert_eq!(steps, ["close 2", "GivenUp(2, \"not ready in time: b\")", "retire b"]);
+    assert_eq!(
+        steps,
+        [
+            "close 2",
+            "GivenUp(2, \"not ready in time: b\")",
+            "retire b"
+        ]
+    );
     assert_eq!((s.changer.current().number, s.changer.open()), (1, None));
-    assert_eq!(s.propose(1_001, &[("b", &[2])])[0], "open 3", "numbers are never given twice");
+    assert_eq!(
+        s.propose(1_001, &[("b", &[2])])[0],
+        "open 3",
+        "numbers are never given twice"
+    );
 }
 
-/// What is judged is judged last, applied only if it may be, and not at all once its time is over. The way back is open.
+/// What is judged is judged last, applied only if it may be, and not at all once its time is over.
+/// The way back is open.
 #[test]
 fn a_change_that_is_judged_waits_for_its_verdict() {
-    let judged = |number, why: Option<&str>| Event::Judged { number, why: why.map(String::from) };
+    let judged = |number, why: Option<&str>| Event::Judged {
+        number,
+        why: why.map(String::from),
+    };
     let mut s = Scene::new(&[("a", &[1])]);
-    s.changer = Changer::new(Terms { judged: true, ..terms() }, generation(1, &[("a", &[1])]), 1);
+    s.changer = Changer::new(
+        Terms {
+            judged: true,
+            ..terms()
+        },
+        generation(1, &[("a", &[1])]),
+        1,
+    );
     let two: &[(&str, &[u16])] = &[("a", &[1]), ("b", &[2])];
     s.propose(0, two);
     assert_eq!(s.at(1, judged(2, None)), [""; 0], "nobody has asked");
@@ -127,7 +179,10 @@
     assert_eq!(s.at(5, judged(2, Some("no"))), down);
     s.propose(10, two);
     s.ready(11, "b");
-    assert_eq!(s.at(12, judged(3, None))[..2], ["write applied 3", "apply 3"]);
+    assert_eq!(
+        s.at(12, judged(3, None))[..2],
+        ["write applied 3", "apply 3"]
+    );
     assert_eq!(s.at(13, judged(3, Some("late"))), [""; 0], "it is in force");
     s.at(9_000, Event::Tick);
     // A committed change is undone without a verdict.
@@ -136,36 +191,67 @@
     s.at(20_000, Event::Tick);
     s.propose(20_001, two);
     s.ready(20_002, "b");
-    assert_eq!(s.at(21_001, Event::Tick)[1], "GivenUp(5, \"not judged in time\")");
+    assert_eq!(
+        s.at(21_001, Event::Tick)[1],
+        "GivenUp(5, \"not judged in time\")"
+    );
     assert_eq!(s.at(21_002, judged(5, None)), [""; 0]);
 }
 
-/// A pool of the same name, worded otherwise, was staged by a change that was given up: its connections are no news.
+/// A pool of the same name, worded otherwise, was staged by a change that was given up: its
+/// connections are no news.
 #[test]
 fn what_an_earlier_change_staged_makes_no_later_one_ready() {
     let mut s = Scene::new(&[("a", &[1])]);
     s.propose(0, &[("b", &[2])]);
     s.at(1, Event::Undo("asked".into()));
     s.propose(2, &[("b", &[3])]);
-    assert_eq!(s.at(3, Event::Ready { number: 2, pool: "b".into() }), [""; 0]);
-    assert_eq!(s.at(4, Event::Ready { number: 3, pool: "b".into() })[1], "apply 3");
+    assert_eq!(
+        s.at(
+            3,
+            Event::Ready {
+                number: 2,
+                pool: "b".into()
+            }
+        ),
+        [""; 0]
+    );
+    assert_eq!(
+        s.at(
+            4,
+            Event::Ready {
+                number: 3,
+                pool: "b".into()
+            }
+        )[1],
+        "apply 3"
+    );
 }
 
 #[test]
 fn harm_undoes_a_change_by_another() {
     let mut s = Scene::new(&[("a", &[1]), ("b", &[2])]);
-    let well = Sample { requests: 500.0, failed: 2.0, ..Sample::default() };
+    let well = Sample {
+        requests: 500.0,
+        failed: 2.0,
+        ..Sample::default()
+    };
     for pool in ["a", "b"] {
         assert_eq!(s.at(0, Event::Saw(pool.into(), well)), [""; 0]);
     }
     s.propose(1, &[("a", &[1]), ("b", &[3])]);
     s.ready(2, "b");
     assert_eq!(s.at(3, Event::Saw("a".into(), well)), [""; 0]);
-    let ill = Sample { requests: 100.0, failed: 60.0, ..Sample::default() };
+    let ill = Sample {
+        requests: 100.0,
+        failed: 60.0,
+        ..Sample::default()
+    };
     let steps = s.at(4, Event::Saw("b".into(), ill));
     assert_eq!(steps[..2], ["commit 3", "apply 3"]);
     assert!(
-        steps[2].starts_with("Undone { number: 2, by: 3, why: \"pool b: failed 0.600, before 0.004"),
+        steps[2]
+            .starts_with("Undone { number: 2, by: 3, why: \"pool b: failed 0.600, before 0.004"),
         "{}",
         steps[2]
     );
@@ -179,15 +265,29 @@
     assert_eq!(s.at(0, Event::Undo("asked".into())), ["NothingToUndo"]);
     // While it is staged, on probation, and once it stands: then it is a change like any other.
     s.propose(0, &[("b", &[2])]);
-    assert_eq!(s.at(1, Event::Undo("asked".into())), ["close 2", "GivenUp(2, \"asked\")", "retire b"]);
+    assert_eq!(
+        s.at(1, Event::Undo("asked".into())),
+        ["close 2", "GivenUp(2, \"asked\")", "retire b"]
+    );
     s.propose(2, &[("b", &[2])]);
     s.ready(3, "b");
     let steps = s.at(4, Event::Undo("asked".into()));
-    assert_eq!(steps, ["commit 4", "apply 4", "Undone { number: 3, by: 4, why: \"asked\" }", "retire b"]);
+    assert_eq!(
+        steps,
+        [
+            "commit 4",
+            "apply 4",
+            "Undone { number: 3, by: 4, why: \"asked\" }",
+            "retire b"
+        ]
+    );
     s.propose(5, &[("b", &[2])]);
     s.ready(6, "b");
     s.at(6_000, Event::Tick);
-    assert_eq!(s.at(6_001, Event::Undo("asked".into())), ["open 6", "Staging(6)", "stage 6 a"]);
+    assert_eq!(
+        s.at(6_001, Event::Undo("asked".into())),
+        ["open 6", "Staging(6)", "stage 6 a"]
+    );
     assert_eq!(s.ready(6_002, "a")[1], "apply 6");
 }
 
@@ -201,7 +301,11 @@
     s.propose(0, &[("b", &[2])]);
     s.ready(1, "b");
     assert_eq!(s.at(2, Event::Stop), [""; 0]);
-    assert_eq!(s.at(60_000, Event::Tick), [""; 0], "a start will begin with what was committed");
+    assert_eq!(
+        s.at(60_000, Event::Tick),
+        [""; 0],
+        "a start will begin with what was committed"
+    );
 }
 
 /// A request that lasts pins its generation; too many of those, and a change waits.
@@ -214,7 +318,10 @@
         let now = u64::from(n) * 10_000;
         s.propose(now, &[("a", &[n + 2])]);
         s.ready(now + 1, "a");
-        assert_eq!(s.at(now + 9_000, Event::Tick)[1], format!("Committed({})", n + 2));
+        assert_eq!(
+            s.at(now + 9_000, Event::Tick)[1],
+            format!("Committed({})", n + 2)
+        );
         assert_eq!(s.changer.alive(), usize::from(n) + 1);
     }
     assert_eq!(s.propose(40_000, &[("a", &[9])]), ["Crowded(3)"]);
@@ -223,8 +330,8 @@
     assert_eq!(s.propose(40_001, &[("a", &[9])])[0], "open 5");
 }
 
-/// What can't be written down is not done: an open or an apply is given up or undone, a commit is undone, so that a
-/// start and this life agree on what stands.
+/// What can't be written down is not done: an open or an apply is given up or undone, a commit is
+/// undone, so that a start and this life agree on what stands.
 #[test]
 fn a_record_that_fails_undoes_its_step() {
     let fail = |s: &mut Scene, record: Record| {
@@ -233,7 +340,10 @@
         s.changer.current().text.clone()
     };
     let (old, new): (Pools<'_>, Pools<'_>) = (&[("a", &[1])], &[("a", &[2])]);
-    let opened = || Record::Opened { number: 2, text: text(new) };
+    let opened = || Record::Opened {
+        number: 2,
+        text: text(new),
+    };
     let mut s = Scene::new(old);
     s.propose(0, new);
     assert_eq!(fail(&mut s, opened()), text(old));
@@ -247,17 +357,36 @@
     s.ready(1, "a");
     s.at(9_000, Event::Tick);
     assert_eq!(s.changer.current().text, text(new));
-    assert_eq!(fail(&mut s, Record::Committed { number: 2, text: text(new) }), text(old));
+    assert_eq!(
+        fail(
+            &mut s,
+            Record::Committed {
+                number: 2,
+                text: text(new)
+            }
+        ),
+        text(old)
+    );
     // The undoing of one that was never committed is what a start begins with anyhow.
     let mut s = Scene::new(old);
     s.propose(0, new);
     s.ready(1, "a");
     s.at(2, Event::Undo("asked".into()));
-    assert_eq!(fail(&mut s, Record::Committed { number: 3, text: text(old) }), text(old));
+    assert_eq!(
+        fail(
+            &mut s,
+            Record::Committed {
+                number: 3,
+                text: text(old)
+            }
+        ),
+        text(old)
+    );
     assert!(s.steps.is_empty());
 }
 
-/// A daemon in a random history: the machine, its log as a start would find it, nodes, and requests that are bound.
+/// A daemon in a random history: the machine, its log as a start would find it, nodes, and requests
+/// that are bound.
 struct World {
     changer: Changer,
     log: Recovered,
@@ -306,8 +435,11 @@
 
     fn name(&mut self, g: &Generation) {
         for pool in &g.config.pools {
-            let Source::List(members) = &pool.source else { continue };
-            self.nodes.named(&pool.name, &members.iter().map(|m| m.address).collect());
+            let Source::List(members) = &pool.source else {
+                continue;
+            };
+            self.nodes
+                .named(&pool.name, &members.iter().map(|m| m.address).collect());
             self.ready.insert(pool.name.clone());
         }
     }
@@ -343,22 +475,41 @@
                 Step::Write(record) => self.write(record),
                 Step::Stage(g, pools) => {
                     assert!(pools.iter().all(|p| g.pool(p).is_some()));
-                    assert_eq!(self.log.open, Some((g.number, false)), "it was written down first");
+                    assert_eq!(
+                        self.log.open,
+                        Some((g.number, false)),
+                        "it was written down first"
+                    );
                 }
                 Step::Apply(g) => {
-                    assert!(self.applied.last().is_none_or(|n| *n < g.number), "numbers grow");
+                    assert!(
+                        self.applied.last().is_none_or(|n| *n < g.number),
+                        "numbers grow"
+                    );
                     let durable = self.log.open == Some((g.number, true))
-                        || self.log.committed.as_ref().is_some_and(|(n, _)| *n == g.number);
+                        || self
+                            .log
+                            .committed
+                            .as_ref()
+                            .is_some_and(|(n, _)| *n == g.number);
                     assert!(durable, "it was written down first");
                     let change = self.log.open == Some((g.number, true));
-                    assert!(!self.judged || !change || self.may.contains(&g.number), "it was judged first");
+                    assert!(
+                        !self.judged || !change || self.may.contains(&g.number),
+                        "it was judged first"
+                    );
                     self.applied.push(g.number);
                     self.name(&g);
                 }
                 Step::Retire(pools) => {
                     let current = self.changer.current();
-                    assert!(pools.iter().all(|p| current.pool(p).is_none()), "none that is in force");
-                    pools.iter().for_each(|p| self.nodes.named(p, &BTreeSet::new()));
+                    assert!(
+                        pools.iter().all(|p| current.pool(p).is_none()),
+                        "none that is in force"
+                    );
+                    pools
+                        .iter()
+                        .for_each(|p| self.nodes.named(p, &BTreeSet::new()));
                 }
                 Step::Judge(g) => {
                     assert!(self.judged && self.log.open == Some((g.number, false)));
@@ -384,12 +535,23 @@
         let (g, number, held) = &self.requests[request];
         // One generation a request, unchanged to its end, resends included.
         assert!(g.number == *number && g.text == *held);
-        let share = g.table.share(&g.config.routes[0], rng.u64(..)).expect("some weight");
-        let Source::List(members) = &g.config.pools[share].source else { panic!("a list") };
-        let may = members.iter().find(|m| self.nodes.standing(m.address) == Standing::Takes);
+        let share = g
+            .table
+            .share(&g.config.routes[0], rng.u64(..))
+            .expect("some weight");
+        let Source::List(members) = &g.config.pools[share].source else {
+            panic!("a list")
+        };
+        let may = members
+            .iter()
+            .find(|m| self.nodes.standing(m.address) == Standing::Takes);
         if let Some(m) = may {
             let born = self.born.get(&m.address).copied().unwrap_or(0);
-            assert!(!self.withdrawn.contains(&(m.address, born)), "{} drains", m.address);
+            assert!(
+                !self.withdrawn.contains(&(m.address, born)),
+                "{} drains",
+                m.address
+            );
             self.sent += 1;
         }
     }
@@ -400,7 +562,8 @@
     let mut pools: Vec<(&str, Vec<u16>)> = Vec::new();
     for name in names {
         if rng.u8(..3) > 0 || pools.is_empty() && name == "c" {
-            let members: BTreeSet<u16> = (0..1 + rng.usize(..3)).map(|_| 1 + rng.u16(..6)).collect();
+            let members: BTreeSet<u16> =
+                (0..1 + rng.usize(..3)).map(|_| 1 + rng.u16(..6)).collect();
             pools.push((name, members.into_iter().collect()));
         }
     }
@@ -408,8 +571,8 @@
     text(&pools)
 }
 
-/// 10,000 histories: one generation a request, drains kept whatever is undone, and a start on the last committed
-/// generation, killed between any two steps.
+/// 10,000 histories: one generation a request, drains kept whatever is undone, and a start on the
+/// last committed generation, killed between any two steps.
 #[test]
 fn histories_of_changes_drains_deaths_and_kills() {
     let (mut commits, mut undone, mut kills, mut sends, mut downs) = (0, 0, 0, 0, 0);
@@ -417,7 +580,11 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let first = (1, random_text(&mut rng));
         let mut world = World::start(
-            Recovered { committed: Some(first), highest: 1, ..Recovered::default() },
+            Recovered {
+                committed: Some(first),
+                highest: 1,
+                ..Recovered::default()
+            },
             seed % 2 == 0,
         );
         for _ in 0..40 {
@@ -426,15 +593,24 @@
             let event = match rng.u8(..if seed % 2 == 0 { 14 } else { 12 }) {
                 0..=2 => {
                     let text = random_text(&mut rng);
-                    Event::Propose(Generation::read(0, "f", &text).unwrap_or_else(|e| panic!("{e}")))
+                    Event::Propose(
+                        Generation::read(0, "f", &text).unwrap_or_else(|e| panic!("{e}")),
+                    )
                 }
                 3 | 4 => {
                     let number = world.changer.open().map_or(0, |(n, _)| n);
-                    Event::Ready { number, pool: ["a", "b", "c"][rng.usize(..3)].to_string() }
+                    Event::Ready {
+                        number,
+                        pool: ["a", "b", "c"][rng.usize(..3)].to_string(),
+                    }
                 }
                 5 => {
                     let failed = if rng.bool() { 90.0 } else { 0.0 };
-                    let sample = Sample { requests: 100.0, failed, ..Sample::default() };
+                    let sample = Sample {
+                        requests: 100.0,
+                        failed,
+                        ..Sample::default()
+                    };
                     Event::Saw(["a", "b", "c"][rng.usize(..3)].to_string(), sample)
                 }
                 6 => Event::Undo("asked".into()),
@@ -465,20 +641,30 @@
                     continue;
                 }
                 11 => Event::Tick,
-                // The answer to what was asked, late or not at all, or to what nobody asks any more.
+                // The answer to what was asked, late or not at all, or to what nobody asks any
+                // more.
                 _ => {
                     let why = (rng.u8(..4) == 0).then(|| "it breaks what is expected".to_string());
                     downs += usize::from(why.is_some());
-                    Event::Judged { number: world.asked.unwrap_or(1), why }
+                    Event::Judged {
+                        number: world.asked.unwrap_or(1),
+                        why,
+                    }
                 }
             };
             let before = (world.log.committed.clone(), world.changer.open());
             let alive = world.tell(event, killed);
             let committed = world.log.committed.clone().expect("since the start");
             commits += usize::from(Some(&committed) != before.0.as_ref());
-            undone +=
-                usize::from(before.1.is_some_and(|(n, applied)| applied && world.applied.last() > Some(&n)));
-            assert!(world.changer.alive() <= terms().most_alive + 2, "seed {seed}");
+            undone += usize::from(
+                before
+                    .1
+                    .is_some_and(|(n, applied)| applied && world.applied.last() > Some(&n)),
+            );
+            assert!(
+                world.changer.alive() <= terms().most_alive + 2,
+                "seed {seed}"
+            );
             if !alive || killed.is_some() && rng.bool() {
                 // Killed: a start finds the log and nothing else.
                 kills += 1;
@@ -486,8 +672,15 @@
                 sends += world.sent;
                 world = World::start(world.log.clone(), seed % 2 == 0);
                 assert_eq!(world.changer.current().number, committed.0, "seed {seed}");
-                assert_eq!(world.changer.current().text, committed.1, "seed {seed}: never one on probation");
-                assert!(world.changer.open().is_none() && world.log.highest == highest, "seed {seed}");
+                assert_eq!(
+                    world.changer.current().text,
+                    committed.1,
+                    "seed {seed}: never one on probation"
+                );
+                assert!(
+                    world.changer.open().is_none() && world.log.highest == highest,
+                    "seed {seed}"
+                );
                 world.log.open = None;
             }
         }
--- a/crates/heathroad/src/backend/crossings.rs
+++ b/crates/heathroad/src/backend/crossings.rs
@@ -17,14 +17,31 @@
 }
 
 fn pool(connections: usize, may_duplicate: bool) -> Rc<Pool> {
-    let limits = Limits { connections, connect: LONG, idle: LONG * 3, drain_grace: LONG, may_duplicate };
-    Rc::new(Pool { draining_most: 1, ..Pool::new(limits) })
+    let limits = Limits {
+        connections,
+        connect: LONG,
+        idle: LONG * 3,
+        drain_grace: LONG,
+        may_duplicate,
+    };
+    Rc::new(Pool {
+        draining_most: 1,
+        ..Pool::new(limits)
+    })
 }
 
 fn call(body: usize) -> Rc<Call> {
     let (id, uri) = (HeaderValue::from_static("1"), Uri::from_static("/once"));
     let (method, body) = (Method::POST, Bytes::from(vec![b'x'; body]));
-    Rc::new(Call::Http(http::Call { method, uri, host: None, id, key: None, version: None, body }))
+    Rc::new(Call::Http(http::Call {
+        method,
+        uri,
+        host: None,
+        id,
+        key: None,
+        version: None,
+        body,
+    }))
 }
 
 /// An attempt under way: its line, how it ends, and its whole course.
@@ -47,13 +64,19 @@
     let (report, ended) = oneshot::channel();
     let report = |end: End| report.send(end.outcome()).expect("awaited");
     let course = spawn_local(attempt.run(pool.clone(), report, |_| {}));
-    Run { line, ended, course }
+    Run {
+        line,
+        ended,
+        course,
+    }
 }
 
 async fn small_listener(queue: u32) -> TcpListener {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a size");
-    socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
+    socket
+        .bind("127.0.0.1:0".parse().expect("an address"))
+        .expect("a port");
     socket.listen(queue).expect("it listens")
 }
 
@@ -64,7 +87,11 @@
         let fields: Vec<&str> = line.split_whitespace().collect();
         fields.get(2).is_some_and(|remote| remote.ends_with(&port)) && fields.get(3) == Some(&"02")
     };
-    while !std::fs::read_to_string("/proc/net/tcp").expect("a table").lines().any(waits) {
+    while !std::fs::read_to_string("/proc/net/tcp")
+        .expect("a table")
+        .lines()
+        .any(waits)
+    {
         yield_now().await;
     }
 }
@@ -89,15 +116,19 @@
                 soon(waits.course).await.expect("no panic");
             }
             assert!(!busy.line.reported(), "the other goes on");
-            stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("open");
+            stream
+                .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                .await
+                .expect("open");
             assert_eq!(soon(busy.ended).await, Ok(Outcome::Ok));
             assert!(soon(pool.connect(dial)).await.is_ok(), "its place is free");
         })
         .await;
 }
 
-/// A kept connection holds a late answer that nobody has heard of, so that the request needs another one, which does not come
-/// up: called off, the request never ran, and has no course any more that might send it later.
+/// A kept connection holds a late answer that nobody has heard of, so that the request needs
+/// another one, which does not come up: called off, the request never ran, and has no course any
+/// more that might send it later.
 #[tokio::test]
 async fn a_second_connect_is_no_work_that_goes_on() {
     for off in [Line::forsake, Line::withdraw] {
@@ -118,8 +149,10 @@
                     assert!(held.len() < 100, "the queue fills up");
                 }
                 pool.keep(&target, link);
-                // The task that has the connection does not run before the attempt has looked at it.
-                let sent = SockRef::from(&kept).send(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
+                // The task that has the connection does not run before the attempt has looked at
+                // it.
+                let sent =
+                    SockRef::from(&kept).send(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
                 assert!(sent.is_ok());
                 let again = run(&pool, &target, call(0));
                 soon(connecting(dial)).await;
@@ -140,19 +173,35 @@
     }
 }
 
-/// The table of answers that come before a request is whole: no backend can have made them for it, and none ever gets the
-/// rest of it. Whether it may be sent again or refused is the module's by class, and rests on `never_ran`.
+/// The table of answers that come before a request is whole: no backend can have made them for it,
+/// and none ever gets the rest of it. Whether it may be sent again or refused is the module's by
+/// class, and rests on `never_ran`.
 #[tokio::test]
 async fn an_answer_to_a_request_that_is_not_whole_is_none() {
     const BODY: usize = MAX_BODY;
     let cases = [
-        ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly", Outcome::ConnectFailed),
-        ("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", Outcome::Full),
-        ("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", Outcome::ConnectFailed),
-        ("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nwhat", Outcome::ConnectFailed),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly",
+            Outcome::ConnectFailed,
+        ),
+        (
+            "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
+            Outcome::Full,
+        ),
+        (
+            "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+            Outcome::ConnectFailed,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nwhat",
+            Outcome::ConnectFailed,
+        ),
         ("noise\r\n\r\n", Outcome::ConnectFailed),
         // What the request is at fault for goes to no other backend, whether it ran or not.
-        ("HTTP/1.1 413 No\r\nContent-Length: 0\r\n\r\n", Outcome::Cancelled),
+        (
+            "HTTP/1.1 413 No\r\nContent-Length: 0\r\n\r\n",
+            Outcome::Cancelled,
+        ),
     ];
     for (bytes, outcome) in cases {
         let listener = small_listener(16).await;
@@ -162,8 +211,13 @@
             .run_until(async {
                 let target = pool.target("a", dial, 0.0);
                 let (stream, place) = pool.dial(dial).await.expect("it listens");
-                SockRef::from(&stream).set_send_buffer_size(4096).expect("a size");
-                pool.keep(&target, pool.link(stream, place).await.expect("nothing is sent yet"));
+                SockRef::from(&stream)
+                    .set_send_buffer_size(4096)
+                    .expect("a size");
+                pool.keep(
+                    &target,
+                    pool.link(stream, place).await.expect("nothing is sent yet"),
+                );
                 let (mut backend, _) = soon(listener.accept()).await.expect("it came");
                 let attempt = run(&pool, &target, call(BODY));
                 let mut seen = [0; 64];
@@ -190,8 +244,13 @@
             .run_until(async {
                 let target = pool.target("a", dial, 0.0);
                 let (stream, place) = pool.dial(dial).await.expect("it listens");
-                SockRef::from(&stream).set_send_buffer_size(4096).expect("a size");
-                pool.keep(&target, pool.link(stream, place).await.expect("nothing is sent yet"));
+                SockRef::from(&stream)
+                    .set_send_buffer_size(4096)
+                    .expect("a size");
+                pool.keep(
+                    &target,
+                    pool.link(stream, place).await.expect("nothing is sent yet"),
+                );
                 let (mut backend, _) = soon(listener.accept()).await.expect("it came");
                 let attempt = run(&pool, &target, call(MAX_BODY));
                 assert_ne!(soon(backend.read(&mut [0; 64])).await.expect("open"), 0);
@@ -205,8 +264,9 @@
     }
 }
 
-/// A second answer comes late, on a connection at rest. From then on no request goes over a connection on which one may be on
-/// its way still: it would be taken for that request's. One that comes while it rests shows that it is of no use.
+/// A second answer comes late, on a connection at rest. From then on no request goes over a
+/// connection on which one may be on its way still: it would be taken for that request's. One that
+/// comes while it rests shows that it is of no use.
 #[tokio::test]
 async fn a_connection_rests_where_second_answers_come() {
     let listener = small_listener(16).await;
@@ -260,10 +320,21 @@
             .run_until(async {
                 let target = pool.target("a", dial, 0.0);
                 let framing = heathroad_jsonrpc::Framing::Lines;
-                let way = rpc::Way { port: None, framing, calls: 1, declined: None, budget: false };
+                let way = rpc::Way {
+                    port: None,
+                    framing,
+                    calls: 1,
+                    declined: None,
+                    budget: false,
+                };
                 let params = Some(Bytes::from(format!("[\"{}\"]", "x".repeat(TEXT))));
                 let method = Bytes::from_static(b"\"once\"");
-                let call = Rc::new(Call::Rpc(rpc::Call { method, params, notification: false, way }));
+                let call = Rc::new(Call::Rpc(rpc::Call {
+                    method,
+                    params,
+                    notification: false,
+                    way,
+                }));
                 let attempt = run(&pool, &target, call);
                 let (mut node, _) = soon(listener.accept()).await.expect("it came");
                 assert_ne!(soon(node.read(&mut [0; 64])).await.expect("open"), 0);
--- a/crates/heathroad/src/backend/http.rs
+++ b/crates/heathroad/src/backend/http.rs
@@ -28,17 +28,21 @@
 
 /// A body that has begun and makes no headway for so long is not coming: its length doesn't fit.
 const PAUSE: Duration = Duration::from_millis(500);
-/// Once its answer is read a connection is free in no time, unless the request itself is still being written.
+/// Once its answer is read a connection is free in no time, unless the request itself is still
+/// being written.
 const SETTLE: Duration = Duration::from_millis(50);
-/// A late second answer comes so long behind the first: a connection that has rested for longer holds none that is not seen.
+/// A late second answer comes so long behind the first: a connection that has rested for longer
+/// holds none that is not seen.
 const REST: Duration = Duration::from_millis(50);
-/// Once a backend has spoken out of its turn, for so long each connection rests before it carries the next request.
+/// Once a backend has spoken out of its turn, for so long each connection rests before it carries
+/// the next request.
 const WARY: Duration = Duration::from_secs(60);
 /// Longest answer head, and most lines in it; the buffer for heads and bodies grows to this size.
 const MAX_HEAD: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
 
-/// A body of fewer bytes is copied, so that a slow caller's answer does not keep the whole buffer that it came in.
+/// A body of fewer bytes is copied, so that a slow caller's answer does not keep the whole buffer
+/// that it came in.
 const SMALL: usize = 2048;
 
 /// A request's own id.
@@ -70,8 +74,9 @@
     pub body: Bytes,
 }
 
-/// A connection that carries one request at a time. Dropped, it is closed at once, whatever is still to be written to it: the
-/// HTTP library by itself would first write a request to its end for which nobody waits any more.
+/// A connection that carries one request at a time. Dropped, it is closed at once, whatever is
+/// still to be written to it: the HTTP library by itself would first write a request to its end for
+/// which nobody waits any more.
 pub(super) struct Link {
     pub(super) sender: SendRequest<Outgoing>,
     progress: Rc<Progress>,
@@ -87,9 +92,10 @@
 }
 
 impl Pool {
-    /// The most recently used of those still open that have rested: the others may then grow old and be closed. The most
-    /// recently used of all is the likeliest to get a late second answer to the request before; where none has rested, the one
-    /// that was used longest ago is taken, with what it has yet to rest while such answers come.
+    /// The most recently used of those still open that have rested: the others may then grow old
+    /// and be closed. The most recently used of all is the likeliest to get a late second answer to
+    /// the request before; where none has rested, the one that was used longest ago is taken, with
+    /// what it has yet to rest while such answers come.
     fn reuse(&self, target: &Target) -> Option<(Link, Duration)> {
         let (age, now) = (self.limits.idle.mul_f64(RETIRE), Instant::now());
         let wary = self.wary.get().is_some_and(|since| now - since < WARY);
@@ -97,15 +103,31 @@
         let links = idle.get_mut(&target.number)?;
         links.retain(|i| i.link.sender.is_ready() && now - i.since < age);
         let rested = links.iter().rposition(|i| now - i.since >= REST);
-        let Idle { link, since } = (!links.is_empty()).then(|| links.remove(rested.unwrap_or(0)))?;
-        Some((link, if wary { REST.saturating_sub(now - since) } else { Duration::ZERO }))
+        let Idle { link, since } =
+            (!links.is_empty()).then(|| links.remove(rested.unwrap_or(0)))?;
+        Some((
+            link,
+            if wary {
+                REST.saturating_sub(now - since)
+            } else {
+                Duration::ZERO
+            },
+        ))
     }
 
     pub(super) fn keep(&self, target: &Target, link: Link) {
         if target.drained.get().is_none() && !link.sender.is_closed() {
-            // Its backend counts from its answer, which may have lain unread while the process was held up.
-            let idle = Idle { link, since: heartbeat::arrival(Instant::now()) };
-            self.idle.borrow_mut().entry(target.number).or_default().push(idle);
+            // Its backend counts from its answer, which may have lain unread while the process was
+            // held up.
+            let idle = Idle {
+                link,
+                since: heartbeat::arrival(Instant::now()),
+            };
+            self.idle
+                .borrow_mut()
+                .entry(target.number)
+                .or_default()
+                .push(idle);
         }
     }
 
@@ -114,7 +136,11 @@
         self.link(stream, place).await
     }
 
-    pub(super) async fn link(&self, stream: TcpStream, place: OwnedSemaphorePermit) -> Result<Link, Outcome> {
+    pub(super) async fn link(
+        &self,
+        stream: TcpStream,
+        place: OwnedSemaphorePermit,
+    ) -> Result<Link, Outcome> {
         let watched = Watched::new(TokioIo::new(stream));
         let progress = watched.progress();
         let mut builder = Builder::new();
@@ -133,7 +159,12 @@
             }
             left.replace(rest);
         });
-        Ok(Link { sender, progress, leftover, task: task.abort_handle() })
+        Ok(Link {
+            sender,
+            progress,
+            leftover,
+            task: task.abort_handle(),
+        })
     }
 }
 
@@ -152,8 +183,8 @@
     line: &Line,
     purse: Option<&Purse>,
 ) -> End {
-    // What failed, or came back, before the request's last byte was out never ran: the connection ends here, and no backend
-    // gets the rest. No backend made an answer for what it has not whole.
+    // What failed, or came back, before the request's last byte was out never ran: the connection
+    // ends here, and no backend gets the rest. No backend made an answer for what it has not whole.
     let unless_whole = |link: &Link, outcome| match link.progress.written() {
         Written::Whole => End::Unserved(outcome),
         Written::Nothing | Written::Part => End::Unserved(Outcome::ConnectFailed),
@@ -171,7 +202,8 @@
                 Err(outcome) => return End::Unserved(outcome),
             },
         };
-        // The connect may have taken long: by now the backend may drain, the client have left, or a repeat come too late.
+        // The connect may have taken long: by now the backend may drain, the client have left, or a
+        // repeat come too late.
         if let Err(denied) = pool.may_write(target, line) {
             tally::denied(denied, &String::from_utf8_lossy(call.id.as_bytes()));
             return End::Unserved(Outcome::Moot);
@@ -181,8 +213,8 @@
         line.goes_over(Some(link.progress.clone()));
         match link.sender.send_request(request).await {
             Ok(answer) => break (link, answer),
-            // A kept connection that turned out to be closed, or to hold bytes that are no answer to this: not a
-            // byte of the request was written, so that it goes over another one.
+            // A kept connection that turned out to be closed, or to hold bytes that are no answer
+            // to this: not a byte of the request was written, so that it goes over another one.
             Err(reason) if kept && link.progress.written() == Written::Nothing => {
                 tracing::debug!(id = ?call.id, %reason, "kept connection of no use, another is taken");
             }
@@ -194,7 +226,10 @@
         }
     };
     if link.progress.written() != Written::Whole {
-        let (status, declined) = (answer.status(), answer.headers().get(&DECLINED).is_some_and(|v| v == "1"));
+        let (status, declined) = (
+            answer.status(),
+            answer.headers().get(&DECLINED).is_some_and(|v| v == "1"),
+        );
         return match unserved(status, declined) {
             // It was turned down by its head.
             end @ (End::Rejected | End::Unserved(Outcome::Full)) => end,
@@ -216,10 +251,10 @@
     end
 }
 
-/// Sees what came behind an answer before it counts. The HTTP library ends a body where its length says: if the
-/// length was too short, the rest of the body lies there, and the answer would be passed on cut off. A second
-/// answer behind the first is none of the first's business. Tells whether the connection is fit for the next
-/// request; nothing where the answer is spoilt.
+/// Sees what came behind an answer before it counts. The HTTP library ends a body where its length
+/// says: if the length was too short, the rest of the body lies there, and the answer would be
+/// passed on cut off. A second answer behind the first is none of the first's business. Tells
+/// whether the connection is fit for the next request; nothing where the answer is spoilt.
 async fn settle(link: &mut Link, end: End) -> Option<(End, bool)> {
     if link.sender.is_ready() {
         return Some((end, true));
@@ -235,9 +270,10 @@
     }
 }
 
-/// What an answer means; nothing if it is spoilt. Where it ends must be told, once, by a length that is allowed, or by its
-/// sender's word that it closes the connection behind it: what says neither ends nowhere, and of two lengths at most one is
-/// true. A reset is no end: it shows as an error of the read, since nobody else asks the system about this connection meanwhile.
+/// What an answer means; nothing if it is spoilt. Where it ends must be told, once, by a length
+/// that is allowed, or by its sender's word that it closes the connection behind it: what says
+/// neither ends nowhere, and of two lengths at most one is true. A reset is no end: it shows as an
+/// error of the read, since nobody else asks the system about this connection meanwhile.
 async fn read(answer: Response<Incoming>, purse: Option<&Purse>) -> Option<End> {
     let (head, mut body) = answer.into_parts();
     if let Some(purse) = purse {
@@ -253,13 +289,18 @@
             codings += 1;
         } else if name == header::CONNECTION {
             let words = value.to_str().unwrap_or_default().split(',');
-            closes |= words.into_iter().any(|w| w.trim().eq_ignore_ascii_case("close"));
+            closes |= words
+                .into_iter()
+                .any(|w| w.trim().eq_ignore_ascii_case("close"));
         } else if name == DECLINED {
             declined.get_or_insert(value == "1");
         }
     }
     let declined = declined.unwrap_or(false);
-    let bodiless = matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+    let bodiless = matches!(
+        head.status,
+        StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED
+    );
     let told = match lengths + codings {
         0 => bodiless || closes,
         1 => !bodiless || lengths == 1,
@@ -271,13 +312,19 @@
     let (mut first, mut bytes) = (Bytes::new(), BytesMut::new());
     // An answer that breaks off is none: the request may have run.
     while let Some(frame) = timeout(PAUSE, body.frame()).await.ok()? {
-        let Ok(data) = frame.ok()?.into_data() else { continue };
+        let Ok(data) = frame.ok()?.into_data() else {
+            continue;
+        };
         if first.len() + bytes.len() + data.len() > MAX_BODY {
             return None;
         }
         if first.is_empty() && bytes.is_empty() {
             // Most answers come in one piece.
-            first = if data.len() < SMALL { Bytes::copy_from_slice(&data) } else { data };
+            first = if data.len() < SMALL {
+                Bytes::copy_from_slice(&data)
+            } else {
+                data
+            };
             if body.is_end_stream() {
                 break;
             }
@@ -286,7 +333,11 @@
         bytes.extend_from_slice(&std::mem::take(&mut first));
         bytes.extend_from_slice(&data);
     }
-    let whole = if bytes.is_empty() { first } else { bytes.freeze() };
+    let whole = if bytes.is_empty() {
+        first
+    } else {
+        bytes.freeze()
+    };
     Some(match head.status {
         StatusCode::OK => End::Served(whole),
         status => unserved(status, declined),
@@ -309,14 +360,22 @@
 }
 
 impl Call {
-    fn request(&self, progress: &Rc<Progress>, expires: Instant, purse: Option<&Purse>) -> Request<Outgoing> {
+    fn request(
+        &self,
+        progress: &Rc<Progress>,
+        expires: Instant,
+        purse: Option<&Purse>,
+    ) -> Request<Outgoing> {
         let remains = expires.saturating_duration_since(Instant::now());
         let left = remains.as_millis() as u64;
         let mut request = Request::new(Outgoing::new(self.body.clone(), progress.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         let headers = request.headers_mut();
-        let host = self.host.clone().unwrap_or(HeaderValue::from_static("heathroad"));
+        let host = self
+            .host
+            .clone()
+            .unwrap_or(HeaderValue::from_static("heathroad"));
         headers.insert(HOST, host);
         headers.insert(&ID, self.id.clone());
         headers.insert(&DEADLINE, HeaderValue::from(left));
--- a/crates/heathroad/src/backend/mod.rs
+++ b/crates/heathroad/src/backend/mod.rs
@@ -1,5 +1,5 @@
-//! The backends' side: a pool of kept connections, and attempts with what each ending means. `http` and `rpc` know how
-//! a call goes over a connection.
+//! The backends' side: a pool of kept connections, and attempts with what each ending means. `http`
+//! and `rpc` know how a call goes over a connection.
 
 #[cfg(test)]
 mod crossings;
@@ -31,13 +31,15 @@
 
 /// Longest body that is passed on in either direction.
 pub const MAX_BODY: usize = 64 * 1024;
-/// An overtaken attempt's answer is awaited so long, to keep its connection: longer than most work takes.
+/// An overtaken attempt's answer is awaited so long, to keep its connection: longer than most work
+/// takes.
 const DRAIN: Duration = Duration::from_secs(5);
 /// Connections on which overtaken answers are awaited, as a share of all.
 const DRAIN_SHARE: usize = 4;
 /// Kept connections are given up at this share of the time after which backends close them.
 const RETIRE: f64 = 0.5;
-/// Nothing is sent later than this part of the drain's grace, as a divisor: the rest is for a late loop and a slow write.
+/// Nothing is sent later than this part of the drain's grace, as a divisor: the rest is for a late
+/// loop and a slow write.
 const DRAIN_PART: u32 = 2;
 
 /// A request as every attempt of it goes out.
@@ -98,8 +100,8 @@
         match self {
             End::Served(_) => Outcome::Ok,
             End::Ill(_) => Outcome::Error,
-            // The request's fault: it says nothing of the backend, and another would say the same. What has no answer
-            // says nothing of it either.
+            // The request's fault: it says nothing of the backend, and another would say the same.
+            // What has no answer says nothing of it either.
             End::Rejected | End::Sent => Outcome::Cancelled,
             End::Unserved(outcome) => *outcome,
         }
@@ -124,7 +126,8 @@
 pub struct Pool {
     limits: Limits,
     targets: Cell<u64>,
-    /// Those in use, by name, address and start: pools that name one process share it and its connections.
+    /// Those in use, by name, address and start: pools that name one process share it and its
+    /// connections.
     known: RefCell<HashMap<(String, SocketAddr, u64), Weak<Target>>>,
     /// By the target's number.
     idle: RefCell<FxHashMap<u64, Vec<Idle>>>,
@@ -171,29 +174,56 @@
         let (idle, rpc) = (RefCell::default(), RefCell::default());
         let (draining, wary, give_way) = (Rc::default(), Rc::default(), Notify::new());
         let draining_most = limits.connections / DRAIN_SHARE;
-        Pool { limits, targets, known, idle, rpc, places, draining, draining_most, wary, give_way }
+        Pool {
+            limits,
+            targets,
+            known,
+            idle,
+            rpc,
+            places,
+            draining,
+            draining_most,
+            wary,
+            give_way,
+        }
     }
 
     /// A process to send to. One that is in use and takes work is the same for all who name it.
     pub fn target(&self, name: &str, dial: SocketAddr, born_ms: f64) -> Rc<Target> {
         let mut known = self.known.borrow_mut();
         let key = (name.to_string(), dial, born_ms.to_bits());
-        if let Some(target) = known.get(&key).and_then(Weak::upgrade).filter(|t| t.drained.get().is_none()) {
+        if let Some(target) = known
+            .get(&key)
+            .and_then(Weak::upgrade)
+            .filter(|t| t.drained.get().is_none())
+        {
             return target;
         }
         let number = self.targets.get();
         self.targets.set(number + 1);
-        let target = Rc::new(Target { number, dial, born_ms, drained: Cell::new(None) });
+        let target = Rc::new(Target {
+            number,
+            dial,
+            born_ms,
+            drained: Cell::new(None),
+        });
         known.insert(key, Rc::downgrade(&target));
         target
     }
 
-    /// Opens a connection to a process and keeps it, if there is none at rest; whether there is one now.
+    /// Opens a connection to a process and keeps it, if there is none at rest; whether there is one
+    /// now.
     pub async fn warm(self: &Rc<Self>, target: &Rc<Target>, way: Option<rpc::Way>) -> bool {
         if let Some(way) = way {
-            return self.rpc_link(target, way.calls).is_some() || self.connect_rpc(target, way).await.is_ok();
+            return self.rpc_link(target, way.calls).is_some()
+                || self.connect_rpc(target, way).await.is_ok();
         }
-        if self.idle.borrow().get(&target.number).is_some_and(|links| !links.is_empty()) {
+        if self
+            .idle
+            .borrow()
+            .get(&target.number)
+            .is_some_and(|links| !links.is_empty())
+        {
             return true;
         }
         match self.connect(target.dial).await {
@@ -213,8 +243,8 @@
         }
     }
 
-    /// Closes what has been idle for long. A backend closes idle connections too, and a request that crosses
-    /// its close would end as a reset, which may have run: ours go clearly earlier.
+    /// Closes what has been idle for long. A backend closes idle connections too, and a request
+    /// that crosses its close would end as a reset, which may have run: ours go clearly earlier.
     pub fn sweep(&self) {
         let age = self.limits.idle.mul_f64(RETIRE);
         self.idle.borrow_mut().retain(|_, links| {
@@ -223,37 +253,59 @@
         });
         self.rpc.borrow_mut().retain(|_, links| {
             links.retain(|l| l.open());
-            links.iter().filter(|l| l.rested().is_some_and(|rested| rested >= age)).for_each(|l| l.close());
+            links
+                .iter()
+                .filter(|l| l.rested().is_some_and(|rested| rested >= age))
+                .for_each(|l| l.close());
             !links.is_empty()
         });
         // What nobody names any more needs no connections.
         let mut known = self.known.borrow_mut();
         known.retain(|_, target| target.strong_count() > 0);
-        let used: HashSet<u64> = known.values().filter_map(Weak::upgrade).map(|t| t.number).collect();
-        self.idle.borrow_mut().retain(|number, _| used.contains(number));
+        let used: HashSet<u64> = known
+            .values()
+            .filter_map(Weak::upgrade)
+            .map(|t| t.number)
+            .collect();
+        self.idle
+            .borrow_mut()
+            .retain(|number, _| used.contains(number));
         let unused = |(number, _): &(&u64, &Vec<Rc<rpc::Link>>)| !used.contains(number);
-        self.rpc.borrow().iter().filter(unused).flat_map(|(_, links)| links).for_each(|l| l.close());
+        self.rpc
+            .borrow()
+            .iter()
+            .filter(unused)
+            .flat_map(|(_, links)| links)
+            .for_each(|l| l.close());
     }
 
     /// Closes the connection that has been idle longest, whosoever it is.
     fn evict(&self) -> bool {
         let rpc = self.rpc.borrow();
-        let resting = rpc.values().flatten().filter_map(|l| Some((l.rested()?, l)));
+        let resting = rpc
+            .values()
+            .flatten()
+            .filter_map(|l| Some((l.rested()?, l)));
         if let Some((rested, link)) = resting.max_by_key(|(rested, _)| *rested) {
-            let older = |links: &Vec<Idle>| links.first().is_some_and(|i| i.since.elapsed() > rested);
+            let older =
+                |links: &Vec<Idle>| links.first().is_some_and(|i| i.since.elapsed() > rested);
             if !self.idle.borrow().values().any(older) {
                 link.close();
                 return true;
             }
         }
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter().filter_map(|(number, links)| Some((links.first()?.since, *number))).min();
+        let oldest = idle
+            .iter()
+            .filter_map(|(number, links)| Some((links.first()?.since, *number)))
+            .min();
         let links = oldest.and_then(|(_, number)| idle.get_mut(&number));
         links.map(|links| links.remove(0)).is_some()
     }
 
-    /// A place for a connection. Where none is left, somebody gives way who needs his less: that takes a moment,
-    /// which is waited for, since a request turned away for want of a place is turned away by number.
+    /// A place for a connection. Where none is left, somebody gives way who needs his less: that
+    /// takes a moment, which is waited for, since a request turned away for want of a place is
+    /// turned away by number.
     async fn place(&self) -> Result<OwnedSemaphorePermit, Outcome> {
         let place = match self.places.clone().try_acquire_owned() {
             Ok(place) => place,
@@ -277,13 +329,20 @@
     }
 
     /// A connection to an address, and its place.
-    async fn dial(&self, address: SocketAddr) -> Result<(TcpStream, OwnedSemaphorePermit), Outcome> {
+    async fn dial(
+        &self,
+        address: SocketAddr,
+    ) -> Result<(TcpStream, OwnedSemaphorePermit), Outcome> {
         let place = self.place().await?;
         let stream = match timeout(self.limits.connect, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) => {
                 tracing::debug!(%address, reason = %e, "backend connection failed");
-                return Err(if out_of_descriptors(&e) { Outcome::Moot } else { Outcome::ConnectFailed });
+                return Err(if out_of_descriptors(&e) {
+                    Outcome::Moot
+                } else {
+                    Outcome::ConnectFailed
+                });
             }
             Err(_) => {
                 tracing::debug!(%address, reason = "connect timeout", "backend connection failed");
@@ -291,20 +350,29 @@
             }
         };
         tracing::debug!(%address, "backend connection opened");
-        stream.set_nodelay(true).map_err(|_| Outcome::ConnectFailed)?;
+        stream
+            .set_nodelay(true)
+            .map_err(|_| Outcome::ConnectFailed)?;
         Ok((stream, place))
     }
 
     /// Whether an attempt may be written to a process now.
     fn may_write(&self, target: &Target, line: &Line) -> Result<(), Denied> {
         let client_left = line.client.as_ref().is_some_and(Waiting::left);
-        let write = Write { client_left, withdrawn: self.drained(target), write_by: line.write_by };
+        let write = Write {
+            client_left,
+            withdrawn: self.drained(target),
+            write_by: line.write_by,
+        };
         permit::write(write, Instant::now())
     }
 
     /// Whether a process was told to drain so long ago that nothing more may go out to it.
     fn drained(&self, target: &Target) -> bool {
-        target.drained.get().is_some_and(|told| told.elapsed() > self.limits.drain_grace / DRAIN_PART)
+        target
+            .drained
+            .get()
+            .is_some_and(|told| told.elapsed() > self.limits.drain_grace / DRAIN_PART)
     }
 }
 
@@ -359,7 +427,11 @@
 impl Line {
     /// Of an attempt for a client, that may be written until then.
     pub fn new(client: Option<Waiting>, write_by: WriteBy) -> Line {
-        Line { client, write_by, ..Line::default() }
+        Line {
+            client,
+            write_by,
+            ..Line::default()
+        }
     }
 
     /// Withdraws the attempt; one that has ended needs no withdrawal.
@@ -367,8 +439,8 @@
         self.call_off(Off::Withdrawn);
     }
 
-    /// Its request is over. An attempt that is not written whole by now never ran, and ends here; one that is goes on, or is
-    /// withdrawn, as the settings will have it.
+    /// Its request is over. An attempt that is not written whole by now never ran, and ends here;
+    /// one that is goes on, or is withdrawn, as the settings will have it.
     pub fn forsake(&self) {
         self.call_off(Off::Forsaken);
     }
@@ -390,7 +462,8 @@
         self.reported.get()
     }
 
-    /// The request was handed to a connection; how far it is written is told by the bytes that go out there.
+    /// The request was handed to a connection; how far it is written is told by the bytes that go
+    /// out there.
     fn goes_over(&self, course: Option<Rc<Progress>>) {
         self.written.set(Written::Nothing);
         self.course.replace(course);
@@ -401,7 +474,10 @@
     }
 
     fn written(&self) -> Written {
-        self.course.borrow().as_ref().map_or(self.written.get(), |c| c.written())
+        self.course
+            .borrow()
+            .as_ref()
+            .map_or(self.written.get(), |c| c.written())
     }
 }
 
@@ -428,12 +504,20 @@
 }
 
 impl Attempt {
-    /// Carries the attempt out and reports its end, once. The connection of an attempt that was given up is
-    /// kept for a while after that: here no backend stops its work, so that closing would spare nothing
-    /// and cost both sides a new connection. The backend works on, and is loaded by that: when the answer
-    /// has come after all, or the connection is closed, `late` tells of it, once.
+    /// Carries the attempt out and reports its end, once. The connection of an attempt that was
+    /// given up is kept for a while after that: here no backend stops its work, so that closing
+    /// would spare nothing and cost both sides a new connection. The backend works on, and is
+    /// loaded by that: when the answer has come after all, or the connection is closed, `late`
+    /// tells of it, once.
     pub async fn run(self, pool: Rc<Pool>, report: impl FnOnce(End), late: impl FnOnce(End)) {
-        let Attempt { call, target, not_past, expires, line, purse } = self;
+        let Attempt {
+            call,
+            target,
+            not_past,
+            expires,
+            line,
+            purse,
+        } = self;
         let exchange = exchange(&pool, &call, &target, expires, &line, purse.as_deref());
         let mut exchange = pin!(Some(exchange));
         let report = |end| {
@@ -442,18 +526,27 @@
         };
         let mut time = pin!(sleep_until(not_past));
         let ended = poll_fn(|cx| {
-            // Before each step: what has no byte out when nobody waits any more sends none, whatever else has just come
-            // (a connect, a place), and what has not its last one out sends that no more.
+            // Before each step: what has no byte out when nobody waits any more sends none,
+            // whatever else has just come (a connect, a place), and what has not its last one out
+            // sends that no more.
             let (whole, off) = (line.written() == Written::Whole, line.off.get());
             let late = time.as_mut().poll(cx).is_ready();
             if !whole && (late || off != Off::No) {
-                return Poll::Ready(Err(if late { Outcome::Timeout } else { Outcome::Cancelled }));
+                return Poll::Ready(Err(if late {
+                    Outcome::Timeout
+                } else {
+                    Outcome::Cancelled
+                }));
             }
             if let Some(Poll::Ready(end)) = exchange.as_mut().as_pin_mut().map(|e| e.poll(cx)) {
                 return Poll::Ready(Ok(end));
             }
             if late || off == Off::Withdrawn {
-                return Poll::Ready(Err(if late { Outcome::Timeout } else { Outcome::Cancelled }));
+                return Poll::Ready(Err(if late {
+                    Outcome::Timeout
+                } else {
+                    Outcome::Cancelled
+                }));
             }
             keep(&line.waker, cx);
             Poll::Pending
@@ -469,7 +562,8 @@
         }
         report(End::Unserved(given_up));
         let unseen = End::Unserved(given_up);
-        // Its server is told by the close, and what it has not sent on yet is dropped: the work ends here and now.
+        // Its server is told by the close, and what it has not sent on yet is dropped: the work
+        // ends here and now.
         if purse.as_ref().is_some_and(|p| p.stops()) {
             return late(unseen);
         }
