--- a/crates/heathroad/src/backend/rpc.rs
+++ b/crates/heathroad/src/backend/rpc.rs
@@ -1,5 +1,6 @@
-//! Attempts over JSON-RPC: a connection carries one call or several at once, under ids of the proxy's own. That a call
-//! never ran is claimed only where the last byte of its text was not written.
+//! Attempts over JSON-RPC: a connection carries one call or several at once, under ids of the
+//! proxy's own. That a call never ran is claimed only where the last byte of its text was not
+//! written.
 
 use super::{End, Line, Pool, Target};
 use crate::budget::Purse;
@@ -128,14 +129,16 @@
 impl Drop for Waiting {
     fn drop(&mut self) {
         let s = &mut *self.link.state.borrow_mut();
-        let Some(pending) = s.pending.remove(&self.id) else { return };
+        let Some(pending) = s.pending.remove(&self.id) else {
+            return;
+        };
         self.link.since.set(Instant::now());
         if pending.line.written() == Written::Nothing {
             s.queue.retain(|f| f.id != self.id);
             return;
         }
-        // Its answer may come yet, or the connection be of no use: it carries what it has, and nothing new. Alone on it, a
-        // text that nobody waits for is not written to its end.
+        // Its answer may come yet, or the connection be of no use: it carries what it has, and
+        // nothing new. Alone on it, a text that nobody waits for is not written to its end.
         s.abandoned.insert(self.id);
         s.closing = true;
         self.link.wake.notify_one();
@@ -160,7 +163,8 @@
         self.wake.notify_one();
     }
 
-    /// How many calls it carries, if it is fit for one more. One on which an answer is overdue is not.
+    /// How many calls it carries, if it is fit for one more. One on which an answer is overdue is
+    /// not.
     fn load(&self, most: usize, now: Instant) -> Option<usize> {
         let s = self.state.borrow();
         let fit = !s.closing && !s.ended && s.pending.len() < most;
@@ -179,16 +183,33 @@
         s.next += 1;
         let (id, notification) = (s.next, call.notification);
         let mut text = BytesMut::new();
-        write::call((!notification).then_some(id), &call.method, call.params.as_deref(), &mut text);
+        write::call(
+            (!notification).then_some(id),
+            &call.method,
+            call.params.as_deref(),
+            &mut text,
+        );
         if let Some(purse) = purse {
             let (budget, path) = purse.texts(not_past.saturating_duration_since(Instant::now()));
             write::carry(&mut text, &budget, path);
         }
         s.queue.push_back(Frame::new(id, call.way.framing, &text));
         line.goes_over(None);
-        s.pending.insert(id, Pending { tell, line: line.clone(), not_past, notification });
+        s.pending.insert(
+            id,
+            Pending {
+                tell,
+                line: line.clone(),
+                not_past,
+                notification,
+            },
+        );
         self.wake.notify_one();
-        Waiting { link: self.clone(), id, end }
+        Waiting {
+            link: self.clone(),
+            id,
+            end,
+        }
     }
 
     /// What is to be written next; where nothing is begun, the next that may be.
@@ -212,7 +233,9 @@
         let whole = frame.left.len() <= frame.spare;
         let (id, done) = (frame.id, frame.left.is_empty());
         if let Some(pending) = s.pending.get(&id) {
-            pending.line.wrote(if whole { Written::Whole } else { Written::Part });
+            pending
+                .line
+                .wrote(if whole { Written::Whole } else { Written::Part });
         }
         if whole && s.pending.get(&id).is_some_and(|p| p.notification) {
             self.over(s, id, Ended::Sent);
@@ -235,15 +258,20 @@
         let s = &mut *self.state.borrow_mut();
         match message::reply(text) {
             Reply::Answer(answer) => {
-                let id = std::str::from_utf8(&answer.id).ok().and_then(|id| id.parse().ok());
+                let id = std::str::from_utf8(&answer.id)
+                    .ok()
+                    .and_then(|id| id.parse().ok());
                 let Some(id) = id else { return false };
                 // To what was not sent whole nobody can have an answer.
-                if s.pending.get(&id).is_some_and(|p| p.line.written() == Written::Whole && !p.notification) {
+                if s.pending
+                    .get(&id)
+                    .is_some_and(|p| p.line.written() == Written::Whole && !p.notification)
+                {
                     self.over(s, id, Ended::Answered(answer));
                     return true;
                 }
-                // One that is late is nobody's; one to what was never asked, or for the second time, says that ids
-                // are mixed up, and then whose the others are is not known.
+                // One that is late is nobody's; one to what was never asked, or for the second
+                // time, says that ids are mixed up, and then whose the others are is not known.
                 s.abandoned.remove(&id)
             }
             Reply::Call(None) => true,
@@ -284,14 +312,21 @@
     fn new(id: u64, framing: Framing, text: &[u8]) -> Frame {
         let mut out = BytesMut::new();
         write::frame(framing, text, &mut out);
-        Frame { id, left: out.freeze(), spare: usize::from(framing == Framing::Lines) }
+        Frame {
+            id,
+            left: out.freeze(),
+            spare: usize::from(framing == Framing::Lines),
+        }
     }
 }
 
 /// Carries a connection to its end.
 async fn carry(link: &Link, stream: &mut TcpStream, framing: Framing, drained: impl Fn() -> bool) {
     let (mut reader, mut writer) = stream.split();
-    let limits = Limits { text: MAX_ANSWER, ..Limits::default() };
+    let limits = Limits {
+        text: MAX_ANSWER,
+        ..Limits::default()
+    };
     let mut decoder = Decoder::new(framing, limits);
     let put = async |writer: &mut WriteHalf<'_>, next: Option<&Bytes>| match next {
         Some(bytes) => writer.write(bytes).await,
@@ -341,10 +376,18 @@
         let (links, now) = (self.rpc.borrow(), Instant::now());
         let age = self.limits.idle.mul_f64(super::RETIRE);
         let fit = |l: &Rc<Link>| {
-            let load = l.load(most, now).filter(|_| l.rested().is_none_or(|rested| rested < age))?;
+            let load = l
+                .load(most, now)
+                .filter(|_| l.rested().is_none_or(|rested| rested < age))?;
             Some((load, l.clone()))
         };
-        links.get(&target.number)?.iter().rev().filter_map(fit).min_by_key(|(load, _)| *load).map(|(_, l)| l)
+        links
+            .get(&target.number)?
+            .iter()
+            .rev()
+            .filter_map(fit)
+            .min_by_key(|(load, _)| *load)
+            .map(|(_, l)| l)
     }
 
     /// Opens a connection.
@@ -359,8 +402,19 @@
             since: Cell::new(Instant::now()),
             wake: Notify::new(),
         });
-        self.rpc.borrow_mut().entry(target.number).or_default().push(link.clone());
-        spawn_local(run(self.clone(), link.clone(), target.clone(), stream, way.framing, place));
+        self.rpc
+            .borrow_mut()
+            .entry(target.number)
+            .or_default()
+            .push(link.clone());
+        spawn_local(run(
+            self.clone(),
+            link.clone(),
+            target.clone(),
+            stream,
+            way.framing,
+            place,
+        ));
         Ok(link)
     }
 }
@@ -415,20 +469,24 @@
             }
             Ok(Ended::Sent) => End::Sent,
             Ok(Ended::Drained) => End::Unserved(Outcome::Moot),
-            // A kept connection that turned out to be closed: not a byte was written, so that it goes over another.
+            // A kept connection that turned out to be closed: not a byte was written, so that it
+            // goes over another.
             Ok(Ended::Gone(Written::Nothing)) if kept => {
-                // The others that rested beside it may be closed too: their tasks get to see it first.
+                // The others that rested beside it may be closed too: their tasks get to see it
+                // first.
                 yield_now().await;
                 continue;
             }
-            Ok(Ended::Gone(Written::Nothing | Written::Part)) => End::Unserved(Outcome::ConnectFailed),
+            Ok(Ended::Gone(Written::Nothing | Written::Part)) => {
+                End::Unserved(Outcome::ConnectFailed)
+            }
             Ok(Ended::Gone(Written::Whole)) | Err(_) => End::Unserved(Outcome::Reset),
         };
     }
 }
 
-/// What an answer means. Errors of the application are answers; that the backend itself is ill is told to the module
-/// beside the answer.
+/// What an answer means. Errors of the application are answers; that the backend itself is ill is
+/// told to the module beside the answer.
 fn meaning(answer: Answer, declined: Option<i64>) -> End {
     match answer.code {
         Some(code) if Some(code) == declined => End::Unserved(Outcome::Full),
--- a/crates/heathroad/src/budget.rs
+++ b/crates/heathroad/src/budget.rs
@@ -1,5 +1,6 @@
-//! Budgets on real requests: headers in, the books, headers out. What is decided is decided in `heathroad-budget` and the
-//! module; here is who is inner, the clock, and that each ticket is given back.
+//! Budgets on real requests: headers in, the books, headers out. What is decided is decided in
+//! `heathroad-budget` and the module; here is who is inner, the clock, and that each ticket is
+//! given back.
 
 use heathroad_budget::account::Loan;
 use heathroad_budget::ledger::{Figures, Ledger, Terms, Ticket, Told, Turned};
@@ -78,33 +79,80 @@
 impl File {
     /// Checked; an error names the field.
     pub fn check(self) -> Result<Settings, String> {
-        let File { name, inner, attempts, share, depth, hops, reentries, same, lends, stops } = self;
+        let File {
+            name,
+            inner,
+            attempts,
+            share,
+            depth,
+            hops,
+            reentries,
+            same,
+            lends,
+            stops,
+        } = self;
         let wrong = [
-            (!is_name(&name), "name: expected 1 to 32 letters, digits, `-`, `_` and `.`"),
+            (
+                !is_name(&name),
+                "name: expected 1 to 32 letters, digits, `-`, `_` and `.`",
+            ),
             (attempts > MAX_ATTEMPTS, "attempts: expected 64 at the most"),
-            (!(0.0..=1.0).contains(&share), "share: expected a number from 0 to 1"),
-            (!(0.0..=1e6).contains(&depth), "depth: expected a number from 0 to 1000000"),
-            (!(1..=MAX_HOPS).contains(&hops), "hops: expected a number from 1 to 32"),
-            (reentries >= usize::from(MAX_HOPS), "reentries: expected a number below 32"),
+            (
+                !(0.0..=1.0).contains(&share),
+                "share: expected a number from 0 to 1",
+            ),
+            (
+                !(0.0..=1e6).contains(&depth),
+                "depth: expected a number from 0 to 1000000",
+            ),
+            (
+                !(1..=MAX_HOPS).contains(&hops),
+                "hops: expected a number from 1 to 32",
+            ),
+            (
+                reentries >= usize::from(MAX_HOPS),
+                "reentries: expected a number below 32",
+            ),
         ];
         if let Some((_, what)) = wrong.iter().find(|(bad, _)| *bad) {
             return Err(format!("budget: {what}"));
         }
-        let terms = Terms { name, attempts, share, depth, hops, reentries, same, lends };
-        Ok(Settings { terms, inner: inner.into_iter().collect(), stops })
+        let terms = Terms {
+            name,
+            attempts,
+            share,
+            depth,
+            hops,
+            reentries,
+            same,
+            lends,
+        };
+        Ok(Settings {
+            terms,
+            inner: inner.into_iter().collect(),
+            stops,
+        })
     }
 }
 
 /// What a request over HTTP says of its budget.
 pub fn told(headers: &HeaderMap, inner: bool) -> Told {
     let values = |name: &str| headers.get_all(name).iter().map(HeaderValue::as_bytes);
-    Told { budget: Budget::read(values(BUDGET)), path: Path::read(values(PATH)), inner }
+    Told {
+        budget: Budget::read(values(BUDGET)),
+        path: Path::read(values(PATH)),
+        inner,
+    }
 }
 
 /// What a call over JSON-RPC says of it.
 pub fn told_in(carried: &Carried, inner: bool) -> Told {
     let budget = Budget::read(carried.budget.iter().map(|b| &b[..]));
-    Told { budget, path: Path::read(carried.path.iter().map(|p| &p[..])), inner }
+    Told {
+        budget,
+        path: Path::read(carried.path.iter().map(|p| &p[..])),
+        inner,
+    }
 }
 
 /// The books of this proxy.
@@ -134,10 +182,20 @@
 impl Books {
     /// Empty ones; two proxies should not share a seed.
     pub fn new(settings: &Settings, seed: u64) -> Rc<Books> {
-        let Settings { terms, inner, stops } = settings.clone();
+        let Settings {
+            terms,
+            inner,
+            stops,
+        } = settings.clone();
         let name = terms.name.clone();
         let ledger = RefCell::new(Ledger::new(terms, seed));
-        Rc::new(Books { ledger, name, inner, stops, start: Instant::now() })
+        Rc::new(Books {
+            ledger,
+            name,
+            inner,
+            stops,
+            start: Instant::now(),
+        })
     }
 
     /// Whether a peer's word is taken.
@@ -155,17 +213,29 @@
     }
 
     /// A request enters with what it told; why it is turned down, where it has come round.
-    pub fn enter(self: &Rc<Self>, told: Told, mark: Mark, wait: Duration) -> Result<OnBooks, String> {
+    pub fn enter(
+        self: &Rc<Self>,
+        told: Told,
+        mark: Mark,
+        wait: Duration,
+    ) -> Result<OnBooks, String> {
         let wait = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
         let ticket = self.ledger.borrow_mut().enter(self.now(), told, mark, wait);
         let ticket = ticket.map_err(|turned| match turned {
             Turned::Loop => format!("loop: the request has passed {} before", self.name),
             Turned::TooFar => {
-                format!("loop: the request has passed as many proxies as it may before {}", self.name)
+                format!(
+                    "loop: the request has passed as many proxies as it may before {}",
+                    self.name
+                )
             }
         })?;
         let path = ticket.path().to_string().into();
-        Ok(OnBooks { books: self.clone(), ticket: Some(ticket), path })
+        Ok(OnBooks {
+            books: self.clone(),
+            ticket: Some(ticket),
+            path,
+        })
     }
 }
 
@@ -182,12 +252,16 @@
 
     /// How many further attempts it has.
     pub fn left(&self) -> u32 {
-        self.ticket.as_ref().map_or(0, |t| u32::from(self.books.ledger.borrow().left(t)))
+        self.ticket
+            .as_ref()
+            .map_or(0, |t| u32::from(self.books.ledger.borrow().left(t)))
     }
 
     /// A further attempt goes out, if one may.
     pub fn again(&self) -> bool {
-        self.ticket.as_ref().is_some_and(|t| self.books.ledger.borrow_mut().again(t))
+        self.ticket
+            .as_ref()
+            .is_some_and(|t| self.books.ledger.borrow_mut().again(t))
     }
 
     /// What an attempt takes along. Here it is held for such a part of its class's worth.
@@ -198,19 +272,33 @@
         let worth = ((worth * 1000.0) as u16).min(budget.worth);
         let budget = Budget { worth, ..budget };
         let (path, spent) = (self.path.clone(), Cell::new(None));
-        Some((loan, Rc::new(Purse { budget, path, spent, stops: self.books.stops })))
+        Some((
+            loan,
+            Rc::new(Purse {
+                budget,
+                path,
+                spent,
+                stops: self.books.stops,
+            }),
+        ))
     }
 
     /// An attempt ended; one that was never sent has spent nothing.
     pub fn settle(&self, loan: Loan, purse: &Purse, unsent: bool) {
         if let Some(ticket) = &self.ticket {
-            self.books.ledger.borrow_mut().settle(ticket, loan, purse.spent.get(), unsent);
+            self.books
+                .ledger
+                .borrow_mut()
+                .settle(ticket, loan, purse.spent.get(), unsent);
         }
     }
 
     /// What the caller is told, where it asked by a budget.
     pub fn spent(&self, failed: bool) -> Option<Spent> {
-        self.books.ledger.borrow().spent(self.ticket.as_ref()?, failed)
+        self.books
+            .ledger
+            .borrow()
+            .spent(self.ticket.as_ref()?, failed)
     }
 }
 
@@ -227,11 +315,15 @@
     /// What the call is told: durations only, so that no clocks are compared; and the path.
     pub fn texts(&self, left: Duration) -> (String, &str) {
         let left = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
-        let budget = Budget { time_ms: left.min(self.budget.time_ms), ..self.budget };
+        let budget = Budget {
+            time_ms: left.min(self.budget.time_ms),
+            ..self.budget
+        };
         (budget.to_string(), &self.path)
     }
 
-    /// Whether a server stops what its caller has left: its connection is closed then, and so on down the chain.
+    /// Whether a server stops what its caller has left: its connection is closed then, and so on
+    /// down the chain.
     pub fn stops(&self) -> bool {
         self.stops
     }
@@ -240,7 +332,8 @@
     pub fn write(&self, headers: &mut HeaderMap, left: Duration) {
         let (budget, path) = self.texts(left);
         // Both are plain text.
-        if let (Ok(budget), Ok(path)) = (HeaderValue::try_from(budget), HeaderValue::from_str(path)) {
+        if let (Ok(budget), Ok(path)) = (HeaderValue::try_from(budget), HeaderValue::from_str(path))
+        {
             headers.insert(BUDGET, budget);
             headers.insert(PATH, path);
         }
@@ -248,7 +341,8 @@
 
     /// Reads what an answer over JSON-RPC tells.
     pub fn read_text(&self, spent: Option<&[u8]>) {
-        self.spent.set(Spent::read(spent.into_iter()).unwrap_or(None));
+        self.spent
+            .set(Spent::read(spent.into_iter()).unwrap_or(None));
     }
 
     /// Reads what was spent below; what can't be read counts as nothing told.
--- a/crates/heathroad/src/configuration/disk.rs
+++ b/crates/heathroad/src/configuration/disk.rs
@@ -13,7 +13,9 @@
 impl Folder {
     /// The log in a folder, which must be there.
     pub fn new(folder: &Path) -> Folder {
-        Folder { folder: folder.to_path_buf() }
+        Folder {
+            folder: folder.to_path_buf(),
+        }
     }
 
     fn log(&self) -> PathBuf {
@@ -38,11 +40,17 @@
     }
 
     fn truncate(&mut self, length: usize) -> io::Result<()> {
-        OpenOptions::new().write(true).open(self.log())?.set_len(length as u64)
+        OpenOptions::new()
+            .write(true)
+            .open(self.log())?
+            .set_len(length as u64)
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        OpenOptions::new().append(true).open(self.log())?.write_all(bytes)
+        OpenOptions::new()
+            .append(true)
+            .open(self.log())?
+            .write_all(bytes)
     }
 
     fn sync(&mut self) -> io::Result<()> {
--- a/crates/heathroad/src/configuration/fleet.rs
+++ b/crates/heathroad/src/configuration/fleet.rs
@@ -1,5 +1,5 @@
-//! The file of the fleet: its name, its key, and what this proxy does in it. Addresses are the platform's: `peer_listen` and
-//! `peers` of the daemon's own file.
+//! The file of the fleet: its name, its key, and what this proxy does in it. Addresses are the
+//! platform's: `peer_listen` and `peers` of the daemon's own file.
 
 use heathroad_fleet::Place;
 use heathroad_fleet::fleet::Terms;
@@ -15,7 +15,8 @@
 /// A period of the protocol, in milliseconds.
 const PERIOD_MS: std::ops::RangeInclusive<u64> = 100..=60_000;
 
-/// A proxy that is to fence itself when it can't know what is required waits for so many periods at the least.
+/// A proxy that is to fence itself when it can't know what is required waits for so many periods at
+/// the least.
 const SURE_PERIODS: u64 = 5;
 
 /// What a start needs of it.
@@ -32,7 +33,8 @@
     pub own: Place,
     /// Times and bounds of the protocol.
     pub terms: Terms,
-    /// A proxy that has confirmed nothing with a fellow for so long, or sees no more than half of the fleet, fences itself.
+    /// A proxy that has confirmed nothing with a fellow for so long, or sees no more than half of
+    /// the fleet, fences itself.
     pub sure_for: Option<Duration>,
     /// Backends are told by which version each attempt was decided; for rehearsals.
     pub tells_backends: bool,
@@ -78,14 +80,21 @@
         toml::from_str(&text).map_err(|e| wrong(&e.to_string().trim_end().replace('\n', " ")))?;
     // A key's path is meant beside the file that names it.
     let beside = path.parent().unwrap_or(Path::new("")).join(&read.key_file);
-    let key = std::fs::read(&beside).map_err(|e| wrong(&format!("key_file: {}: {e}", beside.display())))?;
+    let key = std::fs::read(&beside)
+        .map_err(|e| wrong(&format!("key_file: {}: {e}", beside.display())))?;
     let key = key.strip_suffix(b"\n").unwrap_or(&key);
     if key.len() > MAX_KEY {
-        return Err(wrong(&format!("key_file: {}: more than {MAX_KEY} bytes", beside.display())));
+        return Err(wrong(&format!(
+            "key_file: {}: more than {MAX_KEY} bytes",
+            beside.display()
+        )));
     }
     if !PERIOD_MS.contains(&read.period_ms) {
         let [least, most] = [PERIOD_MS.start(), PERIOD_MS.end()];
-        return Err(wrong(&format!("period_ms: {}; expected {least} to {most}", read.period_ms)));
+        return Err(wrong(&format!(
+            "period_ms: {}; expected {least} to {most}",
+            read.period_ms
+        )));
     }
     // A few questions may be lost.
     let least = SURE_PERIODS * read.period_ms;
@@ -95,15 +104,29 @@
         )));
     }
     let seal = Seal::new(&read.name, key).map_err(|e| wrong(&e))?;
-    let address = |name: &str, text: &str| text.parse().map_err(|e| format!("config: {name}: {text}: {e}"));
-    let listen = addresses.listen.ok_or("config: peer_listen: is missing; a fleet needs it")?;
-    let peers =
-        addresses.peers.iter().map(|p| address("peers", p)).collect::<Result<Vec<SocketAddr>, _>>()?;
+    let address = |name: &str, text: &str| {
+        text.parse()
+            .map_err(|e| format!("config: {name}: {text}: {e}"))
+    };
+    let listen = addresses
+        .listen
+        .ok_or("config: peer_listen: is missing; a fleet needs it")?;
+    let peers = addresses
+        .peers
+        .iter()
+        .map(|p| address("peers", p))
+        .collect::<Result<Vec<SocketAddr>, _>>()?;
     if peers.len() > MAX_MEMBERS {
-        return Err(format!("config: peers: {}; expected {MAX_MEMBERS} at most", peers.len()));
+        return Err(format!(
+            "config: peers: {}; expected {MAX_MEMBERS} at most",
+            peers.len()
+        ));
     }
-    let own = Place::try_from(addresses.own).ok().filter(|own| usize::from(*own) < peers.len());
-    let own = own.ok_or("config: peers: expected one address for each proxy, at its settings.slotNo")?;
+    let own = Place::try_from(addresses.own)
+        .ok()
+        .filter(|own| usize::from(*own) < peers.len());
+    let own =
+        own.ok_or("config: peers: expected one address for each proxy, at its settings.slotNo")?;
     let members = u16::try_from(peers.len()).map_err(|_| "config: peers: too many")?;
     let duties = super::duty::check(read.duties, read.duty, members).map_err(|e| wrong(&e))?;
     Ok(Settings {
--- a/crates/heathroad/src/configuration/gate.rs
+++ b/crates/heathroad/src/configuration/gate.rs
@@ -1,5 +1,5 @@
-//! The gate of changes: what is expected of a configuration, in a file beside the routes. It is judged on a thread of its
-//! own, so that no request waits for a verdict.
+//! The gate of changes: what is expected of a configuration, in a file beside the routes. It is
+//! judged on a thread of its own, so that no request waits for a verdict.
 
 use heathroad_expect::{Expectations, Here, Node, Report};
 use heathroad_routing::generation::Generation;
@@ -40,7 +40,9 @@
 impl Gate {
     /// With the file as it is whenever a change is proposed.
     pub fn new(file: &Path) -> Gate {
-        Gate { file: file.to_path_buf() }
+        Gate {
+            file: file.to_path_buf(),
+        }
     }
 
     /// The file.
--- a/crates/heathroad/src/configuration/mod.rs
+++ b/crates/heathroad/src/configuration/mod.rs
@@ -99,7 +99,11 @@
 impl Named {
     fn by_environment() -> Self {
         let name = |name| env::var(name).ok();
-        Named { listen: name("RELAY_LISTEN"), discovery: name("RELAY_DISCOVERY"), admin: name("RELAY_ADMIN") }
+        Named {
+            listen: name("RELAY_LISTEN"),
+            discovery: name("RELAY_DISCOVERY"),
+            admin: name("RELAY_ADMIN"),
+        }
     }
 }
 
@@ -108,11 +112,14 @@
     parse(&named_file()?, Named::by_environment())
 }
 
-/// Reads the file again for what may change while the program runs: where discovery is, and the routes. Here the file
-/// goes before the environment, which still names the old address.
+/// Reads the file again for what may change while the program runs: where discovery is, and the
+/// routes. Here the file goes before the environment, which still names the old address.
 pub fn reload() -> Result<Config, String> {
     // It is checked as a whole: a file that no start would take is no reason to move.
-    let named = Named { discovery: None, ..Named::by_environment() };
+    let named = Named {
+        discovery: None,
+        ..Named::by_environment()
+    };
     parse(&named_file()?, named)
 }
 
@@ -124,7 +131,8 @@
 
 fn named_file() -> Result<Vec<u8>, String> {
     let path = env::var("RELAY_CONFIG").map_err(|_| {
-        "RELAY_CONFIG is not set: it names the configuration file (see heathroad --help)".to_string()
+        "RELAY_CONFIG is not set: it names the configuration file (see heathroad --help)"
+            .to_string()
     })?;
     std::fs::read(&path).map_err(|e| format!("RELAY_CONFIG: {path}: {e}"))
 }
@@ -136,30 +144,75 @@
     let mut facts = settings::read(file.settings).map_err(|e| format!("config: {e}"))?;
     let site = &facts.site;
     let wrong = [
-        (file.limits.sockets < MIN_SOCKETS, "limits.sockets: too few to work with"),
-        (file.limits.memory_mb < MIN_MEMORY_MB, "limits.memory_mb: too little to work with"),
-        (file.probation_ms > MAX_PROBATION_MS, "probation_ms: is more than an hour"),
+        (
+            file.limits.sockets < MIN_SOCKETS,
+            "limits.sockets: too few to work with",
+        ),
+        (
+            file.limits.memory_mb < MIN_MEMORY_MB,
+            "limits.memory_mb: too little to work with",
+        ),
+        (
+            file.probation_ms > MAX_PROBATION_MS,
+            "probation_ms: is more than an hour",
+        ),
         (
             file.state.is_some() && file.routes.is_none() && file.fleet.is_none(),
             "state: is of use with `routes` or `fleet` only",
         ),
-        (file.expectations.is_some() && file.routes.is_none(), "expectations: are of use with `routes` only"),
-        (site.classes.iter().any(String::is_empty), "settings: classes: one has no name"),
-        (site.tenants.iter().any(String::is_empty), "settings: tenants: one has no name"),
-        (site.zones.is_empty(), "settings: localities: is missing or empty"),
-        (site.open_cap == 0, "settings: caps.openCap: is missing or 0"),
-        (site.conn_idle <= 0.0, "settings: caps.connIdle: is missing or 0"),
-        (site.connect_timeout <= 0.0, "settings: caps.connectTimeout: is missing or 0"),
-        (site.drain_grace <= 0.0, "settings: guarantees.stopSendingWithin: is missing or 0"),
+        (
+            file.expectations.is_some() && file.routes.is_none(),
+            "expectations: are of use with `routes` only",
+        ),
+        (
+            site.classes.iter().any(String::is_empty),
+            "settings: classes: one has no name",
+        ),
+        (
+            site.tenants.iter().any(String::is_empty),
+            "settings: tenants: one has no name",
+        ),
+        (
+            site.zones.is_empty(),
+            "settings: localities: is missing or empty",
+        ),
+        (
+            site.open_cap == 0,
+            "settings: caps.openCap: is missing or 0",
+        ),
+        (
+            site.conn_idle <= 0.0,
+            "settings: caps.connIdle: is missing or 0",
+        ),
+        (
+            site.connect_timeout <= 0.0,
+            "settings: caps.connectTimeout: is missing or 0",
+        ),
+        (
+            site.drain_grace <= 0.0,
+            "settings: guarantees.stopSendingWithin: is missing or 0",
+        ),
     ];
     if let Some((_, what)) = wrong.iter().find(|(bad, _)| *bad) {
         return Err(format!("config: {what}"));
     }
-    let budget = file.budget.map(budget::File::check).transpose().map_err(|e| format!("config: {e}"))?;
+    let budget = file
+        .budget
+        .map(budget::File::check)
+        .transpose()
+        .map_err(|e| format!("config: {e}"))?;
     facts.settings.worth_carried = budget.is_some();
     let own = facts.settings.copy;
-    let addresses = fleet::Addresses { listen: file.peer_listen.as_deref(), peers: &file.peers, own };
-    let fleet = file.fleet.as_deref().map(|path| fleet::read(path, &addresses)).transpose()?;
+    let addresses = fleet::Addresses {
+        listen: file.peer_listen.as_deref(),
+        peers: &file.peers,
+        own,
+    };
+    let fleet = file
+        .fleet
+        .as_deref()
+        .map(|path| fleet::read(path, &addresses))
+        .transpose()?;
     Ok(Config {
         fleet,
         digest,
@@ -182,7 +235,8 @@
     })
 }
 
-/// Copies of one configuration differ in their number and zone, which are left out. (The order of names is not kept by JSON.)
+/// Copies of one configuration differ in their number and zone, which are left out. (The order of
+/// names is not kept by JSON.)
 fn digest(settings: &serde_json::Value) -> Digest {
     let mut common = settings.clone();
     if let Some(settings) = common.as_object_mut() {
@@ -193,5 +247,6 @@
 
 fn address(name: &str, text: Option<String>) -> Result<SocketAddr, String> {
     let text = text.ok_or_else(|| format!("config: {name}: is missing"))?;
-    text.parse().map_err(|e| format!("config: {name}: {text}: {e}"))
+    text.parse()
+        .map_err(|e| format!("config: {name}: {text}: {e}"))
 }
--- a/crates/heathroad/src/counts.rs
+++ b/crates/heathroad/src/counts.rs
@@ -1,5 +1,6 @@
-//! What the daemon counts of itself, and the two forms in which it tells it: Prometheus text and one JSON object.
-//! Counting is a handful of plain additions a request; names are looked up once for each pair of class and tenant.
+//! What the daemon counts of itself, and the two forms in which it tells it: Prometheus text and
+//! one JSON object. Counting is a handful of plain additions a request; names are looked up once
+//! for each pair of class and tenant.
 
 use crate::budget::Books;
 use crate::effort;
@@ -147,8 +148,8 @@
 
 type Figure = Gauge<f64, AtomicU64>;
 
-/// Most pools that are counted by name; what further ones do is counted together. Names of pools come and go with
-/// configurations, and counters never go.
+/// Most pools that are counted by name; what further ones do is counted together. Names of pools
+/// come and go with configurations, and counters never go.
 const MAX_POOLS: usize = 1_000;
 const OTHERS: &str = "(others)";
 
@@ -162,8 +163,8 @@
     cold: Counter,
 }
 
-/// The metrics of a daemon, over all the pools that it ever had: several runs of one name count together. The one
-/// pool of a daemon without routes has no name.
+/// The metrics of a daemon, over all the pools that it ever had: several runs of one name count
+/// together. The one pool of a daemon without routes has no name.
 pub struct Meter {
     registry: Registry,
     /// Every pool, and every row of requests, that was counted: families can't be listed back.
@@ -223,11 +224,19 @@
         let mut registry = Registry::with_prefix("heathroad");
         let r = &mut registry;
         let requests = Family::<OfRequest, Counter>::default();
-        r.register("requests", "Requests by class, tenant and final answer", requests.clone());
+        r.register(
+            "requests",
+            "Requests by class, tenant and final answer",
+            requests.clone(),
+        );
         let attempts = Family::<ByOutcome, Counter>::default();
         r.register("attempts", "Attempts by how they ended", attempts.clone());
         let late = Family::<ByOutcome, Counter>::default();
-        r.register("late_ends", "Attempts given up, by how their work ended after all", late.clone());
+        r.register(
+            "late_ends",
+            "Attempts given up, by how their work ended after all",
+            late.clone(),
+        );
         let resends = Family::<After, Counter>::default();
         r.register(
             "resends",
@@ -235,15 +244,31 @@
             resends.clone(),
         );
         let drains = Family::<ByNotice, Counter>::default();
-        r.register("drains", "Backends' processes that nothing new goes to, by the notice", drains.clone());
+        r.register(
+            "drains",
+            "Backends' processes that nothing new goes to, by the notice",
+            drains.clone(),
+        );
         let cold = Family::<OfPool, Counter>::default();
-        r.register("cold_sends", "Attempts sent to a backend that was not surely warm", cold.clone());
+        r.register(
+            "cold_sends",
+            "Attempts sent to a backend that was not surely warm",
+            cold.clone(),
+        );
         let unusable = Family::<ByStatus, Counter>::default();
-        r.register("unusable", "Requests that could not be used, by the status answered", unusable.clone());
+        r.register(
+            "unusable",
+            "Requests that could not be used, by the status answered",
+            unusable.clone(),
+        );
         let limit = Family::<OfPool, Figure>::default();
         r.register("limit", "The learned concurrency limit", limit.clone());
         let in_flight = Family::<OfPool, Gauge>::default();
-        r.register("in_flight", "Calls counted against the limit", in_flight.clone());
+        r.register(
+            "in_flight",
+            "Calls counted against the limit",
+            in_flight.clone(),
+        );
         let slices = [
             ("slice_limit", "A slice's own limit"),
             ("slice_busy", "A slice's calls in flight"),
@@ -255,22 +280,58 @@
             family
         });
         let open = Family::<OfPool, Gauge>::default();
-        r.register("requests_open", "Requests that are owed an answer", open.clone());
+        r.register(
+            "requests_open",
+            "Requests that are owed an answer",
+            open.clone(),
+        );
         let budget = Family::<ByEvent, Counter>::default();
-        r.register("budget", "Requests and attempts on the books of budgets", budget.clone());
+        r.register(
+            "budget",
+            "Requests and attempts on the books of budgets",
+            budget.clone(),
+        );
         let effort = Family::<ByEvent, Counter>::default();
-        r.register("effort", "What was asked of the system and the runtime", effort.clone());
+        r.register(
+            "effort",
+            "What was asked of the system and the runtime",
+            effort.clone(),
+        );
         let denials = Family::<ByReason, Counter>::default();
-        r.register("denials", "Attempts that were not begun or written, by the reason", denials.clone());
+        r.register(
+            "denials",
+            "Attempts that were not begun or written, by the reason",
+            denials.clone(),
+        );
         let violations = Family::<ByRule, Counter>::default();
-        r.register("violations", "Rules seen broken by the daemon's own look", violations.clone());
+        r.register(
+            "violations",
+            "Rules seen broken by the daemon's own look",
+            violations.clone(),
+        );
         let (pauses, longest_pause) = (Counter::default(), Figure::default());
-        r.register("pauses", "Times that the process was held up", pauses.clone());
-        r.register("longest_pause_seconds", "The longest of them", longest_pause.clone());
+        r.register(
+            "pauses",
+            "Times that the process was held up",
+            pauses.clone(),
+        );
+        r.register(
+            "longest_pause_seconds",
+            "The longest of them",
+            longest_pause.clone(),
+        );
         let descriptors = Gauge::default();
-        r.register("descriptors", "Descriptors that the process holds", descriptors.clone());
+        r.register(
+            "descriptors",
+            "Descriptors that the process holds",
+            descriptors.clone(),
+        );
         let descriptors_most = Gauge::default();
-        r.register("descriptors_max", "Descriptors that the process may hold", descriptors_most.clone());
+        r.register(
+            "descriptors_max",
+            "Descriptors that the process may hold",
+            descriptors_most.clone(),
+        );
         Meter {
             registry,
             pools: RefCell::default(),
@@ -306,7 +367,9 @@
 
     fn on_books(&self) -> BTreeMap<&'static str, u64> {
         let books = self.books.borrow();
-        let Some(f) = books.as_ref().map(|b| b.figures()) else { return BTreeMap::new() };
+        let Some(f) = books.as_ref().map(|b| b.figures()) else {
+            return BTreeMap::new();
+        };
         BTreeMap::from([
             ("entered", f.entered),
             ("carried", f.carried),
@@ -328,15 +391,35 @@
 
     fn pool(&self, name: &str) -> (String, OfOnePool) {
         let mut pools = self.pools.borrow_mut();
-        let name = if pools.len() < MAX_POOLS || pools.contains_key(name) { name } else { OTHERS };
+        let name = if pools.len() < MAX_POOLS || pools.contains_key(name) {
+            name
+        } else {
+            OTHERS
+        };
         let pool = || name.to_string();
-        let by = |outcome| ByOutcome { pool: pool(), outcome };
+        let by = |outcome| ByOutcome {
+            pool: pool(),
+            outcome,
+        };
         let new = || OfOnePool {
             attempts: OUTCOMES.map(|o| self.attempts.get_or_create(&by(o)).clone()),
             late: OUTCOMES.map(|o| self.late.get_or_create(&by(o)).clone()),
-            resends: OUTCOMES.map(|after| self.resends.get_or_create(&After { pool: pool(), after }).clone()),
-            drains: NOTICES
-                .map(|notice| self.drains.get_or_create(&ByNotice { pool: pool(), notice }).clone()),
+            resends: OUTCOMES.map(|after| {
+                self.resends
+                    .get_or_create(&After {
+                        pool: pool(),
+                        after,
+                    })
+                    .clone()
+            }),
+            drains: NOTICES.map(|notice| {
+                self.drains
+                    .get_or_create(&ByNotice {
+                        pool: pool(),
+                        notice,
+                    })
+                    .clone()
+            }),
             cold: self.cold.get_or_create(&OfPool { pool: pool() }).clone(),
         };
         (pool(), pools.entry(pool()).or_insert_with(new).clone())
@@ -348,14 +431,26 @@
         for pool in self.pools.borrow().keys() {
             let of = OfPool { pool: pool.clone() };
             let runs = || runs.iter().filter(|m| m.counts.pool == *pool);
-            self.limit.get_or_create(&of).set(runs().map(|m| m.load.limit).sum());
-            self.in_flight.get_or_create(&of).set(runs().map(|m| m.load.in_flight as i64).sum());
-            self.open.get_or_create(&of).set(gauge(runs().map(|m| m.open).sum()));
+            self.limit
+                .get_or_create(&of)
+                .set(runs().map(|m| m.load.limit).sum());
+            self.in_flight
+                .get_or_create(&of)
+                .set(runs().map(|m| m.load.in_flight as i64).sum());
+            self.open
+                .get_or_create(&of)
+                .set(gauge(runs().map(|m| m.open).sum()));
             let slices = runs().map(|m| m.load.slices.len()).max().unwrap_or(0);
             for i in 0..slices {
-                let slice = OfSlice { pool: pool.clone(), slice: i as u32 };
+                let slice = OfSlice {
+                    pool: pool.clone(),
+                    slice: i as u32,
+                };
                 let sum = |figure: fn(&SliceLoad) -> f64| {
-                    runs().filter_map(|m| m.load.slices.get(i)).map(figure).sum::<f64>()
+                    runs()
+                        .filter_map(|m| m.load.slices.get(i))
+                        .map(figure)
+                        .sum::<f64>()
                 };
                 let figures = [sum(|s| s.limit), sum(|s| s.busy), sum(|s| s.held as f64)];
                 for (family, figure) in self.slices.iter().zip(figures) {
@@ -386,7 +481,8 @@
         self.descriptors.set(gauge(descriptors[0]));
         self.descriptors_most.set(gauge(descriptors[1]));
         let mut text = String::new();
-        // Writing to a string fails only where a metric's own encoding does, and these are the crate's.
+        // Writing to a string fails only where a metric's own encoding does, and these are the
+        // crate's.
         let _ = text::encode(&mut text, &self.registry);
         text
     }
@@ -394,13 +490,27 @@
     /// The same as one JSON object on one line. What has no pool in it is a sum over all.
     pub fn json(&self, runs: &[Moment<'_>], descriptors: [usize; 2]) -> String {
         let pools = self.pools.borrow();
-        let sums =
-            |names: &[&'static str], of: &dyn Fn(&OfOnePool) -> &[Counter]| -> BTreeMap<&'static str, u64> {
-                let sum = |i: usize| pools.values().filter_map(|p| of(p).get(i)).map(Counter::get).sum();
-                names.iter().enumerate().map(|(i, name)| (*name, sum(i))).collect()
+        let sums = |names: &[&'static str],
+                    of: &dyn Fn(&OfOnePool) -> &[Counter]|
+         -> BTreeMap<&'static str, u64> {
+            let sum = |i: usize| {
+                pools
+                    .values()
+                    .filter_map(|p| of(p).get(i))
+                    .map(Counter::get)
+                    .sum()
             };
+            names
+                .iter()
+                .enumerate()
+                .map(|(i, name)| (*name, sum(i)))
+                .collect()
+        };
         let rows = self.rows.borrow();
-        let row = |(of, counter): (&OfRequest, &Counter)| Row { of: of.clone(), count: counter.get() };
+        let row = |(of, counter): (&OfRequest, &Counter)| Row {
+            of: of.clone(),
+            count: counter.get(),
+        };
         let whole = Whole {
             requests: rows.iter().map(row).collect(),
             attempts: sums(&OUTCOMES, &|p| &p.attempts),
@@ -408,7 +518,12 @@
             resends: sums(&OUTCOMES, &|p| &p.resends),
             drains: sums(&NOTICES, &|p| &p.drains),
             cold_sends: pools.values().map(|p| p.cold.get()).sum(),
-            unusable: self.statuses.borrow().iter().map(|(s, c)| (s.to_string(), c.get())).collect(),
+            unusable: self
+                .statuses
+                .borrow()
+                .iter()
+                .map(|(s, c)| (s.to_string(), c.get()))
+                .collect(),
             limit: runs.iter().map(|m| m.load.limit).sum(),
             in_flight: runs.iter().map(|m| m.load.in_flight).sum(),
             slices: runs.iter().flat_map(|m| &m.load.slices).collect(),
@@ -418,7 +533,10 @@
             budget: self.on_books(),
             effort: effort::NAMES.into_iter().zip(effort::so_far()).collect(),
             denials: Denied::NAMES.into_iter().zip(tally::denials()).collect(),
-            violations: Violation::NAMES.into_iter().zip(tally::violations()).collect(),
+            violations: Violation::NAMES
+                .into_iter()
+                .zip(tally::violations())
+                .collect(),
             pauses: heartbeat::pauses().seen,
             longest_pause_ms: as_millis(heartbeat::pauses().longest),
         };
@@ -433,7 +551,10 @@
         let [classes, tenants] = [&site.classes, &site.tenants].map(Clone::clone);
         let (pool, of) = meter.pool(pool);
         Counts {
-            resolved: RefCell::new(vec![None; classes.len() * tenants.len().max(1) * FINALS.len()]),
+            resolved: RefCell::new(vec![
+                None;
+                classes.len() * tenants.len().max(1) * FINALS.len()
+            ]),
             finals: Default::default(),
             after_aim: Cell::new(0),
             meter: meter.clone(),
@@ -454,13 +575,25 @@
         let (class, tenant, answer) = (usize::from(class), usize::from(tenant), answer as usize);
         let at = (class * self.tenants.len().max(1) + tenant) * FINALS.len() + answer;
         let mut resolved = self.resolved.borrow_mut();
-        let Some(counter) = resolved.get_mut(at) else { return };
+        let Some(counter) = resolved.get_mut(at) else {
+            return;
+        };
         let counter = counter.get_or_insert_with(|| {
             let name = |names: &[String], at| names.get(at).cloned().unwrap_or_default();
             let (class, tenant) = (name(&self.classes, class), name(&self.tenants, tenant));
-            let row = OfRequest { pool: self.pool.clone(), class, tenant, answer: FINALS[answer] };
+            let row = OfRequest {
+                pool: self.pool.clone(),
+                class,
+                tenant,
+                answer: FINALS[answer],
+            };
             let counter = self.meter.requests.get_or_create(&row).clone();
-            self.meter.rows.borrow_mut().entry(row).or_insert(counter).clone()
+            self.meter
+                .rows
+                .borrow_mut()
+                .entry(row)
+                .or_insert(counter)
+                .clone()
         });
         counter.inc();
         let kind = &self.finals[answer];
@@ -476,7 +609,13 @@
     pub fn so_far(&self) -> [u64; 5] {
         let of = |kind: Final| self.finals[kind as usize].get();
         let [served, refused] = [Final::Served, Final::Refused].map(of);
-        [served, refused, of(Final::Failed), of(Final::TimedOut), self.after_aim.get()]
+        [
+            served,
+            refused,
+            of(Final::Failed),
+            of(Final::TimedOut),
+            self.after_aim.get(),
+        ]
     }
 
     /// An attempt ended.
@@ -489,7 +628,8 @@
         self.of.late[place(outcome)].inc();
     }
 
-    /// A request is sent again after an attempt that ended so; nothing where the one before is still out.
+    /// A request is sent again after an attempt that ended so; nothing where the one before is
+    /// still out.
     pub fn resent(&self, after: Option<Outcome>) {
         if let Some(after) = after {
             self.of.resends[place(after)].inc();
--- a/crates/heathroad/src/discovery/mod.rs
+++ b/crates/heathroad/src/discovery/mod.rs
@@ -19,13 +19,14 @@
 use tokio::time::Instant;
 use turnshift::api::ListKind;
 
-/// How a list is followed. A watch that has fallen silent shows only by the answer that does not come: the sooner that is
-/// noticed, the less is missed, and the more calls are made.
+/// How a list is followed. A watch that has fallen silent shows only by the answer that does not
+/// come: the sooner that is noticed, the less is missed, and the more calls are made.
 #[derive(Debug, Clone, Copy)]
 struct Manner {
     /// How long a watch waits for a change.
     wait: Duration,
-    /// A watch's answer that is later than its wait by this may not be coming: another call is made beside it.
+    /// A watch's answer that is later than its wait by this may not be coming: another call is made
+    /// beside it.
     silence: Duration,
     /// The same for the whole list, which does not wait.
     whole: Duration,
@@ -37,10 +38,11 @@
     backoff: [Duration; 2],
 }
 
-/// Lists are pushed to an agent on this machine, which answers at once and at no cost. What it has counts as told here, also
-/// what it gets at the end of an outage in which it was silent, and a call from before then may hang for good. So whatever
-/// falls silent and whenever, another call is made within the grace in which sends to a backend that drains have to end; and
-/// not by one call at a time.
+/// Lists are pushed to an agent on this machine, which answers at once and at no cost. What it has
+/// counts as told here, also what it gets at the end of an outage in which it was silent, and a
+/// call from before then may hang for good. So whatever falls silent and whenever, another call is
+/// made within the grace in which sends to a backend that drains have to end; and not by one call
+/// at a time.
 fn pushed(grace: Duration) -> Manner {
     let grace = grace.clamp(GRACE[0], GRACE[1]);
     Manner {
@@ -53,10 +55,12 @@
     }
 }
 
-/// A grace is taken as no shorter, since calls of a process that is late by itself must not pile up, and as no longer.
+/// A grace is taken as no shorter, since calls of a process that is late by itself must not pile
+/// up, and as no longer.
 const GRACE: [Duration; 2] = [Duration::from_millis(200), Duration::from_secs(2)];
-/// One service answers all proxies in turn, late at times, and each call is work: a watch that has fallen silent is noticed
-/// in time for one other call before what it misses counts as told, 2 s after its wait.
+/// One service answers all proxies in turn, late at times, and each call is work: a watch that has
+/// fallen silent is noticed in time for one other call before what it misses counts as told, 2 s
+/// after its wait.
 const ASKED: Manner = Manner {
     wait: Duration::from_secs(10),
     silence: Duration::from_millis(500),
@@ -81,8 +85,9 @@
     Failed,
 }
 
-/// Follows discovery for ever and hands on what it hears. Where the list must be asked for, it does so when that
-/// is wanted and tells of failures; elsewhere it watches all the time, and is late by less than the grace of a drain.
+/// Follows discovery for ever and hands on what it hears. Where the list must be asked for, it does
+/// so when that is wanted and tells of failures; elsewhere it watches all the time, and is late by
+/// less than the grace of a drain.
 pub async fn follow(
     hear: impl Fn(News),
     address: SocketAddr,
@@ -101,12 +106,18 @@
             continue;
         }
         let asked = Instant::now();
-        // In an outage nothing is waited for: what comes at its end would be missed by a call that waits from before.
-        let wait = if fails && !must_ask { Duration::ZERO } else { manner.wait };
+        // In an outage nothing is waited for: what comes at its end would be missed by a call that
+        // waits from before.
+        let wait = if fails && !must_ask {
+            Duration::ZERO
+        } else {
+            manner.wait
+        };
         match ask(&mut link, address, seq.map(|seq| (seq, wait)), manner).await {
-            // An old state that comes behind a newer one would bring a draining backend back. A whole list stands,
-            // whatever its version: discovery itself may have begun anew, and then has nothing that is newer than what is
-            // held for a long time. So that is asked for.
+            // An old state that comes behind a newer one would bring a draining backend back. A
+            // whole list stands, whatever its version: discovery itself may have begun anew, and
+            // then has nothing that is newer than what is held for a long time. So that is asked
+            // for.
             Ok(page) if !page.whole && seq.is_some_and(|held| page.seq < held) => {
                 seq = None;
                 sleep(LULL).await;
@@ -115,7 +126,11 @@
                 (seq, pause, fails) = (Some(page.seq), manner.backoff[0], false);
                 let news = page.whole || !page.hosts.is_empty();
                 if news {
-                    let kind = if page.whole { ListKind::Full } else { ListKind::Delta };
+                    let kind = if page.whole {
+                        ListKind::Full
+                    } else {
+                        ListKind::Delta
+                    };
                     let seq = page.seq;
                     hear(News::List(kind, page.entries(), seq));
                 } else if asked.elapsed() < LULL {
@@ -139,15 +154,18 @@
 
 type Link = SendRequest<Empty<Bytes>>;
 
-/// The whole list, or what comes after the version that is held, within a wait. Where its answer is overdue others are asked for beside
-/// it, on connections of their own, which wait for nothing; the first answer is the one.
+/// The whole list, or what comes after the version that is held, within a wait. Where its answer is
+/// overdue others are asked for beside it, on connections of their own, which wait for nothing; the
+/// first answer is the one.
 async fn ask(
     link: &mut Option<Link>,
     address: SocketAddr,
     after: Option<(u64, Duration)>,
     manner: Manner,
 ) -> Result<Page, String> {
-    let (wait, late) = after.map_or((Duration::ZERO, manner.whole), |(_, wait)| (wait, manner.silence));
+    let (wait, late) = after.map_or((Duration::ZERO, manner.whole), |(_, wait)| {
+        (wait, manner.silence)
+    });
     let mut calls = vec![Box::pin(call(link.take(), address, after))];
     let mut made = 1;
     let mut due = pin!(sleep(wait + late));
@@ -175,15 +193,19 @@
                 return Poll::Ready(Err("no answer in time".to_string()));
             }
             made += 1;
-            calls.push(Box::pin(call(None, address, after.map(|(seq, _)| (seq, Duration::ZERO)))));
+            calls.push(Box::pin(call(
+                None,
+                address,
+                after.map(|(seq, _)| (seq, Duration::ZERO)),
+            )));
             due.set(sleep(manner.stagger));
         }
     })
     .await
 }
 
-/// One call: for what is newer than a version, after a wait where there is nothing, or for the whole list. What it brings, and
-/// the connection if that is fit for the next.
+/// One call: for what is newer than a version, after a wait where there is nothing, or for the
+/// whole list. What it brings, and the connection if that is fit for the next.
 async fn call(
     link: Option<Link>,
     address: SocketAddr,
@@ -191,19 +213,30 @@
 ) -> Result<(Page, Option<Link>), String> {
     let path = match after {
         None => "/registry/instances".to_string(),
-        Some((seq, wait)) => format!("/registry/instances?after={seq}&wait_ms={}", wait.as_millis()),
+        Some((seq, wait)) => format!(
+            "/registry/instances?after={seq}&wait_ms={}",
+            wait.as_millis()
+        ),
     };
     let mut sender = match link.filter(|l| !l.is_closed()) {
         Some(sender) => sender,
         None => connect(address).await?,
     };
-    let request = Request::get(path).header(header::HOST, address.to_string()).body(Empty::new());
+    let request = Request::get(path)
+        .header(header::HOST, address.to_string())
+        .body(Empty::new());
     let request = request.map_err(|e| e.to_string())?;
-    let answer = sender.send_request(request).await.map_err(|e| e.to_string())?;
+    let answer = sender
+        .send_request(request)
+        .await
+        .map_err(|e| e.to_string())?;
     if answer.status() != StatusCode::OK {
         return Err(format!("answered {}", answer.status()));
     }
-    let body = Limited::new(answer.into_body(), MAX_LIST).collect().await.map_err(|e| e.to_string())?;
+    let body = Limited::new(answer.into_body(), MAX_LIST)
+        .collect()
+        .await
+        .map_err(|e| e.to_string())?;
     let page = serde_json::from_slice(&body.to_bytes()).map_err(|e| format!("list: {e}"))?;
     Ok((page, sender.ready().await.is_ok().then_some(sender)))
 }
@@ -213,7 +246,9 @@
     let stream = stream.map_err(|_| format!("{address}: no connection in time"))?;
     let stream = stream.map_err(|e| format!("{address}: {e}"))?;
     stream.set_nodelay(true).map_err(|e| e.to_string())?;
-    let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
+    let (sender, connection) = handshake(TokioIo::new(stream))
+        .await
+        .map_err(|e| e.to_string())?;
     spawn_local(async move {
         // Its end shows at the sender.
         let _ = connection.await;
@@ -245,17 +280,26 @@
             let mut bytes = vec![0; 1024];
             let n = stream.read(&mut bytes).await.expect("open");
             let head = String::from_utf8_lossy(&bytes[..n]).into_owned();
-            asked.push(head.split_whitespace().nth(1).expect("a target").to_string());
-            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{page}", page.len());
+            asked.push(
+                head.split_whitespace()
+                    .nth(1)
+                    .expect("a target")
+                    .to_string(),
+            );
+            let answer = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{page}",
+                page.len()
+            );
             stream.write_all(answer.as_bytes()).await.expect("open");
         }
         asked
     }
 
-    /// What a silent watch misses counts as told 6 s after it fell silent, at its very beginning at worst, or 2 s after its wait
-    /// is over: where calls cost, one other call fits in before. Where they cost nothing, what an agent has got counts at
-    /// once, and sends end within the grace: whenever it falls silent or speaks again, a call made since is answered by then,
-    /// also where one more of them hangs.
+    /// What a silent watch misses counts as told 6 s after it fell silent, at its very beginning at
+    /// worst, or 2 s after its wait is over: where calls cost, one other call fits in before. Where
+    /// they cost nothing, what an agent has got counts at once, and sends end within the grace:
+    /// whenever it falls silent or speaks again, a call made since is answered by then, also where
+    /// one more of them hangs.
     #[test]
     fn silence_is_noticed_in_time() {
         let told = |m: Manner| Duration::from_secs(6).max(m.wait + Duration::from_secs(2));
@@ -265,9 +309,14 @@
             let grace = Duration::from_millis(ms);
             let m = pushed(grace);
             let watch = m.wait + m.silence + m.stagger;
-            // Between two calls of one round, and from the last of a round to the second of the next.
-            let outage = m.silence.max(m.whole).max(m.stagger + m.backoff[1]) + m.stagger.max(m.silence);
-            assert!(watch < grace && outage < grace, "{grace:?}: {watch:?}, {outage:?}");
+            // Between two calls of one round, and from the last of a round to the second of the
+            // next.
+            let outage =
+                m.silence.max(m.whole).max(m.stagger + m.backoff[1]) + m.stagger.max(m.silence);
+            assert!(
+                watch < grace && outage < grace,
+                "{grace:?}: {watch:?}, {outage:?}"
+            );
         }
     }
 
@@ -275,23 +324,33 @@
     async fn an_old_state_behind_a_newer_one_is_passed_over() {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("bound");
-        let pages =
-            [(5, true, "SERVING"), (7, false, "DRAINING"), (6, false, "SERVING"), (2, true, "SERVING")];
+        let pages = [
+            (5, true, "SERVING"),
+            (7, false, "DRAINING"),
+            (6, false, "SERVING"),
+            (2, true, "SERVING"),
+        ];
         let pages = pages.map(|(seq, whole, health)| page(seq, whole, health));
         let (_want, wanted) = watch::channel(true);
         let heard = Rc::new(RefCell::new(Vec::new()));
         let hears = heard.clone();
         let hear = move |news| {
-            let News::List(kind, hosts, _) = news else { panic!("no call fails") };
+            let News::List(kind, hosts, _) = news else {
+                panic!("no call fails")
+            };
             hears.borrow_mut().push((kind, hosts[0].health));
         };
         LocalSet::new()
             .run_until(async move {
-                let following = spawn_local(follow(hear, addr, false, Duration::from_secs(1), wanted));
-                let asked = timeout(Duration::from_secs(20), registry(listener, pages.to_vec())).await;
+                let following =
+                    spawn_local(follow(hear, addr, false, Duration::from_secs(1), wanted));
+                let asked =
+                    timeout(Duration::from_secs(20), registry(listener, pages.to_vec())).await;
                 let asked = asked.expect("it asks on");
-                let versions: Vec<_> =
-                    asked.iter().map(|a| a.split(['=', '&']).nth(1).unwrap_or("").to_string()).collect();
+                let versions: Vec<_> = asked
+                    .iter()
+                    .map(|a| a.split(['=', '&']).nth(1).unwrap_or("").to_string())
+                    .collect();
                 // The old state is passed over, and what holds instead is asked for.
                 assert_eq!(versions, ["", "5", "7", ""]);
                 timeout(Duration::from_secs(20), async {
@@ -305,10 +364,16 @@
                 // A whole list of a lower version is one of a registry that has begun anew.
                 let all = [ListKind::Full, ListKind::Delta, ListKind::Full];
                 let healths = [Health::Serving, Health::Draining, Health::Serving];
-                let heard: Vec<_> = heard.borrow().iter().map(|(k, h)| (*k, *h == Health::Serving)).collect();
+                let heard: Vec<_> = heard
+                    .borrow()
+                    .iter()
+                    .map(|(k, h)| (*k, *h == Health::Serving))
+                    .collect();
                 assert_eq!(
                     heard,
-                    all.into_iter().zip(healths.map(|h| h == Health::Serving)).collect::<Vec<_>>()
+                    all.into_iter()
+                        .zip(healths.map(|h| h == Health::Serving))
+                        .collect::<Vec<_>>()
                 );
             })
             .await;
--- a/crates/heathroad/src/discovery/roster.rs
+++ b/crates/heathroad/src/discovery/roster.rs
@@ -1,4 +1,5 @@
-//! The list of backends as discovery words it. What is read here has not been decided upon: the engine does that.
+//! The list of backends as discovery words it. What is read here has not been decided upon: the
+//! engine does that.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -59,7 +60,9 @@
         for value in self.hosts {
             match Host::deserialize(&value) {
                 // What takes nothing new needs no address.
-                Ok(host) if host.health != Health::Serving || host.dial.is_some() => good.push(host),
+                Ok(host) if host.health != Health::Serving || host.dial.is_some() => {
+                    good.push(host)
+                }
                 Ok(host) => (bad, example) = (bad + 1, format!("{}: no address", host.host)),
                 Err(e) => (bad, example) = (bad + 1, format!("{value}: {e}")),
             }
--- a/crates/heathroad/src/duty/call.rs
+++ b/crates/heathroad/src/duty/call.rs
@@ -1,6 +1,7 @@
-//! A duty whose work is somebody else's: its holder calls an address again and again, and nobody else does. Each call carries the duty's
-//! name, the token, who holds it (place and life), and the call's number; an address that
-//! keeps the highest token it has seen answers 412 to a lower one, and may tell the highest in `Duty-Token`.
+//! A duty whose work is somebody else's: its holder calls an address again and again, and nobody
+//! else does. Each call carries the duty's name, the token, who holds it (place and life), and the
+//! call's number; an address that keeps the highest token it has seen answers 412 to a lower one,
+//! and may tell the highest in `Duty-Token`.
 
 use super::work::Hold;
 use crate::configuration::duty::Call;
@@ -23,7 +24,10 @@
 /// Calls for as long as the duty is held; why it can't.
 pub async fn call(hold: Hold, to: Call) -> String {
     let number = |state: &[u8]| state.try_into().ok().map(u64::from_be_bytes);
-    let mut next = hold.mark().and_then(|m| number(&m.state)).map_or(1, |n| n.saturating_add(1));
+    let mut next = hold
+        .mark()
+        .and_then(|m| number(&m.state))
+        .map_or(1, |n| n.saturating_add(1));
     let (mut failed, mut at) = (0, Instant::now());
     loop {
         sleep_until(at).await;
@@ -56,8 +60,12 @@
 }
 
 async fn one(hold: &Hold, to: &Call, number: u64) -> Result<(StatusCode, Option<Token>), String> {
-    let stream = TcpStream::connect(to.address).await.map_err(|e| e.to_string())?;
-    let (mut sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
+    let stream = TcpStream::connect(to.address)
+        .await
+        .map_err(|e| e.to_string())?;
+    let (mut sender, connection) = handshake(TokioIo::new(stream))
+        .await
+        .map_err(|e| e.to_string())?;
     let request = Request::post(&to.path)
         .header(header::HOST, to.address.to_string())
         .header("Duty", hold.name())
@@ -72,9 +80,15 @@
     if !hold.may() {
         return Err("it is no longer held".into());
     }
-    let answer = sender.send_request(request).await.map_err(|e| e.to_string());
+    let answer = sender
+        .send_request(request)
+        .await
+        .map_err(|e| e.to_string());
     connection.abort();
     let answer = answer?;
-    let seen = answer.headers().get("Duty-Token").and_then(|t| t.to_str().ok()?.parse().ok());
+    let seen = answer
+        .headers()
+        .get("Duty-Token")
+        .and_then(|t| t.to_str().ok()?.parse().ok());
     Ok((answer.status(), seen))
 }
--- a/crates/heathroad/src/duty/collect.rs
+++ b/crates/heathroad/src/duty/collect.rs
@@ -1,6 +1,7 @@
-//! The fleet's one collector: it fetches every member's record by turns and keeps it, so that the audit can answer for members that are
-//! gone for good. What it keeps is bounded, lasts where there is a state folder, and is mirrored by the voters; the duty's mark is its
-//! digest, so that the next collector begins with it, whichever of them it has it from.
+//! The fleet's one collector: it fetches every member's record by turns and keeps it, so that the
+//! audit can answer for members that are gone for good. What it keeps is bounded, lasts where there
+//! is a state folder, and is mirrored by the voters; the duty's mark is its digest, so that the
+//! next collector begins with it, whichever of them it has it from.
 
 use super::work::Hold;
 use super::{Duties, Store};
@@ -61,7 +62,8 @@
 
     /// Takes a record, unless a later one of that member is kept.
     fn take(&mut self, place: Place, mut kept: Kept) {
-        // Of two collectors' clocks nothing is known; a member's own record says when it was written down, and only grows.
+        // Of two collectors' clocks nothing is known; a member's own record says when it was
+        // written down, and only grows.
         if self.0.get(&place).is_some_and(|k| k.told.at > kept.told.at) {
             return;
         }
@@ -70,7 +72,10 @@
     }
 
     fn merge(&mut self, other: Collected) {
-        other.0.into_iter().for_each(|(place, kept)| self.take(place, kept));
+        other
+            .0
+            .into_iter()
+            .for_each(|(place, kept)| self.take(place, kept));
     }
 
     /// As bytes, within the bound.
@@ -80,14 +85,21 @@
             if bytes.len() <= MAX_ALL {
                 return bytes;
             }
-            let Some(longest) = self.0.values_mut().max_by_key(|k| k.told.pages.len()) else { return bytes };
+            let Some(longest) = self.0.values_mut().max_by_key(|k| k.told.pages.len()) else {
+                return bytes;
+            };
             // A quarter of it at once: one page at a time would write all of it hundreds of times.
             for _ in 0..longest.told.pages.len().div_ceil(4) {
                 longest.told.give_up_oldest();
             }
             if longest.told.pages.len() <= 1 {
-                // Records of a page each are still too much: those that were collected longest ago go.
-                let oldest = self.0.iter().min_by_key(|(_, k)| k.at).map(|(place, _)| *place);
+                // Records of a page each are still too much: those that were collected longest ago
+                // go.
+                let oldest = self
+                    .0
+                    .iter()
+                    .min_by_key(|(_, k)| k.at)
+                    .map(|(place, _)| *place);
                 oldest.and_then(|place| self.0.remove(&place));
             }
         }
@@ -100,7 +112,9 @@
 impl Collection {
     /// With what was kept on disk; what can't be read is none.
     pub fn new(bytes: Option<&[u8]>) -> Rc<Collection> {
-        let collected = bytes.and_then(|b| serde_json::from_slice(b).ok()).unwrap_or_default();
+        let collected = bytes
+            .and_then(|b| serde_json::from_slice(b).ok())
+            .unwrap_or_default();
         let collection = Collection(RefCell::new((collected, Digest::default(), Rc::from([]))));
         collection.seal();
         Rc::new(collection)
@@ -137,7 +151,9 @@
     }
 
     fn merge(&self, text: &[u8]) -> bool {
-        let Ok(other) = serde_json::from_slice(text) else { return false };
+        let Ok(other) = serde_json::from_slice(text) else {
+            return false;
+        };
         self.0.borrow_mut().0.merge(other);
         true
     }
@@ -158,15 +174,27 @@
 }
 
 /// Collects for as long as the duty is held; why it can't.
-pub async fn collect(hold: Hold, peers: Rc<Peers>, duties: Weak<Duties>, every: Duration) -> String {
-    let Some((collection, store)) = duties.upgrade().map(|d| (d.collection.clone(), d.store.clone())) else {
+pub async fn collect(
+    hold: Hold,
+    peers: Rc<Peers>,
+    duties: Weak<Duties>,
+    every: Duration,
+) -> String {
+    let Some((collection, store)) = duties
+        .upgrade()
+        .map(|d| (d.collection.clone(), d.store.clone()))
+    else {
         return "this proxy stops".into();
     };
-    if let Some((key, last)) = hold.mark().and_then(|m| Some((marked(&m.state)?, m.token.place())))
+    if let Some((key, last)) = hold
+        .mark()
+        .and_then(|m| Some((marked(&m.state)?, m.token.place())))
         && key != collection.digest()
     {
         let voters = duties.upgrade().map(|d| d.voters()).unwrap_or_default();
-        let have = std::iter::once(last).chain(voters).filter(|p| *p != peers.place());
+        let have = std::iter::once(last)
+            .chain(voters)
+            .filter(|p| *p != peers.place());
         for from in have {
             let came = peers.fetch(from, Topic::Collected, key, PATIENCE).await;
             if came.is_ok_and(|(text, _)| collection.merge(&text)) {
@@ -184,8 +212,13 @@
                 return "it is no longer held".into();
             }
             let own = *place == peers.place();
-            let kept =
-                |told, off, error| Kept { by: peers.place(), at: peers.acts().now(), off, error, told };
+            let kept = |told, off, error| Kept {
+                by: peers.place(),
+                at: peers.acts().now(),
+                off,
+                error,
+                told,
+            };
             if own {
                 collection.take(*place, kept(peers.acts().told(), 0, 0));
             } else if let Ok(heard) = audit::record(&peers, *place).await {
@@ -198,7 +231,11 @@
         collection.keep(store.clone()).await;
         // Not kept in time: it is marked again after the next round.
         let _ = hold.keep(key.0.to_vec()).await;
-        alone = if reached == 0 && there.len() > 1 { alone + 1 } else { 0 };
+        alone = if reached == 0 && there.len() > 1 {
+            alone + 1
+        } else {
+            0
+        };
         if alone >= ALONE {
             return format!("{ALONE} rounds reached nobody");
         }
@@ -214,8 +251,13 @@
     let Some((duty, every)) = found else { return };
     loop {
         sleep(every).await;
-        let Some((key, from)) = duties.to_mirror(duty) else { continue };
-        let came = duties.peers.fetch(from, Topic::Collected, key, PATIENCE).await;
+        let Some((key, from)) = duties.to_mirror(duty) else {
+            continue;
+        };
+        let came = duties
+            .peers
+            .fetch(from, Topic::Collected, key, PATIENCE)
+            .await;
         if came.is_ok_and(|(text, _)| duties.collection.merge(&text)) {
             duties.collection.seal();
             duties.collection.keep(duties.store.clone()).await;
@@ -224,7 +266,8 @@
 }
 
 impl Duties {
-    /// What a voter has been told to keep of the collector, and from whom it is to be had; none where it has that, or is the collector.
+    /// What a voter has been told to keep of the collector, and from whom it is to be had; none
+    /// where it has that, or is the collector.
     fn to_mirror(&self, duty: DutyId) -> Option<(Digest, Place)> {
         let core = self.core.borrow();
         let mark = core.voter()?.memory().duties.get(&duty).map(|h| &h.mark)?;
@@ -243,8 +286,14 @@
         }
         let there = self.peers.there(false);
         for from in voters.into_iter().filter(|v| there.contains(v)) {
-            let came = self.peers.fetch(from, Topic::Collected, Digest::default(), PATIENCE).await;
-            if let Some(collected) = came.ok().and_then(|(text, _)| serde_json::from_slice(&text).ok()) {
+            let came = self
+                .peers
+                .fetch(from, Topic::Collected, Digest::default(), PATIENCE)
+                .await;
+            if let Some(collected) = came
+                .ok()
+                .and_then(|(text, _)| serde_json::from_slice(&text).ok())
+            {
                 return Some(collected);
             }
         }
@@ -265,13 +314,25 @@
     fn told(at: u64, pages: u64) -> Told {
         let mut record = Record::new(1, 0, None);
         for n in 0..pages {
-            record.begin(n, Version { generation: n, ..Version::default() });
+            record.begin(
+                n,
+                Version {
+                    generation: n,
+                    ..Version::default()
+                },
+            );
         }
         record.told(at)
     }
 
     fn kept(at: u64, pages: u64) -> Kept {
-        Kept { by: 0, at, off: 0, error: 0, told: told(at, pages) }
+        Kept {
+            by: 0,
+            at,
+            off: 0,
+            error: 0,
+            told: told(at, pages),
+        }
     }
 
     #[test]
@@ -286,7 +347,9 @@
         (0..400).for_each(|p| all.take(p, kept(30 + u64::from(p), 40)));
         assert!(all.bytes().len() <= MAX_ALL);
         assert!(all.get(399).is_some(), "what was collected last is kept");
-        let last = all.get(399).map(|k| k.told.pages.last().map(|p| p.version.generation));
+        let last = all
+            .get(399)
+            .map(|k| k.told.pages.last().map(|p| p.version.generation));
         assert_eq!(last, Some(Some(39)));
     }
 
@@ -297,7 +360,10 @@
         one.take(1, kept(5, 1));
         let key = one.seal();
         let text = one.text(key).expect("it is");
-        assert_eq!((one.text(Digest::of(b"other")), Digest::of(&text)), (None, key));
+        assert_eq!(
+            (one.text(Digest::of(b"other")), Digest::of(&text)),
+            (None, key)
+        );
         let other = Collection::new(Some(&text));
         assert_eq!(other.digest(), key);
     }
--- a/crates/heathroad/src/duty/mod.rs
+++ b/crates/heathroad/src/duty/mod.rs
@@ -1,8 +1,8 @@
-//! This proxy's part in its fleet's duties: the clock, the disk and the ways of `heathroad_duty`, and the work that is done where a
-//! duty is held. Off unless the file of the fleet names voters.
+//! This proxy's part in its fleet's duties: the clock, the disk and the ways of `heathroad_duty`,
+//! and the work that is done where a duty is held. Off unless the file of the fleet names voters.
 //!
-//! `store` keeps what a voter must not forget; `work` is what a duty's work is given, `call` and `collect` are two of them;
-//! `told` is what operators ask.
+//! `store` keeps what a voter must not forget; `work` is what a duty's work is given, `call` and
+//! `collect` are two of them; `told` is what operators ask.
 
 mod call;
 pub mod collect;
@@ -101,17 +101,46 @@
         peers: Rc<Peers>,
         store: Option<Store>,
     ) -> Result<Rc<Duties>, String> {
-        let Settings { electorate, terms, duties } = settings;
-        let memory = store.as_ref().map(Store::memory).transpose()?.unwrap_or_default();
-        let collection =
-            Collection::new(store.as_ref().map(Store::collected).transpose()?.flatten().as_deref());
+        let Settings {
+            electorate,
+            terms,
+            duties,
+        } = settings;
+        let memory = store
+            .as_ref()
+            .map(Store::memory)
+            .transpose()?
+            .unwrap_or_default();
+        let collection = Collection::new(
+            store
+                .as_ref()
+                .map(Store::collected)
+                .transpose()?
+                .flatten()
+                .as_deref(),
+        );
         let ids = duties.iter().map(|d| DutyId::of(&d.name)).collect();
         let own = peers.place();
-        let core = CoreSettings { own, electorate, terms, duties: ids, seed };
+        let core = CoreSettings {
+            own,
+            electorate,
+            terms,
+            duties: ids,
+            seed,
+        };
         let core = RefCell::new(Core::new(peers.now(), peers.acts().now(), core, memory));
         let one = |d: crate::configuration::duty::Duty| {
             let (work, own, unfit) = (RefCell::default(), RefCell::default(), RefCell::default());
-            (DutyId::of(&d.name), One { name: d.name, kind: d.kind, work, own, unfit })
+            (
+                DutyId::of(&d.name),
+                One {
+                    name: d.name,
+                    kind: d.kind,
+                    work,
+                    own,
+                    unfit,
+                },
+            )
         };
         let duties = Rc::new_cyclic(|me| Duties {
             core,
@@ -138,7 +167,11 @@
             }
         }));
         spawn_local(duties.clone().run());
-        if duties.all.values().any(|one| matches!(one.kind, Kind::Collect { .. })) {
+        if duties
+            .all
+            .values()
+            .any(|one| matches!(one.kind, Kind::Collect { .. }))
+        {
             spawn_local(collect::mirror(duties.clone()));
         }
         Ok(duties)
@@ -147,7 +180,11 @@
     async fn run(self: Rc<Self>) {
         loop {
             let due = Duration::from_millis(self.core.borrow().due());
-            let due = self.peers.started().checked_add(due).unwrap_or_else(Instant::now);
+            let due = self
+                .peers
+                .started()
+                .checked_add(due)
+                .unwrap_or_else(Instant::now);
             let due = due.min(Instant::now() + MOST);
             tokio::select! {
                 biased;
@@ -183,7 +220,8 @@
         self.carry_out().await;
     }
 
-    /// Carries out, in order, what the core wants done: what must be on disk is there before what is behind it goes.
+    /// Carries out, in order, what the core wants done: what must be on disk is there before what
+    /// is behind it goes.
     async fn carry_out(&self) {
         // One at a time: an older memory must not be written behind a newer one.
         let _turn = self.carrying.lock().await;
@@ -193,8 +231,13 @@
                 return;
             }
             // One write for all of a turn: the last one holds what the earlier ones do.
-            let last =
-                outputs.iter().rev().find_map(|o| if let Output::Keep(m) = o { Some(m) } else { None });
+            let last = outputs.iter().rev().find_map(|o| {
+                if let Output::Keep(m) = o {
+                    Some(m)
+                } else {
+                    None
+                }
+            });
             let kept = if let Some((memory, store)) = last.cloned().zip(self.store.clone()) {
                 let kept = spawn_blocking(move || store.keep(&memory)).await;
                 kept.unwrap_or_else(|e| Err(e.to_string()))
@@ -213,10 +256,15 @@
                     // What can't be kept must not be promised.
                     Output::Send(send)
                         if kept.is_err()
-                            && matches!(send.message.what, What::Granted { .. } | What::Kept { .. }) => {}
+                            && matches!(
+                                send.message.what,
+                                What::Granted { .. } | What::Kept { .. }
+                            ) => {}
                     Output::Send(send) if send.to == self.peers.place() => {
                         let (now, life) = (self.peers.now(), self.peers.acts().life());
-                        self.core.borrow_mut().hear(now, send.to, life, send.message);
+                        self.core
+                            .borrow_mut()
+                            .hear(now, send.to, life, send.message);
                     }
                     Output::Send(send) => self.peers.carry(send.to, send.message.write()),
                     Output::Event(duty, event) => self.event(duty, event),
@@ -232,7 +280,9 @@
     }
 
     fn event(&self, duty: DutyId, event: Event) {
-        let Some(one) = self.all.get(&duty) else { return };
+        let Some(one) = self.all.get(&duty) else {
+            return;
+        };
         let name = &one.name;
         match event {
             Event::Begin { token, mark } => {
@@ -241,7 +291,12 @@
                 if own.len() >= KEPT {
                     own.pop_front();
                 }
-                own.push_back(Own { token, from: self.peers.acts().now(), to: None, why: None });
+                own.push_back(Own {
+                    token,
+                    from: self.peers.acts().now(),
+                    to: None,
+                    why: None,
+                });
                 drop(own);
                 self.end_work(one);
                 self.begin_work(duty, one, token, mark);
@@ -249,7 +304,13 @@
             Event::End { token, why } => {
                 tracing::info!(duty = %name, %token, ?why, "duty {name}: no longer held: {why:?}");
                 let to = Some(self.peers.acts().now());
-                if let Some(own) = one.own.borrow_mut().iter_mut().rev().find(|o| o.token == token) {
+                if let Some(own) = one
+                    .own
+                    .borrow_mut()
+                    .iter_mut()
+                    .rev()
+                    .find(|o| o.token == token)
+                {
                     (own.to, own.why) = (to, Some(why));
                 }
                 self.end_work(one);
@@ -266,9 +327,12 @@
         let hold = Hold::new(self.me.clone(), duty, one.name.clone(), token, mark);
         let work: Pin<Box<dyn Future<Output = String>>> = match &one.kind {
             Kind::Call(to) => Box::pin(call::call(hold.clone(), to.clone())),
-            Kind::Collect { every } => {
-                Box::pin(collect::collect(hold.clone(), self.peers.clone(), self.me.clone(), *every))
-            }
+            Kind::Collect { every } => Box::pin(collect::collect(
+                hold.clone(),
+                self.peers.clone(),
+                self.me.clone(),
+                *every,
+            )),
         };
         let task = spawn_local(async move {
             // Work ends by itself where it can't be done: somebody else is to try.
@@ -295,7 +359,8 @@
         self.stirred.notify_one();
     }
 
-    /// Lets go of a duty that is held here; whether there is one of that name. One that resigns does not seek it for ten leases.
+    /// Lets go of a duty that is held here; whether there is one of that name. One that resigns
+    /// does not seek it for ten leases.
     pub fn resign(&self, name: &str) -> Option<bool> {
         let (duty, _) = self.all.iter().find(|(_, one)| one.name == name)?;
         let held = self.holds(*duty).is_some();
--- a/crates/heathroad/src/duty/store.rs
+++ b/crates/heathroad/src/duty/store.rs
@@ -1,5 +1,6 @@
-//! What lasts, where there is a state folder: what a voter must not forget, each change synced before the answer that rests on it
-//! goes; and what the collector keeps. One file, by `redb`: whole at any time, whenever the process or the machine ends.
+//! What lasts, where there is a state folder: what a voter must not forget, each change synced
+//! before the answer that rests on it goes; and what the collector keeps. One file, by `redb`:
+//! whole at any time, whenever the process or the machine ends.
 
 use heathroad_duty::voter::Memory;
 use redb::{Builder, Database, Durability, TableDefinition, TableError};
@@ -26,9 +27,14 @@
     pub fn open(folder: &Path) -> Result<Store, String> {
         let file = folder.join("duties.redb");
         let path = file.display().to_string();
-        let database =
-            Builder::new().set_cache_size(CACHE).create(&file).map_err(|e| format!("{path}: {e}"))?;
-        Ok(Store { database: Arc::new(database), path })
+        let database = Builder::new()
+            .set_cache_size(CACHE)
+            .create(&file)
+            .map_err(|e| format!("{path}: {e}"))?;
+        Ok(Store {
+            database: Arc::new(database),
+            path,
+        })
     }
 
     fn read(&self, key: &str) -> Result<Option<Vec<u8>>, String> {
@@ -54,9 +60,12 @@
         writing.commit().map_err(|e| wrong(&e))
     }
 
-    /// What a voter had kept. One that can't be read is an error: it would grant what it had promised not to.
+    /// What a voter had kept. One that can't be read is an error: it would grant what it had
+    /// promised not to.
     pub fn memory(&self) -> Result<Memory, String> {
-        let Some(bytes) = self.read(MEMORY)? else { return Ok(Memory::default()) };
+        let Some(bytes) = self.read(MEMORY)? else {
+            return Ok(Memory::default());
+        };
         serde_json::from_slice(&bytes).map_err(|e| format!("{}: {e}", self.path))
     }
 
--- a/crates/heathroad/src/duty/told.rs
+++ b/crates/heathroad/src/duty/told.rs
@@ -60,22 +60,41 @@
         let core = self.core.borrow();
         let part = |(id, one): (&DutyId, &super::One)| {
             let own = one.own.borrow();
-            let own = own.iter().map(|Own { token, from, to, why }| OwnTold {
-                token: *token,
-                from: *from,
-                to: *to,
-                why: why.and_then(|w| Some(serde_json::to_value(w).ok()?.as_str()?.to_string())),
-            });
-            let spells = core.voter().and_then(|v| v.history().get(id)).into_iter().flatten();
+            let own = own.iter().map(
+                |Own {
+                     token,
+                     from,
+                     to,
+                     why,
+                 }| OwnTold {
+                    token: *token,
+                    from: *from,
+                    to: *to,
+                    why: why
+                        .and_then(|w| Some(serde_json::to_value(w).ok()?.as_str()?.to_string())),
+                },
+            );
+            let spells = core
+                .voter()
+                .and_then(|v| v.history().get(id))
+                .into_iter()
+                .flatten();
             let granted = spells.map(|s| Granted {
                 token: s.token,
                 from: unix_at(&self.peers, s.from),
                 until: unix_at(&self.peers, s.until),
                 end: s.end,
             });
-            Part { name: one.name.clone(), own: own.collect(), granted: granted.collect() }
+            Part {
+                name: one.name.clone(),
+                own: own.collect(),
+                granted: granted.collect(),
+            }
         };
-        Told { at: self.peers.acts().now(), duties: self.all.iter().map(part).collect() }
+        Told {
+            at: self.peers.acts().now(),
+            duties: self.all.iter().map(part).collect(),
+        }
     }
 
     /// How all duties stand now.
@@ -88,16 +107,24 @@
         let voters = self.core.borrow().electorate().all().count();
         let heard = || {
             let stands = self.stands.borrow();
-            self.all.keys().all(|d| stands.get(d).is_some_and(|s| s.len() >= voters))
+            self.all
+                .keys()
+                .all(|d| stands.get(d).is_some_and(|s| s.len() >= voters))
         };
         let end = tokio::time::Instant::now() + ANSWERS;
         while !heard() && tokio::time::Instant::now() < end {
             sleep(LOOK).await;
         }
-        let duties: Vec<Value> = self.all.iter().map(|(id, one)| self.one(*id, one)).collect();
+        let duties: Vec<Value> = self
+            .all
+            .iter()
+            .map(|(id, one)| self.one(*id, one))
+            .collect();
         let core = self.core.borrow();
         let electorate = core.electorate();
-        let silent = core.voter().map(|v| v.silent_until().saturating_sub(self.peers.now()));
+        let silent = core
+            .voter()
+            .map(|v| v.silent_until().saturating_sub(self.peers.now()));
         json!({"asked": self.peers.place(), "at": self.peers.acts().now(), "generation": electorate.generation(),
             "voters": electorate.all().collect::<Vec<_>>(), "votes": core.voter().is_some(),
             "silent_ms": silent, "lease_ms": self.lease.as_millis() as u64, "duties": duties})
@@ -107,7 +134,12 @@
         let (stands, core) = (self.stands.borrow(), self.core.borrow());
         let of = stands.get(&id).map(Vec::as_slice).unwrap_or_default();
         let held = |what: &What| match what {
-            What::Stands { highest, left, why: Some(Why::Held), .. } => Some((*highest, *left)),
+            What::Stands {
+                highest,
+                left,
+                why: Some(Why::Held),
+                ..
+            } => Some((*highest, *left)),
             _ => None,
         };
         // Whom a quorum grants it to holds it, or may.
@@ -117,10 +149,17 @@
                 by.entry(token).or_default().push((s.voter, left));
             }
         }
-        let quorum =
-            |voters: &[(Place, u32)]| core.electorate().quorum(|p| voters.iter().any(|(v, _)| *v == p));
-        let holder = by.iter().find(|(_, voters)| quorum(voters)).map(|(token, _)| *token);
-        let reached = core.electorate().quorum(|p| of.iter().any(|s| s.voter == p));
+        let quorum = |voters: &[(Place, u32)]| {
+            core.electorate()
+                .quorum(|p| voters.iter().any(|(v, _)| *v == p))
+        };
+        let holder = by
+            .iter()
+            .find(|(_, voters)| quorum(voters))
+            .map(|(token, _)| *token);
+        let reached = core
+            .electorate()
+            .quorum(|p| of.iter().any(|s| s.voter == p));
         let here = core.seat(id).and_then(|s| s.holds(self.peers.now()));
         let voters: Vec<Value> = of
             .iter()
@@ -142,13 +181,17 @@
             "refused": core.seat(id).and_then(|s| s.refused()), "unfit": *one.unfit.borrow()})
     }
 
-    /// Who held what, from all who are there and know anything of it. Times are by this proxy's clock.
+    /// Who held what, from all who are there and know anything of it. Times are by this proxy's
+    /// clock.
     pub async fn history(self: &Rc<Self>) -> Value {
         let mut asking = JoinSet::new();
         for place in self.peers.there(false) {
             let peers = self.peers.clone();
             spawn_in(&mut asking, async move {
-                (place, audit::told::<Told>(&peers, place, Topic::Duties, |t| t.at).await)
+                (
+                    place,
+                    audit::told::<Told>(&peers, place, Topic::Duties, |t| t.at).await,
+                )
             });
         }
         let mut all = vec![(self.peers.place(), self.told(), Off::default())];
@@ -161,7 +204,11 @@
             }
         }
         unreached.sort_unstable();
-        let duties: Vec<Value> = self.all.values().map(|one| spells(&one.name, &all)).collect();
+        let duties: Vec<Value> = self
+            .all
+            .values()
+            .map(|one| spells(&one.name, &all))
+            .collect();
         json!({"asked": self.peers.place(), "at": self.peers.acts().now(), "unreached": unreached,
             "duties": duties})
     }
--- a/crates/heathroad/src/duty/work.rs
+++ b/crates/heathroad/src/duty/work.rs
@@ -1,8 +1,9 @@
 //! What a duty's work is given: a token, the last mark, and what it is to ask before each act.
 //!
-//! Work is a future that runs while the duty is held here and is dropped when that ends. It acts only after [`Hold::may`], tells its token with
-//! each act, and marks how far it came: the next holder begins with the last mark that a quorum keeps, and so does again what was
-//! done after that. Whatever can't check a token may see such an act twice, and one of a stalled holder late.
+//! Work is a future that runs while the duty is held here and is dropped when that ends. It acts
+//! only after [`Hold::may`], tells its token with each act, and marks how far it came: the next
+//! holder begins with the last mark that a quorum keeps, and so does again what was done after
+//! that. Whatever can't check a token may see such an act twice, and one of a stalled holder late.
 
 use super::Duties;
 use crate::effort::timeout;
@@ -34,7 +35,13 @@
         token: Token,
         mark: Option<Mark>,
     ) -> Hold {
-        Hold { duties, duty, name, token, mark }
+        Hold {
+            duties,
+            duty,
+            name,
+            token,
+            mark,
+        }
     }
 
     /// The duty's name.
@@ -60,15 +67,22 @@
 
     /// Whether it is held still: to be asked before each act.
     pub fn may(&self) -> bool {
-        self.duties.upgrade().is_some_and(|d| d.holds(self.duty) == Some(self.token))
+        self.duties
+            .upgrade()
+            .is_some_and(|d| d.holds(self.duty) == Some(self.token))
     }
 
-    /// Has a quorum keep what the work has come to, at most [`heathroad_duty::voter::MAX_STATE`] bytes.
+    /// Has a quorum keep what the work has come to, at most [`heathroad_duty::voter::MAX_STATE`]
+    /// bytes.
     pub async fn keep(&self, state: Vec<u8>) -> Result<(), Lost> {
         let duties = self.duties.upgrade().filter(|_| self.may()).ok_or(Lost)?;
         let mut saved = duties.saved.subscribe();
         let now = duties.peers.now();
-        let seq = duties.core.borrow_mut().mark(now, self.duty, state).ok_or(Lost)?;
+        let seq = duties
+            .core
+            .borrow_mut()
+            .mark(now, self.duty, state)
+            .ok_or(Lost)?;
         duties.stirred.notify_one();
         let (duty, wanted) = (self.duty, (self.token, seq));
         let kept = saved.wait_for(|saved| saved.get(&duty).is_some_and(|s| *s >= wanted));
@@ -80,7 +94,9 @@
 
     /// The work can't be done here: another is to try.
     pub fn unfit(&self, why: String) {
-        let Some(duties) = self.duties.upgrade().filter(|_| self.may()) else { return };
+        let Some(duties) = self.duties.upgrade().filter(|_| self.may()) else {
+            return;
+        };
         tracing::warn!(duty = %self.name, "duty {}: given back: {why}", self.name);
         if let Some(one) = duties.all.get(&self.duty) {
             one.unfit.replace(Some(why));
--- a/crates/heathroad/src/effort.rs
+++ b/crates/heathroad/src/effort.rs
@@ -1,5 +1,6 @@
-//! What the daemon asks of the system and of the runtime, counted where it asks: a request's cost in figures that no other
-//! program on the machine moves. Each thread counts its own, by plain additions.
+//! What the daemon asks of the system and of the runtime, counted where it asks: a request's cost
+//! in figures that no other program on the machine moves. Each thread counts its own, by plain
+//! additions.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -24,8 +25,8 @@
     SO_FAR.with(|s| s[kind].set(s[kind].get() + 1));
 }
 
-/// Until now on this thread: reads and writes of connections that came to something, looks at what lies on one, tasks begun,
-/// timers made.
+/// Until now on this thread: reads and writes of connections that came to something, looks at what
+/// lies on one, tasks begun, timers made.
 pub fn so_far() -> [u64; NAMES.len()] {
     SO_FAR.with(|s| s.each_ref().map(Cell::get))
 }
--- a/crates/heathroad/src/engine/mod.rs
+++ b/crates/heathroad/src/engine/mod.rs
@@ -1,5 +1,6 @@
-//! The only owner of the decision module: turns what happens on the sockets into its events, in order, and
-//! carries out its actions. Keeps the ids, the clock, the timers and each request's life.
+//! The only owner of the decision module: turns what happens on the sockets into its events, in
+//! order, and carries out its actions. Keeps the ids, the clock, the timers and each request's
+//! life.
 
 mod wait;
 
@@ -26,23 +27,29 @@
 use tokio::time::Instant;
 use turnshift::Balancer;
 use turnshift::api::{
-    Action, Arrival, BackendId, Effect, Entry, Event, ListKind, Outcome, Phase, RequestId, Resolved,
-    SettingsError,
+    Action, Arrival, BackendId, Effect, Entry, Event, ListKind, Outcome, Phase, RequestId,
+    Resolved, SettingsError,
 };
 use turnshift::settings::Facts;
 use wait::{Running, Wait};
 
-/// A deadline counts from the client's send, and the answer has yet to reach it: so much is for the way. What backends are told
-/// is no more than what is left where a pause at the arrival went unseen.
+/// A deadline counts from the client's send, and the answer has yet to reach it: so much is for the
+/// way. What backends are told is no more than what is left where a pause at the arrival went
+/// unseen.
 const TRAVEL: Duration = heartbeat::UNSEEN;
-/// So long after its deadline a client still waits, by the protocol: 20 ms, and 50 ms more on sockets.
+/// So long after its deadline a client still waits, by the protocol: 20 ms, and 50 ms more on
+/// sockets.
 const GRACE: Duration = Duration::from_millis(70);
-/// The module's deadline lies so much before the client's: a request is answered in time though the process is held up just
-/// then, and was held up unseen when the request arrived.
-const MARGIN: Duration = heartbeat::LONGEST.saturating_add(heartbeat::UNSEEN).saturating_sub(GRACE);
-/// But no more than this part of the time that a client waits, as a divisor: short deadlines leave time for work.
+/// The module's deadline lies so much before the client's: a request is answered in time though the
+/// process is held up just then, and was held up unseen when the request arrived.
+const MARGIN: Duration = heartbeat::LONGEST
+    .saturating_add(heartbeat::UNSEEN)
+    .saturating_sub(GRACE);
+/// But no more than this part of the time that a client waits, as a divisor: short deadlines leave
+/// time for work.
 const MARGIN_PART: u32 = 2;
-/// A request still without an answer at this part of the margin, as a divisor, is failed whatever the module says.
+/// A request still without an answer at this part of the margin, as a divisor, is failed whatever
+/// the module says.
 const BACKSTOP_PART: u32 = 2;
 
 /// Attempts that most requests need at the most.
@@ -123,8 +130,8 @@
 /// A final answer, and what was spent on it where the caller is to know.
 pub type Told = (Answer, Option<Spent>);
 
-/// Milliseconds for the module on a monotonic clock. It starts at the Unix time of the process's start, so that
-/// the starts of backends, which are told in Unix time, lie on it as they are.
+/// Milliseconds for the module on a monotonic clock. It starts at the Unix time of the process's
+/// start, so that the starts of backends, which are told in Unix time, lie on it as they are.
 struct Clock {
     start: Instant,
     base: f64,
@@ -132,8 +139,13 @@
 
 impl Clock {
     fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), base: unix.as_secs_f64() * 1000.0 }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            base: unix.as_secs_f64() * 1000.0,
+        }
     }
     fn at(&self, t: Instant) -> f64 {
         self.base + t.saturating_duration_since(self.start).as_secs_f64() * 1000.0
@@ -143,10 +155,12 @@
     }
 }
 
-/// How long who is refused for want of room, or by a fenced proxy, should stay away, where that is told.
+/// How long who is refused for want of room, or by a fenced proxy, should stay away, where that is
+/// told.
 pub fn away(facts: &Facts) -> Option<Duration> {
     let caps = &facts.settings.caps;
-    caps.retry_after.then(|| millis(AWAY.min(caps.max_retry_after)))
+    caps.retry_after
+        .then(|| millis(AWAY.min(caps.max_retry_after)))
 }
 
 /// What a request is owed. The way to who waits is spent by its one answer.
@@ -197,11 +211,16 @@
             wait.tell((answer, spent));
         }
     }
-    /// Nothing is owed any more, and nothing is sent for it that is not sent yet, whatever the settings say of calling
-    /// attempts off; the one who waits, if somebody did.
+    /// Nothing is owed any more, and nothing is sent for it that is not sent yet, whatever the
+    /// settings say of calling attempts off; the one who waits, if somebody did.
     fn end(&mut self) -> Option<Rc<Wait<Told>>> {
-        let Life::Owed(wait) = std::mem::replace(&mut self.life, Life::Over) else { return None };
-        self.attempts.iter().filter_map(|a| a.out.as_ref()).for_each(|out| out.line.forsake());
+        let Life::Owed(wait) = std::mem::replace(&mut self.life, Life::Over) else {
+            return None;
+        };
+        self.attempts
+            .iter()
+            .filter_map(|a| a.out.as_ref())
+            .for_each(|out| out.line.forsake());
         Some(wait)
     }
     fn done(&self) -> bool {
@@ -316,37 +335,53 @@
 
     /// How many requests are owed an answer.
     pub fn owed(&self) -> usize {
-        self.state.borrow().requests.values().filter(|r| matches!(r.life, Life::Owed(_))).count()
+        self.state
+            .borrow()
+            .requests
+            .values()
+            .filter(|r| matches!(r.life, Life::Owed(_)))
+            .count()
     }
 
-    /// Takes a request of a client, where that can be seen to leave, and waits for its one answer. Dropped before that, the client
-    /// has hung up.
+    /// Takes a request of a client, where that can be seen to leave, and waits for its one answer.
+    /// Dropped before that, the client has hung up.
     pub async fn decide(self: &Rc<Self>, incoming: Incoming, client: Option<Waiting>) -> Told {
         if self.fenced() {
             incoming.act(Act::Fenced);
             self.shut_out.set(self.shut_out.get() + 1);
-            self.counts.answered(incoming.class, incoming.tenant, Final::Refused);
-            return (Answer::Refused { retry_after: away(&self.facts) }, None);
+            self.counts
+                .answered(incoming.class, incoming.tenant, Final::Refused);
+            return (
+                Answer::Refused {
+                    retry_after: away(&self.facts),
+                },
+                None,
+            );
         }
         incoming.act(Act::Bound);
         let budget = &incoming.budget;
-        let patience = budget.as_ref().map_or(incoming.patience, |b| incoming.patience.min(b.time()));
-        let (spare, worth) = budget.as_ref().map_or((None, 1.0), |b| (Some(b.left()), b.worth()));
-        let limit = self
-            .last
-            .get()
-            .map_or(patience, |last| patience.min(last.saturating_duration_since(incoming.received)));
+        let patience = budget
+            .as_ref()
+            .map_or(incoming.patience, |b| incoming.patience.min(b.time()));
+        let (spare, worth) = budget
+            .as_ref()
+            .map_or((None, 1.0), |b| (Some(b.left()), b.worth()));
+        let limit = self.last.get().map_or(patience, |last| {
+            patience.min(last.saturating_duration_since(incoming.received))
+        });
         let end = incoming.received + limit;
         let last = incoming.received + limit.saturating_sub(margin(limit));
         let deadline = self.clock.at(last);
-        // Its time went by while it waited for its turn on its connection: no backend works for nobody.
+        // Its time went by while it waited for its turn on its connection: no backend works for
+        // nobody.
         tracing::debug!(
             id = %incoming.call.label(), class = incoming.class, patience_ms = as_millis(patience),
             waited_ms = as_millis(incoming.received.elapsed()), "request received"
         );
         if Instant::now() >= last {
             tracing::debug!(id = %incoming.call.label(), reason = "deadline passed before it was decided", "request timed out");
-            self.counts.answered(incoming.class, incoming.tenant, Final::TimedOut);
+            self.counts
+                .answered(incoming.class, incoming.tenant, Final::TimedOut);
             incoming.act(Act::Failed);
             return (Answer::TimedOut, None);
         }
@@ -356,7 +391,8 @@
             let s = &mut *self.state.borrow_mut();
             if s.requests.len() >= self.facts.site.open_cap {
                 tracing::debug!(id = %incoming.call.label(), reason = "open requests at their limit", "request refused");
-                self.counts.answered(incoming.class, incoming.tenant, Final::Refused);
+                self.counts
+                    .answered(incoming.class, incoming.tenant, Final::Refused);
                 incoming.act(Act::Refused);
                 return (Answer::Refused { retry_after: None }, None);
             }
@@ -379,7 +415,14 @@
             id
         };
         let (class, tenant, received) = (incoming.class, incoming.tenant, incoming.received);
-        let mut here = Here { engine: self.clone(), request, class, tenant, acts, answer: Final::Left };
+        let mut here = Here {
+            engine: self.clone(),
+            request,
+            class,
+            tenant,
+            acts,
+            answer: Final::Left,
+        };
         self.tell(Event::Request(Arrival {
             request,
             key: incoming.key,
@@ -390,8 +433,10 @@
             worth,
         }));
         // The module answers in time; the end guards against a late loop and against its silence.
-        let answer =
-            wait.answer(end - (margin(limit) / BACKSTOP_PART).min(limit)).await.unwrap_or_else(|| {
+        let answer = wait
+            .answer(end - (margin(limit) / BACKSTOP_PART).min(limit))
+            .await
+            .unwrap_or_else(|| {
                 tracing::debug!(request, reason = "backstop", "request timed out");
                 (Answer::TimedOut, None)
             });
@@ -399,14 +444,21 @@
         if Instant::now() > received + patience + GRACE {
             tally::violated(Violation::LateAnswer, &here.label());
         }
-        let aim = millis(self.facts.settings.classes.get(usize::from(class)).map_or(0.0, |c| c.aim));
+        let aim = millis(
+            self.facts
+                .settings
+                .classes
+                .get(usize::from(class))
+                .map_or(0.0, |c| c.aim),
+        );
         if here.answer == Final::Served && received.elapsed() > aim {
             self.counts.after_aim();
         }
         answer
     }
 
-    /// Counts a request that ends before it is decided: refused for want of room, or left by its caller.
+    /// Counts a request that ends before it is decided: refused for want of room, or left by its
+    /// caller.
     pub fn undecided(&self, incoming: &Incoming, end: Final) {
         self.counts.answered(incoming.class, incoming.tenant, end);
         incoming.act(Act::Bound);
@@ -418,7 +470,8 @@
         self.shut_out.get()
     }
 
-    /// Whether this proxy binds no request, since others are required than it acts on, or it can't know.
+    /// Whether this proxy binds no request, since others are required than it acts on, or it can't
+    /// know.
     pub fn fenced(&self) -> bool {
         self.acts.as_ref().is_some_and(|a| a.fenced())
     }
@@ -440,14 +493,21 @@
 
     /// What its limit stands at.
     pub fn moment(&self) -> Moment<'_> {
-        Moment { counts: &self.counts, load: self.state.borrow().balancer.load(), open: self.owed() }
+        Moment {
+            counts: &self.counts,
+            load: self.state.borrow().balancer.load(),
+            open: self.owed(),
+        }
     }
 
     /// The processes that take work.
     pub fn targets(&self) -> Vec<Rc<Target>> {
         let s = self.state.borrow();
         let targets = s.backends.values().filter_map(|k| k.target.as_ref());
-        targets.filter(|t| t.drained.get().is_none()).cloned().collect()
+        targets
+            .filter(|t| t.drained.get().is_none())
+            .cloned()
+            .collect()
     }
 
     /// So many engines send to some backend of this one's.
@@ -455,7 +515,8 @@
         self.state.borrow_mut().balancer.share_cold(sharers);
     }
 
-    /// The limit begins at so much at the least: what is known of the backends from before. Told before any list.
+    /// The limit begins at so much at the least: what is known of the backends from before. Told
+    /// before any list.
     pub fn begin_at(&self, limit: f64) {
         self.state.borrow_mut().balancer.begin_at(limit);
     }
@@ -481,8 +542,9 @@
         self.forget_gone();
     }
 
-    /// Forgets the backends that no list names, once no open request was sent to them: the module has let go of
-    /// such a backend too. Where backends are replaced by new ones all day, nothing may grow with their number.
+    /// Forgets the backends that no list names, once no open request was sent to them: the module
+    /// has let go of such a backend too. Where backends are replaced by new ones all day, nothing
+    /// may grow with their number.
     pub fn forget_gone(&self) {
         let s = &mut *self.state.borrow_mut();
         if s.backends.values().all(|k| k.listed) {
@@ -503,7 +565,10 @@
     /// A call to discovery failed.
     pub fn list_failed(self: &Rc<Self>) {
         self.watching.send_replace(false);
-        self.tell(Event::List { kind: ListKind::Failed, entries: Vec::new() });
+        self.tell(Event::List {
+            kind: ListKind::Failed,
+            entries: Vec::new(),
+        });
     }
 
     /// Answers what is still open by then, and takes nothing that would last longer.
@@ -515,10 +580,13 @@
             let open: Vec<RequestId> = {
                 let s = &mut *engine.state.borrow_mut();
                 tracing::debug!(open = s.requests.len(), reason = "stop", "requests ended");
-                s.requests.values_mut().for_each(|r| r.answer(Answer::TimedOut));
+                s.requests
+                    .values_mut()
+                    .for_each(|r| r.answer(Answer::TimedOut));
                 s.requests.keys().copied().collect()
             };
-            open.into_iter().for_each(|request| engine.tell(Event::Hangup { request }));
+            open.into_iter()
+                .for_each(|request| engine.tell(Event::Hangup { request }));
         });
     }
 
@@ -526,13 +594,22 @@
         let (backend, known) = s.known(&h.host);
         known.listed = h.health != Health::Deleted;
         let Some(zone) = self.facts.site.zones.iter().position(|z| *z == h.site) else {
-            // A copy can't send there, so that it takes nothing new from here, wherever it was before.
+            // A copy can't send there, so that it takes nothing new from here, wherever it was
+            // before.
             known.listed = false;
             known.withdraw(&self.pool, &self.counts, Notice::Gone);
             if h.health == Health::Serving {
-                tracing::warn!("discovery: {}: zone {:?} is unknown, passed over", h.host, h.site);
+                tracing::warn!(
+                    "discovery: {}: zone {:?} is unknown, passed over",
+                    h.host,
+                    h.site
+                );
             }
-            return Some(Entry { backend, phase: Phase::Gone, ..Entry::default() });
+            return Some(Entry {
+                backend,
+                phase: Phase::Gone,
+                ..Entry::default()
+            });
         };
         let phase = match h.health {
             Health::Serving => Phase::Ready,
@@ -541,11 +618,13 @@
         };
         match (phase, h.dial) {
             (Phase::Ready, Some(dial)) => {
-                // A new process knows nothing of the old one's connections. Where its machine fell silent
-                // they look open still, and a request on one would end as a reset, which may have run.
+                // A new process knows nothing of the old one's connections. Where its machine fell
+                // silent they look open still, and a request on one would end as a reset, which may
+                // have run.
                 let born_ms = h.born_ms;
-                let same =
-                    |t: &Rc<Target>| t.dial == dial && t.born_ms == born_ms && t.drained.get().is_none();
+                let same = |t: &Rc<Target>| {
+                    t.dial == dial && t.born_ms == born_ms && t.drained.get().is_none()
+                };
                 if !known.target.as_ref().is_some_and(same) {
                     known.withdraw(&self.pool, &self.counts, Notice::Replaced);
                     tracing::debug!(backend = h.host, address = %dial, born_ms, "backend ready");
@@ -555,9 +634,17 @@
             (Phase::Gone, _) => known.withdraw(&self.pool, &self.counts, Notice::Gone),
             _ => known.withdraw(&self.pool, &self.counts, Notice::Draining),
         }
-        let (zone, started_at, weight, cell) = (zone as u16, h.born_ms.max(0.0), h.share.max(0.0), h.block);
+        let (zone, started_at, weight, cell) =
+            (zone as u16, h.born_ms.max(0.0), h.share.max(0.0), h.block);
         known.place = Place { zone, cell };
-        Some(Entry { backend, phase, zone, started_at, weight, cell })
+        Some(Entry {
+            backend,
+            phase,
+            zone,
+            started_at,
+            weight,
+            cell,
+        })
     }
 
     /// Tells the module of an event and carries out what it decides, and so on until all is quiet.
@@ -566,7 +653,8 @@
         s.events.push_back(event);
         while let Some(event) = s.events.pop_front() {
             let mut actions = std::mem::take(&mut s.actions);
-            s.balancer.handle(self.clock.at(Instant::now()), event, &mut actions);
+            s.balancer
+                .handle(self.clock.at(Instant::now()), event, &mut actions);
             for action in actions.drain(..) {
                 self.act(s, action);
             }
@@ -576,8 +664,15 @@
 
     fn act(self: &Rc<Self>, s: &mut State, action: Action) {
         match action {
-            Action::Send { request, backend, not_past } => self.send(s, request, backend, not_past),
-            Action::Refuse { request, retry_after } => {
+            Action::Send {
+                request,
+                backend,
+                not_past,
+            } => self.send(s, request, backend, not_past),
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 tracing::debug!(request, reason = "decided", "request refused");
                 let retry_after = Some(millis(retry_after)).filter(|d| !d.is_zero());
                 let answer = self.refusal(s, request, retry_after);
@@ -617,7 +712,9 @@
 
     /// A refusal, where the request may be refused; else it has failed, and the module was wrong.
     fn refusal(&self, s: &State, request: RequestId, retry_after: Option<Duration>) -> Answer {
-        let Some(open) = s.requests.get(&request) else { return Answer::Refused { retry_after } };
+        let Some(open) = s.requests.get(&request) else {
+            return Answer::Refused { retry_after };
+        };
         if permit::refusal(self.effect(open.class), open.attempted()) {
             return Answer::Refused { retry_after };
         }
@@ -627,10 +724,15 @@
 
     /// What a class says of its requests' effect; none is taken for the strictest.
     fn effect(&self, class: u16) -> Effect {
-        self.facts.settings.classes.get(usize::from(class)).map_or(Effect::Fragile, |c| c.effect)
+        self.facts
+            .settings
+            .classes
+            .get(usize::from(class))
+            .map_or(Effect::Fragile, |c| c.effect)
     }
 
-    /// Whether one more attempt of a request may be begun at a backend now, and until when it may be written.
+    /// Whether one more attempt of a request may be begun at a backend now, and until when it may
+    /// be written.
     fn may_send(
         &self,
         open: &Open,
@@ -647,19 +749,32 @@
         if number >= self.facts.settings.caps.try_limit as usize {
             return Err(Denied::AttemptLimit);
         }
-        let (known, target) =
-            to.and_then(|k| Some((k, k.target.clone()?))).ok_or(Denied::BackendWithdrawn)?;
+        let (known, target) = to
+            .and_then(|k| Some((k, k.target.clone()?)))
+            .ok_or(Denied::BackendWithdrawn)?;
         let duplicate = self.facts.site.may_duplicate;
-        let write_by =
-            permit::repeat(self.effect(open.class), open.attempted(), known.place, duplicate, now)?;
+        let write_by = permit::repeat(
+            self.effect(open.class),
+            open.attempted(),
+            known.place,
+            duplicate,
+            now,
+        )?;
         let granted = open.acts.as_ref().is_none_or(acts::Bound::may)
             && (number == 0 || open.budget.as_ref().is_none_or(OnBooks::again));
-        if granted { Ok((target, known.place, write_by)) } else { Err(Denied::NotGranted) }
+        if granted {
+            Ok((target, known.place, write_by))
+        } else {
+            Err(Denied::NotGranted)
+        }
     }
 
-    /// An attempt that the module asked for is not begun. A client that has left is told to the module at once.
+    /// An attempt that the module asked for is not begun. A client that has left is told to the
+    /// module at once.
     fn deny(&self, s: &mut State, request: RequestId, backend: BackendId, denied: Denied) {
-        let Some(open) = s.requests.get_mut(&request) else { return };
+        let Some(open) = s.requests.get_mut(&request) else {
+            return;
+        };
         let label = open.call.label().into_owned();
         tally::denied(denied, &label);
         if matches!(denied, Denied::NotRepeatable | Denied::OutsideGroup) {
@@ -670,21 +785,34 @@
         }
         let number = open.attempts.len();
         let (begun, ended) = (Instant::now(), Some(Outcome::Moot));
-        let attempted = Attempted { place: Place::default(), begun, ended };
-        open.attempts.push(Tried { backend, attempted, out: None });
+        let attempted = Attempted {
+            place: Place::default(),
+            begun,
+            ended,
+        };
+        open.attempts.push(Tried {
+            backend,
+            attempted,
+            out: None,
+        });
         self.counts.ended(Outcome::Moot, None);
-        s.events.push_back(resolved(request, number, backend, Outcome::Moot, 0.0, open));
+        s.events
+            .push_back(resolved(request, number, backend, Outcome::Moot, 0.0, open));
     }
 
     fn send(self: &Rc<Self>, s: &mut State, request: RequestId, backend: BackendId, not_past: f64) {
-        let Some(open) = s.requests.get(&request) else { return };
+        let Some(open) = s.requests.get(&request) else {
+            return;
+        };
         let sent = Instant::now();
         let (target, place, write_by) = match self.may_send(open, s.backends.get(&backend), sent) {
             Ok(granted) => granted,
             Err(denied) => return self.deny(s, request, backend, denied),
         };
         let worth = s.balancer.worth(request);
-        let Some(open) = s.requests.get_mut(&request) else { return };
+        let Some(open) = s.requests.get_mut(&request) else {
+            return;
+        };
         let Life::Owed(wait) = &open.life else { return };
         let (wait, number) = (wait.clone(), open.attempts.len());
         if number > 0 {
@@ -698,17 +826,43 @@
             acts.act(Act::Sent);
         }
         let line = Rc::new(Line::new(open.client.clone(), write_by));
-        let lent = open.budget.as_ref().filter(|_| open.call.carries()).and_then(|b| b.lend(worth));
+        let lent = open
+            .budget
+            .as_ref()
+            .filter(|_| open.call.carries())
+            .and_then(|b| b.lend(worth));
         let purse = lent.as_ref().map(|(_, purse)| purse.clone());
-        let attempted = Attempted { place, begun: sent, ended: None };
-        let out = Some(Out { line: line.clone(), lent });
-        open.attempts.push(Tried { backend, attempted, out });
-        let (call, not_past, expires) = (open.call.clone(), self.clock.instant(not_past), open.expires);
+        let attempted = Attempted {
+            place,
+            begun: sent,
+            ended: None,
+        };
+        let out = Some(Out {
+            line: line.clone(),
+            lent,
+        });
+        open.attempts.push(Tried {
+            backend,
+            attempted,
+            out,
+        });
+        let (call, not_past, expires) = (
+            open.call.clone(),
+            self.clock.instant(not_past),
+            open.expires,
+        );
         tracing::debug!(
             request, id = %call.label(), attempt = number, address = %target.dial, after = ?open.last,
             timeout_ms = as_millis(not_past.saturating_duration_since(sent)), "attempt begun"
         );
-        let attempt = Attempt { call, target, not_past, expires, line: line.clone(), purse };
+        let attempt = Attempt {
+            call,
+            target,
+            not_past,
+            expires,
+            line: line.clone(),
+            purse,
+        };
         let (engine, pool) = (self.clone(), self.pool.clone());
         let later = self.clone();
         let late = move |end: End| {
@@ -727,16 +881,26 @@
             }));
         };
         let run = Box::pin(attempt.run(pool, move |end| engine.ended(request, number, end), late));
-        wait.carry(Running { run, not_past, line });
+        wait.carry(Running {
+            run,
+            not_past,
+            line,
+        });
     }
 
     /// An attempt ended. The first served answer goes to the caller by itself.
     fn ended(self: &Rc<Self>, request: RequestId, number: usize, end: End) {
         let event = {
             let s = &mut *self.state.borrow_mut();
-            let Some(open) = s.requests.get_mut(&request) else { return };
-            let Some(tried) = open.attempts.get_mut(number) else { return };
-            let (backend, Some(out)) = (tried.backend, tried.out.take()) else { return };
+            let Some(open) = s.requests.get_mut(&request) else {
+                return;
+            };
+            let Some(tried) = open.attempts.get_mut(number) else {
+                return;
+            };
+            let (backend, Some(out)) = (tried.backend, tried.out.take()) else {
+                return;
+            };
             let (outcome, sent) = (end.outcome(), tried.attempted.begun);
             tried.attempted.ended = Some(outcome);
             tracing::debug!(
@@ -781,7 +945,15 @@
 ) -> Event {
     let (attempt, closed) = (number as u8, matches!(open.life, Life::Over));
     let spare = open.budget.as_ref().map(OnBooks::left);
-    Event::Resolved(Resolved { request, attempt, backend, outcome, wait, closed, spare })
+    Event::Resolved(Resolved {
+        request,
+        attempt,
+        backend,
+        outcome,
+        wait,
+        closed,
+        spare,
+    })
 }
 
 /// The number that the module knows a text by that requests are about; never 0.
@@ -796,8 +968,8 @@
 }
 
 impl State {
-    /// A backend by its name, with the module's number for it. That is made from the name, since every copy orders
-    /// the backends by it: the copies' subsets are to overlap evenly.
+    /// A backend by its name, with the module's number for it. That is made from the name, since
+    /// every copy orders the backends by it: the copies' subsets are to overlap evenly.
     fn known(&mut self, host: &str) -> (BackendId, &mut Known) {
         let id = self.ids.get(host).copied().unwrap_or_else(|| {
             let mut id = hash(host) as BackendId;
@@ -807,7 +979,12 @@
             self.ids.insert(host.to_string(), id);
             id
         });
-        let new = || Known { name: host.to_string(), listed: false, target: None, place: Place::default() };
+        let new = || Known {
+            name: host.to_string(),
+            listed: false,
+            target: None,
+            place: Place::default(),
+        };
         (id, self.backends.entry(id).or_insert_with(new))
     }
 
@@ -846,7 +1023,9 @@
 impl Drop for Here {
     fn drop(&mut self) {
         tracing::debug!(request = self.request, answer = ?self.answer, "request ended");
-        self.engine.counts.answered(self.class, self.tenant, self.answer);
+        self.engine
+            .counts
+            .answered(self.class, self.tenant, self.answer);
         if let Some(acts) = &self.acts {
             acts.act(act(self.answer));
         }
@@ -858,7 +1037,9 @@
             left
         };
         if left {
-            self.engine.tell(Event::Hangup { request: self.request });
+            self.engine.tell(Event::Hangup {
+                request: self.request,
+            });
         }
     }
 }
--- a/crates/heathroad/src/engine/wait.rs
+++ b/crates/heathroad/src/engine/wait.rs
@@ -1,6 +1,7 @@
-//! Waiting for a request's one answer. Whoever waits carries the request's attempts in its own task: what an answer wakes is
-//! then at once the one who passes it on, and no task is made for an attempt. Attempts that outlast the wait, since the caller
-//! has left or work that was given up goes on, get a task of their own.
+//! Waiting for a request's one answer. Whoever waits carries the request's attempts in its own
+//! task: what an answer wakes is then at once the one who passes it on, and no task is made for an
+//! attempt. Attempts that outlast the wait, since the caller has left or work that was given up
+//! goes on, get a task of their own.
 
 use crate::backend::{Line, keep};
 use crate::effort::{sleep_until, spawn_local};
@@ -33,7 +34,12 @@
 impl<T> Default for Wait<T> {
     fn default() -> Self {
         let (told, begun) = (Cell::new(None), RefCell::default());
-        Wait { told, begun, waker: Cell::new(None), looks: Cell::new(false) }
+        Wait {
+            told,
+            begun,
+            waker: Cell::new(None),
+            looks: Cell::new(false),
+        }
     }
 }
 
@@ -59,11 +65,14 @@
         }
     }
 
-    /// The answer; nothing if none has come by `end`. While an attempt is under way that gives up before then, no timer is made:
-    /// its end is heard of here, and the time is looked at again. What is still to carry when the wait is over, however
-    /// it ends, goes on in tasks of its own.
+    /// The answer; nothing if none has come by `end`. While an attempt is under way that gives up
+    /// before then, no timer is made: its end is heard of here, and the time is looked at again.
+    /// What is still to carry when the wait is over, however it ends, goes on in tasks of its own.
     pub async fn answer(self: Rc<Self>, end: Instant) -> Option<T> {
-        let mut carried = Carried { wait: self.clone(), running: Vec::new() };
+        let mut carried = Carried {
+            wait: self.clone(),
+            running: Vec::new(),
+        };
         let mut over = pin!(None);
         poll_fn(|cx| {
             self.looks.set(true);
@@ -72,14 +81,22 @@
             if told.is_some() {
                 return Poll::Ready(told);
             }
-            if carried.running.iter().any(|r| r.not_past <= end && !r.line.reported()) {
+            if carried
+                .running
+                .iter()
+                .any(|r| r.not_past <= end && !r.line.reported())
+            {
                 keep(&self.waker, cx);
                 return Poll::Pending;
             }
             if over.is_none() {
                 over.set(Some(sleep_until(end)));
             }
-            if over.as_mut().as_pin_mut().is_some_and(|over| over.poll(cx).is_ready()) {
+            if over
+                .as_mut()
+                .as_pin_mut()
+                .is_some_and(|over| over.poll(cx).is_ready())
+            {
                 return Poll::Ready(None);
             }
             keep(&self.waker, cx);
@@ -104,7 +121,8 @@
         self.running.append(&mut begun);
     }
 
-    /// Carries on all that can go on, and what that begins in turn, until the answer is there or nothing moves.
+    /// Carries on all that can go on, and what that begins in turn, until the answer is there or
+    /// nothing moves.
     fn look(&mut self, cx: &mut Context<'_>) -> Option<T> {
         let mut from = 0;
         loop {
@@ -158,7 +176,11 @@
             let _ = let_go.await;
             over.set(true);
         });
-        Running { run, not_past, line }
+        Running {
+            run,
+            not_past,
+            line,
+        }
     }
 
     #[tokio::test(start_paused = true)]
@@ -168,13 +190,17 @@
         assert_eq!(begun.elapsed(), LONG);
     }
 
-    /// An attempt that has reported and works on is no reason to wait for longer; it is let work on.
+    /// An attempt that has reported and works on is no reason to wait for longer; it is let work
+    /// on.
     #[tokio::test(start_paused = true)]
     async fn work_that_goes_on_holds_no_wait_up_and_is_not_dropped() {
         let set = LocalSet::new();
         set.run_until(async {
-            let (wait, over, begun) =
-                (Rc::<Wait<u8>>::default(), Rc::<Cell<bool>>::default(), Instant::now());
+            let (wait, over, begun) = (
+                Rc::<Wait<u8>>::default(),
+                Rc::<Cell<bool>>::default(),
+                Instant::now(),
+            );
             let (let_go, gone) = oneshot::channel();
             wait.carry(attempt(LONG / 2, gone, over.clone()));
             assert_eq!(wait.answer(begun + LONG).await, None);
@@ -216,7 +242,8 @@
         .await;
     }
 
-    /// Dropped, as when the caller has left: what was begun goes on, also if it was never looked at.
+    /// Dropped, as when the caller has left: what was begun goes on, also if it was never looked
+    /// at.
     #[tokio::test(start_paused = true)]
     async fn who_leaves_stops_no_attempt() {
         let set = LocalSet::new();
--- a/crates/heathroad/src/fleet/acts.rs
+++ b/crates/heathroad/src/fleet/acts.rs
@@ -26,14 +26,18 @@
         self.page.act(act, self.acts.now());
     }
 
-    /// Whether an attempt may be sent for the request: not on routes past the time by which others are required.
+    /// Whether an attempt may be sent for the request: not on routes past the time by which others
+    /// are required.
     pub fn may(&self) -> bool {
         self.acts.may_on(self.page.generation(), self.page.routes())
     }
 
     /// What backends are told of the version, where they are.
     pub fn header(&self) -> Option<HeaderValue> {
-        let digest = self.acts.tells_backends.then(|| self.page.digest().to_string())?;
+        let digest = self
+            .acts
+            .tells_backends
+            .then(|| self.page.digest().to_string())?;
         HeaderValue::try_from(digest).ok()
     }
 }
@@ -73,17 +77,25 @@
 }
 
 impl Acts {
-    /// Begins with a version without routes and lists, and with what was kept of the record from before.
+    /// Begins with a version without routes and lists, and with what was kept of the record from
+    /// before.
     pub fn new(
         settings: Digest,
         before: Option<Told>,
         tells_backends: bool,
         sure_for: Option<Duration>,
     ) -> Rc<Acts> {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let base = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX);
         let build = env!("CARGO_PKG_VERSION").to_string();
-        let version = Version { build, protocols: SPOKEN, settings, ..Version::default() };
+        let version = Version {
+            build,
+            protocols: SPOKEN,
+            settings,
+            ..Version::default()
+        };
         let mut record = Record::new(base, base, before);
         let page = RefCell::new(record.begin(base, version.clone()));
         Rc::new(Acts {
@@ -126,7 +138,10 @@
 
     /// Binds a request to what is in force.
     pub fn bind(self: &Rc<Self>) -> Bound {
-        Bound { acts: self.clone(), page: self.page.borrow().clone() }
+        Bound {
+            acts: self.clone(),
+            page: self.page.borrow().clone(),
+        }
     }
 
     /// A generation of routes is in force.
@@ -138,7 +153,11 @@
 
     /// Routes in force were committed.
     pub fn commit(&self, number: u64, text: &str, within: Option<u64>) {
-        self.committed.set(Some(Committed { number, digest: Digest::of(text.as_bytes()), within }));
+        self.committed.set(Some(Committed {
+            number,
+            digest: Digest::of(text.as_bytes()),
+            within,
+        }));
         self.changed.notify_waiters();
     }
 
@@ -162,10 +181,11 @@
         self.required.replace(required);
     }
 
-    /// The soonest that anything can be required, in milliseconds: where proxies that can't know what is required fence themselves,
-    /// they do so after as long.
+    /// The soonest that anything can be required, in milliseconds: where proxies that can't know
+    /// what is required fence themselves, they do so after as long.
     pub fn least_required(&self) -> u64 {
-        self.sure_for.map_or(0, |t| u64::try_from(t.as_millis()).unwrap_or(u64::MAX))
+        self.sure_for
+            .map_or(0, |t| u64::try_from(t.as_millis()).unwrap_or(u64::MAX))
     }
 
     /// All that was required until now is known, and will be until a time.
@@ -173,15 +193,17 @@
         self.sure.set(until);
     }
 
-    /// Whether anything may be done on a generation of routes. The clock is looked at each time: a proxy that has stalled finds out
-    /// before its next act.
+    /// Whether anything may be done on a generation of routes. The clock is looked at each time: a
+    /// proxy that has stalled finds out before its next act.
     pub fn may_on(&self, generation: u64, routes: Digest) -> bool {
         let required = self.required.borrow();
         if required.is_empty() && self.sure_for.is_none() {
             return true;
         }
         let now = Instant::now();
-        let unmet = |(r, at): &(Required, Instant)| generation < r.number && routes != r.digest && now >= *at;
+        let unmet = |(r, at): &(Required, Instant)| {
+            generation < r.number && routes != r.digest && now >= *at
+        };
         let unsure = self.sure_for.is_some() && self.sure.get().is_none_or(|until| now >= until);
         !required.iter().any(unmet) && !unsure
     }
@@ -197,10 +219,18 @@
             let (trouble, from) = (Trouble::Fenced, self.now());
             let mut record = self.record.borrow_mut();
             match fenced {
-                true => record.spell(Spell { trouble, from, to: None }),
+                true => record.spell(Spell {
+                    trouble,
+                    from,
+                    to: None,
+                }),
                 false => record.spell_over(trouble, from),
             }
-            let what = if fenced { "fenced: no request is bound" } else { "no longer fenced" };
+            let what = if fenced {
+                "fenced: no request is bound"
+            } else {
+                "no longer fenced"
+            };
             tracing::warn!(fenced, "fleet: {what}");
         }
         fenced
@@ -209,7 +239,12 @@
     /// A generation was not taken, for a reason.
     pub fn turn_down(&self, generation: u64, routes: Digest, why: String) {
         let at = self.now();
-        self.record.borrow_mut().turn_down(TurnedDown { at, generation, routes, why });
+        self.record.borrow_mut().turn_down(TurnedDown {
+            at,
+            generation,
+            routes,
+            why,
+        });
     }
 
     /// Whether a text was turned down before.
@@ -231,13 +266,15 @@
     /// A source of backends has told a list or a change.
     pub fn heard(&self, source: SocketAddr, seq: u64) {
         let source = Digest::of(source.to_string().as_bytes());
-        self.change(|v| match v.sources.iter_mut().find(|s| s.source == source) {
-            Some(known) => known.seq = seq,
-            None => {
-                v.sources.push(Source { source, seq });
-                v.sources.sort_by_key(|s| s.source);
-            }
-        });
+        self.change(
+            |v| match v.sources.iter_mut().find(|s| s.source == source) {
+                Some(known) => known.seq = seq,
+                None => {
+                    v.sources.push(Source { source, seq });
+                    v.sources.sort_by_key(|s| s.source);
+                }
+            },
+        );
     }
 
     /// A source of backends is followed no longer.
@@ -251,26 +288,37 @@
         by(&mut version);
         let version = version.clone().bounded();
         let now = self.now();
-        self.page.replace(self.record.borrow_mut().begin(now, version));
+        self.page
+            .replace(self.record.borrow_mut().begin(now, version));
         self.changed.notify_waiters();
     }
 
     /// This proxy is kept from its fellows from now on.
     pub fn cut_off(&self) {
         let (trouble, from) = (Trouble::CutOff, self.now());
-        self.record.borrow_mut().spell(Spell { trouble, from, to: None });
+        self.record.borrow_mut().spell(Spell {
+            trouble,
+            from,
+            to: None,
+        });
     }
 
     /// It hears somebody again.
     pub fn heard_again(&self) {
-        self.record.borrow_mut().spell_over(Trouble::CutOff, self.now());
+        self.record
+            .borrow_mut()
+            .spell_over(Trouble::CutOff, self.now());
     }
 
     /// It did nothing for so many milliseconds until now.
     pub fn stalled(&self, after: u64) {
         let now = self.now();
         let (trouble, from) = (Trouble::Stalled, now.saturating_sub(after));
-        self.record.borrow_mut().spell(Spell { trouble, from, to: Some(now) });
+        self.record.borrow_mut().spell(Spell {
+            trouble,
+            from,
+            to: Some(now),
+        });
     }
 
     /// The record as it stands.
--- a/crates/heathroad/src/fleet/audit.rs
+++ b/crates/heathroad/src/fleet/audit.rs
@@ -1,5 +1,6 @@
-//! The audit: who acted on which version, and when. What a member's own record says is told as that; of whoever is not reached,
-//! what was last heard is told, and that nothing is known beyond it.
+//! The audit: who acted on which version, and when. What a member's own record says is told as
+//! that; of whoever is not reached, what was last heard is told, and that nothing is known beyond
+//! it.
 
 use super::Peers;
 use crate::duty::Duties;
@@ -35,7 +36,9 @@
         let mut ask = Ask::default();
         for pair in query.split('&').filter(|p| !p.is_empty()) {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-            let number = value.parse().map_err(|_| format!("{name}: {value:?}: expected a whole number"))?;
+            let number = value
+                .parse()
+                .map_err(|_| format!("{name}: {value:?}: expected a whole number"))?;
             match name {
                 "since" => ask.since = Some(number),
                 "version" => ask.version = Some(number),
@@ -49,14 +52,18 @@
     /// Whether a page is asked for; times of the page are moved by `off` to the asker's clock.
     fn wants(&self, kept: &Interval, at: u64, off: i64) -> bool {
         let here = |t: u64| t.saturating_add_signed(off);
-        let end = kept.to.map_or(here(at), here).max(kept.last.map_or(0, here));
+        let end = kept
+            .to
+            .map_or(here(at), here)
+            .max(kept.last.map_or(0, here));
         self.since.is_none_or(|since| end >= since)
             && self.version.is_none_or(|v| kept.version.generation == v)
             && self.at.is_none_or(|at| here(kept.from) <= at && end >= at)
     }
 }
 
-/// How another's clock lies to this proxy's: `off` is to be added to its times, give or take `error`, in milliseconds.
+/// How another's clock lies to this proxy's: `off` is to be added to its times, give or take
+/// `error`, in milliseconds.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Off {
     /// To be added.
@@ -94,7 +101,13 @@
     // It was written down somewhere in that span.
     let middle = span.begun.saturating_add(span.within / 2);
     let off = i64::try_from(i128::from(middle) - i128::from(at(&told))).unwrap_or(i64::MAX);
-    Ok((told, Off { off, error: span.within.div_ceil(2) }))
+    Ok((
+        told,
+        Off {
+            off,
+            error: span.within.div_ceil(2),
+        },
+    ))
 }
 
 /// A member's record.
@@ -119,7 +132,8 @@
 
 fn spells(told: &Told, off: i64) -> Vec<Value> {
     let here = |t: u64| t.saturating_add_signed(off);
-    let spell = |s: &Spell| json!({"trouble": s.trouble, "from": here(s.from), "to": s.to.map(here)});
+    let spell =
+        |s: &Spell| json!({"trouble": s.trouble, "from": here(s.from), "to": s.to.map(here)});
     told.spells.iter().map(spell).collect()
 }
 
@@ -132,7 +146,8 @@
     })
 }
 
-/// What the collector kept of a member: by the collector's clock, and of nothing after it was collected.
+/// What the collector kept of a member: by the collector's clock, and of nothing after it was
+/// collected.
 fn collected(ask: &Ask, kept: &Kept) -> Value {
     let mut told = member(ask, &kept.told, kept.off, kept.error);
     told["reached"] = false.into();
@@ -140,20 +155,31 @@
     told
 }
 
-/// Asks every member for its record. Of whom it does not reach, what the fleet's collector kept is told, where there is one.
+/// Asks every member for its record. Of whom it does not reach, what the fleet's collector kept is
+/// told, where there is one.
 pub async fn audit(peers: Rc<Peers>, duties: Option<Rc<Duties>>, ask: Ask) -> Value {
     let acts = &peers.acts;
     let views = peers.members();
     let mut asking = JoinSet::new();
     let (own, standings): (Place, Vec<(Place, Standing)>) = {
         let fleet = peers.fleet.borrow();
-        (fleet.own(), fleet.table().all().map(|(place, m)| (place, m.standing)).collect())
+        (
+            fleet.own(),
+            fleet
+                .table()
+                .all()
+                .map(|(place, m)| (place, m.standing))
+                .collect(),
+        )
     };
     for (place, standing) in standings {
         // Whoever is gone is not waited for: a half of the fleet would take minutes.
         if place != own && matches!(standing, Standing::Alive | Standing::Suspect) {
             let peers = peers.clone();
-            crate::effort::spawn_in(&mut asking, async move { (place, record(&peers, place).await) });
+            crate::effort::spawn_in(
+                &mut asking,
+                async move { (place, record(&peers, place).await) },
+            );
         }
     }
     let mut heard = std::collections::BTreeMap::new();
@@ -162,8 +188,8 @@
             heard.insert(place, record);
         }
     }
-    let apart =
-        heard.values().filter(|h| h.is_err()).count() + views["members"].as_array().map_or(0, Vec::len);
+    let apart = heard.values().filter(|h| h.is_err()).count()
+        + views["members"].as_array().map_or(0, Vec::len);
     let kept = match &duties {
         // Nobody is left to be told of but this proxy itself and those who were reached.
         Some(duties) if apart > heard.len() + 1 => duties.collected().await,
@@ -171,7 +197,10 @@
     };
     let mut members = Vec::new();
     for view in views["members"].as_array().into_iter().flatten() {
-        let place = view["place"].as_u64().and_then(|p| Place::try_from(p).ok()).unwrap_or(Place::MAX);
+        let place = view["place"]
+            .as_u64()
+            .and_then(|p| Place::try_from(p).ok())
+            .unwrap_or(Place::MAX);
         let mut member = match heard.remove(&place) {
             _ if place == own => member(&ask, &acts.told(), 0, 0),
             Some(Ok(h)) => member(&ask, &h.told, h.off, h.error),
@@ -183,8 +212,12 @@
                     None if view["standing"] == "unknown" => "it was never heard",
                     None => "it is not there, as far as is known here",
                 };
-                // What it did since it was last heard, on which version and until when, nobody here can know.
-                let kept = kept.as_ref().and_then(|k| k.get(place)).map(|k| collected(&ask, k));
+                // What it did since it was last heard, on which version and until when, nobody here
+                // can know.
+                let kept = kept
+                    .as_ref()
+                    .and_then(|k| k.get(place))
+                    .map(|k| collected(&ask, k));
                 json!({"reached": false, "why": why, "last_heard_ms": view["heard_ms"], "last_acts": view["acts"],
                     "last_version": view["version"], "unknown_until": Value::Null, "collected": kept})
             }
--- a/crates/heathroad/src/fleet/file.rs
+++ b/crates/heathroad/src/fleet/file.rs
@@ -1,5 +1,6 @@
-//! The record on disk, where there is a state folder: written beside and renamed, so that it is whole at any time. What was not
-//! written yet when the process ended is on nobody's record, and the next one says so.
+//! The record on disk, where there is a state folder: written beside and renamed, so that it is
+//! whole at any time. What was not written yet when the process ended is on nobody's record, and
+//! the next one says so.
 
 use super::acts::Acts;
 use crate::effort::sleep;
@@ -22,17 +23,22 @@
 /// What an earlier process kept; what can't be read is said, and counts as none.
 pub fn read(folder: &Path) -> Result<Option<Told>, String> {
     let file = path(folder);
-    let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}; the record begins anew", file.display());
+    let wrong =
+        |e: &dyn std::fmt::Display| format!("{}: {e}; the record begins anew", file.display());
     let length = match std::fs::metadata(&file) {
         Ok(found) => found.len(),
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(e) => return Err(wrong(&e)),
     };
     if length > MAX_FILE {
-        return Err(wrong(&format!("{length} bytes, {MAX_FILE} at most are expected")));
+        return Err(wrong(&format!(
+            "{length} bytes, {MAX_FILE} at most are expected"
+        )));
     }
     let text = std::fs::read(&file).map_err(|e| wrong(&e))?;
-    serde_json::from_slice(&text).map(Some).map_err(|e| wrong(&e))
+    serde_json::from_slice(&text)
+        .map(Some)
+        .map_err(|e| wrong(&e))
 }
 
 /// Writes a record down.
--- a/crates/heathroad/src/fleet/mod.rs
+++ b/crates/heathroad/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! This proxy among its fellows: the sockets and the clock of `heathroad_fleet`, and what operators ask of it. Off unless the
-//! daemon's file names a file of the fleet.
+//! This proxy among its fellows: the sockets and the clock of `heathroad_fleet`, and what operators
+//! ask of it. Off unless the daemon's file names a file of the fleet.
 
 pub mod acts;
 pub mod audit;
@@ -35,7 +35,8 @@
 const TURN: usize = 64;
 /// The fleet is told of the time so often at the least.
 const MOST: Duration = Duration::from_secs(60);
-/// A proxy that has to be sure of what is required asks so many times in the span for which an answer makes it sure.
+/// A proxy that has to be sure of what is required asks so many times in the span for which an
+/// answer makes it sure.
 const CONFIRMS: u32 = 6;
 /// News that is kept to be asked for.
 const KEPT: usize = 200;
@@ -73,16 +74,29 @@
 }
 
 impl Peers {
-    /// Opens the peers' port, and begins. The record is kept in `state`, where there is such a folder.
+    /// Opens the peers' port, and begins. The record is kept in `state`, where there is such a
+    /// folder.
     pub async fn begin(
         settings: Settings,
         seed: u64,
         acts: Rc<Acts>,
         state: Option<PathBuf>,
     ) -> Result<Rc<Peers>, String> {
-        let Settings { name, seal, listen, addresses, own, terms, sure_for, .. } = settings;
-        let socket = UdpSocket::bind(listen).await.map_err(|e| format!("fleet: {listen}: {e}"))?;
-        let members = u16::try_from(addresses.len()).map_err(|_| "fleet: too many peers".to_string())?;
+        let Settings {
+            name,
+            seal,
+            listen,
+            addresses,
+            own,
+            terms,
+            sure_for,
+            ..
+        } = settings;
+        let socket = UdpSocket::bind(listen)
+            .await
+            .map_err(|e| format!("fleet: {listen}: {e}"))?;
+        let members =
+            u16::try_from(addresses.len()).map_err(|_| "fleet: too many peers".to_string())?;
         let mut fleet = Fleet::new(0, seal, own, members, acts.life(), seed, terms);
         fleet.act_on(acts.version());
         let (fleet, started) = (RefCell::new(fleet), Instant::now());
@@ -129,7 +143,8 @@
     async fn run(self: Rc<Self>) {
         loop {
             let due = self.fleet.borrow().due();
-            // Where it has to be sure, it looks after that more often than the protocol would have it.
+            // Where it has to be sure, it looks after that more often than the protocol would have
+            // it.
             let most = self.sure_for.map_or(MOST, |sure| sure / CONFIRMS);
             let due = (self.started + Duration::from_millis(due)).min(Instant::now() + most);
             tokio::select! {
@@ -153,24 +168,32 @@
     fn look_at_acts(&self) {
         let (now, mut fleet) = (self.now(), self.fleet.borrow_mut());
         fleet.act_on(self.acts.version());
-        if let Some(Committed { number, digest, within }) = self.acts.committed() {
+        if let Some(Committed {
+            number,
+            digest,
+            within,
+        }) = self.acts.committed()
+        {
             fleet.want(now, number, digest, within);
         }
         let instant = |at: Millis| self.started + Duration::from_millis(at);
         let wanted = fleet.table().wanted();
         self.acts.known(fleet.table().highest_generation());
         let required = fleet.table().required().all().iter();
-        self.acts.require(required.map(|r| (*r, instant(r.at))).collect());
+        self.acts
+            .require(required.map(|r| (*r, instant(r.at))).collect());
         if let Some(sure_for) = self.sure_for {
             let age = now.saturating_sub(fleet.confirmed().unwrap_or(0));
             if age >= u64::try_from((sure_for / CONFIRMS).as_millis()).unwrap_or(u64::MAX) {
                 fleet.confirm(now);
             }
             let confirmed = fleet.confirmed().filter(|_| fleet.majority());
-            self.acts.sure_until(confirmed.map(|at| instant(at) + sure_for));
+            self.acts
+                .sure_until(confirmed.map(|at| instant(at) + sure_for));
         }
         drop(fleet);
-        self.wanted.send_if_modified(|known| std::mem::replace(known, wanted) != wanted);
+        self.wanted
+            .send_if_modified(|known| std::mem::replace(known, wanted) != wanted);
         // Its being fenced begins and ends also while nothing is asked of it.
         self.acts.fenced();
     }
@@ -178,7 +201,8 @@
     fn read(&self) {
         let mut bytes = [0; MAX_DATAGRAM + 1];
         for _ in 0..TURN {
-            // A send that was refused by some port shows here as an error; it says nothing of what lies behind it.
+            // A send that was refused by some port shows here as an error; it says nothing of what
+            // lies behind it.
             match self.socket.try_recv_from(&mut bytes) {
                 Ok((length, _)) => {
                     let now = self.now();
@@ -214,7 +238,11 @@
     pub fn there(&self, willing: bool) -> Vec<Place> {
         let fleet = self.fleet.borrow();
         let own = fleet.own();
-        fleet.table().there().filter(|p| willing || *p != own).collect()
+        fleet
+            .table()
+            .there()
+            .filter(|p| willing || *p != own)
+            .collect()
     }
 
     /// Has texts that the fleet itself does not know told by somebody.
@@ -229,9 +257,11 @@
             let text = match one.topic {
                 Topic::Record => serde_json::to_vec(&self.acts.told()).ok(),
                 Topic::Routes => self.acts.routes(one.key).map(|t| t.as_bytes().to_vec()),
-                Topic::Duties | Topic::Collected => {
-                    self.texts.borrow().as_ref().and_then(|texts| texts(one.topic, one.key))
-                }
+                Topic::Duties | Topic::Collected => self
+                    .texts
+                    .borrow()
+                    .as_ref()
+                    .and_then(|texts| texts(one.topic, one.key)),
             };
             let now = self.now();
             fleet.serve(now, one, text);
@@ -273,19 +303,26 @@
             _ => {}
         }
         match news {
-            News::Up { member, life } => info!(member, life, "fleet: member {member} is there, life {life}"),
+            News::Up { member, life } => {
+                info!(member, life, "fleet: member {member} is there, life {life}")
+            }
             News::Suspected { member, by } => {
                 info!(member, by, "fleet: member {member} is suspected by {by}")
             }
             News::Refuted { member } => info!(member, "fleet: member {member} is there after all"),
             News::Gone { member } => warn!(member, "fleet: member {member} is gone"),
             News::Left { member } => info!(member, "fleet: member {member} has left"),
-            News::Reborn { life } => warn!(life, "fleet: was taken for gone, goes on in life {life}"),
+            News::Reborn { life } => {
+                warn!(life, "fleet: was taken for gone, goes on in life {life}")
+            }
             News::Woke { after } => warn!(after, "fleet: did nothing for {after} ms"),
             News::Wanted { number, digest } => {
                 info!(number, %digest, "fleet: generation {number} is wanted, digest {digest}")
             }
-            News::Conflict { number, digests: [a, b] } => warn!(
+            News::Conflict {
+                number,
+                digests: [a, b],
+            } => warn!(
                 number,
                 %a,
                 %b,
@@ -321,7 +358,8 @@
         &self.acts
     }
 
-    /// The text of routes, from some member that acts on them, by chance; nothing where none is known, or none came.
+    /// The text of routes, from some member that acts on them, by chance; nothing where none is
+    /// known, or none came.
     pub async fn pull(&self, routes: Digest) -> Option<String> {
         let from = self.fleet.borrow_mut().source_of(routes)?;
         let (text, _) = self.fetch(from, Topic::Routes, routes, PULL).await.ok()?;
@@ -350,7 +388,13 @@
         let came = timeout(most, told).await;
         self.waiting.borrow_mut().remove(&id);
         let fetched = came.ok().and_then(Result::ok).ok_or(Unfetched::Silence)?;
-        Ok((fetched.text?, Span { begun, within: fetched.within }))
+        Ok((
+            fetched.text?,
+            Span {
+                begun,
+                within: fetched.within,
+            },
+        ))
     }
 
     /// Who is there, as JSON.
@@ -365,8 +409,12 @@
             told["me"] = (view.place == fleet.own()).into();
             members.push(told);
         }
-        let news: Vec<Value> =
-            self.news.borrow().iter().map(|(at, n)| json!({"at": at, "news": n})).collect();
+        let news: Vec<Value> = self
+            .news
+            .borrow()
+            .iter()
+            .map(|(at, n)| json!({"at": at, "news": n}))
+            .collect();
         json!({
             "fleet": self.name, "place": fleet.own(), "at": self.acts.now(), "cut_off": fleet.cut_off(),
             "wanted": fleet.table().wanted(), "required": fleet.table().required(), "fenced": self.acts.fenced(),
--- a/crates/heathroad/src/front/crossings.rs
+++ b/crates/heathroad/src/front/crossings.rs
@@ -1,5 +1,6 @@
-//! A stop, or a request to leave, that crosses what callers send. The order of a turn is what matters: what callers do is done
-//! by the system at once, with no turn of the loop between it and the stop.
+//! A stop, or a request to leave, that crosses what callers send. The order of a turn is what
+//! matters: what callers do is done by the system at once, with no turn of the loop between it and
+//! the stop.
 
 use super::http::Front;
 use super::room::Room;
@@ -36,18 +37,44 @@
 async fn scene() -> Scene {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("bound");
-    let limits = Limits { connections: 4, connect: LONG, idle: LONG, drain_grace: LONG, may_duplicate: true };
+    let limits = Limits {
+        connections: 4,
+        connect: LONG,
+        idle: LONG,
+        drain_grace: LONG,
+        may_duplicate: true,
+    };
     let room = Rc::<Room>::default();
     let counts = Counts::new(&Rc::new(Meter::new()), "", &facts().site);
     let (watching, _) = watch::channel(false);
-    let engine = Engine::new(facts(), 1, Rc::new(Pool::new(limits)), counts, None, watching);
+    let engine = Engine::new(
+        facts(),
+        1,
+        Rc::new(Pool::new(limits)),
+        counts,
+        None,
+        watching,
+    );
     let engine = engine.expect("good settings");
     let router = Rc::new(Router::One(engine.clone()));
     let (connections, bodies) = (100, 1 << 20);
-    let front = Front { router, facts: facts(), connections, bodies, room: room.clone(), books: None };
+    let front = Front {
+        router,
+        facts: facts(),
+        connections,
+        bodies,
+        room: room.clone(),
+        books: None,
+    };
     let (stop, stopped) = watch::channel(false);
     let serving = spawn_local(Rc::new(front).serve(listener, stopped));
-    Scene { addr, room, engine, stop, serving }
+    Scene {
+        addr,
+        room,
+        engine,
+        stop,
+        serving,
+    }
 }
 
 fn request(id: usize) -> String {
@@ -68,7 +95,10 @@
         let _ = stream.read_to_end(&mut bytes);
         String::from_utf8(bytes).expect("text")
     });
-    timeout(LONG, read).await.expect("it ends").expect("no panic")
+    timeout(LONG, read)
+        .await
+        .expect("it ends")
+        .expect("no panic")
 }
 
 /// An answer to each of so many requests, in whatever pieces.
@@ -85,7 +115,10 @@
         }
         (stream, answers(&String::from_utf8(bytes).expect("text")))
     });
-    timeout(LONG, read).await.expect("it comes").expect("no panic")
+    timeout(LONG, read)
+        .await
+        .expect("it comes")
+        .expect("no panic")
 }
 
 /// One call on a connection that is kept.
@@ -97,7 +130,8 @@
     stream
 }
 
-/// Callers in the accept queue when the listener closes, with and without their request: they are taken and answered.
+/// Callers in the accept queue when the listener closes, with and without their request: they are
+/// taken and answered.
 #[tokio::test]
 async fn who_is_in_the_queue_at_the_stop_is_answered() {
     LocalSet::new()
@@ -120,9 +154,15 @@
             for caller in callers {
                 let text = rest(caller).await;
                 assert_eq!(answers(&text), 1, "{text:?}");
-                assert!(text.to_lowercase().contains("connection: close"), "{text:?}");
+                assert!(
+                    text.to_lowercase().contains("connection: close"),
+                    "{text:?}"
+                );
             }
-            timeout(LONG, s.serving).await.expect("it ends").expect("no panic");
+            timeout(LONG, s.serving)
+                .await
+                .expect("it ends")
+                .expect("no panic");
         })
         .await;
 }
@@ -139,19 +179,24 @@
             s.stop.send_replace(true);
             assert_eq!(answers(&rest(busy).await), 1);
             assert_eq!(rest(idle).await, "", "one at rest is closed");
-            timeout(LONG, s.serving).await.expect("it ends").expect("no panic");
+            timeout(LONG, s.serving)
+                .await
+                .expect("it ends")
+                .expect("no panic");
         })
         .await;
 }
 
-/// A connection is asked to leave in the turn in which its request arrives: what was taken is answered, and is not dropped.
+/// A connection is asked to leave in the turn in which its request arrives: what was taken is
+/// answered, and is not dropped.
 #[tokio::test]
 async fn who_is_asked_to_leave_as_its_request_comes_is_answered() {
     LocalSet::new()
         .run_until(async {
             let s = scene().await;
             let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-            // Its system takes connections, and nobody there answers: what is taken stays in work until its time is up.
+            // Its system takes connections, and nobody there answers: what is taken stays in work
+            // until its time is up.
             let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
             let host = json!({"host": "a", "dial": silent.local_addr().expect("bound"), "site": "a", "health": "SERVING"});
             s.engine.list(ListKind::Full, vec![serde_json::from_value(host).expect("a host")]);
@@ -170,8 +215,8 @@
                     yield_now().await;
                 }
                 yield_now().await;
-                // The reactor hears of both in one look, of the signal first: the connection's task knows of its request, and
-                // has its turn behind the one that asks it to leave.
+                // The reactor hears of both in one look, of the signal first: the connection's task
+                // knows of its request, and has its turn behind the one that asks it to leave.
                 signal.write_all(b"x").expect("open");
                 caller.write_all(request(2 * round + 1).as_bytes()).expect("open");
                 answered += next(caller).await.1;
@@ -198,7 +243,10 @@
                 while stream.read_buf(&mut bytes).await.is_ok_and(|n| n > 0) {
                     let text = String::from_utf8(bytes.clone()).expect("text");
                     if text.ends_with("\r\n\r\n") {
-                        let id = text.lines().find_map(|l| l.strip_prefix("req-id: ")).expect("an id");
+                        let id = text
+                            .lines()
+                            .find_map(|l| l.strip_prefix("req-id: "))
+                            .expect("an id");
                         saw.borrow_mut().push(id.to_string());
                         bytes.clear();
                         let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood";
@@ -213,18 +261,29 @@
 
 /// Calls once and takes the answer; the connection, as it is then.
 async fn served(addr: SocketAddr, id: &str) -> TcpStream {
-    let mut caller = tokio::net::TcpStream::connect(addr).await.expect("it listens");
-    let call = request(0).replace("Req-Id: 0", &format!("Req-Id: {id}")).replace(" 300", " 60000");
+    let mut caller = tokio::net::TcpStream::connect(addr)
+        .await
+        .expect("it listens");
+    let call = request(0)
+        .replace("Req-Id: 0", &format!("Req-Id: {id}"))
+        .replace(" 300", " 60000");
     caller.write_all(call.as_bytes()).await.expect("open");
     let mut answer = Vec::new();
     while !answer.ends_with(b"good") {
-        assert_ne!(timeout(LONG, caller.read_buf(&mut answer)).await.expect("it comes").expect("open"), 0);
+        assert_ne!(
+            timeout(LONG, caller.read_buf(&mut answer))
+                .await
+                .expect("it comes")
+                .expect("open"),
+            0
+        );
     }
     caller.into_std().expect("a socket")
 }
 
-/// Callers that have left by the time at which their requests are read, by a close or a reset: on a new connection, on one that
-/// had said nothing so far, and on one that was served, nothing is sent for them, though a connection to a backend is at hand.
+/// Callers that have left by the time at which their requests are read, by a close or a reset: on a
+/// new connection, on one that had said nothing so far, and on one that was served, nothing is sent
+/// for them, though a connection to a backend is at hand.
 #[tokio::test]
 async fn who_has_left_before_its_request_is_read_is_not_sent_on() {
     LocalSet::new()
@@ -275,15 +334,17 @@
         .await;
 }
 
-/// Callers over JSON-RPC in a listener's queue at the stop, with their call and without, and one who was served before and whose
-/// next call lies unread: each call is answered, if only by a refusal.
+/// Callers over JSON-RPC in a listener's queue at the stop, with their call and without, and one
+/// who was served before and whose next call lies unread: each call is answered, if only by a
+/// refusal.
 #[tokio::test]
 async fn calls_in_the_queue_and_unread_at_the_stop_are_answered() {
     let folder = std::env::temp_dir().join(format!("heathroad-queue-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let (routes, config) = (folder.join("routes.toml"), folder.join("config.json"));
     let pool = "[[pool]]\nname = \"p\"\nbackends = [{ address = \"127.0.0.1:9\" }]\n[pool.rpc]\n";
-    let class = "[[pool.class]]\nname = \"look\"\neffect = \"safe\"\naim_ms = 100\ndeadline_ms = 200\n";
+    let class =
+        "[[pool.class]]\nname = \"look\"\neffect = \"safe\"\naim_ms = 100\ndeadline_ms = 200\n";
     let route = "[[route]]\nname = \"all\"\npool = \"p\"\n";
     let listener = "[[listener]]\nname = \"calls\"\nlisten = \"127.0.0.1:0\"\nframing = \"lines\"\nprotocol = \"json-rpc\"\n";
     let method = "[[listener.method]]\nname = \"look\"\nclass = \"look\"\n";
@@ -301,18 +362,31 @@
     LocalSet::new()
         .run_until(async {
             let config = crate::configuration::check(&config).expect("a good file");
-            let limits =
-                Limits { connections: 4, connect: LONG, idle: LONG, drain_grace: LONG, may_duplicate: true };
-            let many = crate::router::start::start(&routes, &config, &Rc::new(Pool::new(limits)), None);
+            let limits = Limits {
+                connections: 4,
+                connect: LONG,
+                idle: LONG,
+                drain_grace: LONG,
+                may_duplicate: true,
+            };
+            let many =
+                crate::router::start::start(&routes, &config, &Rc::new(Pool::new(limits)), None);
             let many = many.expect("good routes");
             let addr = many.doors()[0].1.local_addr().expect("bound");
             let room = Rc::<Room>::default();
             let (connections, bodies) = (100, 1 << 20);
-            let front =
-                rpc::Front { many, facts: facts(), connections, bodies, room: room.clone(), books: None };
+            let front = rpc::Front {
+                many,
+                facts: facts(),
+                connections,
+                bodies,
+                room: room.clone(),
+                books: None,
+            };
             let (stop, stopped) = watch::channel(false);
             let serving = spawn_local(Rc::new(front).serve(stopped));
-            let call = |id: usize| format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"look\"}}\n");
+            let call =
+                |id: usize| format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"look\"}}\n");
             let mut kept = connect(addr);
             kept.write_all(call(1).as_bytes()).expect("open");
             let read = spawn_blocking(move || {
@@ -322,7 +396,10 @@
                 }
                 (kept, line)
             });
-            let (mut kept, line) = timeout(LONG, read).await.expect("it comes").expect("no panic");
+            let (mut kept, line) = timeout(LONG, read)
+                .await
+                .expect("it comes")
+                .expect("no panic");
             assert!(line.ends_with(b"\n"), "it was answered");
             let before = room.present();
             let mut callers: Vec<_> = (0..10).map(|_| connect(addr)).collect();
@@ -343,7 +420,10 @@
                 let text = rest(caller).await;
                 assert_eq!(text.matches("\"error\"").count(), 1, "{id}: {text:?}");
             }
-            timeout(LONG, serving).await.expect("it ends").expect("no panic");
+            timeout(LONG, serving)
+                .await
+                .expect("it ends")
+                .expect("no panic");
         })
         .await;
     std::fs::remove_dir_all(folder).expect("a folder");
--- a/crates/heathroad/src/front/http.rs
+++ b/crates/heathroad/src/front/http.rs
@@ -43,15 +43,16 @@
 const SWEEP: Duration = Duration::from_millis(250);
 /// Pause when nothing can be accepted.
 const STARVED: Duration = Duration::from_millis(10);
-/// Share of the places that callers may fill with requests who have not been served on their connection yet: a
-/// burst of requests that are worth nothing must leave room for the others.
+/// Share of the places that callers may fill with requests who have not been served on their
+/// connection yet: a burst of requests that are worth nothing must leave room for the others.
 const NEWCOMERS: f64 = 0.75;
 /// A body longer than this is not read to its end.
 const MAX_UNREAD: usize = 16 * MAX_BODY;
 /// Longest time that a caller may say it waits.
 const MAX_PATIENCE_MS: u64 = 600_000;
-/// Longest head, and most lines in it. The buffer for both heads and bodies grows to this size. (The library has a bound of
-/// its own on lines, of 100; told another, it makes room for them anew and slowly for each head.)
+/// Longest head, and most lines in it. The buffer for both heads and bodies grows to this size.
+/// (The library has a bound of its own on lines, of 100; told another, it makes room for them anew
+/// and slowly for each head.)
 const MAX_HEAD: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
 
@@ -79,9 +80,10 @@
 }
 
 impl Front {
-    /// Accepts connections until `stop` is set; then closes them as they fall idle, and returns when the last
-    /// one is. Nobody is kept waiting in the system's queue, where requests may lie that are owed an answer: whom
-    /// there is no place for takes that of a caller that has long said nothing.
+    /// Accepts connections until `stop` is set; then closes them as they fall idle, and returns
+    /// when the last one is. Nobody is kept waiting in the system's queue, where requests may lie
+    /// that are owed an answer: whom there is no place for takes that of a caller that has long
+    /// said nothing.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, mut stop: watch::Receiver<bool>) {
         let mut open = JoinSet::new();
         let closing = stop.clone();
@@ -97,11 +99,12 @@
                 Some(_) = open.join_next() => {}
                 _ = sweep.tick() => self.room.sweep(),
                 accepted = listener.accept(), if !full => match accepted {
-                    // Its place counts from now on. Those behind it are taken at once, as far as a task's turn goes: a
-                    // turn of all that are served for each would leave new callers waiting for seconds.
+                    // Its place counts from now on. Those behind it are taken at once, as far as a
+                    // task's turn goes: a turn of all that are served for each would leave new
+                    // callers waiting for seconds.
                     Ok((stream, _)) => spawn_in(&mut open, self.clone().seat(stream, closing.clone())),
-                    // No error ends the loop, out of descriptors or other: callers are waiting, and what is
-                    // short comes free again.
+                    // No error ends the loop, out of descriptors or other: callers are waiting, and
+                    // what is short comes free again.
                     Err(_) => {
                         self.room.shed();
                         sleep(STARVED).await;
@@ -127,13 +130,22 @@
     }
 
     /// A new caller's place, which counts at once, and what becomes of it.
-    fn seat(self: Rc<Self>, stream: TcpStream, stop: watch::Receiver<bool>) -> impl Future<Output = ()> {
+    fn seat(
+        self: Rc<Self>,
+        stream: TcpStream,
+        stop: watch::Receiver<bool>,
+    ) -> impl Future<Output = ()> {
         let crowded = self.room.present() >= self.connections && !self.room.shed();
         let seated = Seated::new(&self.room, stream);
         self.connection(seated, stop, crowded)
     }
 
-    async fn connection(self: Rc<Self>, seated: Seated, mut stop: watch::Receiver<bool>, crowded: bool) {
+    async fn connection(
+        self: Rc<Self>,
+        seated: Seated,
+        mut stop: watch::Receiver<bool>,
+        crowded: bool,
+    ) {
         let seat = &seated.seat;
         let wire = &seat.wire;
         let inner = match (&self.books, wire.with(TcpStream::peer_addr)) {
@@ -155,7 +167,9 @@
             let mut reply = self.answer(request, seat, crowded, inner).await;
             // With a further request behind it the connection stays for that one.
             if last.get() && (crowded || !wire.unread()) {
-                reply.iter_mut().for_each(|r| drop(r.headers_mut().insert(CONNECTION, CLOSE)));
+                reply
+                    .iter_mut()
+                    .for_each(|r| drop(r.headers_mut().insert(CONNECTION, CLOSE)));
             }
             if let Ok(reply) = &reply {
                 tracing::debug!(
@@ -180,7 +194,8 @@
         let mut gone = pin!(wire.gone(|| seat.stage.get() == Stage::Taken, self.bodies));
         loop {
             let over = poll_fn(|cx| {
-                // That the client has left is seen before anything is done for it, and looked for again once it is.
+                // That the client has left is seen before anything is done for it, and looked for
+                // again once it is.
                 if gone.as_mut().poll(cx).is_ready() {
                     return Poll::Ready(Closed::ByClient);
                 }
@@ -197,7 +212,8 @@
                 _ = stop.wait_for(|stop| *stop) => break,
             }
         }
-        // What was taken is answered, and so is what lies here to be read; then the connection closes.
+        // What was taken is answered, and so is what lies here to be read; then the connection
+        // closes.
         last.set(true);
         let mut first = pin!(sleep(FIRST));
         loop {
@@ -239,7 +255,11 @@
         seat.progress.listen();
         if request.uri().path() == "/health/ready" {
             let ready = self.router.ready();
-            return Ok(plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }));
+            return Ok(plain(if ready {
+                StatusCode::OK
+            } else {
+                StatusCode::SERVICE_UNAVAILABLE
+            }));
         }
         seat.stage.set(Stage::Body);
         let reply = match self.read(request, seat, received, inner).await {
@@ -255,21 +275,30 @@
             Ok((incoming, _, bound)) if self.overrun(seat, crowded) => {
                 tracing::debug!(id = %incoming.call.label(), reason = "no room", "request refused");
                 bound.engine.undecided(&incoming, Final::Refused);
-                write(Answer::Refused { retry_after: away(&self.facts) })
+                write(Answer::Refused {
+                    retry_after: away(&self.facts),
+                })
             }
             Ok((incoming, _held, bound)) => {
                 seat.stage.set(Stage::Taken);
-                // Its caller may have left while it lay unread: nothing is begun for nobody. The connection's task sees
-                // the same, and ends.
-                if seat.wire.left(!seat.answered.get() || heartbeat::held_up(Instant::now())) {
+                // Its caller may have left while it lay unread: nothing is begun for nobody. The
+                // connection's task sees the same, and ends.
+                if seat
+                    .wire
+                    .left(!seat.answered.get() || heartbeat::held_up(Instant::now()))
+                {
                     tracing::debug!(id = %incoming.call.label(), reason = "client left", "request dropped");
                     bound.engine.undecided(&incoming, Final::Left);
                     return pending().await;
                 }
                 let _taken = Taken::new(&self.room);
                 tracing::debug!(id = %incoming.call.label(), connection = seat.number, "request taken");
-                let (answer, spent) = bound.engine.decide(incoming, Some(Waiting::new(seat))).await;
-                seat.served.set(seat.served.get() || matches!(answer, Answer::Served(_)));
+                let (answer, spent) = bound
+                    .engine
+                    .decide(incoming, Some(Waiting::new(seat)))
+                    .await;
+                seat.served
+                    .set(seat.served.get() || matches!(answer, Answer::Served(_)));
                 let mut reply = write(answer);
                 if let Some(value) = spent.and_then(|s| HeaderValue::try_from(s.to_string()).ok()) {
                     reply.headers_mut().insert(SPENT, value);
@@ -280,8 +309,8 @@
         Ok(reply)
     }
 
-    /// Whether there is no room for one more request. Places are held by callers at rest too: what is refused is
-    /// work past what can be carried.
+    /// Whether there is no room for one more request. Places are held by callers at rest too: what
+    /// is refused is work past what can be carried.
     fn overrun(&self, seat: &Seat, crowded: bool) -> bool {
         let (taken, most) = (self.room.taken.get(), self.connections);
         let newcomers = (most as f64 * NEWCOMERS) as usize;
@@ -301,12 +330,19 @@
         if head.headers.len() > MAX_HEADERS {
             return Err(wrong(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
         }
-        // The library takes a length beside a transfer coding away before it can be seen here, and what hides in
-        // such a body must not go on. Nobody needs the coding: bodies are short and their length is known.
+        // The library takes a length beside a transfer coding away before it can be seen here, and
+        // what hides in such a body must not go on. Nobody needs the coding: bodies are short and
+        // their length is known.
         if head.headers.contains_key(TRANSFER_ENCODING) {
             return Err(wrong(StatusCode::LENGTH_REQUIRED));
         }
-        let name = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
+        let name = head
+            .uri
+            .path()
+            .trim_start_matches('/')
+            .split('/')
+            .next()
+            .unwrap_or_default();
         if !self.router.serves(name) {
             return Err(Box::new(plain(StatusCode::NOT_FOUND)));
         }
@@ -317,21 +353,34 @@
         let owner = owner.and_then(|o| o.to_str().ok());
         let tenant = match owner {
             _ if tenants.is_empty() => 0,
-            owner => tenants.iter().position(|t| Some(t.as_str()) == owner).ok_or_else(bad)?,
+            owner => tenants
+                .iter()
+                .position(|t| Some(t.as_str()) == owner)
+                .ok_or_else(bad)?,
         };
-        let about = head.uri.query().and_then(|q| q.split('&').find_map(|p| p.strip_prefix("k=")));
+        let about = head
+            .uri
+            .query()
+            .and_then(|q| q.split('&').find_map(|p| p.strip_prefix("k=")));
         let about = about.filter(|k| !k.is_empty());
         let ask = Ask {
             listener: "main",
             method: "",
-            host: head.headers.get(HOST).and_then(|h| h.to_str().ok()).unwrap_or_default(),
+            host: head
+                .headers
+                .get(HOST)
+                .and_then(|h| h.to_str().ok())
+                .unwrap_or_default(),
             path: head.uri.path(),
             class: name,
             tenant: owner.unwrap_or_default(),
             headers: &head.headers,
             key: about.map_or(id.as_bytes(), str::as_bytes),
         };
-        let bound = self.router.bind(&ask).map_err(|status| Box::new(plain(status)))?;
+        let bound = self
+            .router
+            .bind(&ask)
+            .map_err(|status| Box::new(plain(status)))?;
         let patience = patience.and_then(|d| d.to_str().ok()).filter(|d| digits(d));
         let patience = patience.and_then(|d| d.parse::<u64>().ok());
         let patience = Duration::from_millis(patience.ok_or_else(bad)?.min(MAX_PATIENCE_MS));
@@ -344,7 +393,8 @@
         };
         if head.method != method {
             let mut reply = plain(StatusCode::METHOD_NOT_ALLOWED);
-            let allow = HeaderValue::from_static(if method == Method::GET { "GET" } else { "POST" });
+            let allow =
+                HeaderValue::from_static(if method == Method::GET { "GET" } else { "POST" });
             reply.headers_mut().insert(ALLOW, allow);
             return Err(Box::new(reply));
         }
@@ -355,7 +405,11 @@
         let held = Held::new(&self.room, &id).ok_or_else(|| Box::new(plain(StatusCode::CONFLICT)));
         let mut held = held?;
         // A caller that stops half-way through its body is not waited for.
-        let begun = if seat.answered.get() { received } else { seat.since.get() };
+        let begun = if seat.answered.get() {
+            received
+        } else {
+            seat.since.get()
+        };
         let limit = (begun + ARRIVE).min(received + patience);
         let body = if body.is_end_stream() {
             Ok(Bytes::new())
@@ -366,16 +420,27 @@
         let body = match body {
             Ok(body) => body,
             Err(StatusCode::SERVICE_UNAVAILABLE) => {
-                return Err(Box::new(write(Answer::Refused { retry_after: away(&self.facts) })));
+                return Err(Box::new(write(Answer::Refused {
+                    retry_after: away(&self.facts),
+                })));
             }
             Err(status) => return Err(wrong(status)),
         };
         let key_of = about.map_or(0, engine::key);
         let host = head.headers.get(HOST).cloned();
-        let uri = head.uri.path_and_query().cloned().map(Uri::from).ok_or_else(bad)?;
+        let uri = head
+            .uri
+            .path_and_query()
+            .cloned()
+            .map(Uri::from)
+            .ok_or_else(bad)?;
         let (class, tenant) = (bound.class, tenant as u16);
         let enter = |books: &Rc<Books>| {
-            let mark = Mark { key: about.map_or(0, |k| hash(k.as_bytes())), class, tenant };
+            let mark = Mark {
+                key: about.map_or(0, |k| hash(k.as_bytes())),
+                class,
+                tenant,
+            };
             books
                 .enter(budget::told(&head.headers, inner), mark, patience)
                 .map_err(|why| Box::new(looped(why)))
@@ -383,22 +448,41 @@
         let budget = self.books.as_ref().map(enter).transpose()?;
         let acts = bound.acts.clone();
         let version = acts.as_ref().and_then(acts::Bound::header);
-        let call = Call::Http(http::Call { method, uri, host, id, key, version, body });
+        let call = Call::Http(http::Call {
+            method,
+            uri,
+            host,
+            id,
+            key,
+            version,
+            body,
+        });
         let key = key_of;
-        let incoming = Incoming { call, class, tenant, key, received, patience, budget, acts };
+        let incoming = Incoming {
+            call,
+            class,
+            tenant,
+            key,
+            received,
+            patience,
+            budget,
+            acts,
+        };
         Ok((incoming, held, bound))
     }
 }
 
-/// A body of bounded length. One that is somewhat too long is read to its end, so that the caller, which may
-/// be writing still, gets to read why it is turned down.
+/// A body of bounded length. One that is somewhat too long is read to its end, so that the caller,
+/// which may be writing still, gets to read why it is turned down.
 async fn collect(mut body: Inflow, held: &mut Held, most: usize) -> Result<Bytes, StatusCode> {
     let (mut bytes, mut length) = (BytesMut::new(), 0);
     if body.size_hint().lower() > MAX_UNREAD as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.map_err(|_| StatusCode::BAD_REQUEST)?.into_data() else { continue };
+        let Ok(data) = frame.map_err(|_| StatusCode::BAD_REQUEST)?.into_data() else {
+            continue;
+        };
         length += data.len();
         if length <= MAX_BODY {
             if !held.stock.grow(data.len(), most) {
@@ -409,7 +493,11 @@
             break;
         }
     }
-    if length > MAX_BODY { Err(StatusCode::PAYLOAD_TOO_LARGE) } else { Ok(bytes.freeze()) }
+    if length > MAX_BODY {
+        Err(StatusCode::PAYLOAD_TOO_LARGE)
+    } else {
+        Ok(bytes.freeze())
+    }
 }
 
 /// Whether a text is a number without a sign.
@@ -417,9 +505,12 @@
     text.bytes().all(|b| b.is_ascii_digit())
 }
 
-/// Headers that must come once, and not empty; nothing for one that does not. One walk over the few lines that there are costs
-/// less than a look-up for each name.
-fn sole<'a, const N: usize>(headers: &'a HeaderMap, names: [&HeaderName; N]) -> [Option<&'a HeaderValue>; N] {
+/// Headers that must come once, and not empty; nothing for one that does not. One walk over the few
+/// lines that there are costs less than a look-up for each name.
+fn sole<'a, const N: usize>(
+    headers: &'a HeaderMap,
+    names: [&HeaderName; N],
+) -> [Option<&'a HeaderValue>; N] {
     let (mut found, mut twice) = ([None; N], [false; N]);
     for (name, value) in headers {
         if let Some(at) = names.iter().position(|n| *n == name) {
@@ -439,7 +530,9 @@
 fn looped(why: String) -> Reply {
     let mut reply = Response::new(Full::from(why));
     *reply.status_mut() = StatusCode::LOOP_DETECTED;
-    reply.headers_mut().insert(SPENT, HeaderValue::from_static("a=0, stop"));
+    reply
+        .headers_mut()
+        .insert(SPENT, HeaderValue::from_static("a=0, stop"));
     reply
 }
 
--- a/crates/heathroad/src/front/pace.rs
+++ b/crates/heathroad/src/front/pace.rs
@@ -1,13 +1,15 @@
-//! How many calls of one connection's batches are in work at once: as many as their pools bear. A batch that began all its
-//! calls at once would have most of them refused where a slower one has them served. (Calls by themselves are begun at once:
-//! who sends them one by one wants each answer soon.)
+//! How many calls of one connection's batches are in work at once: as many as their pools bear. A
+//! batch that began all its calls at once would have most of them refused where a slower one has
+//! them served. (Calls by themselves are begun at once: who sends them one by one wants each answer
+//! soon.)
 
 /// Calls that a connection begins with.
 const FIRST: f64 = 4.0;
 /// Calls that it grows by with each round that was not refused, once some call was.
 const GROWTH: f64 = 0.25;
 
-/// A window that doubles with each round until a call is refused, then halves, and grows slowly from there.
+/// A window that doubles with each round until a call is refused, then halves, and grows slowly
+/// from there.
 #[derive(Debug)]
 pub struct Pace {
     window: f64,
@@ -22,7 +24,12 @@
     /// For a connection that may have so many calls in work.
     pub fn new(most: usize) -> Pace {
         let most = (most as f64).max(1.0);
-        Pace { window: FIRST.min(most), most, met: false, deaf: 0 }
+        Pace {
+            window: FIRST.min(most),
+            most,
+            met: false,
+            deaf: 0,
+        }
     }
 
     /// Most calls in work at once.
@@ -66,7 +73,10 @@
     fn a_batch_is_served_at_the_pace_that_is_borne() {
         for serves in [2, 8, 30] {
             let share = refused_share(serves, 64, 10_000);
-            assert!(share < 0.08, "{share} refused where {serves} are served at once");
+            assert!(
+                share < 0.08,
+                "{share} refused where {serves} are served at once"
+            );
         }
         assert_eq!(refused_share(64, 64, 10_000), 0.0);
     }
