--- a/crates/heathroad/src/front/room.rs
+++ b/crates/heathroad/src/front/room.rs
@@ -1,4 +1,5 @@
-//! What callers hold of the proxy: places, bytes, ids. Whoever is seated may be asked to leave for those who wait.
+//! What callers hold of the proxy: places, bytes, ids. Whoever is seated may be asked to leave for
+//! those who wait.
 
 use super::wire::Wire;
 use crate::heartbeat;
@@ -14,12 +15,14 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A head must have come whole so long after its first byte, and a body after its head. A connection's first
-/// request must have come so long after the connect: whoever sends nothing, or sends for ever, is not waited for.
+/// A head must have come whole so long after its first byte, and a body after its head. A
+/// connection's first request must have come so long after the connect: whoever sends nothing, or
+/// sends for ever, is not waited for.
 pub const ARRIVE: Duration = Duration::from_secs(2);
 /// A connection may rest so long between requests, while places last.
 const REST: Duration = Duration::from_secs(60);
-/// When it stops, a connection that has just come and sent nothing yet is given so long for its first request.
+/// When it stops, a connection that has just come and sent nothing yet is given so long for its
+/// first request.
 pub const FIRST: Duration = Duration::from_millis(150);
 /// Connections past the limit, taken only to be refused at once.
 pub const SPARE: usize = 16;
@@ -51,7 +54,11 @@
 impl Closed {
     /// By how the HTTP library says that it ended.
     pub fn of<E>(ended: &Result<(), E>) -> Closed {
-        if ended.is_ok() { Closed::Ended } else { Closed::Broken }
+        if ended.is_ok() {
+            Closed::Ended
+        } else {
+            Closed::Broken
+        }
     }
 }
 
@@ -73,10 +80,15 @@
 }
 
 impl Seat {
-    /// Whether closing its connection takes away nothing that was taken or answered; nor what lies `unread` on it.
+    /// Whether closing its connection takes away nothing that was taken or answered; nor what lies
+    /// `unread` on it.
     fn may_close(&self, unread: bool) -> bool {
         let owed = self.stage.get() == Stage::Taken;
-        permit::close(Connection { owed, unsent: self.progress.unsent(), unread })
+        permit::close(Connection {
+            owed,
+            unsent: self.progress.unsent(),
+            unread,
+        })
     }
     /// Whether it may be asked to leave.
     fn spare(&self) -> bool {
@@ -85,7 +97,11 @@
     /// Whether it has had the time that it may take.
     fn late(&self) -> bool {
         let past = |since: Instant, most| since.elapsed() > most;
-        match (self.stage.get(), self.answered.get(), self.progress.speaks()) {
+        match (
+            self.stage.get(),
+            self.answered.get(),
+            self.progress.speaks(),
+        ) {
             (Stage::Rest, false, _) => past(self.since.get(), ARRIVE),
             (Stage::Rest, true, Some(speaks)) => past(speaks, ARRIVE),
             (Stage::Rest, true, None) => past(self.since.get(), REST),
@@ -95,22 +111,33 @@
     }
     /// For how long nothing was read on its connection.
     pub fn since_read(&self) -> Duration {
-        self.progress.heard().map_or(Duration::ZERO, |heard| heard.elapsed())
+        self.progress
+            .heard()
+            .map_or(Duration::ZERO, |heard| heard.elapsed())
     }
     /// Its connection is closed, by the client or for a reason of our own.
     pub fn closed(&self, reason: Closed) {
         let taken = self.stage.get() == Stage::Taken;
-        tracing::debug!(connection = self.number, ?reason, taken, "connection closed");
+        tracing::debug!(
+            connection = self.number,
+            ?reason,
+            taken,
+            "connection closed"
+        );
         if taken && !matches!(reason, Closed::ByClient | Closed::Broken) {
-            tally::violated(Violation::Dropped, &format!("on connection {}", self.number));
+            tally::violated(
+                Violation::Dropped,
+                &format!("on connection {}", self.number),
+            );
         }
     }
     fn close(&self) {
         self.leaving.set(true);
         self.leave.notify_one();
     }
-    /// It was asked to leave: whether it still can. Since it was asked a request may have come, which is owed an answer; one that
-    /// lies unread on a connection at rest is such. What is half read is late, or of no use.
+    /// It was asked to leave: whether it still can. Since it was asked a request may have come,
+    /// which is owed an answer; one that lies unread on a connection at rest is such. What is half
+    /// read is late, or of no use.
     pub fn leaves(&self) -> bool {
         self.leaving.set(false);
         let rests = self.stage.get() == Stage::Rest && self.progress.speaks().is_none();
@@ -118,7 +145,9 @@
     }
     /// Whether it has nothing in work, half read or half written.
     pub fn rests(&self) -> bool {
-        self.stage.get() == Stage::Rest && self.progress.speaks().is_none() && !self.progress.unsent()
+        self.stage.get() == Stage::Rest
+            && self.progress.speaks().is_none()
+            && !self.progress.unsent()
     }
 }
 
@@ -129,11 +158,16 @@
     }
 }
 
-/// Who waits in a listener's queue by the system's word, since the reactor knows only what it was told when it last looked.
-/// With the listener they would be reset.
+/// Who waits in a listener's queue by the system's word, since the reactor knows only what it was
+/// told when it last looked. With the listener they would be reset.
 pub fn queued(listener: &TcpListener) -> impl Iterator<Item = TcpStream> {
     let queue = SockRef::from(listener);
-    let next = move || queue.accept().ok().map(|(stream, _)| std::net::TcpStream::from(stream));
+    let next = move || {
+        queue
+            .accept()
+            .ok()
+            .map(|(stream, _)| std::net::TcpStream::from(stream))
+    };
     // One that can't be used any more is no reason to leave the others there.
     std::iter::from_fn(next).filter_map(|stream| {
         stream.set_nonblocking(true).ok()?;
@@ -157,8 +191,8 @@
 }
 
 impl Room {
-    /// Makes room for one more: of those whose connection can be closed without loss the one that has been silent
-    /// longest, and before all others one that was never served.
+    /// Makes room for one more: of those whose connection can be closed without loss the one that
+    /// has been silent longest, and before all others one that was never served.
     pub fn shed(&self) -> bool {
         let seats = self.seats.borrow();
         let spare = seats.values().filter(|s| s.spare());
@@ -172,7 +206,11 @@
     }
 
     pub fn sweep(&self) {
-        self.seats.borrow().values().filter(|s| s.spare() && s.late()).for_each(|s| s.close());
+        self.seats
+            .borrow()
+            .values()
+            .filter(|s| s.spare() && s.late())
+            .for_each(|s| s.close());
     }
 }
 
@@ -199,7 +237,11 @@
             leave: Notify::new(),
         });
         room.seats.borrow_mut().insert(number, seat.clone());
-        Seated { room: room.clone(), number, seat }
+        Seated {
+            room: room.clone(),
+            number,
+            seat,
+        }
     }
 }
 
@@ -235,7 +277,10 @@
 impl Stock {
     /// None yet.
     pub fn new(room: &Rc<Room>) -> Stock {
-        Stock { room: room.clone(), bytes: 0 }
+        Stock {
+            room: room.clone(),
+            bytes: 0,
+        }
     }
 
     /// Whether there is room for so many more bytes.
@@ -271,7 +316,10 @@
 impl Held {
     /// None if a request with this id is open.
     pub fn new(room: &Rc<Room>, id: &HeaderValue) -> Option<Held> {
-        let held = || Held { stock: Stock::new(room), id: id.clone() };
+        let held = || Held {
+            stock: Stock::new(room),
+            id: id.clone(),
+        };
         room.ids.borrow_mut().insert(id.clone()).then(held)
     }
 }
--- a/crates/heathroad/src/front/rpc.rs
+++ b/crates/heathroad/src/front/rpc.rs
@@ -1,7 +1,9 @@
-//! The callers' side over JSON-RPC: takes texts, binds each call in them to its pool, and writes each call's one answer.
+//! The callers' side over JSON-RPC: takes texts, binds each call in them to its pool, and writes
+//! each call's one answer.
 //!
-//! A connection is one task, which reads, begins calls, gathers answers and writes; each call in work is a task of its
-//! own. What is read ahead is bounded by the calls in work and the answers that wait to be read.
+//! A connection is one task, which reads, begins calls, gathers answers and writes; each call in
+//! work is a task of its own. What is read ahead is bounded by the calls in work and the answers
+//! that wait to be read.
 
 use super::pace::Pace;
 use super::room::{FIRST, Guest, Room, SPARE as SPARE_PLACES, Stock, Taken, queued};
@@ -18,7 +20,8 @@
 use bytes::{Buf, Bytes, BytesMut};
 use heathroad_budget::path::Mark;
 use heathroad_jsonrpc::message::{
-    self, Call, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, Message, NULL, PARSE_ERROR, Wrong,
+    self, Call, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, Message, NULL, PARSE_ERROR,
+    Wrong,
 };
 use heathroad_jsonrpc::pointer::{self, Missing, Pointer};
 use heathroad_jsonrpc::{Broken, Decoder, Framing, Limits, write};
@@ -39,7 +42,8 @@
 use turnshift::api::Effect;
 use turnshift::settings::Facts;
 
-/// Refused: trying again is harmless. This and the next two are of the range that the specification leaves to servers.
+/// Refused: trying again is harmless. This and the next two are of the range that the specification
+/// leaves to servers.
 pub const REFUSED: i64 = -32001;
 /// Failed: nothing is promised.
 pub const FAILED: i64 = -32002;
@@ -54,9 +58,11 @@
 const STALL: Duration = Duration::from_secs(10);
 /// No further call is begun while so many bytes of answers wait to be taken.
 const MAX_OUT: usize = 256 * 1024;
-/// After the last answer what still comes is passed over for so long, so that the answer is not lost to a reset.
+/// After the last answer what still comes is passed over for so long, so that the answer is not
+/// lost to a reset.
 const LINGER: Duration = Duration::from_millis(200);
-/// A caller's next call waits unread for so long while as many are in work as may be; then it is refused.
+/// A caller's next call waits unread for so long while as many are in work as may be; then it is
+/// refused.
 const CROWDED: Duration = Duration::from_millis(250);
 /// So long before its time is up a call that waits for its turn is refused.
 const SPARE: Duration = Duration::from_millis(50);
@@ -88,7 +94,8 @@
 }
 
 impl Front {
-    /// Serves the listeners of whichever generation is in force, until `stop` is set and the last call is answered.
+    /// Serves the listeners of whichever generation is in force, until `stop` is set and the last
+    /// call is answered.
     pub async fn serve(self: Rc<Self>, mut stop: watch::Receiver<bool>) {
         let (mut changed, ending) = (self.many.doors_changed(), stop.clone());
         let mut running: BTreeMap<String, (Listener, watch::Sender<bool>)> = BTreeMap::new();
@@ -97,7 +104,9 @@
             changed.borrow_and_update();
             let wanted = self.many.doors();
             running.retain(|name, (listener, stop)| {
-                let stays = wanted.iter().any(|(l, _)| l.name == *name && alike(l, listener));
+                let stays = wanted
+                    .iter()
+                    .any(|(l, _)| l.name == *name && alike(l, listener));
                 if !stays {
                     stop.send_replace(true);
                 }
@@ -124,9 +133,20 @@
     }
 }
 
-/// Whether connections of the one can go on as the other's. Methods and tenants are looked up for each call.
+/// Whether connections of the one can go on as the other's. Methods and tenants are looked up for
+/// each call.
 fn alike(a: &Listener, b: &Listener) -> bool {
-    let of = |l: &Listener| (l.address, l.framing, l.in_order, l.connections, l.calls, l.text, l.batch);
+    let of = |l: &Listener| {
+        (
+            l.address,
+            l.framing,
+            l.in_order,
+            l.connections,
+            l.calls,
+            l.text,
+            l.batch,
+        )
+    };
     of(a) == of(b) && a.idle_ms == b.idle_ms
 }
 
@@ -147,11 +167,15 @@
 
 impl Door {
     fn new(front: Rc<Front>, is: Listener) -> Door {
-        Door { front, is, seats: RefCell::default() }
+        Door {
+            front,
+            is,
+            seats: RefCell::default(),
+        }
     }
 
-    /// Takes connections until `stop` is set, which it is too where the listener is no longer wanted while the proxy goes on
-    /// without `ending`.
+    /// Takes connections until `stop` is set, which it is too where the listener is no longer
+    /// wanted while the proxy goes on without `ending`.
     async fn accept(
         self: Rc<Self>,
         socket: Rc<TcpListener>,
@@ -185,7 +209,8 @@
                 }
             }
         }
-        // Whoever has come by a planned stop is in the system's queue. A socket that others go on listening to is theirs.
+        // Whoever has come by a planned stop is in the system's queue. A socket that others go on
+        // listening to is theirs.
         if *ending.borrow() {
             let room = self.front.connections + SPARE_PLACES;
             for stream in queued(&socket).take(room.saturating_sub(self.front.room.present())) {
@@ -217,8 +242,10 @@
     /// Ends the connection that has rested longest.
     fn shed(&self) -> bool {
         let seats = self.seats.borrow();
-        let longest =
-            seats.values().filter_map(|s| Some((s.rests.get()?, s))).min_by_key(|(since, _)| *since);
+        let longest = seats
+            .values()
+            .filter_map(|s| Some((s.rests.get()?, s)))
+            .min_by_key(|(since, _)| *since);
         longest
             .map(|(_, seat)| {
                 seat.rests.set(None);
@@ -242,16 +269,26 @@
 
     fn refused(&self, retry_after: Option<Duration>) -> Bytes {
         let ms = retry_after.map(|d| d.as_millis() as u64);
-        write::error(REFUSED, "refused: nothing was done, and trying again is harmless", ms)
+        write::error(
+            REFUSED,
+            "refused: nothing was done, and trying again is harmless",
+            ms,
+        )
     }
 
     async fn seat(self: Rc<Self>, number: u64, stream: TcpStream, stop: watch::Receiver<bool>) {
         // One that has gone already has no address, and nothing to ask.
-        let Ok(peer) = stream.peer_addr().map(|peer| peer.ip()) else { return };
+        let Ok(peer) = stream.peer_addr().map(|peer| peer.ip()) else {
+            return;
+        };
         let _guest = Guest::new(&self.front.room);
         let seat = Rc::new(Seat::default());
         self.seats.borrow_mut().insert(number, seat.clone());
-        let caller = Rc::new(Caller { door: self.clone(), peer, stopping: Cell::new(false) });
+        let caller = Rc::new(Caller {
+            door: self.clone(),
+            peer,
+            stopping: Cell::new(false),
+        });
         tokio::select! {
             () = caller.talk(stream, &seat, stop) => {}
             () = seat.leave.notified() => {}
@@ -317,8 +354,8 @@
 }
 
 impl Work {
-    /// The next call that may be begun, with its group's number: one of a batch while fewer of those than `window` are
-    /// out, one by itself while there is room for it.
+    /// The next call that may be begun, with its group's number: one of a batch while fewer of
+    /// those than `window` are out, one by itself while there is room for it.
     fn begin(&mut self, window: usize, room: bool) -> Option<(u64, Member)> {
         let paced = self.batched < window;
         self.pop(|g| room && (paced || !g.batch))
@@ -331,7 +368,10 @@
 
     /// The next call that waits, of the first text of which one may go.
     fn pop(&mut self, may: impl Fn(&Group) -> bool) -> Option<(u64, Member)> {
-        let group = self.groups.iter_mut().find(|g| !g.members.is_empty() && may(g))?;
+        let group = self
+            .groups
+            .iter_mut()
+            .find(|g| !g.members.is_empty() && may(g))?;
         let member = group.members.pop_front()?;
         group.out += 1;
         self.batched += usize::from(group.batch);
@@ -339,25 +379,35 @@
         Some((group.number, member))
     }
 
-    /// Whether a further text may be read: as many calls wait at the most as a batch has, and as many texts.
+    /// Whether a further text may be read: as many calls wait at the most as a batch has, and as
+    /// many texts.
     fn takes(&self, is: &Listener) -> bool {
         self.waiting < is.batch && self.groups.len() < 2 * is.calls as usize
     }
 
     /// When the first of the calls that wait is to be refused.
     fn limit(&self) -> Option<Instant> {
-        self.groups.iter().filter(|g| !g.members.is_empty()).map(|g| g.limit).min()
+        self.groups
+            .iter()
+            .filter(|g| !g.members.is_empty())
+            .map(|g| g.limit)
+            .min()
     }
 
     fn done(&mut self, done: Done, most: usize) {
-        let Some(group) = self.groups.iter_mut().find(|g| g.number == done.group) else { return };
+        let Some(group) = self.groups.iter_mut().find(|g| g.number == done.group) else {
+            return;
+        };
         group.out -= 1;
         self.batched -= usize::from(group.batch);
         let Some(id) = done.id else { return };
         let mut text = answer(&id, &done.member);
         if !group.stock.grow(text.len(), most) && text.len() >= SMALL {
             // It ran, and its answer can't be kept for the others of its batch.
-            text = answer(&id, &write::error(FAILED, "failed: there is no room for its answer", None));
+            text = answer(
+                &id,
+                &write::error(FAILED, "failed: there is no room for its answer", None),
+            );
         }
         group.answers.push(text);
     }
@@ -369,7 +419,8 @@
             [] => {}
             [one] if !g.batch => write::frame(framing, one, out),
             all => {
-                let mut text = BytesMut::with_capacity(all.iter().map(|a| a.len() + 1).sum::<usize>() + 1);
+                let mut text =
+                    BytesMut::with_capacity(all.iter().map(|a| a.len() + 1).sum::<usize>() + 1);
                 for (i, one) in all.iter().enumerate() {
                     text.extend_from_slice(if i == 0 { b"[" } else { b"," });
                     text.extend_from_slice(one);
@@ -383,22 +434,34 @@
                 self.groups.pop_front().iter().for_each(|g| put(g, out));
             }
         } else {
-            self.groups.iter().filter(|g| done(g)).for_each(|g| put(g, out));
+            self.groups
+                .iter()
+                .filter(|g| done(g))
+                .for_each(|g| put(g, out));
             self.groups.retain(|g| !done(g));
         }
     }
 }
 
-/// Reads on. One that has ended its side, or is not read from now, shows by a reset alone that it has left.
-async fn listen(reader: &mut ReadHalf<'_>, decoder: &mut Decoder, reading: bool) -> std::io::Result<usize> {
+/// Reads on. One that has ended its side, or is not read from now, shows by a reset alone that it
+/// has left.
+async fn listen(
+    reader: &mut ReadHalf<'_>,
+    decoder: &mut Decoder,
+    reading: bool,
+) -> std::io::Result<usize> {
     if reading {
-        return reader.read_buf(decoder.buffer()).await.inspect(|_| effort::read());
+        return reader
+            .read_buf(decoder.buffer())
+            .await
+            .inspect(|_| effort::read());
     }
     reader.ready(Interest::ERROR).await?;
     Err(std::io::ErrorKind::ConnectionReset.into())
 }
 
-/// Ends a connection behind its last answer. What lies unread would turn the close into a reset, which may overtake it.
+/// Ends a connection behind its last answer. What lies unread would turn the close into a reset,
+/// which may overtake it.
 async fn close(reader: &mut ReadHalf<'_>, writer: &mut WriteHalf<'_>) {
     // Whether the caller ends its side too or not, nothing is owed any more.
     let _ = timeout(LINGER, async {
@@ -422,19 +485,33 @@
         INVALID_PARAMS => "Invalid params",
         _ => "Invalid Request",
     };
-    let member = write::error(wrong.code, &format!("{what}: expected {}", wrong.expected), None);
+    let member = write::error(
+        wrong.code,
+        &format!("{what}: expected {}", wrong.expected),
+        None,
+    );
     answer(&wrong.id, &member)
 }
 
 impl Caller {
-    /// Reads, begins calls, and writes answers, until the caller has ended and has them all, or has left.
-    async fn talk(self: Rc<Self>, mut stream: TcpStream, seat: &Seat, mut stop: watch::Receiver<bool>) {
+    /// Reads, begins calls, and writes answers, until the caller has ended and has them all, or has
+    /// left.
+    async fn talk(
+        self: Rc<Self>,
+        mut stream: TcpStream,
+        seat: &Seat,
+        mut stop: watch::Receiver<bool>,
+    ) {
         if stream.set_nodelay(true).is_err() {
             return;
         }
         let (front, is) = (&self.door.front, &self.door.is);
         let (mut reader, mut writer) = stream.split();
-        let limits = Limits { text: is.text, depth: MAX_DEPTH, batch: is.batch };
+        let limits = Limits {
+            text: is.text,
+            depth: MAX_DEPTH,
+            batch: is.batch,
+        };
         let (mut decoder, mut work) = (Decoder::new(is.framing, limits), Work::default());
         let (mut calls, mut out): (JoinSet<Done>, _) = (JoinSet::new(), BytesMut::new());
         // The answer to what can't be read any further: it goes out last.
@@ -453,7 +530,11 @@
             }
             while out.len() < MAX_OUT {
                 let room = calls.len() < is.calls as usize;
-                full = if room { None } else { full.or(Some(Instant::now() + CROWDED)) };
+                full = if room {
+                    None
+                } else {
+                    full.or(Some(Instant::now() + CROWDED))
+                };
                 if let Some((group, member)) = work.begin(pace.window(), room) {
                     if self.stopping.get() {
                         work.done(self.turn_away(group, member), front.bodies);
@@ -506,7 +587,10 @@
                 None => Instant::now() + STALL,
             };
             let first_by = first.filter(|_| quiet && !heard);
-            let wake = [work.limit(), waits, first_by].into_iter().flatten().fold(limit, Instant::min);
+            let wake = [work.limit(), waits, first_by]
+                .into_iter()
+                .flatten()
+                .fold(limit, Instant::min);
             tokio::select! {
                 biased;
                 wrote = writer.write(&out), if !out.is_empty() => match wrote {
@@ -559,7 +643,8 @@
         close(&mut reader, &mut writer).await;
     }
 
-    /// Takes a text that was `received` then: its calls are bound, and wait for their turn. Where there is no room for them they are refused.
+    /// Takes a text that was `received` then: its calls are bound, and wait for their turn. Where
+    /// there is no room for them they are refused.
     async fn take(&self, text: &Bytes, received: Instant, crowded: bool, work: &mut Work) {
         let (batch, read) = match message::read(text, self.door.is.batch) {
             Ok(Message::One(call)) => (false, vec![Read::Call(call)]),
@@ -567,7 +652,8 @@
             Err(wrong) => (false, vec![Read::Call(Err(wrong))]),
         };
         let mut stock = Stock::new(&self.door.front.room);
-        let refuse = !stock.grow(text.len(), self.door.front.bodies) || crowded || self.stopping.get();
+        let refuse =
+            !stock.grow(text.len(), self.door.front.bodies) || crowded || self.stopping.get();
         let number = work.next;
         work.next += 1;
         let (mut members, mut answers, mut limit) = (VecDeque::new(), Vec::new(), received + FAR);
@@ -584,30 +670,64 @@
             let notification = call.as_ref().is_ok_and(|c| c.id.is_none());
             match call.and_then(|call| self.prepare(call, received)) {
                 Ok((incoming, bound)) if refuse => {
-                    let Done { id, member, .. } = self.turn_away(number, Member { id, incoming, bound });
+                    let Done { id, member, .. } = self.turn_away(
+                        number,
+                        Member {
+                            id,
+                            incoming,
+                            bound,
+                        },
+                    );
                     answers.extend(id.map(|id| answer(&id, &member)));
                 }
                 Ok((incoming, bound)) => {
                     limit = limit.min(received + incoming.patience.saturating_sub(SPARE));
-                    members.push_back(Member { id, incoming, bound });
+                    members.push_back(Member {
+                        id,
+                        incoming,
+                        bound,
+                    });
                 }
                 Err(wrong) => {
-                    let wrong = Wrong { id: id.unwrap_or(wrong.id.clone()), ..wrong };
+                    let wrong = Wrong {
+                        id: id.unwrap_or(wrong.id.clone()),
+                        ..wrong
+                    };
                     let text = self.unusable(&wrong);
                     answers.extend((!notification).then_some(text));
                 }
             }
         }
         work.waiting += members.len();
-        work.groups.push_back(Group { number, batch, members, out: 0, answers, limit, stock });
+        work.groups.push_back(Group {
+            number,
+            batch,
+            members,
+            out: 0,
+            answers,
+            limit,
+            stock,
+        });
     }
 
     /// Refuses a call that was not begun.
     fn turn_away(&self, group: u64, member: Member) -> Done {
-        let Member { id, incoming, bound } = member;
-        bound.engine.counts().answered(incoming.class, incoming.tenant, Final::Refused);
+        let Member {
+            id,
+            incoming,
+            bound,
+        } = member;
+        bound
+            .engine
+            .counts()
+            .answered(incoming.class, incoming.tenant, Final::Refused);
         let member = self.door.refused(away(&self.door.front.facts));
-        Done { group, id, member, refused: false }
+        Done {
+            group,
+            id,
+            member,
+            refused: false,
+        }
     }
 
     fn unusable(&self, wrong: &Wrong) -> Bytes {
@@ -623,7 +743,11 @@
 
     /// Carries a call to its end.
     async fn carry(self: Rc<Self>, group: u64, member: Member) -> Done {
-        let Member { id, incoming, bound } = member;
+        let Member {
+            id,
+            incoming,
+            bound,
+        } = member;
         let _taken = Taken::new(&self.door.front.room);
         let mut refused = false;
         let (answer, spent) = bound.engine.decide(incoming, None).await;
@@ -634,33 +758,60 @@
                 self.door.refused(retry_after)
             }
             Answer::Failed => write::error(FAILED, "failed: it may have run", None),
-            Answer::TimedOut => write::error(TIMED_OUT, "failed: no answer in time; it may have run", None),
+            Answer::TimedOut => write::error(
+                TIMED_OUT,
+                "failed: no answer in time; it may have run",
+                None,
+            ),
         };
         let member = spent.map_or(member.clone(), |s| write::spent(&member, &s.to_string()));
-        Done { group, id, member, refused }
+        Done {
+            group,
+            id,
+            member,
+            refused,
+        }
     }
 
     /// Finds out what a call is and where it goes.
     fn prepare(&self, call: Call, received: Instant) -> Result<(Incoming, Bound), Wrong> {
-        let wrong = |code, expected| Wrong { code, expected, id: NULL };
+        let wrong = |code, expected| Wrong {
+            code,
+            expected,
+            id: NULL,
+        };
         let front = &self.door.front;
         let generation = front.many.in_force();
-        let listener = generation.config.listeners.iter().find(|l| l.name == self.door.is.name);
+        let listener = generation
+            .config
+            .listeners
+            .iter()
+            .find(|l| l.name == self.door.is.name);
         let method = listener.and_then(|l| l.methods.get(&call.method).or(l.unknown.as_ref()));
-        let (listener, method) =
-            listener.zip(method).ok_or(wrong(METHOD_NOT_FOUND, "a method of this listener"))?;
-        let params = call.params.as_ref().and_then(|p| std::str::from_utf8(p).ok()).unwrap_or("[]");
+        let (listener, method) = listener
+            .zip(method)
+            .ok_or(wrong(METHOD_NOT_FOUND, "a method of this listener"))?;
+        let params = call
+            .params
+            .as_ref()
+            .and_then(|p| std::str::from_utf8(p).ok())
+            .unwrap_or("[]");
         let find = |pointer: &Pointer, expected| {
             pointer.find(params).map_err(|missing| match missing {
                 Missing::Nothing => wrong(INVALID_PARAMS, expected),
-                Missing::Twice => wrong(INVALID_PARAMS, "each name on the way to a key or tenant once"),
+                Missing::Twice => wrong(
+                    INVALID_PARAMS,
+                    "each name on the way to a key or tenant once",
+                ),
             })
         };
         let tenant = match &listener.tenant {
             TenantFrom::Nothing => None,
             TenantFrom::Fixed(name) => Some(name.clone()),
             TenantFrom::Connection(by) => {
-                let name = by.get(&self.peer).ok_or(wrong(INVALID_REQUEST, "an address with a tenant"))?;
+                let name = by
+                    .get(&self.peer)
+                    .ok_or(wrong(INVALID_REQUEST, "an address with a tenant"))?;
                 Some(name.clone())
             }
             TenantFrom::Params(pointer) => {
@@ -677,7 +828,11 @@
             }
         };
         let key = match &method.key {
-            Some(pointer) => Some(find(pointer, "a key where the method looks for it")?.get().to_string()),
+            Some(pointer) => Some(
+                find(pointer, "a key where the method looks for it")?
+                    .get()
+                    .to_string(),
+            ),
             None => None,
         };
         let bound = front.many.bind(&Ask {
@@ -688,9 +843,14 @@
             class: &method.class,
             tenant: tenant.as_deref().unwrap_or_default(),
             headers: &HeaderMap::new(),
-            key: key.as_deref().map_or(call.id.as_deref().unwrap_or_default(), str::as_bytes),
+            key: key
+                .as_deref()
+                .map_or(call.id.as_deref().unwrap_or_default(), str::as_bytes),
         });
-        let nowhere = wrong(METHOD_NOT_FOUND, "a method that some route takes to where it is served");
+        let nowhere = wrong(
+            METHOD_NOT_FOUND,
+            "a method that some route takes to where it is served",
+        );
         let bound = bound.ok_or(nowhere.clone())?;
         let way = bound.way.ok_or(nowhere)?;
         if matches!(bound.effect, Effect::Dedup { .. }) && key.is_none() {
@@ -700,20 +860,51 @@
         let patience = bound.deadline.unwrap_or_default();
         let enter = |books: &Rc<Books>| {
             let told = budget::told_in(&call.carried, books.inner(self.peer));
-            let mark = Mark { key: key.as_deref().map_or(0, |k| hash(k.as_bytes())), class, tenant };
+            let mark = Mark {
+                key: key.as_deref().map_or(0, |k| hash(k.as_bytes())),
+                class,
+                tenant,
+            };
             let looped = "a call that has not passed this proxy before, nor too many";
-            books.enter(told, mark, patience).map_err(|_| wrong(LOOPED, looped))
+            books
+                .enter(told, mark, patience)
+                .map_err(|_| wrong(LOOPED, looped))
         };
         let budget = front.books.as_ref().map(enter).transpose()?;
-        let call = rpc::Call { method: call.method_text, params: call.params, notification, way };
+        let call = rpc::Call {
+            method: call.method_text,
+            params: call.params,
+            notification,
+            way,
+        };
         let key = key.as_deref().map_or(0, engine::key);
         let acts = bound.acts.clone();
         let call = Outward::Rpc(call);
-        Ok((Incoming { call, class, tenant, key, received, patience, budget, acts }, bound))
+        Ok((
+            Incoming {
+                call,
+                class,
+                tenant,
+                key,
+                received,
+                patience,
+                budget,
+                acts,
+            },
+            bound,
+        ))
     }
 }
 
 fn broken_answer(broken: Broken) -> Bytes {
-    let code = if broken == Broken::TooLong { INVALID_REQUEST } else { PARSE_ERROR };
-    wrong_answer(&Wrong { code, expected: broken.expected(), id: NULL })
+    let code = if broken == Broken::TooLong {
+        INVALID_REQUEST
+    } else {
+        PARSE_ERROR
+    };
+    wrong_answer(&Wrong {
+        code,
+        expected: broken.expected(),
+        id: NULL,
+    })
 }
--- a/crates/heathroad/src/front/wire.rs
+++ b/crates/heathroad/src/front/wire.rs
@@ -1,5 +1,6 @@
-//! A caller's connection. The HTTP library reads requests from it, and while one is in work looks for the caller's end only as
-//! long as nothing lies behind that request; here what lies there is read ahead, so that the end behind it is seen too.
+//! A caller's connection. The HTTP library reads requests from it, and while one is in work looks
+//! for the caller's end only as long as nothing lies behind that request; here what lies there is
+//! read ahead, so that the end behind it is seen too.
 
 use super::room::{Room, Seat, Stock};
 use crate::effort;
@@ -18,7 +19,8 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Most that is read ahead on a connection: callers send one request at a time, and what is more waits in the system.
+/// Most that is read ahead on a connection: callers send one request at a time, and what is more
+/// waits in the system.
 const AHEAD: usize = 80 * 1024;
 /// So much is read at a time.
 const PIECE: usize = 4 * 1024;
@@ -38,23 +40,41 @@
 impl Wire {
     /// Of a connection that was taken.
     pub fn new(stream: TcpStream, room: &Rc<Room>) -> Wire {
-        let (io, stock) = (RefCell::new(TokioIo::new(stream)), RefCell::new(Stock::new(room)));
+        let (io, stock) = (
+            RefCell::new(TokioIo::new(stream)),
+            RefCell::new(Stock::new(room)),
+        );
         let (ahead, came, gave) = (RefCell::default(), Cell::default(), Cell::default());
-        Wire { io, ahead, came, gave, stock, ended: Cell::new(false) }
+        Wire {
+            io,
+            ahead,
+            came,
+            gave,
+            stock,
+            ended: Cell::new(false),
+        }
     }
 
-    /// Whether the caller has ended by now, with nothing behind its request. Of a connection that is `fresh` the reactor knows
-    /// nothing yet, and the system is asked; of others it has been told.
+    /// Whether the caller has ended by now, with nothing behind its request. Of a connection that
+    /// is `fresh` the reactor knows nothing yet, and the system is asked; of others it has been
+    /// told.
     pub fn left(&self, fresh: bool) -> bool {
-        let lies = self.with(|s| if fresh { peek(s) } else { s.try_io(Interest::READABLE, || peek(s)) });
+        let lies = self.with(|s| {
+            if fresh {
+                peek(s)
+            } else {
+                s.try_io(Interest::READABLE, || peek(s))
+            }
+        });
         match lies {
             Ok(lies) => lies == 0,
             Err(e) => e.kind() != io::ErrorKind::WouldBlock,
         }
     }
 
-    /// Waits for the caller's end while `taken` says that a request of its is in work; `most` bytes are held for all callers.
-    /// It has to be looked at again, by the same task, whenever `taken` may have changed.
+    /// Waits for the caller's end while `taken` says that a request of its is in work; `most` bytes
+    /// are held for all callers. It has to be looked at again, by the same task, whenever `taken`
+    /// may have changed.
     pub async fn gone(&self, taken: impl Fn() -> bool, most: usize) {
         poll_fn(|cx| {
             while taken() && !self.ended.get() {
@@ -74,14 +94,22 @@
                     Ok(read @ 1..) => {
                         effort::read();
                         ahead.extend_from_slice(&piece[..read]);
-                        self.came.set(self.came.get().or_else(|| Some(heartbeat::arrival(Instant::now()))));
+                        self.came.set(
+                            self.came
+                                .get()
+                                .or_else(|| Some(heartbeat::arrival(Instant::now()))),
+                        );
                     }
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                     Ok(0) | Err(_) => self.ended.set(true),
                 }
                 self.settle(ahead.len());
             }
-            if self.ended.get() { Poll::Ready(()) } else { Poll::Pending }
+            if self.ended.get() {
+                Poll::Ready(())
+            } else {
+                Poll::Pending
+            }
         })
         .await;
     }
@@ -141,7 +169,11 @@
 }
 
 impl Write for Half {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut *self.0.wire.io.borrow_mut()).poll_write(cx, buf)
     }
 
--- a/crates/heathroad/src/heartbeat.rs
+++ b/crates/heathroad/src/heartbeat.rs
@@ -1,11 +1,13 @@
-//! The event loop's heartbeat: a timer that shows since when the process has surely been running. A process may be held up, by a
-//! busy machine or a stopped virtual one, for a time in which it reads nothing, answers nothing and lets no timer fire. What it
-//! reads afterwards looks new and is not: bytes may have waited for as long as the pause took. Whatever is counted from an
-//! arrival (deadlines, the grace of a drain, the time left in a stop) asks here when that can have been at the earliest, and
-//! whatever acts on something that was seen before asks whether there was a pause since.
+//! The event loop's heartbeat: a timer that shows since when the process has surely been running. A
+//! process may be held up, by a busy machine or a stopped virtual one, for a time in which it reads
+//! nothing, answers nothing and lets no timer fire. What it reads afterwards looks new and is not:
+//! bytes may have waited for as long as the pause took. Whatever is counted from an arrival
+//! (deadlines, the grace of a drain, the time left in a stop) asks here when that can have been at
+//! the earliest, and whatever acts on something that was seen before asks whether there was a pause
+//! since.
 //!
-//! The state belongs to the thread, as everything in the daemon runs on one. Without a heartbeat, as in tests of single parts,
-//! no pause is ever seen.
+//! The state belongs to the thread, as everything in the daemon runs on one. Without a heartbeat,
+//! as in tests of single parts, no pause is ever seen.
 
 use crate::effort::sleep_until;
 use std::cell::Cell;
@@ -15,11 +17,13 @@
 
 /// Between two beats. Fifty wakes a second are under a thousandth of a core.
 const PERIOD: Duration = Duration::from_millis(20);
-/// A beat that is late by less is on time: timers have a resolution of 1 ms, and a full turn takes some.
+/// A beat that is late by less is on time: timers have a resolution of 1 ms, and a full turn takes
+/// some.
 const TOLERANCE: Duration = Duration::from_millis(10);
 /// A pause that is shorter than this is not seen.
 pub const UNSEEN: Duration = PERIOD.saturating_add(TOLERANCE);
-/// The longest pause that all that is done in time allows for, between a look at the clock and the act that rests on it.
+/// The longest pause that all that is done in time allows for, between a look at the clock and the
+/// act that rests on it.
 pub const LONGEST: Duration = Duration::from_millis(150);
 
 /// Pauses that were seen.
@@ -34,23 +38,32 @@
 impl Pauses {
     /// These and one more.
     fn and(self, pause: Duration) -> Pauses {
-        Pauses { seen: self.seen + 1, longest: self.longest.max(pause) }
+        Pauses {
+            seen: self.seen + 1,
+            longest: self.longest.max(pause),
+        }
     }
 }
 
 /// When the loop was last known to run, and when it was held up last.
 #[derive(Debug, Clone, Copy)]
 struct Beats {
-    /// The last beat, and the one before: what was reported to the process before the last may be read after it.
+    /// The last beat, and the one before: what was reported to the process before the last may be
+    /// read after it.
     last: Instant,
     before: Instant,
-    /// A pause has just ended, and what waited meanwhile is being dealt with: when it may have begun.
+    /// A pause has just ended, and what waited meanwhile is being dealt with: when it may have
+    /// begun.
     pause: Option<Instant>,
 }
 
 impl Beats {
     fn new(now: Instant) -> Beats {
-        Beats { last: now, before: now, pause: None }
+        Beats {
+            last: now,
+            before: now,
+            pause: None,
+        }
     }
 
     /// The next beat, which was due `PERIOD` after the last; how late it is, where that is a pause.
@@ -88,7 +101,8 @@
         if let Some(late) = late {
             PAUSES.with(|p| p.set(p.get().and(late)));
             tracing::debug!(late_ms = late.as_secs_f64() * 1e3, "event loop late");
-            // What the system had reported before the pause, and what it reports behind it, is read before this goes on.
+            // What the system had reported before the pause, and what it reports behind it, is read
+            // before this goes on.
             yield_now().await;
             yield_now().await;
             beats.pause = None;
@@ -97,12 +111,17 @@
     }
 }
 
-/// The earliest moment at which something can have arrived that the process comes to see at `now`: `now`, unless it was held up.
+/// The earliest moment at which something can have arrived that the process comes to see at `now`:
+/// `now`, unless it was held up.
 pub fn arrival(now: Instant) -> Instant {
-    BEATS.get().and_then(|b| b.unsure_since(now)).map_or(now, |since| since.min(now))
+    BEATS
+        .get()
+        .and_then(|b| b.unsure_since(now))
+        .map_or(now, |since| since.min(now))
 }
 
-/// Whether the process may have been held up just before `now`, so that what it knows of its connections is old.
+/// Whether the process may have been held up just before `now`, so that what it knows of its
+/// connections is old.
 pub fn held_up(now: Instant) -> bool {
     BEATS.get().is_some_and(|b| b.unsure_since(now).is_some())
 }
--- a/crates/heathroad/src/lib.rs
+++ b/crates/heathroad/src/lib.rs
@@ -1,21 +1,25 @@
-//! heathroad, a balancing proxy for services that call services: the decisions of `turnshift` on real sockets.
+//! heathroad, a balancing proxy for services that call services: the decisions of `turnshift` on
+//! real sockets.
 //!
 //! A request goes one way through the modules:
 //!
-//! - `front` takes it from its caller, checks it, and writes its one answer: `http`, and `rpc` for calls over JSON-RPC, where
-//!   routes name listeners for it (texts and framing: `heathroad-jsonrpc`). `room` is what callers hold of the proxy.
-//! - `router` binds it to a pool: the one of the settings, or one of many by routes that change by transactions
-//!   (decided in `heathroad-routing`).
-//! - `engine`, one for each pool, alone owns the decision module: it turns what happens on the sockets into the module's
-//!   events, in one order, and carries out its actions.
+//! - `front` takes it from its caller, checks it, and writes its one answer: `http`, and `rpc` for
+//!   calls over JSON-RPC, where routes name listeners for it (texts and framing:
+//!   `heathroad-jsonrpc`). `room` is what callers hold of the proxy.
+//! - `router` binds it to a pool: the one of the settings, or one of many by routes that change by
+//!   transactions (decided in `heathroad-routing`).
+//! - `engine`, one for each pool, alone owns the decision module: it turns what happens on the
+//!   sockets into the module's events, in one order, and carries out its actions.
 //! - `backend` carries out attempts over kept connections, and says what each ending means.
 //!
-//! `fleet` is this proxy among its fellows, `duty` what one of them alone does at a time (decided in `heathroad-duty`).
+//! `fleet` is this proxy among its fellows, `duty` what one of them alone does at a time (decided
+//! in `heathroad-duty`).
 //!
-//! Beside that way: `configuration` is read at the start and kept on disk, `discovery` follows the list of backends,
-//! `operation` is the command line and the address at which operators ask. Both ends of the way use `stream`, which watches how
-//! far a request got on a connection, `budget`, `counts`, and `effort`, which counts what requests ask of the system.
-//! Everything runs on one thread. This file holds the start, the signals and the wiring.
+//! Beside that way: `configuration` is read at the start and kept on disk, `discovery` follows the
+//! list of backends, `operation` is the command line and the address at which operators ask. Both
+//! ends of the way use `stream`, which watches how far a request got on a connection, `budget`,
+//! `counts`, and `effort`, which counts what requests ask of the system. Everything runs on one
+//! thread. This file holds the start, the signals and the wiring.
 
 #![cfg_attr(not(test), deny(clippy::disallowed_methods))]
 
@@ -70,19 +74,21 @@
 const LINGER: Duration = Duration::from_millis(500);
 /// So long after SIGTERM all that was taken must be answered; a kill may follow soon after.
 const LAST: Duration = Duration::from_millis(3300);
-/// No kill comes sooner after SIGTERM than the longest deadline, but 3 s at most, and so long: what is taken in this time is
-/// answered by its own deadline.
+/// No kill comes sooner after SIGTERM than the longest deadline, but 3 s at most, and so long: what
+/// is taken in this time is answered by its own deadline.
 const KILL: Duration = Duration::from_millis(700);
 const _: () = assert!(LINGER.as_millis() + room::FIRST.as_millis() < KILL.as_millis());
 const _: () = assert!(LAST.as_millis() < 3000 + KILL.as_millis());
-/// How often kept connections are looked through for old ones, and backends for those that are gone.
+/// How often kept connections are looked through for old ones, and backends for those that are
+/// gone.
 const SWEEP: Duration = Duration::from_secs(1);
-/// Descriptors that are neither callers' nor backends' connections: standard streams, the listener, the
-/// reactor, signals, discovery, and connections that are taken only to be refused.
+/// Descriptors that are neither callers' nor backends' connections: standard streams, the listener,
+/// the reactor, signals, discovery, and connections that are taken only to be refused.
 const RESERVED: usize = 16 + room::SPARE;
 /// Descriptors of the duties: their file, and calls.
 const DUTIES: usize = 4;
-/// The bodies of open requests may fill this part of the memory; the rest is for buffers, answers and the program.
+/// The bodies of open requests may fill this part of the memory; the rest is for buffers, answers
+/// and the program.
 const BODIES: usize = 4;
 
 /// The program, by its command line: the daemon where that says nothing.
@@ -93,7 +99,9 @@
 fn start() -> Result<(), String> {
     operation::log::begin()?;
     let config = configuration::load()?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, run(config))
 }
@@ -117,13 +125,31 @@
     let (watching, wanted) = watch::channel(false);
     let must_ask = config.facts.settings.must_ask;
     let counts = Counts::new(&Rc::new(Meter::new()), "", &config.facts.site);
-    let engine = Engine::new(config.facts.clone(), config.seed, pool.clone(), counts, acts.clone(), watching);
+    let engine = Engine::new(
+        config.facts.clone(),
+        config.seed,
+        pool.clone(),
+        counts,
+        acts.clone(),
+        watching,
+    );
     let engine = engine.map_err(|e| e.to_string())?;
-    let known = config.known.take().map(|page| page.entries()).unwrap_or_default();
+    let known = config
+        .known
+        .take()
+        .map(|page| page.entries())
+        .unwrap_or_default();
     engine.list(ListKind::Cached, known);
     let following = follow(&engine, config.discovery, must_ask, &wanted, acts.clone());
     let address = config.discovery;
-    Ok(Lists::One { engine, must_ask, wanted, following, address, acts })
+    Ok(Lists::One {
+        engine,
+        must_ask,
+        wanted,
+        following,
+        address,
+        acts,
+    })
 }
 
 /// Differs between processes: loans are known by numbers that no two proxies should give.
@@ -149,7 +175,13 @@
         }
         News::Failed => engine.list_failed(),
     };
-    spawn_local(discovery::follow(hear, address, must_ask, grace, wanted.clone()))
+    spawn_local(discovery::follow(
+        hear,
+        address,
+        must_ask,
+        grace,
+        wanted.clone(),
+    ))
 }
 
 impl Lists {
@@ -157,9 +189,16 @@
         let address = config.discovery;
         tracing::info!(discovery = %address, "configuration read again, discovery at {address}");
         match self {
-            Lists::One { engine, must_ask, wanted, following, address: old, acts } => {
-                // The old watch ends at once, with its connection and its version: the new address is asked for the
-                // whole list.
+            Lists::One {
+                engine,
+                must_ask,
+                wanted,
+                following,
+                address: old,
+                acts,
+            } => {
+                // The old watch ends at once, with its connection and its version: the new address
+                // is asked for the whole list.
                 following.abort();
                 *following = follow(engine, address, *must_ask, wanted, acts.clone());
                 let old = std::mem::replace(old, address);
@@ -182,16 +221,33 @@
     let mut terminated = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let mut reloaded = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
     // Each request in work holds a connection on either side; kept ones fill what is left.
-    let admin = if config.admin.is_some() { 1 + admin::CONNECTIONS } else { 0 };
+    let admin = if config.admin.is_some() {
+        1 + admin::CONNECTIONS
+    } else {
+        0
+    };
     // The peers' port; the file of the duties, and a call of one's work.
-    let fleet = config.fleet.as_ref().map_or(0, |f| if f.duties.is_some() { 1 + DUTIES } else { 1 });
+    let fleet = config
+        .fleet
+        .as_ref()
+        .map_or(0, |f| if f.duties.is_some() { 1 + DUTIES } else { 1 });
     let usable = config.sockets - RESERVED - admin - fleet;
     let acts = config.fleet.as_ref().map(|fleet| {
-        let before = config.state.as_deref().map(fleet::read).transpose().unwrap_or_else(|e| {
-            tracing::warn!("fleet: record: {e}");
-            None
-        });
-        Acts::new(config.digest, before.flatten(), fleet.tells_backends, fleet.sure_for)
+        let before = config
+            .state
+            .as_deref()
+            .map(fleet::read)
+            .transpose()
+            .unwrap_or_else(|e| {
+                tracing::warn!("fleet: record: {e}");
+                None
+            });
+        Acts::new(
+            config.digest,
+            before.flatten(),
+            fleet.tells_backends,
+            fleet.sure_for,
+        )
     });
     let site = &config.facts.site;
     let pool = Rc::new(Pool::new(backend::Limits {
@@ -224,14 +280,24 @@
         peers = Some(among);
     }
     if let (Some(peers), Router::Many(many)) = (&peers, &*router) {
-        spawn_local(straggler::follow(Rc::downgrade(many), peers.clone(), config.seed));
+        spawn_local(straggler::follow(
+            Rc::downgrade(many),
+            peers.clone(),
+            config.seed,
+        ));
     }
     tracing::info!(address = %bound, "listening on {bound}");
     if let Some(address) = config.admin {
-        let listener = TcpListener::bind(address).await.map_err(|e| format!("admin: {address}: {e}"))?;
+        let listener = TcpListener::bind(address)
+            .await
+            .map_err(|e| format!("admin: {address}: {e}"))?;
         let bound = listener.local_addr().map_err(|e| format!("admin: {e}"))?;
         tracing::info!(address = %bound, "admin on {bound}");
-        let asked = admin::Asked { router: router.clone(), peers: peers.clone(), duties: duties.clone() };
+        let asked = admin::Asked {
+            router: router.clone(),
+            peers: peers.clone(),
+            duties: duties.clone(),
+        };
         spawn_local(admin::serve(listener, asked, descriptors));
     }
     let kept = router.clone();
@@ -253,11 +319,25 @@
         Router::Many(many) => {
             let (many, facts, room) = (many.clone(), facts.clone(), Rc::clone(&room));
             let books = books.clone();
-            let front = rpc::Front { many, facts, connections, bodies, room, books };
+            let front = rpc::Front {
+                many,
+                facts,
+                connections,
+                bodies,
+                room,
+                books,
+            };
             Some(spawn_local(Rc::new(front).serve(stopped.clone())))
         }
     };
-    let front = Front { router: router.clone(), facts, connections, bodies, room, books };
+    let front = Front {
+        router: router.clone(),
+        facts,
+        connections,
+        bodies,
+        room,
+        books,
+    };
     let serving = spawn_local(Rc::new(front).serve(listener, stopped));
     loop {
         tokio::select! {
@@ -271,7 +351,10 @@
         }
     }
     let engines = router.engines();
-    tracing::info!("stopping, {} requests open", engines.iter().map(|e| e.owed()).sum::<usize>());
+    tracing::info!(
+        "stopping, {} requests open",
+        engines.iter().map(|e| e.owed()).sum::<usize>()
+    );
     if let Router::Many(many) = &*router {
         many.handle(Event::Stop);
     }
@@ -281,7 +364,8 @@
     // Whatever duties have to write first takes nothing of the time in which callers are answered.
     let resign = async {
         if let Some(duties) = &duties {
-            // What it could not write is missed by nobody: who holds what was decided by the voters.
+            // What it could not write is missed by nobody: who holds what was decided by the
+            // voters.
             let _ = timeout(LINGER, duties.stop()).await;
         }
     };
--- a/crates/heathroad/src/operation/admin.rs
+++ b/crates/heathroad/src/operation/admin.rs
@@ -1,5 +1,5 @@
-//! The operators' address, off unless it is named: what the daemon counts, as Prometheus text and as JSON, and where
-//! there are routes, changing them.
+//! The operators' address, off unless it is named: what the daemon counts, as Prometheus text and
+//! as JSON, and where there are routes, changing them.
 
 use crate::duty::Duties;
 use crate::effort::{sleep, spawn_local, timeout};
@@ -50,7 +50,9 @@
 pub async fn serve(listener: TcpListener, asked: Asked, descriptors: usize) {
     let places = Arc::new(Semaphore::new(CONNECTIONS));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(place) = places.clone().acquire_owned().await else {
+            return;
+        };
         let Ok((stream, _)) = listener.accept().await else {
             sleep(STARVED).await;
             continue;
@@ -69,8 +71,9 @@
                 };
                 Ok::<_, Infallible>(reply)
             });
-            let connection =
-                http1::Builder::new().max_buf_size(MAX_HEAD).serve_connection(TokioIo::new(stream), service);
+            let connection = http1::Builder::new()
+                .max_buf_size(MAX_HEAD)
+                .serve_connection(TokioIo::new(stream), service);
             // However it ends, nothing is owed to anybody.
             let _ = timeout(LIFE, connection).await;
         });
@@ -115,14 +118,23 @@
         "/duty/list" => duties.list().await,
         "/duty/history" => duties.history().await,
         _ => {
-            let name = request.uri().query().and_then(|q| q.strip_prefix("name=")).unwrap_or_default();
+            let name = request
+                .uri()
+                .query()
+                .and_then(|q| q.strip_prefix("name="))
+                .unwrap_or_default();
             return match duties.resign(name) {
                 Some(true) => said(StatusCode::OK, TEXT, format!("{name} is let go of")),
                 Some(false) => {
-                    let why = format!("{name} is not held here; it is not sought here for ten leases");
+                    let why =
+                        format!("{name} is not held here; it is not sought here for ten leases");
                     said(StatusCode::OK, TEXT, why)
                 }
-                None => said(StatusCode::NOT_FOUND, TEXT, format!("{name:?}: no duty has that name")),
+                None => said(
+                    StatusCode::NOT_FOUND,
+                    TEXT,
+                    format!("{name:?}: no duty has that name"),
+                ),
             };
         }
     };
@@ -145,15 +157,21 @@
             let kind = "application/openmetrics-text; version=1.0.0; charset=utf-8";
             said(StatusCode::OK, kind, router.counts_text(descriptors))
         }
-        ("/counts", _) => said(StatusCode::OK, "application/json", router.counts_json(descriptors)),
+        ("/counts", _) => said(
+            StatusCode::OK,
+            "application/json",
+            router.counts_json(descriptors),
+        ),
         (_, Router::One(_)) => said(
             StatusCode::NOT_FOUND,
             TEXT,
             "no routes: the daemon serves the one pool of its settings".into(),
         ),
-        ("/config/status", Router::Many(many)) => {
-            said(StatusCode::OK, "application/json", many.status().to_string())
-        }
+        ("/config/status", Router::Many(many)) => said(
+            StatusCode::OK,
+            "application/json",
+            many.status().to_string(),
+        ),
         ("/config/nodes", Router::Many(many)) => match serde_json::to_string(&many.known_nodes()) {
             Ok(nodes) => said(StatusCode::OK, "application/json", nodes),
             Err(e) => said(StatusCode::INTERNAL_SERVER_ERROR, TEXT, e.to_string()),
@@ -161,7 +179,8 @@
         ("/config/expect", Router::Many(many)) => match many.expect().await {
             Ok(Some(report)) => {
                 let (holds, verdicts) = (report.holds(), report.verdicts);
-                let told = serde_json::json!({"file": report.file, "holds": holds, "verdicts": verdicts});
+                let told =
+                    serde_json::json!({"file": report.file, "holds": holds, "verdicts": verdicts});
                 said(StatusCode::OK, "application/json", told.to_string())
             }
             Ok(None) => said(
@@ -173,14 +192,21 @@
         },
         ("/config/undo", Router::Many(many)) => told(&many.handle(Event::Undo("asked for".into()))),
         (_, Router::Many(many)) => {
-            let within =
-                head.uri.query().map(|q| q.strip_prefix("required_ms=").and_then(|n| n.parse().ok()));
+            let within = head
+                .uri
+                .query()
+                .map(|q| q.strip_prefix("required_ms=").and_then(|n| n.parse().ok()));
             let Ok(within) = within.map_or(Ok(None), |n: Option<u64>| n.map(Some).ok_or(())) else {
                 let why = "expected required_ms=MILLISECONDS, or nothing";
                 return said(StatusCode::BAD_REQUEST, TEXT, why.into());
             };
-            let body = Limited::new(body, MAX_BODY).collect().await.map(|b| b.to_bytes());
-            let Ok(text) = body.map_err(|_| ()).and_then(|b| String::from_utf8(b.to_vec()).map_err(|_| ()))
+            let body = Limited::new(body, MAX_BODY)
+                .collect()
+                .await
+                .map(|b| b.to_bytes());
+            let Ok(text) = body
+                .map_err(|_| ())
+                .and_then(|b| String::from_utf8(b.to_vec()).map_err(|_| ()))
             else {
                 let why = format!("a configuration is UTF-8 text of {MAX_BODY} bytes at most");
                 return said(StatusCode::PAYLOAD_TOO_LARGE, TEXT, why);
@@ -200,23 +226,39 @@
     let down = |s: &Said| {
         matches!(
             s,
-            Said::Busy(_) | Said::Crowded(_) | Said::Stopping | Said::NothingToUndo | Said::GivenUp(..)
+            Said::Busy(_)
+                | Said::Crowded(_)
+                | Said::Stopping
+                | Said::NothingToUndo
+                | Said::GivenUp(..)
         )
     };
-    let status = if list.iter().any(down) { StatusCode::CONFLICT } else { StatusCode::OK };
-    said(status, TEXT, list.iter().map(words).collect::<Vec<_>>().join("\n"))
+    let status = if list.iter().any(down) {
+        StatusCode::CONFLICT
+    } else {
+        StatusCode::OK
+    };
+    said(
+        status,
+        TEXT,
+        list.iter().map(words).collect::<Vec<_>>().join("\n"),
+    )
 }
 
 fn said(status: StatusCode, kind: &'static str, text: String) -> Reply {
     let mut reply = Response::new(Full::from(text));
     *reply.status_mut() = status;
-    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    reply
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static(kind));
     reply
 }
 
 fn only(method: &'static str) -> Reply {
     let mut reply = plain(StatusCode::METHOD_NOT_ALLOWED);
-    reply.headers_mut().insert(ALLOW, HeaderValue::from_static(method));
+    reply
+        .headers_mut()
+        .insert(ALLOW, HeaderValue::from_static(method));
     reply
 }
 
--- a/crates/heathroad/src/operation/cli.rs
+++ b/crates/heathroad/src/operation/cli.rs
@@ -5,8 +5,8 @@
 
 /// A balancing proxy for services that call services.
 ///
-/// Without a command it runs in the foreground: RELAY_CONFIG names its JSON file; RELAY_LISTEN, RELAY_DISCOVERY and
-/// RELAY_ADMIN go before the file's `listen`, `discovery` and `admin`.
+/// Without a command it runs in the foreground: RELAY_CONFIG names its JSON file; RELAY_LISTEN,
+/// RELAY_DISCOVERY and RELAY_ADMIN go before the file's `listen`, `discovery` and `admin`.
 #[derive(Parser)]
 #[command(name = "heathroad", version)]
 pub struct Cli {
@@ -47,17 +47,19 @@
 /// What the program does beside running.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Read a configuration as a start would, say what it holds or everything that is wrong, and end.
+    /// Read a configuration as a start would, say what it holds or everything that is wrong, and
+    /// end.
     Check {
         /// The daemon's JSON file, or a TOML file of routes and pools.
         file: PathBuf,
     },
-    /// Propose a file of routes and pools to a running daemon, which checks, stages, applies and watches it.
+    /// Propose a file of routes and pools to a running daemon, which checks, stages, applies and
+    /// watches it.
     Apply {
         /// The TOML file.
         file: PathBuf,
-        /// Once committed, it is required of the whole fleet within this time, such as 90s, 5m, 2h: a proxy that does not act on it by
-        /// then binds no requests.
+        /// Once committed, it is required of the whole fleet within this time, such as 90s, 5m, 2h:
+        /// a proxy that does not act on it by then binds no requests.
         #[arg(long, value_name = "TIME")]
         required_within: Option<String>,
         #[command(flatten)]
@@ -73,12 +75,14 @@
         #[command(flatten)]
         at: At,
     },
-    /// Say whether a file of routes and pools holds what is expected of it, without a daemon or traffic.
+    /// Say whether a file of routes and pools holds what is expected of it, without a daemon or
+    /// traffic.
     Expect {
         #[command(flatten)]
         with: With,
     },
-    /// Plan drains in batches so that all that is expected holds in each; without a choice, of all nodes.
+    /// Plan drains in batches so that all that is expected holds in each; without a choice, of all
+    /// nodes.
     Drains {
         #[command(flatten)]
         with: With,
@@ -120,11 +124,13 @@
         #[command(flatten)]
         how: How,
     },
-    /// Say who acted on which version and when, by each member's own record, and where nothing can be known.
+    /// Say who acted on which version and when, by each member's own record, and where nothing can
+    /// be known.
     Audit {
         #[command(flatten)]
         how: How,
-        /// Leave out what ended before: Unix time in milliseconds, or how long ago, such as 90s, 5m, 2h.
+        /// Leave out what ended before: Unix time in milliseconds, or how long ago, such as 90s,
+        /// 5m, 2h.
         #[arg(long)]
         since: Option<String>,
         /// Of this generation of routes alone.
@@ -147,7 +153,8 @@
         #[command(flatten)]
         how: How,
     },
-    /// Say who held each duty by which token from when to when, as known by its holder and as bounded by voters.
+    /// Say who held each duty by which token from when to when, as known by its holder and as
+    /// bounded by voters.
     History {
         #[command(flatten)]
         how: How,
--- a/crates/heathroad/src/operation/commands.rs
+++ b/crates/heathroad/src/operation/commands.rs
@@ -10,26 +10,51 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// The exit code for a file that `check`, `diff`, `expect` or `drains` turns down; a failed start ends with 1.
+/// The exit code for a file that `check`, `diff`, `expect` or `drains` turns down; a failed start
+/// ends with 1.
 const BAD_INPUT: u8 = 2;
 
-/// The program, by its command line: the daemon where that says nothing, else a look at files or a call to a daemon.
+/// The program, by its command line: the daemon where that says nothing, else a look at files or a
+/// call to a daemon.
 pub fn main(start: impl FnOnce() -> Result<(), String>) -> ExitCode {
     let (done, code) = match Cli::parse().command {
         None => (start(), ExitCode::FAILURE),
         Some(Command::Check { file }) => (check(&file), ExitCode::from(BAD_INPUT)),
         Some(Command::Expect { with }) => (told(expect::expect(&with)), ExitCode::from(BAD_INPUT)),
-        Some(Command::Drains { with, node, site, at_once }) => {
-            (told(expect::plan(&with, &node, &site, at_once)), ExitCode::from(BAD_INPUT))
-        }
-        Some(Command::Fleet(ask)) => (fleet::ask(&ask).and_then(|text| say(&text)), ExitCode::FAILURE),
-        Some(Command::Duty(ask)) => (duty::ask(&ask).and_then(|text| say(&text)), ExitCode::FAILURE),
+        Some(Command::Drains {
+            with,
+            node,
+            site,
+            at_once,
+        }) => (
+            told(expect::plan(&with, &node, &site, at_once)),
+            ExitCode::from(BAD_INPUT),
+        ),
+        Some(Command::Fleet(ask)) => (
+            fleet::ask(&ask).and_then(|text| say(&text)),
+            ExitCode::FAILURE,
+        ),
+        Some(Command::Duty(ask)) => (
+            duty::ask(&ask).and_then(|text| say(&text)),
+            ExitCode::FAILURE,
+        ),
         Some(Command::Diff { from, to }) => (diff(&from, &to), ExitCode::from(BAD_INPUT)),
-        Some(Command::Apply { file, required_within, at }) => {
-            (apply(&file, required_within.as_deref(), at.admin), ExitCode::FAILURE)
-        }
-        Some(Command::Status { at }) => (ask(at.admin, Method::GET, "/config/status"), ExitCode::FAILURE),
-        Some(Command::Undo { at }) => (ask(at.admin, Method::POST, "/config/undo"), ExitCode::FAILURE),
+        Some(Command::Apply {
+            file,
+            required_within,
+            at,
+        }) => (
+            apply(&file, required_within.as_deref(), at.admin),
+            ExitCode::FAILURE,
+        ),
+        Some(Command::Status { at }) => (
+            ask(at.admin, Method::GET, "/config/status"),
+            ExitCode::FAILURE,
+        ),
+        Some(Command::Undo { at }) => (
+            ask(at.admin, Method::POST, "/config/undo"),
+            ExitCode::FAILURE,
+        ),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
@@ -68,8 +93,12 @@
 fn diff(from: &Path, to: &Path) -> Result<(), String> {
     let (from, to) = (routes::read(from)?, routes::read(to)?);
     let words = heathroad_routing::diff::words(&from, &to);
-    say(if words.is_empty() { "no request moves, no pool changes".to_string() } else { words.join("\n") }
-        .as_str())
+    say(if words.is_empty() {
+        "no request moves, no pool changes".to_string()
+    } else {
+        words.join("\n")
+    }
+    .as_str())
 }
 
 /// What is found broken is an answer like any other, with an exit code of its own.
@@ -85,9 +114,12 @@
 }
 
 fn apply(file: &Path, within: Option<&str>, admin: Option<SocketAddr>) -> Result<(), String> {
-    let within =
-        within.map(|t| fleet::millis(t).map_err(|e| format!("--required-within: {e}"))).transpose()?;
-    let path = within.map_or("/config/apply".to_string(), |ms| format!("/config/apply?required_ms={ms}"));
+    let within = within
+        .map(|t| fleet::millis(t).map_err(|e| format!("--required-within: {e}")))
+        .transpose()?;
+    let path = within.map_or("/config/apply".to_string(), |ms| {
+        format!("/config/apply?required_ms={ms}")
+    });
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     say(&remote::call(admin, Method::POST, &path, text)?)
 }
--- a/crates/heathroad/src/operation/duty.rs
+++ b/crates/heathroad/src/operation/duty.rs
@@ -15,7 +15,8 @@
             let text = fleet::get(how, "/duty/history")?;
             let answer = fleet::json(&text)?;
             if let Some(file) = picture {
-                std::fs::write(file, draw(&answer)).map_err(|e| format!("{}: {e}", file.display()))?;
+                std::fs::write(file, draw(&answer))
+                    .map_err(|e| format!("{}: {e}", file.display()))?;
             }
             Ok(if how.json { text } else { history(&answer) })
         }
@@ -35,7 +36,10 @@
 }
 
 fn places(value: &Value) -> String {
-    rows(value).map(Value::to_string).collect::<Vec<_>>().join(", ")
+    rows(value)
+        .map(Value::to_string)
+        .collect::<Vec<_>>()
+        .join(", ")
 }
 
 fn list(answer: &Value) -> String {
@@ -50,12 +54,23 @@
         let holder = match (d["holder"].as_u64(), d["majority_reached"] == true) {
             (Some(place), _) => format!("held by member {place}, token {}", text(&d["token"])),
             (None, true) => "held by nobody, as far as voters say".into(),
-            (None, false) => "NOT KNOWN: no majority of voters answered; nothing new is granted".into(),
+            (None, false) => {
+                "NOT KNOWN: no majority of voters answered; nothing new is granted".into()
+            }
         };
         // Writing to text does not fail.
-        let _ = write!(out, "\n{} ({}): {holder}", text(&d["name"]), text(&d["work"]));
+        let _ = write!(
+            out,
+            "\n{} ({}): {holder}",
+            text(&d["name"]),
+            text(&d["work"])
+        );
         if d["held_here"].is_object() {
-            let _ = write!(out, "; held here for {} more", fleet::span(&d["held_here"]["left_ms"]));
+            let _ = write!(
+                out,
+                "; held here for {} more",
+                fleet::span(&d["held_here"]["left_ms"])
+            );
         }
         if let Some(why) = d["unfit"].as_str() {
             let _ = write!(out, "\n    member {} gave it back: {why}", answer["asked"]);
@@ -92,7 +107,11 @@
     };
     let mut out = format!("asked of member {}", answer["asked"]);
     if rows(&answer["unreached"]).next().is_some() {
-        let _ = write!(out, "; NOT REACHED: members {}", places(&answer["unreached"]));
+        let _ = write!(
+            out,
+            "; NOT REACHED: members {}",
+            places(&answer["unreached"])
+        );
     }
     for d in rows(&answer["duties"]) {
         let _ = write!(out, "\n{}", text(&d["name"]));
@@ -102,7 +121,11 @@
                 (_, false) => format!("{} ({})", ago(&s["to"]), text(&s["why"])),
                 _ => format!("{} at the latest, by its voters", ago(&s["at_the_latest"])),
             };
-            let known = if s["known"] == true { "held" } else { "may have held, by what voters granted" };
+            let known = if s["known"] == true {
+                "held"
+            } else {
+                "may have held, by what voters granted"
+            };
             let _ = write!(
                 out,
                 "\n    {}  member {} {known} from {} to {end}",
@@ -120,20 +143,26 @@
 const WIDTH: f64 = 900.0;
 const TOP: f64 = 44.0;
 
-/// Draws an answer to `history`: one lane a duty, one colour a holder; what is hatched is a bound and not known.
+/// Draws an answer to `history`: one lane a duty, one colour a holder; what is hatched is a bound
+/// and not known.
 fn draw(answer: &Value) -> String {
     let now = answer["at"].as_u64().unwrap_or(0);
     let duties: Vec<&Value> = rows(&answer["duties"]).collect();
     let spells = || duties.iter().flat_map(|d| rows(&d["spells"]));
-    let first = spells().filter_map(|s| s["from"].as_u64()).min().unwrap_or(now);
+    let first = spells()
+        .filter_map(|s| s["from"].as_u64())
+        .min()
+        .unwrap_or(now);
     let begin = first.min(now.saturating_sub(10_000));
     let x = |t: u64| {
-        LEFT + WIDTH * t.clamp(begin, now).saturating_sub(begin) as f64 / (now - begin).max(1) as f64
+        LEFT + WIDTH * t.clamp(begin, now).saturating_sub(begin) as f64
+            / (now - begin).max(1) as f64
     };
     let mut holders: Vec<u64> = spells().filter_map(|s| s["place"].as_u64()).collect();
     holders.sort_unstable();
     holders.dedup();
-    let colour = |place: u64| COLOURS[holders.iter().position(|h| *h == place).unwrap_or(0) % COLOURS.len()];
+    let colour =
+        |place: u64| COLOURS[holders.iter().position(|h| *h == place).unwrap_or(0) % COLOURS.len()];
     let lanes = TOP + LANE * duties.len() as f64;
     let height = lanes + 40.0 + 20.0 * holders.len() as f64 + 24.0;
     let mut out = format!(
@@ -150,7 +179,12 @@
     );
     for (n, d) in duties.iter().enumerate() {
         let y = TOP + LANE * n as f64;
-        let _ = write!(out, "<text x=\"10\" y=\"{}\">{}</text>", y + 17.0, escape(text(&d["name"])));
+        let _ = write!(
+            out,
+            "<text x=\"10\" y=\"{}\">{}</text>",
+            y + 17.0,
+            escape(text(&d["name"]))
+        );
         let _ = write!(
             out,
             "<rect x=\"{LEFT}\" y=\"{}\" width=\"{WIDTH}\" height=\"{}\" fill=\"#f4f4f4\" stroke=\"#ccc\"/>",
@@ -158,11 +192,25 @@
             LANE - 8.0
         );
         for s in rows(&d["spells"]) {
-            let (place, from) = (s["place"].as_u64().unwrap_or(0), s["from"].as_u64().unwrap_or(now));
-            let to = if s["holds"] == true { now } else { s["at_the_latest"].as_u64().unwrap_or(from) };
+            let (place, from) = (
+                s["place"].as_u64().unwrap_or(0),
+                s["from"].as_u64().unwrap_or(now),
+            );
+            let to = if s["holds"] == true {
+                now
+            } else {
+                s["at_the_latest"].as_u64().unwrap_or(from)
+            };
             let sure = s["known"] == true && (s["holds"] == true || !s["to"].is_null());
-            let title = escape(&format!("member {place}, token {}, {}", text(&s["token"]), text(&s["why"])));
-            for fill in [Some(colour(place)), (!sure).then_some("url(#bound)")].into_iter().flatten() {
+            let title = escape(&format!(
+                "member {place}, token {}, {}",
+                text(&s["token"]),
+                text(&s["why"])
+            ));
+            for fill in [Some(colour(place)), (!sure).then_some("url(#bound)")]
+                .into_iter()
+                .flatten()
+            {
                 let _ = write!(
                     out,
                     "<rect x=\"{:.1}\" y=\"{}\" width=\"{:.1}\" height=\"{}\" fill=\"{fill}\" stroke=\"white\"><title>{title}</title></rect>",
--- a/crates/heathroad/src/operation/fleet.rs
+++ b/crates/heathroad/src/operation/fleet.rs
@@ -13,11 +13,24 @@
     match ask {
         Fleet::Members { how } => told(how, "/fleet/members", members),
         Fleet::Versions { how } => told(how, "/fleet/members", versions),
-        Fleet::Audit { how, since, version, at, picture } => {
+        Fleet::Audit {
+            how,
+            since,
+            version,
+            at,
+            picture,
+        } => {
             let mut path = "/fleet/audit?".to_string();
             let times = [("since", since), ("at", at)];
-            for (name, text) in times.into_iter().filter_map(|(name, text)| Some((name, text.as_ref()?))) {
-                let _ = write!(path, "{name}={}&", time(text).map_err(|e| format!("--{name}: {e}"))?);
+            for (name, text) in times
+                .into_iter()
+                .filter_map(|(name, text)| Some((name, text.as_ref()?)))
+            {
+                let _ = write!(
+                    path,
+                    "{name}={}&",
+                    time(text).map_err(|e| format!("--{name}: {e}"))?
+                );
             }
             if let Some(version) = version {
                 let _ = write!(path, "version={version}");
@@ -25,7 +38,8 @@
             let text = get(how, &path)?;
             let answer = json(&text)?;
             if let Some(file) = picture {
-                std::fs::write(file, lanes::draw(&answer)).map_err(|e| format!("{}: {e}", file.display()))?;
+                std::fs::write(file, lanes::draw(&answer))
+                    .map_err(|e| format!("{}: {e}", file.display()))?;
             }
             Ok(if how.json { text } else { audit(&answer) })
         }
@@ -42,13 +56,19 @@
 
 pub(super) fn told(how: &How, path: &str, words: fn(&Value) -> String) -> Result<String, String> {
     let text = get(how, path)?;
-    if how.json { Ok(text) } else { json(&text).map(|v| words(&v)) }
+    if how.json {
+        Ok(text)
+    } else {
+        json(&text).map(|v| words(&v))
+    }
 }
 
 /// A time span such as 90s, 5m or 2h, in milliseconds.
 pub fn millis(text: &str) -> Result<u64, String> {
     let wrong = || format!("{text:?}: expected a time such as 90s, 5m, 2h");
-    let (digits, unit) = text.split_at_checked(text.len().saturating_sub(1)).ok_or_else(wrong)?;
+    let (digits, unit) = text
+        .split_at_checked(text.len().saturating_sub(1))
+        .ok_or_else(wrong)?;
     let number: u64 = digits.parse().map_err(|_| wrong())?;
     let unit = match unit {
         "s" => 1_000,
@@ -65,7 +85,10 @@
         return Ok(unix);
     }
     let ago = millis(text).map_err(|e| format!("{e}; or Unix time in milliseconds"))?;
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis();
     Ok(u64::try_from(now).unwrap_or(u64::MAX).saturating_sub(ago))
 }
 
@@ -82,7 +105,11 @@
 
 /// When something of a member was heard here; most of a large fleet is known from others alone.
 fn heard(ms: &Value) -> String {
-    if ms.is_null() { "never heard by itself".into() } else { format!("heard {} ago", span(ms)) }
+    if ms.is_null() {
+        "never heard by itself".into()
+    } else {
+        format!("heard {} ago", span(ms))
+    }
 }
 
 fn text(value: &Value) -> &str {
@@ -98,9 +125,17 @@
         Some(0) | None => "no routes".into(),
         Some(n) => format!("routes {n} ({})", text(&version["routes"])),
     };
-    let lists: Vec<String> =
-        version["sources"].as_array().into_iter().flatten().map(|s| s["seq"].to_string()).collect();
-    let lists = if lists.is_empty() { String::new() } else { format!(", lists {}", lists.join(" ")) };
+    let lists: Vec<String> = version["sources"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .map(|s| s["seq"].to_string())
+        .collect();
+    let lists = if lists.is_empty() {
+        String::new()
+    } else {
+        format!(", lists {}", lists.join(" "))
+    };
     format!(
         "program {}, settings {}, {generation}{lists}",
         text(&version["build"]),
@@ -113,14 +148,25 @@
 }
 
 fn heading(answer: &Value, asked: &Value) -> String {
-    let alone = if answer["cut_off"] == true { "; IT HEARS NOBODY" } else { "" };
+    let alone = if answer["cut_off"] == true {
+        "; IT HEARS NOBODY"
+    } else {
+        ""
+    };
     let wanted = &answer["wanted"];
     let wanted = match wanted["is"].as_str() {
         Some("one") => {
             let all = answer["required"].as_array().map_or(&[][..], Vec::as_slice);
-            let required =
-                if all.iter().any(|r| r["number"] == wanted["number"]) { ", required" } else { "" };
-            format!("; wanted: routes {} ({}){required}", wanted["number"], text(&wanted["digest"]))
+            let required = if all.iter().any(|r| r["number"] == wanted["number"]) {
+                ", required"
+            } else {
+                ""
+            };
+            format!(
+                "; wanted: routes {} ({}){required}",
+                wanted["number"],
+                text(&wanted["digest"])
+            )
         }
         Some("both") => {
             let [one, other] = [0, 1].map(|n| text(&wanted["digests"][n]));
@@ -131,20 +177,36 @@
         }
         _ => String::new(),
     };
-    format!("fleet {}, asked of member {asked}{wanted}{alone}", text(&answer["fleet"]))
+    format!(
+        "fleet {}, asked of member {asked}{wanted}{alone}",
+        text(&answer["fleet"])
+    )
 }
 
 fn members(answer: &Value) -> String {
     let mut out = heading(answer, &answer["place"]);
     for m in rows(answer) {
         let me = if m["me"] == true { " (asked)" } else { "" };
-        let heard = if m["me"] == true { String::new() } else { format!(", {}", heard(&m["heard_ms"])) };
+        let heard = if m["me"] == true {
+            String::new()
+        } else {
+            format!(", {}", heard(&m["heard_ms"]))
+        };
         let acts = match m["acts"][0].as_str() {
             Some(digest) => format!("; {}", version(&m["version"], digest)),
             None => String::new(),
         };
-        let by: Vec<String> = m["accusers"].as_array().into_iter().flatten().map(Value::to_string).collect();
-        let by = if by.is_empty() { String::new() } else { format!(" by {}", by.join(", ")) };
+        let by: Vec<String> = m["accusers"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .map(Value::to_string)
+            .collect();
+        let by = if by.is_empty() {
+            String::new()
+        } else {
+            format!(" by {}", by.join(", "))
+        };
         // Writing to text does not fail.
         let _ = write!(
             out,
@@ -174,17 +236,31 @@
     }
     let mut out = heading(answer, &answer["place"]);
     for (digest, (who, whole)) in by {
-        let _ = write!(out, "\n{digest}  {}\n      members {}", version(whole, digest), who.join(", "));
+        let _ = write!(
+            out,
+            "\n{digest}  {}\n      members {}",
+            version(whole, digest),
+            who.join(", ")
+        );
     }
     out
 }
 
 /// What a member's record tells.
 fn record(out: &mut String, m: &Value, ago: &dyn Fn(&Value) -> String) {
-    let _ = write!(out, ", clock off by {} ms (give or take {})", m["clock_off_ms"], m["clock_error_ms"]);
+    let _ = write!(
+        out,
+        ", clock off by {} ms (give or take {})",
+        m["clock_off_ms"], m["clock_error_ms"]
+    );
     let _ = write!(out, "\n    on record since {}", ago(&m["since"]));
     if m["lost"]["pages"].as_u64().is_some_and(|n| n > 0) {
-        let _ = write!(out, "; LOST {} pages, until {}", m["lost"]["pages"], ago(&m["lost"]["until"]));
+        let _ = write!(
+            out,
+            "; LOST {} pages, until {}",
+            m["lost"]["pages"],
+            ago(&m["lost"]["until"])
+        );
     }
     for p in m["pages"].as_array().into_iter().flatten() {
         let digest = text(&p["digest"]);
@@ -193,8 +269,11 @@
             Some(n) if n > 1 => format!(" ({n} versions that differ in lists)"),
             _ => String::new(),
         };
-        let torn =
-            if p["torn"] == true { "; ended without a word, what it did after is not known" } else { "" };
+        let torn = if p["torn"] == true {
+            "; ended without a word, what it did after is not known"
+        } else {
+            ""
+        };
         let _ = write!(
             out,
             "\n    {} to {}: {}{several}: bound {}, sent {}, served {}, refused {}, failed {}{torn}",
@@ -210,7 +289,11 @@
     }
     for t in m["turned_down"].as_array().into_iter().flatten() {
         let (number, digest) = (&t["generation"], text(&t["routes"]));
-        let _ = write!(out, "\n    turned routes {number} ({digest}) down: {}", text(&t["why"]));
+        let _ = write!(
+            out,
+            "\n    turned routes {number} ({digest}) down: {}",
+            text(&t["why"])
+        );
     }
     for s in m["spells"].as_array().into_iter().flatten() {
         let what = match s["trouble"].as_str() {
@@ -218,7 +301,12 @@
             Some("stalled") => "did nothing",
             _ => "fenced, bound no requests",
         };
-        let _ = write!(out, "\n    {} to {}: {what}", ago(&s["from"]), ago(&s["to"]));
+        let _ = write!(
+            out,
+            "\n    {} to {}: {what}",
+            ago(&s["from"]),
+            ago(&s["to"])
+        );
     }
 }
 
@@ -230,11 +318,20 @@
         None => "now".into(),
     };
     for m in rows(answer) {
-        let _ = write!(out, "\nmember {} {}, {}", m["place"], text(&m["address"]), text(&m["standing"]));
+        let _ = write!(
+            out,
+            "\nmember {} {}, {}",
+            m["place"],
+            text(&m["address"]),
+            text(&m["standing"])
+        );
         if m["reached"] != true {
             let last = match m["last_acts"][0].as_str() {
                 Some(digest) => {
-                    format!("when last heard it acted on {}", version(&m["last_version"], digest))
+                    format!(
+                        "when last heard it acted on {}",
+                        version(&m["last_version"], digest)
+                    )
                 }
                 None => "nothing was ever heard of what it acts on".into(),
             };
--- a/crates/heathroad/src/operation/lanes.rs
+++ b/crates/heathroad/src/operation/lanes.rs
@@ -1,5 +1,5 @@
-//! The audit as a picture: one lane a proxy, one colour a version (its lists of backends aside), gaps hatched, cut-offs and stalls
-//! marked. What is hatched is not known.
+//! The audit as a picture: one lane a proxy, one colour a version (its lists of backends aside),
+//! gaps hatched, cut-offs and stalls marked. What is hatched is not known.
 
 use super::fleet::version;
 use serde_json::Value;
@@ -11,8 +11,9 @@
 const WIDTH: f64 = 900.0;
 const TOP: f64 = 40.0;
 /// Colours that are told apart; further versions begin again, with their number beside.
-pub(super) const COLOURS: [&str; 8] =
-    ["#4477aa", "#ee6677", "#228833", "#ccbb44", "#66ccee", "#aa3377", "#bbbbbb", "#ee8866"];
+pub(super) const COLOURS: [&str; 8] = [
+    "#4477aa", "#ee6677", "#228833", "#ccbb44", "#66ccee", "#aa3377", "#bbbbbb", "#ee8866",
+];
 /// The least time that is shown, in milliseconds.
 const LEAST: u64 = 10_000;
 
@@ -27,7 +28,9 @@
 }
 
 pub(super) fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('"', "&quot;")
 }
 
 /// Draws an answer to `audit`.
@@ -39,10 +42,15 @@
         let pages = m["pages"].as_array().or(m["collected"]["pages"].as_array());
         pages.cloned().unwrap_or_default()
     };
-    let first = members.iter().flat_map(|m| pages(m)).filter_map(|p| p["from"].as_u64()).min();
+    let first = members
+        .iter()
+        .flat_map(|m| pages(m))
+        .filter_map(|p| p["from"].as_u64())
+        .min();
     let begin = first.unwrap_or(now).min(now.saturating_sub(LEAST));
-    let x =
-        |t: u64| LEFT + WIDTH * t.saturating_sub(begin) as f64 / (now.saturating_sub(begin)).max(1) as f64;
+    let x = |t: u64| {
+        LEFT + WIDTH * t.saturating_sub(begin) as f64 / (now.saturating_sub(begin)).max(1) as f64
+    };
     let mut kinds: BTreeMap<String, usize> = BTreeMap::new();
     for page in members.iter().flat_map(|m| pages(m)) {
         let next = kinds.len();
@@ -66,16 +74,28 @@
     for (n, m) in members.iter().enumerate() {
         let y = TOP + LANE * n as f64;
         let standing = m["standing"].as_str().unwrap_or("");
-        let _ = write!(out, "<text x=\"10\" y=\"{}\">member {} {standing}</text>", y + 16.0, m["place"]);
+        let _ = write!(
+            out,
+            "<text x=\"10\" y=\"{}\">member {} {standing}</text>",
+            y + 16.0,
+            m["place"]
+        );
         let _ = write!(
             out,
             "<rect x=\"{LEFT}\" y=\"{}\" width=\"{WIDTH}\" height=\"{}\" fill=\"url(#gap)\" stroke=\"#ccc\"/>",
             y + 3.0,
             LANE - 6.0
         );
-        let at = m["at"].as_u64().or(m["collected"]["collected_at"].as_u64()).unwrap_or(now).min(now);
+        let at = m["at"]
+            .as_u64()
+            .or(m["collected"]["collected_at"].as_u64())
+            .unwrap_or(now)
+            .min(now);
         for p in pages(m) {
-            let (from, to) = (p["from"].as_u64().unwrap_or(at), p["to"].as_u64().unwrap_or(at));
+            let (from, to) = (
+                p["from"].as_u64().unwrap_or(at),
+                p["to"].as_u64().unwrap_or(at),
+            );
             let colour = COLOURS[kinds[&kind(&p["version"])] % COLOURS.len()];
             let title = format!("{}; {}", version(&p["version"], ""), p["acts"]);
             let _ = write!(
@@ -89,7 +109,10 @@
             );
         }
         for s in m["spells"].as_array().into_iter().flatten() {
-            let (from, to) = (s["from"].as_u64().unwrap_or(at).max(begin), s["to"].as_u64().unwrap_or(at));
+            let (from, to) = (
+                s["from"].as_u64().unwrap_or(at).max(begin),
+                s["to"].as_u64().unwrap_or(at),
+            );
             let (colour, what) = match s["trouble"].as_str() {
                 Some("cut_off") => ("#cc0000", "cut off"),
                 Some("stalled") => ("black", "stalled"),
--- a/crates/heathroad/src/operation/log.rs
+++ b/crates/heathroad/src/operation/log.rs
@@ -1,6 +1,6 @@
-//! Events as lines on standard error, by `tracing`: text, or JSON with the events' fields. Bounded a minute, so that nothing that goes
-//! wrong again and again fills a log. At the usual level none is written a request; at `debug` each request, attempt and connection
-//! is told with its reasons.
+//! Events as lines on standard error, by `tracing`: text, or JSON with the events' fields. Bounded
+//! a minute, so that nothing that goes wrong again and again fills a log. At the usual level none
+//! is written a request; at `debug` each request, attempt and connection is told with its reasons.
 
 use serde_json::{Map, Value, json};
 use std::fmt::{self, Debug};
@@ -18,8 +18,9 @@
 const MOST_DEBUG: u32 = 600_000;
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// Lines from now on, in the form that `RELAY_LOG` names: `text`, the usual one, or `json`; and from the level on that
-/// `RELAY_LOG_LEVEL` names: `error`, `warn`, `info`, the usual one, or `debug`.
+/// Lines from now on, in the form that `RELAY_LOG` names: `text`, the usual one, or `json`; and
+/// from the level on that `RELAY_LOG_LEVEL` names: `error`, `warn`, `info`, the usual one, or
+/// `debug`.
 pub fn begin() -> Result<(), String> {
     let level = match std::env::var("RELAY_LOG_LEVEL").as_deref() {
         Err(_) | Ok("info") => Level::INFO,
@@ -27,7 +28,9 @@
         Ok("warn") => Level::WARN,
         Ok("debug") => Level::DEBUG,
         Ok(other) => {
-            return Err(format!("RELAY_LOG_LEVEL: {other:?}: expected error, warn, info or debug"));
+            return Err(format!(
+                "RELAY_LOG_LEVEL: {other:?}: expected error, warn, info or debug"
+            ));
         }
     };
     let json = match std::env::var("RELAY_LOG").as_deref() {
@@ -35,10 +38,23 @@
         Ok("json") => true,
         Ok(other) => return Err(format!("RELAY_LOG: {other:?}: expected text or json")),
     };
-    let most = if level >= Level::DEBUG { MOST_DEBUG } else { MOST };
+    let most = if level >= Level::DEBUG {
+        MOST_DEBUG
+    } else {
+        MOST
+    };
     let start = Instant::now();
-    let minute = Minute { began: start, written: 0, left_out: 0, most };
-    let lines = Lines { json, start, minute: Mutex::new(minute) };
+    let minute = Minute {
+        began: start,
+        written: 0,
+        left_out: 0,
+        most,
+    };
+    let lines = Lines {
+        json,
+        start,
+        minute: Mutex::new(minute),
+    };
     let subscriber = tracing_subscriber::fmt()
         .with_ansi(false)
         .with_max_level(level)
@@ -87,7 +103,10 @@
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
         match field.name() {
             "message" => self.message = format!("{value:?}"),
-            name => drop(self.fields.insert(name.to_string(), format!("{value:?}").into())),
+            name => drop(
+                self.fields
+                    .insert(name.to_string(), format!("{value:?}").into()),
+            ),
         }
     }
 
@@ -119,13 +138,20 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let pass = self.minute.lock().unwrap_or_else(PoisonError::into_inner).pass(Instant::now());
+        let pass = self
+            .minute
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .pass(Instant::now());
         let Some(left_out) = pass else { return Ok(()) };
         let mut said = Said::default();
         event.record(&mut said);
         let up_ms = (self.start.elapsed().as_secs_f64() * 1e6).round() / 1e3;
         if self.json {
-            let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
+            let at = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default()
+                .as_millis();
             let mut line = json!({"at": u64::try_from(at).unwrap_or(u64::MAX), "up_ms": up_ms,
                 "message": said.message, "level": event.metadata().level().as_str().to_lowercase()});
             if left_out > 0 {
@@ -137,14 +163,23 @@
             return writeln!(writer, "{line}");
         }
         if left_out > 0 {
-            let most = self.minute.lock().unwrap_or_else(PoisonError::into_inner).most;
-            writeln!(writer, "heathroad: {left_out} lines were left out, {most} a minute are the most")?;
+            let most = self
+                .minute
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .most;
+            writeln!(
+                writer,
+                "heathroad: {left_out} lines were left out, {most} a minute are the most"
+            )?;
         }
         write!(writer, "heathroad: {}", said.message)?;
         // Messages at this level are the same each time, and what happened stands in the fields.
         if *event.metadata().level() >= Level::DEBUG {
             write!(writer, " up_ms={up_ms}")?;
-            said.fields.iter().try_for_each(|(name, value)| write!(writer, " {name}={value}"))?;
+            said.fields
+                .iter()
+                .try_for_each(|(name, value)| write!(writer, " {name}={value}"))?;
         }
         writeln!(writer)
     }
--- a/crates/heathroad/src/operation/mod.rs
+++ b/crates/heathroad/src/operation/mod.rs
@@ -1,4 +1,5 @@
-//! What operators see and ask: the command line, and the address at which a running daemon answers them.
+//! What operators see and ask: the command line, and the address at which a running daemon answers
+//! them.
 
 pub mod admin;
 mod cli;
--- a/crates/heathroad/src/permit/mod.rs
+++ b/crates/heathroad/src/permit/mod.rs
@@ -1,9 +1,11 @@
-//! Whether something may be started, written, repeated, refused or closed now. Every part of the daemon that is about to do so
-//! asks here, in the moment in which it acts: what was true when the act was decided may be over by then, by a pause of the
-//! process, a connect that took long, or two events that came in one turn. The rules stand here alone and hold whatever the
-//! decision module has decided; a decision that breaks one is denied, logged and counted.
+//! Whether something may be started, written, repeated, refused or closed now. Every part of the
+//! daemon that is about to do so asks here, in the moment in which it acts: what was true when the
+//! act was decided may be over by then, by a pause of the process, a connect that took long, or two
+//! events that came in one turn. The rules stand here alone and hold whatever the decision module
+//! has decided; a decision that breaks one is denied, logged and counted.
 //!
-//! The rules are pure functions of what they are given; `tally` counts what was denied, and violations.
+//! The rules are pure functions of what they are given; `tally` counts what was denied, and
+//! violations.
 
 pub mod tally;
 
@@ -133,10 +135,12 @@
     }
 }
 
-/// Until when an attempt may be written; nothing where no rule sets an end beside the request's own.
+/// Until when an attempt may be written; nothing where no rule sets an end beside the request's
+/// own.
 pub type WriteBy = Option<Instant>;
 
-/// Whether one more attempt may be begun at `now` at a place, by what the class of the request says of its effect.
+/// Whether one more attempt may be begun at `now` at a place, by what the class of the request says
+/// of its effect.
 pub fn repeat<'a>(
     effect: Effect,
     before: impl Iterator<Item = &'a Attempted> + Clone,
@@ -148,7 +152,9 @@
         return Err(Denied::NotRepeatable);
     }
     let mut may_have_run = before.filter(|a| a.may_have_run());
-    let Some(first) = may_have_run.next() else { return Ok(None) };
+    let Some(first) = may_have_run.next() else {
+        return Ok(None);
+    };
     let (window, group) = match effect {
         Effect::Retryable => return Ok(None),
         Effect::Fragile => return Err(Denied::NotRepeatable),
@@ -163,18 +169,30 @@
         return Err(Denied::OutsideGroup);
     }
     let write_by = first.begun + repeats_known_for(window);
-    if now < write_by { Ok(Some(write_by)) } else { Err(Denied::WindowOver) }
+    if now < write_by {
+        Ok(Some(write_by))
+    } else {
+        Err(Denied::WindowOver)
+    }
 }
 
-/// How long after a first attempt a repeat may still be written, of a window in milliseconds: a process that is held up between
-/// its look at the clock and the write must not miss the window's end.
+/// How long after a first attempt a repeat may still be written, of a window in milliseconds: a
+/// process that is held up between its look at the clock and the write must not miss the window's
+/// end.
 pub fn repeats_known_for(window: f64) -> Duration {
     millis(window).saturating_sub(heartbeat::LONGEST)
 }
 
 /// Whether a request may be refused, which promises that trying again is harmless.
 pub fn refusal<'a>(effect: Effect, mut before: impl Iterator<Item = &'a Attempted>) -> bool {
-    let anywhere = matches!(effect, Effect::Retryable | Effect::Dedup { group: Group::All, .. });
+    let anywhere = matches!(
+        effect,
+        Effect::Retryable
+            | Effect::Dedup {
+                group: Group::All,
+                ..
+            }
+    );
     anywhere || !before.any(Attempted::may_have_run)
 }
 
@@ -210,7 +228,8 @@
     pub owed: bool,
     /// An answer is not written to its end.
     pub unsent: bool,
-    /// Bytes lie on it that were not read; nothing where that does not matter, since what it sends is of no use.
+    /// Bytes lie on it that were not read; nothing where that does not matter, since what it sends
+    /// is of no use.
     pub unread: bool,
 }
 
--- a/crates/heathroad/src/permit/tally.rs
+++ b/crates/heathroad/src/permit/tally.rs
@@ -1,4 +1,5 @@
-//! Denials and violations, counted and logged where they happen. Each thread counts its own; the daemon has one.
+//! Denials and violations, counted and logged where they happen. Each thread counts its own; the
+//! daemon has one.
 
 use super::{Denied, KINDS, VIOLATIONS, Violation};
 use std::cell::Cell;
--- a/crates/heathroad/src/router/change.rs
+++ b/crates/heathroad/src/router/change.rs
@@ -37,7 +37,9 @@
     /// Takes an event, carries out what is decided, and gives what is to be told.
     pub fn handle(self: &Rc<Self>, event: Event) -> Vec<Said> {
         let mut steps = Vec::new();
-        self.changer.borrow_mut().handle(self.now(), event, &mut steps);
+        self.changer
+            .borrow_mut()
+            .handle(self.now(), event, &mut steps);
         let (mut steps, mut said) = (VecDeque::from(steps), Vec::new());
         while let Some(step) = steps.pop_front() {
             match step {
@@ -55,7 +57,10 @@
                     Err(e) => {
                         steps.clear();
                         let mut others = Vec::new();
-                        let record = Record::Opened { number: generation.number, text: String::new() };
+                        let record = Record::Opened {
+                            number: generation.number,
+                            text: String::new(),
+                        };
                         self.changer.borrow_mut().failed(&record, &e, &mut others);
                         steps.extend(others);
                     }
@@ -111,7 +116,10 @@
                     continue;
                 }
             };
-            let (many, limit) = (Rc::downgrade(self), Duration::from_millis(self.base.terms.stage));
+            let (many, limit) = (
+                Rc::downgrade(self),
+                Duration::from_millis(self.base.terms.stage),
+            );
             let (connections, name) = (self.base.connections.clone(), pool.name.clone());
             let number = generation.number;
             spawn_local(async move {
@@ -137,8 +145,15 @@
             let failed = failed + timed_out;
             let requests = served + refused + failed;
             if requests > 0.0 {
-                // How near its budget a cold backend is no proxy can see; the module keeps well below it.
-                let sample = Sample { requests, failed, refused, late, cold: 0.0 };
+                // How near its budget a cold backend is no proxy can see; the module keeps well
+                // below it.
+                let sample = Sample {
+                    requests,
+                    failed,
+                    refused,
+                    late,
+                    cold: 0.0,
+                };
                 self.handle(Event::Saw(run.pool.name.clone(), sample));
             }
         }
@@ -149,14 +164,18 @@
     /// The fleet is to hear of what was committed.
     fn committed(&self, number: u64) {
         let current = self.changer.borrow().current().clone();
-        let within = self.within.take().filter(|(text, _)| *text == current.digest).map(|(_, within)| within);
+        let within = self
+            .within
+            .take()
+            .filter(|(text, _)| *text == current.digest)
+            .map(|(_, within)| within);
         if let Some(acts) = self.base.acts.as_ref().filter(|_| current.number == number) {
             acts.commit(number, &current.text, within);
         }
     }
 
-    /// Proposes a text as a change; what is wrong with it, or what is said of it. Once committed, it may be required of the whole fleet
-    /// within so many milliseconds.
+    /// Proposes a text as a change; what is wrong with it, or what is said of it. Once committed,
+    /// it may be required of the whole fleet within so many milliseconds.
     pub async fn propose(
         self: &Rc<Self>,
         file: &str,
@@ -181,19 +200,27 @@
         let said = self.take(file, text, 0).await?;
         let staged = said.iter().any(|s| matches!(s, Said::Staging(_)));
         if let Some(within) = within.filter(|_| staged) {
-            let digest = Generation::read(0, file, text).map(|g| g.digest.clone()).unwrap_or_default();
+            let digest = Generation::read(0, file, text)
+                .map(|g| g.digest.clone())
+                .unwrap_or_default();
             self.within.replace(Some((digest, within)));
         }
         Ok(said)
     }
 
     /// Takes a text under the number that the fleet knows it by, or, at 0, under one of its own.
-    pub async fn take(self: &Rc<Self>, file: &str, text: &str, number: u64) -> Result<Vec<Said>, String> {
+    pub async fn take(
+        self: &Rc<Self>,
+        file: &str,
+        text: &str,
+        number: u64,
+    ) -> Result<Vec<Said>, String> {
         let generation = Generation::read(number, file, text).map_err(|e| e.to_string())?;
         crate::configuration::routes::rounds(&generation, self.base.listens)?;
         let expected = self.base.gate.as_ref().map(Gate::expected).transpose()?;
         if let Some(expected) = &expected {
-            // Nodes that no registry has told yet, since no pool asks it, are waited for: the last word is at the end.
+            // Nodes that no registry has told yet, since no pool asks it, are waited for: the last
+            // word is at the end.
             let broken = expected.judge(text.to_string(), self.here()).await?.known();
             if !broken.is_empty() {
                 return Err(broken.join("\n"));
@@ -211,15 +238,24 @@
         }
         if let Some(acts) = &self.base.acts {
             // One number is to mean one text in the whole fleet.
-            let given = if number > 0 { number - 1 } else { acts.highest() };
+            let given = if number > 0 {
+                number - 1
+            } else {
+                acts.highest()
+            };
             self.changer.borrow_mut().given(given);
         }
         Ok(self.handle(Event::Propose(generation)))
     }
 
-    /// Judges a change that is ready, as things stand when it is applied: what was judged while nodes changed is judged again.
+    /// Judges a change that is ready, as things stand when it is applied: what was judged while
+    /// nodes changed is judged again.
     pub(super) fn judge(self: &Rc<Self>, generation: &Generation) {
-        let (many, number, text) = (Rc::downgrade(self), generation.number, generation.text.clone());
+        let (many, number, text) = (
+            Rc::downgrade(self),
+            generation.number,
+            generation.text.clone(),
+        );
         spawn_local(async move {
             loop {
                 let Some(strong) = many.upgrade() else { return };
@@ -241,14 +277,17 @@
                     strong.handle(Event::Judged { number, why });
                     return;
                 }
-                // Nodes have changed meanwhile; where they do all the time, the change is given up when its time is over.
+                // Nodes have changed meanwhile; where they do all the time, the change is given up
+                // when its time is over.
             }
         });
     }
 
     /// Holds the configuration in force against what is expected now.
     pub async fn expect(&self) -> Result<Option<Report>, String> {
-        let Some(gate) = &self.base.gate else { return Ok(None) };
+        let Some(gate) = &self.base.gate else {
+            return Ok(None);
+        };
         let text = self.in_force().text.clone();
         gate.expected()?.judge(text, self.here()).await.map(Some)
     }
@@ -292,7 +331,9 @@
     match said {
         Said::Same(n) => format!("nothing changes: the same as generation {n}, which is in force"),
         Said::Busy(n) => format!("turned down: generation {n} is under way, wait for it"),
-        Said::Crowded(n) => format!("turned down: requests are still bound to {n} older generations"),
+        Said::Crowded(n) => {
+            format!("turned down: requests are still bound to {n} older generations")
+        }
         Said::Stopping => "turned down: the daemon stops".into(),
         Said::Staging(n) => format!("generation {n} is staged"),
         Said::Applied(n) => format!("generation {n} is in force, on probation"),
--- a/crates/heathroad/src/router/many.rs
+++ b/crates/heathroad/src/router/many.rs
@@ -30,14 +30,15 @@
 use turnshift::api::{self, Effect, ListKind};
 use turnshift::settings::Facts;
 
-/// How often pools' figures are taken and time is told to the machine that changes the configuration: by parts of the
-/// probation, within these.
+/// How often pools' figures are taken and time is told to the machine that changes the
+/// configuration: by parts of the probation, within these.
 const TICK: [Duration; 2] = [Duration::from_millis(5), Duration::from_secs(1)];
 /// Parts of a probation.
 const PARTS: u64 = 4;
 
-/// A pool that runs: one definition of it, with an engine of its own. A pool that a change words otherwise is
-/// another run, so that no request sees a mixture; one that no change touches goes on with all that it has learned.
+/// A pool that runs: one definition of it, with an engine of its own. A pool that a change words
+/// otherwise is another run, so that no request sees a mixture; one that no change touches goes on
+/// with all that it has learned.
 pub struct PoolRun {
     pub(super) key: String,
     pub(super) pool: Pool,
@@ -95,7 +96,8 @@
     pub(super) current: RefCell<Rc<Active>>,
     /// Those that a generation in force, staged or to be gone back to names.
     pub(super) runs: RefCell<BTreeMap<String, Rc<PoolRun>>>,
-    /// All that requests may still be bound to, those above among them: they too must hear of drains.
+    /// All that requests may still be bound to, those above among them: they too must hear of
+    /// drains.
     pub(super) alive: RefCell<Vec<(String, Weak<PoolRun>)>>,
     /// Their engines, which may outlive them by what is still out.
     pub(super) all: RefCell<Vec<Weak<Engine>>>,
@@ -108,7 +110,8 @@
     pub(super) journal: RefCell<Option<Journal<Folder>>>,
     /// What is expected of the change under way.
     pub(super) expected: RefCell<Option<Expected>>,
-    /// The digest of a change that is required once it is committed, and within how many milliseconds.
+    /// The digest of a change that is required once it is committed, and within how many
+    /// milliseconds.
     pub(super) within: RefCell<Option<(String, u64)>>,
     /// Grows with all that is heard of nodes.
     pub(super) news: Cell<u64>,
@@ -132,7 +135,11 @@
         journal: Option<Journal<Folder>>,
     ) -> Result<Rc<Many>, String> {
         let changer = Changer::new(base.terms.clone(), first.clone(), highest);
-        let active = Rc::new(Active { generation: first.clone(), runs: Vec::new(), classes: HashSet::new() });
+        let active = Rc::new(Active {
+            generation: first.clone(),
+            runs: Vec::new(),
+            classes: HashSet::new(),
+        });
         let many = Rc::new(Many {
             registry: Cell::new(base.registry),
             base,
@@ -163,7 +170,9 @@
         spawn_local(async move {
             loop {
                 sleep(tick).await;
-                let Some(many) = ticking.upgrade() else { return };
+                let Some(many) = ticking.upgrade() else {
+                    return;
+                };
                 many.tick();
             }
         });
@@ -173,7 +182,11 @@
     /// Binds a request, where some route takes it to a pool that serves its class.
     pub fn bind(&self, ask: &Ask<'_>) -> Option<Bound> {
         let active = self.current.borrow().clone();
-        let host = ask.host.rsplit_once(':').map_or(ask.host, |(name, _)| name).to_ascii_lowercase();
+        let host = ask
+            .host
+            .rsplit_once(':')
+            .map_or(ask.host, |(name, _)| name)
+            .to_ascii_lowercase();
         let header = |name: &str| ask.headers.get(name).and_then(|v| v.to_str().ok());
         let request = Request {
             listener: ask.listener,
@@ -186,11 +199,21 @@
         };
         let table = &active.generation.table;
         let run = &active.runs[table.share(table.route(&request)?, hash(ask.key))?];
-        let deadline = run.pool.classes.iter().find(|c| c.name == ask.class)?.deadline_ms;
+        let deadline = run
+            .pool
+            .classes
+            .iter()
+            .find(|c| c.name == ask.class)?
+            .deadline_ms;
         let held = Some((active.generation.clone(), run.clone()));
         let deadline = Some(crate::time::millis(deadline));
         let way = run.pool.rpc.as_ref().map(way);
-        bound(&run.engine, ask.class).map(|b| Bound { deadline, way, _held: held, ..b })
+        bound(&run.engine, ask.class).map(|b| Bound {
+            deadline,
+            way,
+            _held: held,
+            ..b
+        })
     }
 
     /// What is counted over all pools.
@@ -206,8 +229,14 @@
     /// Where remote calls come in, by the generation in force.
     pub fn doors(&self) -> Vec<(Listener, Rc<TcpListener>)> {
         let (generation, doors) = (self.in_force(), self.doors.borrow());
-        let door = |l: &Listener| Some((l.clone(), doors.get(&(l.name.clone(), l.address))?.clone()));
-        generation.config.listeners.iter().filter_map(door).collect()
+        let door =
+            |l: &Listener| Some((l.clone(), doors.get(&(l.name.clone(), l.address))?.clone()));
+        generation
+            .config
+            .listeners
+            .iter()
+            .filter_map(door)
+            .collect()
     }
 
     /// Tells that they may have changed.
@@ -228,7 +257,8 @@
                 let at = socket.local_addr()?;
                 Ok::<_, std::io::Error>((TcpListener::from_std(socket)?, at))
             };
-            let (socket, at) = open().map_err(|e| format!("listener {}: {}: {e}", l.name, l.address))?;
+            let (socket, at) =
+                open().map_err(|e| format!("listener {}: {}: {e}", l.name, l.address))?;
             tracing::info!(listener = l.name, address = %at, "listener {} on {at}", l.name);
             self.doors.borrow_mut().insert(key, Rc::new(socket));
         }
@@ -252,13 +282,26 @@
         // What a registry is asked for is decided here, not by a pool's module.
         let (watching, _) = watch::channel(false);
         let seed = self.base.seed ^ hash(key.as_bytes());
-        let engine =
-            Engine::new(facts, seed, self.base.connections.clone(), counts, self.base.acts.clone(), watching);
+        let engine = Engine::new(
+            facts,
+            seed,
+            self.base.connections.clone(),
+            counts,
+            self.base.acts.clone(),
+            watching,
+        );
         let engine = engine.map_err(|e| format!("pool {}: {e}", pool.name))?;
         self.all.borrow_mut().push(Rc::downgrade(&engine));
         self.hand_over(&engine, pool);
-        let run = Rc::new(PoolRun { key: key.clone(), pool: pool.clone(), engine, seen: Cell::default() });
-        self.alive.borrow_mut().push((key.clone(), Rc::downgrade(&run)));
+        let run = Rc::new(PoolRun {
+            key: key.clone(),
+            pool: pool.clone(),
+            engine,
+            seen: Cell::default(),
+        });
+        self.alive
+            .borrow_mut()
+            .push((key.clone(), Rc::downgrade(&run)));
         self.runs.borrow_mut().insert(key, run.clone());
         match &run.pool.source {
             Source::List(members) => {
@@ -281,27 +324,45 @@
         Ok(run)
     }
 
-    /// What was learned belongs to nodes and not to the words of a pool: one that is worded otherwise begins with the
-    /// part of its predecessor's limit that the nodes bear which it keeps.
+    /// What was learned belongs to nodes and not to the words of a pool: one that is worded
+    /// otherwise begins with the part of its predecessor's limit that the nodes bear which it
+    /// keeps.
     pub(super) fn hand_over(&self, engine: &Rc<Engine>, pool: &Pool) {
         let current = self.current.borrow().clone();
-        let Some(before) = current.runs.iter().find(|r| r.pool.name == pool.name) else { return };
+        let Some(before) = current.runs.iter().find(|r| r.pool.name == pool.name) else {
+            return;
+        };
         let nodes = before.engine.targets();
         let kept = match (&pool.source, &before.pool.source) {
-            (Source::List(members), _) => {
-                nodes.iter().filter(|t| members.iter().any(|m| m.address == t.dial)).count()
-            }
+            (Source::List(members), _) => nodes
+                .iter()
+                .filter(|t| members.iter().any(|m| m.address == t.dial))
+                .count(),
             (now, then) if now == then => nodes.len(),
             _ => 0,
         };
-        engine.begin_at(before.engine.moment().load.limit * kept as f64 / nodes.len().max(1) as f64);
+        engine
+            .begin_at(before.engine.moment().load.limit * kept as f64 / nodes.len().max(1) as f64);
     }
 
     /// From now on requests bind to a generation.
     pub(super) fn activate(self: &Rc<Self>, generation: &Rc<Generation>) -> Result<(), String> {
-        let runs = generation.config.pools.iter().map(|p| self.run(p)).collect::<Result<Vec<_>, _>>()?;
-        let classes = runs.iter().flat_map(|r| &r.pool.classes).map(|c| c.name.clone()).collect();
-        self.current.replace(Rc::new(Active { generation: generation.clone(), runs, classes }));
+        let runs = generation
+            .config
+            .pools
+            .iter()
+            .map(|p| self.run(p))
+            .collect::<Result<Vec<_>, _>>()?;
+        let classes = runs
+            .iter()
+            .flat_map(|r| &r.pool.classes)
+            .map(|c| c.name.clone())
+            .collect();
+        self.current.replace(Rc::new(Active {
+            generation: generation.clone(),
+            runs,
+            classes,
+        }));
         if let Some(acts) = &self.base.acts {
             acts.in_force(generation.number, &generation.text);
         }
@@ -313,11 +374,21 @@
     /// Lets go what no generation in force names, and the registries that nobody asks.
     pub(super) fn tidy(&self) {
         if self.changer.borrow().open().is_none() {
-            let keep: BTreeSet<String> = self.current.borrow().runs.iter().map(|r| r.key.clone()).collect();
+            let keep: BTreeSet<String> = self
+                .current
+                .borrow()
+                .runs
+                .iter()
+                .map(|r| r.key.clone())
+                .collect();
             self.runs.borrow_mut().retain(|key, _| keep.contains(key));
             let generation = self.in_force();
             let named = |(name, address): &(String, SocketAddr)| {
-                generation.config.listeners.iter().any(|l| l.name == *name && l.address == *address)
+                generation
+                    .config
+                    .listeners
+                    .iter()
+                    .any(|l| l.name == *name && l.address == *address)
             };
             self.doors.borrow_mut().retain(|key, _| named(key));
         }
@@ -351,8 +422,20 @@
 
 /// How a pool's backends are called remotely.
 pub(super) fn way(rpc: &file::Rpc) -> Way {
-    let file::Rpc { port, framing, calls, declined, budget } = *rpc;
-    Way { port, framing, calls: calls as usize, declined, budget }
+    let file::Rpc {
+        port,
+        framing,
+        calls,
+        declined,
+        budget,
+    } = *rpc;
+    Way {
+        port,
+        framing,
+        calls: calls as usize,
+        declined,
+        budget,
+    }
 }
 
 /// The settings of a pool: the daemon's own, with the pool's classes.
--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -1,6 +1,6 @@
-//! Which pool a request goes to. Without routes there is one pool, that of the settings. With them, each pool has an
-//! engine of its own, and a request binds to the generation in force when it is taken: it keeps that, and the pool
-//! that it was given, to its final answer.
+//! Which pool a request goes to. Without routes there is one pool, that of the settings. With them,
+//! each pool has an engine of its own, and a request binds to the generation in force when it is
+//! taken: it keeps that, and the pool that it was given, to its final answer.
 
 pub mod change;
 pub mod many;
@@ -106,7 +106,8 @@
         }
     }
 
-    /// Binds a request; the status that turns it down, where nothing serves its class or no route takes it.
+    /// Binds a request; the status that turns it down, where nothing serves its class or no route
+    /// takes it.
     pub fn bind(&self, ask: &Ask<'_>) -> Result<Bound, StatusCode> {
         let found = match self {
             Router::One(engine) => bound(engine, ask.class),
--- a/crates/heathroad/src/router/registry.rs
+++ b/crates/heathroad/src/router/registry.rs
@@ -17,14 +17,27 @@
 impl Many {
     /// Tells a listed pool's engine its backends, with what is known of them from elsewhere.
     pub(super) fn list(&self, run: &PoolRun) {
-        let Source::List(members) = &run.pool.source else { return };
+        let Source::List(members) = &run.pool.source else {
+            return;
+        };
         let zone = usize::from(self.base.facts.settings.zone);
-        let own = self.base.facts.site.zones.get(zone).cloned().unwrap_or_default();
+        let own = self
+            .base
+            .facts
+            .site
+            .zones
+            .get(zone)
+            .cloned()
+            .unwrap_or_default();
         let nodes = self.nodes.borrow();
         let host = |m: &file::Member| Host {
             host: m.address.to_string(),
             dial: Some(m.address),
-            site: if m.site.is_empty() { own.clone() } else { m.site.clone() },
+            site: if m.site.is_empty() {
+                own.clone()
+            } else {
+                m.site.clone()
+            },
             class: String::new(),
             block: m.block,
             health: match nodes.standing(m.address) {
@@ -34,7 +47,8 @@
             share: m.weight,
             born_ms: 0.0,
         };
-        run.engine.list(ListKind::Full, members.iter().map(host).collect());
+        run.engine
+            .list(ListKind::Full, members.iter().map(host).collect());
     }
 
     pub(super) fn follow(self: &Rc<Self>, address: SocketAddr) {
@@ -47,12 +61,21 @@
         // These are lists that are pushed: there is nothing to be wanted.
         let (_, wanted) = watch::channel(true);
         let grace = millis(self.base.facts.site.drain_grace);
-        let following = spawn_local(discovery::follow(hear, address, false, grace, wanted)).abort_handle();
-        self.registries.borrow_mut().insert(address, Registry { hosts: BTreeMap::new(), following });
+        let following =
+            spawn_local(discovery::follow(hear, address, false, grace, wanted)).abort_handle();
+        self.registries.borrow_mut().insert(
+            address,
+            Registry {
+                hosts: BTreeMap::new(),
+                following,
+            },
+        );
     }
 
     pub(super) fn hear(self: &Rc<Self>, from: SocketAddr, news: News) {
-        let News::List(kind, hosts, seq) = news else { return };
+        let News::List(kind, hosts, seq) = news else {
+            return;
+        };
         if let Some(acts) = &self.base.acts {
             acts.heard(from, seq);
         }
@@ -67,7 +90,9 @@
         let mut moved: Vec<(Host, &Host)> = Vec::new();
         {
             let mut registries = self.registries.borrow_mut();
-            let Some(registry) = registries.get_mut(&from) else { return };
+            let Some(registry) = registries.get_mut(&from) else {
+                return;
+            };
             let mut nodes = self.nodes.borrow_mut();
             let mut tell = |host: &Host, takes: bool, dial: Option<SocketAddr>| {
                 let Some(dial) = dial else { return };
@@ -93,8 +118,11 @@
                 if let Some(before) = known.filter(|k| labels(k) != labels(h)) {
                     moved.push((before.clone(), h));
                 }
-                let dial =
-                    if kind == ListKind::Delta { h.dial.or(known.and_then(|b| b.dial)) } else { h.dial };
+                let dial = if kind == ListKind::Delta {
+                    h.dial.or(known.and_then(|b| b.dial))
+                } else {
+                    h.dial
+                };
                 tell(h, h.health == Health::Serving, dial);
                 match h.health {
                     Health::Deleted => drop(registry.hosts.remove(&h.host)),
@@ -102,13 +130,19 @@
                 }
             }
         }
-        // A host whose labels changed leaves one pool for another: first it leaves, since a process that a pool
-        // withdraws is withdrawn for all who send to it, and then the other pool begins with it anew.
+        // A host whose labels changed leaves one pool for another: first it leaves, since a process
+        // that a pool withdraws is withdrawn for all who send to it, and then the other pool begins
+        // with it anew.
         let runs = self.present();
         for run in &runs {
-            let Source::Registry { address, select } = &run.pool.source else { continue };
+            let Source::Registry { address, select } = &run.pool.source else {
+                continue;
+            };
             let leaves = |(old, new): &(Host, &Host)| {
-                let gone = || Host { health: Health::Deleted, ..(*new).clone() };
+                let gone = || Host {
+                    health: Health::Deleted,
+                    ..(*new).clone()
+                };
                 (chosen(old, select) && !chosen(new, select)).then(gone)
             };
             if address.unwrap_or(self.registry.get()) == from {
@@ -120,10 +154,19 @@
         }
         for run in &runs {
             match &run.pool.source {
-                Source::Registry { address, select } if address.unwrap_or(self.registry.get()) == from => {
+                Source::Registry { address, select }
+                    if address.unwrap_or(self.registry.get()) == from =>
+                {
                     let known = |h: &Host| {
-                        let health = if chosen(h, select) { h.health } else { Health::Deleted };
-                        Host { health, ..h.clone() }
+                        let health = if chosen(h, select) {
+                            h.health
+                        } else {
+                            Health::Deleted
+                        };
+                        Host {
+                            health,
+                            ..h.clone()
+                        }
                     };
                     run.engine.list(kind, hosts.iter().map(known).collect());
                 }
@@ -139,8 +182,10 @@
     /// A node that several runs send to is one node: together they keep to its cold budget.
     pub(super) fn share_cold(&self) {
         let runs = self.present();
-        let dials: Vec<BTreeSet<SocketAddr>> =
-            runs.iter().map(|r| r.engine.targets().iter().map(|t| t.dial).collect()).collect();
+        let dials: Vec<BTreeSet<SocketAddr>> = runs
+            .iter()
+            .map(|r| r.engine.targets().iter().map(|t| t.dial).collect())
+            .collect();
         for (run, sharers) in runs.iter().zip(nodes::sharers(&dials)) {
             run.engine.share_cold(sharers);
         }
@@ -148,7 +193,11 @@
 
     /// Every run that is kept, or still has requests.
     pub(super) fn present(&self) -> Vec<Rc<PoolRun>> {
-        self.alive.borrow().iter().filter_map(|(_, run)| run.upgrade()).collect()
+        self.alive
+            .borrow()
+            .iter()
+            .filter_map(|(_, run)| run.upgrade())
+            .collect()
     }
 
     /// The default registry has moved: the whole list is asked for there.
@@ -157,7 +206,11 @@
         if from == to || !self.registries.borrow().contains_key(&from) {
             return;
         }
-        let known = self.registries.borrow().get(&to).map(|r| r.hosts.values().cloned().collect());
+        let known = self
+            .registries
+            .borrow()
+            .get(&to)
+            .map(|r| r.hosts.values().cloned().collect());
         match known {
             // Some pool follows it already.
             Some(hosts) => self.retell(to, ListKind::Full, hosts),
@@ -175,12 +228,21 @@
                 let address = h.dial?;
                 let takes = h.health == Health::Serving && !out.contains(&address);
                 let (registry, site, class) = (Some(*registry), h.site.clone(), h.class.clone());
-                Some(Node { address, registry, site, class, block: h.block, takes })
+                Some(Node {
+                    address,
+                    registry,
+                    site,
+                    class,
+                    block: h.block,
+                    takes,
+                })
             };
             known.extend(told.hosts.values().filter_map(node));
         }
         let told: BTreeSet<SocketAddr> = known.iter().map(|n| n.address).collect();
-        let gone = out.difference(&told).map(|address| Node::withdrawn(*address));
+        let gone = out
+            .difference(&told)
+            .map(|address| Node::withdrawn(*address));
         known.extend(gone);
         known
     }
--- a/crates/heathroad/src/router/start.rs
+++ b/crates/heathroad/src/router/start.rs
@@ -30,18 +30,25 @@
                 }
                 if let Some((number, applied)) = found.open {
                     let was = if applied { "on probation" } else { "staged" };
-                    tracing::warn!("state: {place}: generation {number} was {was} and is not started");
+                    tracing::warn!(
+                        "state: {place}: generation {number} was {was} and is not started"
+                    );
                 }
                 if let Some((number, text)) = found.committed {
                     let kept = Generation::read(number, &format!("{place}"), &text);
                     let kept = kept.map_err(|e| format!("state: generation {number}: {e}"))?;
-                    tracing::info!("state: {place}: starting on generation {number}, digest {}", kept.digest);
+                    tracing::info!(
+                        "state: {place}: starting on generation {number}, digest {}",
+                        kept.digest
+                    );
                     first = Some(kept);
                 }
                 (journal, highest) = (Some(opened), found.highest.max(1));
             }
             Err(OpenError::Log(e)) => {
-                tracing::info!("state: {place}: {e}; it is left as it is, and changes will not be kept");
+                tracing::info!(
+                    "state: {place}: {e}; it is left as it is, and changes will not be kept"
+                );
             }
             Err(OpenError::Disk(e)) => return Err(format!("state: {place}: {e}")),
         }
@@ -64,7 +71,10 @@
                 expected(gate, &read, config)?;
             }
             if let Some(journal) = &mut journal {
-                let record = Record::Committed { number: read.number, text: read.text.clone() };
+                let record = Record::Committed {
+                    number: read.number,
+                    text: read.text.clone(),
+                };
                 journal.write(record).map_err(|e| format!("state: {e}"))?;
             }
             read
@@ -76,7 +86,11 @@
         seed: config.seed,
         connections: connections.clone(),
         registry: config.discovery,
-        terms: Terms { probation, judged: gate.is_some(), ..Terms::default() },
+        terms: Terms {
+            probation,
+            judged: gate.is_some(),
+            ..Terms::default()
+        },
         gate,
         listens: config.listen,
         acts,
@@ -84,12 +98,16 @@
     Many::new(base, first, highest, journal)
 }
 
-/// What is known to be broken of what is expected before a registry has told any node; no start is made on that. (What was
-/// committed has passed, and stays whatever has become of its nodes.)
+/// What is known to be broken of what is expected before a registry has told any node; no start is
+/// made on that. (What was committed has passed, and stays whatever has become of its nodes.)
 fn expected(gate: &Gate, first: &Generation, config: &Config) -> Result<(), String> {
     let here = gate::here(&config.facts, config.discovery, Vec::new());
     let broken = heathroad_expect::judge(first, &gate::read(gate.file())?, &here)?.known();
-    if broken.is_empty() { Ok(()) } else { Err(broken.join("\n")) }
+    if broken.is_empty() {
+        Ok(())
+    } else {
+        Err(broken.join("\n"))
+    }
 }
 
 /// Proposes a file that may have changed; what is wrong with it is logged, and changes nothing.
--- a/crates/heathroad/src/router/straggler.rs
+++ b/crates/heathroad/src/router/straggler.rs
@@ -1,5 +1,6 @@
-//! A proxy behind its fleet is brought up: it pulls the text that is wanted from a fellow that acts on it, and takes it through the
-//! same check, expectations, staging and probation as a change by hand. What it turns down it does not try again, and says why.
+//! A proxy behind its fleet is brought up: it pulls the text that is wanted from a fellow that acts
+//! on it, and takes it through the same check, expectations, staging and probation as a change by
+//! hand. What it turns down it does not try again, and says why.
 
 use super::change::words;
 use super::many::Many;
@@ -11,7 +12,8 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// Pause before a wanted text is pulled, and between two tries: drawn between these, so that not all ask at once.
+/// Pause before a wanted text is pulled, and between two tries: drawn between these, so that not
+/// all ask at once.
 const PAUSE: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(1500)];
 /// How often a change under way is looked at.
 const LOOK: Duration = Duration::from_millis(100);
@@ -28,7 +30,9 @@
             let pause = PAUSE[0] + (PAUSE[1] - PAUSE[0]).mul_f64(rng.f64());
             sleep(pause).await;
             let Some(many) = many.upgrade() else { return };
-            let Some(want) = behind(&many, &peers, *wanted.borrow_and_update()) else { break };
+            let Some(want) = behind(&many, &peers, *wanted.borrow_and_update()) else {
+                break;
+            };
             if many.changer.borrow().open().is_some() {
                 continue;
             }
@@ -41,7 +45,9 @@
 
 /// What is wanted, where this proxy acts on an older one and has not turned it down.
 fn behind(many: &Many, peers: &Peers, wanted: Wanted) -> Option<Want> {
-    let Wanted::One(want) = wanted else { return None };
+    let Wanted::One(want) = wanted else {
+        return None;
+    };
     let (acts, current) = (peers.acts(), many.in_force());
     let same = Digest::of(current.text.as_bytes()) == want.digest;
     (want.number > current.number && !same && !acts.turned_down(want.digest)).then_some(want)
--- a/crates/heathroad/src/stream.rs
+++ b/crates/heathroad/src/stream.rs
@@ -1,5 +1,5 @@
-//! A stream that watches itself: whether a request got out whole, whether the other side has stopped taking
-//! bytes, and since when it speaks.
+//! A stream that watches itself: whether a request got out whole, whether the other side has
+//! stopped taking bytes, and since when it speaks.
 
 use crate::effort::{self, sleep};
 use crate::heartbeat;
@@ -64,8 +64,8 @@
     pub fn listen(&self) {
         self.speaks.set(None);
     }
-    /// How far the present request was written. The HTTP library flushes a stream only once all that it has buffered is
-    /// written, and by then it has taken the body.
+    /// How far the present request was written. The HTTP library flushes a stream only once all
+    /// that it has buffered is written, and by then it has taken the body.
     pub fn written(&self) -> Written {
         match (self.begun.get(), self.flushed.get()) {
             (false, _) => Written::Nothing,
@@ -125,14 +125,15 @@
     /// Whether it is so now, by the system's word.
     fn unread(&self) -> bool;
 
-    /// When what the last read gave had come, at the earliest, if it had been taken from the system before that read.
+    /// When what the last read gave had come, at the earliest, if it had been taken from the system
+    /// before that read.
     fn read_ahead(&self) -> Option<Instant> {
         None
     }
 }
 
-/// Whether something lies on a stream, none if it has ended, by the system's word: the reactor knows only what it was told when
-/// it last looked.
+/// Whether something lies on a stream, none if it has ended, by the system's word: the reactor
+/// knows only what it was told when it last looked.
 pub fn peek(stream: &TcpStream) -> io::Result<usize> {
     effort::look();
     SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
@@ -159,7 +160,11 @@
 
     /// Watches a stream, and tells it here.
     pub fn over(stream: S, progress: Rc<Progress>) -> Self {
-        Watched { stream, progress, stalled: None }
+        Watched {
+            stream,
+            progress,
+            stalled: None,
+        }
     }
 
     /// What is seen.
@@ -167,11 +172,18 @@
         self.progress.clone()
     }
 
-    fn wrote(&mut self, cx: &mut Context<'_>, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn wrote(
+        &mut self,
+        cx: &mut Context<'_>,
+        result: Poll<io::Result<usize>>,
+    ) -> Poll<io::Result<usize>> {
         self.progress.unsent.set(true);
         if result.is_pending() {
             let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep(STALL)));
-            return stalled.as_mut().poll(cx).map(|()| Err(io::ErrorKind::TimedOut.into()));
+            return stalled
+                .as_mut()
+                .poll(cx)
+                .map(|()| Err(io::ErrorKind::TimedOut.into()));
         }
         self.stalled = None;
         effort::wrote();
@@ -183,11 +195,15 @@
 }
 
 impl<S: Peek> Watched<S> {
-    /// Before the first byte of a request nothing may lie on its connection: a late second copy of the answer
-    /// before would be taken for the answer to this one.
+    /// Before the first byte of a request nothing may lie on its connection: a late second copy of
+    /// the answer before would be taken for the answer to this one.
     fn check(&self) -> io::Result<()> {
         let unclean = self.progress.fresh.replace(false) && self.stream.unread();
-        if unclean { Err(io::ErrorKind::InvalidData.into()) } else { Ok(()) }
+        if unclean {
+            Err(io::ErrorKind::InvalidData.into())
+        } else {
+            Ok(())
+        }
     }
 }
 
@@ -201,16 +217,25 @@
         if read.is_ready() {
             effort::read();
             let now = Instant::now();
-            let came = self.stream.read_ahead().unwrap_or_else(|| heartbeat::arrival(now));
+            let came = self
+                .stream
+                .read_ahead()
+                .unwrap_or_else(|| heartbeat::arrival(now));
             self.progress.heard.set(Some(came));
-            self.progress.speaks.set(self.progress.speaks.get().or(Some(now)));
+            self.progress
+                .speaks
+                .set(self.progress.speaks.get().or(Some(now)));
         }
         read
     }
 }
 
 impl<S: Write + Peek + Unpin> Write for Watched<S> {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.check()?;
         let result = Pin::new(&mut self.stream).poll_write(cx, buf);
         self.wrote(cx, result)
--- a/crates/heathroad/tests/budgets.rs
+++ b/crates/heathroad/tests/budgets.rs
@@ -1,5 +1,5 @@
-//! Budgets down a chain of started programs: outages are not multiplied, loops end within one pass, and what a request has
-//! left goes down with it.
+//! Budgets down a chain of started programs: outages are not multiplied, loops end within one pass,
+//! and what a request has left goes down with it.
 
 mod rig;
 
@@ -32,10 +32,19 @@
     let (mut proxies, mut servers) = (Vec::new(), Vec::new());
     let mut below = Arc::new(OnceLock::new());
     for tier in (1..=3).rev() {
-        let acts: Acts = if tier == 3 { end.clone() } else { Arc::new(|_, _| Act::Call(1)) };
-        let two = [Server::start(&below, acts.clone()).await, Server::start(&below, acts).await];
+        let acts: Acts = if tier == 3 {
+            end.clone()
+        } else {
+            Arc::new(|_, _| Act::Call(1))
+        };
+        let two = [
+            Server::start(&below, acts.clone()).await,
+            Server::start(&below, acts).await,
+        ];
         let terms = budgets.then(|| budget(&format!("t{tier}"), tier < 3));
-        let ends = dead.filter(|_| tier == 3).unwrap_or([two[0].addr, two[1].addr]);
+        let ends = dead
+            .filter(|_| tier == 3)
+            .unwrap_or([two[0].addr, two[1].addr]);
         let (proxy, admin) = proxy_over(&ends, terms).await;
         below = Arc::new(OnceLock::from(proxy.addr));
         proxies.push((proxy, admin));
@@ -46,7 +55,8 @@
 }
 
 impl Chain {
-    /// So many requests by eight callers: how many were served, and the attempts that went out of each tier.
+    /// So many requests by eight callers: how many were served, and the attempts that went out of
+    /// each tier.
     async fn load(&self, requests: usize) -> (usize, Vec<u64>) {
         let before = self.attempts().await;
         let (next, served) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
@@ -66,7 +76,10 @@
             soon(caller).await.expect("each was answered");
         }
         let after = self.attempts().await;
-        (served.load(SeqCst), after.iter().zip(before).map(|(a, b)| a - b).collect())
+        (
+            served.load(SeqCst),
+            after.iter().zip(before).map(|(a, b)| a - b).collect(),
+        )
     }
 
     async fn attempts(&self) -> Vec<u64> {
@@ -82,8 +95,8 @@
     }
 }
 
-/// Runs of a chain whose end is ill in a way: the attempts of each tier are 1.2 times the first tries at the most, but for what
-/// the calm had saved up and what was in flight.
+/// Runs of a chain whose end is ill in a way: the attempts of each tier are 1.2 times the first
+/// tries at the most, but for what the calm had saved up and what was in flight.
 async fn held(end: Acts, requests: usize) -> (usize, Vec<u64>) {
     bounded(&chain(true, end).await, requests).await
 }
@@ -93,7 +106,11 @@
     let transient = 20.0 + 8.0 * 2.0;
     for (tier, n) in attempts.iter().enumerate() {
         let most = 1.2 * requests as f64 + transient;
-        assert!(*n as f64 <= most, "tier {}: {n} attempts for {requests} requests", tier + 1);
+        assert!(
+            *n as f64 <= most,
+            "tier {}: {n} attempts for {requests} requests",
+            tier + 1
+        );
     }
     (served, attempts)
 }
@@ -106,7 +123,10 @@
     // Without budgets the same chain multiplies, though each tier has a retry budget of its own.
     let without = chain(false, Arc::new(|_, _| Act::Fail)).await;
     let (_, without) = without.load(REQUESTS).await;
-    assert!(without.iter().sum::<u64>() > with.iter().sum::<u64>(), "{without:?} beside {with:?}");
+    assert!(
+        without.iter().sum::<u64>() > with.iter().sum::<u64>(),
+        "{without:?} beside {with:?}"
+    );
 }
 
 #[tokio::test]
@@ -117,10 +137,14 @@
     let without = chain(false, Arc::new(|_, _| Act::Decline)).await;
     let (_, without) = without.load(REQUESTS).await;
     let [with, without]: [u64; 2] = [with.iter().sum(), without.iter().sum()];
-    assert!(without as f64 > 1.5 * with as f64, "{without} beside {with}");
+    assert!(
+        without as f64 > 1.5 * with as f64,
+        "{without} beside {with}"
+    );
 }
 
-/// Nobody listens where the last tier was: connects fail, which is proved never to have run and was tried again freely.
+/// Nobody listens where the last tier was: connects fail, which is proved never to have run and was
+/// tried again freely.
 #[tokio::test]
 async fn an_end_that_is_wholly_down_makes_no_storm() {
     const REQUESTS: usize = 200;
@@ -136,10 +160,14 @@
     assert_eq!(served, 0);
     let (_, without) = chain_to(false, acts, Some(dead)).await.load(REQUESTS).await;
     let [with, without]: [u64; 2] = [with.iter().sum(), without.iter().sum()];
-    assert!(without as f64 > 1.2 * with as f64, "{without} beside {with}");
+    assert!(
+        without as f64 > 1.2 * with as f64,
+        "{without} beside {with}"
+    );
 }
 
-/// Half of the last tier is dead for good: the other half serves what that leaves undone, and little is sent again.
+/// Half of the last tier is dead for good: the other half serves what that leaves undone, and
+/// little is sent again.
 #[tokio::test]
 async fn an_end_that_is_half_down_serves_and_makes_no_storm() {
     const REQUESTS: usize = 300;
@@ -149,11 +177,14 @@
     let end = Server::start(&Arc::default(), Arc::new(|_, _| Act::Serve)).await;
     let chain = chain_to(true, Arc::new(|_, _| Act::Serve), Some([dead, end.addr])).await;
     let (served, attempts) = bounded(&chain, REQUESTS).await;
-    assert!(served >= REQUESTS * 9 / 10, "{served} of {REQUESTS}: {attempts:?}");
+    assert!(
+        served >= REQUESTS * 9 / 10,
+        "{served} of {REQUESTS}: {attempts:?}"
+    );
 }
 
-/// The last tier takes requests and answers none in time: what a caller has left goes down with its request, no tier works on
-/// for longer, and little is sent again.
+/// The last tier takes requests and answers none in time: what a caller has left goes down with its
+/// request, no tier works on for longer, and little is sent again.
 #[tokio::test]
 async fn an_end_that_is_slow_is_given_up_all_the_way_down() {
     let chain = chain(true, Arc::new(|_, _| Act::Slow(Duration::from_secs(600)))).await;
@@ -163,7 +194,9 @@
         callers.push(tokio::spawn(async move {
             for _ in 0..3 {
                 let mut request = request("look").body(Full::default()).expect("well formed");
-                request.headers_mut().insert("req-deadline-ms", "300".parse().expect("plain"));
+                request
+                    .headers_mut()
+                    .insert("req-deadline-ms", "300".parse().expect("plain"));
                 let (status, _) = caller.send(request).await;
                 assert!([502, 503, 504].contains(&status), "{status}");
             }
@@ -173,8 +206,12 @@
         soon(caller).await.expect("each was answered in time");
     }
     let attempts = chain.attempts().await;
-    assert!(attempts.iter().all(|n| *n <= 24 * 6 / 5 + 20), "{attempts:?}");
-    // The time went down: the tiers below have given up as well, long before the end would have answered.
+    assert!(
+        attempts.iter().all(|n| *n <= 24 * 6 / 5 + 20),
+        "{attempts:?}"
+    );
+    // The time went down: the tiers below have given up as well, long before the end would have
+    // answered.
     for (_, admin) in &chain.proxies {
         soon(async {
             while counts(*admin).await["requests_open"] != 0 {
@@ -187,7 +224,17 @@
 
 #[tokio::test]
 async fn an_end_that_flaps_is_helped_within_the_share() {
-    let (served, _) = held(Arc::new(|n, _| if n / 20 % 2 == 0 { Act::Serve } else { Act::Fail }), 300).await;
+    let (served, _) = held(
+        Arc::new(|n, _| {
+            if n / 20 % 2 == 0 {
+                Act::Serve
+            } else {
+                Act::Fail
+            }
+        }),
+        300,
+    )
+    .await;
     assert!(served > 50, "{served}");
 }
 
@@ -197,17 +244,27 @@
     let acts: Acts = {
         let seen = Arc::new(AtomicUsize::new(0));
         // One request in eight fails, whoever has it.
-        Arc::new(move |_, _| if seen.fetch_add(1, SeqCst) % 8 == 7 { Act::Fail } else { Act::Serve })
+        Arc::new(move |_, _| {
+            if seen.fetch_add(1, SeqCst) % 8 == 7 {
+                Act::Fail
+            } else {
+                Act::Serve
+            }
+        })
     };
     let (served, attempts) = held(acts, 300).await;
-    assert!(served >= 285, "{served} of 300 with a tenth that may be tried again: {attempts:?}");
+    assert!(
+        served >= 285,
+        "{served} of 300 with a tenth that may be tried again: {attempts:?}"
+    );
     assert!(
         attempts[0] <= 310 && attempts[1] <= 310,
         "tiers above do not try what the last one mends: {attempts:?}"
     );
 }
 
-/// A server in the middle that is lost is another matter than what is below it: the tier above tries another.
+/// A server in the middle that is lost is another matter than what is below it: the tier above
+/// tries another.
 #[tokio::test]
 async fn a_server_that_vanishes_in_the_middle_is_helped_from_above() {
     let nowhere = Arc::new(OnceLock::new());
@@ -224,7 +281,8 @@
     assert!(bad.came() > 0);
 }
 
-/// Calls that one parent makes at once share what it was lent: one more for each would be twice as many.
+/// Calls that one parent makes at once share what it was lent: one more for each would be twice as
+/// many.
 #[tokio::test]
 async fn parallel_calls_of_one_parent_share_what_is_left() {
     let nowhere = Arc::new(OnceLock::new());
@@ -239,10 +297,17 @@
     let mut terms = budget("t1", true);
     terms["attempts"] = json!(3);
     let (first, _) = proxy_over(&[fan.addr, beside.addr], Some(terms)).await;
-    assert_eq!(first.call("look").await.0, 503, "it is harmless to try again");
+    assert_eq!(
+        first.call("look").await.0,
+        503,
+        "it is harmless to try again"
+    );
     // Two were lent and one kept, which the stop from below makes useless.
     let came = end[0].came() + end[1].came();
-    assert!((4..=6).contains(&came), "{came} for four calls and two further attempts");
+    assert!(
+        (4..=6).contains(&came),
+        "{came} for four calls and two further attempts"
+    );
     assert_eq!(
         fan.came() + beside.came(),
         1,
@@ -251,20 +316,25 @@
     assert_eq!(counts(books).await["budget"]["carried"], 4);
 }
 
-/// Proxies whose servers call the next one, and the last one's the first again: one, two and five of them.
+/// Proxies whose servers call the next one, and the last one's the first again: one, two and five
+/// of them.
 #[tokio::test]
 async fn loops_end_within_one_pass() {
     for length in [1, 2, 5] {
-        let addresses: Vec<Arc<OnceLock<SocketAddr>>> = (0..length).map(|_| Arc::default()).collect();
+        let addresses: Vec<Arc<OnceLock<SocketAddr>>> =
+            (0..length).map(|_| Arc::default()).collect();
         let (mut proxies, mut servers) = (Vec::new(), Vec::new());
         for n in 0..length {
-            let server = Server::start(&addresses[(n + 1) % length], Arc::new(|_, _| Act::Call(1))).await;
-            let (proxy, admin) = proxy_over(&[server.addr], Some(budget(&format!("t{n}"), true))).await;
+            let server =
+                Server::start(&addresses[(n + 1) % length], Arc::new(|_, _| Act::Call(1))).await;
+            let (proxy, admin) =
+                proxy_over(&[server.addr], Some(budget(&format!("t{n}"), true))).await;
             addresses[n].set(proxy.addr).expect("not told yet");
             proxies.push((proxy, admin));
             servers.push(server);
         }
-        // The second one is keyed, and so may go by retries alone: nothing goes round a second time.
+        // The second one is keyed, and so may go by retries alone: nothing goes round a second
+        // time.
         for (n, class) in ["look", "keep"].into_iter().enumerate() {
             let (status, _) = proxies[0].0.call(class).await;
             assert!([502, 503].contains(&status), "{length}: {status}");
@@ -283,13 +353,22 @@
     }
 }
 
-/// A route that comes back once is no loop; a server that strips headers is found by the heap of the same.
+/// A route that comes back once is no loop; a server that strips headers is found by the heap of
+/// the same.
 #[tokio::test]
 async fn honest_re_entry_passes_and_stripped_headers_do_not_hide_a_loop() {
     let below = Arc::new(OnceLock::new());
-    let names =
-        |h: &hyper::HeaderMap| h.get("req-path").map_or(0, |p| p.to_str().unwrap_or("").split(',').count());
-    let acts: Acts = Arc::new(move |_, h| if names(h) >= 2 { Act::Serve } else { Act::Call(1) });
+    let names = |h: &hyper::HeaderMap| {
+        h.get("req-path")
+            .map_or(0, |p| p.to_str().unwrap_or("").split(',').count())
+    };
+    let acts: Acts = Arc::new(move |_, h| {
+        if names(h) >= 2 {
+            Act::Serve
+        } else {
+            Act::Call(1)
+        }
+    });
     let server = Server::start(&below, acts).await;
     let mut terms = budget("t1", true);
     terms["reentries"] = json!(1);
@@ -312,25 +391,43 @@
 }
 
 fn told(class: &str, budget: &str) -> Request<Full<bytes::Bytes>> {
-    request(class).header("req-budget", budget).body(Full::default()).expect("well formed")
+    request(class)
+        .header("req-budget", budget)
+        .body(Full::default())
+        .expect("well formed")
 }
 
-/// A budget that ends after the backend may have run: failed when its time is over, never refused, never sent again.
+/// A budget that ends after the backend may have run: failed when its time is over, never refused,
+/// never sent again.
 #[tokio::test]
 async fn a_budget_that_ends_while_it_may_run_fails_and_promises_nothing() {
     let nowhere = Arc::new(OnceLock::new());
     let slow: Acts = Arc::new(|_, _| Act::Slow(Duration::from_millis(1500)));
-    let servers = [Server::start(&nowhere, slow.clone()).await, Server::start(&nowhere, slow).await];
-    let (proxy, _) = proxy_over(&[servers[0].addr, servers[1].addr], Some(budget("t1", false))).await;
+    let servers = [
+        Server::start(&nowhere, slow.clone()).await,
+        Server::start(&nowhere, slow).await,
+    ];
+    let (proxy, _) = proxy_over(
+        &[servers[0].addr, servers[1].addr],
+        Some(budget("t1", false)),
+    )
+    .await;
     for class in ["once", "keep"] {
         let before = servers[0].came() + servers[1].came();
         let begun = Instant::now();
         let request = told(class, "t=200, a=0, w=1000, h=4, i=00000000000000aa");
         let (status, _) = proxy.caller().await.send(request).await;
         // A keyed one may be tried again by its caller, in its window; an unsafe one may not.
-        let fine: &[u16] = if class == "once" { &[502, 504] } else { &[502, 503, 504] };
+        let fine: &[u16] = if class == "once" {
+            &[502, 504]
+        } else {
+            &[502, 503, 504]
+        };
         assert!(fine.contains(&status), "{class}: {status}");
-        assert!(begun.elapsed() < Duration::from_millis(1400), "its own deadline is a minute off");
+        assert!(
+            begun.elapsed() < Duration::from_millis(1400),
+            "its own deadline is a minute off"
+        );
         assert_eq!(servers[0].came() + servers[1].came(), before + 1, "{class}");
     }
 }
@@ -359,18 +456,36 @@
         let answer = proxy.caller().await.send(told("look", text)).await.0;
         assert!([502, 503].contains(&answer), "{text:.60}: {answer}");
         assert!(server.came() - before <= 2, "{text:.60}");
-        assert_eq!(counts(admin).await["budget"]["spoilt"], n as u64, "{text:.60}");
+        assert_eq!(
+            counts(admin).await["budget"]["spoilt"],
+            n as u64,
+            "{text:.60}"
+        );
     }
     let twice = request("look").header("req-budget", "t=1, a=1, w=1, h=1, i=00000000000000aa");
     let twice = twice.header("req-budget", "t=1, a=1, w=1, h=1, i=00000000000000aa");
-    proxy.caller().await.send(twice.body(Full::default()).expect("well formed")).await;
+    proxy
+        .caller()
+        .await
+        .send(twice.body(Full::default()).expect("well formed"))
+        .await;
     assert_eq!(counts(admin).await["budget"]["spoilt"], 5);
     // From outside less is taken at its word: no further attempt.
     let before = server.came();
-    proxy.caller().await.send(told("look", "t=60000, a=0, w=1000, h=8, i=00000000000000aa")).await;
+    proxy
+        .caller()
+        .await
+        .send(told(
+            "look",
+            "t=60000, a=0, w=1000, h=8, i=00000000000000aa",
+        ))
+        .await;
     assert_eq!(server.came() - before, 1);
     let prom = ask(admin, "GET", "/metrics", "").await.1;
-    assert!(prom.contains("heathroad_budget_total{event=\"spoilt\"} 5"), "{prom}");
+    assert!(
+        prom.contains("heathroad_budget_total{event=\"spoilt\"} 5"),
+        "{prom}"
+    );
 }
 
 /// Old proxies in the chain know nothing of budgets: everything goes on as before.
@@ -379,9 +494,17 @@
     let nowhere = Arc::new(OnceLock::new());
     let end = Server::start(&nowhere, Arc::new(|_, _| Act::Serve)).await;
     let (last, books) = proxy_over(&[end.addr], Some(budget("t3", false))).await;
-    let middle = Server::start(&Arc::new(OnceLock::from(last.addr)), Arc::new(|_, _| Act::Call(1))).await;
+    let middle = Server::start(
+        &Arc::new(OnceLock::from(last.addr)),
+        Arc::new(|_, _| Act::Call(1)),
+    )
+    .await;
     let (old, _) = proxy_over(&[middle.addr], None).await;
-    let first = Server::start(&Arc::new(OnceLock::from(old.addr)), Arc::new(|_, _| Act::Call(1))).await;
+    let first = Server::start(
+        &Arc::new(OnceLock::from(old.addr)),
+        Arc::new(|_, _| Act::Call(1)),
+    )
+    .await;
     let (new, _) = proxy_over(&[first.addr], Some(budget("t1", true))).await;
     for _ in 0..5 {
         assert_eq!(new.call("look").await.0, 200);
@@ -390,7 +513,8 @@
     assert_eq!(counts(books).await["budget"]["entered"], 5);
 }
 
-/// The caller is told what was spent, and that more is of no use; who asks without a budget is told nothing.
+/// The caller is told what was spent, and that more is of no use; who asks without a budget is told
+/// nothing.
 #[tokio::test]
 async fn what_was_spent_is_told_to_who_asked_by_a_budget() {
     let nowhere = Arc::new(OnceLock::new());
@@ -400,7 +524,10 @@
     let ask = async |request: Request<Full<bytes::Bytes>>| {
         let mut sender = connect(proxy.addr).await;
         let answer = soon(sender.send_request(request)).await.expect("an answer");
-        let spent = answer.headers().get("req-spent").map(|v| v.to_str().expect("text").to_string());
+        let spent = answer
+            .headers()
+            .get("req-spent")
+            .map(|v| v.to_str().expect("text").to_string());
         answer.into_body().collect().await.expect("whole");
         spent
     };
@@ -409,21 +536,35 @@
     // The same loan again: it is spent, and that is what is told.
     let spent = ask(told("look", "t=2000, a=1, w=1000, h=4, i=00000000000000ab")).await;
     assert_eq!(spent.as_deref(), Some("a=1, stop"));
-    assert_eq!(ask(request("look").body(Full::default()).expect("well formed")).await, None);
-    assert_eq!(server.came() + other.came(), 2 + 1 + 3, "first tries and what each might have beside");
+    assert_eq!(
+        ask(request("look").body(Full::default()).expect("well formed")).await,
+        None
+    );
+    assert_eq!(
+        server.came() + other.came(),
+        2 + 1 + 3,
+        "first tries and what each might have beside"
+    );
 }
 
-/// What a tenant sends beyond its share is of low worth in the first tier, and in those below: there it makes way too.
+/// What a tenant sends beyond its share is of low worth in the first tier, and in those below:
+/// there it makes way too.
 #[tokio::test]
 async fn low_worth_goes_down_the_chain() {
     let nowhere = Arc::new(OnceLock::new());
     let worths = Arc::new(std::sync::Mutex::new(Vec::new()));
     let seen = worths.clone();
     let acts: Acts = Arc::new(move |_, h| {
-        let budget = h.get("req-budget").and_then(|b| b.to_str().ok()).unwrap_or_default().to_string();
-        seen.lock()
-            .expect("sound")
-            .extend(budget.split(", ").find_map(|m| m.strip_prefix("w=")?.parse::<u16>().ok()));
+        let budget = h
+            .get("req-budget")
+            .and_then(|b| b.to_str().ok())
+            .unwrap_or_default()
+            .to_string();
+        seen.lock().expect("sound").extend(
+            budget
+                .split(", ")
+                .find_map(|m| m.strip_prefix("w=")?.parse::<u16>().ok()),
+        );
         Act::Serve
     });
     let end = Server::start(&nowhere, acts).await;
@@ -439,9 +580,15 @@
         assert_eq!(caller.call("look").await.0, 200);
     }
     // From a tier above: what is told there holds here, and is not lowered twice.
-    caller.send(told("look", "t=2000, a=1, w=20, h=4, i=00000000000000ac")).await;
+    caller
+        .send(told("look", "t=2000, a=1, w=20, h=4, i=00000000000000ac"))
+        .await;
     let worths = worths.lock().expect("sound").clone();
-    assert_eq!((worths.first(), worths.last()), (Some(&1000), Some(&20)), "{worths:?}");
+    assert_eq!(
+        (worths.first(), worths.last()),
+        (Some(&1000), Some(&20)),
+        "{worths:?}"
+    );
     assert!(worths[2..6].contains(&50), "past its share: {worths:?}");
 }
 
@@ -467,7 +614,11 @@
 async fn budgets_and_loops_pass_between_http_and_json_rpc() {
     let end = rpc_server(None).await;
     let (_last, listener, _) = over_rpc(end.addr, budget("t2", true)).await;
-    let server = Server::start(&Arc::new(OnceLock::from(listener)), Arc::new(|_, _| Act::Rpc)).await;
+    let server = Server::start(
+        &Arc::new(OnceLock::from(listener)),
+        Arc::new(|_, _| Act::Rpc),
+    )
+    .await;
     let (first, _) = proxy_over(&[server.addr], Some(budget("t1", true))).await;
     assert_eq!(first.call("look").await.0, 200);
     assert_eq!((server.came(), end.came()), (1, 1));
@@ -475,7 +626,11 @@
     let up = Arc::new(OnceLock::new());
     let end = rpc_server(Some(up.clone())).await;
     let (_last, listener, _) = over_rpc(end.addr, budget("t2", true)).await;
-    let server = Server::start(&Arc::new(OnceLock::from(listener)), Arc::new(|_, _| Act::Rpc)).await;
+    let server = Server::start(
+        &Arc::new(OnceLock::from(listener)),
+        Arc::new(|_, _| Act::Rpc),
+    )
+    .await;
     let (first, admin) = proxy_over(&[server.addr], Some(budget("t1", true))).await;
     up.set(first.addr).expect("not told yet");
     let (status, _) = first.call("look").await;
@@ -486,22 +641,33 @@
     // What a call is told is in its members, and what comes round is told with a code of its own.
     use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
     let ask = async |path: &str, twice: &str| {
-        let mut stream = tokio::net::TcpStream::connect(listener).await.expect("it listens");
+        let mut stream = tokio::net::TcpStream::connect(listener)
+            .await
+            .expect("it listens");
         let call = format!(
             "{{\"jsonrpc\":\"2.0\",\"id\":7,\"method\":\"look\",\"req-budget\":\"t=900, a=1, w=1000, h=4, i=00000000000000ad\",\
              \"req-path\":\"{path}\"{twice}}}\n"
         );
         stream.write_all(call.as_bytes()).await.expect("open");
-        soon(BufReader::new(stream).lines().next_line()).await.expect("open").expect("an answer")
+        soon(BufReader::new(stream).lines().next_line())
+            .await
+            .expect("open")
+            .expect("an answer")
     };
     let answer = ask("t0, t2", "").await;
-    assert!(answer.contains("-32008") && answer.contains("\"id\":7"), "{answer}");
+    assert!(
+        answer.contains("-32008") && answer.contains("\"id\":7"),
+        "{answer}"
+    );
     let answer = ask("t0", ",\"req-path\":\"t2\"").await;
-    assert!(!answer.contains("-32008"), "a path that comes twice is none: {answer}");
+    assert!(
+        !answer.contains("-32008"),
+        "a path that comes twice is none: {answer}"
+    );
 }
 
-/// A caller leaves: where servers stop what their caller has left, the tier below hears of it at once and not when the work
-/// is done.
+/// A caller leaves: where servers stop what their caller has left, the tier below hears of it at
+/// once and not when the work is done.
 #[tokio::test]
 async fn a_caller_that_leaves_is_known_to_have_left_all_the_way_down() {
     for stops in [true, false] {
@@ -510,7 +676,11 @@
         let mut terms = budget("t2", false);
         terms["stops"] = json!(stops);
         let (last, admin) = proxy_over(&[end.addr], Some(terms)).await;
-        let middle = Server::start(&Arc::new(OnceLock::from(last.addr)), Arc::new(|_, _| Act::Call(1))).await;
+        let middle = Server::start(
+            &Arc::new(OnceLock::from(last.addr)),
+            Arc::new(|_, _| Act::Call(1)),
+        )
+        .await;
         let mut terms = budget("t1", true);
         terms["stops"] = json!(stops);
         let (first, _) = proxy_over(&[middle.addr], Some(terms)).await;
@@ -536,12 +706,15 @@
         })
         .await;
         assert_eq!(ended, if stops { "left" } else { "served" });
-        assert!(!stops || begun.elapsed() < Duration::from_secs(2), "well before its work was done");
+        assert!(
+            !stops || begun.elapsed() < Duration::from_secs(2),
+            "well before its work was done"
+        );
     }
 }
 
-/// A measurement and no test: attempts by tier and requests served, with budgets and without, in each outage. Run it in
-/// release with `--ignored --nocapture`.
+/// A measurement and no test: attempts by tier and requests served, with budgets and without, in
+/// each outage. Run it in release with `--ignored --nocapture`.
 #[tokio::test]
 #[ignore = "a measurement"]
 async fn what_budgets_change() {
@@ -550,9 +723,24 @@
         ("calm", Arc::new(|_, _| Act::Serve)),
         ("errs", Arc::new(|_, _| Act::Fail)),
         ("declines", Arc::new(|_, _| Act::Decline)),
-        ("1 in 8 errs", Arc::new(|n, _| if n % 8 == 7 { Act::Fail } else { Act::Serve })),
-        ("half errs", Arc::new(|n, _| if n % 2 == 1 { Act::Fail } else { Act::Serve })),
-        ("flaps", Arc::new(|n, _| if n / 50 % 2 == 0 { Act::Serve } else { Act::Fail })),
+        (
+            "1 in 8 errs",
+            Arc::new(|n, _| if n % 8 == 7 { Act::Fail } else { Act::Serve }),
+        ),
+        (
+            "half errs",
+            Arc::new(|n, _| if n % 2 == 1 { Act::Fail } else { Act::Serve }),
+        ),
+        (
+            "flaps",
+            Arc::new(|n, _| {
+                if n / 50 % 2 == 0 {
+                    Act::Serve
+                } else {
+                    Act::Fail
+                }
+            }),
+        ),
     ];
     let calm = std::iter::repeat_n(ends[0].clone(), 3);
     for (name, end) in calm.chain(ends) {
@@ -572,7 +760,11 @@
             println!(
                 "{name:12} budgets {budgets:5}  served {served:4}  attempts {attempts:?}  multiple {all:.2}  {:.1} s  CPU us a request {used:.0?} {}",
                 begun.elapsed().as_secs_f64(),
-                if budgets { chain.books(0).await.to_string() } else { String::new() },
+                if budgets {
+                    chain.books(0).await.to_string()
+                } else {
+                    String::new()
+                },
             );
             assert_eq!(chain.servers.len(), 6);
         }
--- a/crates/heathroad/tests/crossings.rs
+++ b/crates/heathroad/tests/crossings.rs
@@ -1,5 +1,6 @@
-//! Two events that cross, on loopback sockets: a caller that leaves while its request waits, answers that come too early or
-//! too late, a stop in the middle of what is being taken. `docs/design/crossings.md` has the whole table.
+//! Two events that cross, on loopback sockets: a caller that leaves while its request waits,
+//! answers that come too early or too late, a stop in the middle of what is being taken.
+//! `docs/design/crossings.md` has the whole table.
 
 mod rig;
 
@@ -27,7 +28,8 @@
     format!("{line} HTTP/1.1\r\n{owner}\r\nReq-Id: {id}\r\n{more}\r\n")
 }
 
-/// What a bare backend saw on its connections: how many came and ended, and the ids of requests, in order.
+/// What a bare backend saw on its connections: how many came and ended, and the ids of requests, in
+/// order.
 #[derive(Default, Clone)]
 struct Seen {
     came: usize,
@@ -47,8 +49,13 @@
                 let mut bytes = Vec::new();
                 while stream.read_buf(&mut bytes).await.is_ok_and(|n| n > 0) {
                     let text = String::from_utf8_lossy(&bytes).into_owned();
-                    let Some((head, _)) = text.split_once("\r\n\r\n") else { continue };
-                    let id = head.lines().find_map(|l| l.strip_prefix("req-id: ")).expect("an id");
+                    let Some((head, _)) = text.split_once("\r\n\r\n") else {
+                        continue;
+                    };
+                    let id = head
+                        .lines()
+                        .find_map(|l| l.strip_prefix("req-id: "))
+                        .expect("an id");
                     saw.send_modify(|s| s.ids.push(id.to_string()));
                     bytes.clear();
                     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbare";
@@ -67,7 +74,9 @@
 fn connections(addr: SocketAddr) -> [usize; 2] {
     let port = format!(":{:04X}", addr.port());
     let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
-    let fields = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
+    let fields = table
+        .lines()
+        .map(|line| line.split_whitespace().collect::<Vec<_>>());
     let states: Vec<String> = fields
         .filter(|f| f.get(2).is_some_and(|remote| remote.ends_with(&port)))
         .filter_map(|f| f.get(3).map(|state| state.to_string()))
@@ -82,8 +91,9 @@
     let _ = soon(caller.read_to_end(&mut Vec::new())).await;
 }
 
-/// An attempt has no connection yet when its request ends, by its caller's leaving or by its time: whatever the settings say of
-/// calling attempts off, it must not go out once the connection is there.
+/// An attempt has no connection yet when its request ends, by its caller's leaving or by its time:
+/// whatever the settings say of calling attempts off, it must not go out once the connection is
+/// there.
 async fn ends_during_a_connect(caps: Value, line: &str, leaves: bool) {
     let (listener, held) = silent().await;
     let addr = listener.local_addr().expect("bound");
@@ -100,7 +110,9 @@
         leave(caller).await;
     } else {
         let mut answer = [0; 12];
-        soon(caller.read_exact(&mut answer)).await.expect("an answer");
+        soon(caller.read_exact(&mut answer))
+            .await
+            .expect("an answer");
         assert_eq!(&answer, b"HTTP/1.1 503", "it never ran, whatever its class");
     }
     drop(held);
@@ -118,7 +130,11 @@
         }
     })
     .await;
-    assert!(!seen.borrow().ids.iter().any(|id| id == "over"), "it was sent on: {:?}", seen.borrow().ids);
+    assert!(
+        !seen.borrow().ids.iter().any(|id| id == "over"),
+        "it was sent on: {:?}",
+        seen.borrow().ids
+    );
 }
 
 #[tokio::test]
@@ -129,7 +145,12 @@
     ends_during_a_connect(caps, "POST /once", true).await;
     let caps = json!({"cancelling": false, "mayDuplicate": false, "connectTimeout": slow});
     ends_during_a_connect(caps, "GET /look", true).await;
-    ends_during_a_connect(json!({"cancelling": true, "connectTimeout": slow}), "GET /look", true).await;
+    ends_during_a_connect(
+        json!({"cancelling": true, "connectTimeout": slow}),
+        "GET /look",
+        true,
+    )
+    .await;
 }
 
 #[tokio::test]
@@ -140,22 +161,38 @@
     }
 }
 
-/// A caller leaves while its request is held for want of a backend: before its first attempt, or between two.
+/// A caller leaves while its request is held for want of a backend: before its first attempt, or
+/// between two.
 #[tokio::test]
 async fn who_leaves_while_held_is_not_sent_on() {
     for tried in [false, true] {
         let orders = Arc::new(Orders::default());
-        let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
-        let discovery = Discovery::start(if tried { vec![a.line("SERVING")] } else { vec![] }).await;
+        let (a, b) = (
+            Backend::start("a", &orders).await,
+            Backend::start("b", &orders).await,
+        );
+        let discovery = Discovery::start(if tried {
+            vec![a.line("SERVING")]
+        } else {
+            vec![]
+        })
+        .await;
         let proxy = Proxy::settled(&discovery, with_caps(json!({"cancelling": false}))).await;
         orders.give([Do::Decline(503)].into_iter().take(usize::from(tried)));
         let mut caller = TcpStream::connect(proxy.addr).await.expect("it listens");
-        caller.write_all(raw_request("POST /once", "left", "").as_bytes()).await.expect("open");
+        caller
+            .write_all(raw_request("POST /once", "left", "").as_bytes())
+            .await
+            .expect("open");
         orders.came(usize::from(tried)).await;
         leave(caller).await;
         discovery.tell(vec![b.line("SERVING")]).await;
         assert_eq!(proxy.call("once").await, (200, "b".into()));
-        assert_eq!(orders.seen.borrow().len(), 1 + usize::from(tried), "what was held was sent on");
+        assert_eq!(
+            orders.seen.borrow().len(),
+            1 + usize::from(tried),
+            "what was held was sent on"
+        );
     }
 }
 
@@ -184,11 +221,17 @@
     let call = raw_request("POST /once", "trickle", "").replace("60000", "900");
     caller.write_all(call.as_bytes()).await.expect("open");
     let mut answer = [0; 12];
-    soon(caller.read_exact(&mut answer)).await.expect("an answer");
-    assert!(answer.starts_with(b"HTTP/1.1 50") && !answer.ends_with(b"503"), "it may have run");
+    soon(caller.read_exact(&mut answer))
+        .await
+        .expect("an answer");
+    assert!(
+        answer.starts_with(b"HTTP/1.1 50") && !answer.ends_with(b"503"),
+        "it may have run"
+    );
 }
 
-/// A caller leaves, however it does, while its request is in work and more lies behind it: its attempt is called off.
+/// A caller leaves, however it does, while its request is in work and more lies behind it: its
+/// attempt is called off.
 #[tokio::test]
 async fn who_leaves_with_more_behind_a_request_is_seen_to_leave() {
     let orders = Arc::new(Orders::default());
@@ -196,7 +239,9 @@
     let discovery = Discovery::start(vec![a.line("SERVING")]).await;
     let proxy = Proxy::settled(&discovery, with_caps(json!({"mayDuplicate": false}))).await;
     let second = raw_request("GET /look", "second", "");
-    let many: String = (0..300).map(|n| raw_request("GET /look", &format!("more-{n}"), "")).collect();
+    let many: String = (0..300)
+        .map(|n| raw_request("GET /look", &format!("more-{n}"), ""))
+        .collect();
     let behind = [second.clone(), "\0junk\r\n".to_string(), many];
     let (mut left, mut seen) = (0, 0);
     for (n, behind) in behind.iter().enumerate() {
@@ -205,7 +250,11 @@
                 orders.give([Do::Hold(Arc::new(Notify::new()))]);
                 let mut caller = TcpStream::connect(proxy.addr).await.expect("it listens");
                 let first = raw_request("GET /look", &format!("first-{n}-{reset}-{later}"), "");
-                let at_once = if later { first.clone() } else { first.clone() + behind };
+                let at_once = if later {
+                    first.clone()
+                } else {
+                    first.clone() + behind
+                };
                 caller.write_all(at_once.as_bytes()).await.expect("open");
                 seen += 1;
                 orders.came(seen).await;
@@ -213,19 +262,28 @@
                     caller.write_all(behind.as_bytes()).await.expect("open");
                 }
                 if reset {
-                    SockRef::from(&caller).set_linger(Some(Duration::ZERO)).expect("a socket");
+                    SockRef::from(&caller)
+                        .set_linger(Some(Duration::ZERO))
+                        .expect("a socket");
                 }
                 drop(caller);
                 left += 1;
-                soon(orders.left.subscribe().wait_for(|n| *n == left)).await.expect("open");
+                soon(orders.left.subscribe().wait_for(|n| *n == left))
+                    .await
+                    .expect("open");
             }
         }
     }
     assert_eq!(proxy.call("look").await.0, 200);
-    assert_eq!(orders.seen.borrow().len(), seen + 1, "nothing that lay behind was sent");
+    assert_eq!(
+        orders.seen.borrow().len(),
+        seen + 1,
+        "nothing that lay behind was sent"
+    );
 }
 
-/// Requests that come one behind another are all answered, in order, also where they were read ahead.
+/// Requests that come one behind another are all answered, in order, also where they were read
+/// ahead.
 #[tokio::test]
 async fn what_lies_behind_a_request_is_served_in_its_turn() {
     let orders = Arc::new(Orders::default());
@@ -235,11 +293,16 @@
     let release = Arc::new(Notify::new());
     orders.give([Do::Hold(release.clone())]);
     let mut caller = TcpStream::connect(proxy.addr).await.expect("it listens");
-    caller.write_all(raw_request("GET /look", "p-0", "").as_bytes()).await.expect("open");
+    caller
+        .write_all(raw_request("GET /look", "p-0", "").as_bytes())
+        .await
+        .expect("open");
     orders.came(1).await;
     // More than is read ahead.
     let pad = format!("X-Pad: {}\r\n", "p".repeat(3000));
-    let rest: String = (1..100).map(|n| raw_request("GET /look", &format!("p-{n}"), &pad)).collect();
+    let rest: String = (1..100)
+        .map(|n| raw_request("GET /look", &format!("p-{n}"), &pad))
+        .collect();
     let (mut reader, mut writer) = caller.split();
     let mut answers = Vec::new();
     let write = async {
@@ -278,7 +341,11 @@
     for signal in ["-TERM", "-HUP", "-TERM"] {
         proxy.send_signal(signal).await;
     }
-    assert_eq!(proxy.call("look").await.0, 200, "new ones are taken for a while");
+    assert_eq!(
+        proxy.call("look").await.0,
+        200,
+        "new ones are taken for a while"
+    );
     release.notify_one();
     assert_eq!(held.await.expect("no panic").0, 200);
     assert_eq!(proxy.ended().await.code(), Some(0));
@@ -310,7 +377,11 @@
     async fn start() -> Registry {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (more, calls) = tokio::sync::mpsc::unbounded_channel();
-        Registry { listener, calls, more }
+        Registry {
+            listener,
+            calls,
+            more,
+        }
     }
     fn addr(&self) -> SocketAddr {
         self.listener.local_addr().expect("bound")
@@ -338,7 +409,11 @@
                 }
             }
             let head = String::from_utf8(head).expect("text");
-            let target = head.split_whitespace().nth(1).expect("a target").to_string();
+            let target = head
+                .split_whitespace()
+                .nth(1)
+                .expect("a target")
+                .to_string();
             // The test may be over.
             let _ = more.send((target, stream));
         });
@@ -358,7 +433,10 @@
 
 /// Two backends, and a proxy that follows a registry by hand and holds its first list of both.
 async fn followed(orders: &Arc<Orders>) -> (Registry, Backend, Backend, Proxy, Discovery) {
-    let (a, b) = (Backend::start("a", orders).await, Backend::start("b", orders).await);
+    let (a, b) = (
+        Backend::start("a", orders).await,
+        Backend::start("b", orders).await,
+    );
     let discovery = Discovery::start(vec![]).await;
     let mut registry = Registry::start().await;
     let mut config = discovery.config(settings());
@@ -378,8 +456,8 @@
     }
 }
 
-/// Answers a call and waits for the watch that follows, by when the proxy holds what it was told. A proxy that was late itself
-/// has given the call up by then, and asks again: it is told again.
+/// Answers a call and waits for the watch that follows, by when the proxy holds what it was told. A
+/// proxy that was late itself has given the call up by then, and asks again: it is told again.
 async fn told(registry: &mut Registry, stream: TcpStream, page: &str, then: &str) {
     registry.answer(stream, page).await;
     soon(async {
@@ -394,13 +472,17 @@
     .await;
 }
 
-/// The watch falls silent, and so do the first calls that are made beside it: news that come by the one after those count.
+/// The watch falls silent, and so do the first calls that are made beside it: news that come by the
+/// one after those count.
 #[tokio::test]
 async fn a_silent_watch_is_not_waited_for_and_its_reconnect_may_hang() {
     let orders = Arc::new(Orders::default());
     let (mut registry, a, b, proxy, _discovery) = followed(&orders).await;
     let (target, watch) = registry.call().await;
-    assert!(target.starts_with("/registry/instances?after=41&wait_ms="), "{target}");
+    assert!(
+        target.starts_with("/registry/instances?after=41&wait_ms="),
+        "{target}"
+    );
     let (one, first) = registry.call().await;
     let (two, second) = registry.call().await;
     let (three, stream) = registry.call().await;
@@ -412,8 +494,9 @@
     drop((watch, first, second));
 }
 
-/// In an outage an agent takes calls and answers none, nor those after it. What it gets at the end counts at once, and only a
-/// call that is made by then may hear of it: while nothing answers, none waits.
+/// In an outage an agent takes calls and answers none, nor those after it. What it gets at the end
+/// counts at once, and only a call that is made by then may hear of it: while nothing answers, none
+/// waits.
 #[tokio::test]
 async fn in_an_outage_no_call_waits() {
     let orders = Arc::new(Orders::default());
@@ -438,19 +521,28 @@
     let (mut registry, a, b, proxy, _discovery) = followed(&orders).await;
     let news = page(42, false, vec![a.line("DRAINING")]);
     let (_, mut watch) = registry.call().await;
-    let head =
-        format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", news.len(), &news[..news.len() / 2]);
+    let head = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
+        news.len(),
+        &news[..news.len() / 2]
+    );
     watch.write_all(head.as_bytes()).await.expect("open");
-    SockRef::from(&watch).set_linger(Some(Duration::ZERO)).expect("a socket");
+    SockRef::from(&watch)
+        .set_linger(Some(Duration::ZERO))
+        .expect("a socket");
     drop(watch);
     let (target, stream) = registry.call().await;
-    assert!(target.starts_with("/registry/instances?after=41"), "what was half heard is not held: {target}");
+    assert!(
+        target.starts_with("/registry/instances?after=41"),
+        "what was half heard is not held: {target}"
+    );
     told(&mut registry, stream, &news, "/registry/instances?after=42").await;
     only_b(&proxy).await;
     drop(b);
 }
 
-/// A registry that has begun anew has nothing newer than what is held, for a long time: it is asked for the whole list.
+/// A registry that has begun anew has nothing newer than what is held, for a long time: it is asked
+/// for the whole list.
 #[tokio::test]
 async fn a_registry_that_begins_anew_is_heard() {
     let orders = Arc::new(Orders::default());
@@ -471,15 +563,16 @@
     let (mut registry, a, b, proxy, _discovery) = followed(&orders).await;
     let odd = json!({"host": "c", "dial": "nowhere", "health": "SERVING"});
     let hosts = json!([odd, 7, {"host": a.name, "health": "DRAINING"}, {"host": "d"}]);
-    let text =
-        serde_json::to_string_pretty(&json!({"seq": 42, "whole": false, "hosts": hosts})).expect("JSON");
+    let text = serde_json::to_string_pretty(&json!({"seq": 42, "whole": false, "hosts": hosts}))
+        .expect("JSON");
     let (_, watch) = registry.call().await;
     told(&mut registry, watch, &text, "/registry/instances?after=42").await;
     only_b(&proxy).await;
     drop(b);
 }
 
-/// SIGHUP falls into an outage: the new registry says nothing at first. The old list holds until it does.
+/// SIGHUP falls into an outage: the new registry says nothing at first. The old list holds until it
+/// does.
 #[tokio::test]
 async fn a_new_configuration_in_an_outage() {
     let orders = Arc::new(Orders::default());
@@ -493,7 +586,10 @@
     assert_eq!(target, "/registry/instances");
     assert_eq!(proxy.call("look").await.0, 200);
     let (target, stream) = other.call().await;
-    assert_eq!(target, "/registry/instances", "it is asked again while the first call hangs");
+    assert_eq!(
+        target, "/registry/instances",
+        "it is asked again while the first call hangs"
+    );
     let news = page(2, true, vec![a.line("DRAINING"), b.line("SERVING")]);
     told(&mut other, stream, &news, "/registry/instances?after=2&").await;
     only_b(&proxy).await;
--- a/crates/heathroad/tests/golden_configuration.rs
+++ b/crates/heathroad/tests/golden_configuration.rs
@@ -1,4 +1,5 @@
-//! Every key of the daemon's JSON configuration file is read under its name, and a wrong type is told by the key's path.
+//! Every key of the daemon's JSON configuration file is read under its name, and a wrong type is
+//! told by the key's path.
 
 mod rig;
 
@@ -8,7 +9,10 @@
 
 /// A file with every key that the daemon reads.
 fn every_key() -> Value {
-    let routes = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/routes.example.toml");
+    let routes = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../deploy/routes.example.toml"
+    );
     let key = write_file(".key", "0123456789abcdef0123456789abcdef");
     let fleet = write_file(".toml", &format!("name = \"f\"\nkey_file = {key:?}\n"));
     json!({
@@ -50,7 +54,11 @@
     let path = write_config(&config.to_string());
     let mut command = Command::new(env!("CARGO_BIN_EXE_heathroad"));
     command.arg("check").arg(path).env_remove("RELAY_LISTEN");
-    command.env_remove("RELAY_DISCOVERY").env_remove("RELAY_ADMIN").output().expect("it runs")
+    command
+        .env_remove("RELAY_DISCOVERY")
+        .env_remove("RELAY_ADMIN")
+        .output()
+        .expect("it runs")
 }
 
 /// Pointers to every member and item of a value, the containers before their content.
@@ -62,7 +70,10 @@
     };
     match value {
         Value::Object(members) => members.iter().for_each(|(key, value)| add(key, value)),
-        Value::Array(items) => items.iter().enumerate().for_each(|(i, value)| add(&i.to_string(), value)),
+        Value::Array(items) => items
+            .iter()
+            .enumerate()
+            .for_each(|(i, value)| add(&i.to_string(), value)),
         _ => {}
     }
 }
@@ -70,15 +81,21 @@
 /// The key path that an error tells, without the texts that follow it.
 fn told_path(error: &str) -> String {
     let (_, told) = error.split_once(": config: ").unwrap_or(("", error));
-    let end =
-        [": invalid type", ": unknown variant", ": expected"].iter().filter_map(|text| told.find(text)).min();
+    let end = [": invalid type", ": unknown variant", ": expected"]
+        .iter()
+        .filter_map(|text| told.find(text))
+        .min();
     told[..end.unwrap_or(told.len())].trim_end().to_string()
 }
 
 #[test]
 fn a_file_with_every_key_is_accepted() {
     let good = check(&every_key());
-    assert!(good.status.success(), "{}", String::from_utf8_lossy(&good.stderr));
+    assert!(
+        good.status.success(),
+        "{}",
+        String::from_utf8_lossy(&good.stderr)
+    );
 }
 
 #[test]
@@ -90,7 +107,11 @@
     for pointer in all {
         let mut config = good.clone();
         let value = config.pointer_mut(&pointer).expect("it is there");
-        *value = if value.is_object() { json!(17) } else { json!({"wrong": true}) };
+        *value = if value.is_object() {
+            json!(17)
+        } else {
+            json!({"wrong": true})
+        };
         let output = check(&config);
         let told = match output.status.code() {
             Some(0) => "accepted".to_string(),
--- a/crates/heathroad/tests/golden_fleet_command.rs
+++ b/crates/heathroad/tests/golden_fleet_command.rs
@@ -1,4 +1,5 @@
-//! What `heathroad fleet` asks of a daemon, and its answers as text and as a picture, stay as they are.
+//! What `heathroad fleet` asks of a daemon, and its answers as text and as a picture, stay as they
+//! are.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -35,9 +36,30 @@
             r#"{{"life":1790000000000,"version":{version},"digest":"{digest}","versions":{versions},"from":{from},"to":{to},"torn":{torn},"first":{from},"last":{from},"acts":{acts}}}"#
         )
     };
-    let first = page("aaaaaaaaaaaaaaaa", one, 1_790_000_000_000, "1790000040000", 2, true);
-    let second = page("bbbbbbbbbbbbbbbb", two, 1_790_000_040_000, "1790000050000", 1, false);
-    let third = page("cccccccccccccccc", three, 1_790_000_050_000, "null", 1, false);
+    let first = page(
+        "aaaaaaaaaaaaaaaa",
+        one,
+        1_790_000_000_000,
+        "1790000040000",
+        2,
+        true,
+    );
+    let second = page(
+        "bbbbbbbbbbbbbbbb",
+        two,
+        1_790_000_040_000,
+        "1790000050000",
+        1,
+        false,
+    );
+    let third = page(
+        "cccccccccccccccc",
+        three,
+        1_790_000_050_000,
+        "null",
+        1,
+        false,
+    );
     let known = r#""since":1790000000000,"at":1790000090000,"clock_off_ms":-12,"clock_error_ms":3"#;
     let rest = r#""lost":{"pages":4,"acts":{},"until":1790000000000},"spells":[{"trouble":"cut_off","from":1790000010000,"to":1790000012000},{"trouble":"stalled","from":1790000020000,"to":1790000021000},{"trouble":"fenced","from":1790000080000,"to":null}],"turned_down":[{"at":1790000060000,"generation":8,"routes":"4444444444444444","why":"pool \"a<b\" & more"}]"#;
     format!(
@@ -63,11 +85,20 @@
             stream.read_exact(&mut byte).expect("a whole request");
             request.push(byte[0]);
         }
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", answer.len());
-        stream.write_all((head + &answer).as_bytes()).expect("it is read");
+        let head = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
+            answer.len()
+        );
+        stream
+            .write_all((head + &answer).as_bytes())
+            .expect("it is read");
         // The caller ends the connection.
         let _ = stream.read(&mut [0]);
-        String::from_utf8_lossy(&request).lines().next().expect("a line").to_string()
+        String::from_utf8_lossy(&request)
+            .lines()
+            .next()
+            .expect("a line")
+            .to_string()
     });
     (address, asked)
 }
@@ -76,32 +107,60 @@
 fn run(args: &[&str], answer: String) -> String {
     let (address, asked) = serve(answer);
     let mut command = Command::new(env!("CARGO_BIN_EXE_heathroad"));
-    command.arg("fleet").args(args).arg("--admin").arg(address.to_string());
+    command
+        .arg("fleet")
+        .args(args)
+        .arg("--admin")
+        .arg(address.to_string());
     let output = command.output().expect("it starts");
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let asked = asked.join().expect("it was asked");
     format!("{asked}\n{}\n", String::from_utf8_lossy(&output.stdout))
 }
 
 fn assert_golden(name: &str, actual: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name);
     let expected = std::fs::read_to_string(path).unwrap_or_default();
-    assert!(actual == expected, "{name} differs; it is now:\n{actual}<<<");
+    assert!(
+        actual == expected,
+        "{name} differs; it is now:\n{actual}<<<"
+    );
 }
 
 #[test]
 fn answers_as_text_are_as_before() {
     let mut text = run(&["members"], members());
     text += &run(&["versions"], members());
-    text += &run(&["audit", "--since", "1790000000000", "--version", "7", "--at", "1790000000001"], audit());
+    text += &run(
+        &[
+            "audit",
+            "--since",
+            "1790000000000",
+            "--version",
+            "7",
+            "--at",
+            "1790000000001",
+        ],
+        audit(),
+    );
     text += &run(&["audit", "--json"], audit());
     assert_golden("fleet_command.txt", &text);
 }
 
 #[test]
 fn the_picture_of_the_audit_is_as_before() {
-    let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-audit.svg", std::process::id()));
-    run(&["audit", "--picture", file.to_str().expect("text")], audit());
+    let file =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-audit.svg", std::process::id()));
+    run(
+        &["audit", "--picture", file.to_str().expect("text")],
+        audit(),
+    );
     let mut picture = std::fs::read_to_string(&file).expect("it was drawn");
     picture.push('\n');
     assert_golden("fleet_audit.svg", &picture);
