--- a/crates/heathroad/tests/golden_membership.rs
+++ b/crates/heathroad/tests/golden_membership.rs
@@ -35,11 +35,19 @@
     let path = write_config(&config.to_string());
     let mut command = Command::new(env!("CARGO_BIN_EXE_heathroad"));
     command.arg("check").arg(path);
-    for name in ["RELAY_CONFIG", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_ADMIN"] {
+    for name in [
+        "RELAY_CONFIG",
+        "RELAY_LISTEN",
+        "RELAY_DISCOVERY",
+        "RELAY_ADMIN",
+    ] {
         command.env_remove(name);
     }
     let output = command.output().expect("it starts");
-    (output.status.success(), String::from_utf8_lossy(&output.stderr).into_owned())
+    (
+        output.status.success(),
+        String::from_utf8_lossy(&output.stderr).into_owned(),
+    )
 }
 
 #[test]
@@ -63,15 +71,35 @@
             "unknown field `other`, expected one of `name`, `key_file`, \
           `tells_backends`, `fence_unsure_after_ms`, `period_ms`, `duties`, `duty`",
         ),
-        ("key_file = \"fleet.key\"\n".into(), KEY, "missing field `name`"),
+        (
+            "key_file = \"fleet.key\"\n".into(),
+            KEY,
+            "missing field `name`",
+        ),
         ("name = \"kano\"\n".into(), KEY, "missing field `key_file`"),
-        (SHORT.replace("kano", ""), KEY, "name: expected 1 to 16 bytes"),
-        (SHORT.replace("kano", "a name of 17 byte"), KEY, "name: expected 1 to 16 bytes"),
+        (
+            SHORT.replace("kano", ""),
+            KEY,
+            "name: expected 1 to 16 bytes",
+        ),
+        (
+            SHORT.replace("kano", "a name of 17 byte"),
+            KEY,
+            "name: expected 1 to 16 bytes",
+        ),
         (SHORT.into(), &short_key, "key: expected 16 to 1024 bytes"),
         (SHORT.into(), &long_key, "more than 1024 bytes"),
         (SHORT.replace("fleet.key", "none.key"), KEY, "key_file: "),
-        (format!("{SHORT}period_ms = 99\n"), KEY, "period_ms: 99; expected 100 to 60000"),
-        (format!("{SHORT}period_ms = 60001\n"), KEY, "period_ms: 60001; expected 100 to 60000"),
+        (
+            format!("{SHORT}period_ms = 99\n"),
+            KEY,
+            "period_ms: 99; expected 100 to 60000",
+        ),
+        (
+            format!("{SHORT}period_ms = 60001\n"),
+            KEY,
+            "period_ms: 60001; expected 100 to 60000",
+        ),
         (
             format!("{SHORT}fence_unsure_after_ms = 4999\n"),
             KEY,
@@ -88,21 +116,31 @@
 fn a_fleet_needs_its_addresses() {
     let file = fleet_file(SHORT, KEY);
     let mut without = config(&file);
-    without.as_object_mut().expect("an object").remove("peer_listen");
+    without
+        .as_object_mut()
+        .expect("an object")
+        .remove("peer_listen");
     let (good, said) = check(&without);
-    assert!(!good && said.contains("config: peer_listen: is missing"), "{said}");
+    assert!(
+        !good && said.contains("config: peer_listen: is missing"),
+        "{said}"
+    );
     let mut without = config(&file);
     without.as_object_mut().expect("an object").remove("peers");
     let (good, said) = check(&without);
-    assert!(!good && said.contains("config: peers: expected one address for each proxy"), "{said}");
+    assert!(
+        !good && said.contains("config: peers: expected one address for each proxy"),
+        "{said}"
+    );
 }
 
 /// The daemon goes on in the record of an earlier one, under the file's name, and tells all of it.
 #[tokio::test]
 async fn a_record_stored_before_is_told_and_stored_on() {
-    let golden =
-        Path::new(env!("CARGO_MANIFEST_DIR")).join("../heathroad-fleet/tests/golden/activity_record.json");
-    let before: Value = serde_json::from_slice(&std::fs::read(golden).expect("it is there")).expect("JSON");
+    let golden = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../heathroad-fleet/tests/golden/activity_record.json");
+    let before: Value =
+        serde_json::from_slice(&std::fs::read(golden).expect("it is there")).expect("JSON");
     let state = temporary("-state");
     std::fs::create_dir(&state).expect("the folder for tests takes another");
     std::fs::write(state.join("acts.json"), before.to_string()).expect("writable");
--- a/crates/heathroad/tests/golden_metrics.rs
+++ b/crates/heathroad/tests/golden_metrics.rs
@@ -1,4 +1,5 @@
-//! Golden lists of what a running daemon tells of itself: metric families with their labels, and key paths of `/counts`.
+//! Golden lists of what a running daemon tells of itself: metric families with their labels, and
+//! key paths of `/counts`.
 
 mod rig;
 
@@ -10,9 +11,12 @@
 use std::sync::Arc;
 
 /// Labels whose values come from fixed sets; of others only the names are compared.
-const FIXED_LABELS: [&str; 7] = ["after", "answer", "event", "notice", "outcome", "reason", "rule"];
+const FIXED_LABELS: [&str; 7] = [
+    "after", "answer", "event", "notice", "outcome", "reason", "rule",
+];
 
-/// Every family with its type, every sample name with its label names, every value of a fixed set, sorted.
+/// Every family with its type, every sample name with its label names, every value of a fixed set,
+/// sorted.
 fn metric_names(text: &str) -> String {
     let mut lines = BTreeSet::new();
     for line in text.lines() {
@@ -30,8 +34,14 @@
             .filter(|l| !l.is_empty())
             .map(|l| l.split_once('=').expect("a label"))
             .collect();
-        lines.insert(format!("sample {name} {:?}", labels.keys().collect::<Vec<_>>()));
-        for (label, value) in labels.iter().filter(|(label, _)| FIXED_LABELS.contains(label)) {
+        lines.insert(format!(
+            "sample {name} {:?}",
+            labels.keys().collect::<Vec<_>>()
+        ));
+        for (label, value) in labels
+            .iter()
+            .filter(|(label, _)| FIXED_LABELS.contains(label))
+        {
             lines.insert(format!("value {name} {label}={value}"));
         }
     }
@@ -42,9 +52,13 @@
     paths.insert(path.to_string());
     match value {
         Value::Object(members) => {
-            members.iter().for_each(|(key, value)| collect_paths(value, &format!("{path}.{key}"), paths));
+            members
+                .iter()
+                .for_each(|(key, value)| collect_paths(value, &format!("{path}.{key}"), paths));
         }
-        Value::Array(items) => items.iter().for_each(|item| collect_paths(item, &format!("{path}[]"), paths)),
+        Value::Array(items) => items
+            .iter()
+            .for_each(|item| collect_paths(item, &format!("{path}[]"), paths)),
         _ => {}
     }
 }
@@ -52,7 +66,11 @@
 /// Every key path of a JSON text, sorted.
 fn key_paths(text: &str) -> String {
     let mut paths = BTreeSet::new();
-    collect_paths(&serde_json::from_str(text).expect("JSON"), "counts", &mut paths);
+    collect_paths(
+        &serde_json::from_str(text).expect("JSON"),
+        "counts",
+        &mut paths,
+    );
     paths.into_iter().map(|path| path + "\n").collect()
 }
 
@@ -78,18 +96,28 @@
     discovery.settled().await;
     assert_eq!(proxy.call("look").await.0, 200);
     assert_eq!(proxy.call("unknown").await.0, 404);
-    assert_golden(&told(admin).await, include_str!("golden/metrics_one_pool.txt"));
+    assert_golden(
+        &told(admin).await,
+        include_str!("golden/metrics_one_pool.txt"),
+    );
 }
 
 #[tokio::test]
 async fn routes_and_budget_tell_the_golden_metrics_and_counts() {
     let backend = Backend::start("a", &Arc::new(Orders::default())).await;
-    let routes = format!("{}{}", pool("main", &[backend.addr]), route("all", "", "main"));
+    let routes = format!(
+        "{}{}",
+        pool("main", &[backend.addr]),
+        route("all", "", "main")
+    );
     let scene = scene(&routes, 30_000, |config| {
         config["budget"] = json!({"name": "gate", "inner": ["127.0.0.1"], "lends": true});
     })
     .await;
     assert_eq!(scene.proxy.call("look").await.0, 200);
     assert_eq!(scene.proxy.call("unknown").await.0, 404);
-    assert_golden(&told(scene.admin).await, include_str!("golden/metrics_routes_and_budget.txt"));
+    assert_golden(
+        &told(scene.admin).await,
+        include_str!("golden/metrics_routes_and_budget.txt"),
+    );
 }
--- a/crates/heathroad/tests/pauses.rs
+++ b/crates/heathroad/tests/pauses.rs
@@ -1,5 +1,6 @@
-//! The started program is held up by SIGSTOP for a moment, as a busy machine does it: what it owes its clients counts from when
-//! their bytes reached it, and not from when it got round to reading them.
+//! The started program is held up by SIGSTOP for a moment, as a busy machine does it: what it owes
+//! its clients counts from when their bytes reached it, and not from when it got round to reading
+//! them.
 
 mod rig;
 
@@ -53,7 +54,8 @@
     text.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// A backend that takes requests and never answers; tells what each said of its deadline, and when it came.
+/// A backend that takes requests and never answers; tells what each said of its deadline, and when
+/// it came.
 async fn hanging() -> (SocketAddr, Arc<watch::Sender<Vec<(Duration, Instant)>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("bound");
@@ -69,7 +71,9 @@
                     if !text.ends_with("\r\n\r\n") {
                         continue;
                     }
-                    let told = text.lines().find_map(|l| l.strip_prefix("req-deadline-ms: "));
+                    let told = text
+                        .lines()
+                        .find_map(|l| l.strip_prefix("req-deadline-ms: "));
                     let told = told.and_then(|t| t.parse().ok()).expect("a deadline");
                     saw.send_modify(|s| s.push((Duration::from_millis(told), Instant::now())));
                     bytes.clear();
@@ -81,8 +85,12 @@
 }
 
 /// The proxy before a backend that hangs, and a client whose connection is kept and known to it.
-async fn before_a_hanging_backend()
--> (Discovery, Proxy, TcpStream, Arc<watch::Sender<Vec<(Duration, Instant)>>>) {
+async fn before_a_hanging_backend() -> (
+    Discovery,
+    Proxy,
+    TcpStream,
+    Arc<watch::Sender<Vec<(Duration, Instant)>>>,
+) {
     let (addr, seen) = hanging().await;
     let discovery = Discovery::start(vec![line("a", addr, "SERVING")]).await;
     let proxy = Proxy::settled(&discovery, settings()).await;
@@ -94,8 +102,8 @@
     (discovery, proxy, client, seen)
 }
 
-/// Four requests reach a process that is held up, which reads them late; their backend hangs. Each client gets its answer before
-/// it closes.
+/// Four requests reach a process that is held up, which reads them late; their backend hangs. Each
+/// client gets its answer before it closes.
 #[tokio::test]
 async fn a_request_that_arrives_during_a_pause_is_answered_in_its_time() {
     let (_discovery, mut proxy, mut client, seen) = before_a_hanging_backend().await;
@@ -103,12 +111,18 @@
         let pause = Duration::from_millis(pause);
         stop(&mut proxy).await;
         let begun = Instant::now();
-        client.write_all(raw(&format!("{id:016x}"), DEADLINE).as_bytes()).await.expect("open");
+        client
+            .write_all(raw(&format!("{id:016x}"), DEADLINE).as_bytes())
+            .await
+            .expect("open");
         sleep_until((begun + pause).into()).await;
         resume(&mut proxy).await;
         let answer = soon(status(&mut client)).await;
         let took = begun.elapsed();
-        assert!(matches!(answer, Some(503 | 504)), "a final answer, whatever its backend does: {answer:?}");
+        assert!(
+            matches!(answer, Some(503 | 504)),
+            "a final answer, whatever its backend does: {answer:?}"
+        );
         let limit = DEADLINE + CLOSES_AFTER;
         assert!(
             took < limit,
@@ -117,7 +131,10 @@
         let (told, at) = *seen.borrow().last().expect("it was sent on");
         let left = DEADLINE.saturating_sub(at.saturating_duration_since(begun));
         let slack = Duration::from_millis(50);
-        assert!(told <= left + slack, "its backend was told {told:?}, and {left:?} were left");
+        assert!(
+            told <= left + slack,
+            "its backend was told {told:?}, and {left:?} were left"
+        );
     }
 }
 
@@ -127,7 +144,10 @@
     let (_discovery, mut proxy, mut client, _seen) = before_a_hanging_backend().await;
     for (id, from) in [380, 430, 480, 515].into_iter().enumerate() {
         let begun = Instant::now();
-        client.write_all(raw(&format!("{id:016x}"), DEADLINE).as_bytes()).await.expect("open");
+        client
+            .write_all(raw(&format!("{id:016x}"), DEADLINE).as_bytes())
+            .await
+            .expect("open");
         let pausing = async {
             sleep_until((begun + Duration::from_millis(from)).into()).await;
             stop(&mut proxy).await;
@@ -137,7 +157,10 @@
         };
         let answering = async { (soon(status(&mut client)).await, begun.elapsed()) };
         let ((), (answer, took)) = tokio::join!(pausing, answering);
-        assert!(matches!(answer, Some(503 | 504)), "a final answer, whatever its backend does: {answer:?}");
+        assert!(
+            matches!(answer, Some(503 | 504)),
+            "a final answer, whatever its backend does: {answer:?}"
+        );
         let limit = DEADLINE + CLOSES_AFTER;
         assert!(
             took < limit,
@@ -146,7 +169,8 @@
     }
 }
 
-/// During a pause a client leaves, and the connection for its request comes up: nothing is sent for somebody who left long before.
+/// During a pause a client leaves, and the connection for its request comes up: nothing is sent for
+/// somebody who left long before.
 #[tokio::test]
 async fn who_leaves_during_a_pause_is_not_sent_on_over_a_connection_that_comes_up() {
     let (listener, held) = silent().await;
@@ -156,7 +180,10 @@
     with_time["caps"]["connectTimeout"] = 20_000.0.into();
     let mut proxy = Proxy::settled(&discovery, with_time).await;
     let mut client = TcpStream::connect(proxy.addr).await.expect("it listens");
-    client.write_all(raw("00000000000000aa", LONG).as_bytes()).await.expect("open");
+    client
+        .write_all(raw("00000000000000aa", LONG).as_bytes())
+        .await
+        .expect("open");
     soon(connecting(addr)).await;
     stop(&mut proxy).await;
     drop(client);
@@ -166,24 +193,37 @@
     for _ in 0..waiting {
         drop(soon(listener.accept()).await.expect("queued"));
     }
-    let (mut backend, _) = soon(listener.accept()).await.expect("the proxy's connection comes up");
+    let (mut backend, _) = soon(listener.accept())
+        .await
+        .expect("the proxy's connection comes up");
     resume(&mut proxy).await;
     let mut bytes = Vec::new();
     // It ends its connection with nothing on it.
     let _ = soon(backend.read_to_end(&mut bytes)).await;
-    assert!(bytes.is_empty(), "it sent {:?}", String::from_utf8_lossy(&bytes));
+    assert!(
+        bytes.is_empty(),
+        "it sent {:?}",
+        String::from_utf8_lossy(&bytes)
+    );
 }
 
-/// During a pause a client leaves, and the attempt for its request fails in a way that allows another.
+/// During a pause a client leaves, and the attempt for its request fails in a way that allows
+/// another.
 #[tokio::test]
 async fn who_leaves_during_a_pause_gets_no_further_attempt() {
     let orders = Arc::new(Orders::default());
-    let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
+    let (a, b) = (
+        Backend::start("a", &orders).await,
+        Backend::start("b", &orders).await,
+    );
     let discovery = Discovery::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
     let mut proxy = Proxy::settled(&discovery, settings()).await;
     orders.give([Do::Hold(Arc::new(Notify::new()))]);
     let mut client = TcpStream::connect(proxy.addr).await.expect("it listens");
-    client.write_all(raw("00000000000000aa", LONG).as_bytes()).await.expect("open");
+    client
+        .write_all(raw("00000000000000aa", LONG).as_bytes())
+        .await
+        .expect("open");
     orders.came(1).await;
     stop(&mut proxy).await;
     drop(client);
@@ -192,14 +232,22 @@
     resume(&mut proxy).await;
     // Whoever comes behind it is served; by then the proxy has seen all that happened in the pause.
     assert_eq!(proxy.call("look").await.0, 200);
-    let ids: Vec<_> =
-        orders.seen.borrow().iter().map(|(_, head, _)| head.headers["req-id"].clone()).collect();
+    let ids: Vec<_> = orders
+        .seen
+        .borrow()
+        .iter()
+        .map(|(_, head, _)| head.headers["req-id"].clone())
+        .collect();
     let first = ids.iter().filter(|id| *id == "00000000000000aa").count();
-    assert_eq!(first, 1, "it was sent again for a client who had left: {ids:?}");
+    assert_eq!(
+        first, 1,
+        "it was sent again for a client who had left: {ids:?}"
+    );
 }
 
-/// A request waits for room under the limit. During a pause another is answered, which makes room, and then its client leaves:
-/// the answer is seen first, and the request must not be begun on what was known of its client before.
+/// A request waits for room under the limit. During a pause another is answered, which makes room,
+/// and then its client leaves: the answer is seen first, and the request must not be begun on what
+/// was known of its client before.
 #[tokio::test]
 async fn who_leaves_during_a_pause_is_not_begun_when_room_comes_free() {
     let orders = Arc::new(Orders::default());
@@ -210,7 +258,10 @@
     orders.give(releases.iter().map(|release| Do::Hold(release.clone())));
     let send = async |id: usize| {
         let mut client = TcpStream::connect(proxy.addr).await.expect("it listens");
-        client.write_all(raw(&format!("{id:016x}"), LONG).as_bytes()).await.expect("open");
+        client
+            .write_all(raw(&format!("{id:016x}"), LONG).as_bytes())
+            .await
+            .expect("open");
         client
     };
     // As many as the limit takes at its beginning, and some that wait.
@@ -222,11 +273,18 @@
     let waiting = send(0xaa).await;
     let seen = |id: usize| {
         let id = format!("{id:016x}");
-        orders.seen.borrow().iter().any(|(_, head, _)| head.headers["req-id"] == id.as_str())
+        orders
+            .seen
+            .borrow()
+            .iter()
+            .any(|(_, head, _)| head.headers["req-id"] == id.as_str())
     };
     // It has been read and waits: what comes behind it on another connection is answered.
     let mut ready = TcpStream::connect(proxy.addr).await.expect("it listens");
-    ready.write_all(b"GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n").await.expect("open");
+    ready
+        .write_all(b"GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n")
+        .await
+        .expect("open");
     assert_eq!(soon(status(&mut ready)).await, Some(200));
     assert!(!seen(0xaa), "the limit holds it");
     stop(&mut proxy).await;
--- a/crates/heathroad/tests/proxy.rs
+++ b/crates/heathroad/tests/proxy.rs
@@ -22,10 +22,19 @@
 
 async fn scene(settings: serde_json::Value) -> Scene {
     let orders = Arc::new(Orders::default());
-    let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
+    let (a, b) = (
+        Backend::start("a", &orders).await,
+        Backend::start("b", &orders).await,
+    );
     let discovery = Discovery::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
     let proxy = Proxy::settled(&discovery, settings).await;
-    Scene { orders, a, b, discovery, proxy }
+    Scene {
+        orders,
+        a,
+        b,
+        discovery,
+        proxy,
+    }
 }
 
 /// Settings with `cap` set to `value`.
@@ -39,19 +48,30 @@
 async fn a_call_is_served_and_goes_on_as_it_came() {
     let s = scene(settings()).await;
     let body = "a claim".repeat(9000);
-    let call = request("keep").body(Full::from(body.clone())).expect("well formed");
+    let call = request("keep")
+        .body(Full::from(body.clone()))
+        .expect("well formed");
     let id = call.headers()["req-id"].clone();
     let (status, answer) = s.proxy.caller().await.send(call).await;
     assert_eq!(status, 200);
     let seen = s.orders.seen.borrow();
-    let [(name, head, came)] = &seen[..] else { panic!("it runs once") };
+    let [(name, head, came)] = &seen[..] else {
+        panic!("it runs once")
+    };
     assert_eq!((answer.as_str(), came), (*name, &body.into()));
-    assert_eq!((head.method.as_str(), head.uri.to_string().as_str()), ("POST", "/keep?k=7f3a"));
+    assert_eq!(
+        (head.method.as_str(), head.uri.to_string().as_str()),
+        ("POST", "/keep?k=7f3a")
+    );
     assert_eq!(
         (&head.headers["req-id"], &head.headers["idempotency-key"]),
         (&id, &"5c0f6e1a".parse().unwrap())
     );
-    let left: u64 = head.headers["req-deadline-ms"].to_str().expect("text").parse().expect("a number");
+    let left: u64 = head.headers["req-deadline-ms"]
+        .to_str()
+        .expect("text")
+        .parse()
+        .expect("a number");
     assert!((1..60_000).contains(&left), "{left} ms are left");
 }
 
@@ -68,7 +88,13 @@
 /// An unsafe request that may have run is neither sent again nor refused; a safe one is sent again.
 #[tokio::test]
 async fn what_may_have_run_is_sent_again_only_if_that_is_safe() {
-    for order in [|| Do::Answer(500), || Do::Answer(503), || Do::Answer(429), || Do::Break, || Do::Half] {
+    for order in [
+        || Do::Answer(500),
+        || Do::Answer(503),
+        || Do::Answer(429),
+        || Do::Break,
+        || Do::Half,
+    ] {
         let s = scene(settings()).await;
         s.orders.give([order()]);
         assert_eq!(s.proxy.call("once").await.0, 502);
@@ -83,8 +109,9 @@
     }
 }
 
-/// `b` declines first, so that the next attempt must go to the other, which can't be reached; after that `b`
-/// serves. Only an ending that proves that nothing ran lets an unsafe request come that far.
+/// `b` declines first, so that the next attempt must go to the other, which can't be reached; after
+/// that `b` serves. Only an ending that proves that nothing ran lets an unsafe request come that
+/// far.
 async fn goes_round(addr: std::net::SocketAddr) {
     let orders = Arc::new(Orders::default());
     let b = Backend::start("b", &orders).await;
@@ -97,7 +124,11 @@
 
 #[tokio::test]
 async fn a_refused_connection_proves_that_nothing_ran() {
-    let addr = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound");
+    let addr = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a port")
+        .local_addr()
+        .expect("bound");
     goes_round(addr).await;
 }
 
@@ -188,8 +219,14 @@
     let held = tokio::spawn(async move { caller.call("once").await });
     s.orders.came(1).await;
     let busy = s.orders.seen.borrow()[0].0;
-    let (drains, other) = if busy == "a" { (&s.a, &s.b) } else { (&s.b, &s.a) };
-    s.discovery.tell(vec![drains.line("DRAINING"), other.line("SERVING")]).await;
+    let (drains, other) = if busy == "a" {
+        (&s.a, &s.b)
+    } else {
+        (&s.b, &s.a)
+    };
+    s.discovery
+        .tell(vec![drains.line("DRAINING"), other.line("SERVING")])
+        .await;
     for _ in 0..20 {
         assert_eq!(s.proxy.call("look").await, (200, other.name.into()));
     }
@@ -197,7 +234,9 @@
     assert_eq!(held.await.expect("no panic"), (200, busy.into()));
     // Its connection is not kept either: nothing will go over it.
     drains.all_closed().await;
-    s.discovery.tell(vec![drains.line("SERVING"), other.line("DRAINING")]).await;
+    s.discovery
+        .tell(vec![drains.line("SERVING"), other.line("DRAINING")])
+        .await;
     assert_eq!(s.proxy.call("look").await, (200, drains.name.into()));
 }
 
@@ -212,7 +251,9 @@
     let orders = Arc::new(Orders::default());
     let b = Backend::start("b", &orders).await;
     soon(connecting(addr)).await;
-    discovery.tell(vec![line("a", addr, "DRAINING"), b.line("SERVING")]).await;
+    discovery
+        .tell(vec![line("a", addr, "DRAINING"), b.line("SERVING")])
+        .await;
     let told = Instant::now();
     tokio::time::sleep(Duration::from_millis(600)).await;
     // Only now does the queue get room, and the connection comes up when the system next tries.
@@ -221,7 +262,11 @@
     }
     let (mut late, _) = soon(listener.accept()).await.expect("the proxy's");
     assert!(told.elapsed() > Duration::from_millis(500));
-    assert_eq!(soon(late.read(&mut [0; 64])).await.expect("closed"), 0, "something was sent after the grace");
+    assert_eq!(
+        soon(late.read(&mut [0; 64])).await.expect("closed"),
+        0,
+        "something was sent after the grace"
+    );
     assert_eq!(soon(call).await.expect("no panic"), (200, "b".into()));
 }
 
@@ -234,7 +279,9 @@
     s.orders.came(1).await;
     call.abort();
     // Where two attempts must not be out at once, one that is called off loses its connection.
-    soon(s.orders.left.subscribe().wait_for(|n| *n == 1)).await.expect("open");
+    soon(s.orders.left.subscribe().wait_for(|n| *n == 1))
+        .await
+        .expect("open");
     assert_eq!(s.proxy.call("look").await.0, 200);
 }
 
@@ -247,8 +294,8 @@
     s
 }
 
-/// Calls that their backends hold, as many as the limit takes: the first past it is refused. With what releases
-/// each; the last is for the refused one's, which the next call gets.
+/// Calls that their backends hold, as many as the limit takes: the first past it is refused. With
+/// what releases each; the last is for the refused one's, which the next call gets.
 async fn fill(s: &Scene, limit: &str) -> (Vec<TcpStream>, Vec<Arc<Notify>>) {
     let (mut callers, mut releases, mut refusal) = (Vec::new(), Vec::new(), Vec::new());
     while refusal.is_empty() {
@@ -263,20 +310,31 @@
             read = caller.read_buf(&mut refusal) => assert_ne!(read.expect("open"), 0),
         }
     }
-    assert!(refusal.starts_with(b"HTTP/1.1 503"), "{}", String::from_utf8_lossy(&refusal));
+    assert!(
+        refusal.starts_with(b"HTTP/1.1 503"),
+        "{}",
+        String::from_utf8_lossy(&refusal)
+    );
     (callers, releases)
 }
 
 /// Once its connection is closed the proxy knows that a caller left.
 async fn leave(mut caller: TcpStream) {
     caller.shutdown().await.expect("open");
-    soon(caller.read_to_end(&mut Vec::new())).await.expect("a close");
+    soon(caller.read_to_end(&mut Vec::new()))
+        .await
+        .expect("a close");
 }
 
-/// While all that `fill` sent runs on though nobody waits, no further call goes through; once it has ended, one does.
+/// While all that `fill` sent runs on though nobody waits, no further call goes through; once it
+/// has ended, one does.
 async fn counts_until_it_ends(s: &Scene, releases: &[Arc<Notify>]) {
     let before = s.orders.seen.borrow().len();
-    assert_eq!(s.proxy.call("look").await.0, 503, "{before} calls run still");
+    assert_eq!(
+        s.proxy.call("look").await.0,
+        503,
+        "{before} calls run still"
+    );
     assert_eq!(s.orders.seen.borrow().len(), before);
     releases.iter().for_each(|r| r.notify_one());
     soon(async { while s.proxy.call("look").await.0 != 200 {} }).await;
@@ -300,13 +358,17 @@
         // What is safe is refused when its time is up: to ask again is harmless.
         let mut answer = Vec::new();
         assert_ne!(soon(caller.read_buf(&mut answer)).await.expect("open"), 0);
-        assert!(answer.starts_with(b"HTTP/1.1 503"), "{}", String::from_utf8_lossy(&answer));
+        assert!(
+            answer.starts_with(b"HTTP/1.1 503"),
+            "{}",
+            String::from_utf8_lossy(&answer)
+        );
     }
     counts_until_it_ends(&s, &releases).await;
 }
 
-/// A tenant may have two requests in its share; `fill` has one beyond that refused. When the caller of one of the two
-/// leaves, the next is inside the share and goes through past the limit.
+/// A tenant may have two requests in its share; `fill` has one beyond that refused. When the caller
+/// of one of the two leaves, the next is inside the share and goes through past the limit.
 #[tokio::test]
 async fn a_caller_that_leaves_gives_its_share_back() {
     let mut small = with_short_hold();
@@ -325,13 +387,26 @@
     s.orders.give([Do::Hold(release.clone())]);
     let call = request("once").body(Full::default()).expect("well formed");
     let (mut parts, body) = call.into_parts();
-    parts.headers.insert("req-deadline-ms", "700".parse().expect("a value"));
+    parts
+        .headers
+        .insert("req-deadline-ms", "700".parse().expect("a value"));
     let start = Instant::now();
-    let (status, _) = s.proxy.caller().await.send(hyper::Request::from_parts(parts, body)).await;
-    assert!((500..600).contains(&status) && status != 503, "{status} promises nothing");
-    assert!(start.elapsed() >= Duration::from_millis(500), "it was given the time that it had");
-    // Nobody waits for the answer any more, but closing would spare the backend nothing. A close would have
-    // been seen by the time that so many others were served.
+    let (status, _) = s
+        .proxy
+        .caller()
+        .await
+        .send(hyper::Request::from_parts(parts, body))
+        .await;
+    assert!(
+        (500..600).contains(&status) && status != 503,
+        "{status} promises nothing"
+    );
+    assert!(
+        start.elapsed() >= Duration::from_millis(500),
+        "it was given the time that it had"
+    );
+    // Nobody waits for the answer any more, but closing would spare the backend nothing. A close
+    // would have been seen by the time that so many others were served.
     for _ in 0..20 {
         assert_eq!(s.proxy.call("look").await.0, 200);
     }
@@ -340,7 +415,11 @@
     for _ in 0..20 {
         assert_eq!(s.proxy.call("look").await.0, 200);
     }
-    assert_eq!((*s.a.open.borrow(), *s.b.open.borrow()), (s.a.total(), s.b.total()), "nothing was closed");
+    assert_eq!(
+        (*s.a.open.borrow(), *s.b.open.borrow()),
+        (s.a.total(), s.b.total()),
+        "nothing was closed"
+    );
 }
 
 #[tokio::test]
@@ -352,11 +431,21 @@
     let held = tokio::spawn(async move { busy.call("once").await });
     s.orders.came(1).await;
     s.proxy.terminate().await;
-    assert_eq!(idle.call("look").await.0, 200, "connections at rest go on being used");
+    assert_eq!(
+        idle.call("look").await.0,
+        200,
+        "connections at rest go on being used"
+    );
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(s.proxy.call("look").await.0, 200, "new ones are taken for a while");
-    soon(async { while idle.0.ready().await.is_ok() && TcpStream::connect(s.proxy.addr).await.is_ok() {} })
-        .await;
+    assert_eq!(
+        s.proxy.call("look").await.0,
+        200,
+        "new ones are taken for a while"
+    );
+    soon(async {
+        while idle.0.ready().await.is_ok() && TcpStream::connect(s.proxy.addr).await.is_ok() {}
+    })
+    .await;
     release.notify_one();
     assert_eq!(held.await.expect("no panic").0, 200);
     assert_eq!(s.proxy.ended().await.code(), Some(0));
@@ -378,14 +467,19 @@
 #[tokio::test]
 async fn a_new_configuration_moves_the_proxy_to_another_discovery() {
     let mut s = scene(settings()).await;
-    // The other discovery's version is lower than the one held: carried across, it would wait for ever.
+    // The other discovery's version is lower than the one held: carried across, it would wait for
+    // ever.
     s.discovery.tell(vec![s.a.line("SERVING")]).await;
     let other = Discovery::start(vec![s.b.line("SERVING")]).await;
     s.proxy.reload("{", "configuration kept").await;
     assert_eq!(s.proxy.call("look").await, (200, "a".into()));
-    s.proxy.reload(&other.config(settings()).to_string(), "read again").await;
+    s.proxy
+        .reload(&other.config(settings()).to_string(), "read again")
+        .await;
     other.settled().await;
-    soon(s.discovery.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
+    soon(s.discovery.open.subscribe().wait_for(|n| *n == 0))
+        .await
+        .expect("open");
     for _ in 0..20 {
         assert_eq!(s.proxy.call("look").await, (200, "b".into()));
     }
@@ -404,7 +498,11 @@
     discovery.settled().await;
     let mut crowd = Vec::new();
     for _ in 0..60 {
-        crowd.push(TcpStream::connect(proxy.addr).await.expect("the system's queue takes it"));
+        crowd.push(
+            TcpStream::connect(proxy.addr)
+                .await
+                .expect("the system's queue takes it"),
+        );
     }
     drop(crowd);
     for _ in 0..20 {
@@ -421,25 +519,45 @@
     config["limits"]["sockets"] = 64.into();
     let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
     discovery.settled().await;
-    // Some have made a call and rest, some have never said a word; there is room for 40 at the most.
+    // Some have made a call and rest, some have never said a word; there is room for 40 at the
+    // most.
     let (mut rest, mut mute) = (Vec::new(), Vec::new());
     for _ in 0..30 {
         let mut caller = proxy.caller().await;
         assert_eq!(caller.call("look").await.0, 200);
         rest.push(caller);
-        mute.push(soon(TcpStream::connect(proxy.addr)).await.expect("the system takes it"));
-        mute.push(soon(TcpStream::connect(proxy.addr)).await.expect("the system takes it"));
+        mute.push(
+            soon(TcpStream::connect(proxy.addr))
+                .await
+                .expect("the system takes it"),
+        );
+        mute.push(
+            soon(TcpStream::connect(proxy.addr))
+                .await
+                .expect("the system takes it"),
+        );
     }
     // Hundreds more that say nothing cost those who are served neither their places nor time.
     let mut usual = proxy.caller().await;
     assert_eq!(usual.call("look").await.0, 200);
     let start = Instant::now();
     for _ in 0..200 {
-        mute.push(soon(TcpStream::connect(proxy.addr)).await.expect("the system takes it"));
+        mute.push(
+            soon(TcpStream::connect(proxy.addr))
+                .await
+                .expect("the system takes it"),
+        );
     }
-    assert_eq!(usual.call("look").await.0, 200, "it was served before and keeps its place");
+    assert_eq!(
+        usual.call("look").await.0,
+        200,
+        "it was served before and keeps its place"
+    );
     assert_eq!(proxy.call("look").await.0, 200);
-    assert!(start.elapsed() < Duration::from_secs(2), "nobody waited for a time limit");
+    assert!(
+        start.elapsed() < Duration::from_secs(2),
+        "nobody waited for a time limit"
+    );
 }
 
 /// A head has 64 lines at the most; those of answers are held to that among the spoilt ones.
@@ -451,9 +569,19 @@
         for n in 0..more {
             call = call.header(format!("x-{n}"), "p");
         }
-        let call = call.body(Full::<bytes::Bytes>::default()).expect("well formed");
-        assert_eq!(call.headers().len(), more + 4, "its own four, host among them");
-        assert_eq!(s.proxy.caller().await.send(call).await.0, status, "{more} more");
+        let call = call
+            .body(Full::<bytes::Bytes>::default())
+            .expect("well formed");
+        assert_eq!(
+            call.headers().len(),
+            more + 4,
+            "its own four, host among them"
+        );
+        assert_eq!(
+            s.proxy.caller().await.send(call).await.0,
+            status,
+            "{more} more"
+        );
     }
 }
 
@@ -461,13 +589,18 @@
 async fn malformed_requests_are_turned_down_and_reach_no_backend() {
     let s = scene(settings()).await;
     let without = |class: &str, name: &str| {
-        let mut call = request(class).body(Full::<bytes::Bytes>::default()).expect("well formed");
+        let mut call = request(class)
+            .body(Full::<bytes::Bytes>::default())
+            .expect("well formed");
         call.headers_mut().remove(name).expect("it was there");
         call
     };
-    for (class, header) in
-        [("look", "req-id"), ("look", "req-owner"), ("look", "req-deadline-ms"), ("keep", "idempotency-key")]
-    {
+    for (class, header) in [
+        ("look", "req-id"),
+        ("look", "req-owner"),
+        ("look", "req-deadline-ms"),
+        ("keep", "idempotency-key"),
+    ] {
         assert_eq!(
             s.proxy.caller().await.send(without(class, header)).await.0,
             400,
@@ -491,7 +624,9 @@
     let call = request("once").body(Full::from(body)).expect("well formed");
     assert_eq!(s.proxy.caller().await.send(call).await.0, 413);
     assert_eq!(s.orders.seen.borrow().len(), 0);
-    let call = request("once").body(Full::from(vec![b'x'; 64 * 1024])).expect("well formed");
+    let call = request("once")
+        .body(Full::from(vec![b'x'; 64 * 1024]))
+        .expect("well formed");
     assert_eq!(s.proxy.caller().await.send(call).await.0, 200);
 }
 
@@ -523,11 +658,20 @@
         (format!("{limit}|{length}|{te}"), "411"),
         (format!("{limit}|{te}|{length}"), "411"),
         (format!("{limit}|{te}"), "411"),
-        (format!("{limit}|Content-Length: 4|Content-Length: 9"), "400"),
+        (
+            format!("{limit}|Content-Length: 4|Content-Length: 9"),
+            "400",
+        ),
         (format!("{limit}|Content-Length: -4"), "400"),
-        (format!("{limit}|Content-Length: 99999999999999999999"), "400"),
+        (
+            format!("{limit}|Content-Length: 99999999999999999999"),
+            "400",
+        ),
         (format!("{limit}|Content-Length: 3000000000"), "413"),
-        ("Req-Deadline-Ms: +60000|Content-Length: 0".to_string(), "400"),
+        (
+            "Req-Deadline-Ms: +60000|Content-Length: 0".to_string(),
+            "400",
+        ),
     ] {
         let text = raw_request("POST /once", "a", &more) + "0\r\n\r\n" + &hidden;
         let answer = raw(s.proxy.addr, text.as_bytes()).await;
@@ -540,7 +684,11 @@
 #[tokio::test]
 async fn callers_that_send_nothing_or_no_end_are_not_waited_for() {
     let s = scene(settings()).await;
-    let body = raw_request("POST /once", "a", "Req-Deadline-Ms: 60000|Content-Length: 300") + "half";
+    let body = raw_request(
+        "POST /once",
+        "a",
+        "Req-Deadline-Ms: 60000|Content-Length: 300",
+    ) + "half";
     let head = "GET /look HTTP/1.1\r\nHost:";
     let start = Instant::now();
     let (mute, head, body) = tokio::join!(
@@ -548,11 +696,16 @@
         raw(s.proxy.addr, head.as_bytes()),
         raw(s.proxy.addr, body.as_bytes())
     );
-    assert!(start.elapsed() < Duration::from_secs(20), "well before any other limit");
+    assert!(
+        start.elapsed() < Duration::from_secs(20),
+        "well before any other limit"
+    );
     assert_eq!((mute.as_str(), head.as_str()), ("", ""));
     assert!(body.starts_with("HTTP/1.1 408 "), "{body}");
     let endless = format!("GET /look HTTP/1.1\r\nX-Pad: {}", "p".repeat(200_000));
-    let mut stream = soon(TcpStream::connect(s.proxy.addr)).await.expect("it listens");
+    let mut stream = soon(TcpStream::connect(s.proxy.addr))
+        .await
+        .expect("it listens");
     // It is closed while this is written.
     let _ = stream.write_all(endless.as_bytes()).await;
     let _ = soon(stream.read_to_end(&mut Vec::new())).await;
@@ -565,9 +718,14 @@
     let release = Arc::new(Notify::new());
     s.orders.give([Do::Hold(release.clone())]);
     let call = || {
-        let call = request("look").header("x-try", "1").body(Full::default()).expect("well formed");
+        let call = request("look")
+            .header("x-try", "1")
+            .body(Full::default())
+            .expect("well formed");
         let (mut parts, body) = call.into_parts();
-        parts.headers.insert("req-id", "5d468814b7549764".parse().expect("a value"));
+        parts
+            .headers
+            .insert("req-id", "5d468814b7549764".parse().expect("a value"));
         hyper::Request::from_parts(parts, body)
     };
     let (mut one, mut two) = (s.proxy.caller().await, s.proxy.caller().await);
@@ -576,8 +734,16 @@
     assert_eq!(two.send(call()).await.0, 409);
     release.notify_one();
     assert_eq!(first.await.expect("no panic").0, 200);
-    assert_eq!(s.orders.seen.borrow().len(), 1, "the second touched nothing");
-    assert_eq!(two.send(call()).await.0, 200, "once it is closed the id is free");
+    assert_eq!(
+        s.orders.seen.borrow().len(),
+        1,
+        "the second touched nothing"
+    );
+    assert_eq!(
+        two.send(call()).await.0,
+        200,
+        "once it is closed the id is free"
+    );
 }
 
 /// Another backend would turn it down as well, and it is not this one's fault.
@@ -607,12 +773,21 @@
     tokio::time::sleep(Duration::from_millis(400)).await;
     release.notify_one();
     let answers = answers.await.expect("no panic");
-    let statuses: Vec<_> = answers.split("HTTP/1.1 ").skip(1).map(|a| &a[..3]).collect();
+    let statuses: Vec<_> = answers
+        .split("HTTP/1.1 ")
+        .skip(1)
+        .map(|a| &a[..3])
+        .collect();
     assert_eq!(statuses, ["200", "504"]);
-    assert_eq!(s.orders.seen.borrow().len(), 1, "its time was up before its turn");
+    assert_eq!(
+        s.orders.seen.borrow().len(),
+        1,
+        "its time was up before its turn"
+    );
 }
 
-/// Bodies held in all are bounded by the memory that the configuration tells; what is past that is refused.
+/// Bodies held in all are bounded by the memory that the configuration tells; what is past that is
+/// refused.
 #[tokio::test]
 async fn bodies_do_not_outgrow_the_memory() {
     let orders = Arc::new(Orders::default());
@@ -622,11 +797,18 @@
     config["limits"]["memory_mb"] = 8.into();
     let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
     discovery.settled().await;
-    // A quarter of it holds 32 such bodies. None of these ends; the first to pass the limit is told at once.
+    // A quarter of it holds 32 such bodies. None of these ends; the first to pass the limit is told
+    // at once.
     let mut parts = Vec::new();
     for n in 0..40 {
-        let text = raw_request("POST /once", &n.to_string(), "Req-Deadline-Ms: 60000|Content-Length: 65536");
-        let mut stream = soon(TcpStream::connect(proxy.addr)).await.expect("it listens");
+        let text = raw_request(
+            "POST /once",
+            &n.to_string(),
+            "Req-Deadline-Ms: 60000|Content-Length: 65536",
+        );
+        let mut stream = soon(TcpStream::connect(proxy.addr))
+            .await
+            .expect("it listens");
         stream.write_all(text.as_bytes()).await.expect("taken");
         stream.write_all(&vec![b'x'; 65_535]).await.expect("taken");
         parts.push(stream);
@@ -634,7 +816,9 @@
     let mut refused = 0;
     for mut stream in parts {
         let mut answer = [0; 12];
-        soon(stream.read_exact(&mut answer)).await.expect("an answer");
+        soon(stream.read_exact(&mut answer))
+            .await
+            .expect("an answer");
         refused += usize::from(&answer == b"HTTP/1.1 503");
     }
     assert!((1..=8).contains(&refused), "{refused} were refused");
@@ -657,7 +841,10 @@
     let spoilt = [
         head("", "goes on to the end"),
         head("Content-Length: 4\r\nContent-Length: 4\r\n", "good"),
-        head("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", "4\r\ngood\r\n0\r\n\r\n"),
+        head(
+            "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
+            "4\r\ngood\r\n0\r\n\r\n",
+        ),
         head("Content-Length: 3000000000\r\n", "it keeps coming"),
         head("Content-Length: 65537\r\n", "it keeps coming"),
         // Shorter than it says, and longer: what was left out lies behind it.
@@ -665,7 +852,10 @@
         head("Content-Length: 2\r\n", "good"),
         head("Transfer-Encoding: chunked\r\n", "4\r\ngood\r\nzz\r\n"),
         head(&"X-Pad: pppppppppppppppppppppppp\r\n".repeat(3000), ""),
-        head(&("X-Pad: p\r\n".repeat(64) + "Content-Length: 4\r\n"), "good"),
+        head(
+            &("X-Pad: p\r\n".repeat(64) + "Content-Length: 4\r\n"),
+            "good",
+        ),
         "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood".to_string(),
         "noise".to_string() + "\r\n\r\n",
     ];
@@ -675,18 +865,36 @@
         scripted_scene(move |n| Some([answers.get(n)?.clone(), Vec::new()])).await;
     for n in 0..count {
         let start = Instant::now();
-        assert_eq!(proxy.call("once").await.0, 502, "spoilt answer {n} is neither served nor refused");
-        assert!(start.elapsed() < Duration::from_secs(4), "nothing is awaited on it");
-        soon(backend.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
+        assert_eq!(
+            proxy.call("once").await.0,
+            502,
+            "spoilt answer {n} is neither served nor refused"
+        );
+        assert!(
+            start.elapsed() < Duration::from_secs(4),
+            "nothing is awaited on it"
+        );
+        soon(backend.open.subscribe().wait_for(|n| *n == 0))
+            .await
+            .expect("open");
     }
     assert_eq!(proxy.call("once").await, (200, "good".into()));
-    assert_eq!(backend.requests.load(SeqCst), count + 1, "none was sent again");
+    assert_eq!(
+        backend.requests.load(SeqCst),
+        count + 1,
+        "none was sent again"
+    );
 }
 
 /// What comes behind a good answer is not the next request's, be it there already or late.
 #[tokio::test]
 async fn what_comes_behind_an_answer_never_answers_the_next_request() {
-    let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let answer = |body: &str| {
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
+    };
     let hints = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
     let bytes = move |n: usize| {
         let one = answer(&format!("answer {n}"));
@@ -704,7 +912,9 @@
         assert_eq!(caller.call("once").await, (200, format!("answer {n}")));
         if n % 4 != 3 {
             // Such a connection is of no further use, once more came than belonged to the answer.
-            soon(backend.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
+            soon(backend.open.subscribe().wait_for(|n| *n == 0))
+                .await
+                .expect("open");
         }
     }
     assert_eq!(backend.requests.load(SeqCst), 24);
@@ -713,17 +923,28 @@
 #[tokio::test]
 async fn connections_belong_to_the_process_and_not_to_its_address() {
     let orders = Arc::new(Orders::default());
-    let (a, other) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
+    let (a, other) = (
+        Backend::start("a", &orders).await,
+        Backend::start("b", &orders).await,
+    );
     let discovery = Discovery::start(vec![line("old", a.addr, "SERVING")]).await;
     let proxy = Proxy::settled(&discovery, settings()).await;
     assert_eq!(proxy.call("once").await.0, 200);
-    // A new one at the address of one that has gone: it knows nothing of the connections of the other.
-    discovery.tell(vec![line("new", a.addr, "SERVING"), line("old", a.addr, "DRAINING")]).await;
+    // A new one at the address of one that has gone: it knows nothing of the connections of the
+    // other.
+    discovery
+        .tell(vec![
+            line("new", a.addr, "SERVING"),
+            line("old", a.addr, "DRAINING"),
+        ])
+        .await;
     a.all_closed().await;
     assert_eq!(proxy.call("once").await.0, 200);
     assert_eq!((a.total(), *a.open.borrow()), (2, 1));
     // And the old one's going takes nothing from it.
-    discovery.tell(vec![line("new", a.addr, "SERVING"), other.line("DRAINING")]).await;
+    discovery
+        .tell(vec![line("new", a.addr, "SERVING"), other.line("DRAINING")])
+        .await;
     assert_eq!(proxy.call("once").await.0, 200);
     assert_eq!((a.total(), *a.open.borrow()), (2, 1));
 }
@@ -735,10 +956,16 @@
     let odd = serde_json::json!({"host": 5});
     let discovery = Discovery::start(vec![odd.clone()]).await;
     let proxy = Proxy::settled(&discovery, settings()).await;
-    let ready =
-        || hyper::Request::get("/health/ready").header("host", "p").body(Full::default()).expect("good");
+    let ready = || {
+        hyper::Request::get("/health/ready")
+            .header("host", "p")
+            .body(Full::default())
+            .expect("good")
+    };
     assert_eq!(proxy.caller().await.send(ready()).await.0, 503);
-    discovery.tell(vec![odd, a.line("SERVING"), serde_json::json!("?")]).await;
+    discovery
+        .tell(vec![odd, a.line("SERVING"), serde_json::json!("?")])
+        .await;
     assert_eq!(proxy.caller().await.send(ready()).await.0, 200);
     assert_eq!(proxy.call("look").await, (200, "a".into()));
 }
@@ -765,7 +992,10 @@
             .output()
             .expect("it starts");
         let log = String::from_utf8(program.stderr).expect("text");
-        assert!(!program.status.success() && log.lines().count() == 1, "{log}");
+        assert!(
+            !program.status.success() && log.lines().count() == 1,
+            "{log}"
+        );
         assert!(log.contains(says), "{log}");
     }
 }
--- a/crates/heathroad/tests/rig/chain.rs
+++ b/crates/heathroad/tests/rig/chain.rs
@@ -1,5 +1,5 @@
-//! Tiers of proxies with servers between them: a server makes its calls through the next proxy and copies the headers of
-//! budgets as they are, down and up.
+//! Tiers of proxies with servers between them: a server makes its calls through the next proxy and
+//! copies the headers of budgets as they are, down and up.
 
 use super::*;
 use hyper::HeaderMap;
@@ -78,7 +78,9 @@
         Act::Fail => status(500),
         Act::Decline => {
             let mut reply = status(503);
-            reply.headers_mut().insert("srv-declined", "1".parse().expect("a value"));
+            reply
+                .headers_mut()
+                .insert("srv-declined", "1".parse().expect("a value"));
             reply
         }
         Act::Slow(time) => {
@@ -87,17 +89,34 @@
         }
         Act::Vanish => return Err(io::Error::other("told to")),
         Act::Rpc => {
-            let text = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default();
+            let text = |name: &str| {
+                head.headers
+                    .get(name)
+                    .and_then(|v| v.to_str().ok())
+                    .unwrap_or_default()
+            };
             let call = json!({"jsonrpc": "2.0", "id": 1, "method": "look", "params": {},
                 "req-budget": text("req-budget"), "req-path": text("req-path")});
-            let Some(below) = below else { return Ok(status(500)) };
+            let Some(below) = below else {
+                return Ok(status(500));
+            };
             let mut stream = TcpStream::connect(below).await?;
             stream.write_all(format!("{call}\n").as_bytes()).await?;
-            let answer = BufReader::new(stream).lines().next_line().await?.unwrap_or_default();
+            let answer = BufReader::new(stream)
+                .lines()
+                .next_line()
+                .await?
+                .unwrap_or_default();
             let answer: Value = serde_json::from_str(&answer).map_err(io::Error::other)?;
-            let mut reply = status(if answer.get("result").is_some() { 200 } else { 500 });
+            let mut reply = status(if answer.get("result").is_some() {
+                200
+            } else {
+                500
+            });
             if let Some(spent) = answer["req-spent"].as_str() {
-                reply.headers_mut().insert("req-spent", spent.parse().map_err(io::Error::other)?);
+                reply
+                    .headers_mut()
+                    .insert("req-spent", spent.parse().map_err(io::Error::other)?);
             }
             reply
         }
@@ -128,7 +147,12 @@
 
 fn head_path(headers: &HeaderMap) -> String {
     // Calls below are of the class that the caller's key header or its absence tells.
-    if headers.contains_key("idempotency-key") { "/keep?k=7f3a" } else { "/look?k=7f3a" }.to_string()
+    if headers.contains_key("idempotency-key") {
+        "/keep?k=7f3a"
+    } else {
+        "/look?k=7f3a"
+    }
+    .to_string()
 }
 
 async fn call(
@@ -152,18 +176,29 @@
             request = request.header(name, value);
         }
     }
-    let time = headers.get("req-deadline-ms").cloned().expect("proxies tell it");
+    let time = headers
+        .get("req-deadline-ms")
+        .cloned()
+        .expect("proxies tell it");
     let mut request = request.body(Full::<Bytes>::default()).expect("well formed");
     request.headers_mut().insert("req-deadline-ms", time);
-    let Some(below) = below else { return (status(500), None) };
-    let Ok(stream) = TcpStream::connect(below).await else { return (status(500), None) };
+    let Some(below) = below else {
+        return (status(500), None);
+    };
+    let Ok(stream) = TcpStream::connect(below).await else {
+        return (status(500), None);
+    };
     let Ok((mut sender, connection)) = handshake(TokioIo::new(stream)).await else {
         return (status(500), None);
     };
     tokio::spawn(connection);
     match sender.send_request(request).await {
         Ok(answer) => {
-            let spent = answer.headers().get("req-spent").cloned().filter(|_| copies);
+            let spent = answer
+                .headers()
+                .get("req-spent")
+                .cloned()
+                .filter(|_| copies);
             (status(answer.status().as_u16()), spent)
         }
         Err(_) => (status(500), None),
@@ -183,7 +218,11 @@
 /// A proxy over some servers, with its part of budgets, and its admin address.
 pub async fn proxy_over(servers: &[SocketAddr], budget: Option<Value>) -> (Proxy, SocketAddr) {
     let names = ["a", "b", "c", "d"];
-    let hosts = servers.iter().zip(names).map(|(at, name)| line(name, *at, "SERVING")).collect();
+    let hosts = servers
+        .iter()
+        .zip(names)
+        .map(|(at, name)| line(name, *at, "SERVING"))
+        .collect();
     let discovery = Discovery::start(hosts).await;
     let mut config = discovery.config(quick());
     config["admin"] = "127.0.0.1:0".into();
@@ -199,10 +238,14 @@
 pub async fn attempts(admin: SocketAddr) -> u64 {
     let counts = counts(admin).await;
     let by = counts["attempts"].as_object().expect("by outcome");
-    by.iter().filter(|(how, _)| *how != "unsent").filter_map(|(_, n)| n.as_u64()).sum()
+    by.iter()
+        .filter(|(how, _)| *how != "unsent")
+        .filter_map(|(_, n)| n.as_u64())
+        .sum()
 }
 
-/// A server of JSON-RPC in lines, which answers with what it was told, or first calls below over HTTP with that.
+/// A server of JSON-RPC in lines, which answers with what it was told, or first calls below over
+/// HTTP with that.
 pub async fn rpc_server(below: Option<Arc<OnceLock<SocketAddr>>>) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("bound");
@@ -223,7 +266,11 @@
                     if let Some(below) = &below {
                         let mut headers = HeaderMap::new();
                         for name in ["req-budget", "req-path"] {
-                            let value = asked[name].as_str().expect("it is told").parse().expect("plain");
+                            let value = asked[name]
+                                .as_str()
+                                .expect("it is told")
+                                .parse()
+                                .expect("plain");
                             headers.insert(name, value);
                         }
                         headers.insert("req-deadline-ms", "5000".parse().expect("plain"));
@@ -237,7 +284,11 @@
                             answer["req-spent"] = spent.to_str().expect("text").into();
                         }
                     }
-                    if writer.write_all(format!("{answer}\n").as_bytes()).await.is_err() {
+                    if writer
+                        .write_all(format!("{answer}\n").as_bytes())
+                        .await
+                        .is_err()
+                    {
                         return;
                     }
                 }
--- a/crates/heathroad/tests/rig/help_forms.rs
+++ b/crates/heathroad/tests/rig/help_forms.rs
@@ -1,8 +1,10 @@
-//! The forms in a program's help texts: commands, arguments, options and defaults, without what explains them.
+//! The forms in a program's help texts: commands, arguments, options and defaults, without what
+//! explains them.
 
 use std::process::Command;
 
-/// The usage line, the options and the names of subcommands in a help text, without what explains them.
+/// The usage line, the options and the names of subcommands in a help text, without what explains
+/// them.
 fn forms(help: &str) -> (String, Vec<String>) {
     let (mut out, mut commands, mut section) = (String::new(), Vec::new(), "");
     for line in help.lines() {
@@ -14,7 +16,9 @@
         match section {
             _ if line.starts_with("Usage:") => out += &format!("{line}\n"),
             "Commands:" if indent == 2 => commands.extend(form.split(' ').next().map(String::from)),
-            "Options:" | "Arguments:" if (2..=6).contains(&indent) && form.starts_with(['-', '<', '[']) => {
+            "Options:" | "Arguments:"
+                if (2..=6).contains(&indent) && form.starts_with(['-', '<', '[']) =>
+            {
                 let form = form.split("  ").next().unwrap_or(form);
                 let default = line.find("[default:").map_or("", |at| &line[at..]);
                 out += format!("    {form} {default}").trim_end();
@@ -27,7 +31,8 @@
     (out, commands)
 }
 
-/// The forms of a program and all its subcommands. The program's own name, which is no part of the form, is left out.
+/// The forms of a program and all its subcommands. The program's own name, which is no part of the
+/// form, is left out.
 pub fn collect(program: &str, name: &str) -> String {
     let mut out = String::new();
     collect_from(program, name, &mut Vec::new(), &mut out);
@@ -35,9 +40,15 @@
 }
 
 fn collect_from(program: &str, name: &str, path: &mut Vec<String>, out: &mut String) {
-    let help = Command::new(program).args(&*path).arg("-h").output().expect("the program starts");
+    let help = Command::new(program)
+        .args(&*path)
+        .arg("-h")
+        .output()
+        .expect("the program starts");
     assert!(help.status.success(), "{path:?} -h");
-    let help = String::from_utf8(help.stdout).expect("text").replace(name, "PROGRAM");
+    let help = String::from_utf8(help.stdout)
+        .expect("text")
+        .replace(name, "PROGRAM");
     let (forms, commands) = forms(&help);
     *out += &forms;
     for command in commands {
--- a/crates/heathroad/tests/rig/mod.rs
+++ b/crates/heathroad/tests/rig/mod.rs
@@ -1,5 +1,6 @@
-//! The started program between callers, backends and discovery on loopback sockets. Nothing here decides or
-//! models anything: a backend does what a test tells it to, and tests wait for what they see.
+//! The started program between callers, backends and discovery on loopback sockets. Nothing here
+//! decides or models anything: a backend does what a test tells it to, and tests wait for what they
+//! see.
 #![allow(dead_code, reason = "each test file uses its part of it")]
 
 pub mod chain;
@@ -67,10 +68,16 @@
     }
     /// Waits until so many requests have come.
     pub async fn came(&self, n: usize) {
-        soon(self.seen.subscribe().wait_for(|s| s.len() >= n)).await.expect("open");
+        soon(self.seen.subscribe().wait_for(|s| s.len() >= n))
+            .await
+            .expect("open");
     }
     pub fn by(&self, name: &str) -> usize {
-        self.seen.borrow().iter().filter(|(n, ..)| *n == name).count()
+        self.seen
+            .borrow()
+            .iter()
+            .filter(|(n, ..)| *n == name)
+            .count()
     }
 }
 
@@ -94,7 +101,11 @@
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let first = !std::mem::replace(&mut self.0, true);
-        Poll::Ready(Some(if first { Ok(Frame::data("half".into())) } else { Err(io::Error::other("cut")) }))
+        Poll::Ready(Some(if first {
+            Ok(Frame::data("half".into()))
+        } else {
+            Err(io::Error::other("cut"))
+        }))
     }
 }
 
@@ -126,11 +137,13 @@
                 let (stream, _) = listener.accept().await.expect("a connection");
                 count.fetch_add(1, SeqCst);
                 alive.send_modify(|n| *n += 1);
-                let (orders, alive, mut closing) = (orders.clone(), alive.clone(), closing.subscribe());
+                let (orders, alive, mut closing) =
+                    (orders.clone(), alive.clone(), closing.subscribe());
                 let mut severed = severing.subscribe();
                 tokio::spawn(async move {
                     let service = service_fn(|request| answer(name, &orders, request));
-                    let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+                    let connection =
+                        http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                     let mut connection = pin!(connection);
                     let ended = tokio::select! {
                         _ = connection.as_mut() => true,
@@ -146,7 +159,14 @@
                 });
             }
         });
-        Backend { name, addr, connections, close, sever, open }
+        Backend {
+            name,
+            addr,
+            connections,
+            close,
+            sever,
+            open,
+        }
     }
 
     /// How many connections it has ever had.
@@ -167,7 +187,9 @@
     }
 
     pub async fn all_closed(&self) {
-        soon(self.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
+        soon(self.open.subscribe().wait_for(|n| *n == 0))
+            .await
+            .expect("open");
     }
 
     pub fn line(&self, health: &str) -> Value {
@@ -175,12 +197,18 @@
     }
 }
 
-/// A backend that answers with bytes as they are: for the n-th request, counted over all its connections, those
-/// that `bytes` gives for it, the second part after a moment. It closes nothing, and serves where nothing is given.
-pub async fn scripted(bytes: impl Fn(usize) -> Option<[Vec<u8>; 2]> + Send + Sync + 'static) -> Scripted {
+/// A backend that answers with bytes as they are: for the n-th request, counted over all its
+/// connections, those that `bytes` gives for it, the second part after a moment. It closes nothing,
+/// and serves where nothing is given.
+pub async fn scripted(
+    bytes: impl Fn(usize) -> Option<[Vec<u8>; 2]> + Send + Sync + 'static,
+) -> Scripted {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("bound");
-    let (count, open) = (Arc::new(AtomicUsize::new(0)), Arc::new(watch::Sender::new(0)));
+    let (count, open) = (
+        Arc::new(AtomicUsize::new(0)),
+        Arc::new(watch::Sender::new(0)),
+    );
     let (requests, alive, bytes) = (count.clone(), open.clone(), Arc::new(bytes));
     tokio::spawn(async move {
         loop {
@@ -193,8 +221,12 @@
                     // Requests of these tests have no body.
                     if seen.ends_with(b"\r\n\r\n") {
                         seen.clear();
-                        let plain =
-                            || [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood".to_vec(), Vec::new()];
+                        let plain = || {
+                            [
+                                b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood".to_vec(),
+                                Vec::new(),
+                            ]
+                        };
                         let [one, two] = bytes(count.fetch_add(1, SeqCst)).unwrap_or_else(plain);
                         let _ = stream.write_all(&one).await;
                         if !two.is_empty() {
@@ -207,7 +239,11 @@
             });
         }
     });
-    Scripted { addr, requests, open }
+    Scripted {
+        addr,
+        requests,
+        open,
+    }
 }
 
 pub struct Scripted {
@@ -224,10 +260,19 @@
 
 type Reply = Response<BoxBody<Bytes, io::Error>>;
 
-async fn answer(name: &'static str, orders: &Orders, request: Request<Incoming>) -> io::Result<Reply> {
+async fn answer(
+    name: &'static str,
+    orders: &Orders,
+    request: Request<Incoming>,
+) -> io::Result<Reply> {
     let (head, body) = request.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let order = orders.next.lock().expect("sound").pop_front().unwrap_or(Do::Serve);
+    let order = orders
+        .next
+        .lock()
+        .expect("sound")
+        .pop_front()
+        .unwrap_or(Do::Serve);
     orders.seen.send_modify(|s| s.push((name, head, body)));
     let text = |text: &'static str| Full::new(Bytes::from(text)).map_err(|e| match e {}).boxed();
     let mut reply = Response::new(text(name));
@@ -236,7 +281,9 @@
         Do::Answer(status) => *reply.status_mut() = StatusCode::from_u16(status).expect("a status"),
         Do::Decline(status) => {
             *reply.status_mut() = StatusCode::from_u16(status).expect("a status");
-            reply.headers_mut().insert("srv-declined", "1".parse().expect("a value"));
+            reply
+                .headers_mut()
+                .insert("srv-declined", "1".parse().expect("a value"));
         }
         Do::Break => return Err(io::Error::other("told to")),
         Do::Half => reply = Response::new(Broken(false).boxed()),
@@ -284,7 +331,9 @@
                         let after = after.and_then(|q| q.split('&').next()?.parse::<u64>().ok());
                         if let Some(after) = after {
                             holds.send_replace(after);
-                            list.wait_for(|(seq, _)| *seq > after).await.map_err(io::Error::other)?;
+                            list.wait_for(|(seq, _)| *seq > after)
+                                .await
+                                .map_err(io::Error::other)?;
                         }
                         let (seq, hosts) = list.borrow().clone();
                         let text = json!({"seq": seq, "whole": true, "hosts": hosts}).to_string();
@@ -301,7 +350,13 @@
                 });
             }
         });
-        Discovery { addr, list, held, open, out }
+        Discovery {
+            addr,
+            list,
+            held,
+            open,
+            out,
+        }
     }
 
     /// From now on connections end without an answer, or no more.
@@ -319,12 +374,15 @@
     /// Waits until the proxy holds the present list.
     pub async fn settled(&self) {
         let now = self.list.borrow().0;
-        soon(self.held.subscribe().wait_for(|held| *held >= now)).await.expect("open");
+        soon(self.held.subscribe().wait_for(|held| *held >= now))
+            .await
+            .expect("open");
     }
 
     /// Changes the list and waits until the proxy holds it.
     pub async fn tell(&self, hosts: Vec<Value>) {
-        self.list.send_modify(|(seq, list)| (*seq, *list) = (*seq + 1, hosts));
+        self.list
+            .send_modify(|(seq, list)| (*seq, *list) = (*seq + 1, hosts));
         self.settled().await;
     }
 }
@@ -362,7 +420,10 @@
         .args(["-c", command, env!("CARGO_BIN_EXE_heathroad")])
         .env_remove("RELAY_LISTEN")
         // As in service: at the start the variable names the address too.
-        .env("RELAY_DISCOVERY", config["discovery"].as_str().expect("text"))
+        .env(
+            "RELAY_DISCOVERY",
+            config["discovery"].as_str().expect("text"),
+        )
         .env("RELAY_CONFIG", &path)
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -376,7 +437,11 @@
 /// A path of its own in the folder for tests.
 pub fn temporary(ending: &str) -> std::path::PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
-    let name = format!("{}-{}{ending}", std::process::id(), NEXT.fetch_add(1, SeqCst));
+    let name = format!(
+        "{}-{}{ending}",
+        std::process::id(),
+        NEXT.fetch_add(1, SeqCst)
+    );
     std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
 
@@ -394,8 +459,13 @@
 
 /// Asks an admin address.
 pub async fn ask(admin: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
-    let request = Request::builder().method(method).uri(path).header("host", "admin");
-    let request = request.body(Full::from(body.to_string())).expect("well formed");
+    let request = Request::builder()
+        .method(method)
+        .uri(path)
+        .header("host", "admin");
+    let request = request
+        .body(Full::from(body.to_string()))
+        .expect("well formed");
     Caller(connect(admin).await).send(request).await
 }
 
@@ -416,7 +486,13 @@
         let (mut child, mut log, path) = spawn(config, command);
         let out = BufReader::new(child.stdout.take().expect("piped"));
         let addr = said_address(&mut log, "listening on ").await;
-        Proxy { addr, config: path, child, out, log }
+        Proxy {
+            addr,
+            config: path,
+            child,
+            out,
+            log,
+        }
     }
 
     /// Starts the program with an admin address, which is told too.
@@ -429,11 +505,25 @@
     /// The same, once its log has said something on the way.
     pub async fn start_and_hear(config: &Value, says: &str) -> (Self, SocketAddr) {
         let (mut child, mut log, path) = spawn(config, "exec \"$0\"");
-        while !soon(log.next_line()).await.expect("readable").expect("it goes on").contains(says) {}
+        while !soon(log.next_line())
+            .await
+            .expect("readable")
+            .expect("it goes on")
+            .contains(says)
+        {}
         let out = BufReader::new(child.stdout.take().expect("piped"));
         let addr = said_address(&mut log, "listening on ").await;
         let admin = said_address(&mut log, "admin on ").await;
-        (Proxy { addr, config: path, child, out, log }, admin)
+        (
+            Proxy {
+                addr,
+                config: path,
+                child,
+                out,
+                log,
+            },
+            admin,
+        )
     }
 
     /// Kills it outright and waits until it is gone.
@@ -441,8 +531,12 @@
         soon(self.child.kill()).await.expect("it ran");
     }
 
-    /// Starts the program with listeners of these names, whose addresses are told, and an admin address.
-    pub async fn start_with_listeners(config: &Value, names: &[&str]) -> (Self, Vec<SocketAddr>, SocketAddr) {
+    /// Starts the program with listeners of these names, whose addresses are told, and an admin
+    /// address.
+    pub async fn start_with_listeners(
+        config: &Value,
+        names: &[&str],
+    ) -> (Self, Vec<SocketAddr>, SocketAddr) {
         let (mut child, mut log, path) = spawn(config, "exec \"$0\"");
         let mut listeners = Vec::new();
         for name in names {
@@ -451,7 +545,17 @@
         let out = BufReader::new(child.stdout.take().expect("piped"));
         let addr = said_address(&mut log, "listening on ").await;
         let admin = said_address(&mut log, "admin on ").await;
-        (Proxy { addr, config: path, child, out, log }, listeners, admin)
+        (
+            Proxy {
+                addr,
+                config: path,
+                child,
+                out,
+                log,
+            },
+            listeners,
+            admin,
+        )
     }
 
     /// The address that the log tells next behind these words.
@@ -464,24 +568,46 @@
         let id = self.child.id().expect("it runs");
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("it runs");
         // Behind the name, which may hold anything: user and system time in ticks of 10 ms.
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-        let ticks: u64 = [11, 12].iter().filter_map(|i| fields.get(*i)?.parse::<u64>().ok()).sum();
+        let fields: Vec<&str> = stat
+            .rsplit(')')
+            .next()
+            .unwrap_or_default()
+            .split_whitespace()
+            .collect();
+        let ticks: u64 = [11, 12]
+            .iter()
+            .filter_map(|i| fields.get(*i)?.parse::<u64>().ok())
+            .sum();
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).expect("it runs");
-        let peak =
-            status.lines().find_map(|l| l.strip_prefix("VmHWM:")?.trim().strip_suffix(" kB")?.parse().ok());
+        let peak = status.lines().find_map(|l| {
+            l.strip_prefix("VmHWM:")?
+                .trim()
+                .strip_suffix(" kB")?
+                .parse()
+                .ok()
+        });
         (ticks * 10_000, peak.unwrap_or(0))
     }
 
-    /// What the system says of the process: `S` where it sleeps, `R` where it runs, `T` where it is stopped.
+    /// What the system says of the process: `S` where it sleeps, `R` where it runs, `T` where it is
+    /// stopped.
     pub fn run_state(&self) -> char {
         let id = self.child.id().expect("it runs");
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("it runs");
-        stat.rsplit(')').next().and_then(|rest| rest.trim().chars().next()).expect("a state")
+        stat.rsplit(')')
+            .next()
+            .and_then(|rest| rest.trim().chars().next())
+            .expect("a state")
     }
 
     /// Waits until the log has a line that says so.
     pub async fn says(&mut self, what: &str) {
-        while !soon(self.log.next_line()).await.expect("readable").expect("it goes on").contains(what) {}
+        while !soon(self.log.next_line())
+            .await
+            .expect("readable")
+            .expect("it goes on")
+            .contains(what)
+        {}
     }
 
     /// The proxy, once it holds discovery's list.
@@ -501,7 +627,12 @@
     /// Sends a signal and waits until the program's log says so.
     async fn signal(&mut self, signal: &str, says: &str) {
         self.send_signal(signal).await;
-        while !soon(self.log.next_line()).await.expect("readable").expect("it goes on").contains(says) {}
+        while !soon(self.log.next_line())
+            .await
+            .expect("readable")
+            .expect("it goes on")
+            .contains(says)
+        {}
     }
 
     /// Sends SIGTERM and waits until the program has taken notice.
@@ -509,7 +640,8 @@
         self.signal("-TERM", "stopping").await;
     }
 
-    /// Replaces the configuration, sends SIGHUP, and waits until the log has a line that says what came of it.
+    /// Replaces the configuration, sends SIGHUP, and waits until the log has a line that says what
+    /// came of it.
     pub async fn reload(&mut self, config: &str, says: &str) {
         std::fs::write(&self.config, config).expect("the folder for tests takes a file");
         self.signal("-HUP", says).await;
@@ -522,7 +654,9 @@
     /// The last line that the ended program wrote to standard output.
     pub async fn last_words(&mut self) -> String {
         let mut text = String::new();
-        soon(self.out.read_to_string(&mut text)).await.expect("text");
+        soon(self.out.read_to_string(&mut text))
+            .await
+            .expect("text");
         text.lines().last().unwrap_or_default().to_string()
     }
 
@@ -539,7 +673,10 @@
 /// The address that a line of the program's log tells.
 async fn said_address(log: &mut Log, says: &str) -> SocketAddr {
     loop {
-        let line = soon(log.next_line()).await.expect("readable").expect("it goes on");
+        let line = soon(log.next_line())
+            .await
+            .expect("readable")
+            .expect("it goes on");
         if let Some((_, addr)) = line.split_once(says) {
             return addr.parse().expect("an address");
         }
@@ -548,7 +685,9 @@
 
 pub async fn connect(addr: SocketAddr) -> SendRequest<Full<Bytes>> {
     let stream = soon(TcpStream::connect(addr)).await.expect("it listens");
-    let (sender, connection) = handshake(TokioIo::new(stream)).await.expect("nothing is sent yet");
+    let (sender, connection) = handshake(TokioIo::new(stream))
+        .await
+        .expect("nothing is sent yet");
     tokio::spawn(connection);
     sender
 }
@@ -563,7 +702,11 @@
         .header("req-id", format!("{:016x}", NEXT.fetch_add(1, SeqCst)))
         .header("req-owner", "acme")
         .header("req-deadline-ms", "60000");
-    if class == "keep" { request.header("idempotency-key", "5c0f6e1a") } else { request }
+    if class == "keep" {
+        request.header("idempotency-key", "5c0f6e1a")
+    } else {
+        request
+    }
 }
 
 pub struct Caller(pub SendRequest<Full<Bytes>>);
@@ -573,19 +716,26 @@
         soon(self.0.ready()).await.expect("open");
         let answer = soon(self.0.send_request(request)).await.expect("an answer");
         let status = answer.status().as_u16();
-        let body = soon(answer.into_body().collect()).await.expect("a whole one").to_bytes();
+        let body = soon(answer.into_body().collect())
+            .await
+            .expect("a whole one")
+            .to_bytes();
         (status, String::from_utf8(body.to_vec()).expect("text"))
     }
 
     pub async fn call(&mut self, class: &str) -> (u16, String) {
-        self.send(request(class).body(Full::default()).expect("well formed")).await
+        self.send(request(class).body(Full::default()).expect("well formed"))
+            .await
     }
 }
 
-/// A listener whose queue is full: connects to it neither succeed nor fail. The streams hold the queue.
+/// A listener whose queue is full: connects to it neither succeed nor fail. The streams hold the
+/// queue.
 pub async fn silent() -> (TcpListener, Vec<TcpStream>) {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-    socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
+    socket
+        .bind("127.0.0.1:0".parse().expect("an address"))
+        .expect("a port");
     let listener = socket.listen(1).expect("it listens");
     let addr = listener.local_addr().expect("bound");
     let mut held = Vec::new();
@@ -602,9 +752,14 @@
     let port = format!(":{:04X}", addr.port());
     let waits = |line: &str| {
         let fields: Vec<&str> = line.split_whitespace().collect();
-        fields.get(2).is_some_and(|remote| remote.ends_with(&port)) && fields.get(3) == Some(&SYN_SENT)
+        fields.get(2).is_some_and(|remote| remote.ends_with(&port))
+            && fields.get(3) == Some(&SYN_SENT)
     };
-    while !std::fs::read_to_string("/proc/net/tcp").expect("a table").lines().any(waits) {
+    while !std::fs::read_to_string("/proc/net/tcp")
+        .expect("a table")
+        .lines()
+        .any(waits)
+    {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/crates/heathroad/tests/rig/rpc.rs
+++ b/crates/heathroad/tests/rig/rpc.rs
@@ -1,4 +1,5 @@
-//! Stand-in nodes that speak JSON-RPC, a text a line, and HTTP for who speaks that; and raw callers.
+//! Stand-in nodes that speak JSON-RPC, a text a line, and HTTP for who speaks that; and raw
+//! callers.
 
 use super::soon;
 use serde_json::Value;
@@ -59,14 +60,21 @@
         self.next.lock().expect("sound").extend(acts);
     }
     pub async fn came(&self, n: usize) {
-        soon(self.seen.subscribe().wait_for(|s| s.len() >= n)).await.expect("open");
+        soon(self.seen.subscribe().wait_for(|s| s.len() >= n))
+            .await
+            .expect("open");
     }
     pub fn connections(&self) -> usize {
         self.connections.load(SeqCst)
     }
     /// The texts that came of calls whose parameters name this.
     pub fn of(&self, what: &str) -> Vec<Seen> {
-        self.seen.borrow().iter().filter(|s| s.text.contains(what)).cloned().collect()
+        self.seen
+            .borrow()
+            .iter()
+            .filter(|s| s.text.contains(what))
+            .cloned()
+            .collect()
     }
 }
 
@@ -100,7 +108,12 @@
                 });
             }
         });
-        Node { name, addr, sever, shut }
+        Node {
+            name,
+            addr,
+            sever,
+            shut,
+        }
     }
 
     /// Resets all its connections.
@@ -116,7 +129,9 @@
 
 async fn reset(writer: &tokio::sync::Mutex<OwnedWriteHalf>) {
     let writer = writer.lock().await;
-    socket2::SockRef::from(writer.as_ref()).set_linger(Some(Duration::ZERO)).expect("a socket");
+    socket2::SockRef::from(writer.as_ref())
+        .set_linger(Some(Duration::ZERO))
+        .expect("a socket");
 }
 
 async fn serve(
@@ -137,19 +152,52 @@
         let Ok(Some(text)) = line else { return };
         if text.starts_with("GET ") || text.starts_with("POST ") {
             // Its head; bodies of these tests are empty.
-            while !soon(lines.next_line()).await.expect("readable").unwrap_or_default().is_empty() {}
-            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{name}", name.len());
-            writer.lock().await.write_all(answer.as_bytes()).await.expect("open");
+            while !soon(lines.next_line())
+                .await
+                .expect("readable")
+                .unwrap_or_default()
+                .is_empty()
+            {}
+            let answer = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{name}",
+                name.len()
+            );
+            writer
+                .lock()
+                .await
+                .write_all(answer.as_bytes())
+                .await
+                .expect("open");
             continue;
         }
-        let victim = script.victim.lock().expect("sound").is_some_and(|v| text.contains(v));
-        let next = || script.next.lock().expect("sound").pop_front().unwrap_or(Act::Serve);
+        let victim = script
+            .victim
+            .lock()
+            .expect("sound")
+            .is_some_and(|v| text.contains(v));
+        let next = || {
+            script
+                .next
+                .lock()
+                .expect("sound")
+                .pop_front()
+                .unwrap_or(Act::Serve)
+        };
         let act = if victim { Act::Cut(3) } else { next() };
-        script.seen.send_modify(|s| s.push(Seen { node: name, connection, text: text.clone() }));
+        script.seen.send_modify(|s| {
+            s.push(Seen {
+                node: name,
+                connection,
+                text: text.clone(),
+            })
+        });
         // The proxy writes it last, as a number.
-        let id = text.rsplit_once(",\"id\":").map(|(_, id)| id.trim_end_matches('}').to_string());
+        let id = text
+            .rsplit_once(",\"id\":")
+            .map(|(_, id)| id.trim_end_matches('}').to_string());
         let id = id.filter(|id| id.bytes().all(|b| b.is_ascii_digit()));
-        let answer = move |id: &str| format!("{{\"jsonrpc\":\"2.0\",\"result\":\"{name}\",\"id\":{id}}}\n");
+        let answer =
+            move |id: &str| format!("{{\"jsonrpc\":\"2.0\",\"result\":\"{name}\",\"id\":{id}}}\n");
         let Some(id) = id else { continue };
         let (writer, tell) = (writer.clone(), tell.clone());
         tokio::spawn(async move {
@@ -183,8 +231,14 @@
 
 impl Raw {
     pub async fn to(addr: SocketAddr) -> Raw {
-        let (reader, writer) = soon(TcpStream::connect(addr)).await.expect("it listens").into_split();
-        Raw { reader: BufReader::new(reader), writer }
+        let (reader, writer) = soon(TcpStream::connect(addr))
+            .await
+            .expect("it listens")
+            .into_split();
+        Raw {
+            reader: BufReader::new(reader),
+            writer,
+        }
     }
 
     pub async fn write(&mut self, bytes: &[u8]) {
@@ -232,8 +286,14 @@
     /// Leaves at once, with a reset.
     pub fn leave(self) {
         // Whole again, so that no orderly end goes before the reset.
-        let stream = self.reader.into_inner().reunite(self.writer).expect("its own halves");
-        socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a socket");
+        let stream = self
+            .reader
+            .into_inner()
+            .reunite(self.writer)
+            .expect("its own halves");
+        socket2::SockRef::from(&stream)
+            .set_linger(Some(Duration::ZERO))
+            .expect("a socket");
     }
 
     /// What comes until the end.
@@ -246,7 +306,9 @@
 
 /// A call of a method, with what tells it apart in its parameters.
 pub fn call(method: &str, what: &str, id: &str) -> String {
-    format!(r#"{{"jsonrpc":"2.0","method":"{method}","params":{{"claim":{{"id":"{what}"}}}},"id":{id}}}"#)
+    format!(
+        r#"{{"jsonrpc":"2.0","method":"{method}","params":{{"claim":{{"id":"{what}"}}}},"id":{id}}}"#
+    )
 }
 
 /// The code of an answer's error; 0 of a result.
--- a/crates/heathroad/tests/rig/scene.rs
+++ b/crates/heathroad/tests/rig/scene.rs
@@ -9,13 +9,18 @@
 pub fn pool(name: &str, backends: &[SocketAddr]) -> String {
     let list: Vec<String> = backends.iter().map(|a| format!("\"{a}\"")).collect();
     let class = |name: &str, effect: &str| {
-        format!("[[pool.class]]\nname = \"{name}\"\n{effect}\naim_ms = 20000\ndeadline_ms = 60000\n")
+        format!(
+            "[[pool.class]]\nname = \"{name}\"\n{effect}\naim_ms = 20000\ndeadline_ms = 60000\n"
+        )
     };
     format!(
         "[[pool]]\nname = \"{name}\"\nbackends = [{}]\n{}{}{}",
         list.join(", "),
         class("look", "effect = \"safe\""),
-        class("keep", "effect = \"keyed\"\ngroup = \"all\"\nwindow_ms = 60000"),
+        class(
+            "keep",
+            "effect = \"keyed\"\ngroup = \"all\"\nwindow_ms = 60000"
+        ),
         class("once", "effect = \"unsafe\""),
     )
 }
@@ -53,7 +58,13 @@
     config["probation_ms"] = probation_ms.into();
     change(&mut config);
     let (proxy, admin) = Proxy::start_with_admin(&config).await;
-    let scene = Scene { proxy, admin, config, file, _discovery: discovery };
+    let scene = Scene {
+        proxy,
+        admin,
+        config,
+        file,
+        _discovery: discovery,
+    };
     soon(async {
         while scene.ask("GET", "/config/status", "").await.0 != 200 || !scene.ready().await {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -66,9 +77,15 @@
 impl Scene {
     pub async fn ready(&self) -> bool {
         let mut sender = connect(self.proxy.addr).await;
-        let request =
-            Request::get("/health/ready").header("host", "p").body(Full::default()).expect("well formed");
-        soon(sender.send_request(request)).await.expect("an answer").status() == 200
+        let request = Request::get("/health/ready")
+            .header("host", "p")
+            .body(Full::default())
+            .expect("well formed");
+        soon(sender.send_request(request))
+            .await
+            .expect("an answer")
+            .status()
+            == 200
     }
 
     pub async fn ask(&self, method: &str, path: &str, body: &str) -> (u16, String) {
@@ -109,11 +126,15 @@
 
 pub async fn two_backends() -> (Arc<Orders>, Backend, Backend) {
     let orders = Arc::new(Orders::default());
-    let (a, b) = (Backend::start("a", &orders).await, Backend::start("b", &orders).await);
+    let (a, b) = (
+        Backend::start("a", &orders).await,
+        Backend::start("b", &orders).await,
+    );
     (orders, a, b)
 }
 
-/// Callers that ask, one call after another, until they are told to end. Half of them look, half act once.
+/// Callers that ask, one call after another, until they are told to end. Half of them look, half
+/// act once.
 pub struct Load {
     stop: Arc<AtomicBool>,
     served: Arc<AtomicUsize>,
@@ -122,9 +143,14 @@
 
 impl Load {
     pub async fn start(proxy: &Proxy, callers: usize) -> Load {
-        let mut load = Load { stop: Arc::default(), served: Arc::default(), callers: Vec::new() };
+        let mut load = Load {
+            stop: Arc::default(),
+            served: Arc::default(),
+            callers: Vec::new(),
+        };
         for n in 0..callers {
-            let (mut caller, stop, served) = (proxy.caller().await, load.stop.clone(), load.served.clone());
+            let (mut caller, stop, served) =
+                (proxy.caller().await, load.stop.clone(), load.served.clone());
             load.callers.push(tokio::spawn(async move {
                 while !stop.load(SeqCst) {
                     let (status, _) = caller.call(if n % 2 == 0 { "look" } else { "once" }).await;
@@ -145,7 +171,9 @@
     pub async fn end(self) -> usize {
         self.stop.store(true, SeqCst);
         for caller in self.callers {
-            soon(caller).await.expect("every call was served or refused");
+            soon(caller)
+                .await
+                .expect("every call was served or refused");
         }
         self.served.load(SeqCst)
     }
--- a/crates/heathroad/tests/unit/backend.rs
+++ b/crates/heathroad/tests/unit/backend.rs
@@ -15,8 +15,17 @@
     let dial = listener.local_addr().expect("bound");
     let (connect, idle) = (Duration::from_secs(20), Duration::from_secs(60));
     let (connections, may_duplicate) = (1, true);
-    let limits = Limits { connections, connect, idle, drain_grace: connect, may_duplicate };
-    let pool = Rc::new(Pool { draining_most: 1, ..Pool::new(limits) });
+    let limits = Limits {
+        connections,
+        connect,
+        idle,
+        drain_grace: connect,
+        may_duplicate,
+    };
+    let pool = Rc::new(Pool {
+        draining_most: 1,
+        ..Pool::new(limits)
+    });
     let tasks = LocalSet::new();
     tasks
         .run_until(async {
@@ -24,7 +33,15 @@
             let id = HeaderValue::from_static("1");
             let uri = Uri::from_static("/look");
             let (method, body) = (Method::GET, Bytes::new());
-            let call = Call::Http(http::Call { method, uri, host: None, id, key: None, version: None, body });
+            let call = Call::Http(http::Call {
+                method,
+                uri,
+                host: None,
+                id,
+                key: None,
+                version: None,
+                body,
+            });
             let (line, not_past) = (Rc::<Line>::default(), Instant::now() + connect);
             let (call, target) = (Rc::new(call), target.clone());
             let target = target.clone();
@@ -45,10 +62,16 @@
             assert_ne!(backend.read(&mut [0; 1024]).await.expect("open"), 0);
             line.withdraw();
             assert_eq!(reported.await, Ok(Outcome::Cancelled));
-            let link = pool.connect(dial).await.expect("the overtaken one gives way");
+            let link = pool
+                .connect(dial)
+                .await
+                .expect("the overtaken one gives way");
             assert_eq!(ended.await, Ok(Outcome::Cancelled));
             pool.keep(&target, link);
-            assert!(pool.connect(dial).await.is_ok(), "the one at rest gives way");
+            assert!(
+                pool.connect(dial).await.is_ok(),
+                "the one at rest gives way"
+            );
         })
         .await;
 }
--- a/crates/heathroad/tests/unit/counts.rs
+++ b/crates/heathroad/tests/unit/counts.rs
@@ -4,7 +4,8 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// A measurement and no test: what a request's counting takes. Run it in release with `--ignored --nocapture`.
+/// A measurement and no test: what a request's counting takes. Run it in release with `--ignored
+/// --nocapture`.
 #[test]
 #[ignore = "a measurement"]
 fn what_counting_costs() {
@@ -13,12 +14,23 @@
     let counts = Counts::new(
         &Rc::new(Meter::new()),
         "",
-        &Site { classes: name(4), tenants: name(5), ..Site::default() },
+        &Site {
+            classes: name(4),
+            tenants: name(5),
+            ..Site::default()
+        },
     );
     let begun = Instant::now();
     for i in 0..REQUESTS {
         counts.ended(black_box(Outcome::Ok), None);
-        counts.answered(black_box((i % 4) as u16), black_box((i % 5) as u16), Final::Served);
+        counts.answered(
+            black_box((i % 4) as u16),
+            black_box((i % 5) as u16),
+            Final::Served,
+        );
     }
-    println!("{:.1} ns a request", begun.elapsed().as_nanos() as f64 / f64::from(REQUESTS));
+    println!(
+        "{:.1} ns a request",
+        begun.elapsed().as_nanos() as f64 / f64::from(REQUESTS)
+    );
 }
--- a/crates/heathroad/tests/unit/duty_configuration.rs
+++ b/crates/heathroad/tests/unit/duty_configuration.rs
@@ -1,4 +1,5 @@
-//! The keys of `[duties]` and `[[duty]]` in the fleet's file: all are read, and an unknown one is refused with the list of them.
+//! The keys of `[duties]` and `[[duty]]` in the fleet's file: all are read, and an unknown one is
+//! refused with the list of them.
 
 use super::*;
 
@@ -44,11 +45,20 @@
 #[test]
 fn all_keys_are_read() {
     let File { duties, duty } = toml::from_str(ALL_KEYS).expect("it is understood");
-    let settings = check(Some(duties), duty, 6).expect("it is good").expect("there are duties");
+    let settings = check(Some(duties), duty, 6)
+        .expect("it is good")
+        .expect("there are duties");
     let electorate = Electorate::new(2, vec![3, 4, 5], vec![0, 1, 2], 6).expect("good voters");
-    assert_eq!((settings.electorate, settings.terms), (electorate, Terms { lease: 2500 }));
+    assert_eq!(
+        (settings.electorate, settings.terms),
+        (electorate, Terms { lease: 2500 })
+    );
     let work = |duty: &Duty| match &duty.kind {
-        Kind::Call(Call { address, path, every }) => format!("{} call {address}{path} {every:?}", duty.name),
+        Kind::Call(Call {
+            address,
+            path,
+            every,
+        }) => format!("{} call {address}{path} {every:?}", duty.name),
         Kind::Collect { every } => format!("{} collect {every:?}", duty.name),
     };
     assert_eq!(
@@ -77,5 +87,8 @@
         let refused = toml::from_str::<File>(&text).err().expect("it is refused");
         actual += &format!("{}\n", refused.message());
     }
-    assert!(GOLDEN == actual, "differs from the golden file; the actual text is:\n{actual}");
+    assert!(
+        GOLDEN == actual,
+        "differs from the golden file; the actual text is:\n{actual}"
+    );
 }
--- a/crates/heathroad/tests/unit/duty_store.rs
+++ b/crates/heathroad/tests/unit/duty_store.rs
@@ -10,13 +10,20 @@
 
 fn golden(key: &str) -> &'static str {
     let of = |line: &'static str| line.split_once(": ").filter(|(name, _)| *name == key);
-    GOLDEN.lines().find_map(of).unwrap_or_else(|| panic!("{key} is not in the golden file")).1
+    GOLDEN
+        .lines()
+        .find_map(of)
+        .unwrap_or_else(|| panic!("{key} is not in the golden file"))
+        .1
 }
 
-/// A voter that has heard of a generation and granted nothing. One that has granted a duty can't be kept: a key of the map is no
-/// text, and JSON has no other.
+/// A voter that has heard of a generation and granted nothing. One that has granted a duty can't be
+/// kept: a key of the map is no text, and JSON has no other.
 fn memory() -> Memory {
-    Memory { generation: 3, ..Memory::default() }
+    Memory {
+        generation: 3,
+        ..Memory::default()
+    }
 }
 
 /// An empty folder of this test's own.
@@ -41,10 +48,16 @@
     drop(database);
     let store = Store::open(&folder).expect("it opens");
     assert_eq!(store.memory(), Ok(memory()));
-    let bytes = store.collected().expect("it is read").expect("there is one");
+    let bytes = store
+        .collected()
+        .expect("it is read")
+        .expect("there is one");
     let collected: Collected = serde_json::from_slice(&bytes).expect("it is understood");
     let kept = collected.get(3).expect("of member 3");
-    assert_eq!((kept.by, kept.at, kept.off, kept.error), (1, 1_790_000_000_000, -12, 3));
+    assert_eq!(
+        (kept.by, kept.at, kept.off, kept.error),
+        (1, 1_790_000_000_000, -12, 3)
+    );
     assert_eq!(kept.told.pages.len(), 2);
     std::fs::remove_dir_all(&folder).expect("it goes");
 }
@@ -55,8 +68,12 @@
     let store = Store::open(&folder).expect("it opens");
     store.keep(&memory()).expect("it is kept");
     let collection = Collection::new(Some(golden("collected").as_bytes()));
-    store.collect(&collection.text(Digest::default()).expect("it is not empty")).expect("it is kept");
-    let read = |key| String::from_utf8(store.read(key).expect("read").expect("there is one")).expect("text");
+    store
+        .collect(&collection.text(Digest::default()).expect("it is not empty"))
+        .expect("it is kept");
+    let read = |key| {
+        String::from_utf8(store.read(key).expect("read").expect("there is one")).expect("text")
+    };
     let actual = format!(
         "file: duties.redb\ntable: {}\nmemory: {}\ncollected: {}\n",
         redb::TableHandle::name(&TABLE),
@@ -64,6 +81,9 @@
         read("collected")
     );
     assert!(folder.join(golden("file")).is_file());
-    assert!(GOLDEN == actual, "differs from the golden file; the actual text is:\n{actual}");
+    assert!(
+        GOLDEN == actual,
+        "differs from the golden file; the actual text is:\n{actual}"
+    );
     std::fs::remove_dir_all(&folder).expect("it goes");
 }
--- a/crates/heathroad/tests/unit/engine.rs
+++ b/crates/heathroad/tests/unit/engine.rs
@@ -18,20 +18,42 @@
 fn host(name: &str, health: Health) -> Host {
     let dial = Some("127.0.0.1:9".parse().expect("an address"));
     let (host, site) = (name.to_string(), "a".to_string());
-    Host { host, dial, site, class: String::new(), block: 0, health, share: 1.0, born_ms: 0.0 }
+    Host {
+        host,
+        dial,
+        site,
+        class: String::new(),
+        block: 0,
+        health,
+        share: 1.0,
+        born_ms: 0.0,
+    }
 }
 
 #[tokio::test]
 async fn backends_that_are_gone_are_forgotten() {
     let limit = Duration::from_secs(1);
     let (connections, may_duplicate) = (4, true);
-    let limits = Limits { connections, connect: limit, idle: limit, drain_grace: limit, may_duplicate };
+    let limits = Limits {
+        connections,
+        connect: limit,
+        idle: limit,
+        drain_grace: limit,
+        may_duplicate,
+    };
     let (watching, _) = watch::channel(false);
     let tasks = LocalSet::new();
     tasks
         .run_until(async {
             let counts = Counts::new(&Rc::new(crate::counts::Meter::new()), "", &facts().site);
-            let engine = Engine::new(facts(), 1, Rc::new(Pool::new(limits)), counts, None, watching);
+            let engine = Engine::new(
+                facts(),
+                1,
+                Rc::new(Pool::new(limits)),
+                counts,
+                None,
+                watching,
+            );
             let engine = engine.expect("good settings");
             for n in 0..100 {
                 let (old, new) = (format!("s-{n}"), format!("s-{}", n + 1));
@@ -56,14 +78,22 @@
                 body: Bytes::new(),
             };
             let now = Instant::now();
-            let attempted = Attempted { place: Place::default(), begun: now, ended: Some(Outcome::Ok) };
+            let attempted = Attempted {
+                place: Place::default(),
+                begun: now,
+                ended: Some(Outcome::Ok),
+            };
             let open = Open {
                 call: Rc::new(Call::Http(call)),
                 class: 0,
                 life: Life::Over,
                 expires: now,
                 client: None,
-                attempts: vec![Tried { backend: id, attempted, out: None }],
+                attempts: vec![Tried {
+                    backend: id,
+                    attempted,
+                    out: None,
+                }],
                 last: None,
                 budget: None,
                 acts: None,
@@ -89,16 +119,36 @@
 
 /// An engine with one backend, and a listener that its attempts go to.
 async fn before_a_backend() -> (Rc<Engine>, tokio::net::TcpListener) {
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a port");
     let limit = Duration::from_secs(20);
-    let limits =
-        Limits { connections: 4, connect: limit, idle: limit, drain_grace: limit, may_duplicate: true };
+    let limits = Limits {
+        connections: 4,
+        connect: limit,
+        idle: limit,
+        drain_grace: limit,
+        may_duplicate: true,
+    };
     let (watching, _) = watch::channel(false);
     let counts = Counts::new(&Rc::new(crate::counts::Meter::new()), "", &facts().site);
-    let engine = Engine::new(facts(), 1, Rc::new(Pool::new(limits)), counts, None, watching);
+    let engine = Engine::new(
+        facts(),
+        1,
+        Rc::new(Pool::new(limits)),
+        counts,
+        None,
+        watching,
+    );
     let engine = engine.expect("good settings");
     let dial = Some(listener.local_addr().expect("bound"));
-    engine.list(ListKind::Full, vec![Host { dial, ..host("a", Health::Serving) }]);
+    engine.list(
+        ListKind::Full,
+        vec![Host {
+            dial,
+            ..host("a", Health::Serving)
+        }],
+    );
     (engine, listener)
 }
 
@@ -113,10 +163,20 @@
         body: Bytes::new(),
     };
     let (call, budget, acts) = (Call::Http(call), None, None);
-    Incoming { call, class: 0, tenant: 0, key: 0, received, patience, budget, acts }
+    Incoming {
+        call,
+        class: 0,
+        tenant: 0,
+        key: 0,
+        received,
+        patience,
+        budget,
+        acts,
+    }
 }
 
-/// Whoever has left by the moment in which his attempt would begin gets none, whatever the module has decided.
+/// Whoever has left by the moment in which his attempt would begin gets none, whatever the module
+/// has decided.
 #[tokio::test]
 async fn no_attempt_is_begun_for_a_client_who_has_left() {
     LocalSet::new()
@@ -129,7 +189,8 @@
                 let waiting = Some(Waiting::new(&client));
                 let engine = engine.clone();
                 let deciding = spawn_local(async move { engine.decide(call, waiting).await.0 });
-                let came = tokio::time::timeout(Duration::from_millis(200), listener.accept()).await;
+                let came =
+                    tokio::time::timeout(Duration::from_millis(200), listener.accept()).await;
                 assert_eq!(came.is_ok(), comes, "client left: {left}");
                 let denied = tally::denials()[Denied::ClientLeft.place()] - before;
                 assert_eq!(denied, u64::from(left));
--- a/crates/heathroad/tests/unit/heartbeat.rs
+++ b/crates/heathroad/tests/unit/heartbeat.rs
@@ -21,7 +21,11 @@
     let start = Instant::now();
     let beats = paused(start, ms(5));
     for after in 0..UNSEEN.as_millis() as u64 {
-        assert_eq!(beats.unsure_since(beats.last + ms(after)), None, "{after} ms behind a beat");
+        assert_eq!(
+            beats.unsure_since(beats.last + ms(after)),
+            None,
+            "{after} ms behind a beat"
+        );
     }
 }
 
@@ -33,11 +37,17 @@
     let pause_began = beats.last;
     let seen = pause_began + ms(140);
     let since = beats.unsure_since(seen).expect("it is late");
-    assert!(since <= pause_began && since + PERIOD * 2 >= pause_began, "{:?}", pause_began - since);
+    assert!(
+        since <= pause_began && since + PERIOD * 2 >= pause_began,
+        "{:?}",
+        pause_began - since
+    );
     // Behind it, for as long as what waited is dealt with, and no longer.
     assert!(beats.beat(seen).is_some());
     for after in 0..PERIOD.as_millis() as u64 {
-        let since = beats.unsure_since(seen + ms(after)).expect("it was held up");
+        let since = beats
+            .unsure_since(seen + ms(after))
+            .expect("it was held up");
         assert!(since <= pause_began, "{after} ms behind it");
     }
     beats.pause = None;
--- a/crates/heathroad/tests/unit/permit.rs
+++ b/crates/heathroad/tests/unit/permit.rs
@@ -7,11 +7,18 @@
 const FAR: Place = Place { zone: 2, cell: 9 };
 
 fn attempted(place: Place, begun: Instant, ended: Option<Outcome>) -> Attempted {
-    Attempted { place, begun, ended }
+    Attempted {
+        place,
+        begun,
+        ended,
+    }
 }
 
 fn keyed(group: Group) -> Effect {
-    Effect::Dedup { group, window: 1000.0 }
+    Effect::Dedup {
+        group,
+        window: 1000.0,
+    }
 }
 
 const MAY_HAVE_RUN: [Option<Outcome>; 6] = [
@@ -32,7 +39,11 @@
         for outcome in NEVER_RAN {
             let before = [attempted(HERE, now, Some(outcome))];
             let late = now + Duration::from_secs(3600);
-            assert_eq!(repeat(effect, before.iter(), FAR, false, late), Ok(None), "{effect:?} {outcome:?}");
+            assert_eq!(
+                repeat(effect, before.iter(), FAR, false, late),
+                Ok(None),
+                "{effect:?} {outcome:?}"
+            );
             assert!(refusal(effect, before.iter()));
         }
     }
@@ -43,27 +54,46 @@
     let now = Instant::now();
     for ended in MAY_HAVE_RUN {
         let before = [attempted(HERE, now, ended)];
-        assert_eq!(repeat(Effect::Retryable, before.iter(), FAR, true, now), Ok(None));
-        assert_eq!(repeat(Effect::Fragile, before.iter(), HERE, true, now), Err(Denied::NotRepeatable));
+        assert_eq!(
+            repeat(Effect::Retryable, before.iter(), FAR, true, now),
+            Ok(None)
+        );
+        assert_eq!(
+            repeat(Effect::Fragile, before.iter(), HERE, true, now),
+            Err(Denied::NotRepeatable)
+        );
         assert!(repeat(keyed(Group::Cell), before.iter(), HERE, true, now).is_ok());
         assert_eq!(
             repeat(keyed(Group::Cell), before.iter(), NEXT_DOOR, true, now),
             Err(Denied::OutsideGroup)
         );
         assert!(repeat(keyed(Group::Zone), before.iter(), NEXT_DOOR, true, now).is_ok());
-        assert_eq!(repeat(keyed(Group::Zone), before.iter(), FAR, true, now), Err(Denied::OutsideGroup));
+        assert_eq!(
+            repeat(keyed(Group::Zone), before.iter(), FAR, true, now),
+            Err(Denied::OutsideGroup)
+        );
         assert!(repeat(keyed(Group::All), before.iter(), FAR, true, now).is_ok());
-        assert!(refusal(Effect::Retryable, before.iter()) && refusal(keyed(Group::All), before.iter()));
-        assert!(!refusal(Effect::Fragile, before.iter()) && !refusal(keyed(Group::Zone), before.iter()));
+        assert!(
+            refusal(Effect::Retryable, before.iter()) && refusal(keyed(Group::All), before.iter())
+        );
+        assert!(
+            !refusal(Effect::Fragile, before.iter()) && !refusal(keyed(Group::Zone), before.iter())
+        );
     }
 }
 
 #[test]
 fn the_group_is_that_of_the_first_attempt_that_may_have_run() {
     let now = Instant::now();
-    let before = [attempted(FAR, now, Some(Outcome::Full)), attempted(HERE, now, Some(Outcome::Reset))];
+    let before = [
+        attempted(FAR, now, Some(Outcome::Full)),
+        attempted(HERE, now, Some(Outcome::Reset)),
+    ];
     assert!(repeat(keyed(Group::Zone), before.iter(), NEXT_DOOR, true, now).is_ok());
-    assert_eq!(repeat(keyed(Group::Zone), before.iter(), FAR, true, now), Err(Denied::OutsideGroup));
+    assert_eq!(
+        repeat(keyed(Group::Zone), before.iter(), FAR, true, now),
+        Err(Denied::OutsideGroup)
+    );
 }
 
 #[test]
@@ -85,27 +115,79 @@
         }
     }
     // A window that is shorter than a pause allows no repeat.
-    let short = Effect::Dedup { group: Group::All, window: 100.0 };
-    assert_eq!(repeat(short, before.iter(), HERE, true, begun), Err(Denied::WindowOver));
+    let short = Effect::Dedup {
+        group: Group::All,
+        window: 100.0,
+    };
+    assert_eq!(
+        repeat(short, before.iter(), HERE, true, begun),
+        Err(Denied::WindowOver)
+    );
 }
 
 #[test]
 fn two_attempts_at_once_only_where_that_is_allowed() {
     let now = Instant::now();
     let out = [attempted(HERE, now, None)];
-    assert_eq!(repeat(Effect::Retryable, out.iter(), FAR, false, now), Err(Denied::NotRepeatable));
-    assert_eq!(repeat(Effect::Retryable, out.iter(), FAR, true, now), Ok(None));
+    assert_eq!(
+        repeat(Effect::Retryable, out.iter(), FAR, false, now),
+        Err(Denied::NotRepeatable)
+    );
+    assert_eq!(
+        repeat(Effect::Retryable, out.iter(), FAR, true, now),
+        Ok(None)
+    );
 }
 
 #[test]
 fn nothing_is_written_for_a_client_or_to_a_backend_that_is_gone_or_too_late() {
     let now = Instant::now();
-    let fine = Write { client_left: false, withdrawn: false, write_by: None };
+    let fine = Write {
+        client_left: false,
+        withdrawn: false,
+        write_by: None,
+    };
     assert_eq!(write(fine, now), Ok(()));
-    assert_eq!(write(Write { client_left: true, ..fine }, now), Err(Denied::ClientLeft));
-    assert_eq!(write(Write { withdrawn: true, ..fine }, now), Err(Denied::BackendWithdrawn));
-    assert_eq!(write(Write { write_by: Some(now), ..fine }, now), Err(Denied::WindowOver));
-    assert_eq!(write(Write { write_by: Some(now + UNIT), ..fine }, now), Ok(()));
+    assert_eq!(
+        write(
+            Write {
+                client_left: true,
+                ..fine
+            },
+            now
+        ),
+        Err(Denied::ClientLeft)
+    );
+    assert_eq!(
+        write(
+            Write {
+                withdrawn: true,
+                ..fine
+            },
+            now
+        ),
+        Err(Denied::BackendWithdrawn)
+    );
+    assert_eq!(
+        write(
+            Write {
+                write_by: Some(now),
+                ..fine
+            },
+            now
+        ),
+        Err(Denied::WindowOver)
+    );
+    assert_eq!(
+        write(
+            Write {
+                write_by: Some(now + UNIT),
+                ..fine
+            },
+            now
+        ),
+        Ok(())
+    );
 }
 
 const UNIT: Duration = Duration::from_millis(1);
@@ -114,7 +196,14 @@
 fn a_connection_is_closed_only_where_nothing_on_it_is_open() {
     for bits in 0..8 {
         let [owed, unsent, unread] = [1, 2, 4].map(|bit| bits & bit != 0);
-        assert_eq!(close(Connection { owed, unsent, unread }), bits == 0);
+        assert_eq!(
+            close(Connection {
+                owed,
+                unsent,
+                unread
+            }),
+            bits == 0
+        );
     }
 }
 
--- a/crates/heathroad/tests/unit/stream.rs
+++ b/crates/heathroad/tests/unit/stream.rs
@@ -12,8 +12,8 @@
     }
 }
 
-/// Sends a request with a body over a pipe, lets `other` do what it wants with the far end, and tells
-/// whether the request got out whole before the connection broke.
+/// Sends a request with a body over a pipe, lets `other` do what it wants with the far end, and
+/// tells whether the request got out whole before the connection broke.
 async fn broken_after(body: usize, other: impl AsyncFnOnce(&mut DuplexStream)) -> bool {
     let (near, mut far) = duplex(1024);
     LocalSet::new()
@@ -25,7 +25,10 @@
                 let _ = connection.await;
             });
             let body = Outgoing::new(vec![b'x'; body].into(), progress.clone());
-            let request = Request::post("/").header("host", "b").body(body).expect("well formed");
+            let request = Request::post("/")
+                .header("host", "b")
+                .body(body)
+                .expect("well formed");
             let answer = spawn_local(async move { sender.send_request(request).await.is_ok() });
             other(&mut far).await;
             drop(far);
@@ -38,7 +41,11 @@
 async fn read_request(far: &mut DuplexStream, body: usize) {
     let mut seen = Vec::new();
     while !seen.windows(4).any(|w| w == b"\r\n\r\n") || !seen.ends_with(&vec![b'x'; body]) {
-        assert_ne!(far.read_buf(&mut seen).await.expect("open"), 0, "the request breaks off");
+        assert_ne!(
+            far.read_buf(&mut seen).await.expect("open"),
+            0,
+            "the request breaks off"
+        );
     }
 }
 
@@ -64,12 +71,17 @@
     let write = std::future::poll_fn(|cx| Pin::new(&mut watched).poll_write(cx, &[0; 8]));
     assert_eq!(write.await.expect("there is room"), 8);
     let write = std::future::poll_fn(|cx| Pin::new(&mut watched).poll_write(cx, &[0; 8]));
-    assert_eq!(write.await.expect_err("nobody reads").kind(), io::ErrorKind::TimedOut);
+    assert_eq!(
+        write.await.expect_err("nobody reads").kind(),
+        io::ErrorKind::TimedOut
+    );
 }
 
 #[tokio::test]
 async fn nothing_is_written_where_something_lies_unread() {
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a port");
     let addr = listener.local_addr().expect("bound");
     let near = TcpStream::connect(addr).await.expect("it listens");
     let (mut far, _) = listener.accept().await.expect("it came");
@@ -82,9 +94,13 @@
         std::future::poll_fn(|cx| Pin::new(&mut watched).poll_write(cx, b"request")).await
     };
     assert_eq!(write(true).await.expect("clean"), 7);
-    // A late answer, of which nobody here has been told. In the middle of a request it is no reason to stop.
+    // A late answer, of which nobody here has been told. In the middle of a request it is no reason
+    // to stop.
     far.write_all(b"late").await.expect("open");
     assert_eq!(write(false).await.expect("it goes on"), 7);
-    assert_eq!(write(true).await.expect_err("unclean").kind(), io::ErrorKind::InvalidData);
+    assert_eq!(
+        write(true).await.expect_err("unclean").kind(),
+        io::ErrorKind::InvalidData
+    );
     assert_eq!(progress.written(), Written::Nothing);
 }
--- a/crates/turnshift/src/api.rs
+++ b/crates/turnshift/src/api.rs
@@ -53,7 +53,8 @@
     pub points: f64,
     /// Whether and where a request may run again.
     pub effect: Effect,
-    /// Requests with one key run one at a time, in the order they came; all such classes share their keys.
+    /// Requests with one key run one at a time, in the order they came; all such classes share
+    /// their keys.
     pub in_order: bool,
 }
 
@@ -62,7 +63,8 @@
 pub enum Effect {
     /// Safe to repeat anywhere.
     Retryable,
-    /// Repeats are dropped by the backends of `group` for `window` after the first send that may have run.
+    /// Repeats are dropped by the backends of `group` for `window` after the first send that may
+    /// have run.
     Dedup {
         /// Which backends drop each other's repeats.
         group: Group,
@@ -103,7 +105,8 @@
     pub max_retry_after: f64,
     /// Most attempts for one request.
     pub try_limit: u32,
-    /// The proxy sees the work of attempts that were given up end, and tells of it by [`Event::Late`].
+    /// The proxy sees the work of attempts that were given up end, and tells of it by
+    /// [`Event::Late`].
     pub late_ends: bool,
 }
 
@@ -118,7 +121,8 @@
     pub fall_multiple: f64,
     /// Where the list must be asked for: silence longer than this counts as knowledge.
     pub ask_within: f64,
-    /// Idle connections to a draining backend are closed within this time; 0 where no such rule holds.
+    /// Idle connections to a draining backend are closed within this time; 0 where no such rule
+    /// holds.
     pub release_within: f64,
     /// A key of an ordered class rests so long after an attempt that may still be running.
     pub settle_after_doubt: f64,
@@ -237,7 +241,8 @@
     pub wait: f64,
     /// The request is over; nothing more is owed.
     pub closed: bool,
-    /// How many further attempts its budget has now, where it carries one: what went out below came off.
+    /// How many further attempts its budget has now, where it carries one: what went out below came
+    /// off.
     pub spare: Option<u32>,
 }
 
@@ -255,8 +260,8 @@
     Request(Arrival),
     /// An attempt ended.
     Resolved(Resolved),
-    /// The work of an attempt that had timed out or was withdrawn has ended: with its answer, or unseen with its
-    /// connection, which repeats its outcome.
+    /// The work of an attempt that had timed out or was withdrawn has ended: with its answer, or
+    /// unseen with its connection, which repeats its outcome.
     Late(Resolved),
     /// The client left; nothing more is owed.
     Hangup {
--- a/crates/turnshift/src/balancer.rs
+++ b/crates/turnshift/src/balancer.rs
@@ -1,5 +1,5 @@
-//! Every decision of a balancer copy: one learned concurrency limit, split into slices by worth, over a
-//! load-sized subset of the tier. The interface (settings, events, actions) is in `api.rs`.
+//! Every decision of a balancer copy: one learned concurrency limit, split into slices by worth,
+//! over a load-sized subset of the tier. The interface (settings, events, actions) is in `api.rs`.
 
 use crate::api::*;
 use crate::state::{Attempt, Backend, Latency, Limiter, Line, Request, Slice};
@@ -48,7 +48,11 @@
     /// Capacity that it surely has by now, as a share of its full one.
     fn warmth(&self, rules: &Rules, now: f64) -> f64 {
         let start = self.entry.started_at;
-        let grown = if start > 0.0 { ((now - start) / rules.cold.max(1.0)).clamp(0.0, 1.0) } else { 1.0 };
+        let grown = if start > 0.0 {
+            ((now - start) / rules.cold.max(1.0)).clamp(0.0, 1.0)
+        } else {
+            1.0
+        };
         rules.cold_from.min(1.0) * (1.0 - grown) + grown
     }
 }
@@ -60,7 +64,8 @@
     }
     fn sample(&mut self, wait: f64) {
         self.samples = (self.samples + 1.0).min(DEPTH);
-        self.mean += (wait.min(CLIP * self.mean.max(wait / self.samples)) - self.mean) / self.samples;
+        self.mean +=
+            (wait.min(CLIP * self.mean.max(wait / self.samples)) - self.mean) / self.samples;
         if self.mean < self.base || self.samples < WINDOW {
             self.base = self.mean;
         }
@@ -70,7 +75,12 @@
 impl Limiter {
     fn update(&mut self, passed: f64) {
         self.elapsed += passed;
-        self.area += passed * self.classes.iter().map(|c| c.busy / c.target()).sum::<f64>();
+        self.area += passed
+            * self
+                .classes
+                .iter()
+                .map(|c| c.busy / c.target())
+                .sum::<f64>();
         if self.answers + self.drops + self.timeouts < WINDOW || self.elapsed < self.mean {
             return;
         }
@@ -78,12 +88,23 @@
         let (load, seen) = (self.area / n, self.ratios / n);
         self.rate = self.answers / self.elapsed;
         let busy: f64 = self.classes.iter().map(|c| c.busy).sum();
-        // Time-outs are drops only while answers are slow too: lost ones alone would cut it to nothing.
-        let drops = self.drops + if seen > 1.0 || self.answers == 0.0 { self.timeouts } else { 0.0 };
+        // Time-outs are drops only while answers are slow too: lost ones alone would cut it to
+        // nothing.
+        let drops = self.drops
+            + if seen > 1.0 || self.answers == 0.0 {
+                self.timeouts
+            } else {
+                0.0
+            };
         let dropped = drops / (n + drops) * (1.0 - 1.0 / drops.max(1.0).sqrt());
-        let mut cut: f64 = if dropped > DROP_SHARE { 1.0 - dropped / 2.0 } else { 1.0 };
-        // A cut needs both views: silent backends swell the calls in flight but slow no answer, a queue does
-        // both. Growth needs both as well: the first answers are the quick ones. Few answers move little.
+        let mut cut: f64 = if dropped > DROP_SHARE {
+            1.0 - dropped / 2.0
+        } else {
+            1.0
+        };
+        // A cut needs both views: silent backends swell the calls in flight but slow no answer, a
+        // queue does both. Growth needs both as well: the first answers are the quick ones. Few
+        // answers move little.
         let sure = load.min(seen) * (1.0 - 1.0 / n.sqrt());
         cut = cut.min(1.0 / sure.max(1.0).sqrt());
         if cut < 1.0 {
@@ -93,7 +114,9 @@
         }
         // The baseline creeps up to what is seen: fast while there is slack, slowly under load.
         let creep = if busy < 0.5 * self.total { 0.1 } else { 0.01 };
-        self.classes.iter_mut().for_each(|c| c.base += (c.mean - c.base) * creep);
+        self.classes
+            .iter_mut()
+            .for_each(|c| c.base += (c.mean - c.base) * creep);
         (self.elapsed, self.area, self.answers, self.ratios) = (0.0, 0.0, 0.0, 0.0);
         (self.drops, self.timeouts, self.used) = (0.0, 0.0, false);
     }
@@ -141,33 +164,72 @@
     /// Starts a copy that knows nothing yet; `seed` feeds its only random numbers.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         crate::check(&settings)?;
-        let mean = settings.classes.iter().map(|c| c.points).sum::<f64>() / settings.classes.len() as f64;
+        let mean =
+            settings.classes.iter().map(|c| c.points).sum::<f64>() / settings.classes.len() as f64;
         let (even, over) = (settings.goal.worst_class, settings.over_share_worth);
         // The goal's weight on the worst-served class is worth that every class has alike.
         let worth = |c: &Class| (1.0 - even) * c.points / mean.max(1e-9) + even;
-        let worths: Vec<[f64; 2]> = settings.classes.iter().map(|c| [worth(c), worth(c) * over]).collect();
-        let demoted =
-            usize::from(settings.tier == 0 && !settings.tenants.is_empty() || settings.worth_carried);
+        let worths: Vec<[f64; 2]> = settings
+            .classes
+            .iter()
+            .map(|c| [worth(c), worth(c) * over])
+            .collect();
+        let demoted = usize::from(
+            settings.tier == 0 && !settings.tenants.is_empty() || settings.worth_carried,
+        );
         let mut levels: Vec<f64> = worths.iter().flat_map(|w| w[..=demoted].to_vec()).collect();
         levels.sort_by(|a, b| b.total_cmp(a));
         levels.dedup_by(|a, b| (*a - *b).abs() < 1e-9);
-        // Work beyond its tenant's share has no claim but what is left over and the floor of one slot.
-        let claim = |l: &f64| if worths.iter().any(|w| (w[0] - l).abs() < 1e-9) { *l } else { 0.0 };
+        // Work beyond its tenant's share has no claim but what is left over and the floor of one
+        // slot.
+        let claim = |l: &f64| {
+            if worths.iter().any(|w| (w[0] - l).abs() < 1e-9) {
+                *l
+            } else {
+                0.0
+            }
+        };
         let sum = levels.iter().map(claim).sum::<f64>().max(1e-9);
-        let place = |w: f64| levels.iter().position(|l| (l - w).abs() < 1e-9).unwrap_or(0);
-        let classes = settings.classes.iter().map(|c| Latency { aim: c.aim, ..Latency::default() }).collect();
+        let place = |w: f64| {
+            levels
+                .iter()
+                .position(|l| (l - w).abs() < 1e-9)
+                .unwrap_or(0)
+        };
+        let classes = settings
+            .classes
+            .iter()
+            .map(|c| Latency {
+                aim: c.aim,
+                ..Latency::default()
+            })
+            .collect();
         Ok(Balancer {
             rng: fastrand::Rng::with_seed(seed),
             slice_of: worths.iter().map(|w| w.map(place)).collect(),
-            slices: levels.iter().map(|l| Slice { share: claim(l) / sum, ..Slice::default() }).collect(),
-            limiter: Limiter { classes, ..Limiter::default() },
+            slices: levels
+                .iter()
+                .map(|l| Slice {
+                    share: claim(l) / sum,
+                    ..Slice::default()
+                })
+                .collect(),
+            limiter: Limiter {
+                classes,
+                ..Limiter::default()
+            },
             buckets: vec![(f64::MAX, 0.0); settings.tenants.len()],
             retry_tokens: RETRY_DEPTH,
             ask_backoff: 1.0,
             sharers: 1.0,
-            // One for all classes: in a full queue the longer hold would take every slot of its slice.
+            // One for all classes: in a full queue the longer hold would take every slot of its
+            // slice.
             hold: HOLD[settings.tier.min(1) as usize]
-                * settings.classes.iter().map(|c| c.aim).fold(f64::MAX, f64::min),
+                * settings
+                    .classes
+                    .iter()
+                    .map(|c| c.aim)
+                    .fold(f64::MAX, f64::min),
             s: settings,
             ..Balancer::default()
         })
@@ -177,9 +239,13 @@
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Action>) {
         if !self.started {
             (self.started, self.house, self.heard) = (true, now, now);
-            out.push(Action::WakeMe { delay: self.period(), token: HOUSEKEEPING });
+            out.push(Action::WakeMe {
+                delay: self.period(),
+                token: HOUSEKEEPING,
+            });
             if self.s.must_ask {
-                // Copies start together: the first call is spread so that discovery is not run over.
+                // Copies start together: the first call is spread so that discovery is not run
+                // over.
                 let share = 0.4 * self.rng.f64();
                 self.ask_later(share, out);
             }
@@ -190,15 +256,18 @@
             Event::Resolved(resolved) => self.on_resolved(now, &resolved, out),
             Event::Late(resolved) => self.on_late(now, &resolved, out),
             Event::Hangup { request } => {
-                // A client that leaves with time to spare asks again: its tenant, charged twice for what it
-                // wants once, would lose its own share to impatience. Not so for what was refused or out of
-                // time: who asks over and over with short limits would never be past its share.
+                // A client that leaves with time to spare asks again: its tenant, charged twice for
+                // what it wants once, would lose its own share to impatience. Not so for what was
+                // refused or out of time: who asks over and over with short limits would never be
+                // past its share.
                 if let Some(tenant) = self.requests.get_mut(&request).and_then(|r| r.paid.take()) {
                     self.buckets[tenant].0 += 1.0;
                 }
                 self.end(now, request, out);
             }
-            Event::Wake { token: HOUSEKEEPING } => self.housekeep(now, out),
+            Event::Wake {
+                token: HOUSEKEEPING,
+            } => self.housekeep(now, out),
             Event::Wake { token: ASK } => {
                 self.asking = false;
                 out.push(Action::Watch { on: true });
@@ -212,8 +281,16 @@
     pub fn load(&self) -> Load {
         let limit = self.limiter.total;
         let own = |s: &Slice| own_limit(limit.floor(), s.share);
-        let slice = |s: &Slice| SliceLoad { limit: own(s), busy: s.busy, held: s.held.len() };
-        Load { limit, in_flight: self.inflight, slices: self.slices.iter().map(slice).collect() }
+        let slice = |s: &Slice| SliceLoad {
+            limit: own(s),
+            busy: s.busy,
+            held: s.held.len(),
+        };
+        Load {
+            limit,
+            in_flight: self.inflight,
+            slices: self.slices.iter().map(slice).collect(),
+        }
     }
 
     /// What a request is worth, as a share of its class's: for those that it is sent on to.
@@ -223,8 +300,8 @@
         if low { self.s.over_share_worth } else { 1.0 }
     }
 
-    /// So many balancers of one proxy send to some backend of this one's: each keeps to its part of the
-    /// cold budget.
+    /// So many balancers of one proxy send to some backend of this one's: each keeps to its part of
+    /// the cold budget.
     pub fn share_cold(&mut self, sharers: usize) {
         self.sharers = sharers.max(1) as f64;
     }
@@ -241,13 +318,17 @@
     /// Asks for the list after a share of the time in which asking is due.
     fn ask_later(&mut self, share: f64, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.asking, true) {
-            out.push(Action::WakeMe { delay: share * self.s.rules.ask_within, token: ASK });
+            out.push(Action::WakeMe {
+                delay: share * self.s.rules.ask_within,
+                token: ASK,
+            });
         }
     }
 
     fn on_list(&mut self, now: f64, kind: ListKind, entries: Vec<Entry>, out: &mut Vec<Action>) {
         if kind == ListKind::Failed {
-            // Jittered and doubling, so that copies that failed together do not call together again.
+            // Jittered and doubling, so that copies that failed together do not call together
+            // again.
             let share = 0.1 * self.ask_backoff * (0.5 + self.rng.f64());
             self.ask_backoff = (self.ask_backoff * 2.0).min(8.0);
             return self.ask_later(share, out);
@@ -255,29 +336,50 @@
         self.ask_backoff = 1.0;
         let before = self.ring.len() as f64;
         if kind != ListKind::Delta {
-            self.backends.values_mut().for_each(|b| b.entry.phase = Phase::Gone);
+            self.backends
+                .values_mut()
+                .for_each(|b| b.entry.phase = Phase::Gone);
         }
         for e in entries {
             let known = self.backends.contains_key(&e.backend);
             let b = self.backends.entry(e.backend).or_default();
             if !known || b.entry.started_at != e.started_at {
-                // A new process: nothing known of the old one holds. Copies that hear of it together begin
-                // its cold budget at different phases, so that their first sends do not meet.
-                let phase = (f64::from(self.s.copy) + f64::from(e.backend % 8191)) * 0.618_033_988_75;
+                // A new process: nothing known of the old one holds. Copies that hear of it
+                // together begin its cold budget at different phases, so that their first sends do
+                // not meet.
+                let phase =
+                    (f64::from(self.s.copy) + f64::from(e.backend % 8191)) * 0.618_033_988_75;
                 let (calls, late) = (std::mem::take(&mut b.calls), std::mem::take(&mut b.late));
                 let cold_tokens = phase.fract();
-                *b = Backend { calls, late, slow: 1.0, heard: now, cold_tokens, ..Backend::default() };
+                *b = Backend {
+                    calls,
+                    late,
+                    slow: 1.0,
+                    heard: now,
+                    cold_tokens,
+                    ..Backend::default()
+                };
             }
             let id = e.backend;
             b.entry = e;
             self.release(id, out);
         }
-        self.backends.retain(|_, b| !b.calls.is_empty() || b.entry.phase != Phase::Gone);
-        let ready = self.backends.iter().filter(|(_, b)| b.entry.phase == Phase::Ready);
+        self.backends
+            .retain(|_, b| !b.calls.is_empty() || b.entry.phase != Phase::Gone);
+        let ready = self
+            .backends
+            .iter()
+            .filter(|(_, b)| b.entry.phase == Phase::Ready);
         self.ring = ready.map(|(&id, _)| id).collect();
         let after = self.ring.len() as f64;
-        self.weight = self.ring.iter().map(|i| self.backends[i].entry.weight).sum::<f64>() / after.max(1.0);
-        // Both ways: where backends leave and return all day, one way alone would wear the limit down.
+        self.weight = self
+            .ring
+            .iter()
+            .map(|i| self.backends[i].entry.weight)
+            .sum::<f64>()
+            / after.max(1.0);
+        // Both ways: where backends leave and return all day, one way alone would wear the limit
+        // down.
         if before > 0.0 && after > 0.0 {
             self.limiter.total = (self.limiter.total * after / before).max(1.0);
         }
@@ -287,27 +389,41 @@
         }
     }
 
-    /// Closes what is idle to a draining backend: at the notice, and once more after each outcome there.
+    /// Closes what is idle to a draining backend: at the notice, and once more after each outcome
+    /// there.
     fn release(&self, id: BackendId, out: &mut Vec<Action>) {
-        let draining = self.backends.get(&id).is_some_and(|b| b.entry.phase != Phase::Ready);
+        let draining = self
+            .backends
+            .get(&id)
+            .is_some_and(|b| b.entry.phase != Phase::Ready);
         if draining && self.s.rules.release_within > 0.0 {
             out.push(Action::Close { backend: id });
         }
     }
 
-    /// The subset: from this copy's place on the ring of backends onwards until enough healthy ones are in.
+    /// The subset: from this copy's place on the ring of backends onwards until enough healthy ones
+    /// are in.
     fn resize(&mut self, passed: f64) {
         let n = self.ring.len();
         let (size, copies) = (n as f64, f64::from(self.s.copies));
-        let want = (self.peak / CALLS_PER_MEMBER).max(OVERLAP * size / copies).max(MIN_SUBSET);
-        self.width = want.max(self.width * (1.0 - NARROW_PER_S * passed / 1000.0)).min(size);
+        let want = (self.peak / CALLS_PER_MEMBER)
+            .max(OVERLAP * size / copies)
+            .max(MIN_SUBSET);
+        self.width = want
+            .max(self.width * (1.0 - NARROW_PER_S * passed / 1000.0))
+            .min(size);
         self.subset.clear();
-        // Zones: where crossing has a price, only the share that `housekeep` spills leaves the zone.
+        // Zones: where crossing has a price, only the share that `housekeep` spills leaves the
+        // zone.
         let apart = self.s.goal.cross_zone > CROSS_CHEAP;
         let far = |id: &&BackendId| apart && self.backends[id].entry.zone != self.s.zone;
         let (beyond, within): (Vec<_>, Vec<_>) = self.ring.iter().partition(far);
         let one = within.is_empty() || beyond.is_empty();
-        let spill = if one { f64::from(u8::from(within.is_empty())) } else { self.spill };
+        let spill = if one {
+            f64::from(u8::from(within.is_empty()))
+        } else {
+            self.spill
+        };
         for (part, share) in [(within, 1.0 - spill), (beyond, spill)] {
             self.near = self.subset.len();
             let offset = f64::from(self.s.copy) * part.len() as f64 / copies;
@@ -343,10 +459,24 @@
         }
         let free = !behind && self.slices[slice].held.is_empty() && self.admits(slice);
         // With room but no backend or no turn, held while an answer can still be in time.
-        let hold = if free || behind { aim - self.limiter.mean } else { self.hold };
+        let hold = if free || behind {
+            aim - self.limiter.mean
+        } else {
+            self.hold
+        };
         let hold_until = (now + hold).min(last);
         let (deadline, spare, attempts) = (arrival.deadline, arrival.spare, Vec::new());
-        let r = Request { key, class, slice, paid, deadline, hold_until, ended: false, spare, attempts };
+        let r = Request {
+            key,
+            class,
+            slice,
+            paid,
+            deadline,
+            hold_until,
+            ended: false,
+            spare,
+            attempts,
+        };
         self.requests.insert(id, r);
         // Less time than even an empty backend takes: its work would be for nobody.
         let c = &self.limiter.classes[class];
@@ -357,7 +487,8 @@
             return;
         }
         self.limiter.used |= !free && !behind;
-        // A client's last try may have less time left than housekeeping takes to come round: never held.
+        // A client's last try may have less time left than housekeeping takes to come round: never
+        // held.
         let held: usize = self.slices.iter().map(|s| s.held.len()).sum();
         if !behind && held as f64 >= self.limiter.total || last <= now {
             return self.finish(now, id, out);
@@ -369,8 +500,18 @@
 
     /// Lets the first in a key's line go ahead, like any other request, once the key has rested.
     fn pass_turn(&mut self, now: f64, key: u64) {
-        let Some(line) = self.lines.get_mut(&key).filter(|l| !l.turn && now > l.rest_until) else { return };
-        match line.ids.front().and_then(|id| self.requests.get(id).map(|r| (*id, r.slice))) {
+        let Some(line) = self
+            .lines
+            .get_mut(&key)
+            .filter(|l| !l.turn && now > l.rest_until)
+        else {
+            return;
+        };
+        match line
+            .ids
+            .front()
+            .and_then(|id| self.requests.get(id).map(|r| (*id, r.slice)))
+        {
             Some((id, slice)) => {
                 line.turn = true;
                 self.slices[slice].held.push_back(id);
@@ -381,7 +522,9 @@
 
     /// Whether the tenant's local quota is used up. Demotes only; refuses nothing by itself.
     fn over_quota(&mut self, now: f64, tenant: usize) -> bool {
-        let Some(t) = self.s.tenants.get(tenant) else { return false };
+        let Some(t) = self.s.tenants.get(tenant) else {
+            return false;
+        };
         let rate = t.quota_per_s / f64::from(self.s.copies);
         let (tokens, last) = self.buckets[tenant];
         let tokens = (tokens + rate * (now - last) / 1000.0).min(rate.max(2.0));
@@ -400,7 +543,9 @@
         for slice in 0..self.slices.len() {
             for _ in 0..self.slices[slice].held.len() {
                 let admitted = self.admits(slice);
-                let Some(&id) = self.slices[slice].held.front().filter(|_| full || admitted) else { break };
+                let Some(&id) = self.slices[slice].held.front().filter(|_| full || admitted) else {
+                    break;
+                };
                 let until = self.requests.get(&id).map(|r| r.hold_until);
                 let late = full && until.is_some_and(|t| now >= t);
                 if late {
@@ -430,9 +575,15 @@
         if self.requests.get(&id).is_none_or(spent) {
             return false;
         }
-        let Some(to) = self.pick(now, id) else { return false };
-        let Some(r) = self.requests.get_mut(&id) else { return false };
-        let Some(b) = self.backends.get_mut(&to) else { return false };
+        let Some(to) = self.pick(now, id) else {
+            return false;
+        };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return false;
+        };
+        let Some(b) = self.backends.get_mut(&to) else {
+            return false;
+        };
         if let Some(spare) = r.spare.as_mut().filter(|_| !r.attempts.is_empty()) {
             *spare = spare.saturating_sub(1);
         }
@@ -443,8 +594,20 @@
         b.calls.push_back((id, now));
         let (place, counted) = ((b.entry.zone, b.entry.cell), !b.ejected());
         let (backend, sent) = (to, now);
-        r.attempts.push(Attempt { backend, place, sent, out: true, late: false, never_ran: false, counted });
-        out.push(Action::Send { request: id, backend: to, not_past: r.deadline });
+        r.attempts.push(Attempt {
+            backend,
+            place,
+            sent,
+            out: true,
+            late: false,
+            never_ran: false,
+            counted,
+        });
+        out.push(Action::Send {
+            request: id,
+            backend: to,
+            not_past: r.deadline,
+        });
         let (class, slice) = (r.class, r.slice);
         if counted {
             self.count(class, slice, 1.0);
@@ -456,13 +619,25 @@
 
     /// Ends a request: refused where a further try is harmless, failed otherwise.
     fn finish(&mut self, now: f64, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id) else { return };
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
         let Class { effect, aim, .. } = self.s.classes[r.class];
-        let all = matches!(effect, Effect::Retryable | Effect::Dedup { group: Group::All, .. });
+        let all = matches!(
+            effect,
+            Effect::Retryable
+                | Effect::Dedup {
+                    group: Group::All,
+                    ..
+                }
+        );
         if all || r.attempts.iter().all(|a| a.never_ran) {
             let wait = (aim * HOLD[0] * (1.0 + self.rng.f64())).min(self.s.caps.max_retry_after);
             let retry_after = if self.s.caps.retry_after { wait } else { 0.0 };
-            out.push(Action::Refuse { request: id, retry_after });
+            out.push(Action::Refuse {
+                request: id,
+                retry_after,
+            });
         } else {
             out.push(Action::Fail { request: id });
         }
@@ -471,43 +646,61 @@
 
     /// Nothing more is owed or sent; what is still out is withdrawn where that is allowed.
     fn end(&mut self, now: f64, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         let first = !std::mem::replace(&mut r.ended, true);
-        let still: Vec<usize> = (0..r.attempts.len()).filter(|&i| r.attempts[i].out).collect();
+        let still: Vec<usize> = (0..r.attempts.len())
+            .filter(|&i| r.attempts[i].out)
+            .collect();
         if still.is_empty() {
             let key = r.key;
             if !r.attempts.iter().any(|a| a.late) {
                 self.requests.remove(&id);
             }
-            // Only the first in line can have been sent: its place is kept until all its outcomes are in.
+            // Only the first in line can have been sent: its place is kept until all its outcomes
+            // are in.
             if let Some(line) = self.lines.get_mut(&key) {
                 line.turn &= line.ids.front() != Some(&id);
                 line.ids.retain(|&i| i != id);
                 self.pass_turn(now, key);
             }
         } else if first && self.s.caps.cancelling {
-            out.extend(still.iter().map(|&i| Action::Cancel { request: id, attempt: i as AttemptNo }));
+            out.extend(still.iter().map(|&i| Action::Cancel {
+                request: id,
+                attempt: i as AttemptNo,
+            }));
         }
     }
 
     fn on_resolved(&mut self, now: f64, e: &Resolved, out: &mut Vec<Action>) {
         let id = e.request;
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(a) = r.attempts.get_mut(usize::from(e.attempt)).filter(|a| a.out) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(a) = r.attempts.get_mut(usize::from(e.attempt)).filter(|a| a.out) else {
+            return;
+        };
         (a.out, a.never_ran) = (false, e.outcome.never_ran());
-        // After these it may still be running: the next of its key waits until the doubt has settled.
-        if matches!(e.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled)
-            && let Some(line) = self.lines.get_mut(&r.key)
+        // After these it may still be running: the next of its key waits until the doubt has
+        // settled.
+        if matches!(
+            e.outcome,
+            Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
+        ) && let Some(line) = self.lines.get_mut(&r.key)
         {
             line.rest_until = now + self.s.rules.settle_after_doubt;
         }
-        // A time-out or a withdrawal ends the wait and not the work. Where its end is seen, the call is load
-        // until then: were its slot free at once, callers with little patience, who leave or set short limits
-        // and ask again, would fill it anew each time, and the backends jam with what is in nobody's count.
-        // The same holds where proxies before this one restart or lose their connections. It can hurt where
-        // backends stop what is withdrawn and don't say so, or fall silent: `unpin` bounds that.
-        a.late = self.s.caps.late_ends && matches!(e.outcome, Outcome::Timeout | Outcome::Cancelled);
-        let (sent, late, counted, class, slice) = (a.sent, a.late, a.counted && !a.late, r.class, r.slice);
+        // A time-out or a withdrawal ends the wait and not the work. Where its end is seen, the
+        // call is load until then: were its slot free at once, callers with little patience, who
+        // leave or set short limits and ask again, would fill it anew each time, and the backends
+        // jam with what is in nobody's count. The same holds where proxies before this one restart
+        // or lose their connections. It can hurt where backends stop what is withdrawn and don't
+        // say so, or fall silent: `unpin` bounds that.
+        a.late =
+            self.s.caps.late_ends && matches!(e.outcome, Outcome::Timeout | Outcome::Cancelled);
+        let (sent, late, counted, class, slice) =
+            (a.sent, a.late, a.counted && !a.late, r.class, r.slice);
         let over = e.closed || r.ended;
         let (hold_until, free_move) = (r.hold_until, r.attempts.iter().all(|a| a.never_ran));
         let still_out = r.attempts.iter().any(|a| a.out);
@@ -538,8 +731,16 @@
 
     /// The work of a call that was given up has ended: it is judged by that.
     fn on_late(&mut self, now: f64, e: &Resolved, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&e.request) else { return };
-        let Some(a) = r.attempts.get_mut(usize::from(e.attempt)).filter(|a| a.late) else { return };
+        let Some(r) = self.requests.get_mut(&e.request) else {
+            return;
+        };
+        let Some(a) = r
+            .attempts
+            .get_mut(usize::from(e.attempt))
+            .filter(|a| a.late)
+        else {
+            return;
+        };
         let (counted, sent, class, slice, ended) = (a.counted, a.sent, r.class, r.slice, r.ended);
         (a.late, a.counted) = (false, false);
         if counted {
@@ -551,18 +752,24 @@
         }
     }
 
-    /// Another attempt, within the class's effect, the deadline and, for what may have run, the retry budget.
+    /// Another attempt, within the class's effect, the deadline and, for what may have run, the
+    /// retry budget.
     fn resend(&mut self, now: f64, id: RequestId, free_move: bool, out: &mut Vec<Action>) -> bool {
         let r = &self.requests[&id];
-        let allowed = match (r.attempts.iter().find(|a| !a.never_ran), self.s.classes[r.class].effect) {
+        let allowed = match (
+            r.attempts.iter().find(|a| !a.never_ran),
+            self.s.classes[r.class].effect,
+        ) {
             (None, _) | (_, Effect::Retryable) => true,
             (Some(first), Effect::Dedup { window, .. }) => now < first.sent + window - self.s.tick,
             (Some(_), Effect::Fragile) => false,
         };
-        let left = r.attempts.len() < self.s.caps.try_limit as usize && now + self.s.tick < r.deadline;
+        let left =
+            r.attempts.len() < self.s.caps.try_limit as usize && now + self.s.tick < r.deadline;
         // One that carries a budget was granted its attempts where it entered, for the whole chain.
         let free_move = free_move || r.spare.is_some();
-        let sent = left && allowed && (free_move || self.retry_tokens >= 1.0) && self.send(now, id, out);
+        let sent =
+            left && allowed && (free_move || self.retry_tokens >= 1.0) && self.send(now, id, out);
         if sent && !free_move {
             self.retry_tokens -= 1.0;
         }
@@ -570,17 +777,36 @@
     }
 
     fn fits(&self, now: f64, r: &Request, id: BackendId, trusting: bool) -> bool {
-        let Some(b) = self.backends.get(&id).filter(|b| b.entry.phase == Phase::Ready) else { return false };
+        let Some(b) = self
+            .backends
+            .get(&id)
+            .filter(|b| b.entry.phase == Phase::Ready)
+        else {
+            return false;
+        };
         let effect = self.s.classes[r.class].effect;
         // A backend out of service gets a trial, one repeatable request, once its time is up.
         let trial = effect != Effect::Fragile && now >= b.ejected_until && b.calls.is_empty();
         let cold = b.warmth(&self.s.rules, now) < 1.0 && b.cold_tokens < 1.0;
-        if cold || b.ejected() && !trusting && !trial || r.attempts.last().is_some_and(|a| a.backend == id) {
+        if cold
+            || b.ejected() && !trusting && !trial
+            || r.attempts.last().is_some_and(|a| a.backend == id)
+        {
             return false;
         }
         match (r.attempts.iter().find(|a| !a.never_ran), effect) {
-            (Some(ran), Effect::Dedup { group: Group::Zone, .. }) => b.entry.zone == ran.place.0,
-            (Some(ran), Effect::Dedup { group: Group::Cell, .. }) => b.entry.cell == ran.place.1,
+            (
+                Some(ran),
+                Effect::Dedup {
+                    group: Group::Zone, ..
+                },
+            ) => b.entry.zone == ran.place.0,
+            (
+                Some(ran),
+                Effect::Dedup {
+                    group: Group::Cell, ..
+                },
+            ) => b.entry.cell == ran.place.1,
             _ => true,
         }
     }
@@ -589,24 +815,41 @@
     fn cost(&self, now: f64, id: BackendId) -> f64 {
         let b = &self.backends[&id];
         let slow = b.slow * (1.0 + ERROR_COST * b.error) / b.warmth(&self.s.rules, now);
-        let crossing = if b.entry.zone != self.s.zone && self.s.goal.cross_zone > 0.0 { 0.5 } else { 0.0 };
+        let crossing = if b.entry.zone != self.s.zone && self.s.goal.cross_zone > 0.0 {
+            0.5
+        } else {
+            0.0
+        };
         let calls = (b.calls.len() + b.late.len()) as f64;
         (calls * self.weight / b.entry.weight.max(0.01) + 1.0 + crossing) * slow
     }
 
-    /// Two random members of the subset that fit; the cheaper one. Past the subset only if none fits, and
-    /// to backends out of service only if nothing else is left.
+    /// Two random members of the subset that fit; the cheaper one. Past the subset only if none
+    /// fits, and to backends out of service only if nothing else is left.
     fn pick(&mut self, now: f64, id: RequestId) -> Option<BackendId> {
         let (r, mut rng, mut found) = (self.requests.get(&id)?, self.rng.clone(), None);
         let (near, far) = self.subset.split_at(self.near);
-        let first = if near.is_empty() || rng.f64() < self.spill && !far.is_empty() { far } else { near };
-        for (from, trusting) in
-            [(first, false), (&self.subset, false), (&self.ring, false), (&self.subset, true)]
-        {
+        let first = if near.is_empty() || rng.f64() < self.spill && !far.is_empty() {
+            far
+        } else {
+            near
+        };
+        for (from, trusting) in [
+            (first, false),
+            (&self.subset, false),
+            (&self.ring, false),
+            (&self.subset, true),
+        ] {
             let mut draws = (0..12 * from.len().min(1)).map(|_| from[rng.usize(..from.len())]);
             let first = draws.find(|&c| self.fits(now, r, c, trusting));
             let other = draws.find(|&c| Some(c) != first && self.fits(now, r, c, trusting));
-            let cheaper = |a, b| if self.cost(now, b) < self.cost(now, a) { b } else { a };
+            let cheaper = |a, b| {
+                if self.cost(now, b) < self.cost(now, a) {
+                    b
+                } else {
+                    a
+                }
+            };
             found = first.map(|a| other.map_or(a, |b| cheaper(a, b)));
             if found.is_some() {
                 break;
@@ -618,7 +861,9 @@
 
     /// What an outcome says of its backend and of the limit.
     fn judge(&mut self, now: f64, e: &Resolved, class: usize, sent: f64) {
-        let Some(b) = self.backends.get_mut(&e.backend) else { return };
+        let Some(b) = self.backends.get_mut(&e.backend) else {
+            return;
+        };
         if let Some(i) = b.calls.iter().position(|&call| call == (e.request, sent)) {
             b.calls.remove(i);
         }
@@ -657,7 +902,11 @@
             }
             Outcome::Error | Outcome::Reset | Outcome::ConnectFailed => {
                 // A backend that is down says nothing of the load: only one that is else well does.
-                l.drops += if b.error < ERROR_STEP { unreachable } else { 0.0 };
+                l.drops += if b.error < ERROR_STEP {
+                    unreachable
+                } else {
+                    0.0
+                };
                 b.error += (1.0 - b.error) * ERROR_STEP * (1.0 + 2.0 * unreachable);
                 self.error += (1.0 - self.error) * 0.02;
                 let beside = (ERROR_BESIDE * self.error).min((1.0 + self.error) / 2.0);
@@ -673,8 +922,14 @@
 
     /// Takes a backend out of service, unless so many are out that the illness must be shared.
     fn eject(&mut self, now: f64, id: BackendId) {
-        let out = self.ring.iter().filter(|i| self.backends[i].ejected()).count() as f64;
-        let Some(b) = self.backends.get_mut(&id) else { return };
+        let out = self
+            .ring
+            .iter()
+            .filter(|i| self.backends[i].ejected())
+            .count() as f64;
+        let Some(b) = self.backends.get_mut(&id) else {
+            return;
+        };
         if !b.ejected() && out + 1.0 > (self.ring.len() as f64 * MAX_EJECTED).max(1.0) {
             return;
         }
@@ -687,7 +942,9 @@
     fn unpin(&mut self, now: f64, id: BackendId, means: f64) {
         let b = &self.backends[&id];
         for (request, sent) in b.calls.iter().chain(&b.late).copied().collect::<Vec<_>>() {
-            let Some(r) = self.requests.get_mut(&request) else { continue };
+            let Some(r) = self.requests.get_mut(&request) else {
+                continue;
+            };
             let (class, slice, l) = (r.class, r.slice, &self.limiter.classes[r.class]);
             let long = now - sent >= means * if l.samples < WINDOW { l.aim } else { l.mean };
             let call = r
@@ -700,11 +957,16 @@
     }
 
     fn housekeep(&mut self, now: f64, out: &mut Vec<Action>) {
-        out.push(Action::WakeMe { delay: self.period(), token: HOUSEKEEPING });
+        out.push(Action::WakeMe {
+            delay: self.period(),
+            token: HOUSEKEEPING,
+        });
         let passed = (now - self.house).max(0.0);
         self.house = now;
         self.limiter.update(passed);
-        self.excess.iter_mut().for_each(|e| *e -= *e * passed / SPILL_FADE);
+        self.excess
+            .iter_mut()
+            .for_each(|e| *e -= *e * passed / SPILL_FADE);
         let gain = self.excess[0] - self.excess[1] - self.s.goal.cross_zone * CROSS_PRICE;
         self.drift = (self.drift + SPILL[1] * gain * passed / 1000.0).clamp(0.0, 1.0);
         self.spill = (self.drift + SPILL[0] * gain).clamp(0.0, 1.0);
@@ -712,31 +974,53 @@
         self.peak = self.inflight.max(self.peak * (1.0 - passed / 5000.0));
         // Those who have waited too long for their key's turn; keys that have rested.
         let stale = |id: &RequestId| self.requests.get(id).is_some_and(|r| now >= r.hold_until);
-        let lines = self.lines.values().flat_map(|l| l.ids.iter().skip(usize::from(l.turn)));
+        let lines = self
+            .lines
+            .values()
+            .flat_map(|l| l.ids.iter().skip(usize::from(l.turn)));
         for id in lines.copied().filter(stale).collect::<Vec<_>>() {
             self.finish(now, id, out);
         }
-        self.lines.keys().copied().collect::<Vec<_>>().into_iter().for_each(|key| self.pass_turn(now, key));
+        self.lines
+            .keys()
+            .copied()
+            .collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|key| self.pass_turn(now, key));
         let busy = self
             .backends
             .iter()
             .filter(|(_, b)| !b.calls.is_empty() || !b.late.is_empty())
             .map(|(&id, _)| id);
-        busy.collect::<Vec<_>>().into_iter().for_each(|id| self.unpin(now, id, PIN));
+        busy.collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|id| self.unpin(now, id, PIN));
         self.free_held(now, true, out);
-        // Cold budgets grow with what this copy's backends prove to bear, at the warmth surely reached.
-        let warm: f64 = self.subset.iter().map(|i| self.backends[i].warmth(&self.s.rules, now)).sum();
+        // Cold budgets grow with what this copy's backends prove to bear, at the warmth surely
+        // reached.
+        let warm: f64 = self
+            .subset
+            .iter()
+            .map(|i| self.backends[i].warmth(&self.s.rules, now))
+            .sum();
         let margin = COLD_MARGIN * self.s.rules.fall_multiple.min(1.0) / self.sharers;
         let each = self.limiter.rate / warm.max(1.0) * margin * passed;
         let mut hung = Vec::new();
         for id in &self.subset {
-            let Some(b) = self.backends.get_mut(id) else { continue };
+            let Some(b) = self.backends.get_mut(id) else {
+                continue;
+            };
             b.cold_tokens = (b.cold_tokens + each * b.warmth(&self.s.rules, now)).min(1.0);
-            // Silent while others answer, for longer than so many answers would take by Little's law.
+            // Silent while others answer, for longer than so many answers would take by Little's
+            // law.
             let silence = now - b.heard.max(b.calls.front().map_or(now, |call| call.1));
             let missed = b.calls.len() as f64 * silence / (self.limiter.mean * b.slow).max(1.0);
             let others = now - self.heard < silence * 0.25;
-            if missed > HANG_MISSED && silence > 2.0 * self.limiter.mean && others && now >= b.ejected_until {
+            if missed > HANG_MISSED
+                && silence > 2.0 * self.limiter.mean
+                && others
+                && now >= b.ejected_until
+            {
                 hung.push(*id);
             }
         }
--- a/crates/turnshift/src/bin/turnshift-drill/main.rs
+++ b/crates/turnshift/src/bin/turnshift-drill/main.rs
@@ -1,5 +1,6 @@
-//! Hosts many balancer copies on the simulator's wire: batches on standard input, one reply to each on
-//! standard output. Bad input is one line on standard error and a non-zero exit, with no reply written.
+//! Hosts many balancer copies on the simulator's wire: batches on standard input, one reply to each
+//! on standard output. Bad input is one line on standard error and a non-zero exit, with no reply
+//! written.
 
 mod wire;
 
@@ -32,13 +33,24 @@
             match record {
                 wire::Record::Census => {}
                 wire::Record::Unused { instance } if instances.contains_key(&instance) => {}
-                wire::Record::Unused { instance } => return Err(format!("instance {instance} is unknown")),
-                wire::Record::Launch { instance, seed, facts } => {
+                wire::Record::Unused { instance } => {
+                    return Err(format!("instance {instance} is unknown"));
+                }
+                wire::Record::Launch {
+                    instance,
+                    seed,
+                    facts,
+                } => {
                     let settings = settings::parse(&facts)?.settings;
-                    instances.insert(instance, Balancer::new(settings, seed).map_err(|e| e.to_string())?);
+                    instances.insert(
+                        instance,
+                        Balancer::new(settings, seed).map_err(|e| e.to_string())?,
+                    );
                 }
                 wire::Record::Shutdown { instance } => {
-                    instances.remove(&instance).ok_or_else(|| format!("instance {instance} is unknown"))?;
+                    instances
+                        .remove(&instance)
+                        .ok_or_else(|| format!("instance {instance} is unknown"))?;
                 }
                 wire::Record::Event { instance, event } => {
                     let Some(balancer) = instances.get_mut(&instance) else {
@@ -55,12 +67,16 @@
             }
             Ok(())
         })?;
-        output.write_all(&reply.finish()).and_then(|()| output.flush()).map_err(|e| format!("reply: {e}"))?;
+        output
+            .write_all(&reply.finish())
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("reply: {e}"))?;
     }
     Ok(())
 }
 
 fn panic_text(panic: &(dyn std::any::Any + Send)) -> &str {
     let text = panic.downcast_ref::<String>().map(String::as_str);
-    text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic without a text")
+    text.or_else(|| panic.downcast_ref::<&str>().copied())
+        .unwrap_or("panic without a text")
 }
--- a/crates/turnshift/src/bin/turnshift-drill/wire.rs
+++ b/crates/turnshift/src/bin/turnshift-drill/wire.rs
@@ -53,22 +53,42 @@
 pub fn read_frame(input: &mut impl Read) -> Result<Option<Frame>, String> {
     let fail = |e: io::Error| format!("frame: {e}");
     let mut header = Vec::with_capacity(HEADER);
-    input.by_ref().take(HEADER as u64).read_to_end(&mut header).map_err(fail)?;
+    input
+        .by_ref()
+        .take(HEADER as u64)
+        .read_to_end(&mut header)
+        .map_err(fail)?;
     if header.is_empty() {
         return Ok(None);
     }
     if header.len() < HEADER {
-        return Err(format!("frame: truncated in its header, {} of {HEADER} bytes", header.len()));
+        return Err(format!(
+            "frame: truncated in its header, {} of {HEADER} bytes",
+            header.len()
+        ));
     }
-    let mut r = Reader { bytes: &header, at: 0, start: 0 };
+    let mut r = Reader {
+        bytes: &header,
+        at: 0,
+        start: 0,
+    };
     let (count, length, now) = (r.u32("count")?, r.u32("length")? as usize, r.f64("clock")?);
     let Some(length) = length.checked_sub(CLOCK) else {
-        return Err(format!("frame: byte 4: length {length} is shorter than the clock"));
+        return Err(format!(
+            "frame: byte 4: length {length} is shorter than the clock"
+        ));
     };
     let mut body = Vec::new();
-    input.by_ref().take(length as u64).read_to_end(&mut body).map_err(fail)?;
+    input
+        .by_ref()
+        .take(length as u64)
+        .read_to_end(&mut body)
+        .map_err(fail)?;
     if body.len() < length {
-        return Err(format!("frame: truncated, {} of {length} bytes after the header", body.len()));
+        return Err(format!(
+            "frame: truncated, {} of {length} bytes after the header",
+            body.len()
+        ));
     }
     Ok(Some(Frame { now, count, body }))
 }
@@ -81,13 +101,20 @@
 
 impl<'a> Reader<'a> {
     fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8], String> {
-        let got = self.at.checked_add(n).and_then(|end| self.bytes.get(self.at..end));
-        let got = got.ok_or_else(|| format!("byte {}: truncated in {what}", self.start + self.at))?;
+        let got = self
+            .at
+            .checked_add(n)
+            .and_then(|end| self.bytes.get(self.at..end));
+        let got =
+            got.ok_or_else(|| format!("byte {}: truncated in {what}", self.start + self.at))?;
         self.at += n;
         Ok(got)
     }
     fn array<const N: usize>(&mut self, what: &str) -> Result<[u8; N], String> {
-        Ok(self.take(N, what)?.try_into().expect("length was asked for"))
+        Ok(self
+            .take(N, what)?
+            .try_into()
+            .expect("length was asked for"))
     }
     fn u8(&mut self, what: &str) -> Result<u8, String> {
         Ok(self.array::<1>(what)?[0])
@@ -106,11 +133,18 @@
     }
     fn f64(&mut self, what: &str) -> Result<f64, String> {
         let x = f64::from_le_bytes(self.array(what)?);
-        if x.is_finite() { Ok(x) } else { self.bad(8, what, "is not finite") }
+        if x.is_finite() {
+            Ok(x)
+        } else {
+            self.bad(8, what, "is not finite")
+        }
     }
     /// An error about the field of `width` bytes that was just read.
     fn bad<T>(&self, width: usize, what: &str, why: impl std::fmt::Display) -> Result<T, String> {
-        Err(format!("byte {}: {what} {why}", self.start + self.at - width))
+        Err(format!(
+            "byte {}: {what} {why}",
+            self.start + self.at - width
+        ))
     }
     /// Passes over a load report.
     fn report(&mut self) -> Result<(), String> {
@@ -163,15 +197,24 @@
         frame: &Frame,
         mut each: impl FnMut(Record) -> Result<(), String>,
     ) -> Result<(), String> {
-        let mut r = Reader { bytes: &frame.body, at: 0, start: HEADER };
+        let mut r = Reader {
+            bytes: &frame.body,
+            at: 0,
+            start: HEADER,
+        };
         for n in 0..frame.count {
             let at = HEADER + r.at;
-            let record = self.record(&mut r).map_err(|e| format!("record {n}: {e}"))?;
+            let record = self
+                .record(&mut r)
+                .map_err(|e| format!("record {n}: {e}"))?;
             each(record).map_err(|e| format!("record {n}: byte {at}: {e}"))?;
         }
         match frame.body.len() - r.at {
             0 => Ok(()),
-            left => Err(format!("byte {}: {left} bytes left over after the last record", HEADER + r.at)),
+            left => Err(format!(
+                "byte {}: {left} bytes left over after the last record",
+                HEADER + r.at
+            )),
         }
     }
 
@@ -194,7 +237,11 @@
             1 => {
                 let seed = r.u64("rngSeed")?;
                 let n = r.u32("facts")? as usize;
-                return Ok(Record::Launch { instance, seed, facts: r.take(n, "facts")?.to_vec() });
+                return Ok(Record::Launch {
+                    instance,
+                    seed,
+                    facts: r.take(n, "facts")?.to_vec(),
+                });
             }
             2 => {
                 let page = r.u32("page")?;
@@ -220,7 +267,15 @@
                 r.u8("stateBits")?;
                 r.f64("predicted")?;
                 let (tenant, deadline) = (r.u16("customer")?, r.f64("clientDeadline")?);
-                Event::Request(Arrival { request, key, class, tenant, deadline, spare: None, worth: 1.0 })
+                Event::Request(Arrival {
+                    request,
+                    key,
+                    class,
+                    tenant,
+                    deadline,
+                    spare: None,
+                    worth: 1.0,
+                })
             }
             4 => {
                 r.u64("xid")?;
@@ -237,10 +292,22 @@
                 let attempt = r.u8("hop")?;
                 let backend = r.u32("backend")?;
                 r.report()?;
-                Event::Resolved(Resolved { request, attempt, backend, outcome, wait, closed, spare: None })
+                Event::Resolved(Resolved {
+                    request,
+                    attempt,
+                    backend,
+                    outcome,
+                    wait,
+                    closed,
+                    spare: None,
+                })
             }
-            6 => Event::Hangup { request: r.u64("xid")? },
-            7 => Event::Wake { token: r.u64("nonce")? },
+            6 => Event::Hangup {
+                request: r.u64("xid")?,
+            },
+            7 => Event::Wake {
+                token: r.u64("nonce")?,
+            },
             8 => {
                 r.f64("waitTime")?;
                 r.u32("backend")?;
@@ -301,12 +368,19 @@
         self.head(code, instance);
         let b = &mut self.bytes;
         match action {
-            Action::Send { request, backend, not_past } => {
+            Action::Send {
+                request,
+                backend,
+                not_past,
+            } => {
                 b.extend(request.to_le_bytes());
                 b.extend(backend.to_le_bytes());
                 b.extend(not_past.to_le_bytes());
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 b.extend(request.to_le_bytes());
                 b.extend(retry_after.to_le_bytes());
             }
--- a/crates/turnshift/src/lib.rs
+++ b/crates/turnshift/src/lib.rs
@@ -1,10 +1,10 @@
 //! A load balancer's decisions for services that call services, as a library without I/O.
 //!
-//! Each [`Balancer`] is one copy in front of one tier. It learns one concurrency limit for its own calls,
-//! splits it into slices by worth, refuses low-worth requests first once past it, and picks servers inside a
-//! subset of the tier that is as large as its load. It is told what happens ([`api::Event`]) at a clock time
-//! and answers with what to do ([`api::Action`]). It owns no clock, thread or socket: the same settings,
-//! seed and events give the same actions.
+//! Each [`Balancer`] is one copy in front of one tier. It learns one concurrency limit for its own
+//! calls, splits it into slices by worth, refuses low-worth requests first once past it, and picks
+//! servers inside a subset of the tier that is as large as its load. It is told what happens
+//! ([`api::Event`]) at a clock time and answers with what to do ([`api::Action`]). It owns no
+//! clock, thread or socket: the same settings, seed and events give the same actions.
 //!
 //! A proxy embeds it like this:
 //!
@@ -62,14 +62,17 @@
 //!
 //! # What the proxy owes the copy
 //!
-//! - Every event, in order, with a clock that only goes forward; a [`api::Event::Wake`] for every timer asked for.
-//! - One [`api::Event::Resolved`] for every [`api::Action::Send`], also after the request's end, and no later
-//!   than its `not_past`.
-//! - With [`api::Caps::late_ends`], one [`api::Event::Late`] for every attempt that was resolved as timed out or
-//!   cancelled, as soon as its work has ended or nothing more can be seen of it.
-//! - `closed` set once the request is over: the first served answer goes to the client by itself and ends it.
+//! - Every event, in order, with a clock that only goes forward; a [`api::Event::Wake`] for every
+//!   timer asked for.
+//! - One [`api::Event::Resolved`] for every [`api::Action::Send`], also after the request's end,
+//!   and no later than its `not_past`.
+//! - With [`api::Caps::late_ends`], one [`api::Event::Late`] for every attempt that was resolved as
+//!   timed out or cancelled, as soon as its work has ended or nothing more can be seen of it.
+//! - `closed` set once the request is over: the first served answer goes to the client by itself
+//!   and ends it.
 //!
-//! Events about requests, attempts or backends that the copy does not know, or that are over, are passed over.
+//! Events about requests, attempts or backends that the copy does not know, or that are over, are
+//! passed over.
 
 pub mod api;
 mod balancer;
@@ -106,10 +109,14 @@
     }
     let quota = |(i, t): (usize, &Tenant)| (format!("tenants[{i}].quota_per_s"), t.quota_per_s);
     figures.extend(s.tenants.iter().enumerate().map(quota));
-    match figures.into_iter().find(|(_, x)| !x.is_finite() || *x < 0.0) {
-        Some((field, _)) => {
-            Err(SettingsError { field, reason: "is missing, negative, not finite or out of range" })
-        }
+    match figures
+        .into_iter()
+        .find(|(_, x)| !x.is_finite() || *x < 0.0)
+    {
+        Some((field, _)) => Err(SettingsError {
+            field,
+            reason: "is missing, negative, not finite or out of range",
+        }),
         None => Ok(()),
     }
 }
--- a/crates/turnshift/src/settings.rs
+++ b/crates/turnshift/src/settings.rs
@@ -1,5 +1,5 @@
-//! Reads an instance's settings from the JSON object that comes with its start: on the simulator's wire as
-//! text, at a real proxy as a part of its configuration.
+//! Reads an instance's settings from the JSON object that comes with its start: on the simulator's
+//! wire as text, at a real proxy as a part of its configuration.
 
 use crate::api;
 use serde::{Deserialize, Deserializer, de::Error};
@@ -37,7 +37,11 @@
 /// A figure that must be finite and not negative.
 fn figure<'de, D: Deserializer<'de>>(d: D) -> Result<f64, D::Error> {
     let x = f64::deserialize(d)?;
-    if x.is_finite() && x >= 0.0 { Ok(x) } else { Err(D::Error::custom("must be finite and not negative")) }
+    if x.is_finite() && x >= 0.0 {
+        Ok(x)
+    } else {
+        Err(D::Error::custom("must be finite and not negative"))
+    }
 }
 
 #[derive(Deserialize)]
@@ -212,7 +216,13 @@
         must_ask: matches!(f.discovery, Discovery::Subscribe),
         over_share_worth: f.over_share_worth,
         classes: f.classes.into_iter().map(class).collect(),
-        tenants: f.tenants.iter().map(|t| api::Tenant { quota_per_s: t.quota_per_s }).collect(),
+        tenants: f
+            .tenants
+            .iter()
+            .map(|t| api::Tenant {
+                quota_per_s: t.quota_per_s,
+            })
+            .collect(),
         caps: api::Caps {
             cancelling: f.caps.cancelling,
             retry_after: f.caps.retry_after,
@@ -228,7 +238,10 @@
             release_within: f.guarantees.release_within,
             settle_after_doubt: f.guarantees.settle_after_doubt,
         },
-        goal: api::Goal { worst_class: f.goal.worst_class, cross_zone: f.prices.cross_zone },
+        goal: api::Goal {
+            worst_class: f.goal.worst_class,
+            cross_zone: f.prices.cross_zone,
+        },
     };
     Ok(Facts { settings, site })
 }
--- a/crates/turnshift/src/state.rs
+++ b/crates/turnshift/src/state.rs
@@ -1,4 +1,5 @@
-//! The decision module's records: plain fields, no logic. What they mean is decided in `balancer.rs`.
+//! The decision module's records: plain fields, no logic. What they mean is decided in
+//! `balancer.rs`.
 
 use crate::api::{BackendId, Entry, RequestId};
 use std::collections::VecDeque;
@@ -68,8 +69,9 @@
     pub busy: f64,
 }
 
-/// The learned total, judged in windows by two views: the answers' latencies, and Little's law (calls in
-/// flight over the rate of answers is the mean latency, slow ones counted while they are still out).
+/// The learned total, judged in windows by two views: the answers' latencies, and Little's law
+/// (calls in flight over the rate of answers is the mean latency, slow ones counted while they are
+/// still out).
 #[derive(Default)]
 pub struct Limiter {
     pub total: f64,
--- a/crates/turnshift/tests/common/mod.rs
+++ b/crates/turnshift/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A proxy's side of the interface: delivers legal events on a clock and keeps its own record of what was
-//! sent and answered, by which the rules are checked. It models no servers: outcomes are what a test says.
+//! A proxy's side of the interface: delivers legal events on a clock and keeps its own record of
+//! what was sent and answered, by which the rules are checked. It models no servers: outcomes are
+//! what a test says.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, HashMap};
@@ -9,7 +10,12 @@
 pub const GRACE: f64 = 20.0;
 
 pub fn class(aim: f64, points: f64, effect: Effect) -> Class {
-    Class { aim, points, effect, in_order: false }
+    Class {
+        aim,
+        points,
+        effect,
+        in_order: false,
+    }
 }
 
 pub fn settings(copies: u32, classes: Vec<Class>) -> Settings {
@@ -38,7 +44,11 @@
 }
 
 pub fn entry(backend: BackendId) -> Entry {
-    Entry { backend, weight: 1.0, ..Entry::default() }
+    Entry {
+        backend,
+        weight: 1.0,
+        ..Entry::default()
+    }
 }
 
 pub fn entries(n: u32) -> Vec<Entry> {
@@ -106,7 +116,11 @@
         for e in &entries {
             self.listed.insert(e.backend, e.clone());
         }
-        let draining: Vec<_> = entries.iter().filter(|e| e.phase == Phase::Draining).cloned().collect();
+        let draining: Vec<_> = entries
+            .iter()
+            .filter(|e| e.phase == Phase::Draining)
+            .cloned()
+            .collect();
         self.tell(Event::List { kind, entries });
         draining.iter().for_each(|e| self.check_release(e.backend));
     }
@@ -114,25 +128,42 @@
     /// Connections to a draining backend are closed at the notice and after each outcome there.
     fn check_release(&self, backend: BackendId) {
         if self.s.rules.release_within > 0.0 && self.listed[&backend].phase == Phase::Draining {
-            assert_eq!(self.closed.get(&backend), Some(&self.now), "connections to {backend} are kept open");
+            assert_eq!(
+                self.closed.get(&backend),
+                Some(&self.now),
+                "connections to {backend} are kept open"
+            );
         }
     }
 
-    /// Nothing is sent for a key while an earlier request is open, has an attempt out or left a doubt.
+    /// Nothing is sent for a key while an earlier request is open, has an attempt out or left a
+    /// doubt.
     fn check_order(&self, request: RequestId) {
         let a = &self.asked[&request];
         let ordered = |class: usize| self.s.classes[class].in_order;
         if a.key == 0 || !ordered(a.class) {
             return;
         }
-        for (id, earlier) in self.asked.range(..request).filter(|(_, e)| e.key == a.key && ordered(e.class)) {
-            assert!(earlier.ended.is_some(), "{request} sent before {id} is over");
+        for (id, earlier) in self
+            .asked
+            .range(..request)
+            .filter(|(_, e)| e.key == a.key && ordered(e.class))
+        {
+            assert!(
+                earlier.ended.is_some(),
+                "{request} sent before {id} is over"
+            );
             for s in &earlier.sends {
                 let rest = match s.outcome.expect("every attempt has its outcome") {
-                    Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => self.s.rules.settle_after_doubt,
+                    Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => {
+                        self.s.rules.settle_after_doubt
+                    }
                     _ => 0.0,
                 };
-                assert!(self.now >= s.over + rest, "{request} sent while {id} may still run");
+                assert!(
+                    self.now >= s.over + rest,
+                    "{request} sent while {id} may still run"
+                );
             }
         }
     }
@@ -143,7 +174,11 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, backend, not_past } => self.sent(request, backend, not_past),
+                Action::Send {
+                    request,
+                    backend,
+                    not_past,
+                } => self.sent(request, backend, not_past),
                 Action::Refuse { request, .. } => self.refused(request),
                 Action::Fail { request } => self.close(request, "failed"),
                 Action::WakeMe { delay, token } => {
@@ -159,7 +194,10 @@
                 }
                 Action::Cancel { request, attempt } => {
                     self.cancelled.push((request, usize::from(attempt)));
-                    assert!(self.s.caps.cancelling, "cancelled where that is not allowed");
+                    assert!(
+                        self.s.caps.cancelling,
+                        "cancelled where that is not allowed"
+                    );
                     assert!(
                         self.asked[&request].sends.len() > usize::from(attempt),
                         "cancelled what was never sent"
@@ -171,16 +209,29 @@
 
     fn sent(&mut self, request: RequestId, backend: BackendId, not_past: f64) {
         self.check_order(request);
-        let e = self.listed.get(&backend).expect("sent to a backend that no list named");
+        let e = self
+            .listed
+            .get(&backend)
+            .expect("sent to a backend that no list named");
         assert_eq!(e.phase, Phase::Ready, "sent to a draining or gone backend");
         let (zone, cell) = (e.zone, e.cell);
-        let a = self.asked.get_mut(&request).expect("sent a request that was never asked");
+        let a = self
+            .asked
+            .get_mut(&request)
+            .expect("sent a request that was never asked");
         assert!(a.ended.is_none(), "sent after its end");
         assert!(not_past <= a.deadline);
-        assert!(a.sends.len() < self.s.caps.try_limit as usize, "too many attempts");
+        assert!(
+            a.sends.len() < self.s.caps.try_limit as usize,
+            "too many attempts"
+        );
         let out = a.sends.iter().filter(|s| s.outcome.is_none()).count();
         assert_eq!(out, 0, "two attempts out at once");
-        if let Some(ran) = a.sends.iter().find(|s| s.outcome.is_none_or(|o| !o.never_ran())) {
+        if let Some(ran) = a
+            .sends
+            .iter()
+            .find(|s| s.outcome.is_none_or(|o| !o.never_ran()))
+        {
             let group = self.listed.get(&ran.backend).map(|e| (e.zone, e.cell));
             match self.s.classes[a.class].effect {
                 Effect::Retryable => {}
@@ -193,22 +244,45 @@
                 }
             }
         }
-        a.sends.push(Sent { backend, at: self.now, not_past, outcome: None, over: 0.0 });
+        a.sends.push(Sent {
+            backend,
+            at: self.now,
+            not_past,
+            outcome: None,
+            over: 0.0,
+        });
     }
 
     fn refused(&mut self, request: RequestId) {
         let a = &self.asked[&request];
         let effect = self.s.classes[a.class].effect;
-        let unrun = a.sends.iter().all(|s| s.outcome.is_some_and(Outcome::never_ran));
-        let all = matches!(effect, Effect::Retryable | Effect::Dedup { group: Group::All, .. });
+        let unrun = a
+            .sends
+            .iter()
+            .all(|s| s.outcome.is_some_and(Outcome::never_ran));
+        let all = matches!(
+            effect,
+            Effect::Retryable
+                | Effect::Dedup {
+                    group: Group::All,
+                    ..
+                }
+        );
         assert!(unrun || all, "refused what may have run");
         self.close(request, "refused");
     }
 
     pub fn close(&mut self, request: RequestId, how: &'static str) {
-        let a = self.asked.get_mut(&request).expect("ended a request that was never asked");
+        let a = self
+            .asked
+            .get_mut(&request)
+            .expect("ended a request that was never asked");
         assert!(a.ended.is_none(), "answered twice");
-        assert!(self.now <= a.deadline + GRACE, "answered {} ms late", self.now - a.deadline);
+        assert!(
+            self.now <= a.deadline + GRACE,
+            "answered {} ms late",
+            self.now - a.deadline
+        );
         a.ended = Some((self.now, how));
     }
 
@@ -234,7 +308,16 @@
     ) -> RequestId {
         let (request, deadline) = (self.next, self.now + left);
         self.next += 1;
-        self.asked.insert(request, Asked { key, class, deadline, sends: Vec::new(), ended: None });
+        self.asked.insert(
+            request,
+            Asked {
+                key,
+                class,
+                deadline,
+                sends: Vec::new(),
+                ended: None,
+            },
+        );
         self.tell(Event::Request(Arrival {
             request,
             key,
@@ -279,7 +362,11 @@
     /// Attempts that are out, oldest request first.
     pub fn out(&self) -> Vec<(RequestId, usize, Sent)> {
         let sends = |(&id, a): (&RequestId, &Asked)| {
-            let of = a.sends.iter().enumerate().filter(|(_, s)| s.outcome.is_none());
+            let of = a
+                .sends
+                .iter()
+                .enumerate()
+                .filter(|(_, s)| s.outcome.is_none());
             of.map(|(n, s)| (id, n, s.clone())).collect::<Vec<_>>()
         };
         self.asked.iter().flat_map(sends).collect()
@@ -290,13 +377,28 @@
         while self.now < to {
             self.now = (self.now + self.s.tick).min(to);
             let now = self.now;
-            let due: Vec<u64> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
+            let due: Vec<u64> = self
+                .timers
+                .iter()
+                .filter(|t| t.0 <= now)
+                .map(|t| t.1)
+                .collect();
             self.timers.retain(|t| t.0 > now);
-            due.into_iter().for_each(|token| self.tell(Event::Wake { token }));
-            let late: Vec<_> = self.out().into_iter().filter(|(_, _, s)| s.not_past <= now).collect();
-            late.into_iter().for_each(|(id, n, _)| self.resolve(id, n, Outcome::Timeout));
+            due.into_iter()
+                .for_each(|token| self.tell(Event::Wake { token }));
+            let late: Vec<_> = self
+                .out()
+                .into_iter()
+                .filter(|(_, _, s)| s.not_past <= now)
+                .collect();
+            late.into_iter()
+                .for_each(|(id, n, _)| self.resolve(id, n, Outcome::Timeout));
             for (id, n) in std::mem::take(&mut self.cancelled) {
-                if self.asked.get(&id).is_some_and(|a| a.sends[n].outcome.is_none()) {
+                if self
+                    .asked
+                    .get(&id)
+                    .is_some_and(|a| a.sends[n].outcome.is_none())
+                {
                     self.resolve(id, n, Outcome::Cancelled);
                 }
             }
@@ -305,10 +407,12 @@
 
     /// Drops the record of what is over, so that long tests stay quick.
     pub fn forget(&mut self) {
-        self.asked.retain(|_, a| a.ended.is_none() || a.sends.iter().any(|s| s.outcome.is_none()));
+        self.asked
+            .retain(|_, a| a.ended.is_none() || a.sends.iter().any(|s| s.outcome.is_none()));
     }
 
-    /// Serves steadily: `per_tick` requests of a class each tick, every answer after `wait`; how many were refused.
+    /// Serves steadily: `per_tick` requests of a class each tick, every answer after `wait`; how
+    /// many were refused.
     pub fn serve(&mut self, ms: f64, per_tick: usize, class: usize, wait: f64) -> usize {
         let (end, mut refused) = (self.now + ms, 0);
         while self.now < end {
@@ -321,7 +425,11 @@
                     self.resolve(id, n, Outcome::Ok);
                 }
             }
-            refused += self.asked.values().filter(|a| a.ended.is_some_and(|e| e.1 == "refused")).count();
+            refused += self
+                .asked
+                .values()
+                .filter(|a| a.ended.is_some_and(|e| e.1 == "refused"))
+                .count();
             self.forget();
         }
         refused
