--- a/crates/turnshift/tests/decisions.rs
+++ b/crates/turnshift/tests/decisions.rs
@@ -21,7 +21,10 @@
 
 fn sends_by_backend(p: &Proxy) -> BTreeMap<BackendId, usize> {
     let mut by = BTreeMap::new();
-    p.asked.values().flat_map(|a| &a.sends).for_each(|s| *by.entry(s.backend).or_default() += 1);
+    p.asked
+        .values()
+        .flat_map(|a| &a.sends)
+        .for_each(|s| *by.entry(s.backend).or_default() += 1);
     by
 }
 
@@ -29,15 +32,23 @@
 fn limit_grows_while_it_is_used_and_answers_are_quick() {
     let mut p = Proxy::new(plain(1), 1, entries(10));
     let start = fill(&mut p, 0, 0, 400);
-    assert!(start >= 30, "a start into full traffic refuses what ten idle backends could serve: {start}");
+    assert!(
+        start >= 30,
+        "a start into full traffic refuses what ten idle backends could serve: {start}"
+    );
     for _ in 0..200 {
         p.advance(p.now + 50.0);
-        p.out().into_iter().for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
+        p.out()
+            .into_iter()
+            .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
         p.forget();
         fill(&mut p, 0, 0, 400);
     }
     let grown = p.out().len();
-    assert!(grown >= 4 * start, "{start} calls out at first, {grown} after 10 s of quick answers");
+    assert!(
+        grown >= 4 * start,
+        "{start} calls out at first, {grown} after 10 s of quick answers"
+    );
 }
 
 /// Guards against a limit that wanders off on an idle copy.
@@ -47,7 +58,10 @@
     let start = fill(&mut Proxy::new(plain(1), 1, entries(10)), 0, 0, 400);
     p.serve(10_000.0, 1, 0, 10.0);
     let after = fill(&mut p, 0, 0, 400);
-    assert!(after <= start + 1, "{start} at first, {after} after a quiet time");
+    assert!(
+        after <= start + 1,
+        "{start} at first, {after} after a quiet time"
+    );
 }
 
 /// A release takes each backend out and brings it back.
@@ -56,7 +70,10 @@
     let start = fill(&mut Proxy::new(plain(1), 1, entries(10)), 0, 0, 400);
     let mut p = Proxy::new(plain(1), 1, entries(10));
     for gone in 1..=10 {
-        let left: Vec<Entry> = entries(10).into_iter().filter(|e| e.backend != gone).collect();
+        let left: Vec<Entry> = entries(10)
+            .into_iter()
+            .filter(|e| e.backend != gone)
+            .collect();
         p.list(ListKind::Full, left);
         p.list(ListKind::Full, entries(10));
     }
@@ -78,11 +95,15 @@
             fill(&mut p, 0, 0, 400);
         }
         let after = p.out().len();
-        assert!(after < before * 3 / 4, "{outcome:?}: {before} calls out before, {after} after");
+        assert!(
+            after < before * 3 / 4,
+            "{outcome:?}: {before} calls out before, {after} after"
+        );
     }
 }
 
-/// The first answers after a change are the quick ones; a limit that grows on them alone overshoots.
+/// The first answers after a change are the quick ones; a limit that grows on them alone
+/// overshoots.
 #[test]
 fn quick_answers_do_not_speak_for_those_still_out() {
     let mut p = Proxy::new(plain(1), 1, entries(10));
@@ -95,7 +116,10 @@
         }
     }
     let after = fill(&mut p, 0, 0, 400);
-    assert!(after <= start + 1, "{start} at first, {after} on a few quick answers");
+    assert!(
+        after <= start + 1,
+        "{start} at first, {after} on a few quick answers"
+    );
 }
 
 /// Objection: after the tier shrinks, limits stay high until latency climbs.
@@ -109,27 +133,40 @@
         fill(&mut p, 0, 0, 400)
     };
     let (full, shrunk) = (out(false), out(true));
-    assert!(shrunk * 3 <= full, "{full} calls out over 20 backends, {shrunk} over the 5 left");
+    assert!(
+        shrunk * 3 <= full,
+        "{full} calls out over 20 backends, {shrunk} over the 5 left"
+    );
 }
 
 #[test]
 fn low_worth_is_refused_first_and_its_slice_keeps_its_share() {
-    let classes = vec![class(1000.0, 9.0, Effect::Retryable), class(1000.0, 1.0, Effect::Retryable)];
+    let classes = vec![
+        class(1000.0, 9.0, Effect::Retryable),
+        class(1000.0, 1.0, Effect::Retryable),
+    ];
     let mut p = Proxy::new(settings(1, classes), 1, entries(10));
     let total = fill(&mut p, 1, 0, 400);
     let high = fill(&mut p, 0, 0, 400) - total;
-    // Past the total, the slice of share 0.9 still fills up to its own limit; that of 0.1 takes no more.
+    // Past the total, the slice of share 0.9 still fills up to its own limit; that of 0.1 takes no
+    // more.
     assert_eq!(high, (total as f64 * 0.9).ceil() as usize);
     assert_eq!(fill(&mut p, 1, 0, 50), total + high);
     // When everything returns, one slot of the low slice is kept under a flood of the high one.
     p.advance(p.now + 1000.0);
-    p.out().into_iter().for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
+    p.out()
+        .into_iter()
+        .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
     p.forget();
     let high = fill(&mut p, 0, 0, 400);
-    assert_eq!(fill(&mut p, 1, 0, 400) - high, (high as f64 * 0.1).ceil() as usize);
+    assert_eq!(
+        fill(&mut p, 1, 0, 400) - high,
+        (high as f64 * 0.1).ceil() as usize
+    );
 }
 
-/// A tenant past its quota is demoted, not refused: it is served while there is room and last when not.
+/// A tenant past its quota is demoted, not refused: it is served while there is room and last when
+/// not.
 #[test]
 fn greedy_tenant_is_served_from_what_is_left() {
     let mut s = plain(1);
@@ -137,7 +174,11 @@
     let mut p = Proxy::new(s.clone(), 1, entries(10));
     let total = fill(&mut p, 0, 0, 400);
     assert!(total >= 20, "capacity left over is used: {total}");
-    assert_eq!(fill(&mut p, 0, 1, 9), total + 9, "another tenant within its quota is not kept out");
+    assert_eq!(
+        fill(&mut p, 0, 1, 9),
+        total + 9,
+        "another tenant within its quota is not kept out"
+    );
     // Behind the first tier work is under way already: no demotion.
     s.tier = 1;
     let mut p = Proxy::new(s, 1, entries(10));
@@ -147,39 +188,83 @@
 
 #[test]
 fn held_requests_are_freed_by_worth_and_refused_in_time() {
-    let classes = vec![class(1000.0, 9.0, Effect::Fragile), class(1000.0, 1.0, Effect::Fragile)];
+    let classes = vec![
+        class(1000.0, 9.0, Effect::Fragile),
+        class(1000.0, 1.0, Effect::Fragile),
+    ];
     let mut p = Proxy::new(settings(1, classes), 1, entries(5));
     let out = fill(&mut p, 1, 0, 24); // the low slice fills the total and holds four more
-    let low: Vec<_> = p.asked.iter().filter(|(_, a)| a.sends.is_empty()).map(|(&id, _)| id).collect();
+    let low: Vec<_> = p
+        .asked
+        .iter()
+        .filter(|(_, a)| a.sends.is_empty())
+        .map(|(&id, _)| id)
+        .collect();
     assert_eq!((out, low.len()), (20, 4));
     fill(&mut p, 0, 0, 20); // the high slice fills its own share past the total
-    let high = *p.asked.iter().find(|(_, a)| a.class == 0 && a.sends.is_empty()).expect("one is held").0;
+    let high = *p
+        .asked
+        .iter()
+        .find(|(_, a)| a.class == 0 && a.sends.is_empty())
+        .expect("one is held")
+        .0;
     p.advance(p.now + 20.0);
-    let (id, n, _) = p.out().pop().expect("a call of the high slice, the last to be sent");
+    let (id, n, _) = p
+        .out()
+        .pop()
+        .expect("a call of the high slice, the last to be sent");
     p.resolve(id, n, Outcome::Ok);
-    assert_eq!(p.asked[&high].sends.len(), 1, "the first slot goes to the most worth");
-    assert!(low.iter().all(|id| p.asked[id].sends.is_empty()), "though the others came first");
+    assert_eq!(
+        p.asked[&high].sends.len(),
+        1,
+        "the first slot goes to the most worth"
+    );
+    assert!(
+        low.iter().all(|id| p.asked[id].sends.is_empty()),
+        "though the others came first"
+    );
     p.advance(p.now + 300.0);
-    assert!(low.iter().all(|id| p.asked[id].ended.is_some_and(|e| e.1 == "refused")), "held for ever");
+    assert!(
+        low.iter()
+            .all(|id| p.asked[id].ended.is_some_and(|e| e.1 == "refused")),
+        "held for ever"
+    );
 }
 
-/// Copies tile the tier: every backend is in somebody's subset, and no copy meets the whole tier at low load.
+/// Copies tile the tier: every backend is in somebody's subset, and no copy meets the whole tier at
+/// low load.
 #[test]
 fn subsets_tile_the_tier() {
     for (copies, n) in [(10, 60), (40, 100), (3, 30)] {
         let mut met_by: BTreeMap<BackendId, usize> = BTreeMap::new();
         for copy in 0..copies {
-            let mut p = Proxy::new(Settings { copy, ..plain(copies) }, 1, entries(n));
+            let mut p = Proxy::new(
+                Settings {
+                    copy,
+                    ..plain(copies)
+                },
+                1,
+                entries(n),
+            );
             for _ in 0..400 {
                 let id = p.ask(0, 0, 1e5);
                 p.advance(p.now + 5.0);
                 p.resolve(id, 0, Outcome::Ok);
             }
             let mine = sends_by_backend(&p);
-            assert!(copies < 4 || mine.len() * 2 < n as usize, "copy {copy} of {copies} met {}", mine.len());
-            mine.keys().for_each(|&b| *met_by.entry(b).or_default() += 1);
+            assert!(
+                copies < 4 || mine.len() * 2 < n as usize,
+                "copy {copy} of {copies} met {}",
+                mine.len()
+            );
+            mine.keys()
+                .for_each(|&b| *met_by.entry(b).or_default() += 1);
         }
-        assert_eq!(met_by.len(), n as usize, "{copies} copies leave backends out");
+        assert_eq!(
+            met_by.len(),
+            n as usize,
+            "{copies} copies leave backends out"
+        );
     }
 }
 
@@ -191,7 +276,9 @@
             p.ask(0, 0, 1e5);
             seen.extend(p.out().iter().map(|s| s.2.backend));
             p.advance(p.now + 50.0);
-            p.out().into_iter().for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
+            p.out()
+                .into_iter()
+                .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
             p.forget();
         }
         seen.len()
@@ -200,10 +287,16 @@
     let quiet = met(&mut p, 20_000.0);
     p.serve(6000.0, 6, 0, 200.0);
     let after = met(&mut p, 10_000.0);
-    assert!(after > 2 * quiet, "{quiet} when quiet, {after} after a rush");
+    assert!(
+        after > 2 * quiet,
+        "{quiet} when quiet, {after} after a rush"
+    );
     met(&mut p, 120_000.0);
     let later = met(&mut p, 20_000.0);
-    assert!(later < after, "{after} after the rush, {later} two minutes on");
+    assert!(
+        later < after,
+        "{after} after the rush, {later} two minutes on"
+    );
 }
 
 #[test]
@@ -222,11 +315,18 @@
         }
         p.forget();
     }
-    assert!(sends[&false] > 2 * sends[&true], "quick and slow halves got {sends:?}");
+    assert!(
+        sends[&false] > 2 * sends[&true],
+        "quick and slow halves got {sends:?}"
+    );
 }
 
 /// Runs a copy at a steady rate; `answer` says for a call how it ends now, if it does.
-fn run(p: &mut Proxy, ms: f64, answer: impl Fn(&Sent, f64) -> Option<Outcome>) -> BTreeMap<BackendId, usize> {
+fn run(
+    p: &mut Proxy,
+    ms: f64,
+    answer: impl Fn(&Sent, f64) -> Option<Outcome>,
+) -> BTreeMap<BackendId, usize> {
     let (end, mut sends) = (p.now + ms, BTreeMap::new());
     while p.now < end {
         p.ask(0, 0, 4000.0);
@@ -249,34 +349,54 @@
     (now - s.at >= 50.0).then_some(Outcome::Ok)
 }
 
-/// Objection: a hanging server pins slots until time-out. It is left, its calls go elsewhere, it comes back.
+/// Objection: a hanging server pins slots until time-out. It is left, its calls go elsewhere, it
+/// comes back.
 #[test]
 fn a_hanging_backend_is_left_and_comes_back() {
     let mut p = Proxy::new(plain(1), 1, entries(8));
     run(&mut p, 3000.0, well);
-    run(&mut p, 3000.0, |s, now| if s.backend == 2 { None } else { well(s, now) });
+    run(&mut p, 3000.0, |s, now| {
+        if s.backend == 2 { None } else { well(s, now) }
+    });
     let stuck = p.out().iter().filter(|(_, _, s)| s.backend == 2).count();
-    let hanging = run(&mut p, 2000.0, |s, now| if s.backend == 2 { None } else { well(s, now) });
+    let hanging = run(&mut p, 2000.0, |s, now| {
+        if s.backend == 2 { None } else { well(s, now) }
+    });
     assert!(
         hanging.get(&2).copied().unwrap_or(0) <= 3,
         "sent on to a hanging backend: {hanging:?}, {stuck} stuck"
     );
     run(&mut p, 30_000.0, well);
     let back = run(&mut p, 3000.0, well);
-    assert!(back.get(&2).copied().unwrap_or(0) > 20, "not taken back: {back:?}");
+    assert!(
+        back.get(&2).copied().unwrap_or(0) > 20,
+        "not taken back: {back:?}"
+    );
 }
 
 #[test]
 fn a_backend_that_fails_fast_is_left_and_comes_back() {
-    let bad = |s: &Sent, now: f64| if s.backend == 2 { Some(Outcome::Error) } else { well(s, now) };
+    let bad = |s: &Sent, now: f64| {
+        if s.backend == 2 {
+            Some(Outcome::Error)
+        } else {
+            well(s, now)
+        }
+    };
     let mut p = Proxy::new(plain(1), 1, entries(8));
     run(&mut p, 3000.0, well);
     run(&mut p, 1000.0, bad);
     let failing = run(&mut p, 2000.0, bad);
-    assert!(failing.get(&2).copied().unwrap_or(0) <= 3, "sent on to a failing backend: {failing:?}");
+    assert!(
+        failing.get(&2).copied().unwrap_or(0) <= 3,
+        "sent on to a failing backend: {failing:?}"
+    );
     run(&mut p, 30_000.0, well);
     let back = run(&mut p, 3000.0, well);
-    assert!(back.get(&2).copied().unwrap_or(0) > 20, "not taken back: {back:?}");
+    assert!(
+        back.get(&2).copied().unwrap_or(0) > 20,
+        "not taken back: {back:?}"
+    );
 }
 
 /// A trouble shared by all is nobody's illness: the fleet is not emptied.
@@ -290,20 +410,28 @@
     assert!(sends.len() >= 7, "left in service: {sends:?}");
 }
 
-/// Incident ie57de5: a third of the fleet silent. The common error rate holds the dead third itself, and must
-/// not raise the bar of illness past reach; nor may their failed connections cut the limit.
+/// Incident ie57de5: a third of the fleet silent. The common error rate holds the dead third
+/// itself, and must not raise the bar of illness past reach; nor may their failed connections cut
+/// the limit.
 #[test]
 fn a_dead_third_is_left() {
     let mut p = Proxy::new(plain(1), 1, entries(9));
     run(&mut p, 3000.0, well);
     let dead = |s: &Sent, now: f64| {
-        if s.backend <= 3 { (now - s.at >= 250.0).then_some(Outcome::ConnectFailed) } else { well(s, now) }
+        if s.backend <= 3 {
+            (now - s.at >= 250.0).then_some(Outcome::ConnectFailed)
+        } else {
+            well(s, now)
+        }
     };
     run(&mut p, 4000.0, dead);
     let sends = run(&mut p, 4000.0, dead);
     let wasted: usize = (1..=3).filter_map(|b| sends.get(&b)).sum();
     let all: usize = sends.values().sum();
-    assert!(wasted * 20 < all, "{wasted} of {all} sent to the dead third");
+    assert!(
+        wasted * 20 < all,
+        "{wasted} of {all} sent to the dead third"
+    );
     assert!(all > 700, "the limit was cut: {all} sends in 4 s");
 }
 
@@ -330,7 +458,10 @@
     }
     assert_eq!(left, 0);
     let sends = run(&mut p, 4000.0, well);
-    assert!(sends.get(&2).copied().unwrap_or(0) > 20, "ejected on two errors: {sends:?}");
+    assert!(
+        sends.get(&2).copied().unwrap_or(0) > 20,
+        "ejected on two errors: {sends:?}"
+    );
 }
 
 /// Repeats of what may have run are a share of the traffic: a failing fleet is not stormed.
@@ -350,14 +481,24 @@
         }
         p.forget();
     }
-    assert!(sent * 10 <= asked * 12, "{sent} attempts for {asked} requests that all fail");
+    assert!(
+        sent * 10 <= asked * 12,
+        "{sent} attempts for {asked} requests that all fail"
+    );
 }
 
 /// Calls for the list fail: asked again, later and later, and not by all copies at the same moment.
 #[test]
 fn failed_list_calls_are_repeated_with_jitter() {
     let ask = |seed| {
-        let mut p = Proxy::new(Settings { must_ask: true, ..plain(4) }, seed, entries(6));
+        let mut p = Proxy::new(
+            Settings {
+                must_ask: true,
+                ..plain(4)
+            },
+            seed,
+            entries(6),
+        );
         let mut failed = 0;
         for _ in 0..100_000 {
             p.advance(p.now + 5.0);
@@ -370,9 +511,15 @@
         p.watches
     };
     let (a, b) = (ask(1), ask(2));
-    assert!(a[0] - 1000.0 < 10_000.0, "first asked within the time that is due");
+    assert!(
+        a[0] - 1000.0 < 10_000.0,
+        "first asked within the time that is due"
+    );
     assert!(a[5] - a[4] > a[1] - a[0], "no backing off: {a:?}");
-    assert!(a.iter().zip(&b).all(|(x, y)| (x - y).abs() > 1.0), "in step: {a:?} {b:?}");
+    assert!(
+        a.iter().zip(&b).all(|(x, y)| (x - y).abs() > 1.0),
+        "in step: {a:?} {b:?}"
+    );
 }
 
 #[test]
@@ -395,11 +542,14 @@
     }
 }
 
-/// Two classes of one worth share a slice: in a full queue neither may outlive the other (seen on the bench:
-/// 0.62 of one class served and 0.89 of the other, from one slice, for a longer aim).
+/// Two classes of one worth share a slice: in a full queue neither may outlive the other (seen on
+/// the bench: 0.62 of one class served and 0.89 of the other, from one slice, for a longer aim).
 #[test]
 fn a_longer_aim_takes_no_more_of_a_shared_slice() {
-    let classes = vec![class(1000.0, 1.0, Effect::Fragile), class(3000.0, 1.0, Effect::Fragile)];
+    let classes = vec![
+        class(1000.0, 1.0, Effect::Fragile),
+        class(3000.0, 1.0, Effect::Fragile),
+    ];
     let mut p = Proxy::new(settings(1, classes), 1, entries(5));
     let mut served = [0, 0];
     for round in 0..4000 {
@@ -413,7 +563,10 @@
         }
         p.forget();
     }
-    assert!(served[1] * 4 < served[0] * 5 && served[0] * 4 < served[1] * 5, "served by class: {served:?}");
+    assert!(
+        served[1] * 4 < served[0] * 5 && served[0] * 4 < served[1] * 5,
+        "served by class: {served:?}"
+    );
 }
 
 /// Work past its tenant's quota has no claim under overload: one slot is all it keeps.
@@ -421,19 +574,25 @@
 fn demoted_work_keeps_one_slot() {
     let mut s = plain(1);
     s.over_share_worth = 0.3;
-    s.tenants = vec![Tenant { quota_per_s: 1.0 }, Tenant { quota_per_s: 1000.0 }];
+    s.tenants = vec![
+        Tenant { quota_per_s: 1.0 },
+        Tenant {
+            quota_per_s: 1000.0,
+        },
+    ];
     let mut p = Proxy::new(s, 1, entries(10));
     let within = fill(&mut p, 0, 1, 400);
     let demoted = fill(&mut p, 0, 0, 100) - within;
     assert_eq!(demoted, 1, "beside {within} calls within quota");
 }
 
-/// Incident ic969f0: overdriven backends stay slow until they are left alone for seconds; a trickle keeps
-/// them so. One far slower than its fellows is left, and comes back by a quick trial.
+/// Incident ic969f0: overdriven backends stay slow until they are left alone for seconds; a trickle
+/// keeps them so. One far slower than its fellows is left, and comes back by a quick trial.
 #[test]
 fn a_far_slower_backend_is_left_to_recover() {
-    let slow =
-        |s: &Sent, now: f64| (now - s.at >= if s.backend == 2 { 250.0 } else { 50.0 }).then_some(Outcome::Ok);
+    let slow = |s: &Sent, now: f64| {
+        (now - s.at >= if s.backend == 2 { 250.0 } else { 50.0 }).then_some(Outcome::Ok)
+    };
     let mut p = Proxy::new(plain(1), 1, entries(8));
     run(&mut p, 3000.0, well);
     run(&mut p, 6000.0, slow);
@@ -448,34 +607,56 @@
     assert!(longest.1 >= 6, "never left alone for 1.5 s: {longest:?}");
     run(&mut p, 30_000.0, well);
     let back = run(&mut p, 3000.0, well);
-    assert!(back.get(&2).copied().unwrap_or(0) > 20, "not taken back: {back:?}");
+    assert!(
+        back.get(&2).copied().unwrap_or(0) > 20,
+        "not taken back: {back:?}"
+    );
 }
 
-/// The share of a copy's last calls that left its zone, where answers take `near` ms and 50 ms beyond.
+/// The share of a copy's last calls that left its zone, where answers take `near` ms and 50 ms
+/// beyond.
 fn left_the_zone(price: f64, near: f64) -> f64 {
     let mut p = two_zones(price);
     run(&mut p, 4000.0, well);
-    let answer =
-        |s: &Sent, now: f64| (now - s.at >= if s.backend <= 5 { near } else { 50.0 }).then_some(Outcome::Ok);
+    let answer = |s: &Sent, now: f64| {
+        (now - s.at >= if s.backend <= 5 { near } else { 50.0 }).then_some(Outcome::Ok)
+    };
     run(&mut p, 8000.0, answer);
     share_beyond(&run(&mut p, 2000.0, answer))
 }
 
-/// Where crossing zones has a price calls stay, until the zone's own latency costs more than the crossing.
+/// Where crossing zones has a price calls stay, until the zone's own latency costs more than the
+/// crossing.
 #[test]
 fn calls_leave_the_zone_only_for_more_than_its_price() {
-    assert_eq!(left_the_zone(0.2, 50.0), 0.0, "nothing is gained by leaving");
+    assert_eq!(
+        left_the_zone(0.2, 50.0),
+        0.0,
+        "nothing is gained by leaving"
+    );
     let overloaded = left_the_zone(0.2, 700.0);
-    assert!(overloaded > 0.5, "{overloaded} left a zone that is 0.65 of the aim slower");
+    assert!(
+        overloaded > 0.5,
+        "{overloaded} left a zone that is 0.65 of the aim slower"
+    );
     let cheap = left_the_zone(0.0, 50.0);
-    assert!((0.3..0.7).contains(&cheap), "{cheap} left where crossing is free: all zones are one pool");
+    assert!(
+        (0.3..0.7).contains(&cheap),
+        "{cheap} left where crossing is free: all zones are one pool"
+    );
 }
 
 /// Two zones of five, the copy in the first; answers take what `near` says there and 50 ms beyond.
 fn two_zones(price: f64) -> Proxy {
     let mut s = plain(1);
     s.goal.cross_zone = price;
-    let zones = entries(10).into_iter().map(|e| Entry { zone: u16::from(e.backend > 5), ..e }).collect();
+    let zones = entries(10)
+        .into_iter()
+        .map(|e| Entry {
+            zone: u16::from(e.backend > 5),
+            ..e
+        })
+        .collect();
     Proxy::new(s, 1, zones)
 }
 
@@ -484,8 +665,8 @@
     far as f64 / sends.values().sum::<usize>().max(1) as f64
 }
 
-/// Incident idf6b26: a zone that was left altogether sends no answers, and its last bad estimate must not keep
-/// calls away for good.
+/// Incident idf6b26: a zone that was left altogether sends no answers, and its last bad estimate
+/// must not keep calls away for good.
 #[test]
 fn a_zone_that_was_left_is_tried_again() {
     let mut p = two_zones(0.2);
@@ -498,10 +679,14 @@
     assert!(left > 0.8, "{left} beyond a zone that takes 1.8 aims");
     run(&mut p, 60_000.0, well);
     let back = share_beyond(&run(&mut p, 2000.0, well));
-    assert!(back < 0.1, "{back} still beyond, a minute after the zone is well");
+    assert!(
+        back < 0.1,
+        "{back} still beyond, a minute after the zone is well"
+    );
 }
 
-/// Seen on the bench: clients leave before slow answers come. What they left counts as slow for its zone.
+/// Seen on the bench: clients leave before slow answers come. What they left counts as slow for its
+/// zone.
 #[test]
 fn calls_that_clients_left_count_as_slow_for_their_zone() {
     let mut p = two_zones(0.2);
@@ -524,10 +709,14 @@
         }
         p.forget();
     }
-    assert!(far * 2 > all, "{far} of {all} calls leave a zone whose clients all give up");
+    assert!(
+        far * 2 > all,
+        "{far} of {all} calls leave a zone whose clients all give up"
+    );
 }
 
-/// Hamilton's overloaded day: a copy with few calls must not take a jam for its baseline, however early.
+/// Hamilton's overloaded day: a copy with few calls must not take a jam for its baseline, however
+/// early.
 #[test]
 fn an_early_jam_is_not_taken_for_normal() {
     let mut p = Proxy::new(plain(1), 1, entries(5));
@@ -535,63 +724,104 @@
     let start = fill(&mut p, 0, 0, 400);
     for _ in 0..30 {
         p.advance(p.now + 700.0);
-        p.out().into_iter().for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
+        p.out()
+            .into_iter()
+            .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
         p.forget();
         fill(&mut p, 0, 0, 100);
     }
-    assert!(p.out().len() < start, "{start} calls at first, {} after answers at 0.7 aims", p.out().len());
+    assert!(
+        p.out().len() < start,
+        "{start} calls at first, {} after answers at 0.7 aims",
+        p.out().len()
+    );
 }
 
-/// Incident idc7037: answers get lost while those that come are quick. Time-outs alone must not cut the limit to
-/// nothing, nor may lost calls pin its slots until their deadline.
+/// Incident idc7037: answers get lost while those that come are quick. Time-outs alone must not cut
+/// the limit to nothing, nor may lost calls pin its slots until their deadline.
 #[test]
 fn lost_answers_do_not_take_the_limit() {
-    let mut p = Proxy::new(settings(1, vec![class(1000.0, 1.0, Effect::Fragile)]), 1, entries(8));
+    let mut p = Proxy::new(
+        settings(1, vec![class(1000.0, 1.0, Effect::Fragile)]),
+        1,
+        entries(8),
+    );
     let answer = |s: &Sent, now: f64| (now - s.at >= 150.0).then_some(Outcome::Ok);
     run(&mut p, 6000.0, answer);
     // One answer in six never comes, wherever the call went.
     let lossy = |s: &Sent, now: f64| {
-        if ((s.at / 5.0) as u64).is_multiple_of(6) { None } else { answer(s, now) }
+        if ((s.at / 5.0) as u64).is_multiple_of(6) {
+            None
+        } else {
+            answer(s, now)
+        }
     };
     let sends = run(&mut p, 30_000.0, lossy);
     let sent: usize = sends.values().sum();
     assert!(sent * 10 > 6000 * 9, "{sent} of 6000 requests sent");
 }
 
-/// A call that is out for many times its class's mean is lost or stuck: it pins no slot until its deadline.
+/// A call that is out for many times its class's mean is lost or stuck: it pins no slot until its
+/// deadline.
 #[test]
 fn silent_calls_do_not_pin_slots() {
-    let mut p = Proxy::new(settings(1, vec![class(1000.0, 1.0, Effect::Fragile)]), 1, entries(8));
+    let mut p = Proxy::new(
+        settings(1, vec![class(1000.0, 1.0, Effect::Fragile)]),
+        1,
+        entries(8),
+    );
     run(&mut p, 3000.0, well);
     let first = fill(&mut p, 0, 0, 400);
     p.advance(p.now + 150.0);
-    assert_eq!(fill(&mut p, 0, 0, 400), first, "three means: still in the queue, perhaps");
+    assert_eq!(
+        fill(&mut p, 0, 0, 400),
+        first,
+        "three means: still in the queue, perhaps"
+    );
     p.advance(p.now + 150.0);
-    assert!(fill(&mut p, 0, 0, 400) >= 2 * first, "six means: {} calls out, {first} at first", p.out().len());
+    assert!(
+        fill(&mut p, 0, 0, 400) >= 2 * first,
+        "six means: {} calls out, {first} at first",
+        p.out().len()
+    );
 }
 
-/// A backend that several balancers of one proxy send to is one backend: each keeps to its part of the budget.
+/// A backend that several balancers of one proxy send to is one backend: each keeps to its part of
+/// the budget.
 #[test]
 fn a_cold_budget_is_shared_by_the_balancers_of_one_proxy() {
     let sent_cold = |sharers| {
-        let cold = Entry { started_at: 1000.0, ..entry(1) };
-        let mut p = Proxy::new(plain(1), 1, [vec![cold], entries(10)[1..].to_vec()].concat());
+        let cold = Entry {
+            started_at: 1000.0,
+            ..entry(1)
+        };
+        let mut p = Proxy::new(
+            plain(1),
+            1,
+            [vec![cold], entries(10)[1..].to_vec()].concat(),
+        );
         p.balancer.share_cold(sharers);
         let mut sent = 0;
         for _ in 0..100 {
             fill(&mut p, 0, 0, 30);
             p.advance(p.now + 50.0);
             sent += p.out().iter().filter(|(_, _, s)| s.backend == 1).count();
-            p.out().into_iter().for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
+            p.out()
+                .into_iter()
+                .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
             p.forget();
         }
         sent as f64
     };
     let (alone, shared) = (sent_cold(1), sent_cold(4));
-    assert!(alone > 15.0 && shared > 2.0 && shared < 0.4 * alone, "{alone} alone, {shared} as one of four");
+    assert!(
+        alone > 15.0 && shared > 2.0 && shared < 0.4 * alone,
+        "{alone} alone, {shared} as one of four"
+    );
 }
 
-/// A limit that is known from before is begun with; one that is lower than a start's changes nothing.
+/// A limit that is known from before is begun with; one that is lower than a start's changes
+/// nothing.
 #[test]
 fn a_limit_that_is_known_from_before_is_begun_with() {
     let limit = |known: f64| {
@@ -603,7 +833,8 @@
     assert_eq!((limit(200.0), limit(3.0)), (200.0, limit(0.0)));
 }
 
-/// What a request may send again is what it was granted, and not what this copy saved up; what is told with an outcome counts.
+/// What a request may send again is what it was granted, and not what this copy saved up; what is
+/// told with an outcome counts.
 #[test]
 fn a_budget_bounds_what_is_sent_again() {
     for (spare, most) in [(Some(0), 1), (Some(2), 3), (None, 6)] {
@@ -612,9 +843,19 @@
         while let Some((_, n, _)) = p.out().into_iter().find(|(i, ..)| *i == id) {
             p.resolve(id, n, Outcome::Full);
         }
-        assert!(p.asked[&id].sends.len() <= most, "{spare:?}: {} sends", p.asked[&id].sends.len());
-        assert!(spare.is_none() || p.asked[&id].sends.len() == most, "{spare:?}");
-        assert!(p.asked[&id].ended.is_some(), "{spare:?}: it is answered at once and not held for nothing");
+        assert!(
+            p.asked[&id].sends.len() <= most,
+            "{spare:?}: {} sends",
+            p.asked[&id].sends.len()
+        );
+        assert!(
+            spare.is_none() || p.asked[&id].sends.len() == most,
+            "{spare:?}"
+        );
+        assert!(
+            p.asked[&id].ended.is_some(),
+            "{spare:?}: it is answered at once and not held for nothing"
+        );
     }
     // Spent below: a tier that can't be of help passes the failure up.
     let mut p = Proxy::new(plain(1), 1, entries(10));
@@ -622,15 +863,30 @@
     let backend = p.out()[0].2.backend;
     let (outcome, wait, closed, spare) = (Outcome::Error, 1.0, false, Some(0));
     p.asked.get_mut(&id).expect("asked").sends[0].outcome = Some(outcome);
-    p.tell(Event::Resolved(Resolved { request: id, attempt: 0, backend, outcome, wait, closed, spare }));
-    assert_eq!((p.asked[&id].sends.len(), p.asked[&id].ended.is_some()), (1, true));
+    p.tell(Event::Resolved(Resolved {
+        request: id,
+        attempt: 0,
+        backend,
+        outcome,
+        wait,
+        closed,
+        spare,
+    }));
+    assert_eq!(
+        (p.asked[&id].sends.len(), p.asked[&id].ended.is_some()),
+        (1, true)
+    );
 }
 
 /// Low worth from above is low worth here: with the limit full, it is what waits.
 #[test]
 fn worth_is_carried_down() {
     let mut settings = plain(1);
-    (settings.worth_carried, settings.over_share_worth, settings.tier) = (true, 0.05, 1);
+    (
+        settings.worth_carried,
+        settings.over_share_worth,
+        settings.tier,
+    ) = (true, 0.05, 1);
     let mut p = Proxy::new(settings, 1, entries(10));
     for _ in 0..400 {
         p.ask_with(0, 0, 0, 1e5, Some(1), 0.05);
@@ -646,8 +902,8 @@
     assert!(p.asked[&id].sends.is_empty() && low < 400, "{low}");
 }
 
-/// A request without the time that even an empty backend takes is refused while that is harmless; without a budget it is tried
-/// as ever.
+/// A request without the time that even an empty backend takes is refused while that is harmless;
+/// without a budget it is tried as ever.
 #[test]
 fn what_can_not_be_in_time_is_refused_early() {
     let mut p = Proxy::new(plain(1), 1, entries(10));
--- a/crates/turnshift/tests/golden_decisions.rs
+++ b/crates/turnshift/tests/golden_decisions.rs
@@ -1,5 +1,5 @@
-//! The decisions stay the same, bit by bit: a digest of all actions over some 100,000 random events on
-//! several settings, compared with the one recorded in `golden/decisions.txt`.
+//! The decisions stay the same, bit by bit: a digest of all actions over some 100,000 random events
+//! on several settings, compared with the one recorded in `golden/decisions.txt`.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -82,25 +82,43 @@
     fn tell(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
-        actions.into_iter().for_each(|action| self.carry_out(action));
+        actions
+            .into_iter()
+            .for_each(|action| self.carry_out(action));
     }
 
     fn carry_out(&mut self, action: Action) {
         let kind = match action {
-            Action::Send { request, backend, not_past } => {
+            Action::Send {
+                request,
+                backend,
+                not_past,
+            } => {
                 self.digest.add(request);
                 self.digest.add(u64::from(backend));
                 self.digest.add_float(not_past);
                 let open = self.open.get_mut(&request).expect("a request that is open");
                 let number = open.attempts;
                 open.attempts += 1;
-                self.out.push(Attempt { request, number, backend, sent: self.now, not_past });
+                self.out.push(Attempt {
+                    request,
+                    number,
+                    backend,
+                    sent: self.now,
+                    not_past,
+                });
                 1
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 self.digest.add(request);
                 self.digest.add_float(retry_after);
-                self.open.get_mut(&request).expect("a request that is open").ended = true;
+                self.open
+                    .get_mut(&request)
+                    .expect("a request that is open")
+                    .ended = true;
                 2
             }
             Action::Fail { request } => {
@@ -139,10 +157,18 @@
     }
 
     fn list(&mut self, kind: ListKind) {
-        let size = if kind == ListKind::Delta { 1 + self.rng.u32(..3) } else { BACKENDS };
+        let size = if kind == ListKind::Delta {
+            1 + self.rng.u32(..3)
+        } else {
+            BACKENDS
+        };
         let mut entries = Vec::new();
         for n in 0..size {
-            let backend = if kind == ListKind::Delta { 1 + self.rng.u32(..BACKENDS) } else { n + 1 };
+            let backend = if kind == ListKind::Delta {
+                1 + self.rng.u32(..BACKENDS)
+            } else {
+                n + 1
+            };
             let restarted = self.rng.u8(..4) == 0;
             let known = self.listed.get(&backend).map_or(0.0, |e| e.started_at);
             let phase = match self.rng.u8(..12) {
@@ -168,7 +194,13 @@
         let request = self.next;
         self.next += 1;
         let spare = (self.settings.worth_carried && self.rng.bool()).then(|| self.rng.u32(..4));
-        self.open.insert(request, Open { spare, ..Open::default() });
+        self.open.insert(
+            request,
+            Open {
+                spare,
+                ..Open::default()
+            },
+        );
         let arrival = Arrival {
             request,
             key: self.rng.u64(..6),
@@ -176,7 +208,11 @@
             tenant: self.rng.u16(..3),
             deadline: self.now + [30.0, 300.0, 1000.0, 4000.0][self.rng.usize(..4)],
             spare,
-            worth: if self.settings.worth_carried { self.rng.f64() } else { 1.0 },
+            worth: if self.settings.worth_carried {
+                self.rng.f64()
+            } else {
+                1.0
+            },
         };
         self.tell(Event::Request(arrival));
     }
@@ -211,9 +247,23 @@
         self.tell(Event::Resolved(resolved));
     }
 
-    fn resolved(&self, of: &Attempt, outcome: Outcome, closed: bool, spare: Option<u32>) -> Resolved {
+    fn resolved(
+        &self,
+        of: &Attempt,
+        outcome: Outcome,
+        closed: bool,
+        spare: Option<u32>,
+    ) -> Resolved {
         let (request, attempt, backend) = (of.request, of.number, of.backend);
-        Resolved { request, attempt, backend, outcome, wait: self.now - of.sent, closed, spare }
+        Resolved {
+            request,
+            attempt,
+            backend,
+            outcome,
+            wait: self.now - of.sent,
+            closed,
+            spare,
+        }
     }
 
     /// Moves the clock and delivers what is due: timers, time-outs, withdrawals.
@@ -226,7 +276,14 @@
         }
         while let Some(at) = self.out.iter().position(|a| a.not_past <= self.now) {
             let withdrawn = self.out[at].not_past == f64::MIN;
-            self.resolve(at, if withdrawn { Outcome::Cancelled } else { Outcome::Timeout });
+            self.resolve(
+                at,
+                if withdrawn {
+                    Outcome::Cancelled
+                } else {
+                    Outcome::Timeout
+                },
+            );
         }
     }
 
@@ -234,16 +291,29 @@
         self.advance();
         match self.rng.u8(..100) {
             0 => {
-                let kinds = [ListKind::Full, ListKind::Delta, ListKind::Cached, ListKind::Failed];
+                let kinds = [
+                    ListKind::Full,
+                    ListKind::Delta,
+                    ListKind::Cached,
+                    ListKind::Failed,
+                ];
                 match kinds[self.rng.usize(..kinds.len())] {
                     ListKind::Failed => {
-                        self.tell(Event::List { kind: ListKind::Failed, entries: Vec::new() });
+                        self.tell(Event::List {
+                            kind: ListKind::Failed,
+                            entries: Vec::new(),
+                        });
                     }
                     kind => self.list(kind),
                 }
             }
             1..=3 => {
-                let open: Vec<_> = self.open.iter().filter(|(_, o)| !o.ended).map(|(&id, _)| id).collect();
+                let open: Vec<_> = self
+                    .open
+                    .iter()
+                    .filter(|(_, o)| !o.ended)
+                    .map(|(&id, _)| id)
+                    .collect();
                 if let Some(&request) = open.get(self.rng.usize(..open.len().max(1))) {
                     self.open.get_mut(&request).expect("open").ended = true;
                     self.tell(Event::Hangup { request });
@@ -251,7 +321,11 @@
             }
             4..=7 if !self.late.is_empty() => {
                 let (attempt, outcome) = self.late.swap_remove(self.rng.usize(..self.late.len()));
-                let outcome = if self.rng.bool() { Outcome::Ok } else { outcome };
+                let outcome = if self.rng.bool() {
+                    Outcome::Ok
+                } else {
+                    outcome
+                };
                 let resolved = self.resolved(&attempt, outcome, true, None);
                 self.tell(Event::Late(resolved));
             }
@@ -290,12 +364,20 @@
 }
 
 fn class(aim: f64, points: f64, effect: Effect, in_order: bool) -> Class {
-    Class { aim, points, effect, in_order }
+    Class {
+        aim,
+        points,
+        effect,
+        in_order,
+    }
 }
 
 /// Several settings that between them reach every branch of the decisions.
 fn settings() -> Vec<(&'static str, Settings)> {
-    let dedup = |group| Effect::Dedup { group, window: 400.0 };
+    let dedup = |group| Effect::Dedup {
+        group,
+        window: 400.0,
+    };
     let base = Settings {
         copy: 3,
         copies: 8,
@@ -307,7 +389,9 @@
             class(800.0, 1.0, dedup(Group::All), false),
             class(500.0, 2.0, Effect::Fragile, false),
         ],
-        tenants: [40.0, 400.0, 4000.0].map(|quota_per_s| Tenant { quota_per_s }).to_vec(),
+        tenants: [40.0, 400.0, 4000.0]
+            .map(|quota_per_s| Tenant { quota_per_s })
+            .to_vec(),
         caps: Caps {
             cancelling: true,
             retry_after: true,
@@ -323,7 +407,10 @@
             release_within: 500.0,
             settle_after_doubt: 300.0,
         },
-        goal: Goal { worst_class: 0.2, cross_zone: 0.0 },
+        goal: Goal {
+            worst_class: 0.2,
+            cross_zone: 0.0,
+        },
         ..Settings::default()
     };
     let ordered = Settings {
@@ -332,15 +419,26 @@
             class(400.0, 3.0, dedup(Group::Cell), true),
             class(250.0, 1.0, Effect::Fragile, true),
         ],
-        goal: Goal { worst_class: 0.0, cross_zone: 0.2 },
-        caps: Caps { late_ends: true, ..base.caps.clone() },
+        goal: Goal {
+            worst_class: 0.0,
+            cross_zone: 0.2,
+        },
+        caps: Caps {
+            late_ends: true,
+            ..base.caps.clone()
+        },
         ..base.clone()
     };
     let second_tier = Settings {
         tier: 1,
         worth_carried: true,
         tenants: Vec::new(),
-        caps: Caps { late_ends: true, cancelling: false, retry_after: false, ..base.caps.clone() },
+        caps: Caps {
+            late_ends: true,
+            cancelling: false,
+            retry_after: false,
+            ..base.caps.clone()
+        },
         ..base.clone()
     };
     let asking = Settings {
@@ -348,11 +446,23 @@
         copies: 1,
         must_ask: true,
         classes: vec![class(1000.0, 1.0, Effect::Retryable, false)],
-        rules: Rules { release_within: 0.0, cold: 0.0, ..base.rules.clone() },
-        goal: Goal { worst_class: 1.0, cross_zone: 0.05 },
+        rules: Rules {
+            release_within: 0.0,
+            cold: 0.0,
+            ..base.rules.clone()
+        },
+        goal: Goal {
+            worst_class: 1.0,
+            cross_zone: 0.05,
+        },
         ..base.clone()
     };
-    vec![("base", base), ("ordered", ordered), ("second tier", second_tier), ("asking", asking)]
+    vec![
+        ("base", base),
+        ("ordered", ordered),
+        ("second tier", second_tier),
+        ("asking", asking),
+    ]
 }
 
 #[test]
--- a/crates/turnshift/tests/rules.rs
+++ b/crates/turnshift/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules as properties over seeded random event sequences, checked by the proxy's own record.
+//! The four rules as properties over seeded random event sequences, checked by the proxy's own
+//! record.
 
 mod common;
 
@@ -23,12 +24,19 @@
         class(600.0, 2.0, dedup(Group::All, 700.0)),
         class(400.0, 2.0, dedup(Group::Zone, 900.0)),
         class(500.0, 1.0, dedup(Group::Cell, 300.0)),
-        Class { in_order: true, ..class(500.0, 3.0, dedup(Group::Zone, 800.0)) },
-        Class { in_order: true, ..class(700.0, 3.0, Effect::Retryable) },
+        Class {
+            in_order: true,
+            ..class(500.0, 3.0, dedup(Group::Zone, 800.0))
+        },
+        Class {
+            in_order: true,
+            ..class(700.0, 3.0, Effect::Retryable)
+        },
     ]
 }
 
-/// One random life of a copy: requests of every class, every outcome, a list that changes all the time.
+/// One random life of a copy: requests of every class, every outcome, a list that changes all the
+/// time.
 fn life(seed: u64, change: impl Fn(&mut Settings)) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut s = settings(1 + rng.u32(..4), all_effects());
@@ -40,7 +48,10 @@
         (e.zone, e.cell) = (rng.u16(..3), rng.u16(..4));
         e
     };
-    let start: Vec<Entry> = entries(rng.u32(1..20)).into_iter().map(|e| place(&mut rng, e)).collect();
+    let start: Vec<Entry> = entries(rng.u32(1..20))
+        .into_iter()
+        .map(|e| place(&mut rng, e))
+        .collect();
     let mut p = Proxy::new(s, seed, start);
     for _ in 0..1500 {
         match rng.u32(..100) {
@@ -56,8 +67,12 @@
                 }
             }
             75..78 => {
-                let open: Vec<_> =
-                    p.asked.iter().filter(|(_, a)| a.ended.is_none()).map(|(&id, _)| id).collect();
+                let open: Vec<_> = p
+                    .asked
+                    .iter()
+                    .filter(|(_, a)| a.ended.is_none())
+                    .map(|(&id, _)| id)
+                    .collect();
                 if !open.is_empty() {
                     p.hang_up(open[rng.usize(..open.len())]);
                 }
@@ -68,13 +83,22 @@
                 if let Some(known) = p.listed.get(&e.backend) {
                     (e.zone, e.cell) = (known.zone, known.cell);
                 }
-                e.phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][rng.usize(..4)];
-                e.started_at = if rng.bool() { 0.0 } else { p.now - 500.0 * rng.f64() };
+                e.phase =
+                    [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][rng.usize(..4)];
+                e.started_at = if rng.bool() {
+                    0.0
+                } else {
+                    p.now - 500.0 * rng.f64()
+                };
                 p.list(ListKind::Delta, vec![e]);
             }
             84..85 => {
-                let keep: Vec<Entry> =
-                    p.listed.values().filter(|e| e.phase == Phase::Ready).cloned().collect();
+                let keep: Vec<Entry> = p
+                    .listed
+                    .values()
+                    .filter(|e| e.phase == Phase::Ready)
+                    .cloned()
+                    .collect();
                 let mut keep: Vec<Entry> = keep.into_iter().filter(|_| rng.u32(..5) > 0).collect();
                 keep.sort_by_key(|e| e.backend);
                 p.list(ListKind::Full, keep);
@@ -106,7 +130,9 @@
     let open = p.asked.values().filter(|a| a.ended.is_none()).count();
     assert_eq!(open, 0, "seed {seed}: requests without a final answer");
     assert!(
-        p.asked.values().any(|a| a.ended.is_some_and(|e| e.1 == "served")),
+        p.asked
+            .values()
+            .any(|a| a.ended.is_some_and(|e| e.1 == "served")),
         "seed {seed}: nothing served"
     );
 }
@@ -141,8 +167,8 @@
     assert_eq!(run(), run());
 }
 
-/// A client's last try can have less time left than housekeeping takes to come round (seen on the bench as
-/// a lost request): it is answered at once.
+/// A client's last try can have less time left than housekeeping takes to come round (seen on the
+/// bench as a lost request): it is answered at once.
 #[test]
 fn a_try_with_hardly_any_time_left_is_answered_in_time() {
     let mut p = Proxy::new(settings(1, all_effects()), 1, vec![]);
@@ -150,11 +176,16 @@
         p.ask(1, 0, left);
     }
     p.advance(p.now + 1000.0);
-    assert!(p.asked.values().all(|a| a.ended.is_some_and(|e| e.1 == "refused")));
+    assert!(
+        p.asked
+            .values()
+            .all(|a| a.ended.is_some_and(|e| e.1 == "refused"))
+    );
 }
 
-/// Every copy hears of one start at the same moment and sends all that its own budget allows: together they
-/// stay under the multiple of the capacity surely reached, whatever the number of copies.
+/// Every copy hears of one start at the same moment and sends all that its own budget allows:
+/// together they stay under the multiple of the capacity surely reached, whatever the number of
+/// copies.
 #[test]
 fn a_cold_backend_is_not_pushed_over_by_all_copies_together() {
     for copies in [2, 10, 40] {
@@ -171,7 +202,13 @@
         let mut sends = Vec::new();
         for mut p in fleet {
             let started_at = p.now;
-            p.list(ListKind::Delta, vec![Entry { started_at, ..entry(3) }]);
+            p.list(
+                ListKind::Delta,
+                vec![Entry {
+                    started_at,
+                    ..entry(3)
+                }],
+            );
             for _ in 0..600 {
                 p.ask(0, 0, 1e5);
                 p.ask(0, 0, 1e5);
@@ -188,15 +225,25 @@
             }
         }
         sends.sort_by(f64::total_cmp);
-        // 400 requests a second a copy over 8 backends: a warm one bears at least this many a second.
+        // 400 requests a second a copy over 8 backends: a warm one bears at least this many a
+        // second.
         let warm = 400.0 * f64::from(copies) / f64::from(n);
         for from in 0..2000 {
             let from = f64::from(from);
-            let got = sends.iter().filter(|&&t| t >= from && t < from + 1000.0).count() as f64;
+            let got = sends
+                .iter()
+                .filter(|&&t| t >= from && t < from + 1000.0)
+                .count() as f64;
             let present = 0.12 + 0.88 * from / 20_000.0;
-            assert!(got <= 3.0 * present * warm, "{copies} copies: {got} sends from {from} ms on");
+            assert!(
+                got <= 3.0 * present * warm,
+                "{copies} copies: {got} sends from {from} ms on"
+            );
         }
-        assert!(!sends.is_empty(), "{copies} copies: the cold backend gets its share");
+        assert!(
+            !sends.is_empty(),
+            "{copies} copies: the cold backend gets its share"
+        );
     }
 }
 
@@ -205,7 +252,13 @@
 fn a_copy_without_history_spares_cold_backends() {
     let mut s = settings(10, vec![class(400.0, 1.0, Effect::Retryable)]);
     s.copy = 4;
-    let cold = entries(10).into_iter().map(|e| Entry { started_at: 900.0, ..e }).collect();
+    let cold = entries(10)
+        .into_iter()
+        .map(|e| Entry {
+            started_at: 900.0,
+            ..e
+        })
+        .collect();
     let mut p = Proxy::new(s, 3, cold);
     for _ in 0..200 {
         p.ask(0, 0, 1000.0);
@@ -217,23 +270,48 @@
 }
 
 fn ordered() -> Proxy {
-    let effect = Effect::Dedup { group: Group::Zone, window: 800.0 };
-    Proxy::new(settings(1, vec![Class { in_order: true, ..class(1000.0, 1.0, effect) }]), 1, entries(6))
+    let effect = Effect::Dedup {
+        group: Group::Zone,
+        window: 800.0,
+    };
+    Proxy::new(
+        settings(
+            1,
+            vec![Class {
+                in_order: true,
+                ..class(1000.0, 1.0, effect)
+            }],
+        ),
+        1,
+        entries(6),
+    )
 }
 
-/// Order: the next request of a key waits for the first to be over with all its attempts, then for the rest
-/// after doubt, also where the client hung up; other keys and requests without one are free meanwhile.
+/// Order: the next request of a key waits for the first to be over with all its attempts, then for
+/// the rest after doubt, also where the client hung up; other keys and requests without one are
+/// free meanwhile.
 #[test]
 fn one_key_runs_one_at_a_time_with_rest_after_doubt() {
-    for (outcome, rest) in [(Outcome::Ok, 0.0), (Outcome::Reset, 300.0), (Outcome::Timeout, 300.0)] {
+    for (outcome, rest) in [
+        (Outcome::Ok, 0.0),
+        (Outcome::Reset, 300.0),
+        (Outcome::Timeout, 300.0),
+    ] {
         let mut p = ordered();
         let [first, next, other, free] = [7, 7, 8, 0].map(|key| p.ask_for(key, 0, 0, 3000.0));
         let sends = |p: &Proxy, id| p.asked[&id].sends.len();
-        assert_eq!([first, next, other, free].map(|id| sends(&p, id)), [1, 0, 1, 1]);
+        assert_eq!(
+            [first, next, other, free].map(|id| sends(&p, id)),
+            [1, 0, 1, 1]
+        );
         if rest > 0.0 {
             p.hang_up(first);
         }
-        assert_eq!(sends(&p, next), 0, "{outcome:?}: the first still has an attempt out");
+        assert_eq!(
+            sends(&p, next),
+            0,
+            "{outcome:?}: the first still has an attempt out"
+        );
         p.resolve(first, 0, outcome);
         assert_eq!(sends(&p, next), usize::from(rest == 0.0), "{outcome:?}");
         p.advance(p.now + rest);
@@ -242,7 +320,8 @@
     }
 }
 
-/// A popular key: those that wait for its turn hold no slot, are answered in time and keep nobody else out.
+/// A popular key: those that wait for its turn hold no slot, are answered in time and keep nobody
+/// else out.
 #[test]
 fn a_popular_key_keeps_nobody_out() {
     let mut p = ordered();
@@ -250,17 +329,35 @@
     let free = p.ask_for(0, 0, 0, 3000.0);
     assert_eq!((p.out().len(), p.asked[&free].sends.len()), (2, 1));
     p.advance(p.now + 2500.0);
-    assert!(line[1..].iter().all(|id| p.asked[id].ended.is_some_and(|e| e.1 == "refused")));
+    assert!(
+        line[1..]
+            .iter()
+            .all(|id| p.asked[id].ended.is_some_and(|e| e.1 == "refused"))
+    );
 }
 
 /// Closing on drains: at the notice, and again after an outcome that comes later.
 #[test]
 fn idle_connections_to_a_draining_backend_are_closed() {
-    let mut p = Proxy::new(settings(1, vec![class(1000.0, 1.0, Effect::Fragile)]), 1, entries(1));
+    let mut p = Proxy::new(
+        settings(1, vec![class(1000.0, 1.0, Effect::Fragile)]),
+        1,
+        entries(1),
+    );
     let id = p.ask(0, 0, 3000.0);
-    p.list(ListKind::Delta, vec![Entry { phase: Phase::Draining, ..entry(1) }]);
+    p.list(
+        ListKind::Delta,
+        vec![Entry {
+            phase: Phase::Draining,
+            ..entry(1)
+        }],
+    );
     assert_eq!(p.closed.get(&1), Some(&p.now));
     p.advance(p.now + 400.0);
     p.resolve(id, 0, Outcome::Ok);
-    assert_eq!(p.closed.get(&1), Some(&p.now), "again after the last outcome");
+    assert_eq!(
+        p.closed.get(&1),
+        Some(&p.now),
+        "again after the last outcome"
+    );
 }
--- a/crates/turnshift/tests/wire.rs
+++ b/crates/turnshift/tests/wire.rs
@@ -50,21 +50,44 @@
 }
 
 fn launch(facts: &str) -> Vec<u8> {
-    with(head(1, 3), &[&7u64.to_le_bytes(), &(facts.len() as u32).to_le_bytes(), facts.as_bytes()])
+    with(
+        head(1, 3),
+        &[
+            &7u64.to_le_bytes(),
+            &(facts.len() as u32).to_le_bytes(),
+            facts.as_bytes(),
+        ],
+    )
 }
 
 fn census(page: u32, backends: &[u32]) -> Vec<u8> {
-    let mut r =
-        with(11u16.to_le_bytes().to_vec(), &[&page.to_le_bytes(), &(backends.len() as u32).to_le_bytes()]);
+    let mut r = with(
+        11u16.to_le_bytes().to_vec(),
+        &[&page.to_le_bytes(), &(backends.len() as u32).to_le_bytes()],
+    );
     for b in backends {
         let (zone, started, weight) = (0u16.to_le_bytes(), 0f64.to_le_bytes(), 1f32.to_le_bytes());
-        r = with(r, &[&[0], &b.to_le_bytes(), &zone, &started, &weight, &[0, 0], &[0, 0]]);
+        r = with(
+            r,
+            &[
+                &[0],
+                &b.to_le_bytes(),
+                &zone,
+                &started,
+                &weight,
+                &[0, 0],
+                &[0, 0],
+            ],
+        );
     }
     r
 }
 
 fn discovery(page: u32, kind: u8) -> Vec<u8> {
-    with(head(2, 3), &[&page.to_le_bytes(), &[kind], &1u64.to_le_bytes()])
+    with(
+        head(2, 3),
+        &[&page.to_le_bytes(), &[kind], &1u64.to_le_bytes()],
+    )
 }
 
 fn ingress(xid: u64) -> Vec<u8> {
@@ -74,7 +97,18 @@
 fn ingress_of(xid: u64, key: u64) -> Vec<u8> {
     let deadline = CLOCK + 2000.0;
     let (key, hint) = (key.to_le_bytes(), 0f64.to_le_bytes());
-    with(head(3, 3), &[&xid.to_le_bytes(), &key, &[0, 0], &[0], &hint, &[0, 0], &deadline.to_le_bytes()])
+    with(
+        head(3, 3),
+        &[
+            &xid.to_le_bytes(),
+            &key,
+            &[0, 0],
+            &[0],
+            &hint,
+            &[0, 0],
+            &deadline.to_le_bytes(),
+        ],
+    )
 }
 
 fn replies(out: &[u8]) -> Vec<Vec<u8>> {
@@ -89,11 +123,24 @@
 
 #[test]
 fn a_request_is_sent_to_the_backend_of_the_latest_page() {
-    let start = frame(&[launch(&facts().to_string()), census(1, &[11]), discovery(1, 3)]);
+    let start = frame(&[
+        launch(&facts().to_string()),
+        census(1, &[11]),
+        discovery(1, 3),
+    ]);
     // The page is used again within a batch: the number means the newer list from there on.
-    let next = frame(&[census(1, &[22]), discovery(1, 0), census(1, &[33]), ingress(99)]);
+    let next = frame(&[
+        census(1, &[22]),
+        discovery(1, 0),
+        census(1, &[33]),
+        ingress(99),
+    ]);
     let out = host(&[start, next].concat());
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     let replies = replies(&out.stdout);
     assert_eq!(replies.len(), 2, "one reply to each batch");
     let mut sent = with(head(1, 3), &[&99u64.to_le_bytes(), &22u32.to_le_bytes()]);
@@ -101,17 +148,31 @@
     assert_eq!(replies[1], sent);
 }
 
-/// The rules' further settings and the request's key reach the module: order per key, closing on drains.
+/// The rules' further settings and the request's key reach the module: order per key, closing on
+/// drains.
 #[test]
 fn order_and_closing_pass_through() {
-    let start = frame(&[launch(&facts().to_string()), census(1, &[11]), discovery(1, 3)]);
+    let start = frame(&[
+        launch(&facts().to_string()),
+        census(1, &[11]),
+        discovery(1, 3),
+    ]);
     let two = frame(&[ingress_of(1, 77), ingress_of(2, 77)]);
     let mut drained = census(2, &[11]);
     drained[10] = 2; // the phase of its only entry
     let out = host(&[start, two, frame(&[drained, discovery(2, 1)])].concat());
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     let replies = replies(&out.stdout);
-    assert_eq!(replies[1].len(), 24, "one attempt and no more: {:?}", replies[1]);
+    assert_eq!(
+        replies[1].len(),
+        24,
+        "one attempt and no more: {:?}",
+        replies[1]
+    );
     assert_eq!(replies[2], with(head(7, 3), &[&11u32.to_le_bytes()]));
 }
 
@@ -126,7 +187,11 @@
 
 #[test]
 fn bad_input_is_one_line_and_no_reply() {
-    let good = frame(&[launch(&facts().to_string()), census(1, &[11]), discovery(1, 3)]);
+    let good = frame(&[
+        launch(&facts().to_string()),
+        census(1, &[11]),
+        discovery(1, 3),
+    ]);
     let with_facts = |change: &dyn Fn(&mut serde_json::Value)| {
         let mut f = facts();
         change(&mut f);
@@ -147,17 +212,38 @@
         (long, &["4 bytes left over"]),
         (frame(&[head(44, 3)]), &["record 0", "byte 16", "event 44"]),
         (frame(&[census(16, &[])]), &["page 16"]),
-        (frame(&[with(head(6, 3), &[&[1, 2, 3]])]), &["byte 20", "xid"]),
+        (
+            frame(&[with(head(6, 3), &[&[1, 2, 3]])]),
+            &["byte 20", "xid"],
+        ),
         (frame(&[ingress(1)]), &["instance 3"]),
         (frame(&[head(10, 3)]), &["instance 3"]),
-        (frame(&[launch(&facts().to_string()), discovery(5, 0)]), &["record 1", "page 5", "never defined"]),
-        (frame(&[launch(&facts().to_string()), discovery(5, 9)]), &["list kind 9"]),
+        (
+            frame(&[launch(&facts().to_string()), discovery(5, 0)]),
+            &["record 1", "page 5", "never defined"],
+        ),
+        (
+            frame(&[launch(&facts().to_string()), discovery(5, 9)]),
+            &["list kind 9"],
+        ),
         (frame(&[launch("{nonsense")]), &["record 0", "settings"]),
-        (with_facts(&|f| drop(f.as_object_mut().unwrap().remove("tick"))), &["settings", "tick"]),
-        (with_facts(&|f| f["classes"][0]["aim"] = (-4.0).into()), &["classes[0].aim", "negative"]),
-        (with_facts(&|f| f["guarantees"]["cold"] = "x".into()), &["guarantees.cold"]),
+        (
+            with_facts(&|f| drop(f.as_object_mut().unwrap().remove("tick"))),
+            &["settings", "tick"],
+        ),
+        (
+            with_facts(&|f| f["classes"][0]["aim"] = (-4.0).into()),
+            &["classes[0].aim", "negative"],
+        ),
+        (
+            with_facts(&|f| f["guarantees"]["cold"] = "x".into()),
+            &["guarantees.cold"],
+        ),
         (with_facts(&|f| f["slotNo"] = 5.into()), &["copy"]),
-        (frame(&[launch(&facts().to_string().replace("500.0", "1e999"))]), &["settings"]),
+        (
+            frame(&[launch(&facts().to_string().replace("500.0", "1e999"))]),
+            &["settings"],
+        ),
     ];
     for (input, words) in cases {
         let out = host(&input);
@@ -165,22 +251,47 @@
         assert_eq!(out.status.code(), Some(1), "{words:?}: {error}");
         assert!(out.stdout.is_empty(), "{words:?}: a reply was begun");
         assert_eq!(error.lines().count(), 1, "{words:?}: {error}");
-        words.iter().for_each(|w| assert!(error.contains(w), "'{w}' is not named: {error}"));
+        words
+            .iter()
+            .for_each(|w| assert!(error.contains(w), "'{w}' is not named: {error}"));
     }
 }
 
 /// Events that no decision needs are read whole and passed over, for instances that run.
 #[test]
 fn unused_events_are_passed_over() {
-    let first_byte =
-        |i| with(head(4, i), &[&1u64.to_le_bytes(), &[0], &11u32.to_le_bytes(), &5f64.to_le_bytes()]);
+    let first_byte = |i| {
+        with(
+            head(4, i),
+            &[
+                &1u64.to_le_bytes(),
+                &[0],
+                &11u32.to_le_bytes(),
+                &5f64.to_le_bytes(),
+            ],
+        )
+    };
     let report = [&[1u8][..], &0.5f32.to_le_bytes()].concat();
-    let sampled = with(head(8, 3), &[&5f64.to_le_bytes(), &11u32.to_le_bytes(), &[0, 0], &report]);
-    let datagram = with(head(9, 3), &[&1u32.to_le_bytes(), &2u16.to_le_bytes(), b"hi"]);
-    let start = frame(&[launch(&facts().to_string()), census(1, &[11]), discovery(1, 3)]);
+    let sampled = with(
+        head(8, 3),
+        &[&5f64.to_le_bytes(), &11u32.to_le_bytes(), &[0, 0], &report],
+    );
+    let datagram = with(
+        head(9, 3),
+        &[&1u32.to_le_bytes(), &2u16.to_le_bytes(), b"hi"],
+    );
+    let start = frame(&[
+        launch(&facts().to_string()),
+        census(1, &[11]),
+        discovery(1, 3),
+    ]);
     let rest = frame(&[first_byte(3), sampled, datagram]);
     let out = host(&[start.clone(), rest].concat());
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     assert_eq!(replies(&out.stdout)[1], Vec::<u8>::new());
     let out = host(&[start, frame(&[first_byte(8)])].concat());
     assert_eq!(out.status.code(), Some(1));
