--- a/crates/turnshift/src/bin/turnshift-drill/main.rs
+++ b/crates/heathroad-balancer/src/bin/heathroad-adapter/main.rs
@@ -4,18 +4,18 @@
 
 mod wire;
 
+use heathroad_balancer::api::Action;
+use heathroad_balancer::{Balancer, settings};
 use std::collections::HashMap;
 use std::io::{self, BufReader, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
-use turnshift::api::Action;
-use turnshift::{Balancer, settings};
 
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("turnshift-drill: {e}");
+            eprintln!("heathroad-adapter: {e}");
             ExitCode::FAILURE
         }
     }
--- a/crates/turnshift/src/bin/turnshift-drill/wire.rs
+++ b/crates/heathroad-balancer/src/bin/heathroad-adapter/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's binary wire: frames in, replies out. Translates, never decides.
 
+use heathroad_balancer::api::{Action, Arrival, Entry, Event, ListKind, Outcome, Phase, Resolved};
 use std::io::{self, Read};
-use turnshift::api::{Action, Arrival, Entry, Event, ListKind, Outcome, Phase, Resolved};
 
 /// One batch as it came: its clock, the number of its records and their bytes.
 pub struct Frame {
--- a/crates/turnshift/src/lib.rs
+++ b/crates/heathroad-balancer/src/lib.rs
@@ -9,8 +9,8 @@
 //! A proxy embeds it like this:
 //!
 //! ```
-//! use turnshift::Balancer;
-//! use turnshift::api::*;
+//! use heathroad_balancer::Balancer;
+//! use heathroad_balancer::api::*;
 //!
 //! // Start: what the copy is told once.
 //! let settings = Settings {
--- a/crates/turnshift/tests/common/mod.rs
+++ b/crates/heathroad-balancer/tests/common/mod.rs
@@ -3,9 +3,9 @@
 //! what a test says.
 #![allow(dead_code)]
 
+use heathroad_balancer::Balancer;
+use heathroad_balancer::api::*;
 use std::collections::{BTreeMap, HashMap};
-use turnshift::Balancer;
-use turnshift::api::*;
 
 pub const GRACE: f64 = 20.0;
 
--- a/crates/turnshift/tests/decisions.rs
+++ b/crates/heathroad-balancer/tests/decisions.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::*;
+use heathroad_balancer::Balancer;
+use heathroad_balancer::api::*;
 use std::collections::{BTreeMap, BTreeSet};
-use turnshift::Balancer;
-use turnshift::api::*;
 
 fn plain(copies: u32) -> Settings {
     settings(copies, vec![class(1000.0, 1.0, Effect::Retryable)])
--- a/crates/turnshift/tests/golden_decisions.rs
+++ b/crates/heathroad-balancer/tests/golden_decisions.rs
@@ -1,10 +1,10 @@
 //! The decisions stay the same, bit by bit: a digest of all actions over some 100,000 random events
 //! on several settings, compared with the one recorded in `golden/decisions.txt`.
 
+use heathroad_balancer::Balancer;
+use heathroad_balancer::api::*;
 use std::collections::BTreeMap;
 use std::fmt::Write;
-use turnshift::Balancer;
-use turnshift::api::*;
 
 const GOLDEN: &str = include_str!("golden/decisions.txt");
 const EVENTS: usize = 15_000;
--- a/crates/turnshift/tests/rules.rs
+++ b/crates/heathroad-balancer/tests/rules.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use turnshift::api::*;
+use heathroad_balancer::api::*;
 
 const OUTCOMES: [Outcome; 7] = [
     Outcome::Ok,
--- a/crates/turnshift/tests/wire.rs
+++ b/crates/heathroad-balancer/tests/wire.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn host(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_turnshift-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_heathroad-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/heathroad-cost/src/main.rs
+++ b/crates/heathroad-bench/src/main.rs
@@ -57,7 +57,7 @@
     match run(&cli) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("heathroad-cost: {e}");
+            eprintln!("heathroad-bench: {e}");
             ExitCode::FAILURE
         }
     }
--- a/crates/heathroad-cost/src/subject.rs
+++ b/crates/heathroad-bench/src/subject.rs
@@ -202,7 +202,7 @@
     /// Starts the daemon for a case whose requests are wanted and given up by these times.
     pub async fn daemon(case: &Case, nodes: &Nodes, times: [f64; 2]) -> Result<Subject, String> {
         let name = format!(
-            "heathroad-cost-{}-{}",
+            "heathroad-bench-{}-{}",
             std::process::id(),
             nodes.registry.port()
         );
--- a/crates/heathroad-cost/tests/guard.rs
+++ b/crates/heathroad-bench/tests/guard.rs
@@ -12,7 +12,7 @@
 fn a_request_takes_no_more_than_it_may() {
     let ceilings: BTreeMap<String, BTreeMap<String, u64>> =
         toml::from_str(include_str!("../ceilings.toml")).expect("a table of tables of numbers");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_heathroad-cost"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_heathroad-bench"));
     let out = command
         .args(["--counts", "--requests", REQUESTS])
         .args(ceilings.keys())
--- a/crates/heathroad-rehearsal/src/cli.rs
+++ b/crates/heathroad-harness/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of `heathroad-rehearse`.
+//! The command line of `heathroad-harness`.
 
 use crate::load::Progress;
 use crate::outcome::{Code, Outcome};
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 
 /// The scenario that is rehearsed when none is named.
-const DEFAULT: &str = "month-end";
+const DEFAULT: &str = "peak-load";
 
 /// Rehearse heathroad's worst nights on this machine: real daemons, stand-in backends and registry,
 /// open-loop load, a judge of the four rules.
@@ -26,7 +26,7 @@
 /// input; 3: void, the machine ran late.
 #[derive(Parser)]
 #[command(
-    name = "heathroad-rehearse",
+    name = "heathroad-harness",
     version,
     args_conflicts_with_subcommands = true
 )]
@@ -89,7 +89,7 @@
     match done {
         Ok(code) => ExitCode::from(code as u8),
         Err(e) => {
-            eprintln!("heathroad-rehearse: {e}");
+            eprintln!("heathroad-harness: {e}");
             ExitCode::from(Code::BadInput as u8)
         }
     }
--- a/crates/heathroad-rehearsal/src/fleet.rs
+++ b/crates/heathroad-harness/src/fleet.rs
@@ -141,7 +141,7 @@
         let network =
             Network::begin(ip, proxies, seed, clock).map_err(|e| format!("network: {e}"))?;
         let name = format!(
-            "heathroad-fleet-{}-{:x}",
+            "heathroad-membership-{}-{:x}",
             std::process::id(),
             fastrand::Rng::new().u32(..)
         );
--- a/crates/heathroad-rehearsal/src/outcome.rs
+++ b/crates/heathroad-harness/src/outcome.rs
@@ -16,7 +16,7 @@
 /// Nor may they ever have stood still for so long: a client's whole grace would be gone.
 pub const STALLED: Micros = 250_000;
 
-/// The exit codes of `heathroad-rehearse`.
+/// The exit codes of `heathroad-harness`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Code {
     /// All kept.
--- a/crates/heathroad-rehearsal/src/scenario.rs
+++ b/crates/heathroad-harness/src/scenario.rs
@@ -1,6 +1,6 @@
 //! A scenario: what is rehearsed, as a TOML file that is checked whole before anything starts. What
 //! a file leaves out of classes, tenants, tiers, clients, rules or run is taken from
-//! `rehearsals/common.toml`.
+//! `scenarios/common.toml`.
 
 use serde::Deserialize;
 use std::path::Path;
@@ -8,90 +8,102 @@
 /// The scenarios that come with the kit, by name.
 pub const SHIPPED: &[(&str, &str)] = &[
     (
-        "month-end",
-        include_str!("../../../rehearsals/month-end.toml"),
+        "peak-load",
+        include_str!("../../../scenarios/peak-load.toml"),
     ),
     (
-        "small-hours",
-        include_str!("../../../rehearsals/small-hours.toml"),
+        "silent-backends",
+        include_str!("../../../scenarios/silent-backends.toml"),
     ),
-    ("crawl", include_str!("../../../rehearsals/crawl.toml")),
     (
-        "late-repeat",
-        include_str!("../../../rehearsals/late-repeat.toml"),
+        "slow-backends",
+        include_str!("../../../scenarios/slow-backends.toml"),
+    ),
+    (
+        "late-idempotent-retry",
+        include_str!("../../../scenarios/late-idempotent-retry.toml"),
     ),
     (
         "rolling-restart",
-        include_str!("../../../rehearsals/rolling-restart.toml"),
+        include_str!("../../../scenarios/rolling-restart.toml"),
+    ),
+    (
+        "malformed-responses",
+        include_str!("../../../scenarios/malformed-responses.toml"),
     ),
-    ("spoilt", include_str!("../../../rehearsals/spoilt.toml")),
     (
-        "registry",
-        include_str!("../../../rehearsals/registry.toml"),
+        "discovery-outage",
+        include_str!("../../../scenarios/discovery-outage.toml"),
     ),
     (
-        "switch-over",
-        include_str!("../../../rehearsals/switch-over.toml"),
+        "pool-migration",
+        include_str!("../../../scenarios/pool-migration.toml"),
     ),
     (
-        "harmful-change",
-        include_str!("../../../rehearsals/harmful-change.toml"),
+        "harmful-route-change",
+        include_str!("../../../scenarios/harmful-route-change.toml"),
     ),
     (
-        "batch-claims",
-        include_str!("../../../rehearsals/batch-claims.toml"),
+        "jsonrpc-batches",
+        include_str!("../../../scenarios/jsonrpc-batches.toml"),
     ),
     (
-        "vanish-mid-reply",
-        include_str!("../../../rehearsals/vanish-mid-reply.toml"),
+        "backend-lost-mid-response",
+        include_str!("../../../scenarios/backend-lost-mid-response.toml"),
     ),
     (
-        "undo-meets-drain",
-        include_str!("../../../rehearsals/undo-meets-drain.toml"),
+        "rollback-during-drain",
+        include_str!("../../../scenarios/rollback-during-drain.toml"),
     ),
     (
         "chain-outage",
-        include_str!("../../../rehearsals/chain-outage.toml"),
+        include_str!("../../../scenarios/chain-outage.toml"),
     ),
     (
-        "chain-slow",
-        include_str!("../../../rehearsals/chain-slow.toml"),
+        "slow-chain",
+        include_str!("../../../scenarios/slow-chain.toml"),
     ),
-    ("loop", include_str!("../../../rehearsals/loop.toml")),
     (
-        "fleet-straggler",
-        include_str!("../../../rehearsals/fleet-straggler.toml"),
+        "forwarding-loop",
+        include_str!("../../../scenarios/forwarding-loop.toml"),
     ),
     (
-        "fleet-split",
-        include_str!("../../../rehearsals/fleet-split.toml"),
+        "stale-configuration",
+        include_str!("../../../scenarios/stale-configuration.toml"),
     ),
     (
-        "fleet-stall",
-        include_str!("../../../rehearsals/fleet-stall.toml"),
+        "membership-partition",
+        include_str!("../../../scenarios/membership-partition.toml"),
     ),
     (
-        "duty-handover",
-        include_str!("../../../rehearsals/duty-handover.toml"),
+        "proxy-stall",
+        include_str!("../../../scenarios/proxy-stall.toml"),
     ),
     (
-        "duty-split",
-        include_str!("../../../rehearsals/duty-split.toml"),
+        "lease-handover",
+        include_str!("../../../scenarios/lease-handover.toml"),
     ),
     (
-        "any-night",
-        include_str!("../../../rehearsals/any-night.toml"),
+        "lease-partition",
+        include_str!("../../../scenarios/lease-partition.toml"),
+    ),
+    (
+        "random-faults",
+        include_str!("../../../scenarios/random-faults.toml"),
     ),
     (
         "overlapping-faults",
-        include_str!("../../../rehearsals/overlapping-faults.toml"),
+        include_str!("../../../scenarios/overlapping-faults.toml"),
+    ),
+    (
+        "client-flood",
+        include_str!("../../../scenarios/client-flood.toml"),
     ),
-    ("flood", include_str!("../../../rehearsals/flood.toml")),
-    ("short", include_str!("../../../rehearsals/short.toml")),
+    ("smoke", include_str!("../../../scenarios/smoke.toml")),
 ];
 /// A proxy that is held up for longer at a time is not held to what it owes.
 pub const LONGEST_PAUSE_MS: f64 = 150.0;
-const COMMON: &str = include_str!("../../../rehearsals/common.toml");
+const COMMON: &str = include_str!("../../../scenarios/common.toml");
 
 /// What is rehearsed.
 #[derive(Debug, Clone, Deserialize)]
@@ -621,7 +633,7 @@
 /// Reads a scenario by its shipped name or its file.
 pub fn load(name: &str) -> Result<Scenario, String> {
     if let Some((name, text)) = SHIPPED.iter().find(|(n, _)| *n == name) {
-        return parse(&format!("rehearsals/{name}.toml"), text);
+        return parse(&format!("scenarios/{name}.toml"), text);
     }
     let path = Path::new(name);
     if path.extension().is_none_or(|e| e != "toml") {
@@ -643,7 +655,7 @@
     };
     let mut table: toml::Table = toml::from_str(text).map_err(wrong)?;
     let common: toml::Table =
-        toml::from_str(COMMON).map_err(|e| format!("rehearsals/common.toml: {e}"))?;
+        toml::from_str(COMMON).map_err(|e| format!("scenarios/common.toml: {e}"))?;
     for (key, value) in common {
         match (table.get_mut(&key), value) {
             // A table is completed field by field; a list is taken whole or not at all.
--- a/crates/heathroad-rehearsal/src/stage.rs
+++ b/crates/heathroad-harness/src/stage.rs
@@ -188,7 +188,7 @@
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async {
         let folder = std::env::temp_dir().join(format!(
-            "heathroad-rehearse-{}-{:x}",
+            "heathroad-harness-{}-{:x}",
             std::process::id(),
             Rng::new().u32(..)
         ));
--- a/crates/heathroad-rehearsal/tests/cli.rs
+++ b/crates/heathroad-harness/tests/cli.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 fn program() -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_heathroad-rehearse"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_heathroad-harness"));
     command
         .stdin(Stdio::null())
         .env("TMPDIR", env!("CARGO_TARGET_TMPDIR"));
@@ -36,7 +36,10 @@
         .lines()
         .filter_map(|l| l.split_whitespace().next())
         .collect();
-    assert!(names.len() >= 8 && names.contains(&"late-repeat"), "{list}");
+    assert!(
+        names.len() >= 8 && names.contains(&"late-idempotent-retry"),
+        "{list}"
+    );
     for name in names {
         let explained = run(&["explain", name]);
         assert!(
@@ -114,10 +117,10 @@
     }
     for args in [
         &["no-such-scenario"][..],
-        &["short", "--seconds", "0"],
-        &["short", "--proxies", "999"],
-        &["short", "--heathroad", "/nowhere"],
-        &["short", "--json", "/nowhere/at/all"],
+        &["smoke", "--seconds", "0"],
+        &["smoke", "--proxies", "999"],
+        &["smoke", "--heathroad", "/nowhere"],
+        &["smoke", "--json", "/nowhere/at/all"],
     ] {
         let mut args = args.to_vec();
         let daemon = common::daemon();
@@ -156,7 +159,7 @@
     let (json, page) = (file("out.json", ""), file("out.html", ""));
     let child = program()
         .args([
-            "month-end",
+            "peak-load",
             "--heathroad",
             common::daemon().to_str().expect("text"),
         ])
@@ -219,7 +222,7 @@
         .filter(|f| {
             f.file_name()
                 .to_string_lossy()
-                .starts_with(&format!("heathroad-rehearse-{pid}-"))
+                .starts_with(&format!("heathroad-harness-{pid}-"))
         })
         .collect();
     assert!(left.is_empty(), "{left:?}");
@@ -234,7 +237,7 @@
             "-c",
             "ulimit -Sn 110 && exec \"$0\" short --seconds 3 --rate 600 --heathroad \"$1\"",
         ])
-        .arg(env!("CARGO_BIN_EXE_heathroad-rehearse"))
+        .arg(env!("CARGO_BIN_EXE_heathroad-harness"))
         .arg(common::daemon())
         .env("TMPDIR", env!("CARGO_TARGET_TMPDIR"))
         .stdin(Stdio::null())
@@ -256,7 +259,7 @@
     let mut tries = 0;
     let (out, json) = loop {
         let args = [
-            "short",
+            "smoke",
             "--seed",
             "5",
             "--json",
@@ -301,6 +304,6 @@
     );
     assert_eq!(
         (&json["agrees"], &json["scenario"], &json["seed"]),
-        (&true.into(), &"short".into(), &5.into())
+        (&true.into(), &"smoke".into(), &5.into())
     );
 }
--- a/crates/heathroad-rehearsal/tests/common/mod.rs
+++ b/crates/heathroad-harness/tests/common/mod.rs
@@ -1,11 +1,11 @@
 //! What the kit's tests share: small scenarios, and the programs to put them on with.
 #![allow(dead_code, reason = "each test file uses its part of it")]
 
-use heathroad_rehearsal::load::Progress;
-use heathroad_rehearsal::outcome::Outcome;
-use heathroad_rehearsal::plan::{self, Plan};
-use heathroad_rehearsal::scenario;
-use heathroad_rehearsal::stage::{self, Setting};
+use heathroad_harness::load::Progress;
+use heathroad_harness::outcome::Outcome;
+use heathroad_harness::plan::{self, Plan};
+use heathroad_harness::scenario;
+use heathroad_harness::stage::{self, Setting};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::{Arc, Mutex, OnceLock};
--- a/crates/heathroad-rehearsal/tests/duties.rs
+++ b/crates/heathroad-harness/tests/duties.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::daemon;
-use heathroad_rehearsal::clock::Clock;
-use heathroad_rehearsal::fleet::{Fleet, Options};
-use heathroad_rehearsal::stand_in::gate::{self, Gate};
+use heathroad_harness::clock::Clock;
+use heathroad_harness::fleet::{Fleet, Options};
+use heathroad_harness::stand_in::gate::{self, Gate};
 use serde_json::Value;
 use std::time::Duration;
 use tokio::sync::Mutex;
--- a/crates/heathroad-rehearsal/tests/fleet.rs
+++ b/crates/heathroad-harness/tests/fleet.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{daemon, routes};
-use heathroad_rehearsal::fleet::{Fleet, Options};
-use heathroad_rehearsal::stand_in::network::Fate;
+use heathroad_harness::fleet::{Fleet, Options};
+use heathroad_harness::stand_in::network::Fate;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::UdpSocket;
@@ -372,14 +372,14 @@
             "guarantees": {"coldFrom": 0.1, "cold": 1000.0, "fallMultiple": 3.0, "stopSendingWithin": 500.0}}
     });
     let file = folder.join("alone.json");
-    let alone = heathroad_rehearsal::daemon::start(&daemon(), &file, &config, 256)
+    let alone = heathroad_harness::daemon::start(&daemon(), &file, &config, 256)
         .await
         .expect("it starts");
     sleep(Duration::from_millis(1500)).await;
     let mut bytes = [0; 512];
     let heard = port.recv_from(&mut bytes).map_err(|e| e.kind());
     assert_eq!(heard.err(), Some(std::io::ErrorKind::WouldBlock));
-    let told = heathroad_rehearsal::daemon::get(alone.admin, "/fleet/members")
+    let told = heathroad_harness::daemon::get(alone.admin, "/fleet/members")
         .await
         .expect("it answers");
     assert_eq!(told.0, 404);
--- a/crates/heathroad-rehearsal/tests/golden_command_line.rs
+++ b/crates/heathroad-harness/tests/golden_command_line.rs
@@ -8,9 +8,6 @@
 
 #[test]
 fn commands_arguments_and_options_stay_the_same() {
-    let actual = help_forms::collect(
-        env!("CARGO_BIN_EXE_heathroad-rehearse"),
-        "heathroad-rehearse",
-    );
+    let actual = help_forms::collect(env!("CARGO_BIN_EXE_heathroad-harness"), "heathroad-harness");
     assert_eq!(actual, GOLDEN, "actual:\n{actual}");
 }
--- a/crates/heathroad-rehearsal/tests/judge.rs
+++ b/crates/heathroad-harness/tests/judge.rs
@@ -3,11 +3,11 @@
 
 mod common;
 
-use heathroad_rehearsal::clock::{Micros, SECOND};
-use heathroad_rehearsal::judge::{Rule, Terms, Verdict, judge};
-use heathroad_rehearsal::ledger::*;
-use heathroad_rehearsal::plan::Plan;
-use heathroad_rehearsal::stand_in::machine::Make;
+use heathroad_harness::clock::{Micros, SECOND};
+use heathroad_harness::judge::{Rule, Terms, Verdict, judge};
+use heathroad_harness::ledger::*;
+use heathroad_harness::plan::Plan;
+use heathroad_harness::stand_in::machine::Make;
 
 const SAFE: u16 = 0;
 const KEYED: u16 = 2;
@@ -270,7 +270,7 @@
 #[test]
 fn a_keyed_request_stays_in_its_group() {
     let mut plan = plan();
-    plan.scenario.class[usize::from(KEYED)].group = heathroad_rehearsal::scenario::Group::Cell;
+    plan.scenario.class[usize::from(KEYED)].group = heathroad_harness::scenario::Group::Cell;
     let again = Arrival {
         host: 1,
         ..arrival(7, KEYED, SECOND + MS)
--- a/crates/heathroad-rehearsal/tests/judged.rs
+++ b/crates/heathroad-harness/tests/judged.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::*;
-use heathroad_rehearsal::judge::Rule;
-use heathroad_rehearsal::outcome::{Code, Outcome};
+use heathroad_harness::judge::Rule;
+use heathroad_harness::outcome::{Code, Outcome};
 
 fn breaches(o: &Outcome) -> Vec<Rule> {
     let mut rules: Vec<Rule> = o.verdict.breaches.iter().map(|b| b.rule).collect();
@@ -139,7 +139,7 @@
 /// unless it may, and the daemon's counts agree.
 #[test]
 fn calls_over_json_rpc_are_judged_like_requests() {
-    let batches = heathroad_rehearsal::scenario::load("batch-claims").expect("it is shipped");
+    let batches = heathroad_harness::scenario::load("jsonrpc-batches").expect("it is shipped");
     let routes = batches.routes.expect("it has routes");
     for batch in [1, 10] {
         let remote = SMALL
@@ -168,7 +168,7 @@
 fn a_scenario_without_a_listener_for_remote_calls_is_turned_down() {
     let remote = SMALL.replace("[clients]", "[clients]\nremote = 0.6");
     let said =
-        heathroad_rehearsal::scenario::parse("x.toml", &remote).expect_err("it has no listener");
+        heathroad_harness::scenario::parse("x.toml", &remote).expect_err("it has no listener");
     assert!(
         said.contains("clients.remote: `routes` have no listener"),
         "{said}"
--- a/crates/heathroad-rehearsal/tests/nights.rs
+++ b/crates/heathroad-harness/tests/nights.rs
@@ -8,8 +8,8 @@
 
 use common::{daemon, number, routes};
 use fastrand::Rng;
-use heathroad_rehearsal::clock::Micros;
-use heathroad_rehearsal::fleet::{Fleet, Options};
+use heathroad_harness::clock::Micros;
+use heathroad_harness::fleet::{Fleet, Options};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/heathroad-rehearsal/tests/soak.rs
+++ b/crates/heathroad-harness/tests/soak.rs
@@ -7,9 +7,9 @@
 mod common;
 
 use common::{number, sound};
-use heathroad_rehearsal::outcome::{Code, Outcome};
+use heathroad_harness::outcome::{Code, Outcome};
 
-const SCENARIO: &str = include_str!("../../../rehearsals/overlapping-faults.toml");
+const SCENARIO: &str = include_str!("../../../scenarios/overlapping-faults.toml");
 
 /// Rules that daemons saw themselves break, by their last counts.
 fn violations(outcome: &Outcome) -> u64 {
--- a/crates/heathroad-rehearsal/tests/stage.rs
+++ b/crates/heathroad-harness/tests/stage.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::*;
-use heathroad_rehearsal::ledger::{Did, Fate, Health};
-use heathroad_rehearsal::outcome::Outcome;
-use heathroad_rehearsal::scenario::What;
+use heathroad_harness::ledger::{Did, Fate, Health};
+use heathroad_harness::outcome::Outcome;
+use heathroad_harness::scenario::What;
 
 /// Two tiers, so that backends have proxies at their side.
 const PROCESSES: &str = r#"
@@ -149,7 +149,7 @@
 /// victim.
 #[test]
 fn a_seed_draws_the_same_faults_again() {
-    let text = include_str!("../../../rehearsals/any-night.toml");
+    let text = include_str!("../../../scenarios/random-faults.toml");
     let faults = |seed| plan(text, seed).faults;
     assert_eq!(faults(1), faults(1));
     assert_ne!(faults(1), faults(2));
@@ -186,7 +186,7 @@
         o.table()
     );
     assert!(o.verdict.tries[0] > 800, "{}", o.table());
-    let pools = |c: &heathroad_rehearsal::stage::Counted| {
+    let pools = |c: &heathroad_harness::stage::Counted| {
         let rows = c.counts.as_ref()?.get("requests")?.as_array()?.clone();
         Some(
             rows.iter()
@@ -214,7 +214,7 @@
 /// Without a fleet there are no such figures.
 #[test]
 fn a_fleet_is_audited_beside_what_backends_saw() {
-    let o = sound(include_str!("../../../rehearsals/fleet-stall.toml"), 3);
+    let o = sound(include_str!("../../../scenarios/proxy-stall.toml"), 3);
     assert!(
         o.verdict.breaches.is_empty() && o.agrees() && o.seen.troubles.is_empty(),
         "{}",
@@ -240,19 +240,19 @@
     let extra = seen.ledgers.arrivals[0].clone();
     seen.ledgers
         .arrivals
-        .push(heathroad_rehearsal::ledger::Arrival {
+        .push(heathroad_harness::ledger::Arrival {
             version: Some("other".into()),
             ..extra
         });
     assert_eq!(
-        heathroad_rehearsal::audited::figure(&seen, "fleet_unaccounted"),
+        heathroad_harness::audited::figure(&seen, "fleet_unaccounted"),
         Some(1.0)
     );
     seen.ledgers.arrivals.clear();
-    assert!(heathroad_rehearsal::audited::figure(&seen, "fleet_unaccounted") > Some(100.0));
+    assert!(heathroad_harness::audited::figure(&seen, "fleet_unaccounted") > Some(100.0));
     seen.audit = None;
     assert_eq!(
-        heathroad_rehearsal::audited::figure(&seen, "fleet_unaccounted"),
+        heathroad_harness::audited::figure(&seen, "fleet_unaccounted"),
         None
     );
 }
--- a/crates/heathroad-rehearsal/tests/stand_ins.rs
+++ b/crates/heathroad-harness/tests/stand_ins.rs
@@ -3,13 +3,13 @@
 
 mod common;
 
-use heathroad_rehearsal::caller::{Ask, Caller};
-use heathroad_rehearsal::clock::Clock;
-use heathroad_rehearsal::daemon::get;
-use heathroad_rehearsal::ledger::{Answer, End, Fate, Health};
-use heathroad_rehearsal::stand_in::backend::{Backend, Mode, World, doors};
-use heathroad_rehearsal::stand_in::machine::{Machine, Make};
-use heathroad_rehearsal::stand_in::registry::Registry;
+use heathroad_harness::caller::{Ask, Caller};
+use heathroad_harness::clock::Clock;
+use heathroad_harness::daemon::get;
+use heathroad_harness::ledger::{Answer, End, Fate, Health};
+use heathroad_harness::stand_in::backend::{Backend, Mode, World, doors};
+use heathroad_harness::stand_in::machine::{Machine, Make};
+use heathroad_harness::stand_in::registry::Registry;
 use serde_json::Value;
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/crates/heathroad-rehearsal/tests/stragglers.rs
+++ b/crates/heathroad-harness/tests/stragglers.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{daemon, routes};
-use heathroad_rehearsal::fleet::{Fleet, Options};
-use heathroad_rehearsal::http::{self, Buffer};
+use heathroad_harness::fleet::{Fleet, Options};
+use heathroad_harness::http::{self, Buffer};
 use serde_json::Value;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -179,7 +179,7 @@
     let admin = fleet.daemon(0).expect("it runs").admin;
     for n in 0..100 {
         if n == 60 {
-            let told = heathroad_rehearsal::daemon::post(admin, "/config/apply", &harmful).await;
+            let told = heathroad_harness::daemon::post(admin, "/config/apply", &harmful).await;
             assert_eq!(told.expect("an answer").0, 200);
         }
         for proxy in 1..3 {
@@ -343,7 +343,7 @@
         .expect("it can't know");
     assert_eq!(fleet.call(2).await, Ok(503));
     let listens = fleet.daemon(2).expect("it runs").listens;
-    let ready = heathroad_rehearsal::daemon::get(listens, "/health/ready")
+    let ready = heathroad_harness::daemon::get(listens, "/health/ready")
         .await
         .expect("it answers");
     assert_eq!(ready.0, 503);
--- a/crates/heathroad-duty/examples/duty-bench.rs
+++ b/crates/heathroad-lease/examples/lease-bench.rs
@@ -1,16 +1,16 @@
 //! How long nobody holds a duty after a fault, how many messages it takes, and what a shorter lease
 //! costs: in time of its own, so that every machine finds the same.
 //!
-//!     cargo run --release -p heathroad-duty --example duty-bench 200
+//!     cargo run --release -p heathroad-lease --example lease-bench 200
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
 use common::{World, duty};
 use fastrand::Rng;
-use heathroad_duty::seat::Ended;
-use heathroad_duty::token::Token;
-use heathroad_fleet::Place;
+use heathroad_lease::seat::Ended;
+use heathroad_lease::token::Token;
+use heathroad_membership::Place;
 
 const HOUR: u64 = 3_600_000;
 const LEASE: u64 = 5000;
--- a/crates/heathroad-duty/src/duties.rs
+++ b/crates/heathroad-lease/src/duties.rs
@@ -8,8 +8,8 @@
 use crate::voter::{Memory, Voter};
 use crate::{DutyId, Terms};
 use fastrand::Rng;
-use heathroad_fleet::version::Digest;
-use heathroad_fleet::{Millis, Place};
+use heathroad_membership::version::Digest;
+use heathroad_membership::{Millis, Place};
 use std::collections::BTreeMap;
 
 /// What is to be done, in this order: what is to be kept must be on disk before what is behind it
--- a/crates/heathroad-duty/src/electorate.rs
+++ b/crates/heathroad-lease/src/electorate.rs
@@ -1,6 +1,6 @@
 //! Who votes, and what a quorum is.
 
-use heathroad_fleet::Place;
+use heathroad_membership::Place;
 use std::collections::BTreeSet;
 use std::fmt;
 
--- a/crates/heathroad-duty/src/history.rs
+++ b/crates/heathroad-lease/src/history.rs
@@ -1,7 +1,7 @@
 //! Who held what: as its holder knows it, and as voters bound it.
 
 use crate::token::Token;
-use heathroad_fleet::Millis;
+use heathroad_membership::Millis;
 use serde::{Deserialize, Serialize};
 
 /// How a spell ended.
--- a/crates/heathroad-duty/src/lib.rs
+++ b/crates/heathroad-lease/src/lib.rs
@@ -22,8 +22,8 @@
 pub mod token;
 pub mod voter;
 
-use heathroad_fleet::Millis;
-use heathroad_fleet::version::Digest;
+use heathroad_membership::Millis;
+use heathroad_membership::version::Digest;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
--- a/crates/heathroad-duty/src/message.rs
+++ b/crates/heathroad-lease/src/message.rs
@@ -5,7 +5,7 @@
 use crate::DutyId;
 use crate::token::Token;
 use crate::voter::Mark;
-use heathroad_fleet::Place;
+use heathroad_membership::Place;
 use serde::{Deserialize, Serialize};
 
 /// Longest message, in bytes.
--- a/crates/heathroad-duty/src/seat.rs
+++ b/crates/heathroad-lease/src/seat.rs
@@ -9,7 +9,7 @@
 use crate::voter::{MAX_STATE, Mark};
 use crate::{DutyId, Terms};
 use fastrand::Rng;
-use heathroad_fleet::{Millis, Place};
+use heathroad_membership::{Millis, Place};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/heathroad-duty/src/token.rs
+++ b/crates/heathroad-lease/src/token.rs
@@ -1,6 +1,6 @@
 //! Fencing tokens.
 
-use heathroad_fleet::Place;
+use heathroad_membership::Place;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::str::FromStr;
--- a/crates/heathroad-duty/src/voter.rs
+++ b/crates/heathroad-lease/src/voter.rs
@@ -10,7 +10,7 @@
 use crate::message::{What, Why};
 use crate::token::Token;
 use crate::{DutyId, Terms};
-use heathroad_fleet::{Millis, Place};
+use heathroad_membership::{Millis, Place};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/heathroad-duty/tests/common/mod.rs
+++ b/crates/heathroad-lease/tests/common/mod.rs
@@ -3,15 +3,15 @@
 #![allow(dead_code, reason = "each test file uses its part of it")]
 
 use fastrand::Rng;
-use heathroad_duty::duties::{Duties, Output, Settings};
-use heathroad_duty::electorate::Electorate;
-use heathroad_duty::fence::Fences;
-use heathroad_duty::message::{Message, What};
-use heathroad_duty::seat::Event;
-use heathroad_duty::token::Token;
-use heathroad_duty::voter::{Mark, Memory};
-use heathroad_duty::{DutyId, Terms};
-use heathroad_fleet::{Millis, Place};
+use heathroad_lease::duties::{Duties, Output, Settings};
+use heathroad_lease::electorate::Electorate;
+use heathroad_lease::fence::Fences;
+use heathroad_lease::message::{Message, What};
+use heathroad_lease::seat::Event;
+use heathroad_lease::token::Token;
+use heathroad_lease::voter::{Mark, Memory};
+use heathroad_lease::{DutyId, Terms};
+use heathroad_membership::{Millis, Place};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/heathroad-duty/tests/golden_messages.rs
+++ b/crates/heathroad-lease/tests/golden_messages.rs
@@ -1,12 +1,12 @@
 //! The bytes of lease messages and the words of their reasons in JSON stay as they were when the
 //! golden files were written.
 
-use heathroad_duty::DutyId;
-use heathroad_duty::history::{End, Spell};
-use heathroad_duty::message::{Message, What, Why};
-use heathroad_duty::seat::Ended;
-use heathroad_duty::token::Token;
-use heathroad_duty::voter::{Hard, Mark, Memory};
+use heathroad_lease::DutyId;
+use heathroad_lease::history::{End, Spell};
+use heathroad_lease::message::{Message, What, Why};
+use heathroad_lease::seat::Ended;
+use heathroad_lease::token::Token;
+use heathroad_lease::voter::{Hard, Mark, Memory};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
--- a/crates/heathroad-duty/tests/grants.rs
+++ b/crates/heathroad-lease/tests/grants.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::{LEASE, UNIX, World, duty};
-use heathroad_duty::duties::{Duties, Output, turn};
-use heathroad_duty::electorate::{Electorate, Unfit};
-use heathroad_duty::message::{Message, Send, What, Why};
-use heathroad_duty::seat::{Ended, Event};
-use heathroad_duty::token::{Token, count_at};
-use heathroad_duty::voter::{Memory, Voter};
-use heathroad_duty::{DutyId, Terms};
-use heathroad_fleet::Place;
+use heathroad_lease::duties::{Duties, Output, turn};
+use heathroad_lease::electorate::{Electorate, Unfit};
+use heathroad_lease::message::{Message, Send, What, Why};
+use heathroad_lease::seat::{Ended, Event};
+use heathroad_lease::token::{Token, count_at};
+use heathroad_lease::voter::{Memory, Voter};
+use heathroad_lease::{DutyId, Terms};
+use heathroad_membership::Place;
 
 const LONG: u64 = 60_000;
 
@@ -707,7 +707,7 @@
     let (_, _) = next(&mut world, last);
     let kept = world.kept;
     world.run(LEASE);
-    let mark = heathroad_duty::voter::Mark {
+    let mark = heathroad_lease::voter::Mark {
         token: last,
         seq: 9,
         state: b"late".to_vec(),
--- a/crates/heathroad-duty/tests/histories.rs
+++ b/crates/heathroad-lease/tests/histories.rs
@@ -8,9 +8,9 @@
 
 use common::{LEASE, World, duty};
 use fastrand::Rng;
-use heathroad_duty::seat::Ended;
-use heathroad_duty::voter::Memory;
-use heathroad_fleet::Place;
+use heathroad_lease::seat::Ended;
+use heathroad_lease::voter::Memory;
+use heathroad_membership::Place;
 
 fn number(name: &str, usual: u64) -> u64 {
     std::env::var(name)
--- a/crates/heathroad-duty/tests/orders.rs
+++ b/crates/heathroad-lease/tests/orders.rs
@@ -4,13 +4,13 @@
 //! several others, or never. Time goes on whenever no more than that are under way.
 
 use fastrand::Rng;
-use heathroad_duty::electorate::Electorate;
-use heathroad_duty::message::{Message, Send, What};
-use heathroad_duty::seat::{Event, Seat, With};
-use heathroad_duty::token::Token;
-use heathroad_duty::voter::{Memory, Voter};
-use heathroad_duty::{DutyId, Terms};
-use heathroad_fleet::{Millis, Place};
+use heathroad_lease::electorate::Electorate;
+use heathroad_lease::message::{Message, Send, What};
+use heathroad_lease::seat::{Event, Seat, With};
+use heathroad_lease::token::Token;
+use heathroad_lease::voter::{Memory, Voter};
+use heathroad_lease::{DutyId, Terms};
+use heathroad_membership::{Millis, Place};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
--- a/crates/heathroad-fleet/examples/fleet-bench.rs
+++ b/crates/heathroad-membership/examples/membership-bench.rs
@@ -1,14 +1,14 @@
 //! How soon a fleet knows, what that costs, and how often it is wrong: by size and loss, on a
 //! network and in time of its own.
 //!
-//!     cargo run --release -p heathroad-fleet --example fleet-bench
+//!     cargo run --release -p heathroad-membership --example membership-bench
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
 use common::{World, version};
-use heathroad_fleet::fleet::News;
-use heathroad_fleet::table::Standing;
+use heathroad_membership::fleet::News;
+use heathroad_membership::table::Standing;
 
 const LIMIT: u64 = 300_000;
 
--- a/crates/heathroad-fleet/tests/common/mod.rs
+++ b/crates/heathroad-membership/tests/common/mod.rs
@@ -1,11 +1,11 @@
 //! A fleet on a network of the test's own, in time of the test's own.
 #![allow(dead_code, reason = "each test file uses its part of it")]
 
-use heathroad_fleet::fleet::{Fleet, News, Terms};
-use heathroad_fleet::seal::Seal;
-use heathroad_fleet::table::Standing;
-use heathroad_fleet::version::{Digest, Version};
-use heathroad_fleet::{Millis, Place};
+use heathroad_membership::fleet::{Fleet, News, Terms};
+use heathroad_membership::seal::Seal;
+use heathroad_membership::table::Standing;
+use heathroad_membership::version::{Digest, Version};
+use heathroad_membership::{Millis, Place};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
 
--- a/crates/heathroad-fleet/tests/golden_datagrams.rs
+++ b/crates/heathroad-membership/tests/golden_datagrams.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{EPOCH, KEY, seal};
-use heathroad_fleet::seal::{Dropped, Seal};
-use heathroad_fleet::table::{Claim, Incarnation, Standing};
-use heathroad_fleet::version::{Digest, Source, Version};
-use heathroad_fleet::wire::{self, Head, Item, Kind, MAX_DATAGRAM, SPOKEN, Topic, Writer};
+use heathroad_membership::seal::{Dropped, Seal};
+use heathroad_membership::table::{Claim, Incarnation, Standing};
+use heathroad_membership::version::{Digest, Source, Version};
+use heathroad_membership::wire::{self, Head, Item, Kind, MAX_DATAGRAM, SPOKEN, Topic, Writer};
 
 fn digest(byte: u8) -> Digest {
     Digest([byte; 8])
--- a/crates/heathroad-fleet/tests/golden_json.rs
+++ b/crates/heathroad-membership/tests/golden_json.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use heathroad_fleet::fleet::{News, Traffic};
-use heathroad_fleet::seal::Dropped;
-use heathroad_fleet::table::Standing;
-use heathroad_fleet::version::Digest;
-use heathroad_fleet::want::{Conflict, Required, Requirements, Want, Wanted};
+use heathroad_membership::fleet::{News, Traffic};
+use heathroad_membership::seal::Dropped;
+use heathroad_membership::table::Standing;
+use heathroad_membership::version::Digest;
+use heathroad_membership::want::{Conflict, Required, Requirements, Want, Wanted};
 use serde::Serialize;
 
 fn line(value: &impl Serialize) -> String {
--- a/crates/heathroad-fleet/tests/golden_record.rs
+++ b/crates/heathroad-membership/tests/golden_record.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use heathroad_fleet::record::{
+use heathroad_membership::record::{
     Act, Acts, Lost, MAX_PAGES, Record, Spell, Told, Trouble, TurnedDown,
 };
-use heathroad_fleet::version::{Digest, Source, Version};
+use heathroad_membership::version::{Digest, Source, Version};
 
 const START: u64 = 1_790_000_000_000;
 
--- a/crates/heathroad-fleet/tests/golden_trace.rs
+++ b/crates/heathroad-membership/tests/golden_trace.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{EPOCH, seal, version};
-use heathroad_fleet::fleet::{Fleet, Terms};
-use heathroad_fleet::version::Digest;
-use heathroad_fleet::wire::Topic;
-use heathroad_fleet::{Millis, Place};
+use heathroad_membership::fleet::{Fleet, Terms};
+use heathroad_membership::version::Digest;
+use heathroad_membership::wire::Topic;
+use heathroad_membership::{Millis, Place};
 use std::fmt::Write;
 
 const MEMBERS: u16 = 7;
--- a/crates/heathroad-fleet/tests/hostile.rs
+++ b/crates/heathroad-membership/tests/hostile.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{KEY, World, seal};
-use heathroad_fleet::seal::{Dropped, Seal, Unfit};
-use heathroad_fleet::table::{Claim, Incarnation, Standing};
-use heathroad_fleet::wire::{self, Head, Item, Kind, MAX_DATAGRAM, SPOKEN, Writer};
+use heathroad_membership::seal::{Dropped, Seal, Unfit};
+use heathroad_membership::table::{Claim, Incarnation, Standing};
+use heathroad_membership::wire::{self, Head, Item, Kind, MAX_DATAGRAM, SPOKEN, Writer};
 use proptest::prelude::*;
 
 /// Everything that a proxy holds to be true of others, as text.
--- a/crates/heathroad-fleet/tests/membership.rs
+++ b/crates/heathroad-membership/tests/membership.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{EPOCH, World, version};
-use heathroad_fleet::fleet::News;
-use heathroad_fleet::table::Standing;
-use heathroad_fleet::version::Digest;
+use heathroad_membership::fleet::News;
+use heathroad_membership::table::Standing;
+use heathroad_membership::version::Digest;
 
 const LONG: u64 = 120_000;
 
--- a/crates/heathroad-fleet/tests/merge.rs
+++ b/crates/heathroad-membership/tests/merge.rs
@@ -1,6 +1,6 @@
 //! Words on a member, in any order: who has heard the same holds the same.
 
-use heathroad_fleet::table::{Claim, Incarnation, Standing, Table};
+use heathroad_membership::table::{Claim, Incarnation, Standing, Table};
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
 
--- a/crates/heathroad-fleet/tests/record.rs
+++ b/crates/heathroad-membership/tests/record.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::version;
-use heathroad_fleet::record::{Act, Acts, MAX_PAGES, Page, Record, Told};
-use heathroad_fleet::version::{Digest, Source, Version};
+use heathroad_membership::record::{Act, Acts, MAX_PAGES, Page, Record, Told};
+use heathroad_membership::version::{Digest, Source, Version};
 use proptest::prelude::*;
 use std::rc::Rc;
 
--- a/crates/heathroad-fleet/tests/texts.rs
+++ b/crates/heathroad-membership/tests/texts.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::World;
-use heathroad_fleet::fleet::fetch::{MAX_TEXT, PART, Unfetched};
-use heathroad_fleet::version::Digest;
-use heathroad_fleet::wire::Topic;
+use heathroad_membership::fleet::fetch::{MAX_TEXT, PART, Unfetched};
+use heathroad_membership::version::Digest;
+use heathroad_membership::wire::Topic;
 
 /// Lets 0 fetch from 1, which has `text`.
 fn fetch(
--- a/crates/heathroad-fleet/tests/want.rs
+++ b/crates/heathroad-membership/tests/want.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{World, version};
-use heathroad_fleet::version::Digest;
-use heathroad_fleet::want::{Conflict, MAX_REQUIRED, Required, Requirements, Want, Wanted};
+use heathroad_membership::version::Digest;
+use heathroad_membership::want::{Conflict, MAX_REQUIRED, Required, Requirements, Want, Wanted};
 use proptest::prelude::*;
 
 fn want(number: u64, text: &str) -> Wanted {
--- a/crates/heathroad-rehearsal/src/main.rs
+++ /dev/null
@@ -1,7 +0,0 @@
-//! `heathroad-rehearse`: one command to see heathroad work, and fail.
-
-use std::process::ExitCode;
-
-fn main() -> ExitCode {
-    heathroad_rehearsal::cli::main()
-}
--- a/crates/heathroad-budget/tests/algebra.rs
+++ b/crates/heathroad-retry-budget/tests/algebra.rs
@@ -1,9 +1,9 @@
 //! The algebra: whatever is split, lost, repeated or hedged, a chain sends no more again than was
 //! granted where it begins.
 
-use heathroad_budget::account::{Account, Grants};
-use heathroad_budget::path::{Held, Mark, Way, enter};
-use heathroad_budget::wire::{Path, Spent};
+use heathroad_retry_budget::account::{Account, Grants};
+use heathroad_retry_budget::path::{Held, Mark, Way, enter};
+use heathroad_retry_budget::wire::{Path, Spent};
 
 const TIERS: usize = 4;
 
--- a/crates/heathroad-budget/tests/golden_headers.rs
+++ b/crates/heathroad-retry-budget/tests/golden_headers.rs
@@ -1,6 +1,6 @@
 //! Golden texts of the retry budget's headers, encoded and decoded.
 
-use heathroad_budget::wire::{Budget, Path, Spent};
+use heathroad_retry_budget::wire::{Budget, Path, Spent};
 
 const BUDGETS: [(Budget, &str); 3] = [
     (
--- a/crates/heathroad-budget/tests/ledger.rs
+++ b/crates/heathroad-retry-budget/tests/ledger.rs
@@ -1,10 +1,10 @@
 //! The books of several proxies in a chain: whatever is split, shared, lost or forged, no more goes
 //! out again than was granted where a request entered.
 
-use heathroad_budget::account::Loan;
-use heathroad_budget::ledger::{Ledger, Terms, Ticket, Told, Turned};
-use heathroad_budget::path::Mark;
-use heathroad_budget::wire::{Budget, Path, Spent, Spoilt};
+use heathroad_retry_budget::account::Loan;
+use heathroad_retry_budget::ledger::{Ledger, Terms, Ticket, Told, Turned};
+use heathroad_retry_budget::path::Mark;
+use heathroad_retry_budget::wire::{Budget, Path, Spent, Spoilt};
 
 const NOBODY: Mark = Mark {
     key: 0,
--- a/crates/heathroad-budget/tests/wire.rs
+++ b/crates/heathroad-retry-budget/tests/wire.rs
@@ -1,6 +1,6 @@
 //! Headers: one spelling each, bounded, and from outside they can only lower.
 
-use heathroad_budget::wire::{Budget, MAX_BYTES, Path, Spent};
+use heathroad_retry_budget::wire::{Budget, MAX_BYTES, Path, Spent};
 
 fn budget(text: &str) -> Option<Budget> {
     Budget::read([text.as_bytes()].into_iter()).ok().flatten()
--- a/crates/heathroad-routing/tests/cold.rs
+++ b/crates/heathroad-routing/tests/cold.rs
@@ -1,14 +1,14 @@
 //! Pools that come and go and share a freshly started node: all together they keep to one cold
 //! budget, decided by the real module of each and shared out by `nodes::sharers`.
 
-use heathroad_routing::nodes::sharers;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::net::SocketAddr;
-use turnshift::Balancer;
-use turnshift::api::{
+use heathroad_balancer::Balancer;
+use heathroad_balancer::api::{
     Action, Arrival, BackendId, Caps, Class, Effect, Entry, Event, Goal, ListKind, Outcome,
     Resolved, Rules, Settings,
 };
+use heathroad_routing::nodes::sharers;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::net::SocketAddr;
 
 const STEP: f64 = 50.0;
 const COLD: f64 = 9_000.0;
--- a/crates/heathroad-expect/examples/expect-bench.rs
+++ b/crates/heathroad-verifier/examples/verifier-bench.rs
@@ -1,9 +1,9 @@
-//! How long verdicts take, by routes and expectations: `cargo run --release --example expect-bench
-//! -p heathroad-expect`.
+//! How long verdicts take, by routes and expectations: `cargo run --release --example verifier-bench
+//! -p heathroad-verifier`.
 
-use heathroad_expect::file::read;
-use heathroad_expect::judge::{Here, judge};
 use heathroad_routing::generation::Generation;
+use heathroad_verifier::file::read;
+use heathroad_verifier::judge::{Here, judge};
 use std::error::Error;
 use std::io::Write;
 use std::time::{Duration, Instant};
--- a/crates/heathroad-expect/tests/common/mod.rs
+++ b/crates/heathroad-verifier/tests/common/mod.rs
@@ -2,9 +2,9 @@
 
 #![allow(dead_code)] // each test file uses its part
 
-use heathroad_expect::file::{Expectations, read};
-use heathroad_expect::judge::{Here, Report, judge};
 use heathroad_routing::generation::Generation;
+use heathroad_verifier::file::{Expectations, read};
+use heathroad_verifier::judge::{Here, Report, judge};
 use std::rc::Rc;
 
 pub const ROUTES: &str = r#"
--- a/crates/heathroad-expect/tests/file.rs
+++ b/crates/heathroad-verifier/tests/file.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use heathroad_expect::file::read;
+use heathroad_verifier::file::read;
 
 #[test]
 fn what_is_wrong_is_told_at_once_with_lines() {
@@ -57,7 +57,7 @@
         let text = String::from_utf8_lossy(&bytes).into_owned();
         if let Ok(e) = read("e.toml", &text) {
             let here = common::here(&e);
-            let judged = heathroad_expect::judge(&common::generation(common::ROUTES), &e, &here);
+            let judged = heathroad_verifier::judge(&common::generation(common::ROUTES), &e, &here);
             assert!(judged.is_ok(), "seed {seed}");
         }
     }
--- a/crates/heathroad-expect/tests/golden_expectations_keys.rs
+++ b/crates/heathroad-verifier/tests/golden_expectations_keys.rs
@@ -1,9 +1,9 @@
 //! The keys of the file of expectations: each is read, and whatever is no key is refused with the
 //! list of those that are. The golden answer comes from commit 1355c4b.
 
-use heathroad_expect::file::{Again, Bound, Demand, Figure, read};
-use heathroad_expect::nodes::{Kind, Loss};
 use heathroad_routing::file::Group;
+use heathroad_verifier::file::{Again, Bound, Demand, Figure, read};
+use heathroad_verifier::nodes::{Kind, Loss};
 
 #[test]
 fn every_key_is_read() {
--- a/crates/heathroad-expect/tests/judged.rs
+++ b/crates/heathroad-verifier/tests/judged.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{EXPECTED, ROUTES, expectations, generation, here, report};
-use heathroad_expect::judge::{Here, judge};
+use heathroad_verifier::judge::{Here, judge};
 
 #[test]
 fn a_good_configuration_passes_and_says_what_was_looked_at() {
@@ -277,7 +277,7 @@
 fn a_drain_that_is_known_counts() {
     let e = expectations(EXPECTED);
     let (generation, mut here) = (generation(ROUTES), here(&e));
-    here.nodes.push(heathroad_expect::Node::withdrawn(
+    here.nodes.push(heathroad_verifier::Node::withdrawn(
         "127.0.0.1:9003".parse().expect("an address"),
     ));
     let report = judge(&generation, &e, &here).expect("can be judged");
--- a/crates/heathroad-expect/tests/nodes.rs
+++ b/crates/heathroad-verifier/tests/nodes.rs
@@ -1,8 +1,8 @@
 //! What is left when the worst is lost, against every way to lose it.
 
-use heathroad_expect::Node;
-use heathroad_expect::nodes::{Kind, Loss, left, mates};
 use heathroad_routing::file::Group;
+use heathroad_verifier::Node;
+use heathroad_verifier::nodes::{Kind, Loss, left, mates};
 use std::collections::BTreeSet;
 
 fn nodes(rng: &mut fastrand::Rng) -> Vec<Node> {
--- a/crates/heathroad-expect/tests/plan.rs
+++ b/crates/heathroad-verifier/tests/plan.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::{EXPECTED, ROUTES, expectations, generation, here};
-use heathroad_expect::judge::{Here, judge};
-use heathroad_expect::nodes::Node;
-use heathroad_expect::plan::{Plan, drains};
+use heathroad_verifier::judge::{Here, judge};
+use heathroad_verifier::nodes::Node;
+use heathroad_verifier::plan::{Plan, drains};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
--- a/crates/heathroad-expect/tests/reach.rs
+++ b/crates/heathroad-verifier/tests/reach.rs
@@ -1,9 +1,9 @@
 //! What is reasoned out, against the table that routes, asked for every request of a small world.
 
-use heathroad_expect::reach::Routes;
-use heathroad_expect::space::Space;
 use heathroad_routing::condition::{Match, Request};
 use heathroad_routing::generation::Generation;
+use heathroad_verifier::reach::Routes;
+use heathroad_verifier::space::Space;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
--- a/crates/heathroad/src/operation/admin.rs
+++ b/crates/heathroad/src/admin/mod.rs
@@ -1,12 +1,12 @@
 //! The operators' address, off unless it is named: what the daemon counts, as Prometheus text and
 //! as JSON, and where there are routes, changing them.
 
-use crate::duty::Duties;
-use crate::effort::{sleep, spawn_local, timeout};
-use crate::fleet::Peers;
-use crate::fleet::audit::{self, Ask};
+use crate::lease::Duties;
+use crate::membership::Peers;
+use crate::membership::audit::{self, Ask};
 use crate::router::Router;
-use crate::router::change::words;
+use crate::router::transactions::words;
+use crate::runtime_accounting::{sleep, spawn_local, timeout};
 use bytes::Bytes;
 use heathroad_routing::transaction::{Event, Said};
 use http_body_util::{BodyExt, Full, Limited};
--- a/crates/heathroad/src/backend/crossings.rs
+++ b/crates/heathroad/src/backend/crossings.rs
@@ -320,7 +320,7 @@
             .run_until(async {
                 let target = pool.target("a", dial, 0.0);
                 let framing = heathroad_jsonrpc::Framing::Lines;
-                let way = rpc::Way {
+                let way = jsonrpc::Way {
                     port: None,
                     framing,
                     calls: 1,
@@ -329,7 +329,7 @@
                 };
                 let params = Some(Bytes::from(format!("[\"{}\"]", "x".repeat(TEXT))));
                 let method = Bytes::from_static(b"\"once\"");
-                let call = Rc::new(Call::Rpc(rpc::Call {
+                let call = Rc::new(Call::Rpc(jsonrpc::Call {
                     method,
                     params,
                     notification: false,
--- a/crates/heathroad/src/backend/http.rs
+++ b/crates/heathroad/src/backend/http.rs
@@ -1,12 +1,13 @@
 //! Attempts over HTTP/1.1: a connection carries one request at a time.
 
 use super::{End, Idle, Line, MAX_BODY, Pool, RETIRE, Target};
-use crate::budget::Purse;
-use crate::effort::{sleep, spawn_local, timeout};
-use crate::heartbeat;
-use crate::permit::tally;
+use crate::retry_budget::Purse;
+use crate::runtime_accounting::{sleep, spawn_local, timeout};
+use crate::safety::violations;
+use crate::stall_detector;
 use crate::stream::{Outgoing, Progress, Watched, Written};
 use bytes::{Bytes, BytesMut};
+use heathroad_balancer::api::Outcome;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{Builder, SendRequest};
@@ -24,7 +25,6 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
-use turnshift::api::Outcome;
 
 /// A body that has begun and makes no headway for so long is not coming: its length doesn't fit.
 const PAUSE: Duration = Duration::from_millis(500);
@@ -121,7 +121,7 @@
             // held up.
             let idle = Idle {
                 link,
-                since: heartbeat::arrival(Instant::now()),
+                since: stall_detector::arrival(Instant::now()),
             };
             self.idle
                 .borrow_mut()
@@ -205,7 +205,7 @@
         // The connect may have taken long: by now the backend may drain, the client have left, or a
         // repeat come too late.
         if let Err(denied) = pool.may_write(target, line) {
-            tally::denied(denied, &String::from_utf8_lossy(call.id.as_bytes()));
+            violations::denied(denied, &String::from_utf8_lossy(call.id.as_bytes()));
             return End::Unserved(Outcome::Moot);
         }
         tracing::debug!(id = ?call.id, address = %target.dial, kept, "attempt written");
--- a/crates/heathroad/src/backend/rpc.rs
+++ b/crates/heathroad/src/backend/jsonrpc.rs
@@ -3,11 +3,12 @@
 //! written.
 
 use super::{End, Line, Pool, Target};
-use crate::budget::Purse;
-use crate::effort::{self, spawn_local, timeout};
-use crate::permit::tally;
+use crate::retry_budget::Purse;
+use crate::runtime_accounting::{self, spawn_local, timeout};
+use crate::safety::violations;
 use crate::stream::Written;
 use bytes::{Buf, Bytes, BytesMut};
+use heathroad_balancer::api::Outcome;
 use heathroad_jsonrpc::message::{self, INTERNAL_ERROR, METHOD_NOT_FOUND, Reply};
 use heathroad_jsonrpc::{Answer, Decoder, Framing, Limits, write};
 use rustc_hash::FxHashMap;
@@ -22,7 +23,6 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, oneshot};
 use tokio::task::yield_now;
 use tokio::time::Instant;
-use turnshift::api::Outcome;
 
 /// Longest answer that is read.
 const MAX_ANSWER: usize = 1 << 20;
@@ -349,14 +349,14 @@
             biased;
             // What the backend has said, or that it has left, is seen before more is written to it.
             read = reader.read_buf(decoder.buffer()) => {
-                effort::read();
+                runtime_accounting::read();
                 if !read.is_ok_and(|n| n > 0) {
                     return;
                 }
             }
             wrote = put(&mut writer, next.as_ref()) => match wrote {
                 Ok(n) if n > 0 => {
-                    effort::wrote();
+                    runtime_accounting::wrote();
                     link.wrote(n);
                 }
                 _ => {
@@ -456,7 +456,7 @@
             },
         };
         if let Err(denied) = pool.may_write(target, line) {
-            tally::denied(denied, &String::from_utf8_lossy(&call.method));
+            violations::denied(denied, &String::from_utf8_lossy(&call.method));
             return End::Unserved(Outcome::Moot);
         }
         let mut waiting = link.ask(call, expires, line, purse);
--- a/crates/heathroad/src/backend/mod.rs
+++ b/crates/heathroad/src/backend/mod.rs
@@ -4,13 +4,14 @@
 #[cfg(test)]
 mod crossings;
 pub mod http;
-pub mod rpc;
+pub mod jsonrpc;
 
-use crate::budget::Purse;
-use crate::effort::{sleep, sleep_until, timeout};
-use crate::permit::{self, Denied, Waiting, Write, WriteBy};
+use crate::retry_budget::Purse;
+use crate::runtime_accounting::{sleep, sleep_until, timeout};
+use crate::safety::{self, Denied, Waiting, Write, WriteBy};
 use crate::stream::{Progress, Written};
 use bytes::Bytes;
+use heathroad_balancer::api::Outcome;
 use http::Link;
 use rustc_hash::FxHashMap;
 use std::borrow::Cow;
@@ -27,7 +28,6 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::Instant;
-use turnshift::api::Outcome;
 
 /// Longest body that is passed on in either direction.
 pub const MAX_BODY: usize = 64 * 1024;
@@ -47,7 +47,7 @@
     /// Over HTTP.
     Http(http::Call),
     /// Over JSON-RPC.
-    Rpc(rpc::Call),
+    Rpc(jsonrpc::Call),
 }
 
 impl Call {
@@ -132,7 +132,7 @@
     /// By the target's number.
     idle: RefCell<FxHashMap<u64, Vec<Idle>>>,
     /// Connections for JSON-RPC, those in use too, by the target's number.
-    rpc: RefCell<FxHashMap<u64, Vec<Rc<rpc::Link>>>>,
+    rpc: RefCell<FxHashMap<u64, Vec<Rc<jsonrpc::Link>>>>,
     places: Arc<Semaphore>,
     draining: Rc<Cell<usize>>,
     /// Most overtaken attempts whose answers are awaited.
@@ -213,7 +213,7 @@
 
     /// Opens a connection to a process and keeps it, if there is none at rest; whether there is one
     /// now.
-    pub async fn warm(self: &Rc<Self>, target: &Rc<Target>, way: Option<rpc::Way>) -> bool {
+    pub async fn warm(self: &Rc<Self>, target: &Rc<Target>, way: Option<jsonrpc::Way>) -> bool {
         if let Some(way) = way {
             return self.rpc_link(target, way.calls).is_some()
                 || self.connect_rpc(target, way).await.is_ok();
@@ -270,7 +270,7 @@
         self.idle
             .borrow_mut()
             .retain(|number, _| used.contains(number));
-        let unused = |(number, _): &(&u64, &Vec<Rc<rpc::Link>>)| !used.contains(number);
+        let unused = |(number, _): &(&u64, &Vec<Rc<jsonrpc::Link>>)| !used.contains(number);
         self.rpc
             .borrow()
             .iter()
@@ -364,7 +364,7 @@
             withdrawn: self.drained(target),
             write_by: line.write_by,
         };
-        permit::write(write, Instant::now())
+        safety::write(write, Instant::now())
     }
 
     /// Whether a process was told to drain so long ago that nothing more may go out to it.
@@ -387,7 +387,9 @@
     match call {
         Call::Http(call) => http::exchange(pool, call, target, expires, line, purse).await,
         // In a box, so that calls over HTTP need no room for it.
-        Call::Rpc(call) => Box::pin(rpc::exchange(pool, call, target, expires, line, purse)).await,
+        Call::Rpc(call) => {
+            Box::pin(jsonrpc::exchange(pool, call, target, expires, line, purse)).await
+        }
     }
 }
 
--- a/crates/heathroad/src/operation/remote.rs
+++ b/crates/heathroad/src/cli/admin_client.rs
@@ -1,6 +1,6 @@
 //! Asking a running daemon at its admin address, for the command line.
 
-use crate::effort::timeout;
+use crate::runtime_accounting::timeout;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1::handshake;
--- a/crates/heathroad/src/operation/commands.rs
+++ b/crates/heathroad/src/cli/commands.rs
@@ -1,7 +1,7 @@
 //! What the program does beside running: looks at files, and calls to a running daemon.
 
-use super::cli::{Cli, Command};
-use super::{duty, expect, fleet, remote};
+use super::arguments::{Cli, Command};
+use super::{admin_client, lease, membership, verify};
 use crate::configuration::{self as config, routes};
 use clap::Parser;
 use hyper::Method;
@@ -20,22 +20,22 @@
     let (done, code) = match Cli::parse().command {
         None => (start(), ExitCode::FAILURE),
         Some(Command::Check { file }) => (check(&file), ExitCode::from(BAD_INPUT)),
-        Some(Command::Expect { with }) => (told(expect::expect(&with)), ExitCode::from(BAD_INPUT)),
+        Some(Command::Expect { with }) => (told(verify::expect(&with)), ExitCode::from(BAD_INPUT)),
         Some(Command::Drains {
             with,
             node,
             site,
             at_once,
         }) => (
-            told(expect::plan(&with, &node, &site, at_once)),
+            told(verify::plan(&with, &node, &site, at_once)),
             ExitCode::from(BAD_INPUT),
         ),
         Some(Command::Fleet(ask)) => (
-            fleet::ask(&ask).and_then(|text| say(&text)),
+            membership::ask(&ask).and_then(|text| say(&text)),
             ExitCode::FAILURE,
         ),
         Some(Command::Duty(ask)) => (
-            duty::ask(&ask).and_then(|text| say(&text)),
+            lease::ask(&ask).and_then(|text| say(&text)),
             ExitCode::FAILURE,
         ),
         Some(Command::Diff { from, to }) => (diff(&from, &to), ExitCode::from(BAD_INPUT)),
@@ -102,11 +102,11 @@
 }
 
 /// What is found broken is an answer like any other, with an exit code of its own.
-fn told(found: Result<String, expect::Trouble>) -> Result<(), String> {
+fn told(found: Result<String, verify::Trouble>) -> Result<(), String> {
     match found {
         Ok(text) => say(&text),
-        Err(expect::Trouble::Other(e)) => Err(e),
-        Err(expect::Trouble::Broken(text)) => {
+        Err(verify::Trouble::Other(e)) => Err(e),
+        Err(verify::Trouble::Broken(text)) => {
             say(&text)?;
             Err("what is expected does not hold".to_string())
         }
@@ -115,17 +115,17 @@
 
 fn apply(file: &Path, within: Option<&str>, admin: Option<SocketAddr>) -> Result<(), String> {
     let within = within
-        .map(|t| fleet::millis(t).map_err(|e| format!("--required-within: {e}")))
+        .map(|t| membership::millis(t).map_err(|e| format!("--required-within: {e}")))
         .transpose()?;
     let path = within.map_or("/config/apply".to_string(), |ms| {
         format!("/config/apply?required_ms={ms}")
     });
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    say(&remote::call(admin, Method::POST, &path, text)?)
+    say(&admin_client::call(admin, Method::POST, &path, text)?)
 }
 
 fn ask(admin: Option<SocketAddr>, method: Method, path: &str) -> Result<(), String> {
-    say(&remote::call(admin, method, path, String::new())?)
+    say(&admin_client::call(admin, method, path, String::new())?)
 }
 
 fn say(text: &str) -> Result<(), String> {
--- a/crates/heathroad/src/operation/duty.rs
+++ b/crates/heathroad/src/cli/lease.rs
@@ -1,8 +1,8 @@
 //! What is asked of duties on the command line, and the answers as text and as a picture.
 
-use super::cli::Duty;
-use super::lanes::{COLOURS, escape};
-use super::{fleet, remote};
+use super::arguments::Duty;
+use super::timeline_chart::{COLOURS, escape};
+use super::{admin_client, membership};
 use hyper::Method;
 use serde_json::Value;
 use std::fmt::Write;
@@ -10,10 +10,10 @@
 /// Asks, and words the answer.
 pub fn ask(ask: &Duty) -> Result<String, String> {
     match ask {
-        Duty::List { how } => fleet::told(how, "/duty/list", list),
+        Duty::List { how } => membership::told(how, "/duty/list", list),
         Duty::History { how, picture } => {
-            let text = fleet::get(how, "/duty/history")?;
-            let answer = fleet::json(&text)?;
+            let text = membership::get(how, "/duty/history")?;
+            let answer = membership::json(&text)?;
             if let Some(file) = picture {
                 std::fs::write(file, draw(&answer))
                     .map_err(|e| format!("{}: {e}", file.display()))?;
@@ -22,7 +22,7 @@
         }
         Duty::Resign { name, at } => {
             let path = format!("/duty/resign?name={name}");
-            remote::call(at.admin, Method::POST, &path, String::new())
+            admin_client::call(at.admin, Method::POST, &path, String::new())
         }
     }
 }
@@ -48,7 +48,7 @@
         answer["asked"],
         places(&answer["voters"]),
         answer["generation"],
-        fleet::span(&answer["lease_ms"])
+        membership::span(&answer["lease_ms"])
     );
     for d in rows(&answer["duties"]) {
         let holder = match (d["holder"].as_u64(), d["majority_reached"] == true) {
@@ -69,7 +69,7 @@
             let _ = write!(
                 out,
                 "; held here for {} more",
-                fleet::span(&d["held_here"]["left_ms"])
+                membership::span(&d["held_here"]["left_ms"])
             );
         }
         if let Some(why) = d["unfit"].as_str() {
@@ -90,7 +90,7 @@
                 out,
                 "\n    voter {}: {why}, {} left, highest token {}{died}",
                 v["voter"],
-                fleet::span(&v["left_ms"]),
+                membership::span(&v["left_ms"]),
                 text(&v["highest"])
             );
         }
@@ -101,8 +101,8 @@
 fn history(answer: &Value) -> String {
     let at = answer["at"].as_u64().unwrap_or(0);
     let ago = |t: &Value| match t.as_u64() {
-        Some(t) if t <= at => format!("{} ago", fleet::span(&(at - t).into())),
-        Some(t) => format!("in {}", fleet::span(&(t - at).into())),
+        Some(t) if t <= at => format!("{} ago", membership::span(&(at - t).into())),
+        Some(t) => format!("in {}", membership::span(&(t - at).into())),
         None => "now".into(),
     };
     let mut out = format!("asked of member {}", answer["asked"]);
--- a/crates/heathroad/src/operation/fleet.rs
+++ b/crates/heathroad/src/cli/membership.rs
@@ -1,7 +1,7 @@
 //! What a fleet is asked on the command line, and its answers as text.
 
-use super::cli::{Fleet, How};
-use super::{lanes, remote};
+use super::arguments::{Fleet, How};
+use super::{admin_client, timeline_chart};
 use hyper::Method;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
             let text = get(how, &path)?;
             let answer = json(&text)?;
             if let Some(file) = picture {
-                std::fs::write(file, lanes::draw(&answer))
+                std::fs::write(file, timeline_chart::draw(&answer))
                     .map_err(|e| format!("{}: {e}", file.display()))?;
             }
             Ok(if how.json { text } else { audit(&answer) })
@@ -47,7 +47,7 @@
 }
 
 pub(super) fn get(how: &How, path: &str) -> Result<String, String> {
-    remote::call(how.at.admin, Method::GET, path, String::new())
+    admin_client::call(how.at.admin, Method::GET, path, String::new())
 }
 
 pub(super) fn json(text: &str) -> Result<Value, String> {
--- a/crates/heathroad/src/operation/mod.rs
+++ b/crates/heathroad/src/cli/mod.rs
@@ -1,12 +1,10 @@
 //! What operators see and ask: the command line, and the address at which a running daemon answers
 //! them.
 
-pub mod admin;
-mod cli;
+mod admin_client;
+mod arguments;
 pub mod commands;
-mod duty;
-mod expect;
-mod fleet;
-mod lanes;
-pub mod log;
-mod remote;
+mod lease;
+mod membership;
+mod timeline_chart;
+mod verify;
--- a/crates/heathroad/src/operation/lanes.rs
+++ b/crates/heathroad/src/cli/timeline_chart.rs
@@ -1,7 +1,7 @@
 //! The audit as a picture: one lane a proxy, one colour a version (its lists of backends aside),
 //! gaps hatched, cut-offs and stalls marked. What is hatched is not known.
 
-use super::fleet::version;
+use super::membership::version;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/crates/heathroad/src/operation/expect.rs
+++ b/crates/heathroad/src/cli/verify.rs
@@ -1,12 +1,12 @@
 //! Expectations on the command line: held against a file of routes, and drains planned by them.
 
-use super::remote;
-use crate::configuration::{self as config, gate, routes};
-use crate::operation::cli::With;
-use heathroad_expect::nodes;
-use heathroad_expect::plan::{Plan, drains};
-use heathroad_expect::{Expectations, Here, Node, Report, judge};
+use super::admin_client;
+use crate::cli::arguments::With;
+use crate::configuration::{self as config, routes, verification_gate};
 use heathroad_routing::generation::Generation;
+use heathroad_verifier::nodes;
+use heathroad_verifier::plan::{Plan, drains};
+use heathroad_verifier::{Expectations, Here, Node, Report, judge};
 use hyper::Method;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,17 +32,17 @@
     let files = with
         .expectations
         .iter()
-        .map(|f| gate::read(f))
+        .map(|f| verification_gate::read(f))
         .collect::<Result<Vec<_>, _>>()?;
     let mut here = match &with.settings {
         Some(file) => {
             let config = config::check(file)?;
-            gate::here(&config.facts, config.discovery, Vec::new())
+            verification_gate::here(&config.facts, config.discovery, Vec::new())
         }
         None => Here::default(),
     };
     here.nodes = if with.live {
-        let told = remote::call(with.at.admin, Method::GET, "/config/nodes", String::new())?;
+        let told = admin_client::call(with.at.admin, Method::GET, "/config/nodes", String::new())?;
         serde_json::from_str(&told).map_err(|e| format!("the daemon's nodes: {e}"))?
     } else {
         files.iter().flat_map(|f| f.nodes.clone()).collect()
--- a/crates/heathroad/src/configuration/duty.rs
+++ b/crates/heathroad/src/configuration/lease.rs
@@ -1,8 +1,8 @@
 //! The duties of a fleet, as its file names them.
 
-use heathroad_duty::electorate::Electorate;
-use heathroad_duty::{DutyId, LEASE_MS, Terms};
-use heathroad_fleet::Place;
+use heathroad_lease::electorate::Electorate;
+use heathroad_lease::{DutyId, LEASE_MS, Terms};
+use heathroad_membership::Place;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/crates/heathroad/src/configuration/fleet.rs
+++ b/crates/heathroad/src/configuration/membership.rs
@@ -1,9 +1,9 @@
 //! The file of the fleet: its name, its key, and what this proxy does in it. Addresses are the
 //! platform's: `peer_listen` and `peers` of the daemon's own file.
 
-use heathroad_fleet::Place;
-use heathroad_fleet::fleet::Terms;
-use heathroad_fleet::seal::{MAX_KEY, Seal};
+use heathroad_membership::Place;
+use heathroad_membership::fleet::Terms;
+use heathroad_membership::seal::{MAX_KEY, Seal};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -39,7 +39,7 @@
     /// Backends are told by which version each attempt was decided; for rehearsals.
     pub tells_backends: bool,
     /// The duties, where there are voters.
-    pub duties: Option<super::duty::Settings>,
+    pub duties: Option<super::lease::Settings>,
 }
 
 #[derive(Deserialize)]
@@ -52,9 +52,9 @@
     fence_unsure_after_ms: Option<u64>,
     #[serde(default = "usual_period")]
     period_ms: u64,
-    duties: Option<super::duty::Duties>,
+    duties: Option<super::lease::Duties>,
     #[serde(default)]
-    duty: Vec<super::duty::Named>,
+    duty: Vec<super::lease::Named>,
 }
 
 fn usual_period() -> u64 {
@@ -128,7 +128,7 @@
     let own =
         own.ok_or("config: peers: expected one address for each proxy, at its settings.slotNo")?;
     let members = u16::try_from(peers.len()).map_err(|_| "config: peers: too many")?;
-    let duties = super::duty::check(read.duties, read.duty, members).map_err(|e| wrong(&e))?;
+    let duties = super::lease::check(read.duties, read.duty, members).map_err(|e| wrong(&e))?;
     Ok(Settings {
         duties,
         name: read.name,
--- a/crates/heathroad/src/configuration/mod.rs
+++ b/crates/heathroad/src/configuration/mod.rs
@@ -1,20 +1,20 @@
 //! What the proxy is told at its start: the environment and the configuration file, checked.
 
-pub mod disk;
-pub mod duty;
-pub mod fleet;
-pub mod gate;
+pub mod lease;
+pub mod membership;
 pub mod routes;
+pub mod state_folder;
+pub mod verification_gate;
 
-use crate::budget;
-use crate::discovery::roster::Page;
-use heathroad_fleet::version::Digest;
+use crate::discovery::endpoint_list::Page;
+use crate::retry_budget;
+use heathroad_balancer::settings::{self, Facts};
+use heathroad_membership::version::Digest;
 use serde::Deserialize;
 use std::env;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use turnshift::settings::{self, Facts};
 
 /// All that a start needs.
 pub struct Config {
@@ -27,7 +27,7 @@
     /// The file of routes and pools, if there is one; else the settings' one pool serves.
     pub routes: Option<PathBuf>,
     /// What this proxy keeps to of budgets down a chain, if it does.
-    pub budget: Option<budget::Settings>,
+    pub budget: Option<retry_budget::Settings>,
     /// What is expected of them: a change that breaks it is turned down.
     pub expectations: Option<PathBuf>,
     /// The folder in which the committed configuration is kept, if there is one.
@@ -41,7 +41,7 @@
     /// How many bytes of memory it may use.
     pub memory: usize,
     /// This proxy's part in its fleet, if it has one.
-    pub fleet: Option<fleet::Settings>,
+    pub fleet: Option<membership::Settings>,
     /// Tells proxies with unlike settings apart, but for what is meant to differ between copies.
     pub digest: Digest,
     /// The list of backends as this proxy last had it.
@@ -55,7 +55,7 @@
     listen: Option<String>,
     discovery: Option<String>,
     admin: Option<String>,
-    budget: Option<budget::File>,
+    budget: Option<retry_budget::File>,
     routes: Option<PathBuf>,
     expectations: Option<PathBuf>,
     state: Option<PathBuf>,
@@ -198,12 +198,12 @@
     }
     let budget = file
         .budget
-        .map(budget::File::check)
+        .map(retry_budget::File::check)
         .transpose()
         .map_err(|e| format!("config: {e}"))?;
     facts.settings.worth_carried = budget.is_some();
     let own = facts.settings.copy;
-    let addresses = fleet::Addresses {
+    let addresses = membership::Addresses {
         listen: file.peer_listen.as_deref(),
         peers: &file.peers,
         own,
@@ -211,7 +211,7 @@
     let fleet = file
         .fleet
         .as_deref()
-        .map(|path| fleet::read(path, &addresses))
+        .map(|path| membership::read(path, &addresses))
         .transpose()?;
     Ok(Config {
         fleet,
--- a/crates/heathroad/src/configuration/gate.rs
+++ b/crates/heathroad/src/configuration/verification_gate.rs
@@ -1,13 +1,13 @@
 //! The gate of changes: what is expected of a configuration, in a file beside the routes. It is
 //! judged on a thread of its own, so that no request waits for a verdict.
 
-use heathroad_expect::{Expectations, Here, Node, Report};
+use heathroad_balancer::settings::Facts;
 use heathroad_routing::generation::Generation;
+use heathroad_verifier::{Expectations, Here, Node, Report};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use tokio::task::spawn_blocking;
-use turnshift::settings::Facts;
 
 /// Where expectations are.
 pub struct Gate {
@@ -22,7 +22,7 @@
 pub fn read(path: &Path) -> Result<Expectations, String> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
-    heathroad_expect::file::read(&name, &text).map_err(|e| e.to_string())
+    heathroad_verifier::file::read(&name, &text).map_err(|e| e.to_string())
 }
 
 /// What is known of a place with some settings, for expectations.
@@ -62,7 +62,7 @@
         let expected = self.0.clone();
         let judged = spawn_blocking(move || {
             let generation = Generation::read(0, "routes", &text).map_err(|e| e.to_string())?;
-            heathroad_expect::judge(&generation, &expected, &here)
+            heathroad_verifier::judge(&generation, &expected, &here)
         });
         judged.await.map_err(|e| format!("expectations: {e}"))?
     }
--- a/crates/heathroad/src/discovery/mod.rs
+++ b/crates/heathroad/src/discovery/mod.rs
@@ -1,14 +1,15 @@
 //! Discovery: the list of backends, and the watch on its changes.
 
-pub mod roster;
+pub mod endpoint_list;
 
-use crate::effort::{sleep, spawn_local, timeout};
+use crate::runtime_accounting::{sleep, spawn_local, timeout};
 use bytes::Bytes;
+use endpoint_list::{Host, Page};
+use heathroad_balancer::api::ListKind;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::{Request, StatusCode, header};
 use hyper_util::rt::TokioIo;
-use roster::{Host, Page};
 use std::future::{Future, poll_fn};
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -17,7 +18,6 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::time::Instant;
-use turnshift::api::ListKind;
 
 /// How a list is followed. A watch that has fallen silent shows only by the answer that does not
 /// come: the sooner that is noticed, the less is missed, and the more calls are made.
@@ -259,7 +259,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::discovery::roster::Health;
+    use crate::discovery::endpoint_list::Health;
     use std::cell::RefCell;
     use std::rc::Rc;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/heathroad/src/engine/mod.rs
+++ b/crates/heathroad/src/engine/mod.rs
@@ -2,21 +2,28 @@
 //! order, and carries out its actions. Keeps the ids, the clock, the timers and each request's
 //! life.
 
-mod wait;
+mod pending_response;
 
 use crate::backend::{Attempt, Call, End, Line, Pool, Target};
-use crate::budget::{OnBooks, Purse};
-use crate::counts::{Counts, Final, Moment, Notice, Special};
-use crate::discovery::roster::{Health, Host};
-use crate::effort::{sleep, sleep_until, spawn_local};
-use crate::fleet::acts::{self, Acts};
-use crate::heartbeat;
-use crate::permit::{self, Attempted, Denied, Place, Violation, Waiting, WriteBy, tally};
+use crate::discovery::endpoint_list::{Health, Host};
+use crate::membership::activity_log::{self, Acts};
+use crate::metrics::{Counts, Final, Moment, Notice, Special};
+use crate::retry_budget::{OnBooks, Purse};
+use crate::runtime_accounting::{sleep, sleep_until, spawn_local};
+use crate::safety::{self, Attempted, Denied, Place, Violation, Waiting, WriteBy, violations};
+use crate::stall_detector;
 use crate::time::{as_millis, millis};
 use bytes::Bytes;
-use heathroad_budget::account::Loan;
-use heathroad_budget::wire::Spent;
-use heathroad_fleet::record::Act;
+use heathroad_balancer::Balancer;
+use heathroad_balancer::api::{
+    Action, Arrival, BackendId, Effect, Entry, Event, ListKind, Outcome, Phase, RequestId,
+    Resolved, SettingsError,
+};
+use heathroad_balancer::settings::Facts;
+use heathroad_membership::record::Act;
+use heathroad_retry_budget::account::Loan;
+use heathroad_retry_budget::wire::Spent;
+use pending_response::{Running, Wait};
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -25,25 +32,18 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::watch;
 use tokio::time::Instant;
-use turnshift::Balancer;
-use turnshift::api::{
-    Action, Arrival, BackendId, Effect, Entry, Event, ListKind, Outcome, Phase, RequestId,
-    Resolved, SettingsError,
-};
-use turnshift::settings::Facts;
-use wait::{Running, Wait};
 
 /// A deadline counts from the client's send, and the answer has yet to reach it: so much is for the
 /// way. What backends are told is no more than what is left where a pause at the arrival went
 /// unseen.
-const TRAVEL: Duration = heartbeat::UNSEEN;
+const TRAVEL: Duration = stall_detector::UNSEEN;
 /// So long after its deadline a client still waits, by the protocol: 20 ms, and 50 ms more on
 /// sockets.
 const GRACE: Duration = Duration::from_millis(70);
 /// The module's deadline lies so much before the client's: a request is answered in time though the
 /// process is held up just then, and was held up unseen when the request arrived.
-const MARGIN: Duration = heartbeat::LONGEST
-    .saturating_add(heartbeat::UNSEEN)
+const MARGIN: Duration = stall_detector::LONGEST
+    .saturating_add(stall_detector::UNSEEN)
     .saturating_sub(GRACE);
 /// But no more than this part of the time that a client waits, as a divisor: short deadlines leave
 /// time for work.
@@ -102,7 +102,7 @@
     /// What it may spend, where budgets are kept.
     pub budget: Option<OnBooks>,
     /// The page of the record that it was bound under, where one is kept.
-    pub acts: Option<acts::Bound>,
+    pub acts: Option<activity_log::Bound>,
 }
 
 impl Incoming {
@@ -198,7 +198,7 @@
     /// What it may spend, until its last attempt has ended.
     budget: Option<OnBooks>,
     /// The page that its attempts are written on.
-    acts: Option<acts::Bound>,
+    acts: Option<activity_log::Bound>,
 }
 
 impl Open {
@@ -249,7 +249,9 @@
         if let Some(target) = self.target.as_ref().filter(|t| t.drained.get().is_none()) {
             tracing::debug!(backend = self.name, address = %target.dial, reason = ?notice, "backend withdrawn");
             // The notice may have lain unread while the process was held up.
-            target.drained.set(Some(heartbeat::arrival(Instant::now())));
+            target
+                .drained
+                .set(Some(stall_detector::arrival(Instant::now())));
             pool.close(target);
             counts.drained(notice);
         }
@@ -299,7 +301,7 @@
         let mut decides = facts.settings.clone();
         decides.classes.iter_mut().for_each(|class| {
             if let Effect::Dedup { window, .. } = &mut class.effect {
-                *window = as_millis(permit::repeats_known_for(*window));
+                *window = as_millis(safety::repeats_known_for(*window));
             }
         });
         let state = State {
@@ -442,7 +444,7 @@
             });
         here.answer = answer.0.kind();
         if Instant::now() > received + patience + GRACE {
-            tally::violated(Violation::LateAnswer, &here.label());
+            violations::violated(Violation::LateAnswer, &here.label());
         }
         let aim = millis(
             self.facts
@@ -477,7 +479,7 @@
     }
 
     /// What is in force now, to bind a request to, where a record is kept.
-    pub fn acts(&self) -> Option<acts::Bound> {
+    pub fn acts(&self) -> Option<activity_log::Bound> {
         self.acts.as_ref().map(Acts::bind)
     }
 
@@ -715,10 +717,10 @@
         let Some(open) = s.requests.get(&request) else {
             return Answer::Refused { retry_after };
         };
-        if permit::refusal(self.effect(open.class), open.attempted()) {
+        if safety::refusal(self.effect(open.class), open.attempted()) {
             return Answer::Refused { retry_after };
         }
-        tally::violated(Violation::Refusal, &open.call.label());
+        violations::violated(Violation::Refusal, &open.call.label());
         Answer::Failed
     }
 
@@ -753,14 +755,14 @@
             .and_then(|k| Some((k, k.target.clone()?)))
             .ok_or(Denied::BackendWithdrawn)?;
         let duplicate = self.facts.site.may_duplicate;
-        let write_by = permit::repeat(
+        let write_by = safety::repeat(
             self.effect(open.class),
             open.attempted(),
             known.place,
             duplicate,
             now,
         )?;
-        let granted = open.acts.as_ref().is_none_or(acts::Bound::may)
+        let granted = open.acts.as_ref().is_none_or(activity_log::Bound::may)
             && (number == 0 || open.budget.as_ref().is_none_or(OnBooks::again));
         if granted {
             Ok((target, known.place, write_by))
@@ -776,9 +778,9 @@
             return;
         };
         let label = open.call.label().into_owned();
-        tally::denied(denied, &label);
+        violations::denied(denied, &label);
         if matches!(denied, Denied::NotRepeatable | Denied::OutsideGroup) {
-            tally::violated(Violation::Repeat, &label);
+            violations::violated(Violation::Repeat, &label);
         }
         if denied == Denied::ClientLeft && open.end().is_some() {
             s.events.push_back(Event::Hangup { request });
@@ -1008,7 +1010,7 @@
     request: RequestId,
     class: u16,
     tenant: u16,
-    acts: Option<acts::Bound>,
+    acts: Option<activity_log::Bound>,
     /// What it was given; that it left, until then.
     answer: Final,
 }
--- a/crates/heathroad/src/engine/wait.rs
+++ b/crates/heathroad/src/engine/pending_response.rs
@@ -4,7 +4,7 @@
 //! goes on, get a task of their own.
 
 use crate::backend::{Line, keep};
-use crate::effort::{sleep_until, spawn_local};
+use crate::runtime_accounting::{sleep_until, spawn_local};
 use std::cell::{Cell, RefCell};
 use std::future::{Future, poll_fn};
 use std::pin::{Pin, pin};
--- a/crates/heathroad/src/front/room.rs
+++ b/crates/heathroad/src/frontend/connections.rs
@@ -1,9 +1,9 @@
 //! What callers hold of the proxy: places, bytes, ids. Whoever is seated may be asked to leave for
 //! those who wait.
 
-use super::wire::Wire;
-use crate::heartbeat;
-use crate::permit::{self, Client, Connection, Violation, tally};
+use super::read_ahead::Wire;
+use crate::safety::{self, Client, Connection, Violation, violations};
+use crate::stall_detector;
 use crate::stream::{Peek, Progress};
 use hyper::header::HeaderValue;
 use socket2::SockRef;
@@ -84,7 +84,7 @@
     /// `unread` on it.
     fn may_close(&self, unread: bool) -> bool {
         let owed = self.stage.get() == Stage::Taken;
-        permit::close(Connection {
+        safety::close(Connection {
             owed,
             unsent: self.progress.unsent(),
             unread,
@@ -125,7 +125,7 @@
             "connection closed"
         );
         if taken && !matches!(reason, Closed::ByClient | Closed::Broken) {
-            tally::violated(
+            violations::violated(
                 Violation::Dropped,
                 &format!("on connection {}", self.number),
             );
@@ -154,7 +154,7 @@
 impl Client for Seat {
     /// By what the reactor was told; after a pause, when that is old, by the system's word.
     fn left(&self) -> bool {
-        self.wire.left(heartbeat::held_up(Instant::now()))
+        self.wire.left(stall_detector::held_up(Instant::now()))
     }
 }
 
--- a/crates/heathroad/src/front/crossings.rs
+++ b/crates/heathroad/src/frontend/crossings.rs
@@ -2,14 +2,15 @@
 //! matters: what callers do is done by the system at once, with no turn of the loop between it and
 //! the stop.
 
+use super::connections::Room;
 use super::http::Front;
-use super::room::Room;
-use super::rpc;
+use super::jsonrpc;
 use crate::backend::{Limits, Pool};
-use crate::counts::{Counts, Meter};
 use crate::engine::Engine;
 use crate::engine::tests::facts;
+use crate::metrics::{Counts, Meter};
 use crate::router::Router;
+use heathroad_balancer::api::ListKind;
 use serde_json::json;
 use std::cell::RefCell;
 use std::io::{Read, Write};
@@ -21,7 +22,6 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, LocalSet, spawn_blocking, spawn_local, yield_now};
 use tokio::time::timeout;
-use turnshift::api::ListKind;
 
 const LONG: Duration = Duration::from_secs(20);
 
@@ -370,12 +370,12 @@
                 may_duplicate: true,
             };
             let many =
-                crate::router::start::start(&routes, &config, &Rc::new(Pool::new(limits)), None);
+                crate::router::startup::start(&routes, &config, &Rc::new(Pool::new(limits)), None);
             let many = many.expect("good routes");
             let addr = many.doors()[0].1.local_addr().expect("bound");
             let room = Rc::<Room>::default();
             let (connections, bodies) = (100, 1 << 20);
-            let front = rpc::Front {
+            let front = jsonrpc::Front {
                 many,
                 facts: facts(),
                 connections,
--- a/crates/heathroad/src/front/http.rs
+++ b/crates/heathroad/src/frontend/http.rs
@@ -1,21 +1,25 @@
 //! Requests over HTTP: takes them, checks them, and writes each one's answer.
 
-use super::room::{ARRIVE, Closed, FIRST, Held, Room, SPARE, Seat, Seated, Stage, Taken, queued};
-use super::wire::Half;
+use super::connections::{
+    ARRIVE, Closed, FIRST, Held, Room, SPARE, Seat, Seated, Stage, Taken, queued,
+};
+use super::read_ahead::Half;
 use crate::backend::http::{self, DEADLINE, ID, KEY};
 use crate::backend::{Call, MAX_BODY};
-use crate::budget::{self, Books, SPENT};
-use crate::counts::Final;
-use crate::effort::{sleep, spawn_in, timeout_at};
 use crate::engine::{self, Answer, Incoming, away};
-use crate::fleet::acts;
-use crate::heartbeat;
-use crate::permit::Waiting;
+use crate::membership::activity_log;
+use crate::metrics::Final;
+use crate::retry_budget::{self, Books, SPENT};
 use crate::router::{Ask, Bound, Router};
+use crate::runtime_accounting::{sleep, spawn_in, timeout_at};
+use crate::safety::Waiting;
+use crate::stall_detector;
 use crate::stream::{Peek, Watched};
 use crate::time::as_millis;
 use bytes::{Bytes, BytesMut};
-use heathroad_budget::path::Mark;
+use heathroad_balancer::api::Effect;
+use heathroad_balancer::settings::Facts;
+use heathroad_retry_budget::path::Mark;
 use heathroad_routing::split::hash;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming as Inflow};
@@ -36,8 +40,6 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, interval};
-use turnshift::api::Effect;
-use turnshift::settings::Facts;
 
 /// How often callers are looked through for those that are late.
 const SWEEP: Duration = Duration::from_millis(250);
@@ -285,7 +287,7 @@
                 // connection's task sees the same, and ends.
                 if seat
                     .wire
-                    .left(!seat.answered.get() || heartbeat::held_up(Instant::now()))
+                    .left(!seat.answered.get() || stall_detector::held_up(Instant::now()))
                 {
                     tracing::debug!(id = %incoming.call.label(), reason = "client left", "request dropped");
                     bound.engine.undecided(&incoming, Final::Left);
@@ -442,12 +444,12 @@
                 tenant,
             };
             books
-                .enter(budget::told(&head.headers, inner), mark, patience)
+                .enter(retry_budget::told(&head.headers, inner), mark, patience)
                 .map_err(|why| Box::new(looped(why)))
         };
         let budget = self.books.as_ref().map(enter).transpose()?;
         let acts = bound.acts.clone();
-        let version = acts.as_ref().and_then(acts::Bound::header);
+        let version = acts.as_ref().and_then(activity_log::Bound::header);
         let call = Call::Http(http::Call {
             method,
             uri,
@@ -560,5 +562,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/front_http.rs"]
+#[path = "../../tests/unit/frontend_http.rs"]
 mod tests;
--- a/crates/heathroad/src/front/rpc.rs
+++ b/crates/heathroad/src/frontend/jsonrpc.rs
@@ -5,26 +5,28 @@
 //! work is a task of its own. What is read ahead is bounded by the calls in work and the answers
 //! that wait to be read.
 
-use super::pace::Pace;
-use super::room::{FIRST, Guest, Room, SPARE as SPARE_PLACES, Stock, Taken, queued};
-use crate::backend::{Call as Outward, rpc};
-use crate::budget::{self, Books};
-use crate::counts::Final;
-use crate::effort::{self, sleep, sleep_until, spawn_in, timeout};
+use super::batch_concurrency::Pace;
+use super::connections::{FIRST, Guest, Room, SPARE as SPARE_PLACES, Stock, Taken, queued};
+use crate::backend::{Call as Outward, jsonrpc};
 use crate::engine::{self, Answer, Incoming, away};
-use crate::heartbeat;
-use crate::router::many::Many;
+use crate::metrics::Final;
+use crate::retry_budget::{self, Books};
+use crate::router::routed_pools::Many;
 use crate::router::{Ask, Bound};
+use crate::runtime_accounting::{self, sleep, sleep_until, spawn_in, timeout};
+use crate::stall_detector;
 use crate::stream::peek;
 use crate::time::millis;
 use bytes::{Buf, Bytes, BytesMut};
-use heathroad_budget::path::Mark;
+use heathroad_balancer::api::Effect;
+use heathroad_balancer::settings::Facts;
 use heathroad_jsonrpc::message::{
     self, Call, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, Message, NULL, PARSE_ERROR,
     Wrong,
 };
 use heathroad_jsonrpc::pointer::{self, Missing, Pointer};
 use heathroad_jsonrpc::{Broken, Decoder, Framing, Limits, write};
+use heathroad_retry_budget::path::Mark;
 use heathroad_routing::file::{Listener, TenantFrom};
 use heathroad_routing::split::hash;
 use hyper::header::HeaderMap;
@@ -39,8 +41,6 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::{JoinSet, yield_now};
 use tokio::time::Instant;
-use turnshift::api::Effect;
-use turnshift::settings::Facts;
 
 /// Refused: trying again is harmless. This and the next two are of the range that the specification
 /// leaves to servers.
@@ -454,7 +454,7 @@
         return reader
             .read_buf(decoder.buffer())
             .await
-            .inspect(|_| effort::read());
+            .inspect(|_| runtime_accounting::read());
     }
     reader.ready(Interest::ERROR).await?;
     Err(std::io::ErrorKind::ConnectionReset.into())
@@ -521,7 +521,7 @@
         let mut full: Option<Instant> = None;
         let (idle, mut pace) = (millis(is.idle_ms), Pace::new(is.calls as usize));
         // When what was read last had come, at the earliest.
-        let mut arrived = heartbeat::arrival(Instant::now());
+        let mut arrived = stall_detector::arrival(Instant::now());
         // By a stop, one who has just come and said nothing yet is waited for until then.
         let (mut heard, mut first) = (false, None);
         loop {
@@ -595,7 +595,7 @@
                 biased;
                 wrote = writer.write(&out), if !out.is_empty() => match wrote {
                     Ok(n) if n > 0 => {
-                        effort::wrote();
+                        runtime_accounting::wrote();
                         out.advance(n);
                         moved = Instant::now();
                     }
@@ -619,7 +619,7 @@
                     }
                     Ok(_) => {
                         (heard, moved) = (true, Instant::now());
-                        arrived = heartbeat::arrival(moved);
+                        arrived = stall_detector::arrival(moved);
                     }
                     Err(_) => return,
                 },
@@ -859,7 +859,7 @@
         let (notification, class, tenant) = (call.id.is_none(), bound.class, place as u16);
         let patience = bound.deadline.unwrap_or_default();
         let enter = |books: &Rc<Books>| {
-            let told = budget::told_in(&call.carried, books.inner(self.peer));
+            let told = retry_budget::told_in(&call.carried, books.inner(self.peer));
             let mark = Mark {
                 key: key.as_deref().map_or(0, |k| hash(k.as_bytes())),
                 class,
@@ -871,7 +871,7 @@
                 .map_err(|_| wrong(LOOPED, looped))
         };
         let budget = front.books.as_ref().map(enter).transpose()?;
-        let call = rpc::Call {
+        let call = jsonrpc::Call {
             method: call.method_text,
             params: call.params,
             notification,
--- a/crates/heathroad/src/front/wire.rs
+++ b/crates/heathroad/src/frontend/read_ahead.rs
@@ -2,9 +2,9 @@
 //! for the caller's end only as long as nothing lies behind that request; here what lies there is
 //! read ahead, so that the end behind it is seen too.
 
-use super::room::{Room, Seat, Stock};
-use crate::effort;
-use crate::heartbeat;
+use super::connections::{Room, Seat, Stock};
+use crate::runtime_accounting;
+use crate::stall_detector;
 use crate::stream::{Peek, peek};
 use bytes::{Buf, BytesMut};
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -92,12 +92,12 @@
                 let mut piece = [0; PIECE];
                 match io.inner().try_read(&mut piece) {
                     Ok(read @ 1..) => {
-                        effort::read();
+                        runtime_accounting::read();
                         ahead.extend_from_slice(&piece[..read]);
                         self.came.set(
                             self.came
                                 .get()
-                                .or_else(|| Some(heartbeat::arrival(Instant::now()))),
+                                .or_else(|| Some(stall_detector::arrival(Instant::now()))),
                         );
                     }
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
--- a/crates/heathroad/src/duty/collect.rs
+++ b/crates/heathroad/src/lease/audit_collector.rs
@@ -3,16 +3,16 @@
 //! is a state folder, and is mirrored by the voters; the duty's mark is its digest, so that the
 //! next collector begins with it, whichever of them it has it from.
 
-use super::work::Hold;
+use super::worker::Hold;
 use super::{Duties, Store};
-use crate::effort::sleep;
-use crate::fleet::Peers;
-use crate::fleet::audit;
-use heathroad_duty::DutyId;
-use heathroad_fleet::Place;
-use heathroad_fleet::record::Told;
-use heathroad_fleet::version::Digest;
-use heathroad_fleet::wire::Topic;
+use crate::membership::Peers;
+use crate::membership::audit;
+use crate::runtime_accounting::sleep;
+use heathroad_lease::DutyId;
+use heathroad_membership::Place;
+use heathroad_membership::record::Told;
+use heathroad_membership::version::Digest;
+use heathroad_membership::wire::Topic;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -308,8 +308,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use heathroad_fleet::record::Record;
-    use heathroad_fleet::version::Version;
+    use heathroad_membership::record::Record;
+    use heathroad_membership::version::Version;
 
     fn told(at: u64, pages: u64) -> Told {
         let mut record = Record::new(1, 0, None);
--- a/crates/heathroad/src/duty/call.rs
+++ b/crates/heathroad/src/lease/http_call.rs
@@ -3,11 +3,11 @@
 //! call's number; an address that keeps the highest token it has seen answers 412 to a lower one,
 //! and may tell the highest in `Duty-Token`.
 
-use super::work::Hold;
-use crate::configuration::duty::Call;
-use crate::effort::{sleep_until, spawn_local, timeout};
+use super::worker::Hold;
+use crate::configuration::lease::Call;
+use crate::runtime_accounting::{sleep_until, spawn_local, timeout};
 use bytes::Bytes;
-use heathroad_duty::token::Token;
+use heathroad_lease::token::Token;
 use http_body_util::Empty;
 use hyper::client::conn::http1::handshake;
 use hyper::{Request, StatusCode, header};
--- a/crates/heathroad/src/duty/mod.rs
+++ b/crates/heathroad/src/lease/mod.rs
@@ -1,29 +1,29 @@
-//! This proxy's part in its fleet's duties: the clock, the disk and the ways of `heathroad_duty`,
+//! This proxy's part in its fleet's duties: the clock, the disk and the ways of `heathroad_lease`,
 //! and the work that is done where a duty is held. Off unless the file of the fleet names voters.
 //!
 //! `store` keeps what a voter must not forget; `work` is what a duty's work is given, `call` and
 //! `collect` are two of them; `told` is what operators ask.
 
-mod call;
-pub mod collect;
+pub mod audit_collector;
+mod http_call;
+pub mod status;
 mod store;
-pub mod told;
-mod work;
+mod worker;
 
 pub use store::Store;
 
-use crate::configuration::duty::{Kind, Settings};
-use crate::effort::{sleep_until, spawn_local};
-use crate::fleet::Peers;
-use collect::Collection;
-use heathroad_duty::DutyId;
-use heathroad_duty::duties::{Duties as Core, Output, Settings as CoreSettings};
-use heathroad_duty::message::What;
-use heathroad_duty::seat::{Ended, Event};
-use heathroad_duty::token::Token;
-use heathroad_duty::voter::Mark;
-use heathroad_fleet::wire::Topic;
-use heathroad_fleet::{Millis, Place};
+use crate::configuration::lease::{Kind, Settings};
+use crate::membership::Peers;
+use crate::runtime_accounting::{sleep_until, spawn_local};
+use audit_collector::Collection;
+use heathroad_lease::DutyId;
+use heathroad_lease::duties::{Duties as Core, Output, Settings as CoreSettings};
+use heathroad_lease::message::What;
+use heathroad_lease::seat::{Ended, Event};
+use heathroad_lease::token::Token;
+use heathroad_lease::voter::Mark;
+use heathroad_membership::wire::Topic;
+use heathroad_membership::{Millis, Place};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -34,7 +34,7 @@
 use tokio::sync::{Mutex, Notify, watch};
 use tokio::task::{JoinHandle, spawn_blocking};
 use tokio::time::Instant;
-use work::Hold;
+use worker::Hold;
 
 /// The duties are told of the time, and of who is there, so often at the least.
 const MOST: Duration = Duration::from_millis(500);
@@ -129,7 +129,7 @@
             seed,
         };
         let core = RefCell::new(Core::new(peers.now(), peers.acts().now(), core, memory));
-        let one = |d: crate::configuration::duty::Duty| {
+        let one = |d: crate::configuration::lease::Duty| {
             let (work, own, unfit) = (RefCell::default(), RefCell::default(), RefCell::default());
             (
                 DutyId::of(&d.name),
@@ -172,7 +172,7 @@
             .values()
             .any(|one| matches!(one.kind, Kind::Collect { .. }))
         {
-            spawn_local(collect::mirror(duties.clone()));
+            spawn_local(audit_collector::mirror(duties.clone()));
         }
         Ok(duties)
     }
@@ -326,8 +326,8 @@
     fn begin_work(&self, duty: DutyId, one: &One, token: Token, mark: Option<Mark>) {
         let hold = Hold::new(self.me.clone(), duty, one.name.clone(), token, mark);
         let work: Pin<Box<dyn Future<Output = String>>> = match &one.kind {
-            Kind::Call(to) => Box::pin(call::call(hold.clone(), to.clone())),
-            Kind::Collect { every } => Box::pin(collect::collect(
+            Kind::Call(to) => Box::pin(http_call::call(hold.clone(), to.clone())),
+            Kind::Collect { every } => Box::pin(audit_collector::collect(
                 hold.clone(),
                 self.peers.clone(),
                 self.me.clone(),
--- a/crates/heathroad/src/duty/told.rs
+++ b/crates/heathroad/src/lease/status.rs
@@ -1,14 +1,14 @@
 //! What operators ask of duties: how they stand now by the voters' words, and who held what.
 
 use super::{Duties, Kind, Own, unix_at};
-use crate::effort::{sleep, spawn_in};
-use crate::fleet::audit::{self, Off};
-use heathroad_duty::DutyId;
-use heathroad_duty::history::End;
-use heathroad_duty::message::{What, Why};
-use heathroad_duty::token::Token;
-use heathroad_fleet::Place;
-use heathroad_fleet::wire::Topic;
+use crate::membership::audit::{self, Off};
+use crate::runtime_accounting::{sleep, spawn_in};
+use heathroad_lease::DutyId;
+use heathroad_lease::history::End;
+use heathroad_lease::message::{What, Why};
+use heathroad_lease::token::Token;
+use heathroad_membership::Place;
+use heathroad_membership::wire::Topic;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
--- a/crates/heathroad/src/duty/store.rs
+++ b/crates/heathroad/src/lease/store.rs
@@ -2,7 +2,7 @@
 //! before the answer that rests on it goes; and what the collector keeps. One file, by `redb`:
 //! whole at any time, whenever the process or the machine ends.
 
-use heathroad_duty::voter::Memory;
+use heathroad_lease::voter::Memory;
 use redb::{Builder, Database, Durability, TableDefinition, TableError};
 use std::path::Path;
 use std::sync::Arc;
--- a/crates/heathroad/src/duty/work.rs
+++ b/crates/heathroad/src/lease/worker.rs
@@ -6,11 +6,11 @@
 //! that. Whatever can't check a token may see such an act twice, and one of a stalled holder late.
 
 use super::Duties;
-use crate::effort::timeout;
-use heathroad_duty::DutyId;
-use heathroad_duty::seat::Ended;
-use heathroad_duty::token::Token;
-use heathroad_duty::voter::Mark;
+use crate::runtime_accounting::timeout;
+use heathroad_lease::DutyId;
+use heathroad_lease::seat::Ended;
+use heathroad_lease::token::Token;
+use heathroad_lease::voter::Mark;
 use std::rc::Weak;
 
 /// A hold of a duty.
@@ -72,7 +72,7 @@
             .is_some_and(|d| d.holds(self.duty) == Some(self.token))
     }
 
-    /// Has a quorum keep what the work has come to, at most [`heathroad_duty::voter::MAX_STATE`]
+    /// Has a quorum keep what the work has come to, at most [`heathroad_lease::voter::MAX_STATE`]
     /// bytes.
     pub async fn keep(&self, state: Vec<u8>) -> Result<(), Lost> {
         let duties = self.duties.upgrade().filter(|_| self.may()).ok_or(Lost)?;
--- a/crates/heathroad/src/lib.rs
+++ b/crates/heathroad/src/lib.rs
@@ -1,4 +1,4 @@
-//! heathroad, a balancing proxy for services that call services: the decisions of `turnshift` on
+//! heathroad, a balancing proxy for services that call services: the decisions of `heathroad-balancer` on
 //! real sockets.
 //!
 //! A request goes one way through the modules:
@@ -13,7 +13,7 @@
 //! - `backend` carries out attempts over kept connections, and says what each ending means.
 //!
 //! `fleet` is this proxy among its fellows, `duty` what one of them alone does at a time (decided
-//! in `heathroad-duty`).
+//! in `heathroad-lease`).
 //!
 //! Beside that way: `configuration` is read at the start and kept on disk, `discovery` follows the
 //! list of backends, `operation` is the command line and the address at which operators ask. Both
@@ -23,39 +23,41 @@
 
 #![cfg_attr(not(test), deny(clippy::disallowed_methods))]
 
+mod admin;
 mod backend;
-mod budget;
+mod cli;
 mod configuration;
-mod counts;
 mod discovery;
-mod duty;
-mod effort;
 mod engine;
-mod fleet;
-mod front;
-mod heartbeat;
-mod operation;
-mod permit;
+mod frontend;
+mod lease;
+mod logging;
+mod membership;
+mod metrics;
+mod retry_budget;
 mod router;
+mod runtime_accounting;
+mod safety;
+mod stall_detector;
 mod stream;
 mod time;
 
-use crate::effort::{sleep, spawn_local, timeout};
+use crate::runtime_accounting::{sleep, spawn_local, timeout};
 use backend::Pool;
-use budget::Books;
 use configuration::Config;
-use counts::{Counts, Meter};
 use discovery::News;
-use duty::{Duties, Store};
 use engine::Engine;
-use fleet::Peers;
-use fleet::acts::Acts;
-use front::http::Front;
-use front::{room, rpc};
+use frontend::http::Front;
+use frontend::{connections, jsonrpc};
+use heathroad_balancer::api::ListKind;
 use heathroad_routing::transaction::Event;
-use operation::admin;
-use router::many::Many;
-use router::{Router, start as routed, straggler};
+use lease::{Duties, Store};
+use membership::Peers;
+use membership::activity_log::Acts;
+use metrics::{Counts, Meter};
+use retry_budget::Books;
+use router::routed_pools::Many;
+use router::{Router, stale_routes, startup};
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -68,7 +70,6 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, LocalSet};
 use tokio::time::Instant;
-use turnshift::api::ListKind;
 
 /// After SIGTERM new connections go on coming for so long.
 const LINGER: Duration = Duration::from_millis(500);
@@ -77,14 +78,14 @@
 /// No kill comes sooner after SIGTERM than the longest deadline, but 3 s at most, and so long: what
 /// is taken in this time is answered by its own deadline.
 const KILL: Duration = Duration::from_millis(700);
-const _: () = assert!(LINGER.as_millis() + room::FIRST.as_millis() < KILL.as_millis());
+const _: () = assert!(LINGER.as_millis() + connections::FIRST.as_millis() < KILL.as_millis());
 const _: () = assert!(LAST.as_millis() < 3000 + KILL.as_millis());
 /// How often kept connections are looked through for old ones, and backends for those that are
 /// gone.
 const SWEEP: Duration = Duration::from_secs(1);
 /// Descriptors that are neither callers' nor backends' connections: standard streams, the listener,
 /// the reactor, signals, discovery, and connections that are taken only to be refused.
-const RESERVED: usize = 16 + room::SPARE;
+const RESERVED: usize = 16 + connections::SPARE;
 /// Descriptors of the duties: their file, and calls.
 const DUTIES: usize = 4;
 /// The bodies of open requests may fill this part of the memory; the rest is for buffers, answers
@@ -93,11 +94,11 @@
 
 /// The program, by its command line: the daemon where that says nothing.
 pub fn main() -> ExitCode {
-    operation::commands::main(start)
+    cli::commands::main(start)
 }
 
 fn start() -> Result<(), String> {
-    operation::log::begin()?;
+    logging::begin()?;
     let config = configuration::load()?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -209,7 +210,7 @@
             Lists::Routes(many) => {
                 many.move_registry(address);
                 if let Some(file) = &config.routes {
-                    spawn_local(routed::reload(file.clone(), many.clone()));
+                    spawn_local(startup::reload(file.clone(), many.clone()));
                 }
             }
         }
@@ -217,7 +218,7 @@
 }
 
 async fn run(mut config: Config) -> Result<(), String> {
-    spawn_local(heartbeat::run());
+    spawn_local(stall_detector::run());
     let mut terminated = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let mut reloaded = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
     // Each request in work holds a connection on either side; kept ones fill what is left.
@@ -236,7 +237,7 @@
         let before = config
             .state
             .as_deref()
-            .map(fleet::read)
+            .map(membership::read)
             .transpose()
             .unwrap_or_else(|e| {
                 tracing::warn!("fleet: record: {e}");
@@ -263,7 +264,7 @@
     let (facts, descriptors) = (config.facts.clone(), config.sockets);
     let mut source = match &config.routes {
         None => one_pool(&mut config, &pool, acts.clone())?,
-        Some(file) => Lists::Routes(routed::start(file, &config, &pool, acts.clone())?),
+        Some(file) => Lists::Routes(startup::start(file, &config, &pool, acts.clone())?),
     };
     let router = Rc::new(match &source {
         Lists::One { engine, .. } => Router::One(engine.clone()),
@@ -280,7 +281,7 @@
         peers = Some(among);
     }
     if let (Some(peers), Router::Many(many)) = (&peers, &*router) {
-        spawn_local(straggler::follow(
+        spawn_local(stale_routes::follow(
             Rc::downgrade(many),
             peers.clone(),
             config.seed,
@@ -319,7 +320,7 @@
         Router::Many(many) => {
             let (many, facts, room) = (many.clone(), facts.clone(), Rc::clone(&room));
             let books = books.clone();
-            let front = rpc::Front {
+            let front = jsonrpc::Front {
                 many,
                 facts,
                 connections,
@@ -359,7 +360,7 @@
         many.handle(Event::Stop);
     }
     // The signal may have come while the process was held up.
-    let asked = heartbeat::arrival(Instant::now());
+    let asked = stall_detector::arrival(Instant::now());
     engines.iter().for_each(|e| e.end_by(asked + LAST));
     // Whatever duties have to write first takes nothing of the time in which callers are answered.
     let resign = async {
--- a/crates/heathroad/src/operation/log.rs
+++ b/crates/heathroad/src/logging.rs
@@ -186,5 +186,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/log.rs"]
+#[path = "../tests/unit/logging.rs"]
 mod tests;
--- a/crates/heathroad/src/fleet/acts.rs
+++ b/crates/heathroad/src/membership/activity_log.rs
@@ -1,9 +1,9 @@
 //! What this proxy acts on, and the record of what it did on which.
 
-use heathroad_fleet::record::{Act, Page, Record, Spell, Told, Trouble, TurnedDown, Unix};
-use heathroad_fleet::version::{Digest, Source, Version};
-use heathroad_fleet::want::Required;
-use heathroad_fleet::wire::SPOKEN;
+use heathroad_membership::record::{Act, Page, Record, Spell, Told, Trouble, TurnedDown, Unix};
+use heathroad_membership::version::{Digest, Source, Version};
+use heathroad_membership::want::Required;
+use heathroad_membership::wire::SPOKEN;
 use hyper::header::HeaderValue;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
--- a/crates/heathroad/src/fleet/audit.rs
+++ b/crates/heathroad/src/membership/audit.rs
@@ -3,14 +3,14 @@
 //! it.
 
 use super::Peers;
-use crate::duty::Duties;
-use crate::duty::collect::Kept;
-use heathroad_fleet::Place;
-use heathroad_fleet::fleet::fetch::Unfetched;
-use heathroad_fleet::record::{Kept as Interval, Spell, Told};
-use heathroad_fleet::table::Standing;
-use heathroad_fleet::version::Digest;
-use heathroad_fleet::wire::Topic;
+use crate::lease::Duties;
+use crate::lease::audit_collector::Kept;
+use heathroad_membership::Place;
+use heathroad_membership::fleet::fetch::Unfetched;
+use heathroad_membership::record::{Kept as Interval, Spell, Told};
+use heathroad_membership::table::Standing;
+use heathroad_membership::version::Digest;
+use heathroad_membership::wire::Topic;
 use serde_json::{Value, json};
 use std::rc::Rc;
 use std::time::Duration;
@@ -176,10 +176,9 @@
         // Whoever is gone is not waited for: a half of the fleet would take minutes.
         if place != own && matches!(standing, Standing::Alive | Standing::Suspect) {
             let peers = peers.clone();
-            crate::effort::spawn_in(
-                &mut asking,
-                async move { (place, record(&peers, place).await) },
-            );
+            crate::runtime_accounting::spawn_in(&mut asking, async move {
+                (place, record(&peers, place).await)
+            });
         }
     }
     let mut heard = std::collections::BTreeMap::new();
--- a/crates/heathroad/src/fleet/file.rs
+++ b/crates/heathroad/src/membership/file.rs
@@ -2,9 +2,9 @@
 //! whole at any time. What was not written yet when the process ended is on nobody's record, and
 //! the next one says so.
 
-use super::acts::Acts;
-use crate::effort::sleep;
-use heathroad_fleet::record::Told;
+use super::activity_log::Acts;
+use crate::runtime_accounting::sleep;
+use heathroad_membership::record::Told;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
--- a/crates/heathroad/src/fleet/mod.rs
+++ b/crates/heathroad/src/membership/mod.rs
@@ -1,22 +1,22 @@
-//! This proxy among its fellows: the sockets and the clock of `heathroad_fleet`, and what operators
+//! This proxy among its fellows: the sockets and the clock of `heathroad_membership`, and what operators
 //! ask of it. Off unless the daemon's file names a file of the fleet.
 
-pub mod acts;
+pub mod activity_log;
 pub mod audit;
 mod file;
 
 pub use file::read;
 
-use crate::configuration::fleet::Settings;
-use crate::effort::{sleep, sleep_until, spawn_local, timeout};
-use acts::{Acts, Committed};
-use heathroad_fleet::fleet::carry::Carried;
-use heathroad_fleet::fleet::fetch::{Fetched, Unfetched};
-use heathroad_fleet::fleet::{Fleet, News};
-use heathroad_fleet::version::Digest;
-use heathroad_fleet::want::Wanted;
-use heathroad_fleet::wire::{MAX_DATAGRAM, Topic};
-use heathroad_fleet::{Millis, Place};
+use crate::configuration::membership::Settings;
+use crate::runtime_accounting::{sleep, sleep_until, spawn_local, timeout};
+use activity_log::{Acts, Committed};
+use heathroad_membership::fleet::carry::Carried;
+use heathroad_membership::fleet::fetch::{Fetched, Unfetched};
+use heathroad_membership::fleet::{Fleet, News};
+use heathroad_membership::version::Digest;
+use heathroad_membership::want::Wanted;
+use heathroad_membership::wire::{MAX_DATAGRAM, Topic};
+use heathroad_membership::{Millis, Place};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
--- a/crates/heathroad/src/counts.rs
+++ b/crates/heathroad/src/metrics/mod.rs
@@ -2,11 +2,14 @@
 //! one JSON object. Counting is a handful of plain additions a request; names are looked up once
 //! for each pair of class and tenant.
 
-use crate::budget::Books;
-use crate::effort;
-use crate::heartbeat;
-use crate::permit::{Denied, Violation, tally};
+use crate::retry_budget::Books;
+use crate::runtime_accounting;
+use crate::safety::{Denied, Violation, violations};
+use crate::stall_detector;
 use crate::time::as_millis;
+use heathroad_balancer::api::Outcome;
+use heathroad_balancer::settings::Site;
+use heathroad_balancer::{Load, SliceLoad};
 use prometheus_client::encoding::{EncodeLabelSet, text};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -17,9 +20,6 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::atomic::AtomicU64;
-use turnshift::api::Outcome;
-use turnshift::settings::Site;
-use turnshift::{Load, SliceLoad};
 
 /// A request's final answer, or that its caller left before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -462,20 +462,23 @@
             let counter = self.budget.get_or_create(&ByEvent { event });
             counter.inc_by(count.saturating_sub(counter.get()));
         }
-        for (event, count) in effort::NAMES.into_iter().zip(effort::so_far()) {
+        for (event, count) in runtime_accounting::NAMES
+            .into_iter()
+            .zip(runtime_accounting::so_far())
+        {
             let counter = self.effort.get_or_create(&ByEvent { event });
             counter.inc_by(count.saturating_sub(counter.get()));
         }
         let to = |counter: &Counter, count: u64| {
             counter.inc_by(count.saturating_sub(counter.get()));
         };
-        for (reason, count) in Denied::NAMES.into_iter().zip(tally::denials()) {
+        for (reason, count) in Denied::NAMES.into_iter().zip(violations::denials()) {
             to(&self.denials.get_or_create(&ByReason { reason }), count);
         }
-        for (rule, count) in Violation::NAMES.into_iter().zip(tally::violations()) {
+        for (rule, count) in Violation::NAMES.into_iter().zip(violations::violations()) {
             to(&self.violations.get_or_create(&ByRule { rule }), count);
         }
-        let pauses = heartbeat::pauses();
+        let pauses = stall_detector::pauses();
         to(&self.pauses, pauses.seen);
         self.longest_pause.set(pauses.longest.as_secs_f64());
         self.descriptors.set(gauge(descriptors[0]));
@@ -531,14 +534,20 @@
             descriptors: descriptors[0],
             descriptors_max: descriptors[1],
             budget: self.on_books(),
-            effort: effort::NAMES.into_iter().zip(effort::so_far()).collect(),
-            denials: Denied::NAMES.into_iter().zip(tally::denials()).collect(),
+            effort: runtime_accounting::NAMES
+                .into_iter()
+                .zip(runtime_accounting::so_far())
+                .collect(),
+            denials: Denied::NAMES
+                .into_iter()
+                .zip(violations::denials())
+                .collect(),
             violations: Violation::NAMES
                 .into_iter()
-                .zip(tally::violations())
+                .zip(violations::violations())
                 .collect(),
-            pauses: heartbeat::pauses().seen,
-            longest_pause_ms: as_millis(heartbeat::pauses().longest),
+            pauses: stall_detector::pauses().seen,
+            longest_pause_ms: as_millis(stall_detector::pauses().longest),
         };
         // Nothing in it can fail to be written as JSON: keys are text, figures finite.
         serde_json::to_string(&whole).unwrap_or_default()
@@ -679,5 +688,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/counts.rs"]
+#[path = "../../tests/unit/metrics.rs"]
 mod tests;
--- a/crates/heathroad/src/budget.rs
+++ b/crates/heathroad/src/retry_budget.rs
@@ -1,12 +1,12 @@
 //! Budgets on real requests: headers in, the books, headers out. What is decided is decided in
-//! `heathroad-budget` and the module; here is who is inner, the clock, and that each ticket is
+//! `heathroad-retry-budget` and the module; here is who is inner, the clock, and that each ticket is
 //! given back.
 
-use heathroad_budget::account::Loan;
-use heathroad_budget::ledger::{Figures, Ledger, Terms, Ticket, Told, Turned};
-use heathroad_budget::path::Mark;
-use heathroad_budget::wire::{Budget, MAX_ATTEMPTS, MAX_HOPS, Path, Spent, is_name};
 use heathroad_jsonrpc::message::Carried;
+use heathroad_retry_budget::account::Loan;
+use heathroad_retry_budget::ledger::{Figures, Ledger, Terms, Ticket, Told, Turned};
+use heathroad_retry_budget::path::Mark;
+use heathroad_retry_budget::wire::{Budget, MAX_ATTEMPTS, MAX_HOPS, Path, Spent, is_name};
 use hyper::header::{HeaderMap, HeaderValue};
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -2,23 +2,23 @@
 //! each pool has an engine of its own, and a request binds to the generation in force when it is
 //! taken: it keeps that, and the pool that it was given, to its final answer.
 
-pub mod change;
-pub mod many;
 mod registry;
-pub mod start;
-pub mod straggler;
+pub mod routed_pools;
+pub mod stale_routes;
+pub mod startup;
+pub mod transactions;
 
-use crate::backend::rpc::Way;
-use crate::counts::{Meter, Moment};
+use crate::backend::jsonrpc::Way;
 use crate::engine::Engine;
-use crate::fleet::acts;
+use crate::membership::activity_log;
+use crate::metrics::{Meter, Moment};
+use heathroad_balancer::api::Effect;
 use heathroad_routing::generation::Generation;
 use hyper::StatusCode;
 use hyper::header::HeaderMap;
-use many::{Many, PoolRun};
+use routed_pools::{Many, PoolRun};
 use std::rc::Rc;
 use std::time::Duration;
-use turnshift::api::Effect;
 
 /// What a request is asked by.
 pub struct Ask<'a> {
@@ -53,7 +53,7 @@
     /// How the pool's backends are called remotely, where they can be.
     pub way: Option<Way>,
     /// The page of the record that it is written on, where one is kept.
-    pub acts: Option<acts::Bound>,
+    pub acts: Option<activity_log::Bound>,
     /// Keeps the generation and the pool that it was taken under.
     _held: Option<(Rc<Generation>, Rc<PoolRun>)>,
 }
--- a/crates/heathroad/src/router/registry.rs
+++ b/crates/heathroad/src/router/registry.rs
@@ -1,18 +1,18 @@
 //! Where pools by routes hear of their nodes: lists in the configuration, and registries.
 
-use super::many::{Many, PoolRun, Registry};
-use crate::discovery::roster::{Health, Host};
+use super::routed_pools::{Many, PoolRun, Registry};
+use crate::discovery::endpoint_list::{Health, Host};
 use crate::discovery::{self, News};
-use crate::effort::spawn_local;
+use crate::runtime_accounting::spawn_local;
 use crate::time::millis;
-use heathroad_expect::Node;
+use heathroad_balancer::api::ListKind;
 use heathroad_routing::file::{self, Source};
 use heathroad_routing::nodes::{self, Standing};
+use heathroad_verifier::Node;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::watch;
-use turnshift::api::ListKind;
 
 impl Many {
     /// Tells a listed pool's engine its backends, with what is known of them from elsewhere.
--- a/crates/heathroad/src/router/many.rs
+++ b/crates/heathroad/src/router/routed_pools.rs
@@ -3,14 +3,16 @@
 use super::registry::chosen;
 use super::{Ask, Bound, bound};
 use crate::backend::Pool as Connections;
-use crate::backend::rpc::Way;
-use crate::configuration::disk::Folder;
-use crate::configuration::gate::{Expected, Gate};
-use crate::counts::{Counts, Meter};
-use crate::discovery::roster::Host;
-use crate::effort::{sleep, spawn_local};
+use crate::backend::jsonrpc::Way;
+use crate::configuration::state_folder::Folder;
+use crate::configuration::verification_gate::{Expected, Gate};
+use crate::discovery::endpoint_list::Host;
 use crate::engine::Engine;
-use crate::fleet::acts::Acts;
+use crate::membership::activity_log::Acts;
+use crate::metrics::{Counts, Meter};
+use crate::runtime_accounting::{sleep, spawn_local};
+use heathroad_balancer::api::{self, Effect, ListKind};
+use heathroad_balancer::settings::Facts;
 use heathroad_routing::condition::Request;
 use heathroad_routing::file::{self, Group, Listener, Pool, Source};
 use heathroad_routing::generation::Generation;
@@ -27,8 +29,6 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
-use turnshift::api::{self, Effect, ListKind};
-use turnshift::settings::Facts;
 
 /// How often pools' figures are taken and time is told to the machine that changes the
 /// configuration: by parts of the probation, within these.
--- a/crates/heathroad/src/router/straggler.rs
+++ b/crates/heathroad/src/router/stale_routes.rs
@@ -2,12 +2,12 @@
 //! on it, and takes it through the same check, expectations, staging and probation as a change by
 //! hand. What it turns down it does not try again, and says why.
 
-use super::change::words;
-use super::many::Many;
-use crate::effort::{sleep, timeout};
-use crate::fleet::Peers;
-use heathroad_fleet::version::Digest;
-use heathroad_fleet::want::{Want, Wanted};
+use super::routed_pools::Many;
+use super::transactions::words;
+use crate::membership::Peers;
+use crate::runtime_accounting::{sleep, timeout};
+use heathroad_membership::version::Digest;
+use heathroad_membership::want::{Want, Wanted};
 use heathroad_routing::transaction::Said;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
--- a/crates/heathroad/src/router/start.rs
+++ b/crates/heathroad/src/router/startup.rs
@@ -1,12 +1,12 @@
 //! Pools by routes at a start and at a reload: what was committed goes before the file.
 
-use super::many::{Base, Many};
+use super::routed_pools::{Base, Many};
 use crate::backend::Pool;
 use crate::configuration::Config;
-use crate::configuration::disk::Folder;
-use crate::configuration::gate::{self, Gate};
 use crate::configuration::routes::{numbered, rounds};
-use crate::fleet::acts::Acts;
+use crate::configuration::state_folder::Folder;
+use crate::configuration::verification_gate::{self, Gate};
+use crate::membership::activity_log::Acts;
 use heathroad_routing::generation::Generation;
 use heathroad_routing::journal::{Journal, OpenError, Record};
 use heathroad_routing::transaction::Terms;
@@ -101,8 +101,9 @@
 /// What is known to be broken of what is expected before a registry has told any node; no start is
 /// made on that. (What was committed has passed, and stays whatever has become of its nodes.)
 fn expected(gate: &Gate, first: &Generation, config: &Config) -> Result<(), String> {
-    let here = gate::here(&config.facts, config.discovery, Vec::new());
-    let broken = heathroad_expect::judge(first, &gate::read(gate.file())?, &here)?.known();
+    let here = verification_gate::here(&config.facts, config.discovery, Vec::new());
+    let broken =
+        heathroad_verifier::judge(first, &verification_gate::read(gate.file())?, &here)?.known();
     if broken.is_empty() {
         Ok(())
     } else {
--- a/crates/heathroad/src/router/change.rs
+++ b/crates/heathroad/src/router/transactions.rs
@@ -1,17 +1,17 @@
 //! Changing the configuration: carries out what `heathroad_routing::transaction` decides.
 
-use super::many::{Many, way};
+use super::routed_pools::{Many, way};
 use crate::backend::Pool as Connections;
-use crate::backend::rpc::Way;
-use crate::configuration::gate::{self, Gate};
-use crate::effort::{sleep, spawn_local, timeout};
+use crate::backend::jsonrpc::Way;
+use crate::configuration::verification_gate::{self, Gate};
 use crate::engine::Engine;
-use heathroad_expect::{Here, Report};
-use heathroad_fleet::record::Act;
+use crate::runtime_accounting::{sleep, spawn_local, timeout};
+use heathroad_membership::record::Act;
 use heathroad_routing::generation::Generation;
 use heathroad_routing::harm::Sample;
 use heathroad_routing::journal::Record;
 use heathroad_routing::transaction::{Event, Said, Step};
+use heathroad_verifier::{Here, Report};
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -294,7 +294,7 @@
 
     /// What is known of this place, for expectations.
     pub(super) fn here(&self) -> Here {
-        gate::here(&self.base.facts, self.registry.get(), self.known_nodes())
+        verification_gate::here(&self.base.facts, self.registry.get(), self.known_nodes())
     }
 
     /// What is in force, and what was told of changes lately.
--- a/crates/heathroad/src/permit/mod.rs
+++ b/crates/heathroad/src/safety/mod.rs
@@ -7,14 +7,14 @@
 //! The rules are pure functions of what they are given; `tally` counts what was denied, and
 //! violations.
 
-pub mod tally;
+pub mod violations;
 
-use crate::heartbeat;
+use crate::stall_detector;
 use crate::time::millis;
+use heathroad_balancer::api::{Effect, Group, Outcome};
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 use tokio::time::Instant;
-use turnshift::api::{Effect, Group, Outcome};
 
 /// Why an act is denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -180,7 +180,7 @@
 /// process that is held up between its look at the clock and the write must not miss the window's
 /// end.
 pub fn repeats_known_for(window: f64) -> Duration {
-    millis(window).saturating_sub(heartbeat::LONGEST)
+    millis(window).saturating_sub(stall_detector::LONGEST)
 }
 
 /// Whether a request may be refused, which promises that trying again is harmless.
@@ -239,5 +239,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/permit.rs"]
+#[path = "../../tests/unit/safety.rs"]
 mod tests;
--- a/crates/heathroad/src/heartbeat.rs
+++ b/crates/heathroad/src/stall_detector.rs
@@ -9,7 +9,7 @@
 //! The state belongs to the thread, as everything in the daemon runs on one. Without a heartbeat,
 //! as in tests of single parts, no pause is ever seen.
 
-use crate::effort::sleep_until;
+use crate::runtime_accounting::sleep_until;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::task::yield_now;
@@ -132,5 +132,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/heartbeat.rs"]
+#[path = "../tests/unit/stall_detector.rs"]
 mod tests;
--- a/crates/heathroad/src/stream.rs
+++ b/crates/heathroad/src/stream.rs
@@ -1,8 +1,8 @@
 //! A stream that watches itself: whether a request got out whole, whether the other side has
 //! stopped taking bytes, and since when it speaks.
 
-use crate::effort::{self, sleep};
-use crate::heartbeat;
+use crate::runtime_accounting::{self, sleep};
+use crate::stall_detector;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -135,7 +135,7 @@
 /// Whether something lies on a stream, none if it has ended, by the system's word: the reactor
 /// knows only what it was told when it last looked.
 pub fn peek(stream: &TcpStream) -> io::Result<usize> {
-    effort::look();
+    runtime_accounting::look();
     SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
 }
 
@@ -186,7 +186,7 @@
                 .map(|()| Err(io::ErrorKind::TimedOut.into()));
         }
         self.stalled = None;
-        effort::wrote();
+        runtime_accounting::wrote();
         if let Poll::Ready(Ok(1..)) = result {
             self.progress.begun.set(true);
         }
@@ -215,12 +215,12 @@
     ) -> Poll<io::Result<()>> {
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         if read.is_ready() {
-            effort::read();
+            runtime_accounting::read();
             let now = Instant::now();
             let came = self
                 .stream
                 .read_ahead()
-                .unwrap_or_else(|| heartbeat::arrival(now));
+                .unwrap_or_else(|| stall_detector::arrival(now));
             self.progress.heard.set(Some(came));
             self.progress
                 .speaks
--- a/crates/heathroad/tests/golden_membership.rs
+++ b/crates/heathroad/tests/golden_membership.rs
@@ -138,7 +138,7 @@
 #[tokio::test]
 async fn a_record_stored_before_is_told_and_stored_on() {
     let golden = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("../heathroad-fleet/tests/golden/activity_record.json");
+        .join("../heathroad-membership/tests/golden/activity_record.json");
     let before: Value =
         serde_json::from_slice(&std::fs::read(golden).expect("it is there")).expect("JSON");
     let state = temporary("-state");
--- a/crates/heathroad/tests/unit/duty_store.rs
+++ b/crates/heathroad/tests/unit/duty_store.rs
@@ -1,8 +1,8 @@
 //! The lease store's file stays readable, and is written as it was when the golden file was made.
 
 use super::*;
-use crate::duty::collect::{Collected, Collection};
-use heathroad_fleet::version::Digest;
+use crate::lease::audit_collector::{Collected, Collection};
+use heathroad_membership::version::Digest;
 use std::path::PathBuf;
 
 /// The table's name, then each key and its value.
--- a/crates/heathroad/tests/unit/engine.rs
+++ b/crates/heathroad/tests/unit/engine.rs
@@ -12,7 +12,7 @@
                      "window": 0.0}],
         "caps": {"cancelling": true, "retryAfter": false, "maxRetryAfter": 0.0, "tryLimit": 3, "openCap": 10},
         "guarantees": {"coldFrom": 0.1, "cold": 1000.0, "fallMultiple": 3.0}}"#;
-    turnshift::settings::parse(text.as_bytes()).expect("good settings")
+    heathroad_balancer::settings::parse(text.as_bytes()).expect("good settings")
 }
 
 fn host(name: &str, health: Health) -> Host {
@@ -45,7 +45,7 @@
     let tasks = LocalSet::new();
     tasks
         .run_until(async {
-            let counts = Counts::new(&Rc::new(crate::counts::Meter::new()), "", &facts().site);
+            let counts = Counts::new(&Rc::new(crate::metrics::Meter::new()), "", &facts().site);
             let engine = Engine::new(
                 facts(),
                 1,
@@ -111,7 +111,7 @@
 /// A client who stays, or has left, as told.
 struct Told(Cell<bool>);
 
-impl permit::Client for Told {
+impl safety::Client for Told {
     fn left(&self) -> bool {
         self.0.get()
     }
@@ -131,7 +131,7 @@
         may_duplicate: true,
     };
     let (watching, _) = watch::channel(false);
-    let counts = Counts::new(&Rc::new(crate::counts::Meter::new()), "", &facts().site);
+    let counts = Counts::new(&Rc::new(crate::metrics::Meter::new()), "", &facts().site);
     let engine = Engine::new(
         facts(),
         1,
@@ -184,7 +184,7 @@
             let (engine, listener) = before_a_backend().await;
             for (left, comes) in [(true, false), (false, true)] {
                 let client = Rc::new(Told(Cell::new(left)));
-                let before = tally::denials()[Denied::ClientLeft.place()];
+                let before = violations::denials()[Denied::ClientLeft.place()];
                 let call = incoming(Instant::now(), Duration::from_secs(20));
                 let waiting = Some(Waiting::new(&client));
                 let engine = engine.clone();
@@ -192,7 +192,7 @@
                 let came =
                     tokio::time::timeout(Duration::from_millis(200), listener.accept()).await;
                 assert_eq!(came.is_ok(), comes, "client left: {left}");
-                let denied = tally::denials()[Denied::ClientLeft.place()] - before;
+                let denied = violations::denials()[Denied::ClientLeft.place()] - before;
                 assert_eq!(denied, u64::from(left));
                 deciding.abort();
             }
@@ -209,5 +209,5 @@
     assert_eq!(margin(ms(240)), MARGIN);
     assert_eq!(margin(ms(200)), ms(100));
     assert_eq!(margin(ms(40)), TRAVEL);
-    assert!(MARGIN + GRACE >= heartbeat::LONGEST + heartbeat::UNSEEN);
+    assert!(MARGIN + GRACE >= stall_detector::LONGEST + stall_detector::UNSEEN);
 }
--- a/crates/heathroad/tests/unit/front_http.rs
+++ b/crates/heathroad/tests/unit/frontend_http.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 use crate::backend::{Limits, Pool};
-use crate::counts::{Counts, Meter};
 use crate::engine::Engine;
 use crate::engine::tests::facts;
+use crate::metrics::{Counts, Meter};
 use std::cell::Cell;
 use tokio::task::{LocalSet, spawn_local, yield_now};
 
--- a/crates/heathroad/tests/unit/permit.rs
+++ b/crates/heathroad/tests/unit/safety.rs
@@ -106,11 +106,11 @@
         match repeat(keyed(Group::All), before.iter(), HERE, true, now) {
             Ok(by) => assert!(
                 now < by.expect("a keyed one has an end")
-                    && by.unwrap() + heartbeat::LONGEST <= begun + window
+                    && by.unwrap() + stall_detector::LONGEST <= begun + window
             ),
             Err(denied) => {
                 assert_eq!(denied, Denied::WindowOver);
-                assert!(now + heartbeat::LONGEST >= begun + window);
+                assert!(now + stall_detector::LONGEST >= begun + window);
             }
         }
     }
