--- a/crates/heathroad-balancer/src/api.rs
+++ b/crates/heathroad-balancer/src/api.rs
@@ -1,365 +1,366 @@
-//! The decision module's interface: settings, events in, actions out. No logic lives here.
+//! The interface of the decision module: settings and events in, actions out. No logic lives here.
 //!
-//! Times and durations are milliseconds as `f64`; the clock is whatever the embedding proxy passes
-//! to [`Balancer::handle`](crate::Balancer::handle), starts anywhere and only goes forward.
+//! Times and durations are milliseconds as `f64`. The clock is whatever the embedding proxy passes
+//! to [`Balancer::handle_event`](crate::Balancer::handle_event); it starts anywhere and only goes
+//! forward.
 
 use serde::Serialize;
-use std::fmt;
 
-/// Identifies a client request at one copy; never reused.
+/// Identifies a client request at one replica; never reused.
 pub type RequestId = u64;
-/// Identifies a backend; the same at every copy and across restarts of its process.
+/// Identifies a backend; the same at every replica and across restarts of its process.
 pub type BackendId = u32;
-/// Number of an attempt within its request, counted from 0 in the order of sends.
-pub type AttemptNo = u8;
+/// The number of an attempt within its request, counted from 0 in the order of sends.
+pub type AttemptNumber = u8;
 
-/// What a copy is told once, at its start.
+/// Everything that a replica is configured with at its start.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Settings {
-    /// This copy's number among [`copies`](Self::copies), from 0.
-    pub copy: u32,
-    /// How many copies send to this tier.
-    pub copies: u32,
-    /// Place of the tier that this copy sends to; 0 is the one that clients reach.
+    /// The number of this replica among [`replica_count`](Self::replica_count), from 0.
+    pub replica_index: u32,
+    /// How many replicas send to this tier.
+    pub replica_count: u32,
+    /// The position of the tier that this replica sends to; 0 is the one that clients reach.
     pub tier: u32,
-    /// Zone of this copy.
+    /// The zone of this replica.
     pub zone: u16,
-    /// Shortest time between two rounds of events.
+    /// The shortest time between two rounds of events.
     pub tick: f64,
-    /// Requests may come with a part of their worth, as those before this copy found it.
-    pub worth_carried: bool,
-    /// Whether the list of backends must be asked for ([`Action::Watch`]) rather than being pushed.
-    pub must_ask: bool,
-    /// What a request beyond its tenant's quota is worth, as a share of its class's worth.
-    pub over_share_worth: f64,
-    /// Request classes; a request names its place in this list.
+    /// Requests may arrive with a priority share that an upstream proxy has set.
+    pub priority_forwarded: bool,
+    /// The endpoint list has to be polled ([`Action::WatchEndpoints`]) rather than being pushed.
+    pub polls_endpoints: bool,
+    /// The priority of a request beyond its tenant's quota, as a share of its class's weight.
+    pub over_quota_priority: f64,
+    /// The request classes; a request names its index in this list.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// What the site allows.
-    pub caps: Caps,
-    /// Figures of the four rules.
-    pub rules: Rules,
+    pub limits: SiteLimits,
+    /// The figures of the guarantees that hold whatever fails.
+    pub guarantees: Guarantees,
     /// How the operators weigh and price results.
-    pub goal: Goal,
+    pub objectives: Objectives,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
-    pub aim: f64,
-    /// Worth of a request.
-    pub points: f64,
-    /// Whether and where a request may run again.
-    pub effect: Effect,
-    /// Requests with one key run one at a time, in the order they came; all such classes share
-    /// their keys.
-    pub in_order: bool,
+    /// A response within this time earns the full weight.
+    pub latency_objective: f64,
+    /// The weight of a request against those of other classes.
+    pub priority_weight: f64,
+    /// Whether and where a request may be executed again.
+    pub idempotency: Idempotency,
+    /// Requests with one key are executed one at a time, in the order of their arrival; all such
+    /// classes share their keys.
+    pub ordered_by_key: bool,
 }
 
-/// Whether a request of a class may be repeated once it may have run.
+/// Whether a request of a class may be repeated once it may have been executed.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum Effect {
-    /// Safe to repeat anywhere.
-    Retryable,
-    /// Repeats are dropped by the backends of `group` for `window` after the first send that may
-    /// have run.
-    Dedup {
+pub enum Idempotency {
+    /// The request is safe to repeat anywhere.
+    Idempotent,
+    /// Repeats are dropped by the backends of `scope` for `window` after the first send that may
+    /// have been executed.
+    Deduplicated {
         /// Which backends drop each other's repeats.
-        group: Group,
+        scope: DeduplicationScope,
         /// For how long they do.
         window: f64,
     },
-    /// Must never run twice.
+    /// The request must never be executed twice.
     #[default]
-    Fragile,
+    NonIdempotent,
 }
 
-/// The backends that drop repeats of a request which one of them has seen.
+/// The backends that drop repeats of a request that one of them has seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All backends.
     All,
-    /// Those in one zone.
+    /// The backends of one zone.
     Zone,
-    /// Those in one cell.
+    /// The backends of one cell.
     Cell,
 }
 
 /// A tenant.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all copies, within its share.
+    /// Requests a second, over all replicas, within its quota.
     pub quota_per_s: f64,
 }
 
 /// What the site allows.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Caps {
+pub struct SiteLimits {
     /// Attempts may be cancelled.
-    pub cancelling: bool,
-    /// Clients are told when to come back.
+    pub cancellation: bool,
+    /// Rejected clients are given a retry delay.
     pub retry_after: bool,
-    /// Longest such advice that a client heeds.
+    /// The longest retry delay that a client respects.
     pub max_retry_after: f64,
-    /// Most attempts for one request.
-    pub try_limit: u32,
-    /// The proxy sees the work of attempts that were given up end, and tells of it by
-    /// [`Event::Late`].
-    pub late_ends: bool,
+    /// The most attempts for one request.
+    pub max_attempts: u32,
+    /// The proxy sees the work of abandoned attempts end, and reports it by
+    /// [`Event::LateCompletion`].
+    pub late_completions: bool,
 }
 
-/// Figures of the four rules.
+/// The figures of the guarantees.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Rules {
-    /// Share of its capacity at which a backend starts, at least.
-    pub cold_from: f64,
-    /// Time after which it is warm, at most.
-    pub cold: f64,
-    /// Sent more than this multiple of its present capacity, a cold backend falls over.
-    pub fall_multiple: f64,
-    /// Where the list must be asked for: silence longer than this counts as knowledge.
-    pub ask_within: f64,
-    /// Idle connections to a draining backend are closed within this time; 0 where no such rule
-    /// holds.
-    pub release_within: f64,
-    /// A key of an ordered class rests so long after an attempt that may still be running.
-    pub settle_after_doubt: f64,
+pub struct Guarantees {
+    /// The share of its capacity that a backend has right after its start, at least.
+    pub slow_start_floor: f64,
+    /// The time after which a backend has its full capacity, at most.
+    pub slow_start_duration: f64,
+    /// A backend in slow start collapses when it is sent more than this multiple of its present
+    /// capacity.
+    pub overload_multiple: f64,
+    /// Where the endpoint list is polled: a change counts as known after this time of silence.
+    pub poll_within: f64,
+    /// Idle connections to a draining backend are closed within this time; 0 where no such
+    /// guarantee holds.
+    pub idle_close_within: f64,
+    /// The time for which a key of an ordered class rests after an attempt that may still be
+    /// executing.
+    pub unknown_outcome_rest: f64,
 }
 
 /// How the operators weigh and price results.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Goal {
-    /// Weight of the worst-served class.
-    pub worst_class: f64,
-    /// Price of attempts that cross zones.
-    pub cross_zone: f64,
+pub struct Objectives {
+    /// The weight of the worst-served class.
+    pub worst_class_weight: f64,
+    /// The price of an attempt that crosses zones.
+    pub cross_zone_price: f64,
 }
 
-/// Whether a backend takes new work.
+/// Whether an endpoint takes new requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Phase {
-    /// Takes work.
+pub enum EndpointState {
+    /// The endpoint takes requests.
     #[default]
     Ready,
-    /// Finishes its work; to be sent nothing new.
+    /// The endpoint finishes its requests and must be sent no new ones.
     Draining,
-    /// Removed.
-    Gone,
+    /// The endpoint is removed.
+    Removed,
 }
 
-/// One backend, as the list tells it.
+/// One backend, as the endpoint list describes it.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     /// The backend.
     pub backend: BackendId,
-    /// Whether it takes new work.
-    pub phase: Phase,
+    /// Whether it takes new requests.
+    pub state: EndpointState,
     /// Its zone.
     pub zone: u16,
-    /// When its process last started; 0 is long ago.
+    /// The time at which its process last started; 0 is long ago.
     pub started_at: f64,
-    /// Its size beside the others'.
+    /// Its capacity relative to the others'.
     pub weight: f64,
     /// Its cell.
     pub cell: u16,
 }
 
-/// How a list event relates to what the copy holds.
+/// How an endpoint update relates to the list that the replica has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListKind {
-    /// The whole list; what it lacks is gone.
-    Full,
-    /// Changed entries only.
+pub enum UpdateKind {
+    /// The complete list; an endpoint that it lacks is removed.
+    Snapshot,
+    /// The changed endpoints only.
     Delta,
-    /// The whole list as last held; may be old.
+    /// The complete list from a cache; it may be old.
     Cached,
-    /// A call failed or a subscription broke; no entries.
+    /// A poll failed or a watch broke; the update has no endpoints.
     Failed,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
-    Ok,
-    /// The backend answered with an error; the request may have run.
+    /// The backend served the request.
+    Success,
+    /// The backend answered with an error; the request may have been executed.
     Error,
-    /// Turned away unseen; never ran.
-    Full,
-    /// No answer in time; may have run.
+    /// The backend rejected the request unseen; it was never executed.
+    Rejected,
+    /// No response came in time; the request may have been executed.
     Timeout,
-    /// No connection; never ran.
+    /// No connection was made; the request was never executed.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection broke; the request may have been executed.
     Reset,
-    /// Withdrawn; may have run.
+    /// The attempt was cancelled; the request may have been executed.
     Cancelled,
-    /// Never sent.
-    Moot,
+    /// The attempt was never sent.
+    NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the request never ran.
-    pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+    /// Returns whether this outcome proves that the request was never executed.
+    pub fn never_executed(self) -> bool {
+        matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 }
 
 /// A request that arrived.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Arrival {
+pub struct RequestArrival {
     /// The request.
     pub request: RequestId,
-    /// What it is about; requests with one key belong together. 0 is none.
+    /// The key of an ordered class; 0 is none.
     pub key: u64,
-    /// Its class.
+    /// The index of its class.
     pub class: u16,
-    /// Its tenant; 0 where there are none.
+    /// The index of its tenant; 0 where there are none.
     pub tenant: u16,
-    /// When its client gives up.
+    /// The time at which its client gives up.
     pub deadline: f64,
-    /// Most attempts beyond the first, where it carries a budget.
-    pub spare: Option<u32>,
-    /// Its worth, as a share of its class's.
-    pub worth: f64,
+    /// The most attempts beyond the first, where the request carries a retry budget.
+    pub retries_left: Option<u32>,
+    /// Its priority, as a share of its class's weight.
+    pub priority_share: f64,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Resolved {
+pub struct AttemptResult {
     /// The request.
     pub request: RequestId,
     /// The attempt.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     /// Its backend.
     pub backend: BackendId,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
-    pub wait: f64,
-    /// The request is over; nothing more is owed.
-    pub closed: bool,
-    /// How many further attempts its budget has now, where it carries one: what went out below came
-    /// off.
-    pub spare: Option<u32>,
+    /// The time since it was sent.
+    pub elapsed: f64,
+    /// The request has its final response; nothing more is owed.
+    pub request_closed: bool,
+    /// How many further attempts its retry budget has now, where it carries one: what backends
+    /// spent on retries of their own has been deducted.
+    pub retries_left: Option<u32>,
 }
 
-/// What the copy is told.
+/// What a replica is notified of.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The list of backends, or changes to it.
-    List {
-        /// Relation to what is held.
-        kind: ListKind,
-        /// Its entries.
-        entries: Vec<Entry>,
+    /// The endpoint list, or a change of it.
+    EndpointUpdate {
+        /// How the endpoints relate to the list that the replica has.
+        kind: UpdateKind,
+        /// The endpoints.
+        endpoints: Vec<Endpoint>,
     },
-    /// A request arrived; exactly one final answer is owed.
-    Request(Arrival),
+    /// A request arrived; exactly one final response is owed.
+    RequestArrived(RequestArrival),
     /// An attempt ended.
-    Resolved(Resolved),
-    /// The work of an attempt that had timed out or was withdrawn has ended: with its answer, or
-    /// unseen with its connection, which repeats its outcome.
-    Late(Resolved),
+    AttemptEnded(AttemptResult),
+    /// The work of an attempt that had timed out or was cancelled has ended: with its response, or
+    /// unseen with its connection, which repeats the earlier outcome.
+    LateCompletion(AttemptResult),
     /// The client left; nothing more is owed.
-    Hangup {
+    ClientLeft {
         /// The request.
         request: RequestId,
     },
-    /// A timer came due.
-    Wake {
-        /// As given in [`Action::WakeMe`].
+    /// A timer expired.
+    TimerFired {
+        /// The token of its [`Action::SetTimer`].
         token: u64,
     },
 }
 
-/// What the copy decides, to be carried out in order.
+/// What a replica decides, to be carried out in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The backend to send it to.
         backend: BackendId,
-        /// When the attempt is abandoned.
-        not_past: f64,
+        /// The time at which the attempt is abandoned.
+        deadline: f64,
     },
-    /// Final answer: rejected, a further try is harmless.
-    Refuse {
+    /// The final response: rejected, and a retry is harmless.
+    Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away; 0 is no advice.
+        /// The retry delay advertised to the client; 0 is none.
         retry_after: f64,
     },
-    /// Final answer: failed, nothing is promised.
+    /// The final response: failed, and the request may have been executed.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Abandon one attempt.
+    /// Cancel one attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
-    /// Ask for an [`Event::Wake`].
-    WakeMe {
-        /// Time from now.
+    /// Set a timer that fires an [`Event::TimerFired`].
+    SetTimer {
+        /// The time from now.
         delay: f64,
-        /// Comes back with the event.
+        /// The token that comes back with the event.
         token: u64,
     },
-    /// Close idle connections to a backend.
-    Close {
+    /// Close the idle connections to a backend.
+    CloseIdle {
         /// The backend.
         backend: BackendId,
     },
-    /// Subscribe to the list of backends, or end the subscription.
-    Watch {
+    /// Watch the endpoint list, or end the watch.
+    WatchEndpoints {
         /// On or off.
         on: bool,
     },
 }
 
-/// What a copy's limit stands at. It is for those who watch; nothing is decided by it.
+/// The state of a replica's concurrency limit, for monitoring; nothing is decided by it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Load {
     /// The learned total.
     pub limit: f64,
-    /// Calls counted against it.
+    /// The attempts counted against it.
     pub in_flight: f64,
-    /// Its slices, most worth first.
+    /// Its class slices, highest priority first.
     pub slices: Vec<SliceLoad>,
 }
 
-/// What a slice of the limit stands at.
+/// The state of one slice of the limit.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct SliceLoad {
-    /// Its own limit.
+    /// The slice's own limit.
     pub limit: f64,
-    /// Its calls in flight.
-    pub busy: f64,
-    /// Requests held for it.
-    pub held: usize,
+    /// Its attempts in flight.
+    #[serde(rename = "busy")]
+    pub in_flight: f64,
+    /// The requests queued for it.
+    #[serde(rename = "held")]
+    pub queued: usize,
 }
 
-/// Why settings were turned down.
-#[derive(Debug, Clone, PartialEq)]
+/// Why settings were rejected.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+#[error("settings: {field}: {reason}")]
+#[non_exhaustive]
 pub struct SettingsError {
-    /// The setting, as a path such as `classes[1].aim`.
+    /// The setting, as a path such as `classes[1].latency_objective`.
     pub field: String,
     /// What is wrong with it.
     pub reason: &'static str,
 }
-
-impl fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "settings: {}: {}", self.field, self.reason)
-    }
-}
-
-impl std::error::Error for SettingsError {}
--- /dev/null
+++ b/crates/heathroad-balancer/src/bin/heathroad-adapter/wire/reply.rs
@@ -0,0 +1,105 @@
+//! Replies: the actions of the instances, in answer to a frame.
+
+use heathroad_balancer::api::Action;
+
+/// The bytes of the reply's length, which stands in front.
+const LENGTH_BYTES: usize = 4;
+
+/// The codes of actions.
+mod code {
+    pub const SEND: u16 = 1;
+    pub const REJECT: u16 = 2;
+    pub const FAIL: u16 = 3;
+    pub const CANCEL: u16 = 4;
+    pub const SET_TIMER: u16 = 5;
+    pub const CLOSE_IDLE: u16 = 7;
+    pub const FATAL: u16 = 10;
+    pub const WATCH_ENDPOINTS: u16 = 11;
+}
+
+/// A reply under construction; its length is set when it is finished.
+pub struct Reply {
+    bytes: Vec<u8>,
+}
+
+impl Default for Reply {
+    fn default() -> Self {
+        Reply {
+            bytes: vec![0; LENGTH_BYTES],
+        }
+    }
+}
+
+impl Reply {
+    /// Reports that the decision code of an instance panicked.
+    pub fn push_fatal(&mut self, instance: u16, text: &str) {
+        self.push_head(code::FATAL, instance);
+        self.push_counted(text.as_bytes());
+    }
+
+    /// Adds an action of an instance.
+    pub fn push(&mut self, instance: u16, action: &Action) {
+        self.push_head(action_code(action), instance);
+        let bytes = &mut self.bytes;
+        match action {
+            Action::Send {
+                request,
+                backend,
+                deadline,
+            } => {
+                bytes.extend(request.to_le_bytes());
+                bytes.extend(backend.to_le_bytes());
+                bytes.extend(deadline.to_le_bytes());
+            }
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
+                bytes.extend(request.to_le_bytes());
+                bytes.extend(retry_after.to_le_bytes());
+            }
+            Action::Fail { request } => bytes.extend(request.to_le_bytes()),
+            Action::Cancel { request, attempt } => {
+                bytes.extend(request.to_le_bytes());
+                bytes.push(*attempt);
+            }
+            Action::SetTimer { delay, token } => {
+                bytes.extend(delay.to_le_bytes());
+                bytes.extend(token.to_le_bytes());
+            }
+            Action::CloseIdle { backend } => bytes.extend(backend.to_le_bytes()),
+            Action::WatchEndpoints { on } => bytes.push(u8::from(*on)),
+        }
+    }
+
+    /// Returns the whole reply.
+    pub fn into_bytes(mut self) -> Vec<u8> {
+        let length = (self.bytes.len() - LENGTH_BYTES) as u32;
+        self.bytes[..LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
+        self.bytes
+    }
+
+    fn push_head(&mut self, code: u16, instance: u16) {
+        self.bytes.extend(code.to_le_bytes());
+        self.bytes.extend(instance.to_le_bytes());
+    }
+
+    /// Adds counted bytes, cut to what the count can hold.
+    fn push_counted(&mut self, bytes: &[u8]) {
+        let length = bytes.len().min(usize::from(u16::MAX));
+        self.bytes.extend((length as u16).to_le_bytes());
+        self.bytes.extend(&bytes[..length]);
+    }
+}
+
+fn action_code(action: &Action) -> u16 {
+    match action {
+        Action::Send { .. } => code::SEND,
+        Action::Reject { .. } => code::REJECT,
+        Action::Fail { .. } => code::FAIL,
+        Action::Cancel { .. } => code::CANCEL,
+        Action::SetTimer { .. } => code::SET_TIMER,
+        Action::CloseIdle { .. } => code::CLOSE_IDLE,
+        Action::WatchEndpoints { .. } => code::WATCH_ENDPOINTS,
+    }
+}
--- /dev/null
+++ b/crates/heathroad-balancer/src/policy/admission.rs
@@ -0,0 +1,247 @@
+//! Admission: a new request is sent, queued for its slice or rejected; and queued requests are sent
+//! as the limit allows, highest priority first.
+
+use crate::api::{Action, Class, DeduplicationScope, Idempotency, RequestArrival, RequestId};
+use crate::balancer::Balancer;
+use crate::request::Request;
+
+/// Time for which a request is queued at the tier that clients reach, in latency objectives.
+const QUEUE_TIME_AT_FIRST_TIER: f64 = 0.125;
+/// The same behind that tier.
+const QUEUE_TIME_BEHIND: f64 = 0.5;
+/// The advertised retry delay, in latency objectives, before its jitter of as much again.
+const RETRY_DELAY: f64 = 0.125;
+/// Priority share below which a request goes with the low-priority ones.
+const LOW_PRIORITY_SHARE: f64 = 0.5;
+/// A request with less time left than this share of the baseline latency gets no response in time.
+const MIN_SHARE_OF_BASELINE: f64 = 0.5;
+/// Maintenance periods before its deadline at which a queued request is rejected at the latest.
+const PERIODS_BEFORE_DEADLINE: f64 = 2.0;
+
+/// Returns the time for which requests are queued. It is one for all classes: in a full queue the
+/// longer time would take every attempt of its slice.
+pub(crate) fn queue_time(tier: u32, classes: &[Class]) -> f64 {
+    let share = if tier == 0 {
+        QUEUE_TIME_AT_FIRST_TIER
+    } else {
+        QUEUE_TIME_BEHIND
+    };
+    let objectives = classes.iter().map(|c| c.latency_objective);
+    share * objectives.fold(f64::MAX, f64::min)
+}
+
+impl Balancer {
+    pub(crate) fn on_request_arrived(
+        &mut self,
+        now: f64,
+        arrival: &RequestArrival,
+        actions: &mut Vec<Action>,
+    ) {
+        let id = arrival.request;
+        let class = usize::from(arrival.class);
+        let Some(&Class {
+            latency_objective,
+            ordered_by_key,
+            ..
+        }) = self.settings.classes.get(class)
+        else {
+            actions.push(Action::Fail { request: id });
+            return;
+        };
+        self.retry_tokens.deposit(self.limiter.total);
+        let charged_tenant = self.charge_tenant(now, arrival);
+        let slice = self.slice_of(arrival, charged_tenant);
+        let key = if ordered_by_key { arrival.key } else { 0 };
+        let waits_for_key = self.join_key_queue(key, id);
+        let is_free = !waits_for_key && self.slices[slice].queue.is_empty() && self.admits(slice);
+        // A request that there is capacity for, but no backend or a key in use, is queued while a
+        // response can still be in time.
+        let queue_time = if is_free || waits_for_key {
+            latency_objective - self.limiter.mean_latency
+        } else {
+            self.queue_time
+        };
+        let last = arrival.deadline - PERIODS_BEFORE_DEADLINE * self.maintenance_period();
+        let request = Request {
+            key,
+            class,
+            slice,
+            charged_tenant: charged_tenant.to_refund(),
+            deadline: arrival.deadline,
+            queue_deadline: (now + queue_time).min(last),
+            is_finished: false,
+            retries_left: arrival.retries_left,
+            attempts: Vec::new(),
+        };
+        self.requests.insert(id, request);
+        if self.is_hopeless(now, arrival, class) {
+            return self.finish(now, id, actions);
+        }
+        if is_free && self.send(now, id, actions) {
+            return;
+        }
+        if waits_for_key {
+            // A client's last attempt may have less time left than a maintenance period: it is
+            // never queued.
+            if last <= now {
+                self.finish(now, id, actions);
+            }
+            return;
+        }
+        self.limiter.was_used |= !is_free;
+        let is_queue_full = self.slices.queued() as f64 >= self.limiter.total;
+        if is_queue_full || last <= now {
+            return self.finish(now, id, actions);
+        }
+        self.slices[slice].queue.push_back(id);
+    }
+
+    /// Charges the tenant's quota at the tier that clients reach.
+    fn charge_tenant(&mut self, now: f64, arrival: &RequestArrival) -> QuotaCharge {
+        if self.settings.tier != 0 {
+            return QuotaCharge::NotCharged;
+        }
+        let tenant = usize::from(arrival.tenant);
+        if !self.quotas.is_known(tenant) {
+            return QuotaCharge::NotCharged;
+        }
+        if self.quotas.try_charge(now, tenant) {
+            QuotaCharge::Charged(tenant)
+        } else {
+            QuotaCharge::OverQuota
+        }
+    }
+
+    /// Returns the index of the slice that a request belongs to.
+    fn slice_of(&self, arrival: &RequestArrival, charge: QuotaCharge) -> usize {
+        let is_forwarded_low =
+            self.settings.priority_forwarded && arrival.priority_share < LOW_PRIORITY_SHARE;
+        let is_low = charge == QuotaCharge::OverQuota || is_forwarded_low;
+        self.slices.index(usize::from(arrival.class), is_low)
+    }
+
+    /// Returns whether a request of a retry budget has less time left than even an idle backend
+    /// takes: its work would be for nobody.
+    fn is_hopeless(&self, now: f64, arrival: &RequestArrival, class: usize) -> bool {
+        let learned = &self.limiter.classes[class];
+        let left = arrival.deadline - now;
+        arrival.retries_left.is_some()
+            && learned.is_learned()
+            && left < MIN_SHARE_OF_BASELINE * learned.baseline
+    }
+
+    fn admits(&self, slice: usize) -> bool {
+        self.slices
+            .admits(slice, self.in_flight, self.limiter.total)
+    }
+
+    /// Sends queued requests that the limit admits, highest priority first.
+    pub(crate) fn send_queued(&mut self, now: f64, actions: &mut Vec<Action>) {
+        for slice in 0..self.slices.len() {
+            for _ in 0..self.slices[slice].queue.len() {
+                if !self.admits(slice) {
+                    break;
+                }
+                let Some(&id) = self.slices[slice].queue.front() else {
+                    break;
+                };
+                let is_gone = !self.requests.contains_key(&id);
+                if !is_gone && !self.send(now, id, actions) {
+                    break;
+                }
+                self.slices[slice].queue.pop_front();
+            }
+        }
+    }
+
+    /// Goes through all queues once: rejects the requests that have waited too long, and sends
+    /// those that the limit admits and some backend can take.
+    pub(crate) fn sweep_queues(&mut self, now: f64, actions: &mut Vec<Action>) {
+        for slice in 0..self.slices.len() {
+            for _ in 0..self.slices[slice].queue.len() {
+                let admitted = self.admits(slice);
+                let Some(id) = self.slices[slice].queue.front().copied() else {
+                    break;
+                };
+                let queue_deadline = self.requests.get(&id).map(|r| r.queue_deadline);
+                let is_expired = queue_deadline.is_some_and(|deadline| now >= deadline);
+                if is_expired {
+                    self.finish(now, id, actions);
+                }
+                let leaves = is_expired
+                    || queue_deadline.is_none()
+                    || admitted && self.send(now, id, actions);
+                if leaves {
+                    self.slices[slice].queue.pop_front();
+                } else {
+                    self.slices[slice].queue.rotate_left(1);
+                }
+            }
+        }
+    }
+
+    /// Rejects the requests that have waited too long for their key.
+    pub(crate) fn reject_expired_in_key_queues(&mut self, now: f64, actions: &mut Vec<Action>) {
+        for id in self.expired_in_key_queues(now) {
+            self.finish(now, id, actions);
+        }
+    }
+
+    /// Ends a request without a success: rejected where a retry is harmless, failed otherwise.
+    pub(crate) fn finish(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let class = &self.settings.classes[request.class];
+        let is_repeatable_anywhere = matches!(
+            class.idempotency,
+            Idempotency::Idempotent
+                | Idempotency::Deduplicated {
+                    scope: DeduplicationScope::All,
+                    ..
+                }
+        );
+        let action = if is_repeatable_anywhere || request.was_never_executed() {
+            let objective = class.latency_objective;
+            Action::Reject {
+                request: id,
+                retry_after: self.retry_delay(objective),
+            }
+        } else {
+            Action::Fail { request: id }
+        };
+        actions.push(action);
+        self.close(now, id, actions);
+    }
+
+    /// Returns the retry delay advertised to a rejected client, with jitter; 0 is none.
+    fn retry_delay(&mut self, latency_objective: f64) -> f64 {
+        let delay = latency_objective * RETRY_DELAY * (1.0 + self.rng.f64());
+        if self.settings.limits.retry_after {
+            delay.min(self.settings.limits.max_retry_after)
+        } else {
+            0.0
+        }
+    }
+}
+
+/// What became of a request at its tenant's quota.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum QuotaCharge {
+    /// The request took a token of this tenant.
+    Charged(usize),
+    /// The tenant's tokens are used up.
+    OverQuota,
+    /// No quota holds for the request here.
+    NotCharged,
+}
+
+impl QuotaCharge {
+    /// Returns the tenant that a refund would go to.
+    fn to_refund(self) -> Option<usize> {
+        match self {
+            QuotaCharge::Charged(tenant) => Some(tenant),
+            QuotaCharge::OverQuota | QuotaCharge::NotCharged => None,
+        }
+    }
+}
--- /dev/null
+++ b/crates/heathroad-balancer/src/policy/selection.rs
@@ -0,0 +1,122 @@
+//! Selection of a backend for an attempt: the power of two random choices (Mitzenmacher), compared
+//! by expected wait.
+
+use crate::api::{BackendId, DeduplicationScope, EndpointState, Idempotency, RequestId};
+use crate::balancer::Balancer;
+use crate::request::Request;
+
+/// Random draws from a set of candidates before the next set is tried.
+const MAX_DRAWS: usize = 12;
+/// Weight of the error rate in the expected wait: a failed attempt costs more than a slow one.
+const ERROR_WEIGHT: f64 = 8.0;
+/// Attempts in flight that a crossing of zones counts like, where it has a price.
+const CROSSING_WEIGHT: f64 = 0.5;
+/// The smallest weight of an endpoint that is divided by.
+const MIN_ENDPOINT_WEIGHT: f64 = 0.01;
+
+/// Whether ejected backends are candidates.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Ejected {
+    /// Only for a trial.
+    Excluded,
+    /// Like the others.
+    Included,
+}
+
+impl Balancer {
+    /// Returns the cheaper of two random members of the subset that are eligible. Backends outside
+    /// the subset are tried only if no member is, and ejected ones only if nothing else is left.
+    pub(crate) fn select_backend(&mut self, now: f64, id: RequestId) -> Option<BackendId> {
+        let request = self.requests.get(&id)?;
+        let mut rng = self.rng.clone();
+        let (local, remote) = self.subset.by_zone();
+        let leaves_zone =
+            local.is_empty() || rng.f64() < self.spillover.share() && !remote.is_empty();
+        let zone = if leaves_zone { remote } else { local };
+        let candidate_sets = [
+            (zone, Ejected::Excluded),
+            (self.subset.members.as_slice(), Ejected::Excluded),
+            (self.ring.as_slice(), Ejected::Excluded),
+            (self.subset.members.as_slice(), Ejected::Included),
+        ];
+        let selected = candidate_sets
+            .into_iter()
+            .find_map(|(candidates, ejected)| {
+                self.select_from(now, request, candidates, ejected, &mut rng)
+            });
+        self.rng = rng;
+        selected
+    }
+
+    fn select_from(
+        &self,
+        now: f64,
+        request: &Request,
+        candidates: &[BackendId],
+        ejected: Ejected,
+        rng: &mut fastrand::Rng,
+    ) -> Option<BackendId> {
+        if candidates.is_empty() {
+            return None;
+        }
+        let mut draws = (0..MAX_DRAWS).map(|_| candidates[rng.usize(..candidates.len())]);
+        let is_eligible = |id: BackendId| self.is_eligible(now, request, id, ejected);
+        let first = draws.find(|&id| is_eligible(id))?;
+        let Some(second) = draws.find(|&id| id != first && is_eligible(id)) else {
+            return Some(first);
+        };
+        let is_cheaper = self.expected_wait(now, second) < self.expected_wait(now, first);
+        Some(if is_cheaper { second } else { first })
+    }
+
+    /// Returns whether a backend may be sent an attempt of a request.
+    fn is_eligible(&self, now: f64, request: &Request, id: BackendId, ejected: Ejected) -> bool {
+        let Some(backend) = self.backends.get(&id) else {
+            return false;
+        };
+        let idempotency = self.settings.classes[request.class].idempotency;
+        // An ejected backend gets a trial, one repeatable request, once its time is up.
+        let is_trial = idempotency != Idempotency::NonIdempotent && backend.is_due_for_trial(now);
+        let is_in_service = !backend.is_ejected() || ejected == Ejected::Included || is_trial;
+        let was_last_tried = request.attempts.last().is_some_and(|a| a.backend == id);
+        backend.endpoint.state == EndpointState::Ready
+            && !backend.is_out_of_slow_start_tokens(&self.settings.guarantees, now)
+            && is_in_service
+            && !was_last_tried
+            && self.is_in_deduplication_scope(request, id)
+    }
+
+    /// Returns whether a backend drops the repeats of a request that may have been executed.
+    fn is_in_deduplication_scope(&self, request: &Request, id: BackendId) -> bool {
+        let endpoint = &self.backends[&id].endpoint;
+        let idempotency = self.settings.classes[request.class].idempotency;
+        let Some(executed) = request.first_executed() else {
+            return true;
+        };
+        let Idempotency::Deduplicated { scope, .. } = idempotency else {
+            return true;
+        };
+        match scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => endpoint.zone == executed.zone,
+            DeduplicationScope::Cell => endpoint.cell == executed.cell,
+        }
+    }
+
+    /// Returns the expected wait at a backend relative to the others: own attempts, learned speed,
+    /// errors, slow start.
+    fn expected_wait(&self, now: f64, id: BackendId) -> f64 {
+        let backend = &self.backends[&id];
+        let slowness = backend.latency_ratio * (1.0 + ERROR_WEIGHT * backend.error_rate)
+            / backend.warm_share(&self.settings.guarantees, now);
+        let is_priced = self.settings.objectives.cross_zone_price > 0.0;
+        let crossing = if is_priced && self.is_in_other_zone(id) {
+            CROSSING_WEIGHT
+        } else {
+            0.0
+        };
+        let attempts = (backend.in_flight.len() + backend.abandoned.len()) as f64;
+        let weight = backend.endpoint.weight.max(MIN_ENDPOINT_WEIGHT);
+        (attempts * self.mean_endpoint_weight / weight + 1.0 + crossing) * slowness
+    }
+}
--- a/crates/heathroad-balancer/src/settings.rs
+++ b/crates/heathroad-balancer/src/settings.rs
@@ -1,44 +1,60 @@
-//! Reads an instance's settings from the JSON object that comes with its start: on the simulator's
-//! wire as text, at a real proxy as a part of its configuration.
+//! The settings of an instance as they are written: a JSON object that comes with its start, on the
+//! simulator's wire as text and at a real proxy as a part of its configuration file.
+//!
+//! The keys are those of the settings' specification; the private types below map them to the
+//! names that the code uses.
 
 use crate::api;
 use serde::{Deserialize, Deserializer, de::Error};
 
-/// The settings, split by who reads them.
+/// The settings of one instance, by who reads them.
 #[derive(Debug, Clone)]
-pub struct Facts {
+pub struct InstanceSettings {
     /// What the decisions need.
-    pub settings: api::Settings,
-    /// What a proxy on real sockets needs beside them.
-    pub site: Site,
+    pub balancer: api::Settings,
+    /// What a proxy on real sockets needs besides.
+    pub site: SiteSettings,
 }
 
-/// Names and figures that no decision needs; empty or 0 where the text leaves them out.
+/// Names and figures that no decision needs; empty or 0 where the text leaves them out. Times are
+/// milliseconds.
 #[derive(Debug, Clone, Default)]
-pub struct Site {
-    /// Names of the classes, in the order of the settings.
+pub struct SiteSettings {
+    /// The names of the classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// Names of the tenants.
+    /// The names of the tenants.
     pub tenants: Vec<String>,
-    /// Names of the zones.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// Idle connections are closed by the backend after this, at the latest.
-    pub conn_idle: f64,
-    /// A connection not made by then has failed.
+    /// The time after which a backend closes an idle connection, at the latest.
+    pub idle_timeout: f64,
+    /// The time after which a connect has failed.
     pub connect_timeout: f64,
-    /// Most open requests of a copy.
-    pub open_cap: usize,
-    /// A request may have two attempts out at once.
-    pub may_duplicate: bool,
-    /// Time after the notice in which sends to a draining backend must end.
+    /// The most open requests of a replica.
+    pub max_open_requests: usize,
+    /// A request may have two attempts in flight at once.
+    pub hedging_allowed: bool,
+    /// The time after the notice in which sends to a draining backend must end.
     pub drain_grace: f64,
 }
 
-/// A figure that must be finite and not negative.
-fn figure<'de, D: Deserializer<'de>>(d: D) -> Result<f64, D::Error> {
-    let x = f64::deserialize(d)?;
-    if x.is_finite() && x >= 0.0 {
-        Ok(x)
+/// Why settings could not be read.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub enum SettingsReadError {
+    /// A key is missing, or its value has a wrong type or is out of range.
+    #[error("settings: {0}")]
+    InvalidValue(#[source] serde_path_to_error::Error<serde_json::Error>),
+    /// Something follows the object.
+    #[error("settings: {0}")]
+    TrailingData(#[source] serde_json::Error),
+}
+
+/// Deserializes a number that must be finite and not negative.
+fn figure<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    let number = f64::deserialize(deserializer)?;
+    if number.is_finite() && number >= 0.0 {
+        Ok(number)
     } else {
         Err(D::Error::custom("must be finite and not negative"))
     }
@@ -46,63 +62,72 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Text {
-    slot_no: u32,
-    peers_total: u32,
+struct SettingsText {
+    #[serde(rename = "slotNo")]
+    replica_index: u32,
+    #[serde(rename = "peersTotal")]
+    replica_count: u32,
     tier: u32,
-    locality: u16,
-    #[serde(default)]
-    localities: Vec<String>,
+    #[serde(rename = "locality")]
+    zone: u16,
+    #[serde(default, rename = "localities")]
+    zones: Vec<String>,
     #[serde(deserialize_with = "figure")]
     tick: f64,
-    #[serde(deserialize_with = "figure")]
-    over_share_worth: f64,
-    discovery: Discovery,
-    classes: Vec<Class>,
-    tenants: Vec<Tenant>,
-    caps: Caps,
-    guarantees: Guarantees,
+    #[serde(rename = "overShareWorth", deserialize_with = "figure")]
+    over_quota_priority: f64,
+    discovery: DiscoveryText,
+    classes: Vec<ClassText>,
+    tenants: Vec<TenantText>,
+    #[serde(rename = "caps")]
+    limits: LimitsText,
+    guarantees: GuaranteesText,
     #[serde(default)]
-    goal: Goal,
+    goal: GoalText,
     #[serde(default)]
-    prices: Prices,
+    prices: PricesText,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-enum Discovery {
-    Automatic,
-    Subscribe,
+enum DiscoveryText {
+    #[serde(rename = "automatic")]
+    Pushed,
+    #[serde(rename = "subscribe")]
+    Polled,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Class {
+struct ClassText {
     #[serde(default)]
     name: String,
-    #[serde(deserialize_with = "figure")]
-    aim: f64,
-    #[serde(deserialize_with = "figure")]
-    points: f64,
-    semantics: Semantics,
-    group: Group,
+    #[serde(rename = "aim", deserialize_with = "figure")]
+    latency_objective: f64,
+    #[serde(rename = "points", deserialize_with = "figure")]
+    priority_weight: f64,
+    #[serde(rename = "semantics")]
+    idempotency: IdempotencyText,
+    #[serde(rename = "group")]
+    scope: ScopeText,
     #[serde(deserialize_with = "figure")]
     window: f64,
-    #[serde(default)]
-    fifo_by_key: bool,
+    #[serde(default, rename = "fifoByKey")]
+    ordered_by_key: bool,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-enum Semantics {
-    Retryable,
-    Dedup,
-    Fragile,
+enum IdempotencyText {
+    #[serde(rename = "retryable")]
+    Idempotent,
+    #[serde(rename = "dedup")]
+    Deduplicated,
+    #[serde(rename = "fragile")]
+    NonIdempotent,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-enum Group {
+enum ScopeText {
     All,
     Zone,
     Cell,
@@ -110,7 +135,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Tenant {
+struct TenantText {
     #[serde(default)]
     name: String,
     #[serde(deserialize_with = "figure")]
@@ -119,129 +144,174 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Caps {
-    cancelling: bool,
+struct LimitsText {
+    #[serde(rename = "cancelling")]
+    cancellation: bool,
     retry_after: bool,
     #[serde(deserialize_with = "figure")]
     max_retry_after: f64,
-    try_limit: u32,
-    #[serde(default)]
-    open_cap: usize,
-    #[serde(default)]
-    may_duplicate: bool,
-    #[serde(default, deserialize_with = "figure")]
-    conn_idle: f64,
+    #[serde(rename = "tryLimit")]
+    max_attempts: u32,
+    #[serde(default, rename = "openCap")]
+    max_open_requests: usize,
+    #[serde(default, rename = "mayDuplicate")]
+    hedging_allowed: bool,
+    #[serde(default, rename = "connIdle", deserialize_with = "figure")]
+    idle_timeout: f64,
     #[serde(default, deserialize_with = "figure")]
     connect_timeout: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Guarantees {
-    #[serde(deserialize_with = "figure")]
-    cold_from: f64,
-    #[serde(deserialize_with = "figure")]
-    cold: f64,
-    #[serde(deserialize_with = "figure")]
-    fall_multiple: f64,
-    #[serde(default, deserialize_with = "figure")]
-    ask_within: f64,
-    #[serde(default, deserialize_with = "figure")]
-    release_within: f64,
-    #[serde(default, deserialize_with = "figure")]
-    settle_after_doubt: f64,
-    #[serde(default, deserialize_with = "figure")]
-    stop_sending_within: f64,
+struct GuaranteesText {
+    #[serde(rename = "coldFrom", deserialize_with = "figure")]
+    slow_start_floor: f64,
+    #[serde(rename = "cold", deserialize_with = "figure")]
+    slow_start_duration: f64,
+    #[serde(rename = "fallMultiple", deserialize_with = "figure")]
+    overload_multiple: f64,
+    #[serde(default, rename = "askWithin", deserialize_with = "figure")]
+    poll_within: f64,
+    #[serde(default, rename = "releaseWithin", deserialize_with = "figure")]
+    idle_close_within: f64,
+    #[serde(default, rename = "settleAfterDoubt", deserialize_with = "figure")]
+    unknown_outcome_rest: f64,
+    #[serde(default, rename = "stopSendingWithin", deserialize_with = "figure")]
+    drain_grace: f64,
 }
 
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "camelCase", default)]
-struct Goal {
-    #[serde(deserialize_with = "figure")]
-    worst_class: f64,
+#[serde(default)]
+struct GoalText {
+    #[serde(rename = "worstClass", deserialize_with = "figure")]
+    worst_class_weight: f64,
 }
 
 #[derive(Deserialize, Default)]
-#[serde(rename_all = "camelCase", default)]
-struct Prices {
-    #[serde(deserialize_with = "figure")]
-    cross_zone: f64,
+#[serde(default)]
+struct PricesText {
+    #[serde(rename = "crossZone", deserialize_with = "figure")]
+    cross_zone_price: f64,
 }
 
-/// Parses the text; an error names the key.
-pub fn parse(text: &[u8]) -> Result<Facts, String> {
+/// Parses settings from JSON text.
+///
+/// # Errors
+///
+/// Returns an error that names the key, or says that something follows the object.
+pub fn parse(text: &[u8]) -> Result<InstanceSettings, SettingsReadError> {
     let mut json = serde_json::Deserializer::from_slice(text);
-    let facts = read(&mut json)?;
-    json.end().map_err(|e| format!("settings: {e}"))?;
-    Ok(facts)
-}
-
-/// Reads the object from where it stands; an error names the key.
-pub fn read<'de, D: Deserializer<'de>>(from: D) -> Result<Facts, String> {
-    let f: Text = serde_path_to_error::deserialize(from).map_err(|e| format!("settings: {e}"))?;
-    let site = Site {
-        classes: f.classes.iter().map(|c| c.name.clone()).collect(),
-        tenants: f.tenants.iter().map(|t| t.name.clone()).collect(),
-        zones: f.localities,
-        conn_idle: f.caps.conn_idle,
-        connect_timeout: f.caps.connect_timeout,
-        open_cap: f.caps.open_cap,
-        may_duplicate: f.caps.may_duplicate,
-        drain_grace: f.guarantees.stop_sending_within,
-    };
-    let class = |c: Class| api::Class {
-        aim: c.aim,
-        points: c.points,
-        in_order: c.fifo_by_key,
-        effect: match c.semantics {
-            Semantics::Retryable => api::Effect::Retryable,
-            Semantics::Fragile => api::Effect::Fragile,
-            Semantics::Dedup => api::Effect::Dedup {
-                window: c.window,
-                group: match c.group {
-                    Group::All => api::Group::All,
-                    Group::Zone => api::Group::Zone,
-                    Group::Cell => api::Group::Cell,
-                },
+    let settings = read(&mut json)?;
+    json.end().map_err(SettingsReadError::TrailingData)?;
+    Ok(settings)
+}
+
+/// Reads settings from a deserializer of JSON.
+///
+/// # Errors
+///
+/// Returns an error that names the key.
+pub fn read<'de, D>(json: D) -> Result<InstanceSettings, SettingsReadError>
+where
+    D: Deserializer<'de, Error = serde_json::Error>,
+{
+    let text: SettingsText =
+        serde_path_to_error::deserialize(json).map_err(SettingsReadError::InvalidValue)?;
+    let site = text.site();
+    Ok(InstanceSettings {
+        balancer: text.into_balancer(),
+        site,
+    })
+}
+
+impl SettingsText {
+    fn site(&self) -> SiteSettings {
+        SiteSettings {
+            classes: self.classes.iter().map(|c| c.name.clone()).collect(),
+            tenants: self.tenants.iter().map(|t| t.name.clone()).collect(),
+            zones: self.zones.clone(),
+            idle_timeout: self.limits.idle_timeout,
+            connect_timeout: self.limits.connect_timeout,
+            max_open_requests: self.limits.max_open_requests,
+            hedging_allowed: self.limits.hedging_allowed,
+            drain_grace: self.guarantees.drain_grace,
+        }
+    }
+
+    fn into_balancer(self) -> api::Settings {
+        let tenant = |t: &TenantText| api::Tenant {
+            quota_per_s: t.quota_per_s,
+        };
+        api::Settings {
+            replica_index: self.replica_index,
+            replica_count: self.replica_count,
+            tier: self.tier,
+            zone: self.zone,
+            tick: self.tick,
+            // The embedding proxy knows.
+            priority_forwarded: false,
+            polls_endpoints: matches!(self.discovery, DiscoveryText::Polled),
+            over_quota_priority: self.over_quota_priority,
+            tenants: self.tenants.iter().map(tenant).collect(),
+            classes: self
+                .classes
+                .into_iter()
+                .map(ClassText::into_class)
+                .collect(),
+            limits: self.limits.into_limits(),
+            guarantees: self.guarantees.into_guarantees(),
+            objectives: api::Objectives {
+                worst_class_weight: self.goal.worst_class_weight,
+                cross_zone_price: self.prices.cross_zone_price,
             },
-        },
-    };
-    let settings = api::Settings {
-        copy: f.slot_no,
-        copies: f.peers_total,
-        tier: f.tier,
-        zone: f.locality,
-        tick: f.tick,
-        worth_carried: false, // by the embedding proxy
-        must_ask: matches!(f.discovery, Discovery::Subscribe),
-        over_share_worth: f.over_share_worth,
-        classes: f.classes.into_iter().map(class).collect(),
-        tenants: f
-            .tenants
-            .iter()
-            .map(|t| api::Tenant {
-                quota_per_s: t.quota_per_s,
-            })
-            .collect(),
-        caps: api::Caps {
-            cancelling: f.caps.cancelling,
-            retry_after: f.caps.retry_after,
-            max_retry_after: f.caps.max_retry_after,
-            try_limit: f.caps.try_limit,
-            late_ends: false, // the embedding proxy knows
-        },
-        rules: api::Rules {
-            cold_from: f.guarantees.cold_from,
-            cold: f.guarantees.cold,
-            fall_multiple: f.guarantees.fall_multiple,
-            ask_within: f.guarantees.ask_within,
-            release_within: f.guarantees.release_within,
-            settle_after_doubt: f.guarantees.settle_after_doubt,
-        },
-        goal: api::Goal {
-            worst_class: f.goal.worst_class,
-            cross_zone: f.prices.cross_zone,
-        },
-    };
-    Ok(Facts { settings, site })
+        }
+    }
+}
+
+impl ClassText {
+    fn into_class(self) -> api::Class {
+        let scope = match self.scope {
+            ScopeText::All => api::DeduplicationScope::All,
+            ScopeText::Zone => api::DeduplicationScope::Zone,
+            ScopeText::Cell => api::DeduplicationScope::Cell,
+        };
+        let window = self.window;
+        api::Class {
+            latency_objective: self.latency_objective,
+            priority_weight: self.priority_weight,
+            ordered_by_key: self.ordered_by_key,
+            idempotency: match self.idempotency {
+                IdempotencyText::Idempotent => api::Idempotency::Idempotent,
+                IdempotencyText::NonIdempotent => api::Idempotency::NonIdempotent,
+                IdempotencyText::Deduplicated => api::Idempotency::Deduplicated { scope, window },
+            },
+        }
+    }
+}
+
+impl LimitsText {
+    fn into_limits(self) -> api::SiteLimits {
+        api::SiteLimits {
+            cancellation: self.cancellation,
+            retry_after: self.retry_after,
+            max_retry_after: self.max_retry_after,
+            max_attempts: self.max_attempts,
+            // The embedding proxy knows.
+            late_completions: false,
+        }
+    }
+}
+
+impl GuaranteesText {
+    fn into_guarantees(self) -> api::Guarantees {
+        api::Guarantees {
+            slow_start_floor: self.slow_start_floor,
+            slow_start_duration: self.slow_start_duration,
+            overload_multiple: self.overload_multiple,
+            poll_within: self.poll_within,
+            idle_close_within: self.idle_close_within,
+            unknown_outcome_rest: self.unknown_outcome_rest,
+        }
+    }
 }
--- /dev/null
+++ b/crates/heathroad-balancer/src/validation.rs
@@ -0,0 +1,57 @@
+//! Validation of settings: every number that a decision divides or multiplies by has to be sound.
+
+use crate::api::{Settings, SettingsError};
+
+/// The smallest latency objective, in ms.
+const MIN_LATENCY_OBJECTIVE_MS: f64 = 1e-3;
+
+/// Returns an error that names the first setting by which no decision could be made. A setting is
+/// named by the path of its key in the settings file.
+pub(crate) fn validate(settings: &Settings) -> Result<(), SettingsError> {
+    let replicas = f64::from(settings.replica_count);
+    let replicas_after_this = replicas - f64::from(settings.replica_index) - 1.0;
+    let guarantees = &settings.guarantees;
+    let objectives = &settings.objectives;
+    let figures = [
+        ("peersTotal", replicas - 1.0),
+        ("slotNo", replicas_after_this),
+        ("tick", settings.tick),
+        ("overShareWorth", settings.over_quota_priority),
+        ("guarantees.coldFrom", guarantees.slow_start_floor),
+        ("guarantees.cold", guarantees.slow_start_duration),
+        ("guarantees.fallMultiple", guarantees.overload_multiple),
+        ("guarantees.askWithin", guarantees.poll_within),
+        ("guarantees.releaseWithin", guarantees.idle_close_within),
+        (
+            "guarantees.settleAfterDoubt",
+            guarantees.unknown_outcome_rest,
+        ),
+        ("goal.worstClass", objectives.worst_class_weight),
+        ("prices.crossZone", objectives.cross_zone_price),
+        ("caps.maxRetryAfter", settings.limits.max_retry_after),
+        ("classes", settings.classes.len() as f64 - 1.0),
+    ];
+    for (field, figure) in figures {
+        validate_figure(figure, || field.to_string())?;
+    }
+    for (i, class) in settings.classes.iter().enumerate() {
+        let above_minimum = class.latency_objective - MIN_LATENCY_OBJECTIVE_MS;
+        validate_figure(above_minimum, || format!("classes[{i}].aim"))?;
+        validate_figure(class.priority_weight, || format!("classes[{i}].points"))?;
+    }
+    for (i, tenant) in settings.tenants.iter().enumerate() {
+        validate_figure(tenant.quota_per_s, || format!("tenants[{i}].quotaPerS"))?;
+    }
+    Ok(())
+}
+
+/// Accepts a number that is finite and not negative.
+fn validate_figure(figure: f64, field: impl FnOnce() -> String) -> Result<(), SettingsError> {
+    if figure.is_finite() && figure >= 0.0 {
+        return Ok(());
+    }
+    Err(SettingsError {
+        field: field(),
+        reason: "is missing, negative, not finite or out of range",
+    })
+}
--- a/crates/heathroad-balancer/tests/common/mod.rs
+++ b/crates/heathroad-balancer/tests/common/mod.rs
@@ -9,49 +9,49 @@
 
 pub const GRACE: f64 = 20.0;
 
-pub fn class(aim: f64, points: f64, effect: Effect) -> Class {
+pub fn class(aim: f64, points: f64, effect: Idempotency) -> Class {
     Class {
-        aim,
-        points,
-        effect,
-        in_order: false,
+        latency_objective: aim,
+        priority_weight: points,
+        idempotency: effect,
+        ordered_by_key: false,
     }
 }
 
 pub fn settings(copies: u32, classes: Vec<Class>) -> Settings {
     Settings {
-        copies,
+        replica_count: copies,
         tick: 5.0,
-        over_share_worth: 0.05,
+        over_quota_priority: 0.05,
         classes,
-        caps: Caps {
-            cancelling: true,
+        limits: SiteLimits {
+            cancellation: true,
             retry_after: true,
             max_retry_after: 2000.0,
-            try_limit: 6,
-            late_ends: false,
+            max_attempts: 6,
+            late_completions: false,
         },
-        rules: Rules {
-            cold_from: 0.12,
-            cold: 20_000.0,
-            fall_multiple: 3.0,
-            ask_within: 10_000.0,
-            release_within: 500.0,
-            settle_after_doubt: 300.0,
+        guarantees: Guarantees {
+            slow_start_floor: 0.12,
+            slow_start_duration: 20_000.0,
+            overload_multiple: 3.0,
+            poll_within: 10_000.0,
+            idle_close_within: 500.0,
+            unknown_outcome_rest: 300.0,
         },
         ..Settings::default()
     }
 }
 
-pub fn entry(backend: BackendId) -> Entry {
-    Entry {
+pub fn entry(backend: BackendId) -> Endpoint {
+    Endpoint {
         backend,
         weight: 1.0,
-        ..Entry::default()
+        ..Endpoint::default()
     }
 }
 
-pub fn entries(n: u32) -> Vec<Entry> {
+pub fn entries(n: u32) -> Vec<Endpoint> {
     (1..=n).map(entry).collect()
 }
 
@@ -80,7 +80,7 @@
     pub s: Settings,
     pub now: f64,
     pub asked: BTreeMap<RequestId, Asked>,
-    pub listed: HashMap<BackendId, Entry>,
+    pub listed: HashMap<BackendId, Endpoint>,
     pub watches: Vec<f64>,
     /// When idle connections were last closed.
     pub closed: HashMap<BackendId, f64>,
@@ -91,7 +91,7 @@
 }
 
 impl Proxy {
-    pub fn new(s: Settings, seed: u64, list: Vec<Entry>) -> Self {
+    pub fn new(s: Settings, seed: u64, list: Vec<Endpoint>) -> Self {
         let balancer = Balancer::new(s.clone(), seed).expect("settings are sound");
         let mut p = Proxy {
             balancer,
@@ -105,29 +105,36 @@
             timers: Vec::new(),
             next: 1,
         };
-        p.list(ListKind::Cached, list);
+        p.list(UpdateKind::Cached, list);
         p
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
-        if kind != ListKind::Delta && kind != ListKind::Failed {
-            self.listed.values_mut().for_each(|e| e.phase = Phase::Gone);
+    pub fn list(&mut self, kind: UpdateKind, entries: Vec<Endpoint>) {
+        if kind != UpdateKind::Delta && kind != UpdateKind::Failed {
+            self.listed
+                .values_mut()
+                .for_each(|e| e.state = EndpointState::Removed);
         }
         for e in &entries {
             self.listed.insert(e.backend, e.clone());
         }
         let draining: Vec<_> = entries
             .iter()
-            .filter(|e| e.phase == Phase::Draining)
+            .filter(|e| e.state == EndpointState::Draining)
             .cloned()
             .collect();
-        self.tell(Event::List { kind, entries });
+        self.tell(Event::EndpointUpdate {
+            kind,
+            endpoints: entries,
+        });
         draining.iter().for_each(|e| self.check_release(e.backend));
     }
 
     /// Connections to a draining backend are closed at the notice and after each outcome there.
     fn check_release(&self, backend: BackendId) {
-        if self.s.rules.release_within > 0.0 && self.listed[&backend].phase == Phase::Draining {
+        if self.s.guarantees.idle_close_within > 0.0
+            && self.listed[&backend].state == EndpointState::Draining
+        {
             assert_eq!(
                 self.closed.get(&backend),
                 Some(&self.now),
@@ -140,7 +147,7 @@
     /// doubt.
     fn check_order(&self, request: RequestId) {
         let a = &self.asked[&request];
-        let ordered = |class: usize| self.s.classes[class].in_order;
+        let ordered = |class: usize| self.s.classes[class].ordered_by_key;
         if a.key == 0 || !ordered(a.class) {
             return;
         }
@@ -156,7 +163,7 @@
             for s in &earlier.sends {
                 let rest = match s.outcome.expect("every attempt has its outcome") {
                     Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => {
-                        self.s.rules.settle_after_doubt
+                        self.s.guarantees.unknown_outcome_rest
                     }
                     _ => 0.0,
                 };
@@ -171,31 +178,31 @@
     /// Delivers an event and checks each action against the four rules.
     pub fn tell(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.balancer.handle(self.now, event, &mut actions);
+        self.balancer.handle_event(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send {
                     request,
                     backend,
-                    not_past,
+                    deadline: not_past,
                 } => self.sent(request, backend, not_past),
-                Action::Refuse { request, .. } => self.refused(request),
+                Action::Reject { request, .. } => self.refused(request),
                 Action::Fail { request } => self.close(request, "failed"),
-                Action::WakeMe { delay, token } => {
+                Action::SetTimer { delay, token } => {
                     assert!(delay.is_finite() && delay > 0.0, "timers lie ahead");
                     self.timers.push((self.now + delay, token));
                 }
-                Action::Close { backend } => {
+                Action::CloseIdle { backend } => {
                     self.closed.insert(backend, self.now);
                 }
-                Action::Watch { on } => {
+                Action::WatchEndpoints { on } => {
                     assert!(on);
                     self.watches.push(self.now);
                 }
                 Action::Cancel { request, attempt } => {
                     self.cancelled.push((request, usize::from(attempt)));
                     assert!(
-                        self.s.caps.cancelling,
+                        self.s.limits.cancellation,
                         "cancelled where that is not allowed"
                     );
                     assert!(
@@ -213,7 +220,11 @@
             .listed
             .get(&backend)
             .expect("sent to a backend that no list named");
-        assert_eq!(e.phase, Phase::Ready, "sent to a draining or gone backend");
+        assert_eq!(
+            e.state,
+            EndpointState::Ready,
+            "sent to a draining or gone backend"
+        );
         let (zone, cell) = (e.zone, e.cell);
         let a = self
             .asked
@@ -222,7 +233,7 @@
         assert!(a.ended.is_none(), "sent after its end");
         assert!(not_past <= a.deadline);
         assert!(
-            a.sends.len() < self.s.caps.try_limit as usize,
+            a.sends.len() < self.s.limits.max_attempts as usize,
             "too many attempts"
         );
         let out = a.sends.iter().filter(|s| s.outcome.is_none()).count();
@@ -230,17 +241,25 @@
         if let Some(ran) = a
             .sends
             .iter()
-            .find(|s| s.outcome.is_none_or(|o| !o.never_ran()))
+            .find(|s| s.outcome.is_none_or(|o| !o.never_executed()))
         {
             let group = self.listed.get(&ran.backend).map(|e| (e.zone, e.cell));
-            match self.s.classes[a.class].effect {
-                Effect::Retryable => {}
-                Effect::Fragile => panic!("a fragile request that may have run was sent again"),
-                Effect::Dedup { group: g, window } => {
+            match self.s.classes[a.class].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => {
+                    panic!("a fragile request that may have run was sent again")
+                }
+                Idempotency::Deduplicated { scope: g, window } => {
                     assert!(self.now < ran.at + window, "repeated after the window");
                     let (z, c) = group.expect("listed");
-                    assert!(g != Group::Zone || z == zone, "repeated in another zone");
-                    assert!(g != Group::Cell || c == cell, "repeated in another cell");
+                    assert!(
+                        g != DeduplicationScope::Zone || z == zone,
+                        "repeated in another zone"
+                    );
+                    assert!(
+                        g != DeduplicationScope::Cell || c == cell,
+                        "repeated in another cell"
+                    );
                 }
             }
         }
@@ -255,16 +274,16 @@
 
     fn refused(&mut self, request: RequestId) {
         let a = &self.asked[&request];
-        let effect = self.s.classes[a.class].effect;
+        let effect = self.s.classes[a.class].idempotency;
         let unrun = a
             .sends
             .iter()
-            .all(|s| s.outcome.is_some_and(Outcome::never_ran));
+            .all(|s| s.outcome.is_some_and(Outcome::never_executed));
         let all = matches!(
             effect,
-            Effect::Retryable
-                | Effect::Dedup {
-                    group: Group::All,
+            Idempotency::Idempotent
+                | Idempotency::Deduplicated {
+                    scope: DeduplicationScope::All,
                     ..
                 }
         );
@@ -318,14 +337,14 @@
                 ended: None,
             },
         );
-        self.tell(Event::Request(Arrival {
+        self.tell(Event::RequestArrived(RequestArrival {
             request,
             key,
             class: class as u16,
             tenant,
             deadline,
-            spare,
-            worth,
+            retries_left: spare,
+            priority_share: worth,
         }));
         request
     }
@@ -337,26 +356,26 @@
         assert!(s.outcome.is_none());
         (s.outcome, s.over) = (Some(outcome), self.now);
         let (backend, wait) = (s.backend, self.now - s.at);
-        if outcome == Outcome::Ok && a.ended.is_none() {
+        if outcome == Outcome::Success && a.ended.is_none() {
             self.close(request, "served");
         }
         let closed = self.asked[&request].ended.is_some();
-        let attempt = attempt as AttemptNo;
-        self.tell(Event::Resolved(Resolved {
+        let attempt = attempt as AttemptNumber;
+        self.tell(Event::AttemptEnded(AttemptResult {
             request,
             attempt,
             backend,
             outcome,
-            wait,
-            closed,
-            spare: None,
+            elapsed: wait,
+            request_closed: closed,
+            retries_left: None,
         }));
         self.check_release(backend);
     }
 
     pub fn hang_up(&mut self, request: RequestId) {
         self.close(request, "hung up");
-        self.tell(Event::Hangup { request });
+        self.tell(Event::ClientLeft { request });
     }
 
     /// Attempts that are out, oldest request first.
@@ -385,7 +404,7 @@
                 .collect();
             self.timers.retain(|t| t.0 > now);
             due.into_iter()
-                .for_each(|token| self.tell(Event::Wake { token }));
+                .for_each(|token| self.tell(Event::TimerFired { token }));
             let late: Vec<_> = self
                 .out()
                 .into_iter()
@@ -422,7 +441,7 @@
             self.advance(self.now + self.s.tick);
             for (id, n, s) in self.out() {
                 if self.now - s.at >= wait {
-                    self.resolve(id, n, Outcome::Ok);
+                    self.resolve(id, n, Outcome::Success);
                 }
             }
             refused += self
--- a/crates/heathroad-balancer/tests/decisions.rs
+++ b/crates/heathroad-balancer/tests/decisions.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 fn plain(copies: u32) -> Settings {
-    settings(copies, vec![class(1000.0, 1.0, Effect::Retryable)])
+    settings(copies, vec![class(1000.0, 1.0, Idempotency::Idempotent)])
 }
 
 /// How many calls a copy has out when more are asked than it takes.
@@ -40,7 +40,7 @@
         p.advance(p.now + 50.0);
         p.out()
             .into_iter()
-            .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
+            .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Success));
         p.forget();
         fill(&mut p, 0, 0, 400);
     }
@@ -70,26 +70,34 @@
     let start = fill(&mut Proxy::new(plain(1), 1, entries(10)), 0, 0, 400);
     let mut p = Proxy::new(plain(1), 1, entries(10));
     for gone in 1..=10 {
-        let left: Vec<Entry> = entries(10)
+        let left: Vec<Endpoint> = entries(10)
             .into_iter()
             .filter(|e| e.backend != gone)
             .collect();
-        p.list(ListKind::Full, left);
-        p.list(ListKind::Full, entries(10));
+        p.list(UpdateKind::Snapshot, left);
+        p.list(UpdateKind::Snapshot, entries(10));
     }
     assert_eq!(fill(&mut p, 0, 0, 400), start);
 }
 
 #[test]
 fn limit_falls_when_answers_are_slow_and_many_are_dropped() {
-    for (wait, outcome) in [(900.0, Outcome::Ok), (60.0, Outcome::Full)] {
+    for (wait, outcome) in [(900.0, Outcome::Success), (60.0, Outcome::Rejected)] {
         let mut p = Proxy::new(plain(1), 1, entries(10));
         p.serve(3000.0, 4, 0, 40.0);
         let before = fill(&mut p, 0, 0, 400);
         for _ in 0..12 {
             p.advance(p.now + wait);
             for (i, (id, n, _)) in p.out().into_iter().enumerate() {
-                p.resolve(id, n, if i % 3 == 0 { outcome } else { Outcome::Ok });
+                p.resolve(
+                    id,
+                    n,
+                    if i % 3 == 0 {
+                        outcome
+                    } else {
+                        Outcome::Success
+                    },
+                );
             }
             p.forget();
             fill(&mut p, 0, 0, 400);
@@ -112,7 +120,7 @@
         p.advance(p.now + 50.0);
         // Only the newest call is answered; all others stay out.
         if let Some((id, n, _)) = p.out().pop() {
-            p.resolve(id, n, Outcome::Ok);
+            p.resolve(id, n, Outcome::Success);
         }
     }
     let after = fill(&mut p, 0, 0, 400);
@@ -128,7 +136,7 @@
     let out = |gone: bool| {
         let mut p = Proxy::new(plain(1), 1, entries(20));
         if gone {
-            p.list(ListKind::Full, entries(5));
+            p.list(UpdateKind::Snapshot, entries(5));
         }
         fill(&mut p, 0, 0, 400)
     };
@@ -142,8 +150,8 @@
 #[test]
 fn low_worth_is_refused_first_and_its_slice_keeps_its_share() {
     let classes = vec![
-        class(1000.0, 9.0, Effect::Retryable),
-        class(1000.0, 1.0, Effect::Retryable),
+        class(1000.0, 9.0, Idempotency::Idempotent),
+        class(1000.0, 1.0, Idempotency::Idempotent),
     ];
     let mut p = Proxy::new(settings(1, classes), 1, entries(10));
     let total = fill(&mut p, 1, 0, 400);
@@ -156,7 +164,7 @@
     p.advance(p.now + 1000.0);
     p.out()
         .into_iter()
-        .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
+        .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Success));
     p.forget();
     let high = fill(&mut p, 0, 0, 400);
     assert_eq!(
@@ -189,8 +197,8 @@
 #[test]
 fn held_requests_are_freed_by_worth_and_refused_in_time() {
     let classes = vec![
-        class(1000.0, 9.0, Effect::Fragile),
-        class(1000.0, 1.0, Effect::Fragile),
+        class(1000.0, 9.0, Idempotency::NonIdempotent),
+        class(1000.0, 1.0, Idempotency::NonIdempotent),
     ];
     let mut p = Proxy::new(settings(1, classes), 1, entries(5));
     let out = fill(&mut p, 1, 0, 24); // the low slice fills the total and holds four more
@@ -213,7 +221,7 @@
         .out()
         .pop()
         .expect("a call of the high slice, the last to be sent");
-    p.resolve(id, n, Outcome::Ok);
+    p.resolve(id, n, Outcome::Success);
     assert_eq!(
         p.asked[&high].sends.len(),
         1,
@@ -240,7 +248,7 @@
         for copy in 0..copies {
             let mut p = Proxy::new(
                 Settings {
-                    copy,
+                    replica_index: copy,
                     ..plain(copies)
                 },
                 1,
@@ -249,7 +257,7 @@
             for _ in 0..400 {
                 let id = p.ask(0, 0, 1e5);
                 p.advance(p.now + 5.0);
-                p.resolve(id, 0, Outcome::Ok);
+                p.resolve(id, 0, Outcome::Success);
             }
             let mine = sends_by_backend(&p);
             assert!(
@@ -278,7 +286,7 @@
             p.advance(p.now + 50.0);
             p.out()
                 .into_iter()
-                .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
+                .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Success));
             p.forget();
         }
         seen.len()
@@ -310,7 +318,7 @@
             let slow = s.backend <= 5;
             if p.now - s.at >= if slow { 120.0 } else { 40.0 } {
                 *sends.entry(slow).or_default() += 1;
-                p.resolve(id, n, Outcome::Ok);
+                p.resolve(id, n, Outcome::Success);
             }
         }
         p.forget();
@@ -346,7 +354,7 @@
 }
 
 fn well(s: &Sent, now: f64) -> Option<Outcome> {
-    (now - s.at >= 50.0).then_some(Outcome::Ok)
+    (now - s.at >= 50.0).then_some(Outcome::Success)
 }
 
 /// Objection: a hanging server pins slots until time-out. It is left, its calls go elsewhere, it
@@ -448,7 +456,7 @@
                 left -= 1;
                 p.resolve(id, n, Outcome::Error);
             } else if s.backend != 2 {
-                p.resolve(id, n, Outcome::Ok);
+                p.resolve(id, n, Outcome::Success);
             }
         }
         p.advance(p.now + 5.0);
@@ -493,7 +501,7 @@
     let ask = |seed| {
         let mut p = Proxy::new(
             Settings {
-                must_ask: true,
+                polls_endpoints: true,
                 ..plain(4)
             },
             seed,
@@ -504,7 +512,7 @@
             p.advance(p.now + 5.0);
             if p.watches.len() > failed {
                 failed += 1;
-                p.list(ListKind::Failed, vec![]);
+                p.list(UpdateKind::Failed, vec![]);
             }
         }
         assert!(p.watches.len() > 6, "given up after {:?}", p.watches);
@@ -526,12 +534,14 @@
 fn unsound_settings_name_the_field() {
     type Change = fn(&mut Settings);
     let cases: [(&str, Change); 6] = [
-        ("copies", |s| s.copies = 0),
-        ("copy", |s| s.copy = 9),
+        ("peersTotal", |s| s.replica_count = 0),
+        ("slotNo", |s| s.replica_index = 9),
         ("classes", |s| s.classes.clear()),
-        ("classes[0].aim", |s| s.classes[0].aim = 0.0),
+        ("classes[0].aim", |s| s.classes[0].latency_objective = 0.0),
         ("tick", |s| s.tick = f64::NAN),
-        ("rules.cold_from", |s| s.rules.cold_from = -1.0),
+        ("guarantees.coldFrom", |s| {
+            s.guarantees.slow_start_floor = -1.0
+        }),
     ];
     for (field, change) in cases {
         let mut s = plain(2);
@@ -547,8 +557,8 @@
 #[test]
 fn a_longer_aim_takes_no_more_of_a_shared_slice() {
     let classes = vec![
-        class(1000.0, 1.0, Effect::Fragile),
-        class(3000.0, 1.0, Effect::Fragile),
+        class(1000.0, 1.0, Idempotency::NonIdempotent),
+        class(3000.0, 1.0, Idempotency::NonIdempotent),
     ];
     let mut p = Proxy::new(settings(1, classes), 1, entries(5));
     let mut served = [0, 0];
@@ -558,7 +568,7 @@
         for (id, n, s) in p.out() {
             if p.now - s.at >= 500.0 {
                 served[p.asked[&id].class] += 1;
-                p.resolve(id, n, Outcome::Ok);
+                p.resolve(id, n, Outcome::Success);
             }
         }
         p.forget();
@@ -573,7 +583,7 @@
 #[test]
 fn demoted_work_keeps_one_slot() {
     let mut s = plain(1);
-    s.over_share_worth = 0.3;
+    s.over_quota_priority = 0.3;
     s.tenants = vec![
         Tenant { quota_per_s: 1.0 },
         Tenant {
@@ -591,7 +601,7 @@
 #[test]
 fn a_far_slower_backend_is_left_to_recover() {
     let slow = |s: &Sent, now: f64| {
-        (now - s.at >= if s.backend == 2 { 250.0 } else { 50.0 }).then_some(Outcome::Ok)
+        (now - s.at >= if s.backend == 2 { 250.0 } else { 50.0 }).then_some(Outcome::Success)
     };
     let mut p = Proxy::new(plain(1), 1, entries(8));
     run(&mut p, 3000.0, well);
@@ -619,7 +629,7 @@
     let mut p = two_zones(price);
     run(&mut p, 4000.0, well);
     let answer = |s: &Sent, now: f64| {
-        (now - s.at >= if s.backend <= 5 { near } else { 50.0 }).then_some(Outcome::Ok)
+        (now - s.at >= if s.backend <= 5 { near } else { 50.0 }).then_some(Outcome::Success)
     };
     run(&mut p, 8000.0, answer);
     share_beyond(&run(&mut p, 2000.0, answer))
@@ -649,10 +659,10 @@
 /// Two zones of five, the copy in the first; answers take what `near` says there and 50 ms beyond.
 fn two_zones(price: f64) -> Proxy {
     let mut s = plain(1);
-    s.goal.cross_zone = price;
+    s.objectives.cross_zone_price = price;
     let zones = entries(10)
         .into_iter()
-        .map(|e| Entry {
+        .map(|e| Endpoint {
             zone: u16::from(e.backend > 5),
             ..e
         })
@@ -671,7 +681,7 @@
 fn a_zone_that_was_left_is_tried_again() {
     let mut p = two_zones(0.2);
     let ill = |s: &Sent, now: f64| {
-        (now - s.at >= if s.backend <= 5 { 1800.0 } else { 50.0 }).then_some(Outcome::Ok)
+        (now - s.at >= if s.backend <= 5 { 1800.0 } else { 50.0 }).then_some(Outcome::Success)
     };
     run(&mut p, 3000.0, well);
     run(&mut p, 15_000.0, ill);
@@ -699,7 +709,7 @@
             let open = p.asked[&id].ended.is_none();
             // A third of the zone's answers come quickly: it is not silent.
             if (s.backend > 5 || id % 3 == 0) && p.now - s.at >= 50.0 {
-                p.resolve(id, n, Outcome::Ok);
+                p.resolve(id, n, Outcome::Success);
             } else if open && s.backend <= 5 && p.now - s.at >= 900.0 {
                 p.hang_up(id);
             }
@@ -726,7 +736,7 @@
         p.advance(p.now + 700.0);
         p.out()
             .into_iter()
-            .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
+            .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Success));
         p.forget();
         fill(&mut p, 0, 0, 100);
     }
@@ -742,11 +752,11 @@
 #[test]
 fn lost_answers_do_not_take_the_limit() {
     let mut p = Proxy::new(
-        settings(1, vec![class(1000.0, 1.0, Effect::Fragile)]),
+        settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]),
         1,
         entries(8),
     );
-    let answer = |s: &Sent, now: f64| (now - s.at >= 150.0).then_some(Outcome::Ok);
+    let answer = |s: &Sent, now: f64| (now - s.at >= 150.0).then_some(Outcome::Success);
     run(&mut p, 6000.0, answer);
     // One answer in six never comes, wherever the call went.
     let lossy = |s: &Sent, now: f64| {
@@ -766,7 +776,7 @@
 #[test]
 fn silent_calls_do_not_pin_slots() {
     let mut p = Proxy::new(
-        settings(1, vec![class(1000.0, 1.0, Effect::Fragile)]),
+        settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]),
         1,
         entries(8),
     );
@@ -791,7 +801,7 @@
 #[test]
 fn a_cold_budget_is_shared_by_the_balancers_of_one_proxy() {
     let sent_cold = |sharers| {
-        let cold = Entry {
+        let cold = Endpoint {
             started_at: 1000.0,
             ..entry(1)
         };
@@ -800,7 +810,7 @@
             1,
             [vec![cold], entries(10)[1..].to_vec()].concat(),
         );
-        p.balancer.share_cold(sharers);
+        p.balancer.share_slow_start_budget(sharers);
         let mut sent = 0;
         for _ in 0..100 {
             fill(&mut p, 0, 0, 30);
@@ -808,7 +818,7 @@
             sent += p.out().iter().filter(|(_, _, s)| s.backend == 1).count();
             p.out()
                 .into_iter()
-                .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Ok));
+                .for_each(|(id, n, _)| p.resolve(id, n, Outcome::Success));
             p.forget();
         }
         sent as f64
@@ -826,8 +836,8 @@
 fn a_limit_that_is_known_from_before_is_begun_with() {
     let limit = |known: f64| {
         let mut p = Proxy::new(plain(1), 1, vec![]);
-        p.balancer.begin_at(known);
-        p.list(ListKind::Full, entries(10));
+        p.balancer.raise_limit_to(known);
+        p.list(UpdateKind::Snapshot, entries(10));
         p.balancer.load().limit
     };
     assert_eq!((limit(200.0), limit(3.0)), (200.0, limit(0.0)));
@@ -841,7 +851,7 @@
         let mut p = Proxy::new(plain(1), 1, entries(10));
         let id = p.ask_with(0, 0, 0, 1e5, spare, 1.0);
         while let Some((_, n, _)) = p.out().into_iter().find(|(i, ..)| *i == id) {
-            p.resolve(id, n, Outcome::Full);
+            p.resolve(id, n, Outcome::Rejected);
         }
         assert!(
             p.asked[&id].sends.len() <= most,
@@ -863,14 +873,14 @@
     let backend = p.out()[0].2.backend;
     let (outcome, wait, closed, spare) = (Outcome::Error, 1.0, false, Some(0));
     p.asked.get_mut(&id).expect("asked").sends[0].outcome = Some(outcome);
-    p.tell(Event::Resolved(Resolved {
+    p.tell(Event::AttemptEnded(AttemptResult {
         request: id,
         attempt: 0,
         backend,
         outcome,
-        wait,
-        closed,
-        spare,
+        elapsed: wait,
+        request_closed: closed,
+        retries_left: spare,
     }));
     assert_eq!(
         (p.asked[&id].sends.len(), p.asked[&id].ended.is_some()),
@@ -883,8 +893,8 @@
 fn worth_is_carried_down() {
     let mut settings = plain(1);
     (
-        settings.worth_carried,
-        settings.over_share_worth,
+        settings.priority_forwarded,
+        settings.over_quota_priority,
         settings.tier,
     ) = (true, 0.05, 1);
     let mut p = Proxy::new(settings, 1, entries(10));
--- a/crates/heathroad-balancer/tests/golden_decisions.rs
+++ b/crates/heathroad-balancer/tests/golden_decisions.rs
@@ -29,7 +29,7 @@
 #[derive(Clone)]
 struct Attempt {
     request: RequestId,
-    number: AttemptNo,
+    number: AttemptNumber,
     backend: BackendId,
     sent: f64,
     not_past: f64,
@@ -53,7 +53,7 @@
     out: Vec<Attempt>,
     late: Vec<(Attempt, Outcome)>,
     timers: Vec<(f64, u64)>,
-    listed: BTreeMap<BackendId, Entry>,
+    listed: BTreeMap<BackendId, Endpoint>,
     digest: Digest,
     actions: [u64; 7],
 }
@@ -61,8 +61,8 @@
 impl Driver {
     fn new(settings: Settings, seed: u64) -> Self {
         let mut balancer = Balancer::new(settings.clone(), seed).expect("sound settings");
-        balancer.share_cold(2);
-        balancer.begin_at(7.0);
+        balancer.share_slow_start_budget(2);
+        balancer.raise_limit_to(7.0);
         Driver {
             balancer,
             settings,
@@ -81,7 +81,7 @@
 
     fn tell(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.balancer.handle(self.now, event, &mut actions);
+        self.balancer.handle_event(self.now, event, &mut actions);
         actions
             .into_iter()
             .for_each(|action| self.carry_out(action));
@@ -92,7 +92,7 @@
             Action::Send {
                 request,
                 backend,
-                not_past,
+                deadline: not_past,
             } => {
                 self.digest.add(request);
                 self.digest.add(u64::from(backend));
@@ -109,7 +109,7 @@
                 });
                 1
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -137,17 +137,17 @@
                 }
                 4
             }
-            Action::WakeMe { delay, token } => {
+            Action::SetTimer { delay, token } => {
                 self.digest.add_float(delay);
                 self.digest.add(token);
                 self.timers.push((self.now + delay, token));
                 5
             }
-            Action::Close { backend } => {
+            Action::CloseIdle { backend } => {
                 self.digest.add(u64::from(backend));
                 6
             }
-            Action::Watch { on } => {
+            Action::WatchEndpoints { on } => {
                 self.digest.add(u64::from(on));
                 7
             }
@@ -156,15 +156,15 @@
         self.actions[kind as usize - 1] += 1;
     }
 
-    fn list(&mut self, kind: ListKind) {
-        let size = if kind == ListKind::Delta {
+    fn list(&mut self, kind: UpdateKind) {
+        let size = if kind == UpdateKind::Delta {
             1 + self.rng.u32(..3)
         } else {
             BACKENDS
         };
         let mut entries = Vec::new();
         for n in 0..size {
-            let backend = if kind == ListKind::Delta {
+            let backend = if kind == UpdateKind::Delta {
                 1 + self.rng.u32(..BACKENDS)
             } else {
                 n + 1
@@ -172,13 +172,13 @@
             let restarted = self.rng.u8(..4) == 0;
             let known = self.listed.get(&backend).map_or(0.0, |e| e.started_at);
             let phase = match self.rng.u8(..12) {
-                0 => Phase::Draining,
-                1 => Phase::Gone,
-                _ => Phase::Ready,
+                0 => EndpointState::Draining,
+                1 => EndpointState::Removed,
+                _ => EndpointState::Ready,
             };
-            let entry = Entry {
+            let entry = Endpoint {
                 backend,
-                phase,
+                state: phase,
                 zone: (backend % 3) as u16,
                 started_at: if restarted { self.now } else { known },
                 weight: [1.0, 1.0, 0.5, 2.0][backend as usize % 4],
@@ -187,13 +187,17 @@
             self.listed.insert(backend, entry.clone());
             entries.push(entry);
         }
-        self.tell(Event::List { kind, entries });
+        self.tell(Event::EndpointUpdate {
+            kind,
+            endpoints: entries,
+        });
     }
 
     fn request(&mut self) {
         let request = self.next;
         self.next += 1;
-        let spare = (self.settings.worth_carried && self.rng.bool()).then(|| self.rng.u32(..4));
+        let spare =
+            (self.settings.priority_forwarded && self.rng.bool()).then(|| self.rng.u32(..4));
         self.open.insert(
             request,
             Open {
@@ -201,20 +205,20 @@
                 ..Open::default()
             },
         );
-        let arrival = Arrival {
+        let arrival = RequestArrival {
             request,
             key: self.rng.u64(..6),
             class: self.rng.u16(..self.settings.classes.len() as u16),
             tenant: self.rng.u16(..3),
             deadline: self.now + [30.0, 300.0, 1000.0, 4000.0][self.rng.usize(..4)],
-            spare,
-            worth: if self.settings.worth_carried {
+            retries_left: spare,
+            priority_share: if self.settings.priority_forwarded {
                 self.rng.f64()
             } else {
                 1.0
             },
         };
-        self.tell(Event::Request(arrival));
+        self.tell(Event::RequestArrived(arrival));
     }
 
     /// How an attempt ends at its backend in this stage of the run.
@@ -222,29 +226,29 @@
         let bad = backend.is_multiple_of(7) && (self.now / 4000.0) as u64 % 2 == 1;
         match self.rng.u8(..if bad { 12 } else { 100 }) {
             0 | 1 => Outcome::Error,
-            2 => Outcome::Full,
+            2 => Outcome::Rejected,
             3 => Outcome::ConnectFailed,
             4 => Outcome::Reset,
-            5 => Outcome::Moot,
-            _ => Outcome::Ok,
+            5 => Outcome::NotSent,
+            _ => Outcome::Success,
         }
     }
 
     fn resolve(&mut self, at: usize, outcome: Outcome) {
         let attempt = self.out.swap_remove(at);
         let open = self.open.get_mut(&attempt.request).expect("its request");
-        let closed = open.ended || outcome == Outcome::Ok;
+        let closed = open.ended || outcome == Outcome::Success;
         open.ended = closed;
         if !closed && self.rng.u8(..3) == 0 {
             open.spare = open.spare.map(|s| s.saturating_sub(1));
         }
         let spare = open.spare;
         let ended = matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
-        if self.settings.caps.late_ends && ended {
+        if self.settings.limits.late_completions && ended {
             self.late.push((attempt.clone(), outcome));
         }
         let resolved = self.resolved(&attempt, outcome, closed, spare);
-        self.tell(Event::Resolved(resolved));
+        self.tell(Event::AttemptEnded(resolved));
     }
 
     fn resolved(
@@ -253,16 +257,16 @@
         outcome: Outcome,
         closed: bool,
         spare: Option<u32>,
-    ) -> Resolved {
+    ) -> AttemptResult {
         let (request, attempt, backend) = (of.request, of.number, of.backend);
-        Resolved {
+        AttemptResult {
             request,
             attempt,
             backend,
             outcome,
-            wait: self.now - of.sent,
-            closed,
-            spare,
+            elapsed: self.now - of.sent,
+            request_closed: closed,
+            retries_left: spare,
         }
     }
 
@@ -272,7 +276,7 @@
         self.now += self.rng.f64() * if slow { 12.0 } else { 3.0 };
         while let Some(at) = self.timers.iter().position(|t| t.0 <= self.now) {
             let (_, token) = self.timers.remove(at);
-            self.tell(Event::Wake { token });
+            self.tell(Event::TimerFired { token });
         }
         while let Some(at) = self.out.iter().position(|a| a.not_past <= self.now) {
             let withdrawn = self.out[at].not_past == f64::MIN;
@@ -292,16 +296,16 @@
         match self.rng.u8(..100) {
             0 => {
                 let kinds = [
-                    ListKind::Full,
-                    ListKind::Delta,
-                    ListKind::Cached,
-                    ListKind::Failed,
+                    UpdateKind::Snapshot,
+                    UpdateKind::Delta,
+                    UpdateKind::Cached,
+                    UpdateKind::Failed,
                 ];
                 match kinds[self.rng.usize(..kinds.len())] {
-                    ListKind::Failed => {
-                        self.tell(Event::List {
-                            kind: ListKind::Failed,
-                            entries: Vec::new(),
+                    UpdateKind::Failed => {
+                        self.tell(Event::EndpointUpdate {
+                            kind: UpdateKind::Failed,
+                            endpoints: Vec::new(),
                         });
                     }
                     kind => self.list(kind),
@@ -316,18 +320,18 @@
                     .collect();
                 if let Some(&request) = open.get(self.rng.usize(..open.len().max(1))) {
                     self.open.get_mut(&request).expect("open").ended = true;
-                    self.tell(Event::Hangup { request });
+                    self.tell(Event::ClientLeft { request });
                 }
             }
             4..=7 if !self.late.is_empty() => {
                 let (attempt, outcome) = self.late.swap_remove(self.rng.usize(..self.late.len()));
                 let outcome = if self.rng.bool() {
-                    Outcome::Ok
+                    Outcome::Success
                 } else {
                     outcome
                 };
                 let resolved = self.resolved(&attempt, outcome, true, None);
-                self.tell(Event::Late(resolved));
+                self.tell(Event::LateCompletion(resolved));
             }
             4..=50 => self.request(),
             _ if !self.out.is_empty() => {
@@ -344,7 +348,7 @@
     }
 
     fn run(mut self) -> (u64, [u64; 7]) {
-        self.list(ListKind::Cached);
+        self.list(UpdateKind::Cached);
         for _ in 0..EVENTS {
             self.step();
         }
@@ -353,107 +357,107 @@
         self.digest.add_float(load.in_flight);
         for slice in &load.slices {
             self.digest.add_float(slice.limit);
-            self.digest.add_float(slice.busy);
-            self.digest.add(slice.held as u64);
+            self.digest.add_float(slice.in_flight);
+            self.digest.add(slice.queued as u64);
         }
         for &request in self.open.keys() {
-            self.digest.add_float(self.balancer.worth(request));
+            self.digest.add_float(self.balancer.priority_share(request));
         }
         (self.digest.0, self.actions)
     }
 }
 
-fn class(aim: f64, points: f64, effect: Effect, in_order: bool) -> Class {
+fn class(aim: f64, points: f64, effect: Idempotency, in_order: bool) -> Class {
     Class {
-        aim,
-        points,
-        effect,
-        in_order,
+        latency_objective: aim,
+        priority_weight: points,
+        idempotency: effect,
+        ordered_by_key: in_order,
     }
 }
 
 /// Several settings that between them reach every branch of the decisions.
 fn settings() -> Vec<(&'static str, Settings)> {
-    let dedup = |group| Effect::Dedup {
-        group,
+    let dedup = |group| Idempotency::Deduplicated {
+        scope: group,
         window: 400.0,
     };
     let base = Settings {
-        copy: 3,
-        copies: 8,
+        replica_index: 3,
+        replica_count: 8,
         zone: 1,
         tick: 5.0,
-        over_share_worth: 0.05,
+        over_quota_priority: 0.05,
         classes: vec![
-            class(300.0, 4.0, Effect::Retryable, false),
-            class(800.0, 1.0, dedup(Group::All), false),
-            class(500.0, 2.0, Effect::Fragile, false),
+            class(300.0, 4.0, Idempotency::Idempotent, false),
+            class(800.0, 1.0, dedup(DeduplicationScope::All), false),
+            class(500.0, 2.0, Idempotency::NonIdempotent, false),
         ],
         tenants: [40.0, 400.0, 4000.0]
             .map(|quota_per_s| Tenant { quota_per_s })
             .to_vec(),
-        caps: Caps {
-            cancelling: true,
+        limits: SiteLimits {
+            cancellation: true,
             retry_after: true,
             max_retry_after: 2000.0,
-            try_limit: 4,
-            late_ends: false,
+            max_attempts: 4,
+            late_completions: false,
         },
-        rules: Rules {
-            cold_from: 0.12,
-            cold: 5000.0,
-            fall_multiple: 3.0,
-            ask_within: 10_000.0,
-            release_within: 500.0,
-            settle_after_doubt: 300.0,
+        guarantees: Guarantees {
+            slow_start_floor: 0.12,
+            slow_start_duration: 5000.0,
+            overload_multiple: 3.0,
+            poll_within: 10_000.0,
+            idle_close_within: 500.0,
+            unknown_outcome_rest: 300.0,
         },
-        goal: Goal {
-            worst_class: 0.2,
-            cross_zone: 0.0,
+        objectives: Objectives {
+            worst_class_weight: 0.2,
+            cross_zone_price: 0.0,
         },
         ..Settings::default()
     };
     let ordered = Settings {
         classes: vec![
-            class(400.0, 1.0, dedup(Group::Zone), true),
-            class(400.0, 3.0, dedup(Group::Cell), true),
-            class(250.0, 1.0, Effect::Fragile, true),
+            class(400.0, 1.0, dedup(DeduplicationScope::Zone), true),
+            class(400.0, 3.0, dedup(DeduplicationScope::Cell), true),
+            class(250.0, 1.0, Idempotency::NonIdempotent, true),
         ],
-        goal: Goal {
-            worst_class: 0.0,
-            cross_zone: 0.2,
+        objectives: Objectives {
+            worst_class_weight: 0.0,
+            cross_zone_price: 0.2,
         },
-        caps: Caps {
-            late_ends: true,
-            ..base.caps.clone()
+        limits: SiteLimits {
+            late_completions: true,
+            ..base.limits.clone()
         },
         ..base.clone()
     };
     let second_tier = Settings {
         tier: 1,
-        worth_carried: true,
+        priority_forwarded: true,
         tenants: Vec::new(),
-        caps: Caps {
-            late_ends: true,
-            cancelling: false,
+        limits: SiteLimits {
+            late_completions: true,
+            cancellation: false,
             retry_after: false,
-            ..base.caps.clone()
+            ..base.limits.clone()
         },
         ..base.clone()
     };
     let asking = Settings {
-        copy: 0,
-        copies: 1,
-        must_ask: true,
-        classes: vec![class(1000.0, 1.0, Effect::Retryable, false)],
-        rules: Rules {
-            release_within: 0.0,
-            cold: 0.0,
-            ..base.rules.clone()
+        replica_index: 0,
+        replica_count: 1,
+        polls_endpoints: true,
+        classes: vec![class(1000.0, 1.0, Idempotency::Idempotent, false)],
+        guarantees: Guarantees {
+            idle_close_within: 0.0,
+            slow_start_duration: 0.0,
+            ..base.guarantees.clone()
         },
-        goal: Goal {
-            worst_class: 1.0,
-            cross_zone: 0.05,
+        objectives: Objectives {
+            worst_class_weight: 1.0,
+            cross_zone_price: 0.05,
         },
         ..base.clone()
     };
--- a/crates/heathroad-balancer/tests/rules.rs
+++ b/crates/heathroad-balancer/tests/rules.rs
@@ -7,30 +7,33 @@
 use heathroad_balancer::api::*;
 
 const OUTCOMES: [Outcome; 7] = [
-    Outcome::Ok,
-    Outcome::Ok,
+    Outcome::Success,
+    Outcome::Success,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::Timeout,
     Outcome::ConnectFailed,
     Outcome::Reset,
 ];
 
 fn all_effects() -> Vec<Class> {
-    let dedup = |group, window| Effect::Dedup { group, window };
+    let dedup = |group, window| Idempotency::Deduplicated {
+        scope: group,
+        window,
+    };
     vec![
-        class(400.0, 1.0, Effect::Retryable),
-        class(500.0, 5.0, Effect::Fragile),
-        class(600.0, 2.0, dedup(Group::All, 700.0)),
-        class(400.0, 2.0, dedup(Group::Zone, 900.0)),
-        class(500.0, 1.0, dedup(Group::Cell, 300.0)),
+        class(400.0, 1.0, Idempotency::Idempotent),
+        class(500.0, 5.0, Idempotency::NonIdempotent),
+        class(600.0, 2.0, dedup(DeduplicationScope::All, 700.0)),
+        class(400.0, 2.0, dedup(DeduplicationScope::Zone, 900.0)),
+        class(500.0, 1.0, dedup(DeduplicationScope::Cell, 300.0)),
         Class {
-            in_order: true,
-            ..class(500.0, 3.0, dedup(Group::Zone, 800.0))
+            ordered_by_key: true,
+            ..class(500.0, 3.0, dedup(DeduplicationScope::Zone, 800.0))
         },
         Class {
-            in_order: true,
-            ..class(700.0, 3.0, Effect::Retryable)
+            ordered_by_key: true,
+            ..class(700.0, 3.0, Idempotency::Idempotent)
         },
     ]
 }
@@ -42,13 +45,13 @@
     let mut s = settings(1 + rng.u32(..4), all_effects());
     s.tier = rng.u32(..3);
     s.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 5.0 }];
-    s.goal.worst_class = 0.3;
+    s.objectives.worst_class_weight = 0.3;
     change(&mut s);
-    let place = |rng: &mut fastrand::Rng, mut e: Entry| {
+    let place = |rng: &mut fastrand::Rng, mut e: Endpoint| {
         (e.zone, e.cell) = (rng.u16(..3), rng.u16(..4));
         e
     };
-    let start: Vec<Entry> = entries(rng.u32(1..20))
+    let start: Vec<Endpoint> = entries(rng.u32(1..20))
         .into_iter()
         .map(|e| place(&mut rng, e))
         .collect();
@@ -83,42 +86,47 @@
                 if let Some(known) = p.listed.get(&e.backend) {
                     (e.zone, e.cell) = (known.zone, known.cell);
                 }
-                e.phase =
-                    [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][rng.usize(..4)];
+                e.state = [
+                    EndpointState::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ][rng.usize(..4)];
                 e.started_at = if rng.bool() {
                     0.0
                 } else {
                     p.now - 500.0 * rng.f64()
                 };
-                p.list(ListKind::Delta, vec![e]);
+                p.list(UpdateKind::Delta, vec![e]);
             }
             84..85 => {
-                let keep: Vec<Entry> = p
+                let keep: Vec<Endpoint> = p
                     .listed
                     .values()
-                    .filter(|e| e.phase == Phase::Ready)
+                    .filter(|e| e.state == EndpointState::Ready)
                     .cloned()
                     .collect();
-                let mut keep: Vec<Entry> = keep.into_iter().filter(|_| rng.u32(..5) > 0).collect();
+                let mut keep: Vec<Endpoint> =
+                    keep.into_iter().filter(|_| rng.u32(..5) > 0).collect();
                 keep.sort_by_key(|e| e.backend);
-                p.list(ListKind::Full, keep);
+                p.list(UpdateKind::Snapshot, keep);
             }
-            85..86 => p.list(ListKind::Failed, vec![]),
+            85..86 => p.list(UpdateKind::Failed, vec![]),
             86..88 => {
                 // Events about what was never there are passed over.
-                p.tell(Event::Hangup { request: 1 << 50 });
-                p.tell(Event::Wake { token: 999 });
-                let (request, outcome) = (1 << 50, Outcome::Ok);
-                let stray = Resolved {
+                p.tell(Event::ClientLeft { request: 1 << 50 });
+                p.tell(Event::TimerFired { token: 999 });
+                let (request, outcome) = (1 << 50, Outcome::Success);
+                let stray = AttemptResult {
                     request,
                     attempt: 3,
                     backend: 77,
                     outcome,
-                    wait: 1.0,
-                    closed: true,
-                    spare: None,
+                    elapsed: 1.0,
+                    request_closed: true,
+                    retries_left: None,
                 };
-                p.tell(Event::Resolved(stray));
+                p.tell(Event::AttemptEnded(stray));
             }
             _ => {
                 let to = p.now + rng.f64() * 60.0;
@@ -144,12 +152,16 @@
 
 #[test]
 fn rules_hold_where_cancels_are_forbidden() {
-    (100..140).for_each(|seed| life(seed, |s| (s.caps.cancelling, s.caps.try_limit) = (false, 2)));
+    (100..140).for_each(|seed| {
+        life(seed, |s| {
+            (s.limits.cancellation, s.limits.max_attempts) = (false, 2)
+        })
+    });
 }
 
 #[test]
 fn rules_hold_where_the_list_must_be_asked() {
-    (200..230).for_each(|seed| life(seed, |s| s.must_ask = true));
+    (200..230).for_each(|seed| life(seed, |s| s.polls_endpoints = true));
 }
 
 /// Guards against a copy whose hash order or clock leaks into its decisions.
@@ -192,8 +204,8 @@
         let n = 8;
         let fleet: Vec<Proxy> = (0..copies)
             .map(|copy| {
-                let mut s = settings(copies, vec![class(2000.0, 1.0, Effect::Retryable)]);
-                s.copy = copy;
+                let mut s = settings(copies, vec![class(2000.0, 1.0, Idempotency::Idempotent)]);
+                s.replica_index = copy;
                 let mut p = Proxy::new(s, u64::from(copy), entries(n));
                 p.serve(6000.0, 2, 0, 250.0);
                 p
@@ -203,8 +215,8 @@
         for mut p in fleet {
             let started_at = p.now;
             p.list(
-                ListKind::Delta,
-                vec![Entry {
+                UpdateKind::Delta,
+                vec![Endpoint {
                     started_at,
                     ..entry(3)
                 }],
@@ -218,7 +230,7 @@
                         sends.push(s.at - started_at);
                     }
                     if p.now - s.at >= 250.0 || s.backend == 3 {
-                        p.resolve(id, attempt, Outcome::Ok);
+                        p.resolve(id, attempt, Outcome::Success);
                     }
                 }
                 p.forget();
@@ -250,11 +262,11 @@
 /// A restarted copy knows its cold backends only from a cached list and has seen no rate yet.
 #[test]
 fn a_copy_without_history_spares_cold_backends() {
-    let mut s = settings(10, vec![class(400.0, 1.0, Effect::Retryable)]);
-    s.copy = 4;
+    let mut s = settings(10, vec![class(400.0, 1.0, Idempotency::Idempotent)]);
+    s.replica_index = 4;
     let cold = entries(10)
         .into_iter()
-        .map(|e| Entry {
+        .map(|e| Endpoint {
             started_at: 900.0,
             ..e
         })
@@ -270,15 +282,15 @@
 }
 
 fn ordered() -> Proxy {
-    let effect = Effect::Dedup {
-        group: Group::Zone,
+    let effect = Idempotency::Deduplicated {
+        scope: DeduplicationScope::Zone,
         window: 800.0,
     };
     Proxy::new(
         settings(
             1,
             vec![Class {
-                in_order: true,
+                ordered_by_key: true,
                 ..class(1000.0, 1.0, effect)
             }],
         ),
@@ -293,7 +305,7 @@
 #[test]
 fn one_key_runs_one_at_a_time_with_rest_after_doubt() {
     for (outcome, rest) in [
-        (Outcome::Ok, 0.0),
+        (Outcome::Success, 0.0),
         (Outcome::Reset, 300.0),
         (Outcome::Timeout, 300.0),
     ] {
@@ -340,21 +352,21 @@
 #[test]
 fn idle_connections_to_a_draining_backend_are_closed() {
     let mut p = Proxy::new(
-        settings(1, vec![class(1000.0, 1.0, Effect::Fragile)]),
+        settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]),
         1,
         entries(1),
     );
     let id = p.ask(0, 0, 3000.0);
     p.list(
-        ListKind::Delta,
-        vec![Entry {
-            phase: Phase::Draining,
+        UpdateKind::Delta,
+        vec![Endpoint {
+            state: EndpointState::Draining,
             ..entry(1)
         }],
     );
     assert_eq!(p.closed.get(&1), Some(&p.now));
     p.advance(p.now + 400.0);
-    p.resolve(id, 0, Outcome::Ok);
+    p.resolve(id, 0, Outcome::Success);
     assert_eq!(
         p.closed.get(&1),
         Some(&p.now),
--- a/crates/heathroad-balancer/tests/wire.rs
+++ b/crates/heathroad-balancer/tests/wire.rs
@@ -239,7 +239,7 @@
             with_facts(&|f| f["guarantees"]["cold"] = "x".into()),
             &["guarantees.cold"],
         ),
-        (with_facts(&|f| f["slotNo"] = 5.into()), &["copy"]),
+        (with_facts(&|f| f["slotNo"] = 5.into()), &["slotNo"]),
         (
             frame(&[launch(&facts().to_string().replace("500.0", "1e999"))]),
             &["settings"],
--- a/crates/heathroad-routing/tests/cold.rs
+++ b/crates/heathroad-routing/tests/cold.rs
@@ -3,8 +3,8 @@
 
 use heathroad_balancer::Balancer;
 use heathroad_balancer::api::{
-    Action, Arrival, BackendId, Caps, Class, Effect, Entry, Event, Goal, ListKind, Outcome,
-    Resolved, Rules, Settings,
+    Action, AttemptResult, BackendId, Class, Endpoint, Event, Guarantees, Idempotency, Objectives,
+    Outcome, RequestArrival, Settings, SiteLimits, UpdateKind,
 };
 use heathroad_routing::nodes::sharers;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -19,27 +19,27 @@
 
 fn settings() -> Settings {
     Settings {
-        copies: 1,
+        replica_count: 1,
         tick: 5.0,
-        over_share_worth: 0.05,
+        over_quota_priority: 0.05,
         classes: vec![Class {
-            aim: 1000.0,
-            points: 1.0,
-            effect: Effect::Retryable,
-            in_order: false,
+            latency_objective: 1000.0,
+            priority_weight: 1.0,
+            idempotency: Idempotency::Idempotent,
+            ordered_by_key: false,
         }],
-        caps: Caps {
-            cancelling: true,
-            try_limit: 3,
-            ..Caps::default()
+        limits: SiteLimits {
+            cancellation: true,
+            max_attempts: 3,
+            ..SiteLimits::default()
         },
-        rules: Rules {
-            cold_from: 0.1,
-            cold: COLD,
-            fall_multiple: 3.0,
-            ..Rules::default()
+        guarantees: Guarantees {
+            slow_start_floor: 0.1,
+            slow_start_duration: COLD,
+            overload_multiple: 3.0,
+            ..Guarantees::default()
         },
-        goal: Goal::default(),
+        objectives: Objectives::default(),
         ..Settings::default()
     }
 }
@@ -61,16 +61,16 @@
     fn new(number: u32, seed: u64, now: f64, started: f64) -> Pool {
         let balancer = Balancer::new(settings(), seed).expect("settings are sound");
         let own = (0..WARM).map(|n| 100 * (number + 1) + n);
-        let mut entries = vec![Entry {
+        let mut entries = vec![Endpoint {
             backend: FRESH,
             weight: 1.0,
             started_at: started,
-            ..Entry::default()
+            ..Endpoint::default()
         }];
-        entries.extend(own.map(|backend| Entry {
+        entries.extend(own.map(|backend| Endpoint {
             backend,
             weight: 1.0,
-            ..Entry::default()
+            ..Endpoint::default()
         }));
         let nodes = entries.iter().map(|e| address(e.backend)).collect();
         let mut pool = Pool {
@@ -82,9 +82,9 @@
         };
         pool.tell(
             now,
-            Event::List {
-                kind: ListKind::Full,
-                entries,
+            Event::EndpointUpdate {
+                kind: UpdateKind::Snapshot,
+                endpoints: entries,
             },
             &mut Vec::new(),
         );
@@ -94,7 +94,7 @@
     fn tell(&mut self, now: f64, event: Event, sent: &mut Vec<BackendId>) {
         let (mut events, mut actions) = (VecDeque::from([event]), Vec::new());
         while let Some(event) = events.pop_front() {
-            self.balancer.handle(now, event, &mut actions);
+            self.balancer.handle_event(now, event, &mut actions);
             for action in actions.drain(..) {
                 match action {
                     Action::Send {
@@ -104,7 +104,7 @@
                         let attempt = self.out.iter().filter(|o| o.0 == request).count() as u8;
                         self.out.push((request, attempt, backend, now));
                     }
-                    Action::WakeMe { delay, token } => self.timers.push((now + delay, token)),
+                    Action::SetTimer { delay, token } => self.timers.push((now + delay, token)),
                     _ => {}
                 }
             }
@@ -114,17 +114,17 @@
     /// A step: what was out is served, timers come due, requests come.
     fn step(&mut self, now: f64, requests: usize, sent: &mut Vec<BackendId>) {
         for (request, attempt, backend, at) in std::mem::take(&mut self.out) {
-            let (outcome, wait, closed) = (Outcome::Ok, now - at, true);
-            let resolved = Resolved {
+            let (outcome, wait, closed) = (Outcome::Success, now - at, true);
+            let resolved = AttemptResult {
                 request,
                 attempt,
                 backend,
                 outcome,
-                wait,
-                closed,
-                spare: None,
+                elapsed: wait,
+                request_closed: closed,
+                retries_left: None,
             };
-            self.tell(now, Event::Resolved(resolved), sent);
+            self.tell(now, Event::AttemptEnded(resolved), sent);
         }
         let (due, later) = std::mem::take(&mut self.timers)
             .into_iter()
@@ -132,20 +132,20 @@
         self.timers = later;
         let due: Vec<(f64, u64)> = due;
         due.into_iter()
-            .for_each(|(_, token)| self.tell(now, Event::Wake { token }, sent));
+            .for_each(|(_, token)| self.tell(now, Event::TimerFired { token }, sent));
         for _ in 0..requests {
             let request = self.next;
             self.next += 1;
-            let arrival = Arrival {
+            let arrival = RequestArrival {
                 request,
                 key: 0,
                 class: 0,
                 tenant: 0,
                 deadline: now + 2_000.0,
-                spare: None,
-                worth: 1.0,
+                retries_left: None,
+                priority_share: 1.0,
             };
-            self.tell(now, Event::Request(arrival), sent);
+            self.tell(now, Event::RequestArrived(arrival), sent);
         }
     }
 }
@@ -182,8 +182,9 @@
                 .collect();
             let mut parts = sharers(&named).into_iter();
             for (n, pool) in pools.iter_mut().enumerate().filter(|(n, _)| here(*n)) {
-                pool.balancer
-                    .share_cold(parts.next().unwrap_or_else(|| panic!("pool {n} is named")));
+                pool.balancer.share_slow_start_budget(
+                    parts.next().unwrap_or_else(|| panic!("pool {n} is named")),
+                );
                 let mut sent = Vec::new();
                 // It has grown used to its load before the node starts.
                 pool.step(now, rate, &mut sent);
--- a/crates/heathroad-verifier/examples/verifier-bench.rs
+++ b/crates/heathroad-verifier/examples/verifier-bench.rs
@@ -1,5 +1,5 @@
-//! How long verdicts take, by routes and expectations: `cargo run --release --example verifier-bench
-//! -p heathroad-verifier`.
+//! How long verdicts take, by routes and expectations: `cargo run --release --example
+//! verifier-bench -p heathroad-verifier`.
 
 use heathroad_routing::generation::Generation;
 use heathroad_verifier::file::read;
--- a/crates/heathroad/src/backend/crossings.rs
+++ b/crates/heathroad/src/backend/crossings.rs
@@ -112,7 +112,7 @@
                 let waits = run(&pool, &target, call(0));
                 yield_now().await;
                 off(&waits.line);
-                assert_eq!(soon(waits.ended).await, Ok(Outcome::Moot));
+                assert_eq!(soon(waits.ended).await, Ok(Outcome::NotSent));
                 soon(waits.course).await.expect("no panic");
             }
             assert!(!busy.line.reported(), "the other goes on");
@@ -120,7 +120,7 @@
                 .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                 .await
                 .expect("open");
-            assert_eq!(soon(busy.ended).await, Ok(Outcome::Ok));
+            assert_eq!(soon(busy.ended).await, Ok(Outcome::Success));
             assert!(soon(pool.connect(dial)).await.is_ok(), "its place is free");
         })
         .await;
@@ -157,7 +157,7 @@
                 let again = run(&pool, &target, call(0));
                 soon(connecting(dial)).await;
                 off(&again.line);
-                assert_eq!(soon(again.ended).await, Ok(Outcome::Moot));
+                assert_eq!(soon(again.ended).await, Ok(Outcome::NotSent));
                 soon(again.course).await.expect("no panic");
                 let mut nothing = Vec::new();
                 assert_eq!(
@@ -186,7 +186,7 @@
         ),
         (
             "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
-            Outcome::Full,
+            Outcome::Rejected,
         ),
         (
             "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
@@ -255,7 +255,7 @@
                 let attempt = run(&pool, &target, call(MAX_BODY));
                 assert_ne!(soon(backend.read(&mut [0; 64])).await.expect("open"), 0);
                 off(&attempt.line);
-                assert_eq!(soon(attempt.ended).await, Ok(Outcome::Moot));
+                assert_eq!(soon(attempt.ended).await, Ok(Outcome::NotSent));
                 let mut rest = Vec::new();
                 let _ = soon(backend.read_to_end(&mut rest)).await;
                 assert!(rest.len() < MAX_BODY, "it got all of it");
@@ -279,7 +279,7 @@
             let served = async |stream: &mut TcpStream, attempt: Run| {
                 assert_ne!(soon(stream.read(&mut [0; 1024])).await.expect("open"), 0);
                 stream.write_all(answer).await.expect("open");
-                assert_eq!(soon(attempt.ended).await, Ok(Outcome::Ok));
+                assert_eq!(soon(attempt.ended).await, Ok(Outcome::Success));
             };
             let attempt = run(&pool, &target, call(0));
             let (mut first, _) = soon(listener.accept()).await.expect("it came");
@@ -339,7 +339,7 @@
                 let (mut node, _) = soon(listener.accept()).await.expect("it came");
                 assert_ne!(soon(node.read(&mut [0; 64])).await.expect("open"), 0);
                 off(&attempt.line);
-                assert_eq!(soon(attempt.ended).await, Ok(Outcome::Moot));
+                assert_eq!(soon(attempt.ended).await, Ok(Outcome::NotSent));
                 let mut rest = Vec::new();
                 let _ = soon(node.read_to_end(&mut rest)).await;
                 assert!(rest.len() < TEXT, "it got all of it");
--- a/crates/heathroad/src/backend/http.rs
+++ b/crates/heathroad/src/backend/http.rs
@@ -206,7 +206,7 @@
         // repeat come too late.
         if let Err(denied) = pool.may_write(target, line) {
             violations::denied(denied, &String::from_utf8_lossy(call.id.as_bytes()));
-            return End::Unserved(Outcome::Moot);
+            return End::Unserved(Outcome::NotSent);
         }
         tracing::debug!(id = ?call.id, address = %target.dial, kept, "attempt written");
         let request = call.request(&link.progress, expires, purse);
@@ -232,7 +232,7 @@
         );
         return match unserved(status, declined) {
             // It was turned down by its head.
-            end @ (End::Rejected | End::Unserved(Outcome::Full)) => end,
+            end @ (End::Rejected | End::Unserved(Outcome::Rejected)) => end,
             _ => unless_whole(&link, Outcome::Reset),
         };
     }
@@ -348,7 +348,7 @@
 fn unserved(status: StatusCode, declined: bool) -> End {
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => {
-            End::Unserved(Outcome::Full)
+            End::Unserved(Outcome::Rejected)
         }
         // These speak of the moment and not of the request.
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_EARLY | StatusCode::TOO_MANY_REQUESTS => {
--- a/crates/heathroad/src/backend/jsonrpc.rs
+++ b/crates/heathroad/src/backend/jsonrpc.rs
@@ -457,7 +457,7 @@
         };
         if let Err(denied) = pool.may_write(target, line) {
             violations::denied(denied, &String::from_utf8_lossy(&call.method));
-            return End::Unserved(Outcome::Moot);
+            return End::Unserved(Outcome::NotSent);
         }
         let mut waiting = link.ask(call, expires, line, purse);
         return match (&mut waiting.end).await {
@@ -468,7 +468,7 @@
                 meaning(answer, call.way.declined)
             }
             Ok(Ended::Sent) => End::Sent,
-            Ok(Ended::Drained) => End::Unserved(Outcome::Moot),
+            Ok(Ended::Drained) => End::Unserved(Outcome::NotSent),
             // A kept connection that turned out to be closed: not a byte was written, so that it
             // goes over another.
             Ok(Ended::Gone(Written::Nothing)) if kept => {
@@ -489,7 +489,7 @@
 /// told to the module beside the answer.
 fn meaning(answer: Answer, declined: Option<i64>) -> End {
     match answer.code {
-        Some(code) if Some(code) == declined => End::Unserved(Outcome::Full),
+        Some(code) if Some(code) == declined => End::Unserved(Outcome::Rejected),
         Some(INTERNAL_ERROR) => End::Ill(answer.member),
         _ => End::Served(answer.member),
     }
--- a/crates/heathroad/src/backend/mod.rs
+++ b/crates/heathroad/src/backend/mod.rs
@@ -98,7 +98,7 @@
     /// The module's word for it.
     pub fn outcome(&self) -> Outcome {
         match self {
-            End::Served(_) => Outcome::Ok,
+            End::Served(_) => Outcome::Success,
             End::Ill(_) => Outcome::Error,
             // The request's fault: it says nothing of the backend, and another would say the same.
             // What has no answer says nothing of it either.
@@ -319,7 +319,7 @@
                 if place.is_none() {
                     tracing::debug!(reason = "no connection slot", "backend connection failed");
                 }
-                place.ok_or(Outcome::Moot)?
+                place.ok_or(Outcome::NotSent)?
             }
         };
         if self.places.available_permits() == 0 {
@@ -339,7 +339,7 @@
             Ok(Err(e)) => {
                 tracing::debug!(%address, reason = %e, "backend connection failed");
                 return Err(if out_of_descriptors(&e) {
-                    Outcome::Moot
+                    Outcome::NotSent
                 } else {
                     Outcome::ConnectFailed
                 });
@@ -560,7 +560,7 @@
         if line.written() != Written::Whole {
             // Its connection, if it has one, ends with it: no backend ever has the whole of it.
             exchange.set(None);
-            return report(End::Unserved(Outcome::Moot));
+            return report(End::Unserved(Outcome::NotSent));
         }
         report(End::Unserved(given_up));
         let unseen = End::Unserved(given_up);
--- a/crates/heathroad/src/configuration/mod.rs
+++ b/crates/heathroad/src/configuration/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::discovery::endpoint_list::Page;
 use crate::retry_budget;
-use heathroad_balancer::settings::{self, Facts};
+use heathroad_balancer::settings::{self, InstanceSettings};
 use heathroad_membership::version::Digest;
 use serde::Deserialize;
 use std::env;
@@ -47,7 +47,7 @@
     /// The list of backends as this proxy last had it.
     pub known: Option<Page>,
     /// The settings.
-    pub facts: Facts,
+    pub facts: InstanceSettings,
 }
 
 #[derive(Deserialize)]
@@ -177,11 +177,11 @@
             "settings: localities: is missing or empty",
         ),
         (
-            site.open_cap == 0,
+            site.max_open_requests == 0,
             "settings: caps.openCap: is missing or 0",
         ),
         (
-            site.conn_idle <= 0.0,
+            site.idle_timeout <= 0.0,
             "settings: caps.connIdle: is missing or 0",
         ),
         (
@@ -201,8 +201,8 @@
         .map(retry_budget::File::check)
         .transpose()
         .map_err(|e| format!("config: {e}"))?;
-    facts.settings.worth_carried = budget.is_some();
-    let own = facts.settings.copy;
+    facts.balancer.priority_forwarded = budget.is_some();
+    let own = facts.balancer.replica_index;
     let addresses = membership::Addresses {
         listen: file.peer_listen.as_deref(),
         peers: &file.peers,
--- a/crates/heathroad/src/configuration/verification_gate.rs
+++ b/crates/heathroad/src/configuration/verification_gate.rs
@@ -1,7 +1,7 @@
 //! The gate of changes: what is expected of a configuration, in a file beside the routes. It is
 //! judged on a thread of its own, so that no request waits for a verdict.
 
-use heathroad_balancer::settings::Facts;
+use heathroad_balancer::settings::InstanceSettings;
 use heathroad_routing::generation::Generation;
 use heathroad_verifier::{Expectations, Here, Node, Report};
 use std::net::SocketAddr;
@@ -26,12 +26,12 @@
 }
 
 /// What is known of a place with some settings, for expectations.
-pub fn here(facts: &Facts, registry: SocketAddr, nodes: Vec<Node>) -> Here {
-    let (settings, site) = (&facts.settings, &facts.site);
+pub fn here(facts: &InstanceSettings, registry: SocketAddr, nodes: Vec<Node>) -> Here {
+    let (settings, site) = (&facts.balancer, &facts.site);
     Here {
         tenants: (!site.tenants.is_empty()).then(|| site.tenants.clone()),
-        attempts: Some(settings.caps.try_limit),
-        open: Some(u32::try_from(site.open_cap).unwrap_or(u32::MAX)),
+        attempts: Some(settings.limits.max_attempts),
+        open: Some(u32::try_from(site.max_open_requests).unwrap_or(u32::MAX)),
         registry: Some(registry),
         nodes,
     }
--- a/crates/heathroad/src/discovery/mod.rs
+++ b/crates/heathroad/src/discovery/mod.rs
@@ -5,7 +5,7 @@
 use crate::runtime_accounting::{sleep, spawn_local, timeout};
 use bytes::Bytes;
 use endpoint_list::{Host, Page};
-use heathroad_balancer::api::ListKind;
+use heathroad_balancer::api::UpdateKind;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::{Request, StatusCode, header};
@@ -80,7 +80,7 @@
 /// What comes of following discovery.
 pub enum News {
     /// A list of backends, or changes to it, and its number.
-    List(ListKind, Vec<Host>, u64),
+    List(UpdateKind, Vec<Host>, u64),
     /// A call failed where the list must be asked for.
     Failed,
 }
@@ -127,9 +127,9 @@
                 let news = page.whole || !page.hosts.is_empty();
                 if news {
                     let kind = if page.whole {
-                        ListKind::Full
+                        UpdateKind::Snapshot
                     } else {
-                        ListKind::Delta
+                        UpdateKind::Delta
                     };
                     let seq = page.seq;
                     hear(News::List(kind, page.entries(), seq));
@@ -362,7 +362,11 @@
                 .expect("the last page is heard");
                 following.abort();
                 // A whole list of a lower version is one of a registry that has begun anew.
-                let all = [ListKind::Full, ListKind::Delta, ListKind::Full];
+                let all = [
+                    UpdateKind::Snapshot,
+                    UpdateKind::Delta,
+                    UpdateKind::Snapshot,
+                ];
                 let healths = [Health::Serving, Health::Draining, Health::Serving];
                 let heard: Vec<_> = heard
                     .borrow()
--- a/crates/heathroad/src/engine/mod.rs
+++ b/crates/heathroad/src/engine/mod.rs
@@ -16,10 +16,10 @@
 use bytes::Bytes;
 use heathroad_balancer::Balancer;
 use heathroad_balancer::api::{
-    Action, Arrival, BackendId, Effect, Entry, Event, ListKind, Outcome, Phase, RequestId,
-    Resolved, SettingsError,
+    Action, AttemptResult, BackendId, Endpoint, EndpointState, Event, Idempotency, Outcome,
+    RequestArrival, RequestId, SettingsError, UpdateKind,
 };
-use heathroad_balancer::settings::Facts;
+use heathroad_balancer::settings::InstanceSettings;
 use heathroad_membership::record::Act;
 use heathroad_retry_budget::account::Loan;
 use heathroad_retry_budget::wire::Spent;
@@ -157,8 +157,8 @@
 
 /// How long who is refused for want of room, or by a fenced proxy, should stay away, where that is
 /// told.
-pub fn away(facts: &Facts) -> Option<Duration> {
-    let caps = &facts.settings.caps;
+pub fn away(facts: &InstanceSettings) -> Option<Duration> {
+    let caps = &facts.balancer.limits;
     caps.retry_after
         .then(|| millis(AWAY.min(caps.max_retry_after)))
 }
@@ -273,7 +273,7 @@
     state: RefCell<State>,
     pool: Rc<Pool>,
     clock: Clock,
-    facts: Facts,
+    facts: InstanceSettings,
     counts: Counts,
     /// What this proxy acts on, where a record is kept.
     acts: Option<Rc<Acts>>,
@@ -289,18 +289,18 @@
 impl Engine {
     /// Starts the module. What it asks of discovery comes through `watching`.
     pub fn new(
-        mut facts: Facts,
+        mut facts: InstanceSettings,
         seed: u64,
         pool: Rc<Pool>,
         counts: Counts,
         acts: Option<Rc<Acts>>,
         watching: watch::Sender<bool>,
     ) -> Result<Rc<Self>, SettingsError> {
-        facts.settings.caps.late_ends = true;
+        facts.balancer.limits.late_completions = true;
         // What the module decides by a window's end is written a moment later.
-        let mut decides = facts.settings.clone();
+        let mut decides = facts.balancer.clone();
         decides.classes.iter_mut().for_each(|class| {
-            if let Effect::Dedup { window, .. } = &mut class.effect {
+            if let Idempotency::Deduplicated { window, .. } = &mut class.idempotency {
                 *window = as_millis(safety::repeats_known_for(*window));
             }
         });
@@ -391,7 +391,7 @@
         let acts = incoming.acts.clone();
         let request = {
             let s = &mut *self.state.borrow_mut();
-            if s.requests.len() >= self.facts.site.open_cap {
+            if s.requests.len() >= self.facts.site.max_open_requests {
                 tracing::debug!(id = %incoming.call.label(), reason = "open requests at their limit", "request refused");
                 self.counts
                     .answered(incoming.class, incoming.tenant, Final::Refused);
@@ -425,14 +425,14 @@
             acts,
             answer: Final::Left,
         };
-        self.tell(Event::Request(Arrival {
+        self.tell(Event::RequestArrived(RequestArrival {
             request,
             key: incoming.key,
             class,
             tenant,
             deadline,
-            spare,
-            worth,
+            retries_left: spare,
+            priority_share: worth,
         }));
         // The module answers in time; the end guards against a late loop and against its silence.
         let answer = wait
@@ -448,10 +448,10 @@
         }
         let aim = millis(
             self.facts
-                .settings
+                .balancer
                 .classes
                 .get(usize::from(class))
-                .map_or(0.0, |c| c.aim),
+                .map_or(0.0, |c| c.latency_objective),
         );
         if here.answer == Final::Served && received.elapsed() > aim {
             self.counts.after_aim();
@@ -489,7 +489,7 @@
     }
 
     /// Its settings.
-    pub fn facts(&self) -> &Facts {
+    pub fn facts(&self) -> &InstanceSettings {
         &self.facts
     }
 
@@ -514,13 +514,16 @@
 
     /// So many engines send to some backend of this one's.
     pub fn share_cold(&self, sharers: usize) {
-        self.state.borrow_mut().balancer.share_cold(sharers);
+        self.state
+            .borrow_mut()
+            .balancer
+            .share_slow_start_budget(sharers);
     }
 
     /// The limit begins at so much at the least: what is known of the backends from before. Told
     /// before any list.
     pub fn begin_at(&self, limit: f64) {
-        self.state.borrow_mut().balancer.begin_at(limit);
+        self.state.borrow_mut().balancer.raise_limit_to(limit);
     }
 
     /// No request will come any more. What is still out ends by itself.
@@ -529,10 +532,10 @@
     }
 
     /// A list of backends, or changes to it.
-    pub fn list(self: &Rc<Self>, kind: ListKind, hosts: Vec<Host>) {
+    pub fn list(self: &Rc<Self>, kind: UpdateKind, hosts: Vec<Host>) {
         let entries = {
             let s = &mut *self.state.borrow_mut();
-            if kind != ListKind::Delta {
+            if kind != UpdateKind::Delta {
                 s.backends.values_mut().for_each(|k| k.listed = false);
             }
             let entries = hosts.into_iter().filter_map(|h| self.entry(s, h)).collect();
@@ -540,7 +543,10 @@
             gone.for_each(|k| k.withdraw(&self.pool, &self.counts, Notice::Gone));
             entries
         };
-        self.tell(Event::List { kind, entries });
+        self.tell(Event::EndpointUpdate {
+            kind,
+            endpoints: entries,
+        });
         self.forget_gone();
     }
 
@@ -567,9 +573,9 @@
     /// A call to discovery failed.
     pub fn list_failed(self: &Rc<Self>) {
         self.watching.send_replace(false);
-        self.tell(Event::List {
-            kind: ListKind::Failed,
-            entries: Vec::new(),
+        self.tell(Event::EndpointUpdate {
+            kind: UpdateKind::Failed,
+            endpoints: Vec::new(),
         });
     }
 
@@ -588,11 +594,11 @@
                 s.requests.keys().copied().collect()
             };
             open.into_iter()
-                .for_each(|request| engine.tell(Event::Hangup { request }));
+                .for_each(|request| engine.tell(Event::ClientLeft { request }));
         });
     }
 
-    fn entry(&self, s: &mut State, h: Host) -> Option<Entry> {
+    fn entry(&self, s: &mut State, h: Host) -> Option<Endpoint> {
         let (backend, known) = s.known(&h.host);
         known.listed = h.health != Health::Deleted;
         let Some(zone) = self.facts.site.zones.iter().position(|z| *z == h.site) else {
@@ -607,19 +613,19 @@
                     h.site
                 );
             }
-            return Some(Entry {
+            return Some(Endpoint {
                 backend,
-                phase: Phase::Gone,
-                ..Entry::default()
+                state: EndpointState::Removed,
+                ..Endpoint::default()
             });
         };
         let phase = match h.health {
-            Health::Serving => Phase::Ready,
-            Health::Draining => Phase::Draining,
-            Health::Deleted => Phase::Gone,
+            Health::Serving => EndpointState::Ready,
+            Health::Draining => EndpointState::Draining,
+            Health::Deleted => EndpointState::Removed,
         };
         match (phase, h.dial) {
-            (Phase::Ready, Some(dial)) => {
+            (EndpointState::Ready, Some(dial)) => {
                 // A new process knows nothing of the old one's connections. Where its machine fell
                 // silent they look open still, and a request on one would end as a reset, which may
                 // have run.
@@ -633,15 +639,15 @@
                     known.target = Some(self.pool.target(&h.host, dial, born_ms));
                 }
             }
-            (Phase::Gone, _) => known.withdraw(&self.pool, &self.counts, Notice::Gone),
+            (EndpointState::Removed, _) => known.withdraw(&self.pool, &self.counts, Notice::Gone),
             _ => known.withdraw(&self.pool, &self.counts, Notice::Draining),
         }
         let (zone, started_at, weight, cell) =
             (zone as u16, h.born_ms.max(0.0), h.share.max(0.0), h.block);
         known.place = Place { zone, cell };
-        Some(Entry {
+        Some(Endpoint {
             backend,
-            phase,
+            state: phase,
             zone,
             started_at,
             weight,
@@ -656,7 +662,7 @@
         while let Some(event) = s.events.pop_front() {
             let mut actions = std::mem::take(&mut s.actions);
             s.balancer
-                .handle(self.clock.at(Instant::now()), event, &mut actions);
+                .handle_event(self.clock.at(Instant::now()), event, &mut actions);
             for action in actions.drain(..) {
                 self.act(s, action);
             }
@@ -669,9 +675,9 @@
             Action::Send {
                 request,
                 backend,
-                not_past,
+                deadline: not_past,
             } => self.send(s, request, backend, not_past),
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -693,20 +699,20 @@
                 }
             }
             // Timers are what keeps an engine: with nothing left to do they end, and it with them.
-            Action::WakeMe { .. } if self.closed.get() && s.requests.is_empty() => {}
-            Action::WakeMe { delay, token } => {
+            Action::SetTimer { .. } if self.closed.get() && s.requests.is_empty() => {}
+            Action::SetTimer { delay, token } => {
                 let engine = self.clone();
                 spawn_local(async move {
                     sleep(millis(delay)).await;
-                    engine.tell(Event::Wake { token });
+                    engine.tell(Event::TimerFired { token });
                 });
             }
-            Action::Close { backend } => {
+            Action::CloseIdle { backend } => {
                 if let Some(target) = s.backends.get(&backend).and_then(|k| k.target.as_ref()) {
                     self.pool.close(target);
                 }
             }
-            Action::Watch { on } => {
+            Action::WatchEndpoints { on } => {
                 self.watching.send_replace(on);
             }
         }
@@ -725,12 +731,12 @@
     }
 
     /// What a class says of its requests' effect; none is taken for the strictest.
-    fn effect(&self, class: u16) -> Effect {
+    fn effect(&self, class: u16) -> Idempotency {
         self.facts
-            .settings
+            .balancer
             .classes
             .get(usize::from(class))
-            .map_or(Effect::Fragile, |c| c.effect)
+            .map_or(Idempotency::NonIdempotent, |c| c.idempotency)
     }
 
     /// Whether one more attempt of a request may be begun at a backend now, and until when it may
@@ -748,13 +754,13 @@
         if open.client.as_ref().is_some_and(Waiting::left) {
             return Err(Denied::ClientLeft);
         }
-        if number >= self.facts.settings.caps.try_limit as usize {
+        if number >= self.facts.balancer.limits.max_attempts as usize {
             return Err(Denied::AttemptLimit);
         }
         let (known, target) = to
             .and_then(|k| Some((k, k.target.clone()?)))
             .ok_or(Denied::BackendWithdrawn)?;
-        let duplicate = self.facts.site.may_duplicate;
+        let duplicate = self.facts.site.hedging_allowed;
         let write_by = safety::repeat(
             self.effect(open.class),
             open.attempted(),
@@ -783,10 +789,10 @@
             violations::violated(Violation::Repeat, &label);
         }
         if denied == Denied::ClientLeft && open.end().is_some() {
-            s.events.push_back(Event::Hangup { request });
+            s.events.push_back(Event::ClientLeft { request });
         }
         let number = open.attempts.len();
-        let (begun, ended) = (Instant::now(), Some(Outcome::Moot));
+        let (begun, ended) = (Instant::now(), Some(Outcome::NotSent));
         let attempted = Attempted {
             place: Place::default(),
             begun,
@@ -797,9 +803,15 @@
             attempted,
             out: None,
         });
-        self.counts.ended(Outcome::Moot, None);
-        s.events
-            .push_back(resolved(request, number, backend, Outcome::Moot, 0.0, open));
+        self.counts.ended(Outcome::NotSent, None);
+        s.events.push_back(resolved(
+            request,
+            number,
+            backend,
+            Outcome::NotSent,
+            0.0,
+            open,
+        ));
     }
 
     fn send(self: &Rc<Self>, s: &mut State, request: RequestId, backend: BackendId, not_past: f64) {
@@ -811,7 +823,7 @@
             Ok(granted) => granted,
             Err(denied) => return self.deny(s, request, backend, denied),
         };
-        let worth = s.balancer.worth(request);
+        let worth = s.balancer.priority_share(request);
         let Some(open) = s.requests.get_mut(&request) else {
             return;
         };
@@ -821,7 +833,7 @@
             self.counts.resent(open.last);
         }
         let age = self.clock.at(sent) - target.born_ms;
-        if target.born_ms > 0.0 && age < self.facts.settings.rules.cold {
+        if target.born_ms > 0.0 && age < self.facts.balancer.guarantees.slow_start_duration {
             self.counts.sent_cold();
         }
         if let Some(acts) = &open.acts {
@@ -872,14 +884,14 @@
             let wait = as_millis(sent.elapsed());
             let (attempt, outcome) = (number as u8, end.outcome());
             later.counts.ended_late(outcome);
-            later.tell(Event::Late(Resolved {
+            later.tell(Event::LateCompletion(AttemptResult {
                 request,
                 attempt,
                 backend,
                 outcome,
-                wait,
-                closed: true,
-                spare: None,
+                elapsed: wait,
+                request_closed: true,
+                retries_left: None,
             }));
         };
         let run = Box::pin(attempt.run(pool, move |end| engine.ended(request, number, end), late));
@@ -914,7 +926,7 @@
             );
             open.last = Some(outcome);
             if let (Some(budget), Some((loan, purse))) = (&open.budget, out.lent) {
-                budget.settle(loan, &purse, outcome.never_ran());
+                budget.settle(loan, &purse, outcome.never_executed());
             }
             let special = match end {
                 End::Rejected => Some(Special::Rejected),
@@ -947,14 +959,14 @@
 ) -> Event {
     let (attempt, closed) = (number as u8, matches!(open.life, Life::Over));
     let spare = open.budget.as_ref().map(OnBooks::left);
-    Event::Resolved(Resolved {
+    Event::AttemptEnded(AttemptResult {
         request,
         attempt,
         backend,
         outcome,
-        wait,
-        closed,
-        spare,
+        elapsed: wait,
+        request_closed: closed,
+        retries_left: spare,
     })
 }
 
@@ -1039,7 +1051,7 @@
             left
         };
         if left {
-            self.engine.tell(Event::Hangup {
+            self.engine.tell(Event::ClientLeft {
                 request: self.request,
             });
         }
--- a/crates/heathroad/src/frontend/crossings.rs
+++ b/crates/heathroad/src/frontend/crossings.rs
@@ -10,7 +10,7 @@
 use crate::engine::tests::facts;
 use crate::metrics::{Counts, Meter};
 use crate::router::Router;
-use heathroad_balancer::api::ListKind;
+use heathroad_balancer::api::UpdateKind;
 use serde_json::json;
 use std::cell::RefCell;
 use std::io::{Read, Write};
@@ -199,7 +199,7 @@
             // until its time is up.
             let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
             let host = json!({"host": "a", "dial": silent.local_addr().expect("bound"), "site": "a", "health": "SERVING"});
-            s.engine.list(ListKind::Full, vec![serde_json::from_value(host).expect("a host")]);
+            s.engine.list(UpdateKind::Snapshot, vec![serde_json::from_value(host).expect("a host")]);
             let mut answered = 0;
             for round in 0..5 {
                 let mut caller = served_once(s.addr, 2 * round).await;
@@ -292,7 +292,7 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let host = json!({"host": "a", "dial": listener.local_addr().expect("bound"), "site": "a", "health": "SERVING"});
             let seen = serves(listener);
-            s.engine.list(ListKind::Full, vec![serde_json::from_value(host).expect("a host")]);
+            s.engine.list(UpdateKind::Snapshot, vec![serde_json::from_value(host).expect("a host")]);
             drop(served(s.addr, "first").await);
             let mut expected = vec!["first".to_string()];
             for reset in [false, true] {
--- a/crates/heathroad/src/frontend/http.rs
+++ b/crates/heathroad/src/frontend/http.rs
@@ -17,8 +17,8 @@
 use crate::stream::{Peek, Watched};
 use crate::time::as_millis;
 use bytes::{Bytes, BytesMut};
-use heathroad_balancer::api::Effect;
-use heathroad_balancer::settings::Facts;
+use heathroad_balancer::api::Idempotency;
+use heathroad_balancer::settings::InstanceSettings;
 use heathroad_retry_budget::path::Mark;
 use heathroad_routing::split::hash;
 use http_body_util::{BodyExt, Full};
@@ -70,7 +70,7 @@
     /// Says where they go.
     pub router: Rc<Router>,
     /// The settings.
-    pub facts: Facts,
+    pub facts: InstanceSettings,
     /// Most connections at once.
     pub connections: usize,
     /// Most bytes in the bodies of open requests.
@@ -389,9 +389,9 @@
         let patience = bound.deadline.map_or(patience, |most| patience.min(most));
         let key = key.cloned();
         let (method, keyed) = match bound.effect {
-            Effect::Retryable => (Method::GET, None),
-            Effect::Dedup { .. } => (Method::POST, Some(true)),
-            Effect::Fragile => (Method::POST, Some(false)),
+            Idempotency::Idempotent => (Method::GET, None),
+            Idempotency::Deduplicated { .. } => (Method::POST, Some(true)),
+            Idempotency::NonIdempotent => (Method::POST, Some(false)),
         };
         if head.method != method {
             let mut reply = plain(StatusCode::METHOD_NOT_ALLOWED);
--- a/crates/heathroad/src/frontend/jsonrpc.rs
+++ b/crates/heathroad/src/frontend/jsonrpc.rs
@@ -18,8 +18,8 @@
 use crate::stream::peek;
 use crate::time::millis;
 use bytes::{Buf, Bytes, BytesMut};
-use heathroad_balancer::api::Effect;
-use heathroad_balancer::settings::Facts;
+use heathroad_balancer::api::Idempotency;
+use heathroad_balancer::settings::InstanceSettings;
 use heathroad_jsonrpc::message::{
     self, Call, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, Message, NULL, PARSE_ERROR,
     Wrong,
@@ -82,7 +82,7 @@
     /// Says where they go, and where they come in.
     pub many: Rc<Many>,
     /// The settings.
-    pub facts: Facts,
+    pub facts: InstanceSettings,
     /// Most connections at once, with those over HTTP.
     pub connections: usize,
     /// Most bytes of all texts and answers that are held.
@@ -853,7 +853,7 @@
         );
         let bound = bound.ok_or(nowhere.clone())?;
         let way = bound.way.ok_or(nowhere)?;
-        if matches!(bound.effect, Effect::Dedup { .. }) && key.is_none() {
+        if matches!(bound.effect, Idempotency::Deduplicated { .. }) && key.is_none() {
             return Err(wrong(INVALID_PARAMS, "a key"));
         }
         let (notification, class, tenant) = (call.id.is_none(), bound.class, place as u16);
--- a/crates/heathroad/src/lib.rs
+++ b/crates/heathroad/src/lib.rs
@@ -1,5 +1,5 @@
-//! heathroad, a balancing proxy for services that call services: the decisions of `heathroad-balancer` on
-//! real sockets.
+//! heathroad, a balancing proxy for services that call services: the decisions of
+//! `heathroad-balancer` on real sockets.
 //!
 //! A request goes one way through the modules:
 //!
@@ -49,7 +49,7 @@
 use engine::Engine;
 use frontend::http::Front;
 use frontend::{connections, jsonrpc};
-use heathroad_balancer::api::ListKind;
+use heathroad_balancer::api::UpdateKind;
 use heathroad_routing::transaction::Event;
 use lease::{Duties, Store};
 use membership::Peers;
@@ -124,7 +124,7 @@
 
 fn one_pool(config: &mut Config, pool: &Rc<Pool>, acts: Option<Rc<Acts>>) -> Result<Lists, String> {
     let (watching, wanted) = watch::channel(false);
-    let must_ask = config.facts.settings.must_ask;
+    let must_ask = config.facts.balancer.polls_endpoints;
     let counts = Counts::new(&Rc::new(Meter::new()), "", &config.facts.site);
     let engine = Engine::new(
         config.facts.clone(),
@@ -140,7 +140,7 @@
         .take()
         .map(|page| page.entries())
         .unwrap_or_default();
-    engine.list(ListKind::Cached, known);
+    engine.list(UpdateKind::Cached, known);
     let following = follow(&engine, config.discovery, must_ask, &wanted, acts.clone());
     let address = config.discovery;
     Ok(Lists::One {
@@ -254,9 +254,9 @@
     let pool = Rc::new(Pool::new(backend::Limits {
         connections: usable / 2,
         connect: millis(site.connect_timeout),
-        idle: millis(site.conn_idle),
+        idle: millis(site.idle_timeout),
         drain_grace: millis(site.drain_grace),
-        may_duplicate: site.may_duplicate,
+        may_duplicate: site.hedging_allowed,
     }));
     let listener = TcpListener::bind(config.listen).await;
     let listener = listener.map_err(|e| format!("listen: {}: {e}", config.listen))?;
--- a/crates/heathroad/src/membership/mod.rs
+++ b/crates/heathroad/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! This proxy among its fellows: the sockets and the clock of `heathroad_membership`, and what operators
-//! ask of it. Off unless the daemon's file names a file of the fleet.
+//! This proxy among its fellows: the sockets and the clock of `heathroad_membership`, and what
+//! operators ask of it. Off unless the daemon's file names a file of the fleet.
 
 pub mod activity_log;
 pub mod audit;
--- a/crates/heathroad/src/metrics/mod.rs
+++ b/crates/heathroad/src/metrics/mod.rs
@@ -8,7 +8,7 @@
 use crate::stall_detector;
 use crate::time::as_millis;
 use heathroad_balancer::api::Outcome;
-use heathroad_balancer::settings::Site;
+use heathroad_balancer::settings::SiteSettings;
 use heathroad_balancer::{Load, SliceLoad};
 use prometheus_client::encoding::{EncodeLabelSet, text};
 use prometheus_client::metrics::counter::Counter;
@@ -55,14 +55,14 @@
 /// The place of an outcome in [`OUTCOMES`].
 fn place(outcome: Outcome) -> usize {
     match outcome {
-        Outcome::Ok => 0,
+        Outcome::Success => 0,
         Outcome::Error => 1,
-        Outcome::Full => 2,
+        Outcome::Rejected => 2,
         Outcome::Timeout => 3,
         Outcome::ConnectFailed => 4,
         Outcome::Reset => 5,
         Outcome::Cancelled => 6,
-        Outcome::Moot => 7,
+        Outcome::NotSent => 7,
     }
 }
 
@@ -452,7 +452,11 @@
                         .map(figure)
                         .sum::<f64>()
                 };
-                let figures = [sum(|s| s.limit), sum(|s| s.busy), sum(|s| s.held as f64)];
+                let figures = [
+                    sum(|s| s.limit),
+                    sum(|s| s.in_flight),
+                    sum(|s| s.queued as f64),
+                ];
                 for (family, figure) in self.slices.iter().zip(figures) {
                     family.get_or_create(&slice).set(figure);
                 }
@@ -556,7 +560,7 @@
 
 impl Counts {
     /// Counters of a pool for the names of its site.
-    pub fn new(meter: &Rc<Meter>, pool: &str, site: &Site) -> Self {
+    pub fn new(meter: &Rc<Meter>, pool: &str, site: &SiteSettings) -> Self {
         let [classes, tenants] = [&site.classes, &site.tenants].map(Clone::clone);
         let (pool, of) = meter.pool(pool);
         Counts {
--- a/crates/heathroad/src/retry_budget.rs
+++ b/crates/heathroad/src/retry_budget.rs
@@ -1,6 +1,6 @@
 //! Budgets on real requests: headers in, the books, headers out. What is decided is decided in
-//! `heathroad-retry-budget` and the module; here is who is inner, the clock, and that each ticket is
-//! given back.
+//! `heathroad-retry-budget` and the module; here is who is inner, the clock, and that each ticket
+//! is given back.
 
 use heathroad_jsonrpc::message::Carried;
 use heathroad_retry_budget::account::Loan;
--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -12,7 +12,7 @@
 use crate::engine::Engine;
 use crate::membership::activity_log;
 use crate::metrics::{Meter, Moment};
-use heathroad_balancer::api::Effect;
+use heathroad_balancer::api::Idempotency;
 use heathroad_routing::generation::Generation;
 use hyper::StatusCode;
 use hyper::header::HeaderMap;
@@ -47,7 +47,7 @@
     /// Place of its class there.
     pub class: u16,
     /// Whether it may run again.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Longest time that its class may take, where its pool says so.
     pub deadline: Option<Duration>,
     /// How the pool's backends are called remotely, where they can be.
@@ -69,7 +69,7 @@
 fn bound(engine: &Rc<Engine>, class: &str) -> Option<Bound> {
     let facts = engine.facts();
     let place = facts.site.classes.iter().position(|c| c == class)?;
-    let effect = facts.settings.classes[place].effect;
+    let effect = facts.balancer.classes[place].idempotency;
     Some(Bound {
         engine: engine.clone(),
         class: place as u16,
--- a/crates/heathroad/src/router/registry.rs
+++ b/crates/heathroad/src/router/registry.rs
@@ -5,7 +5,7 @@
 use crate::discovery::{self, News};
 use crate::runtime_accounting::spawn_local;
 use crate::time::millis;
-use heathroad_balancer::api::ListKind;
+use heathroad_balancer::api::UpdateKind;
 use heathroad_routing::file::{self, Source};
 use heathroad_routing::nodes::{self, Standing};
 use heathroad_verifier::Node;
@@ -20,7 +20,7 @@
         let Source::List(members) = &run.pool.source else {
             return;
         };
-        let zone = usize::from(self.base.facts.settings.zone);
+        let zone = usize::from(self.base.facts.balancer.zone);
         let own = self
             .base
             .facts
@@ -48,7 +48,7 @@
             born_ms: 0.0,
         };
         run.engine
-            .list(ListKind::Full, members.iter().map(host).collect());
+            .list(UpdateKind::Snapshot, members.iter().map(host).collect());
     }
 
     pub(super) fn follow(self: &Rc<Self>, address: SocketAddr) {
@@ -83,7 +83,7 @@
     }
 
     /// Tells pools what a registry has told.
-    fn retell(self: &Rc<Self>, from: SocketAddr, kind: ListKind, hosts: Vec<Host>) {
+    fn retell(self: &Rc<Self>, from: SocketAddr, kind: UpdateKind, hosts: Vec<Host>) {
         self.news.set(self.news.get() + 1);
         let mut changed = BTreeSet::new();
         // Hosts whose labels change, as they were told before and now.
@@ -103,7 +103,7 @@
                 }
                 changed.insert(dial);
             };
-            if kind != ListKind::Delta {
+            if kind != UpdateKind::Delta {
                 let named: BTreeSet<&String> = hosts.iter().map(|h| &h.host).collect();
                 registry.hosts.retain(|name, host| {
                     let stays = named.contains(name);
@@ -118,7 +118,7 @@
                 if let Some(before) = known.filter(|k| labels(k) != labels(h)) {
                     moved.push((before.clone(), h));
                 }
-                let dial = if kind == ListKind::Delta {
+                let dial = if kind == UpdateKind::Delta {
                     h.dial.or(known.and_then(|b| b.dial))
                 } else {
                     h.dial
@@ -148,7 +148,7 @@
             if address.unwrap_or(self.registry.get()) == from {
                 let left: Vec<Host> = moved.iter().filter_map(leaves).collect();
                 if !left.is_empty() {
-                    run.engine.list(ListKind::Delta, left);
+                    run.engine.list(UpdateKind::Delta, left);
                 }
             }
         }
@@ -213,7 +213,7 @@
             .map(|r| r.hosts.values().cloned().collect());
         match known {
             // Some pool follows it already.
-            Some(hosts) => self.retell(to, ListKind::Full, hosts),
+            Some(hosts) => self.retell(to, UpdateKind::Snapshot, hosts),
             None => self.follow(to),
         }
         self.tidy();
--- a/crates/heathroad/src/router/routed_pools.rs
+++ b/crates/heathroad/src/router/routed_pools.rs
@@ -11,8 +11,8 @@
 use crate::membership::activity_log::Acts;
 use crate::metrics::{Counts, Meter};
 use crate::runtime_accounting::{sleep, spawn_local};
-use heathroad_balancer::api::{self, Effect, ListKind};
-use heathroad_balancer::settings::Facts;
+use heathroad_balancer::api::{self, Idempotency, UpdateKind};
+use heathroad_balancer::settings::InstanceSettings;
 use heathroad_routing::condition::Request;
 use heathroad_routing::file::{self, Group, Listener, Pool, Source};
 use heathroad_routing::generation::Generation;
@@ -71,7 +71,7 @@
 /// What every pool starts from.
 pub struct Base {
     /// The settings; a pool has its own classes.
-    pub facts: Facts,
+    pub facts: InstanceSettings,
     /// Seed of the modules' random numbers.
     pub seed: u64,
     /// Connections to all backends.
@@ -315,7 +315,7 @@
                 match known {
                     Some(hosts) => {
                         let chosen = hosts.into_values().filter(|h| chosen(h, select)).collect();
-                        run.engine.list(ListKind::Full, chosen);
+                        run.engine.list(UpdateKind::Snapshot, chosen);
                     }
                     None => self.follow(from),
                 }
@@ -439,31 +439,31 @@
 }
 
 /// The settings of a pool: the daemon's own, with the pool's classes.
-fn facts(base: &Facts, pool: &Pool) -> Facts {
+fn facts(base: &InstanceSettings, pool: &Pool) -> InstanceSettings {
     let mut facts = base.clone();
     let effect = |e: file::Effect| match e {
-        file::Effect::Safe => Effect::Retryable,
-        file::Effect::Unsafe => Effect::Fragile,
-        file::Effect::Keyed { group, window_ms } => Effect::Dedup {
+        file::Effect::Safe => Idempotency::Idempotent,
+        file::Effect::Unsafe => Idempotency::NonIdempotent,
+        file::Effect::Keyed { group, window_ms } => Idempotency::Deduplicated {
             window: window_ms,
-            group: match group {
-                Group::All => api::Group::All,
-                Group::Site => api::Group::Zone,
-                Group::Block => api::Group::Cell,
+            scope: match group {
+                Group::All => api::DeduplicationScope::All,
+                Group::Site => api::DeduplicationScope::Zone,
+                Group::Block => api::DeduplicationScope::Cell,
             },
         },
     };
     let class = |c: &file::Class| api::Class {
-        aim: c.aim_ms,
-        points: c.worth,
-        effect: effect(c.effect),
-        in_order: false,
+        latency_objective: c.aim_ms,
+        priority_weight: c.worth,
+        idempotency: effect(c.effect),
+        ordered_by_key: false,
     };
-    facts.settings.classes = pool.classes.iter().map(class).collect();
+    facts.balancer.classes = pool.classes.iter().map(class).collect();
     facts.site.classes = pool.classes.iter().map(|c| c.name.clone()).collect();
-    facts.settings.must_ask = false;
+    facts.balancer.polls_endpoints = false;
     if let Some(open) = pool.open {
-        facts.site.open_cap = facts.site.open_cap.min(open as usize);
+        facts.site.max_open_requests = facts.site.max_open_requests.min(open as usize);
     }
     facts
 }
--- a/crates/heathroad/src/safety/mod.rs
+++ b/crates/heathroad/src/safety/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::stall_detector;
 use crate::time::millis;
-use heathroad_balancer::api::{Effect, Group, Outcome};
+use heathroad_balancer::api::{DeduplicationScope, Idempotency, Outcome};
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -131,7 +131,7 @@
 impl Attempted {
     /// Whether it may have had an effect, or may yet.
     fn may_have_run(&self) -> bool {
-        !self.ended.is_some_and(Outcome::never_ran)
+        !self.ended.is_some_and(Outcome::never_executed)
     }
 }
 
@@ -142,7 +142,7 @@
 /// Whether one more attempt may be begun at `now` at a place, by what the class of the request says
 /// of its effect.
 pub fn repeat<'a>(
-    effect: Effect,
+    effect: Idempotency,
     before: impl Iterator<Item = &'a Attempted> + Clone,
     to: Place,
     may_duplicate: bool,
@@ -156,14 +156,17 @@
         return Ok(None);
     };
     let (window, group) = match effect {
-        Effect::Retryable => return Ok(None),
-        Effect::Fragile => return Err(Denied::NotRepeatable),
-        Effect::Dedup { window, group } => (window, group),
+        Idempotency::Idempotent => return Ok(None),
+        Idempotency::NonIdempotent => return Err(Denied::NotRepeatable),
+        Idempotency::Deduplicated {
+            window,
+            scope: group,
+        } => (window, group),
     };
     let same = match group {
-        Group::All => true,
-        Group::Zone => to.zone == first.place.zone,
-        Group::Cell => to.cell == first.place.cell,
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => to.zone == first.place.zone,
+        DeduplicationScope::Cell => to.cell == first.place.cell,
     };
     if !same {
         return Err(Denied::OutsideGroup);
@@ -184,12 +187,12 @@
 }
 
 /// Whether a request may be refused, which promises that trying again is harmless.
-pub fn refusal<'a>(effect: Effect, mut before: impl Iterator<Item = &'a Attempted>) -> bool {
+pub fn refusal<'a>(effect: Idempotency, mut before: impl Iterator<Item = &'a Attempted>) -> bool {
     let anywhere = matches!(
         effect,
-        Effect::Retryable
-            | Effect::Dedup {
-                group: Group::All,
+        Idempotency::Idempotent
+            | Idempotency::Deduplicated {
+                scope: DeduplicationScope::All,
                 ..
             }
     );
--- a/crates/heathroad/tests/unit/engine.rs
+++ b/crates/heathroad/tests/unit/engine.rs
@@ -5,7 +5,7 @@
 use tokio::task::LocalSet;
 
 /// Settings of one safe class.
-pub fn facts() -> Facts {
+pub fn facts() -> InstanceSettings {
     let text = r#"{"slotNo": 0, "peersTotal": 1, "tier": 0, "locality": 0, "localities": ["a"], "tick": 5.0,
         "overShareWorth": 0.05, "discovery": "automatic", "tenants": [],
         "classes": [{"name": "look", "aim": 1000.0, "points": 1.0, "semantics": "retryable", "group": "all",
@@ -59,9 +59,9 @@
                 let (old, new) = (format!("s-{n}"), format!("s-{}", n + 1));
                 if n % 2 == 0 {
                     let hosts = vec![host(&old, Health::Deleted), host(&new, Health::Serving)];
-                    engine.list(ListKind::Delta, hosts);
+                    engine.list(UpdateKind::Delta, hosts);
                 } else {
-                    engine.list(ListKind::Full, vec![host(&new, Health::Serving)]);
+                    engine.list(UpdateKind::Snapshot, vec![host(&new, Health::Serving)]);
                 }
                 let s = engine.state.borrow();
                 assert_eq!((s.ids.len(), s.backends.len()), (1, 1), "after {n}");
@@ -81,7 +81,7 @@
             let attempted = Attempted {
                 place: Place::default(),
                 begun: now,
-                ended: Some(Outcome::Ok),
+                ended: Some(Outcome::Success),
             };
             let open = Open {
                 call: Rc::new(Call::Http(call)),
@@ -99,7 +99,7 @@
                 acts: None,
             };
             engine.state.borrow_mut().requests.insert(7, open);
-            engine.list(ListKind::Full, vec![host("s-101", Health::Serving)]);
+            engine.list(UpdateKind::Snapshot, vec![host("s-101", Health::Serving)]);
             assert_eq!(engine.state.borrow().backends.len(), 2);
             engine.state.borrow_mut().requests.clear();
             engine.forget_gone();
@@ -143,7 +143,7 @@
     let engine = engine.expect("good settings");
     let dial = Some(listener.local_addr().expect("bound"));
     engine.list(
-        ListKind::Full,
+        UpdateKind::Snapshot,
         vec![Host {
             dial,
             ..host("a", Health::Serving)
--- a/crates/heathroad/tests/unit/metrics.rs
+++ b/crates/heathroad/tests/unit/metrics.rs
@@ -14,15 +14,15 @@
     let counts = Counts::new(
         &Rc::new(Meter::new()),
         "",
-        &Site {
+        &SiteSettings {
             classes: name(4),
             tenants: name(5),
-            ..Site::default()
+            ..SiteSettings::default()
         },
     );
     let begun = Instant::now();
     for i in 0..REQUESTS {
-        counts.ended(black_box(Outcome::Ok), None);
+        counts.ended(black_box(Outcome::Success), None);
         counts.answered(
             black_box((i % 4) as u16),
             black_box((i % 5) as u16),
--- a/crates/heathroad/tests/unit/safety.rs
+++ b/crates/heathroad/tests/unit/safety.rs
@@ -14,27 +14,31 @@
     }
 }
 
-fn keyed(group: Group) -> Effect {
-    Effect::Dedup {
-        group,
+fn keyed(group: DeduplicationScope) -> Idempotency {
+    Idempotency::Deduplicated {
+        scope: group,
         window: 1000.0,
     }
 }
 
 const MAY_HAVE_RUN: [Option<Outcome>; 6] = [
     None,
-    Some(Outcome::Ok),
+    Some(Outcome::Success),
     Some(Outcome::Error),
     Some(Outcome::Timeout),
     Some(Outcome::Reset),
     Some(Outcome::Cancelled),
 ];
-const NEVER_RAN: [Outcome; 3] = [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot];
+const NEVER_RAN: [Outcome; 3] = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent];
 
 #[test]
 fn what_never_ran_may_be_sent_anywhere_at_any_time() {
     let now = Instant::now();
-    for effect in [Effect::Retryable, Effect::Fragile, keyed(Group::Cell)] {
+    for effect in [
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        keyed(DeduplicationScope::Cell),
+    ] {
         assert_eq!(repeat(effect, [].iter(), FAR, false, now), Ok(None));
         for outcome in NEVER_RAN {
             let before = [attempted(HERE, now, Some(outcome))];
@@ -55,29 +59,70 @@
     for ended in MAY_HAVE_RUN {
         let before = [attempted(HERE, now, ended)];
         assert_eq!(
-            repeat(Effect::Retryable, before.iter(), FAR, true, now),
+            repeat(Idempotency::Idempotent, before.iter(), FAR, true, now),
             Ok(None)
         );
         assert_eq!(
-            repeat(Effect::Fragile, before.iter(), HERE, true, now),
+            repeat(Idempotency::NonIdempotent, before.iter(), HERE, true, now),
             Err(Denied::NotRepeatable)
         );
-        assert!(repeat(keyed(Group::Cell), before.iter(), HERE, true, now).is_ok());
+        assert!(
+            repeat(
+                keyed(DeduplicationScope::Cell),
+                before.iter(),
+                HERE,
+                true,
+                now
+            )
+            .is_ok()
+        );
         assert_eq!(
-            repeat(keyed(Group::Cell), before.iter(), NEXT_DOOR, true, now),
+            repeat(
+                keyed(DeduplicationScope::Cell),
+                before.iter(),
+                NEXT_DOOR,
+                true,
+                now
+            ),
             Err(Denied::OutsideGroup)
         );
-        assert!(repeat(keyed(Group::Zone), before.iter(), NEXT_DOOR, true, now).is_ok());
+        assert!(
+            repeat(
+                keyed(DeduplicationScope::Zone),
+                before.iter(),
+                NEXT_DOOR,
+                true,
+                now
+            )
+            .is_ok()
+        );
         assert_eq!(
-            repeat(keyed(Group::Zone), before.iter(), FAR, true, now),
+            repeat(
+                keyed(DeduplicationScope::Zone),
+                before.iter(),
+                FAR,
+                true,
+                now
+            ),
             Err(Denied::OutsideGroup)
         );
-        assert!(repeat(keyed(Group::All), before.iter(), FAR, true, now).is_ok());
         assert!(
-            refusal(Effect::Retryable, before.iter()) && refusal(keyed(Group::All), before.iter())
+            repeat(
+                keyed(DeduplicationScope::All),
+                before.iter(),
+                FAR,
+                true,
+                now
+            )
+            .is_ok()
         );
         assert!(
-            !refusal(Effect::Fragile, before.iter()) && !refusal(keyed(Group::Zone), before.iter())
+            refusal(Idempotency::Idempotent, before.iter())
+                && refusal(keyed(DeduplicationScope::All), before.iter())
+        );
+        assert!(
+            !refusal(Idempotency::NonIdempotent, before.iter())
+                && !refusal(keyed(DeduplicationScope::Zone), before.iter())
         );
     }
 }
@@ -86,12 +131,27 @@
 fn the_group_is_that_of_the_first_attempt_that_may_have_run() {
     let now = Instant::now();
     let before = [
-        attempted(FAR, now, Some(Outcome::Full)),
+        attempted(FAR, now, Some(Outcome::Rejected)),
         attempted(HERE, now, Some(Outcome::Reset)),
     ];
-    assert!(repeat(keyed(Group::Zone), before.iter(), NEXT_DOOR, true, now).is_ok());
+    assert!(
+        repeat(
+            keyed(DeduplicationScope::Zone),
+            before.iter(),
+            NEXT_DOOR,
+            true,
+            now
+        )
+        .is_ok()
+    );
     assert_eq!(
-        repeat(keyed(Group::Zone), before.iter(), FAR, true, now),
+        repeat(
+            keyed(DeduplicationScope::Zone),
+            before.iter(),
+            FAR,
+            true,
+            now
+        ),
         Err(Denied::OutsideGroup)
     );
 }
@@ -103,7 +163,13 @@
     let window = Duration::from_millis(1000);
     for ms in 0..1200 {
         let now = begun + Duration::from_millis(ms);
-        match repeat(keyed(Group::All), before.iter(), HERE, true, now) {
+        match repeat(
+            keyed(DeduplicationScope::All),
+            before.iter(),
+            HERE,
+            true,
+            now,
+        ) {
             Ok(by) => assert!(
                 now < by.expect("a keyed one has an end")
                     && by.unwrap() + stall_detector::LONGEST <= begun + window
@@ -115,8 +181,8 @@
         }
     }
     // A window that is shorter than a pause allows no repeat.
-    let short = Effect::Dedup {
-        group: Group::All,
+    let short = Idempotency::Deduplicated {
+        scope: DeduplicationScope::All,
         window: 100.0,
     };
     assert_eq!(
@@ -130,11 +196,11 @@
     let now = Instant::now();
     let out = [attempted(HERE, now, None)];
     assert_eq!(
-        repeat(Effect::Retryable, out.iter(), FAR, false, now),
+        repeat(Idempotency::Idempotent, out.iter(), FAR, false, now),
         Err(Denied::NotRepeatable)
     );
     assert_eq!(
-        repeat(Effect::Retryable, out.iter(), FAR, true, now),
+        repeat(Idempotency::Idempotent, out.iter(), FAR, true, now),
         Ok(None)
     );
 }
