--- a/crates/heathroad-lease/examples/lease-bench.rs
+++ b/crates/heathroad-lease/examples/lease-bench.rs
@@ -10,7 +10,7 @@
 use fastrand::Rng;
 use heathroad_lease::seat::Ended;
 use heathroad_lease::token::Token;
-use heathroad_membership::Place;
+use heathroad_membership::MemberId;
 
 const HOUR: u64 = 3_600_000;
 const LEASE: u64 = 5000;
@@ -42,7 +42,7 @@
         "kill" => world.kill(holder),
         "stall" => world.stall(holder, HOUR),
         "cut" => {
-            let others: Vec<Place> = (0..9).filter(|p| *p != holder).collect();
+            let others: Vec<MemberId> = (0..9).filter(|p| *p != holder).collect();
             world.cut(&[holder], &others);
         }
         _ => world.with(holder, |d, now| d.resign(now, duty(), Ended::Told)),
--- a/crates/heathroad-lease/src/duties.rs
+++ b/crates/heathroad-lease/src/duties.rs
@@ -9,7 +9,7 @@
 use crate::{DutyId, Terms};
 use fastrand::Rng;
 use heathroad_membership::version::Digest;
-use heathroad_membership::{Millis, Place};
+use heathroad_membership::{MemberId, Millis};
 use std::collections::BTreeMap;
 
 /// What is to be done, in this order: what is to be kept must be on disk before what is behind it
@@ -23,14 +23,14 @@
     /// Something happened to a duty.
     Event(DutyId, Event),
     /// A voter has said how a duty stands there.
-    Stands(Place, DutyId, What),
+    Stands(MemberId, DutyId, What),
 }
 
 /// Who this proxy is, and what it goes by.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Its place.
-    pub own: Place,
+    pub own: MemberId,
     /// Who votes.
     pub electorate: Electorate,
     /// Times.
@@ -44,13 +44,13 @@
 /// A proxy's part.
 #[derive(Clone)]
 pub struct Duties {
-    own: Place,
+    own: MemberId,
     electorate: Electorate,
     terms: Terms,
     seats: Vec<Seat>,
     voter: Option<Voter>,
     /// Who is there, as far as is known; this proxy too.
-    present: Vec<Place>,
+    present: Vec<MemberId>,
     ranks: BTreeMap<DutyId, u16>,
     clock: u64,
     rng: Rng,
@@ -58,8 +58,8 @@
 }
 
 /// The order in which members should hold a duty: another one for each, so that duties are spread.
-pub fn turn(duty: DutyId, present: &[Place]) -> Vec<Place> {
-    let weight = |place: &Place| {
+pub fn turn(duty: DutyId, present: &[MemberId]) -> Vec<MemberId> {
+    let weight = |place: &MemberId| {
         let [a, b] = place.to_be_bytes();
         Digest::of(&[duty.0[0], duty.0[1], duty.0[2], duty.0[3], a, b])
     };
@@ -106,7 +106,7 @@
     }
 
     /// Who is there now, this proxy too if it is willing.
-    pub fn present(&mut self, present: Vec<Place>) {
+    pub fn present(&mut self, present: Vec<MemberId>) {
         if present == self.present {
             return;
         }
@@ -178,14 +178,14 @@
     }
 
     /// Bytes have come from a member in one of its lives.
-    pub fn receive(&mut self, now: Millis, from: Place, life: u64, bytes: &[u8]) {
+    pub fn receive(&mut self, now: Millis, from: MemberId, life: u64, bytes: &[u8]) {
         if let Some(message) = Message::read(bytes).filter(|_| bytes.len() <= MAX_MESSAGE) {
             self.hear(now, from, life, message);
         }
     }
 
     /// A message has come from a member in one of its lives.
-    pub fn hear(&mut self, now: Millis, from: Place, life: u64, message: Message) {
+    pub fn hear(&mut self, now: Millis, from: MemberId, life: u64, message: Message) {
         let Message { duty, what } = message;
         let to_voter = matches!(
             what,
--- a/crates/heathroad-lease/src/electorate.rs
+++ b/crates/heathroad-lease/src/electorate.rs
@@ -1,6 +1,6 @@
 //! Who votes, and what a quorum is.
 
-use heathroad_membership::Place;
+use heathroad_membership::MemberId;
 use std::collections::BTreeSet;
 use std::fmt;
 
@@ -9,8 +9,8 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Electorate {
     generation: u8,
-    voters: Vec<Place>,
-    previous: Vec<Place>,
+    voters: Vec<MemberId>,
+    previous: Vec<MemberId>,
 }
 
 /// Why a set of voters can't be.
@@ -19,9 +19,9 @@
     /// Not three, five or seven.
     Count(usize),
     /// One is named twice.
-    Twice(Place),
+    Twice(MemberId),
     /// One is no member of the fleet.
-    Stranger(Place),
+    Stranger(MemberId),
     /// The first generation follows none.
     First,
 }
@@ -39,7 +39,7 @@
 
 impl std::error::Error for Unfit {}
 
-fn check(voters: &[Place], members: u16) -> Result<(), Unfit> {
+fn check(voters: &[MemberId], members: u16) -> Result<(), Unfit> {
     if !matches!(voters.len(), 3 | 5 | 7) {
         return Err(Unfit::Count(voters.len()));
     }
@@ -60,8 +60,8 @@
     /// more.
     pub fn new(
         generation: u8,
-        voters: Vec<Place>,
-        previous: Vec<Place>,
+        voters: Vec<MemberId>,
+        previous: Vec<MemberId>,
         members: u16,
     ) -> Result<Electorate, Unfit> {
         check(&voters, members)?;
@@ -85,22 +85,22 @@
     }
 
     /// All who are asked, each once.
-    pub fn all(&self) -> impl Iterator<Item = Place> {
+    pub fn all(&self) -> impl Iterator<Item = MemberId> {
         let further = self.previous.iter().filter(|p| !self.voters.contains(p));
         self.voters.iter().chain(further).copied()
     }
 
     /// Whether a member votes.
-    pub fn votes(&self, place: Place) -> bool {
+    pub fn votes(&self, place: MemberId) -> bool {
         self.all().any(|p| p == place)
     }
 
     /// The highest value that a quorum reaches, where each voter has one or none.
-    pub fn reached<T: Ord + Copy>(&self, of: impl Fn(Place) -> Option<T>) -> Option<T> {
+    pub fn reached<T: Ord + Copy>(&self, of: impl Fn(MemberId) -> Option<T>) -> Option<T> {
         let sets = [&self.voters, &self.previous]
             .into_iter()
             .filter(|s| !s.is_empty());
-        let reached = |set: &Vec<Place>| {
+        let reached = |set: &Vec<MemberId>| {
             let mut values: Vec<T> = set.iter().filter_map(|p| of(*p)).collect();
             values.sort_unstable();
             // A majority of the set has at least the value that so many from the top have.
@@ -114,7 +114,7 @@
     }
 
     /// Whether these are a quorum.
-    pub fn quorum(&self, is: impl Fn(Place) -> bool) -> bool {
+    pub fn quorum(&self, is: impl Fn(MemberId) -> bool) -> bool {
         self.reached(|p| is(p).then_some(())).is_some()
     }
 }
--- a/crates/heathroad-lease/src/message.rs
+++ b/crates/heathroad-lease/src/message.rs
@@ -5,7 +5,7 @@
 use crate::DutyId;
 use crate::token::Token;
 use crate::voter::Mark;
-use heathroad_membership::Place;
+use heathroad_membership::MemberId;
 use serde::{Deserialize, Serialize};
 
 /// Longest message, in bytes.
@@ -133,7 +133,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Send {
     /// To whom; it may be to this proxy itself.
-    pub to: Place,
+    pub to: MemberId,
     /// What.
     pub message: Message,
 }
--- a/crates/heathroad-lease/src/seat.rs
+++ b/crates/heathroad-lease/src/seat.rs
@@ -9,7 +9,7 @@
 use crate::voter::{MAX_STATE, Mark};
 use crate::{DutyId, Terms};
 use fastrand::Rng;
-use heathroad_membership::{Millis, Place};
+use heathroad_membership::{MemberId, Millis};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -75,8 +75,8 @@
     until: Millis,
     again: Millis,
     /// Who says that it is free, and who does not.
-    free: Vec<Place>,
-    held: Vec<Place>,
+    free: Vec<MemberId>,
+    held: Vec<MemberId>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -85,20 +85,20 @@
     until: Millis,
     again: Millis,
     /// The time up to which each voter's grant counts here.
-    granted: BTreeMap<Place, Millis>,
-    refused: BTreeMap<Place, Why>,
+    granted: BTreeMap<MemberId, Millis>,
+    refused: BTreeMap<MemberId, Why>,
     mark: Option<Mark>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Holding {
     token: Token,
-    granted: BTreeMap<Place, Millis>,
+    granted: BTreeMap<MemberId, Millis>,
     until: Millis,
     renew: Millis,
     /// The last mark, and who has said that it keeps it.
     mark: Option<Mark>,
-    kept: Vec<Place>,
+    kept: Vec<MemberId>,
     saved: bool,
     again: Millis,
 }
@@ -115,11 +115,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Parting {
     token: Token,
-    freed: Vec<Place>,
+    freed: Vec<MemberId>,
     again: Millis,
     rounds: u8,
     /// Who is to have it now.
-    next: Option<Place>,
+    next: Option<MemberId>,
 }
 
 /// What everything that a seat does is done by.
@@ -129,7 +129,7 @@
     /// Who votes.
     pub electorate: &'a Electorate,
     /// This proxy.
-    pub own: Place,
+    pub own: MemberId,
     /// Tokens count from this, see [`count_at`](crate::token::count_at).
     pub clock: u64,
     /// Its turn among those who are there, the first being the one who should hold it.
@@ -281,7 +281,7 @@
                 if now >= h.renew {
                     // Those who have not answered the last time are asked again sooner than the
                     // next renewal is due.
-                    let late: Vec<Place> = with
+                    let late: Vec<MemberId> = with
                         .electorate
                         .all()
                         .filter(|p| {
@@ -329,7 +329,7 @@
     fn stands(
         &mut self,
         now: Millis,
-        from: Place,
+        from: MemberId,
         left: Millis,
         why: Option<Why>,
         with: &mut With<'_>,
@@ -394,7 +394,7 @@
         now: Millis,
         token: Token,
         lease: Millis,
-        whom: impl Fn(Place) -> bool,
+        whom: impl Fn(MemberId) -> bool,
         with: &mut With<'_>,
     ) {
         self.round = self.round.wrapping_add(1);
@@ -412,7 +412,7 @@
         with.out.extend(to.map(|to| self.message(to, what.clone())));
     }
 
-    fn message(&self, to: Place, what: What) -> Send {
+    fn message(&self, to: MemberId, what: What) -> Send {
         Send {
             to,
             message: Message {
@@ -432,7 +432,7 @@
         now: Millis,
         token: Token,
         why: Ended,
-        next: Option<Place>,
+        next: Option<MemberId>,
         with: &mut With<'_>,
     ) {
         self.events.push_back(Event::End { token, why });
@@ -442,7 +442,7 @@
         self.let_go(now, token, next, with);
     }
 
-    fn let_go(&mut self, now: Millis, token: Token, next: Option<Place>, with: &mut With<'_>) {
+    fn let_go(&mut self, now: Millis, token: Token, next: Option<MemberId>, with: &mut With<'_>) {
         self.parting = Some(Parting {
             token,
             freed: Vec::new(),
@@ -460,7 +460,7 @@
         };
         (p.again, p.rounds) = (now + with.terms.again(), p.rounds + 1);
         let (token, over, next) = (p.token, p.rounds >= PARTING, p.next);
-        let to: Vec<Place> = with
+        let to: Vec<MemberId> = with
             .electorate
             .all()
             .filter(|v| !p.freed.contains(v))
@@ -477,7 +477,7 @@
     }
 
     /// Lets the duty go, or does not seek it for a while. `next` is who should have it now.
-    pub fn resign(&mut self, now: Millis, why: Ended, next: Option<Place>, with: &mut With<'_>) {
+    pub fn resign(&mut self, now: Millis, why: Ended, next: Option<MemberId>, with: &mut With<'_>) {
         self.lapse(now, with);
         // Who was overtaken is as fit as any, once it knows by which token.
         if why != Ended::Overtaken {
@@ -538,7 +538,7 @@
         }
         let Some(mark) = h.mark.clone() else { return };
         h.again = now + with.terms.again();
-        let to: Vec<Place> = with
+        let to: Vec<MemberId> = with
             .electorate
             .all()
             .filter(|v| !h.kept.contains(v))
@@ -549,7 +549,7 @@
     }
 
     /// A voter has answered, or somebody says that it is free.
-    pub fn hear(&mut self, now: Millis, from: Place, what: What, with: &mut With<'_>) {
+    pub fn hear(&mut self, now: Millis, from: MemberId, what: What, with: &mut With<'_>) {
         self.lapse(now, with);
         match what {
             What::Granted {
@@ -606,7 +606,7 @@
     fn granted(
         &mut self,
         now: Millis,
-        from: Place,
+        from: MemberId,
         token: Token,
         round: u32,
         lease: u32,
@@ -691,7 +691,14 @@
         }
     }
 
-    fn refusal(&mut self, now: Millis, from: Place, left: Millis, why: Why, with: &mut With<'_>) {
+    fn refusal(
+        &mut self,
+        now: Millis,
+        from: MemberId,
+        left: Millis,
+        why: Why,
+        with: &mut With<'_>,
+    ) {
         let Phase::Asking(a) = &mut self.phase else {
             return;
         };
@@ -708,7 +715,7 @@
         }
     }
 
-    fn kept(&mut self, from: Place, token: Token, seq: u32, with: &With<'_>) {
+    fn kept(&mut self, from: MemberId, token: Token, seq: u32, with: &With<'_>) {
         let Phase::Holding(h) = &mut self.phase else {
             return;
         };
--- a/crates/heathroad-lease/src/token.rs
+++ b/crates/heathroad-lease/src/token.rs
@@ -1,6 +1,6 @@
 //! Fencing tokens.
 
-use heathroad_membership::Place;
+use heathroad_membership::MemberId;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::str::FromStr;
@@ -25,7 +25,7 @@
 
 impl Token {
     /// Of its parts; a count past the highest is the highest.
-    pub const fn new(generation: u8, count: u64, place: Place) -> Token {
+    pub const fn new(generation: u8, count: u64, place: MemberId) -> Token {
         let count = if count > MAX_COUNT { MAX_COUNT } else { count };
         Token((generation as u64) << 56 | count << 16 | place as u64)
     }
@@ -41,13 +41,13 @@
     }
 
     /// Whose it is.
-    pub fn place(self) -> Place {
+    pub fn place(self) -> MemberId {
         self.0 as u16
     }
 
     /// The least that is above this one, with a count of `floor` or more; none if there is no
     /// further count.
-    pub fn above(self, floor: u64, generation: u8, place: Place) -> Option<Token> {
+    pub fn above(self, floor: u64, generation: u8, place: MemberId) -> Option<Token> {
         let token = Token::new(generation, floor, place);
         if token > self {
             return Some(token);
--- a/crates/heathroad-lease/src/voter.rs
+++ b/crates/heathroad-lease/src/voter.rs
@@ -10,7 +10,7 @@
 use crate::message::{What, Why};
 use crate::token::Token;
 use crate::{DutyId, Terms};
-use heathroad_membership::{Millis, Place};
+use heathroad_membership::{MemberId, Millis};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -125,7 +125,7 @@
     pub fn hear(
         &mut self,
         now: Millis,
-        from: Place,
+        from: MemberId,
         life: u64,
         duty: DutyId,
         what: What,
--- a/crates/heathroad-lease/tests/common/mod.rs
+++ b/crates/heathroad-lease/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use heathroad_lease::token::Token;
 use heathroad_lease::voter::{Mark, Memory};
 use heathroad_lease::{DutyId, Terms};
-use heathroad_membership::{Millis, Place};
+use heathroad_membership::{MemberId, Millis};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -30,7 +30,7 @@
     /// Longest way, in milliseconds.
     pub delay: Millis,
     /// Ways on which nothing comes through.
-    pub cut: Vec<(Place, Place)>,
+    pub cut: Vec<(MemberId, MemberId)>,
 }
 
 /// Of a proxy's own.
@@ -47,14 +47,14 @@
     /// Its wall clock is off by so many seconds.
     pub unix_off: i64,
     pub electorate: Electorate,
-    waiting: Vec<(Place, u64, u64, Message)>,
+    waiting: Vec<(MemberId, u64, u64, Message)>,
 }
 
 /// What was acted on: when, by whom, by which token; whether it was taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Done {
     pub at: Millis,
-    pub by: Place,
+    pub by: MemberId,
     pub token: Token,
     pub taken: bool,
 }
@@ -62,14 +62,14 @@
 /// An act that is under way: its holder has looked, and not yet written.
 struct UnderWay {
     at: Millis,
-    by: Place,
+    by: MemberId,
     life: u64,
     token: Token,
 }
 
 /// When a message comes, its number, to whom in which life, from whom in which life, and what it
 /// is.
-type Due = (Millis, u64, Place, u64, Place, u64, Message);
+type Due = (Millis, u64, MemberId, u64, MemberId, u64, Message);
 
 pub struct World {
     pub now: Millis,
@@ -77,7 +77,7 @@
     pub faults: Faults,
     pub rng: Rng,
     /// What happened, by whom.
-    pub events: Vec<(Millis, Place, Event)>,
+    pub events: Vec<(Millis, MemberId, Event)>,
     /// What is acted on, and whether it looks at tokens.
     pub fences: Fences,
     pub checks: bool,
@@ -149,13 +149,13 @@
         world
     }
 
-    fn clock(&self, place: Place) -> Millis {
+    fn clock(&self, place: MemberId) -> Millis {
         let p = &self.proxies[usize::from(place)];
         let ran = self.now as i64 + self.now as i64 * p.fast / 1000;
         p.ahead + ran as Millis
     }
 
-    pub fn start(&mut self, place: Place) {
+    pub fn start(&mut self, place: MemberId) {
         let at = usize::from(place);
         let (now, seed) = (self.clock(place), self.rng.u64(..));
         let unix = (UNIX + self.now).saturating_add_signed(1000 * self.proxies[at].unix_off);
@@ -178,18 +178,18 @@
         self.see();
     }
 
-    pub fn kill(&mut self, place: Place) {
+    pub fn kill(&mut self, place: MemberId) {
         self.proxies[usize::from(place)].duties = None;
         self.see();
     }
 
-    pub fn stall(&mut self, place: Place, time: Millis) {
+    pub fn stall(&mut self, place: MemberId, time: Millis) {
         self.proxies[usize::from(place)].stalled = self.now + time;
     }
 
     /// All know who runs; membership is another package's.
     fn see(&mut self) {
-        let there: Vec<Place> = self.running();
+        let there: Vec<MemberId> = self.running();
         for p in &mut self.proxies {
             if let Some(d) = &mut p.duties {
                 d.present(there.clone());
@@ -197,14 +197,14 @@
         }
     }
 
-    pub fn running(&self) -> Vec<Place> {
-        (0..self.proxies.len() as Place)
+    pub fn running(&self) -> Vec<MemberId> {
+        (0..self.proxies.len() as MemberId)
             .filter(|p| self.proxies[usize::from(*p)].duties.is_some())
             .collect()
     }
 
     /// Nothing goes from the one side to the other, nor back.
-    pub fn cut(&mut self, one: &[Place], other: &[Place]) {
+    pub fn cut(&mut self, one: &[MemberId], other: &[MemberId]) {
         for a in one {
             for b in other {
                 self.faults.cut.extend([(*a, *b), (*b, *a)]);
@@ -212,7 +212,7 @@
         }
     }
 
-    pub fn duties(&self, place: Place) -> &Duties {
+    pub fn duties(&self, place: MemberId) -> &Duties {
         self.proxies[usize::from(place)]
             .duties
             .as_ref()
@@ -220,7 +220,7 @@
     }
 
     /// Does something with one, and what follows from that.
-    pub fn with(&mut self, place: Place, act: impl FnOnce(&mut Duties, Millis)) {
+    pub fn with(&mut self, place: MemberId, act: impl FnOnce(&mut Duties, Millis)) {
         let now = self.clock(place);
         if let Some(d) = &mut self.proxies[usize::from(place)].duties {
             act(d, now);
@@ -230,8 +230,8 @@
 
     /// Whoever believes to hold it now, and by which token. Stalled ones believe nothing: they look
     /// when they wake.
-    pub fn holders(&self) -> Vec<(Place, Token)> {
-        let holds = |p: Place| {
+    pub fn holders(&self) -> Vec<(MemberId, Token)> {
+        let holds = |p: MemberId| {
             let proxy = &self.proxies[usize::from(p)];
             let duties = proxy
                 .duties
@@ -239,14 +239,16 @@
                 .filter(|_| proxy.stalled <= self.now)?;
             duties.holds(self.clock(p), duty()).map(|t| (p, t))
         };
-        (0..self.proxies.len() as Place).filter_map(holds).collect()
+        (0..self.proxies.len() as MemberId)
+            .filter_map(holds)
+            .collect()
     }
 
-    pub fn holder(&self) -> Option<Place> {
+    pub fn holder(&self) -> Option<MemberId> {
         self.holders().first().map(|(p, _)| *p)
     }
 
-    fn collect(&mut self, place: Place) {
+    fn collect(&mut self, place: MemberId) {
         let at = usize::from(place);
         loop {
             let Some(d) = &mut self.proxies[at].duties else {
@@ -312,7 +314,7 @@
         }
     }
 
-    fn bring(&mut self, to: Place, theirs: u64, from: Place, life: u64, message: Message) {
+    fn bring(&mut self, to: MemberId, theirs: u64, from: MemberId, life: u64, message: Message) {
         let now = self.clock(to);
         let proxy = &mut self.proxies[usize::from(to)];
         // The fleet's datagrams name the receiver's life, and those of a sender's ended life are
@@ -327,7 +329,7 @@
     }
 
     /// A holder looks, and writes some time after that: in between anything may happen.
-    fn act(&mut self, place: Place) {
+    fn act(&mut self, place: MemberId) {
         let Some(every) = self.acting else { return };
         let at = usize::from(place);
         if self.now < self.next_act[at] {
@@ -414,7 +416,7 @@
                     self.bring(to, theirs, from, life, message);
                 }
             }
-            for place in 0..self.proxies.len() as Place {
+            for place in 0..self.proxies.len() as MemberId {
                 let at = usize::from(place);
                 if self.proxies[at].stalled > self.now || self.proxies[at].duties.is_none() {
                     continue;
@@ -433,8 +435,8 @@
     }
 
     /// Tokens in the order in which they began, each by one holder.
-    pub fn begun(&self) -> Vec<(Millis, Place, Token, Option<Mark>)> {
-        let begin = |(at, by, event): &(Millis, Place, Event)| match event {
+    pub fn begun(&self) -> Vec<(Millis, MemberId, Token, Option<Mark>)> {
+        let begin = |(at, by, event): &(Millis, MemberId, Event)| match event {
             Event::Begin { token, mark } => Some((*at, *by, *token, mark.clone())),
             _ => None,
         };
--- a/crates/heathroad-lease/tests/grants.rs
+++ b/crates/heathroad-lease/tests/grants.rs
@@ -10,7 +10,7 @@
 use heathroad_lease::token::{Token, count_at};
 use heathroad_lease::voter::{Memory, Voter};
 use heathroad_lease::{DutyId, Terms};
-use heathroad_membership::Place;
+use heathroad_membership::MemberId;
 
 const LONG: u64 = 60_000;
 
@@ -23,7 +23,7 @@
 }
 
 /// Runs until somebody holds it, under a later token than before: who, and how long that took.
-fn next(world: &mut World, last: Token) -> (Place, u64) {
+fn next(world: &mut World, last: Token) -> (MemberId, u64) {
     let (begun, end) = (world.now, world.now + LONG);
     let later = |w: &World| w.holders().iter().any(|(_, t)| *t > last);
     let at = world.run_until(end, later).expect("it is held again");
@@ -56,8 +56,8 @@
 
 #[test]
 fn duties_are_spread() {
-    let all: Vec<Place> = (0..30).collect();
-    let mut first: Vec<Place> = (0..30)
+    let all: Vec<MemberId> = (0..30).collect();
+    let mut first: Vec<MemberId> = (0..30)
         .map(|n| turn(DutyId::of(&format!("duty {n}")), &all)[0])
         .collect();
     first.sort_unstable();
@@ -544,7 +544,7 @@
     let mut world = held(6, 3, 4);
     let (first, last) = (world.holder().expect("held"), token(&world));
     world.run(LEASE * 6);
-    let others: Vec<Place> = (0..6).filter(|p| *p != first).collect();
+    let others: Vec<MemberId> = (0..6).filter(|p| *p != first).collect();
     world.cut(&[first], &others);
     world.with(first, |d, now| d.resign(now, duty(), Ended::Unfit));
     let (second, took) = next(&mut world, last);
@@ -601,7 +601,7 @@
 fn one_that_is_heard_by_voters_goes_on() {
     let mut world = held(9, 3, 7);
     let (first, last) = (world.holder().expect("held"), token(&world));
-    let others: Vec<Place> = (3..9).filter(|p| *p != first).collect();
+    let others: Vec<MemberId> = (3..9).filter(|p| *p != first).collect();
     world.cut(&[first], &others);
     world.run(LEASE * 10);
     assert_eq!((world.holder(), token(&world)), (Some(first), last));
@@ -611,9 +611,9 @@
 fn without_a_majority_nobody_is_granted_anything_and_what_is_held_lapses() {
     let mut world = held(6, 3, 8);
     let last = token(&world);
-    let all: Vec<Place> = (0..6).collect();
+    let all: Vec<MemberId> = (0..6).collect();
     for voter in 0..3 {
-        let others: Vec<Place> = all.iter().copied().filter(|p| *p != voter).collect();
+        let others: Vec<MemberId> = all.iter().copied().filter(|p| *p != voter).collect();
         world.cut(&[voter], &others);
     }
     world.run(LEASE * 2);
@@ -664,13 +664,13 @@
 fn a_mark_is_saved_by_a_quorum() {
     let mut world = held(6, 3, 22);
     let holder = world.holder().expect("held");
-    let others: Vec<Place> = (0..3).filter(|v| *v != holder).collect();
-    let voters: Vec<Place> = if holder < 3 {
+    let others: Vec<MemberId> = (0..3).filter(|v| *v != holder).collect();
+    let voters: Vec<MemberId> = if holder < 3 {
         vec![holder, others[0]]
     } else {
         others[..2].to_vec()
     };
-    let cut: Vec<Place> = (0..3).filter(|v| !voters.contains(v)).collect();
+    let cut: Vec<MemberId> = (0..3).filter(|v| !voters.contains(v)).collect();
     world.cut(&cut, &[holder]);
     world.faults.cut.push((holder, others[0]));
     world.with(holder, |d, now| {
@@ -686,7 +686,7 @@
     world.faults.cut.retain(|way| *way != (holder, others[0]));
     let end = world.now + LEASE / 3;
     world.run_until(end, saved).expect("two of three keep it");
-    let kept = |w: &World, v: Place| {
+    let kept = |w: &World, v: MemberId| {
         let memory = w.duties(v).voter().expect("a voter").memory();
         memory.duties.get(&duty()).map_or(0, |h| h.mark.seq)
     };
@@ -757,7 +757,7 @@
     let mut world = held(12, 3, 18);
     let last = token(&world);
     let order = turn(duty(), &world.running());
-    let voters: Vec<Place> = order[9..].to_vec();
+    let voters: Vec<MemberId> = order[9..].to_vec();
     (0..12).for_each(|p| world.kill(p));
     for p in 0..12 {
         let proxy = &mut world.proxies[usize::from(p)];
@@ -810,7 +810,7 @@
     (0..3).filter(|p| *p != holder).for_each(|p| world.kill(p));
     world.proxies.iter_mut().for_each(|p| p.has_disk = false);
     (0..3).filter(|p| *p != holder).for_each(|p| world.start(p));
-    let others: Vec<Place> = (0..5).filter(|p| *p != holder).collect();
+    let others: Vec<MemberId> = (0..5).filter(|p| *p != holder).collect();
     world.cut(&[holder], &others);
     let (_, took) = next(&mut world, last);
     assert!(took >= Terms { lease: LEASE }.kept(LEASE), "{took}");
@@ -920,7 +920,7 @@
             let Some(holder) = world.holder() else {
                 continue;
             };
-            let others: Vec<Place> = (0..5).filter(|p| *p != holder).collect();
+            let others: Vec<MemberId> = (0..5).filter(|p| *p != holder).collect();
             world.cut(&[holder], &others);
             world.run(LEASE * 3);
             world.faults.cut.clear();
@@ -935,7 +935,7 @@
 
 #[test]
 fn electorates_are_checked() {
-    let new = |voters: &[Place], previous: &[Place]| {
+    let new = |voters: &[MemberId], previous: &[MemberId]| {
         Electorate::new(1, voters.to_vec(), previous.to_vec(), 9)
     };
     assert!(new(&[0, 1, 2], &[3, 4, 5, 6, 7]).is_ok());
--- a/crates/heathroad-lease/tests/histories.rs
+++ b/crates/heathroad-lease/tests/histories.rs
@@ -10,7 +10,7 @@
 use fastrand::Rng;
 use heathroad_lease::seat::Ended;
 use heathroad_lease::voter::Memory;
-use heathroad_membership::Place;
+use heathroad_membership::MemberId;
 
 fn number(name: &str, usual: u64) -> u64 {
     std::env::var(name)
@@ -20,18 +20,18 @@
 }
 
 fn strike(world: &mut World, rng: &mut Rng, copies: &mut [Memory]) {
-    let members = world.proxies.len() as Place;
+    let members = world.proxies.len() as MemberId;
     let who = rng.u16(0..members);
     let at = usize::from(who);
-    let others: Vec<Place> = (0..members).filter(|p| *p != who).collect();
+    let others: Vec<MemberId> = (0..members).filter(|p| *p != who).collect();
     match rng.u32(0..11) {
         0 => (world.faults.loss, world.faults.twice) = (rng.f64() * 0.4, rng.f64() * 0.3),
         1 => world.faults.delay = rng.u64(1..LEASE),
         2 => world.cut(&[who], &others),
         3 => world.faults.cut.extend(others.iter().map(|o| (who, *o))),
         4 => {
-            let side: Vec<Place> = (0..members).filter(|_| rng.bool()).collect();
-            let other: Vec<Place> = (0..members).filter(|p| !side.contains(p)).collect();
+            let side: Vec<MemberId> = (0..members).filter(|_| rng.bool()).collect();
+            let other: Vec<MemberId> = (0..members).filter(|p| !side.contains(p)).collect();
             world.cut(&side, &other);
         }
         5 => world.faults.cut.clear(),
@@ -46,7 +46,7 @@
         8 => (0..members).for_each(|p| world.kill(p)),
         9 => world.with(who, |d, now| d.resign(now, duty(), Ended::Told)),
         _ => {
-            let down: Vec<Place> = (0..members)
+            let down: Vec<MemberId> = (0..members)
                 .filter(|p| !world.running().contains(p))
                 .collect();
             for p in down {
--- a/crates/heathroad-lease/tests/orders.rs
+++ b/crates/heathroad-lease/tests/orders.rs
@@ -10,18 +10,18 @@
 use heathroad_lease::token::Token;
 use heathroad_lease::voter::{Memory, Voter};
 use heathroad_lease::{DutyId, Terms};
-use heathroad_membership::{Millis, Place};
+use heathroad_membership::{MemberId, Millis};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
 const TERMS: Terms = Terms { lease: 8 };
 /// Candidates are no voters here: 3 and 4.
-const CANDIDATES: [Place; 2] = [3, 4];
+const CANDIDATES: [MemberId; 2] = [3, 4];
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Under {
-    from: Place,
-    to: Place,
+    from: MemberId,
+    to: MemberId,
     /// Of the receiver, where it is a voter.
     life: u64,
     message: Message,
@@ -44,7 +44,7 @@
     /// To a voter, whose answer is late; or to a candidate, late.
     Comes(Under),
     Time,
-    Restart(Place),
+    Restart(MemberId),
 }
 
 struct Small {
--- a/crates/heathroad-membership/examples/membership-bench.rs
+++ b/crates/heathroad-membership/examples/membership-bench.rs
@@ -7,7 +7,7 @@
 mod common;
 
 use common::{World, version};
-use heathroad_membership::fleet::News;
+use heathroad_membership::protocol::Event;
 use heathroad_membership::table::Standing;
 
 const LIMIT: u64 = 300_000;
@@ -97,8 +97,8 @@
                 world.run(30_000);
             }
             let said =
-                |w: &World, is: fn(&News) -> bool| w.news.iter().filter(|(_, _, n)| is(n)).count();
-            let reborn = said(&world, |n| matches!(n, News::Reborn { .. }));
+                |w: &World, is: fn(&Event) -> bool| w.news.iter().filter(|(_, _, n)| is(n)).count();
+            let reborn = said(&world, |n| matches!(n, Event::Reborn { .. }));
             println!(
                 "  loss {:>2}%, stalls of {stall:>4} ms: {reborn}",
                 (loss * 100.0) as u32
--- a/crates/heathroad-membership/src/record.rs
+++ b/crates/heathroad-membership/src/activity_record.rs
@@ -18,58 +18,58 @@
 
 /// What a proxy does, as far as a version decides it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Act {
+pub enum Activity {
     /// A request was bound.
-    Bound,
+    RequestBound,
     /// An attempt was sent to a backend.
-    Sent,
+    AttemptSent,
     /// A request was answered with what a backend made for it.
-    Served,
+    RequestServed,
     /// A request was refused.
-    Refused,
+    RequestRejected,
     /// A request failed, or its time was over, or its caller left.
-    Failed,
+    RequestFailed,
     /// A request was refused unbound, since this proxy fenced itself.
-    Fenced,
+    RequestFenced,
     /// A change came into force.
-    Applied,
+    ChangeApplied,
     /// A change was undone.
-    Undone,
+    ChangeRolledBack,
 }
 
 /// How many of each kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Acts {
-    /// [`Act::Bound`].
+    /// [`Activity::RequestBound`].
     pub bound: u64,
-    /// [`Act::Sent`].
+    /// [`Activity::AttemptSent`].
     pub sent: u64,
-    /// [`Act::Served`].
+    /// [`Activity::RequestServed`].
     pub served: u64,
-    /// [`Act::Refused`].
+    /// [`Activity::RequestRejected`].
     pub refused: u64,
-    /// [`Act::Failed`].
+    /// [`Activity::RequestFailed`].
     pub failed: u64,
-    /// [`Act::Fenced`].
+    /// [`Activity::RequestFenced`].
     pub fenced: u64,
-    /// [`Act::Applied`].
+    /// [`Activity::ChangeApplied`].
     pub applied: u64,
-    /// [`Act::Undone`].
+    /// [`Activity::ChangeRolledBack`].
     pub undone: u64,
 }
 
 impl Acts {
-    fn add(&mut self, act: Act) {
+    fn add(&mut self, act: Activity) {
         let count = match act {
-            Act::Bound => &mut self.bound,
-            Act::Sent => &mut self.sent,
-            Act::Served => &mut self.served,
-            Act::Refused => &mut self.refused,
-            Act::Failed => &mut self.failed,
-            Act::Fenced => &mut self.fenced,
-            Act::Applied => &mut self.applied,
-            Act::Undone => &mut self.undone,
+            Activity::RequestBound => &mut self.bound,
+            Activity::AttemptSent => &mut self.sent,
+            Activity::RequestServed => &mut self.served,
+            Activity::RequestRejected => &mut self.refused,
+            Activity::RequestFailed => &mut self.failed,
+            Activity::RequestFenced => &mut self.fenced,
+            Activity::ChangeApplied => &mut self.applied,
+            Activity::ChangeRolledBack => &mut self.undone,
         };
         *count += 1;
     }
@@ -181,7 +181,8 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lost {
     /// Pages.
-    pub pages: u64,
+    #[serde(rename = "pages")]
+    pub count: u64,
     /// Their acts.
     pub acts: Acts,
     /// The end of the last of them.
@@ -190,15 +191,17 @@
 
 /// A record, as it is kept and told.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct RecordSnapshot {
     /// When it was written down, by the proxy's clock.
     pub at: Unix,
     /// Since when it is kept; nothing is known of before.
     pub since: Unix,
     /// Its pages, the oldest first.
-    pub pages: Vec<Kept>,
+    #[serde(rename = "pages")]
+    pub intervals: Vec<Kept>,
     /// What was given up for want of room.
-    pub lost: Lost,
+    #[serde(rename = "lost")]
+    pub discarded: Lost,
     /// When it was kept from its fellows, the oldest first.
     #[serde(default)]
     pub spells: Vec<Spell>,
@@ -207,16 +210,16 @@
     pub turned_down: Vec<TurnedDown>,
 }
 
-impl Told {
+impl RecordSnapshot {
     /// Gives the oldest page up, but not the last one that is left; whether there was one.
-    pub fn give_up_oldest(&mut self) -> bool {
-        if self.pages.len() < 2 {
+    pub fn discard_oldest(&mut self) -> bool {
+        if self.intervals.len() < 2 {
             return false;
         }
-        let page = self.pages.remove(0);
-        self.lost.pages += 1;
-        self.lost.acts = self.lost.acts.plus(page.acts);
-        self.lost.until = page.to;
+        let page = self.intervals.remove(0);
+        self.discarded.count += 1;
+        self.discarded.acts = self.discarded.acts.plus(page.acts);
+        self.discarded.until = page.to;
         true
     }
 }
@@ -238,7 +241,7 @@
     }
 
     /// Writes an act down.
-    pub fn act(self: &Rc<Self>, act: Act, now: Unix) {
+    pub fn act(self: &Rc<Self>, act: Activity, now: Unix) {
         let mut page = self.clone();
         while let Some(next) = { page.into.borrow().clone() } {
             page = next;
@@ -267,7 +270,7 @@
 
 /// A proxy's record.
 #[derive(Debug)]
-pub struct Record {
+pub struct ActivityRecord {
     life: u64,
     since: Unix,
     pages: VecDeque<Rc<Page>>,
@@ -279,17 +282,19 @@
     turned_down: VecDeque<TurnedDown>,
 }
 
-impl Record {
+impl ActivityRecord {
     /// Begins with what was kept from before; without it, nothing is known of before `now`.
-    pub fn new(now: Unix, life: u64, before: Option<Told>) -> Record {
+    pub fn new(now: Unix, life: u64, before: Option<RecordSnapshot>) -> ActivityRecord {
         let since = before.as_ref().map_or(now, |told| told.since);
-        let lost = before.as_ref().map_or_else(Lost::default, |told| told.lost);
-        let mut record = Record {
+        let lost = before
+            .as_ref()
+            .map_or_else(Lost::default, |told| told.discarded);
+        let mut record = ActivityRecord {
             life,
             since,
             pages: VecDeque::new(),
             lost: Page::new(blank(lost.acts)),
-            lost_pages: lost.pages,
+            lost_pages: lost.count,
             lost_until: lost.until,
             spells: VecDeque::new(),
             turned_down: VecDeque::new(),
@@ -301,7 +306,7 @@
                 ..s
             };
             record.spells = told.spells.into_iter().map(ended).collect();
-            for mut kept in told.pages {
+            for mut kept in told.intervals {
                 if kept.to.is_none() {
                     (kept.to, kept.torn) = (Some(told.at), true);
                 }
@@ -313,7 +318,7 @@
     }
 
     /// From now on this version is in force.
-    pub fn begin(&mut self, now: Unix, version: Version) -> Rc<Page> {
+    pub fn begin_interval(&mut self, now: Unix, version: Version) -> Rc<Page> {
         let (digest, life) = (version.digest(), self.life);
         if let Some(page) = self.pages.back() {
             let kept = page.kept.borrow();
@@ -432,14 +437,14 @@
     }
 
     /// As it stands.
-    pub fn told(&self, now: Unix) -> Told {
+    pub fn snapshot(&self, now: Unix) -> RecordSnapshot {
         let acts = self.lost.kept.borrow().acts;
-        Told {
+        RecordSnapshot {
             at: now,
             since: self.since,
-            pages: self.pages.iter().map(|p| p.kept.borrow().clone()).collect(),
-            lost: Lost {
-                pages: self.lost_pages,
+            intervals: self.pages.iter().map(|p| p.kept.borrow().clone()).collect(),
+            discarded: Lost {
+                count: self.lost_pages,
                 acts,
                 until: self.lost_until,
             },
--- a/crates/heathroad-membership/src/want.rs
+++ b/crates/heathroad-membership/src/desired_version.rs
@@ -3,18 +3,19 @@
 //! who knows of it tells neither on.
 
 use crate::version::Digest;
-use crate::{Millis, Place};
+use crate::{MemberId, Millis};
 use serde::Serialize;
 
 /// A generation that all are to act on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct Want {
+pub struct DesiredVersion {
     /// The generation's number.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub generation: u64,
     /// The digest of its text.
     pub digest: Digest,
     /// Where it was committed first.
-    pub by: Place,
+    pub by: MemberId,
 }
 
 /// From a time on nobody is to act on a generation below this one. It holds also once a higher one
@@ -77,32 +78,35 @@
 /// What is wanted, as far as is known.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "is")]
-pub enum Wanted {
+pub enum Desired {
     /// Nothing was ever committed.
     #[default]
-    Nothing,
+    #[serde(rename = "nothing")]
+    Unset,
     /// This.
-    One(Want),
+    #[serde(rename = "one")]
+    Version(DesiredVersion),
     /// Nobody can say which.
-    Both(Conflict),
+    #[serde(rename = "both")]
+    Conflict(Conflict),
 }
 
 /// A deadline that is sooner by less, in milliseconds, is no news: it has lain in some message for
 /// so long.
 const NEAR: Millis = 200;
 
-impl Wanted {
+impl Desired {
     /// The highest number that is known.
     pub fn number(&self) -> u64 {
         match self {
-            Wanted::Nothing => 0,
-            Wanted::One(w) => w.number,
-            Wanted::Both(c) => c.number,
+            Desired::Unset => 0,
+            Desired::Version(w) => w.generation,
+            Desired::Conflict(c) => c.number,
         }
     }
 
     /// Takes another's word; whether it is news.
-    pub fn merge(&mut self, other: Wanted) -> bool {
+    pub fn merge(&mut self, other: Desired) -> bool {
         if other.number() != self.number() {
             let higher = other.number() > self.number();
             if higher {
@@ -116,7 +120,7 @@
         digests.dedup();
         match (self, &digests[..]) {
             (mine, [one, another, ..]) => {
-                *mine = Wanted::Both(Conflict {
+                *mine = Desired::Conflict(Conflict {
                     number: mine.number(),
                     digests: [*one, *another],
                 });
@@ -128,9 +132,9 @@
 
     fn digests(&self) -> impl Iterator<Item = Digest> + use<> {
         let digests = match self {
-            Wanted::Nothing => [None, None],
-            Wanted::One(w) => [Some(w.digest), None],
-            Wanted::Both(c) => c.digests.map(Some),
+            Desired::Unset => [None, None],
+            Desired::Version(w) => [Some(w.digest), None],
+            Desired::Conflict(c) => c.digests.map(Some),
         };
         digests.into_iter().flatten()
     }
--- a/crates/heathroad-membership/src/gossip.rs
+++ b/crates/heathroad-membership/src/gossip.rs
@@ -2,10 +2,10 @@
 //! told first; what room is left in a datagram goes to old news by turns, so that whoever missed
 //! something hears it again.
 
+use crate::desired_version::{Conflict, Desired, DesiredVersion, Required};
 use crate::table::Table;
-use crate::want::{Conflict, Required, Want, Wanted};
 use crate::wire::Item;
-use crate::{Millis, Place};
+use crate::{MemberId, Millis};
 use std::collections::BTreeMap;
 
 /// A piece of news is told so many times the logarithm to base two of the fleet's size by each who
@@ -19,9 +19,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Topic {
     /// How a member stands.
-    Standing(Place),
+    Standing(MemberId),
     /// What it acts on.
-    Acts(Place),
+    Acts(MemberId),
     /// What all are to act on.
     Wanted,
 }
@@ -38,9 +38,13 @@
                 digest: a.digest,
             }),
             Topic::Wanted => match table.wanted() {
-                Wanted::Nothing => None,
-                Wanted::One(Want { number, digest, by }) => Some(Item::Want { number, digest, by }),
-                Wanted::Both(Conflict { number, digests }) => {
+                Desired::Unset => None,
+                Desired::Version(DesiredVersion {
+                    generation: number,
+                    digest,
+                    by,
+                }) => Some(Item::Want { number, digest, by }),
+                Desired::Conflict(Conflict { number, digests }) => {
                     Some(Item::Conflict { number, digests })
                 }
             },
@@ -53,7 +57,7 @@
 pub struct Gossip {
     hot: BTreeMap<Topic, u32>,
     /// Whose old news is told next.
-    turn: Place,
+    turn: MemberId,
 }
 
 impl Gossip {
@@ -69,7 +73,12 @@
 
     /// What a datagram to somebody should tell, the first the most: what it must know of itself,
     /// news, old news.
-    pub fn items(&mut self, table: &Table, to: Place, now: Millis) -> Vec<(Option<Topic>, Item)> {
+    pub fn items(
+        &mut self,
+        table: &Table,
+        to: MemberId,
+        now: Millis,
+    ) -> Vec<(Option<Topic>, Item)> {
         let own = table
             .get(to)
             .filter(|m| m.standing != crate::table::Standing::Alive);
--- a/crates/heathroad-membership/src/fleet/carry.rs
+++ b/crates/heathroad-membership/src/protocol/carry.rs
@@ -1,9 +1,9 @@
 //! Messages of others than the fleet itself, in its sealed datagrams: from a known life of their
 //! sender, for this life, each once.
 
-use super::Fleet;
+use super::Membership;
 use crate::wire::{Head, Item, Kind};
-use crate::{Millis, Place};
+use crate::{MemberId, Millis};
 
 /// Longest message, in bytes.
 pub const MAX_CARRIED: usize = 190;
@@ -14,18 +14,18 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Carried {
     /// From whom.
-    pub from: Place,
+    pub from: MemberId,
     /// In which of its lives.
-    pub life: u64,
+    pub incarnation: u64,
     /// What.
     pub bytes: Vec<u8>,
 }
 
-impl Fleet {
+impl Membership {
     /// Sends a message, unless it is too long or too many have gone this second: it may be lost,
     /// late or overtaken, but comes once at the most, and to no later life of its receiver than is
     /// known here.
-    pub fn carry(&mut self, now: Millis, to: Place, bytes: Vec<u8>) {
+    pub fn carry(&mut self, now: Millis, to: MemberId, bytes: Vec<u8>) {
         let life = self.table.get(to).map(|m| m.incarnation.life);
         let Some(life) = life.filter(|_| to != self.own && bytes.len() <= MAX_CARRIED) else {
             return;
@@ -58,7 +58,7 @@
         });
         let carried = bytes.map(|bytes| Carried {
             from: head.from,
-            life: head.from_life,
+            incarnation: head.from_life,
             bytes,
         });
         self.carried.extend(carried.take(room));
--- a/crates/heathroad-membership/src/fleet/fetch.rs
+++ b/crates/heathroad-membership/src/protocol/fetch.rs
@@ -2,10 +2,10 @@
 //! asks keeps the pace, asks again for what did not come, and gives up where nothing comes; who is
 //! asked keeps a few texts as they were when first asked for.
 
-use super::Fleet;
+use super::Membership;
 use crate::version::Digest;
-use crate::wire::{Item, Kind, Topic};
-use crate::{Millis, Place};
+use crate::wire::{Item, Kind, Resource};
+use crate::{MemberId, Millis};
 use std::sync::Arc;
 
 /// Bytes of a text in one datagram.
@@ -46,22 +46,22 @@
     pub within: Millis,
 }
 
-/// A question for a text, to be answered by [`Fleet::serve`].
+/// A question for a text, to be answered by [`Membership::serve`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Asked {
     /// Who asks.
-    pub from: Place,
+    pub from: MemberId,
     /// The asker's number for it.
     pub id: u32,
     /// For what.
-    pub topic: Topic,
+    pub topic: Resource,
     /// Which of them, where there are several.
     pub key: Digest,
 }
 
 #[derive(Debug, Clone)]
 pub(super) struct Served {
-    to: Place,
+    to: MemberId,
     id: u32,
     text: Arc<[u8]>,
 }
@@ -69,8 +69,8 @@
 #[derive(Debug, Clone)]
 pub(super) struct Fetch {
     id: u32,
-    to: Place,
-    topic: Topic,
+    to: MemberId,
+    topic: Resource,
     key: Digest,
     /// Known from the first part on.
     parts: Vec<Option<Vec<u8>>>,
@@ -90,10 +90,16 @@
     }
 }
 
-impl Fleet {
-    /// Fetches a text from a member: its number, by which [`Fleet::fetched`] tells it; none if too
+impl Membership {
+    /// Fetches a text from a member: its number, by which [`Membership::fetched`] tells it; none if too
     /// many are under way.
-    pub fn fetch(&mut self, now: Millis, to: Place, topic: Topic, key: Digest) -> Option<u32> {
+    pub fn fetch(
+        &mut self,
+        now: Millis,
+        to: MemberId,
+        topic: Resource,
+        key: Digest,
+    ) -> Option<u32> {
         if self.fetches.len() >= FETCHES || to == self.own || to >= self.table.places() {
             return None;
         }
@@ -148,7 +154,7 @@
         self.part(now, asked.from, asked.id, 0);
     }
 
-    fn put_text(&mut self, now: Millis, to: Place, kind: Kind, items: &[Item]) {
+    fn put_text(&mut self, now: Millis, to: MemberId, kind: Kind, items: &[Item]) {
         if !self.texts.take(now) {
             self.traffic.held_back += 1;
             return;
@@ -158,7 +164,7 @@
     }
 
     /// One part of a text that is kept for somebody; whether it is.
-    fn part(&mut self, now: Millis, to: Place, id: u32, at: u32) -> bool {
+    fn part(&mut self, now: Millis, to: MemberId, id: u32, at: u32) -> bool {
         let Some(served) = self.served.iter().find(|s| s.to == to && s.id == id) else {
             return false;
         };
@@ -177,9 +183,9 @@
     pub(super) fn asked_for(
         &mut self,
         now: Millis,
-        from: Place,
+        from: MemberId,
         id: u32,
-        topic: Topic,
+        topic: Resource,
         key: Digest,
         at: u32,
     ) {
@@ -201,7 +207,7 @@
         }
     }
 
-    pub(super) fn part_came(&mut self, now: Millis, from: Place, kind: Kind, items: Vec<Item>) {
+    pub(super) fn part_came(&mut self, now: Millis, from: MemberId, kind: Kind, items: Vec<Item>) {
         let Kind::Part { id, length, at } = kind else {
             return;
         };
@@ -239,7 +245,7 @@
         }
         if fetch.whole() {
             let text: Vec<u8> = fetch.parts.iter().flatten().flatten().copied().collect();
-            let sound = fetch.topic != Topic::Routes || Digest::of(&text) == fetch.key;
+            let sound = fetch.topic != Resource::Routes || Digest::of(&text) == fetch.key;
             return self.fetch_ends(
                 n,
                 if sound {
--- a/crates/heathroad-membership/src/fleet/mod.rs
+++ b/crates/heathroad-membership/src/protocol/mod.rs
@@ -11,15 +11,15 @@
 mod probe;
 mod receive;
 
+use crate::desired_version::{Desired, DesiredVersion, Required};
 use crate::gossip::{Gossip, Topic};
 use crate::health::Health;
 use crate::pace::Pace;
 use crate::seal::{Dropped, Seal};
 use crate::table::{Acts, Claim, Incarnation, Member, Merged, Standing, Table};
 use crate::version::{Digest, Version};
-use crate::want::{Required, Want, Wanted};
 use crate::wire::{self, Head, Kind, MAX_DATAGRAM, SEAL, SPOKEN, Writer};
-use crate::{Millis, Place};
+use crate::{MemberId, Millis};
 use carry::Carried;
 use fetch::{Asked, Fetch, Fetched, Served};
 use probe::{Helping, Probe};
@@ -28,7 +28,7 @@
 
 /// Times and bounds of the protocol.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct Config {
     /// One member is asked in each period.
     pub period: Millis,
     /// An answer that is later than this is asked for through others.
@@ -54,12 +54,12 @@
     pub carries: u32,
 }
 
-impl Terms {
+impl Config {
     /// The usual ones, with all times in proportion to a period.
-    pub fn with_period(period: Millis) -> Terms {
-        let usual = Terms::default();
+    pub fn with_period(period: Millis) -> Config {
+        let usual = Config::default();
         let scaled = |time: Millis| (time * period / usual.period).max(1);
-        Terms {
+        Config {
             period,
             answer: scaled(usual.answer),
             gossip: scaled(usual.gossip),
@@ -68,9 +68,9 @@
     }
 }
 
-impl Default for Terms {
+impl Default for Config {
     fn default() -> Self {
-        Terms {
+        Config {
             period: 1000,
             answer: 250,
             helpers: 3,
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Send {
     /// To whom.
-    pub to: Place,
+    pub to: MemberId,
     /// At most [`MAX_DATAGRAM`] bytes.
     pub bytes: Vec<u8>,
 }
@@ -98,40 +98,40 @@
 /// What is worth a line in a log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase", tag = "what")]
-pub enum News {
+pub enum Event {
     /// A member is there; `life` tells which of its lives.
     Up {
         /// The member.
-        member: Place,
+        member: MemberId,
         /// Its life.
         life: u64,
     },
     /// A member is suspected.
     Suspected {
         /// The member.
-        member: Place,
+        member: MemberId,
         /// Who accuses.
-        by: Place,
+        by: MemberId,
     },
     /// A member that was suspected is there.
     Refuted {
         /// The member.
-        member: Place,
+        member: MemberId,
     },
     /// A member is gone.
     Gone {
         /// The member.
-        member: Place,
+        member: MemberId,
     },
     /// A member said that it stops.
     Left {
         /// The member.
-        member: Place,
+        member: MemberId,
     },
     /// A member acts on another version.
     Acts {
         /// The member.
-        member: Place,
+        member: MemberId,
         /// The version's digest.
         digest: Digest,
     },
@@ -189,7 +189,7 @@
 #[derive(Debug, Clone, Serialize)]
 pub struct View {
     /// Its place.
-    pub place: Place,
+    pub place: MemberId,
     /// How it stands.
     pub standing: Standing,
     /// Its incarnation.
@@ -200,7 +200,7 @@
     /// proxy itself.
     pub heard_ms: Option<Millis>,
     /// Who accuses it.
-    pub accusers: Vec<Place>,
+    pub accusers: Vec<MemberId>,
     /// Protocols that it speaks.
     pub protocols: [u8; 2],
     /// The digest of what it acts on, and its how-manieth in its life.
@@ -221,10 +221,10 @@
 
 /// A proxy's view of its fleet, and its part in it.
 #[derive(Clone)]
-pub struct Fleet {
-    terms: Terms,
+pub struct Membership {
+    terms: Config,
     seal: Seal,
-    own: Place,
+    own: MemberId,
     me: Incarnation,
     number: u32,
     table: Table,
@@ -232,7 +232,7 @@
     health: Health,
     rng: fastrand::Rng,
     /// Members in the order in which they are asked, and whose turn is next.
-    order: Vec<Place>,
+    order: Vec<MemberId>,
     turn: usize,
     probe: Option<Probe>,
     helping: Vec<Helping>,
@@ -256,29 +256,29 @@
     cut_off: bool,
     stopped: bool,
     traffic: Traffic,
-    news: Vec<News>,
+    news: Vec<Event>,
     out: Vec<Send>,
 }
 
-impl Fleet {
+impl Membership {
     /// One of a fleet of `members`, at its place among them, in a life of its own: Unix time in
     /// milliseconds.
     pub fn new(
         now: Millis,
         seal: Seal,
-        own: Place,
+        own: MemberId,
         members: u16,
         life: u64,
         seed: u64,
-        terms: Terms,
-    ) -> Fleet {
+        terms: Config,
+    ) -> Membership {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut order: Vec<Place> = (0..members).filter(|m| *m != own).collect();
+        let mut order: Vec<MemberId> = (0..members).filter(|m| *m != own).collect();
         rng.shuffle(&mut order);
         // Those that start together do not ask together.
         let first = now + rng.u64(0..terms.gossip.max(1));
         let me = Incarnation { life, turn: 0 };
-        let mut fleet = Fleet {
+        let mut fleet = Membership {
             pace: Pace::new(now, terms.most),
             texts: Pace::new(now, terms.texts),
             carries: Pace::new(now, terms.carries),
@@ -316,7 +316,7 @@
         fleet
     }
 
-    /// When [`Fleet::tick`] is to be called at the latest.
+    /// When [`Membership::tick`] is to be called at the latest.
     pub fn due(&self) -> Millis {
         let suspicions = self
             .table
@@ -367,7 +367,7 @@
     }
 
     /// What has happened since the last look, as far as there was room.
-    pub fn news(&mut self) -> std::vec::Drain<'_, News> {
+    pub fn news(&mut self) -> std::vec::Drain<'_, Event> {
         self.news.drain(..)
     }
 
@@ -410,14 +410,14 @@
     }
 
     /// This proxy's place.
-    pub fn own(&self) -> Place {
+    pub fn own(&self) -> MemberId {
         self.own
     }
 
     /// A generation was committed here, and is required of all within a time, if that is said.
     pub fn want(&mut self, now: Millis, number: u64, digest: Digest, within: Option<Millis>) {
-        self.wanted(Wanted::One(Want {
-            number,
+        self.wanted(Desired::Version(DesiredVersion {
+            generation: number,
             digest,
             by: self.own,
         }));
@@ -433,33 +433,33 @@
     fn required(&mut self, word: Required) {
         if self.table.require(word) {
             self.gossip.news(Topic::Wanted);
-            self.tell(News::Required {
+            self.tell(Event::Required {
                 number: word.number,
             });
         }
     }
 
-    fn wanted(&mut self, other: Wanted) {
+    fn wanted(&mut self, other: Desired) {
         if self.table.want(other) {
             self.gossip.news(Topic::Wanted);
             match self.table.wanted() {
-                Wanted::One(w) => self.tell(News::Wanted {
-                    number: w.number,
+                Desired::Version(w) => self.tell(Event::Wanted {
+                    number: w.generation,
                     digest: w.digest,
                 }),
-                Wanted::Both(c) => self.tell(News::Conflict {
+                Desired::Conflict(c) => self.tell(Event::Conflict {
                     number: c.number,
                     digests: c.digests,
                 }),
-                Wanted::Nothing => {}
+                Desired::Unset => {}
             }
         }
     }
 
     /// A member that is there and acts on routes with a digest, by chance: where their text can be
     /// fetched.
-    pub fn source_of(&mut self, routes: Digest) -> Option<Place> {
-        let all: Vec<Place> = self
+    pub fn source_of(&mut self, routes: Digest) -> Option<MemberId> {
+        let all: Vec<MemberId> = self
             .table
             .acting_on(routes)
             .filter(|p| *p != self.own)
@@ -474,7 +474,7 @@
     }
 
     /// Asks somebody who is there, by chance, beside the periods' questions: for
-    /// [`Fleet::confirmed`].
+    /// [`Membership::confirmed`].
     pub fn confirm(&mut self, now: Millis) {
         let lately = |(_, begun): &(u32, Millis)| now.saturating_sub(*begun) < self.terms.answer;
         if self.asking.back().is_some_and(lately) {
@@ -528,7 +528,7 @@
 
     /// All members, for people.
     pub fn members(&self, now: Millis) -> Vec<View> {
-        let view = |(place, m): (Place, &Member)| View {
+        let view = |(place, m): (MemberId, &Member)| View {
             place,
             standing: m.standing,
             incarnation: m.incarnation,
@@ -546,7 +546,7 @@
         self.table.all().map(view).collect()
     }
 
-    fn tell(&mut self, news: News) {
+    fn tell(&mut self, news: Event) {
         if self.news.len() < NEWS {
             self.news.push(news);
         }
@@ -582,7 +582,7 @@
             );
             self.gossip.news(Topic::Acts(self.own));
         }
-        self.tell(News::Reborn { life: self.me.life });
+        self.tell(Event::Reborn { life: self.me.life });
     }
 
     /// A proxy that was stopped, or got no time, finds all its waits over at once. Nothing follows
@@ -600,12 +600,12 @@
                 }
             }
             self.health.worse(1);
-            self.tell(News::Woke { after: late });
+            self.tell(Event::Woke { after: late });
         }
         let silence = SILENCE * self.terms.period;
         if !self.cut_off && self.silent_for(now) > silence && self.table.present() > 1 {
             self.cut_off = true;
-            self.tell(News::CutOff);
+            self.tell(Event::CutOff);
         }
     }
 
@@ -616,7 +616,7 @@
             return;
         }
         let over = |m: &Member| m.suspicion.as_ref().is_some_and(|s| s.until <= now);
-        let gone: Vec<Place> = self
+        let gone: Vec<MemberId> = self
             .table
             .all()
             .filter(|(_, m)| over(m))
@@ -643,17 +643,17 @@
             Merged::Old => return,
             Merged::Seconded => {}
             Merged::New { before, life } => match claim.standing {
-                Standing::Suspect => self.tell(News::Suspected {
+                Standing::Suspect => self.tell(Event::Suspected {
                     member,
                     by: claim.by,
                 }),
-                Standing::Gone => self.tell(News::Gone { member }),
-                Standing::Left => self.tell(News::Left { member }),
+                Standing::Gone => self.tell(Event::Gone { member }),
+                Standing::Left => self.tell(Event::Left { member }),
                 _ if before == Standing::Alive && life == claim.incarnation.life => {}
                 _ if before == Standing::Suspect && life == claim.incarnation.life => {
-                    self.tell(News::Refuted { member })
+                    self.tell(Event::Refuted { member })
                 }
-                _ => self.tell(News::Up {
+                _ => self.tell(Event::Up {
                     member,
                     life: claim.incarnation.life,
                 }),
@@ -712,7 +712,7 @@
     /// Asks after versions that are known by their digests alone; in quiet times too, since an
     /// answer may have been lost.
     fn ask(&mut self, now: Millis) {
-        let mut wanted: Vec<(Digest, Place)> = Vec::new();
+        let mut wanted: Vec<(Digest, MemberId)> = Vec::new();
         for (place, m) in self
             .table
             .all()
@@ -733,13 +733,13 @@
     }
 
     /// Some members that are there, by chance, but one.
-    fn some(&mut self, count: usize, but: Option<Place>) -> Vec<Place> {
+    fn some(&mut self, count: usize, but: Option<MemberId>) -> Vec<MemberId> {
         let there = |m: &Member| matches!(m.standing, Standing::Alive | Standing::Suspect);
         let all = self
             .table
             .all()
             .filter(|(p, m)| *p != self.own && Some(*p) != but && there(m));
-        let mut all: Vec<Place> = all.map(|(p, _)| p).collect();
+        let mut all: Vec<MemberId> = all.map(|(p, _)| p).collect();
         let count = count.min(all.len());
         for at in 0..count {
             let other = self.rng.usize(at..all.len());
@@ -750,7 +750,7 @@
     }
 
     /// Sends a datagram with what news there is room for.
-    fn send(&mut self, now: Millis, to: Place, kind: Kind) {
+    fn send(&mut self, now: Millis, to: MemberId, kind: Kind) {
         let items = self.gossip.items(&self.table, to, now);
         let plain: Vec<wire::Item> = items.iter().map(|(_, item)| item.clone()).collect();
         let life = self.table.get(to).map_or(0, |m| m.incarnation.life);
@@ -764,7 +764,7 @@
     fn put(
         &mut self,
         now: Millis,
-        to: Place,
+        to: MemberId,
         life: u64,
         kind: Kind,
         items: &[wire::Item],
@@ -776,7 +776,7 @@
         Some(self.write(to, life, kind, items))
     }
 
-    fn write(&mut self, to: Place, life: u64, kind: Kind, items: &[wire::Item]) -> usize {
+    fn write(&mut self, to: MemberId, life: u64, kind: Kind, items: &[wire::Item]) -> usize {
         self.number = self.number.wrapping_add(1);
         let head = Head {
             protocol: self
--- a/crates/heathroad-membership/src/fleet/probe.rs
+++ b/crates/heathroad-membership/src/protocol/probe.rs
@@ -1,14 +1,14 @@
 //! Asking members whether they are there, alone and for others.
 
-use super::Fleet;
+use super::Membership;
 use crate::table::{Claim, Standing};
 use crate::wire::Kind;
-use crate::{Millis, Place};
+use crate::{MemberId, Millis};
 
 /// A question that is out.
 #[derive(Debug, Clone)]
 pub(super) struct Probe {
-    pub(super) member: Place,
+    pub(super) member: MemberId,
     pub(super) nonce: u32,
     /// When others are asked; none once they were.
     help_at: Option<Millis>,
@@ -29,9 +29,9 @@
 /// A question that is asked for another member.
 #[derive(Debug, Clone)]
 pub(super) struct Helping {
-    pub(super) whom: Place,
+    pub(super) whom: MemberId,
     pub(super) theirs: u32,
-    pub(super) after: Place,
+    pub(super) after: MemberId,
     pub(super) ours: u32,
     /// When it is told that nothing was heard.
     pub(super) nack_at: Millis,
@@ -43,12 +43,13 @@
 /// from both sides.
 const KNOCK: u32 = 3;
 
-impl Fleet {
+impl Membership {
     /// Whose turn it is. A member that is there, or was never heard, comes once in each round.
-    fn next_member(&mut self) -> Option<Place> {
-        let over = |f: &Fleet, place: Place| f.table.get(place).is_none_or(|m| m.standing.over());
+    fn next_member(&mut self) -> Option<MemberId> {
+        let over =
+            |f: &Membership, place: MemberId| f.table.get(place).is_none_or(|m| m.standing.over());
         if self.rng.u32(0..KNOCK) == 0 {
-            let gone: Vec<Place> = self
+            let gone: Vec<MemberId> = self
                 .order
                 .iter()
                 .copied()
@@ -137,7 +138,7 @@
         }
     }
 
-    fn accuse(&mut self, now: Millis, member: Place) {
+    fn accuse(&mut self, now: Millis, member: MemberId) {
         if let Some(claim) = self.table.claim(member).filter(|c| !c.standing.over()) {
             self.hear(
                 now,
--- a/crates/heathroad-membership/src/fleet/receive.rs
+++ b/crates/heathroad-membership/src/protocol/receive.rs
@@ -1,14 +1,14 @@
 //! What is heard.
 
 use super::probe::{HELPING, Helping};
-use super::{Fleet, News};
+use super::{Event, Membership};
+use crate::desired_version::{Conflict, Desired, DesiredVersion, Required};
 use crate::gossip::Topic;
 use crate::table::{Acts, Claim, Incarnation, Standing};
-use crate::want::{Conflict, Required, Want, Wanted};
 use crate::wire::{self, Head, Item, Kind, MAX_DATAGRAM};
-use crate::{Millis, Place};
+use crate::{MemberId, Millis};
 
-impl Fleet {
+impl Membership {
     /// A datagram has come, of whatever kind and from whomever.
     pub fn receive(&mut self, now: Millis, bytes: &[u8]) {
         if self.stopped {
@@ -51,7 +51,7 @@
         self.traffic.heard += 1;
         self.heard = now;
         if std::mem::take(&mut self.cut_off) {
-            self.tell(News::Heard);
+            self.tell(Event::Heard);
         }
         if head.from_life > known {
             let incarnation = Incarnation {
@@ -128,7 +128,7 @@
                     )
                 {
                     self.gossip.news(Topic::Acts(member));
-                    self.tell(News::Acts { member, digest });
+                    self.tell(Event::Acts { member, digest });
                 }
             }
             Item::Whole(version) => {
@@ -141,9 +141,11 @@
                     self.table.keep(version);
                 }
             }
-            Item::Want { number, digest, by } => {
-                self.wanted(Wanted::One(Want { number, digest, by }))
-            }
+            Item::Want { number, digest, by } => self.wanted(Desired::Version(DesiredVersion {
+                generation: number,
+                digest,
+                by,
+            })),
             Item::Required {
                 number,
                 digest,
@@ -157,7 +159,7 @@
             }
             Item::Conflict { number, digests } => {
                 if digests[0] != digests[1] {
-                    self.wanted(Wanted::Both(Conflict { number, digests }));
+                    self.wanted(Desired::Conflict(Conflict { number, digests }));
                 }
             }
             // Only a text's part holds any, and is read elsewhere.
@@ -183,7 +185,7 @@
         }
     }
 
-    fn answer(&mut self, now: Millis, from: Place, kind: Kind) {
+    fn answer(&mut self, now: Millis, from: MemberId, kind: Kind) {
         match kind {
             Kind::Ping { nonce } => self.send(now, from, Kind::Ack { nonce }),
             Kind::Ack { nonce } => {
--- a/crates/heathroad-membership/src/seal.rs
+++ b/crates/heathroad-membership/src/seal.rs
@@ -5,7 +5,7 @@
 //! once the receiver starts anew, and within a life its number is seen only once: nothing can be
 //! replayed, without any clock that two proxies would share.
 
-use crate::wire::{Head, MAX_DATAGRAM, MAX_NAME, Reader, SEAL, SPOKEN, Torn, Writer};
+use crate::wire::{DecodeError, Head, MAX_DATAGRAM, MAX_NAME, Reader, SEAL, SPOKEN, Writer};
 use hmac::{Hmac, Mac};
 use serde::Serialize;
 use sha2::Sha256;
@@ -120,7 +120,7 @@
         let mut reader = Reader::new(text);
         let head = match Head::read(&mut reader) {
             Ok(head) => head,
-            Err(Torn) => {
+            Err(DecodeError) => {
                 dropped.torn += 1;
                 return None;
             }
--- a/crates/heathroad-membership/src/table.rs
+++ b/crates/heathroad-membership/src/table.rs
@@ -1,10 +1,10 @@
 //! What is known of every member. Any two words on a member can be compared, and the higher one
 //! stands: whoever has heard the same words holds the same, in whatever order they came.
 
+use crate::desired_version::{Desired, Required, Requirements};
 use crate::seal::Window;
 use crate::version::{Digest, Version};
-use crate::want::{Required, Requirements, Wanted};
-use crate::{Millis, Place};
+use crate::{MemberId, Millis};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -57,13 +57,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Claim {
     /// The member.
-    pub member: Place,
+    pub member: MemberId,
     /// How it stands.
     pub standing: Standing,
     /// In which incarnation.
     pub incarnation: Incarnation,
     /// Whose word it is; who accuses, of a suspicion.
-    pub by: Place,
+    pub by: MemberId,
 }
 
 impl Claim {
@@ -87,7 +87,7 @@
     /// From when on the member counts as gone.
     pub until: Millis,
     /// Who accuses, each once.
-    pub accusers: Vec<Place>,
+    pub accusers: Vec<MemberId>,
 }
 
 /// What a member acts on.
@@ -109,7 +109,7 @@
     /// In which incarnation.
     pub incarnation: Incarnation,
     /// Whose word that is.
-    pub by: Place,
+    pub by: MemberId,
     /// Since when, by this proxy's clock.
     pub since: Millis,
     /// When something of its own was last heard.
@@ -134,7 +134,7 @@
 pub struct Table {
     members: Vec<Member>,
     versions: BTreeMap<Digest, Version>,
-    wanted: Wanted,
+    wanted: Desired,
     required: Requirements,
 }
 
@@ -173,7 +173,7 @@
         Table {
             members: vec![unheard; usize::from(members)],
             versions: BTreeMap::new(),
-            wanted: Wanted::Nothing,
+            wanted: Desired::Unset,
             required: Requirements::default(),
         }
     }
@@ -184,20 +184,20 @@
     }
 
     /// A member; none past the fleet's places.
-    pub fn get(&self, place: Place) -> Option<&Member> {
+    pub fn get(&self, place: MemberId) -> Option<&Member> {
         self.members.get(usize::from(place))
     }
 
-    pub(crate) fn get_mut(&mut self, place: Place) -> Option<&mut Member> {
+    pub(crate) fn get_mut(&mut self, place: MemberId) -> Option<&mut Member> {
         self.members.get_mut(usize::from(place))
     }
 
     /// All members with their places.
-    pub fn all(&self) -> impl Iterator<Item = (Place, &Member)> {
+    pub fn all(&self) -> impl Iterator<Item = (MemberId, &Member)> {
         self.members
             .iter()
             .enumerate()
-            .map(|(place, m)| (place as Place, m))
+            .map(|(place, m)| (place as MemberId, m))
     }
 
     pub(crate) fn all_mut(&mut self) -> impl Iterator<Item = &mut Member> {
@@ -210,7 +210,7 @@
     }
 
     /// Those who are there, suspected or not.
-    pub fn there(&self) -> impl Iterator<Item = Place> {
+    pub fn there(&self) -> impl Iterator<Item = MemberId> {
         let there = |m: &Member| matches!(m.standing, Standing::Alive | Standing::Suspect);
         self.all()
             .filter(move |(_, m)| there(m))
@@ -218,7 +218,7 @@
     }
 
     /// What stands of a member, as a word that can be passed on.
-    pub fn claim(&self, place: Place) -> Option<Claim> {
+    pub fn claim(&self, place: MemberId) -> Option<Claim> {
         let m = self
             .get(place)
             .filter(|m| m.standing != Standing::Unknown)?;
@@ -264,7 +264,7 @@
     }
 
     /// Takes what a member is told to act on; whether that is news.
-    pub fn acts(&mut self, place: Place, acts: Acts) -> bool {
+    pub fn acts(&mut self, place: MemberId, acts: Acts) -> bool {
         let Some(m) = self.get_mut(place) else {
             return false;
         };
@@ -278,12 +278,12 @@
     }
 
     /// What all are to act on.
-    pub fn wanted(&self) -> Wanted {
+    pub fn wanted(&self) -> Desired {
         self.wanted
     }
 
     /// Takes a word on what is wanted; whether it is news.
-    pub fn want(&mut self, other: Wanted) -> bool {
+    pub fn want(&mut self, other: Desired) -> bool {
         self.wanted.merge(other)
     }
 
@@ -308,7 +308,7 @@
     }
 
     /// Members that are there and act on routes with a digest.
-    pub fn acting_on(&self, routes: Digest) -> impl Iterator<Item = Place> {
+    pub fn acting_on(&self, routes: Digest) -> impl Iterator<Item = MemberId> {
         let acts = move |m: &Member| {
             m.acts
                 .and_then(|a| self.versions.get(&a.digest))
--- a/crates/heathroad-membership/src/version.rs
+++ b/crates/heathroad-membership/src/version.rs
@@ -1,7 +1,7 @@
 //! What a proxy acts on, as one value. It spreads as a digest; the value itself is told on request,
 //! and always fits one datagram.
 
-use crate::wire::{Reader, Torn, Writer};
+use crate::wire::{DecodeError, Reader, Writer};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 use std::fmt;
@@ -127,20 +127,20 @@
         }
     }
 
-    pub(crate) fn read(from: &mut Reader<'_>) -> Result<Version, Torn> {
+    pub(crate) fn read(from: &mut Reader<'_>) -> Result<Version, DecodeError> {
         let length = usize::from(from.u8()?);
         if length > MAX_BUILD {
-            return Err(Torn);
+            return Err(DecodeError);
         }
         let build = std::str::from_utf8(from.bytes(length)?)
-            .map_err(|_| Torn)?
+            .map_err(|_| DecodeError)?
             .to_string();
         let protocols = from.array()?;
         let (settings, generation) = (Digest(from.array()?), from.u64()?);
         let (routes, further) = (Digest(from.array()?), from.u16()?);
         let count = usize::from(from.u8()?);
         if count > MAX_SOURCES {
-            return Err(Torn);
+            return Err(DecodeError);
         }
         let mut sources = Vec::with_capacity(count);
         for _ in 0..count {
--- a/crates/heathroad-membership/src/wire.rs
+++ b/crates/heathroad-membership/src/wire.rs
@@ -2,7 +2,7 @@
 //! `docs/specs/fleet-datagrams.md` is its page. What can't be read is torn as a whole: nothing of
 //! it is used.
 
-use crate::Place;
+use crate::MemberId;
 use crate::table::{Claim, Incarnation, Standing};
 use crate::version::{Digest, Version};
 
@@ -27,7 +27,7 @@
 
 /// The bytes end too soon, or say what can't be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Torn;
+pub struct DecodeError;
 
 /// Writes a datagram.
 #[derive(Default)]
@@ -70,27 +70,27 @@
     pub fn new(bytes: &'a [u8]) -> Self {
         Reader(bytes)
     }
-    pub(crate) fn bytes(&mut self, n: usize) -> Result<&'a [u8], Torn> {
-        let (head, rest) = self.0.split_at_checked(n).ok_or(Torn)?;
+    pub(crate) fn bytes(&mut self, n: usize) -> Result<&'a [u8], DecodeError> {
+        let (head, rest) = self.0.split_at_checked(n).ok_or(DecodeError)?;
         self.0 = rest;
         Ok(head)
     }
-    pub(crate) fn array<const N: usize>(&mut self) -> Result<[u8; N], Torn> {
-        self.bytes(N)?.try_into().map_err(|_| Torn)
+    pub(crate) fn array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
+        self.bytes(N)?.try_into().map_err(|_| DecodeError)
     }
-    pub(crate) fn u8(&mut self) -> Result<u8, Torn> {
+    pub(crate) fn u8(&mut self) -> Result<u8, DecodeError> {
         Ok(self.array::<1>()?[0])
     }
-    pub(crate) fn u16(&mut self) -> Result<u16, Torn> {
+    pub(crate) fn u16(&mut self) -> Result<u16, DecodeError> {
         self.array().map(u16::from_be_bytes)
     }
-    pub(crate) fn u32(&mut self) -> Result<u32, Torn> {
+    pub(crate) fn u32(&mut self) -> Result<u32, DecodeError> {
         self.array().map(u32::from_be_bytes)
     }
-    pub(crate) fn u64(&mut self) -> Result<u64, Torn> {
+    pub(crate) fn u64(&mut self) -> Result<u64, DecodeError> {
         self.array().map(u64::from_be_bytes)
     }
-    fn life(&mut self) -> Result<u64, Torn> {
+    fn life(&mut self) -> Result<u64, DecodeError> {
         let mut whole = [0; 8];
         whole[8 - LIFE..].copy_from_slice(self.bytes(LIFE)?);
         Ok(u64::from_be_bytes(whole))
@@ -107,11 +107,11 @@
     /// The fleet's name, at most [`MAX_NAME`] bytes.
     pub fleet: Vec<u8>,
     /// The sender.
-    pub from: Place,
+    pub from: MemberId,
     /// The sender's life.
     pub from_life: u64,
     /// Whom it is for.
-    pub to: Place,
+    pub to: MemberId,
     /// That one's life as far as the sender knows it; 0 if it does not.
     pub to_life: u64,
     /// Grows with every datagram of the sender's process.
@@ -137,13 +137,13 @@
     }
 
     /// Reads it.
-    pub fn read(from: &mut Reader<'_>) -> Result<Head, Torn> {
+    pub fn read(from: &mut Reader<'_>) -> Result<Head, DecodeError> {
         if from.array()? != MAGIC {
-            return Err(Torn);
+            return Err(DecodeError);
         }
         let [protocol, low, high, length] = from.array()?;
         if low > high || usize::from(length) > MAX_NAME {
-            return Err(Torn);
+            return Err(DecodeError);
         }
         Ok(Head {
             protocol,
@@ -181,7 +181,7 @@
         /// Chosen by who asks.
         nonce: u32,
         /// Whom to ask.
-        after: Place,
+        after: MemberId,
     },
     /// I did ask, and heard nothing: it is not my way to you that is broken.
     Nack {
@@ -193,7 +193,7 @@
     /// Tell the whole version of a member that has this digest.
     Ask {
         /// The member.
-        member: Place,
+        member: MemberId,
         /// The version's digest.
         digest: Digest,
     },
@@ -204,13 +204,13 @@
         /// Chosen by who asks.
         id: u32,
         /// Of what.
-        topic: Topic,
+        topic: Resource,
         /// Of which of them, where there are several.
         key: Digest,
         /// Which part, from 0.
         at: u32,
     },
-    /// Bytes stand in the items that are others' to understand; see [`crate::fleet::Fleet::carry`].
+    /// Bytes stand in the items that are others' to understand; see [`crate::protocol::Membership::carry`].
     Carry,
     /// A part of a text stands in the items.
     Part {
@@ -226,15 +226,15 @@
 /// What there are texts of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Topic {
+pub enum Resource {
     /// A proxy's record of its acts.
-    Record = 1,
+    ActivityRecord = 1,
     /// A generation of routes, by its digest.
     Routes = 2,
     /// What a proxy knows of who held which duty.
-    Duties = 3,
+    LeaseHistory = 3,
     /// What the fleet's collector keeps, by its digest; all zeros for what there is.
-    Collected = 4,
+    CollectedRecords = 4,
 }
 
 /// A piece of news.
@@ -245,7 +245,7 @@
     /// The digest of what a member acts on.
     Acts {
         /// The member.
-        member: Place,
+        member: MemberId,
         /// In which of its lives.
         life: u64,
         /// Its how-manieth version in that life.
@@ -264,7 +264,7 @@
         /// The digest of its text.
         digest: Digest,
         /// Where it was committed first.
-        by: Place,
+        by: MemberId,
     },
     /// Within so many milliseconds nobody is to act on a lower generation.
     Required {
@@ -341,11 +341,11 @@
         }
     }
 
-    fn read(from: &mut Reader<'_>) -> Result<Item, Torn> {
+    fn read(from: &mut Reader<'_>) -> Result<Item, DecodeError> {
         match from.u8()? {
             1 => {
                 let member = from.u16()?;
-                let standing = Standing::read(from.u8()?).ok_or(Torn)?;
+                let standing = Standing::read(from.u8()?).ok_or(DecodeError)?;
                 let incarnation = Incarnation {
                     life: from.life()?,
                     turn: from.u16()?,
@@ -385,7 +385,7 @@
                     digests: [Digest(from.array()?), Digest(from.array()?)],
                 })
             }
-            _ => Err(Torn),
+            _ => Err(DecodeError),
         }
     }
 }
@@ -425,7 +425,7 @@
 }
 
 /// Reads a content whole.
-pub fn read(from: &mut Reader<'_>) -> Result<(Kind, Vec<Item>), Torn> {
+pub fn read(from: &mut Reader<'_>) -> Result<(Kind, Vec<Item>), DecodeError> {
     let kind = match from.u8()? {
         1 => Kind::Ping { nonce: from.u32()? },
         2 => Kind::Ack { nonce: from.u32()? },
@@ -443,11 +443,11 @@
         8 => {
             let id = from.u32()?;
             let topic = match from.u8()? {
-                1 => Topic::Record,
-                2 => Topic::Routes,
-                3 => Topic::Duties,
-                4 => Topic::Collected,
-                _ => return Err(Torn),
+                1 => Resource::ActivityRecord,
+                2 => Resource::Routes,
+                3 => Resource::LeaseHistory,
+                4 => Resource::CollectedRecords,
+                _ => return Err(DecodeError),
             };
             Kind::Fetch {
                 id,
@@ -462,7 +462,7 @@
             length: from.u32()?,
             at: from.u32()?,
         },
-        _ => return Err(Torn),
+        _ => return Err(DecodeError),
     };
     let mut items = Vec::new();
     while !from.0.is_empty() {
--- a/crates/heathroad-membership/tests/common/mod.rs
+++ b/crates/heathroad-membership/tests/common/mod.rs
@@ -1,11 +1,11 @@
 //! A fleet on a network of the test's own, in time of the test's own.
 #![allow(dead_code, reason = "each test file uses its part of it")]
 
-use heathroad_membership::fleet::{Fleet, News, Terms};
+use heathroad_membership::protocol::{Config, Event, Membership};
 use heathroad_membership::seal::Seal;
 use heathroad_membership::table::Standing;
 use heathroad_membership::version::{Digest, Version};
-use heathroad_membership::{Millis, Place};
+use heathroad_membership::{MemberId, Millis};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
 
@@ -39,19 +39,19 @@
     /// other.
     pub delay: Millis,
     /// Ways on which nothing comes through.
-    pub cut: HashSet<(Place, Place)>,
+    pub cut: HashSet<(MemberId, MemberId)>,
 }
 
 /// When a datagram comes, its number, to whom, and what it is.
-type Due = (Millis, u64, Place, Vec<u8>);
+type Due = (Millis, u64, MemberId, Vec<u8>);
 
 pub struct World {
     pub now: Millis,
-    pub fleets: Vec<Option<Fleet>>,
+    pub fleets: Vec<Option<Membership>>,
     /// Stalled until then: their datagrams wait.
     pub stalled: Vec<Millis>,
     pub faults: Faults,
-    pub news: Vec<(Millis, Place, News)>,
+    pub news: Vec<(Millis, MemberId, Event)>,
     pub sent: Vec<u64>,
     pub bytes: u64,
     pub longest: usize,
@@ -60,7 +60,7 @@
     waiting: Vec<Vec<Vec<u8>>>,
     count: u64,
     lives: u64,
-    terms: Terms,
+    terms: Config,
     members: u16,
     /// When each is to be told of the time, as it said last.
     dues: Vec<Millis>,
@@ -87,7 +87,7 @@
             waiting: vec![Vec::new(); n],
             count: 0,
             lives: 0,
-            terms: Terms::default(),
+            terms: Config::default(),
             members,
             dues: vec![0; n],
         };
@@ -95,14 +95,14 @@
         world
     }
 
-    pub fn start(&mut self, place: Place) {
+    pub fn start(&mut self, place: MemberId) {
         self.lives += 1;
         self.start_in(place, EPOCH + self.now + self.lives);
     }
 
-    pub fn start_in(&mut self, place: Place, life: u64) {
+    pub fn start_in(&mut self, place: MemberId, life: u64) {
         let seed = self.rng.u64(..);
-        let mut fleet = Fleet::new(
+        let mut fleet = Membership::new(
             self.now,
             seal(),
             place,
@@ -117,16 +117,16 @@
         self.dues[usize::from(place)] = 0;
     }
 
-    pub fn kill(&mut self, place: Place) {
+    pub fn kill(&mut self, place: MemberId) {
         self.fleets[usize::from(place)] = None;
     }
 
-    pub fn stall(&mut self, place: Place, time: Millis) {
+    pub fn stall(&mut self, place: MemberId, time: Millis) {
         self.stalled[usize::from(place)] = self.now + time;
     }
 
     /// Nothing goes from the one side to the other, nor back.
-    pub fn cut(&mut self, one: &[Place], other: &[Place]) {
+    pub fn cut(&mut self, one: &[MemberId], other: &[MemberId]) {
         for a in one {
             for b in other {
                 self.faults.cut.extend([(*a, *b), (*b, *a)]);
@@ -134,28 +134,28 @@
         }
     }
 
-    pub fn fleet(&self, place: Place) -> &Fleet {
+    pub fn fleet(&self, place: MemberId) -> &Membership {
         self.fleets[usize::from(place)].as_ref().expect("it runs")
     }
 
-    pub fn fleet_mut(&mut self, place: Place) -> &mut Fleet {
+    pub fn fleet_mut(&mut self, place: MemberId) -> &mut Membership {
         // It may be told something of which it wants to do more soon.
         self.dues[usize::from(place)] = 0;
         self.fleets[usize::from(place)].as_mut().expect("it runs")
     }
 
-    pub fn standing(&self, of: Place, at: Place) -> Standing {
+    pub fn standing(&self, of: MemberId, at: MemberId) -> Standing {
         self.fleet(at).table().get(of).expect("a member").standing
     }
 
-    pub fn running(&self) -> Vec<Place> {
+    pub fn running(&self) -> Vec<MemberId> {
         (0..self.members)
             .filter(|p| self.fleets[usize::from(*p)].is_some())
             .collect()
     }
 
     /// Brings a datagram to somebody now.
-    pub fn bring(&mut self, to: Place, bytes: &[u8]) {
+    pub fn bring(&mut self, to: MemberId, bytes: &[u8]) {
         let now = self.now;
         if let Some(fleet) = &mut self.fleets[usize::from(to)] {
             fleet.receive(now, bytes);
@@ -163,7 +163,7 @@
         self.collect(to);
     }
 
-    fn collect(&mut self, place: Place) {
+    fn collect(&mut self, place: MemberId) {
         let Some(fleet) = &mut self.fleets[usize::from(place)] else {
             return;
         };
@@ -252,7 +252,7 @@
                 let known = self.fleet(*at).table().get(of).expect("a member");
                 match &self.fleets[usize::from(of)] {
                     Some(other) => {
-                        let acts = |f: &Fleet| f.table().get(of).and_then(|m| m.acts);
+                        let acts = |f: &Membership| f.table().get(of).and_then(|m| m.acts);
                         known.standing == Standing::Alive
                             && known.incarnation.life == other.incarnation().life
                             && acts(self.fleet(*at)) == acts(other)
@@ -267,7 +267,7 @@
     pub fn false_deaths(&self) -> usize {
         self.news
             .iter()
-            .filter(|(_, _, n)| matches!(n, News::Gone { .. }))
+            .filter(|(_, _, n)| matches!(n, Event::Gone { .. }))
             .count()
     }
 }
--- a/crates/heathroad-membership/tests/golden_datagrams.rs
+++ b/crates/heathroad-membership/tests/golden_datagrams.rs
@@ -6,7 +6,7 @@
 use heathroad_membership::seal::{Dropped, Seal};
 use heathroad_membership::table::{Claim, Incarnation, Standing};
 use heathroad_membership::version::{Digest, Source, Version};
-use heathroad_membership::wire::{self, Head, Item, Kind, MAX_DATAGRAM, SPOKEN, Topic, Writer};
+use heathroad_membership::wire::{self, Head, Item, Kind, MAX_DATAGRAM, Resource, SPOKEN, Writer};
 
 fn digest(byte: u8) -> Digest {
     Digest([byte; 8])
@@ -43,7 +43,7 @@
     })
 }
 
-fn fetch(topic: Topic) -> Kind {
+fn fetch(topic: Resource) -> Kind {
     Kind::Fetch {
         id: 0x0a0b_0c0d,
         topic,
@@ -96,10 +96,10 @@
             vec![],
         ),
         ("tell", Kind::Tell, vec![Item::Whole(version())]),
-        ("fetch-record", fetch(Topic::Record), vec![]),
-        ("fetch-routes", fetch(Topic::Routes), vec![]),
-        ("fetch-duties", fetch(Topic::Duties), vec![]),
-        ("fetch-collected", fetch(Topic::Collected), vec![]),
+        ("fetch-record", fetch(Resource::ActivityRecord), vec![]),
+        ("fetch-routes", fetch(Resource::Routes), vec![]),
+        ("fetch-duties", fetch(Resource::LeaseHistory), vec![]),
+        ("fetch-collected", fetch(Resource::CollectedRecords), vec![]),
         (
             "part",
             Kind::Part {
--- a/crates/heathroad-membership/tests/golden_json.rs
+++ b/crates/heathroad-membership/tests/golden_json.rs
@@ -2,11 +2,13 @@
 
 mod common;
 
-use heathroad_membership::fleet::{News, Traffic};
+use heathroad_membership::desired_version::{
+    Conflict, Desired, DesiredVersion, Required, Requirements,
+};
+use heathroad_membership::protocol::{Event, Traffic};
 use heathroad_membership::seal::Dropped;
 use heathroad_membership::table::Standing;
 use heathroad_membership::version::Digest;
-use heathroad_membership::want::{Conflict, Required, Requirements, Want, Wanted};
 use serde::Serialize;
 
 fn line(value: &impl Serialize) -> String {
@@ -18,28 +20,28 @@
     let [one, other] = [Digest([0x11; 8]), Digest([0x22; 8])];
     let mut text = String::new();
     for news in [
-        News::Up { member: 1, life: 2 },
-        News::Suspected { member: 1, by: 3 },
-        News::Refuted { member: 1 },
-        News::Gone { member: 1 },
-        News::Left { member: 1 },
-        News::Acts {
+        Event::Up { member: 1, life: 2 },
+        Event::Suspected { member: 1, by: 3 },
+        Event::Refuted { member: 1 },
+        Event::Gone { member: 1 },
+        Event::Left { member: 1 },
+        Event::Acts {
             member: 1,
             digest: one,
         },
-        News::Reborn { life: 4 },
-        News::Woke { after: 5 },
-        News::Wanted {
+        Event::Reborn { life: 4 },
+        Event::Woke { after: 5 },
+        Event::Wanted {
             number: 6,
             digest: one,
         },
-        News::Required { number: 7 },
-        News::Conflict {
+        Event::Required { number: 7 },
+        Event::Conflict {
             number: 8,
             digests: [one, other],
         },
-        News::CutOff,
-        News::Heard,
+        Event::CutOff,
+        Event::Heard,
     ] {
         text += &line(&news);
     }
@@ -52,13 +54,13 @@
     ] {
         text += &line(&standing);
     }
-    text += &line(&Wanted::Nothing);
-    text += &line(&Wanted::One(Want {
-        number: 9,
+    text += &line(&Desired::Unset);
+    text += &line(&Desired::Version(DesiredVersion {
+        generation: 9,
         digest: one,
         by: 2,
     }));
-    text += &line(&Wanted::Both(Conflict {
+    text += &line(&Desired::Conflict(Conflict {
         number: 10,
         digests: [one, other],
     }));
--- a/crates/heathroad-membership/tests/golden_record.rs
+++ b/crates/heathroad-membership/tests/golden_record.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use heathroad_membership::record::{
-    Act, Acts, Lost, MAX_PAGES, Record, Spell, Told, Trouble, TurnedDown,
+use heathroad_membership::activity_record::{
+    Activity, ActivityRecord, Acts, Lost, MAX_PAGES, RecordSnapshot, Spell, Trouble, TurnedDown,
 };
 use heathroad_membership::version::{Digest, Source, Version};
 
@@ -30,33 +30,33 @@
 
 /// A record with everything that a record can hold: two lives, a page that was not closed, pages
 /// given up.
-fn record() -> Told {
-    let mut first = Record::new(START, START, None);
+fn record() -> RecordSnapshot {
+    let mut first = ActivityRecord::new(START, START, None);
     for generation in 1..=MAX_PAGES as u64 {
         first
-            .begin(START + generation, version(generation))
-            .act(Act::Sent, START + generation);
+            .begin_interval(START + generation, version(generation))
+            .act(Activity::AttemptSent, START + generation);
     }
-    let mut told = first.told(START + 1000);
+    let mut told = first.snapshot(START + 1000);
     // A short file does: the oldest go, as they do where there is no room.
-    while told.pages.len() > 1 {
-        assert!(told.give_up_oldest());
+    while told.intervals.len() > 1 {
+        assert!(told.discard_oldest());
     }
-    let mut second = Record::new(START + 2000, START + 2000, Some(told));
-    let page = second.begin(START + 2000, version(300));
+    let mut second = ActivityRecord::new(START + 2000, START + 2000, Some(told));
+    let page = second.begin_interval(START + 2000, version(300));
     for (act, times) in [
-        (Act::Bound, 9),
-        (Act::Sent, 8),
-        (Act::Served, 7),
-        (Act::Refused, 6),
-        (Act::Failed, 5),
-        (Act::Fenced, 4),
-        (Act::Applied, 3),
-        (Act::Undone, 2),
+        (Activity::RequestBound, 9),
+        (Activity::AttemptSent, 8),
+        (Activity::RequestServed, 7),
+        (Activity::RequestRejected, 6),
+        (Activity::RequestFailed, 5),
+        (Activity::RequestFenced, 4),
+        (Activity::ChangeApplied, 3),
+        (Activity::ChangeRolledBack, 2),
     ] {
         (0..times).for_each(|n| page.act(act, START + 2100 + n));
     }
-    second.begin(START + 2500, version(301));
+    second.begin_interval(START + 2500, version(301));
     second.spell(Spell {
         trouble: Trouble::CutOff,
         from: START + 2600,
@@ -83,7 +83,7 @@
         routes,
         why,
     });
-    second.told(START + 3000)
+    second.snapshot(START + 3000)
 }
 
 #[test]
@@ -97,19 +97,19 @@
 fn a_record_stored_before_is_read() {
     let text =
         std::fs::read_to_string(common::golden("activity_record.json")).expect("it is there");
-    let told: Told = serde_json::from_str(&text).expect("it is read");
+    let told: RecordSnapshot = serde_json::from_str(&text).expect("it is read");
     assert_eq!(told, record());
     assert_eq!((told.at, told.since), (START + 3000, START));
     let lost = Lost {
-        pages: 255,
+        count: 255,
         acts: Acts {
             sent: 255,
             ..Acts::default()
         },
         until: Some(START + 256),
     };
-    assert_eq!(told.lost, lost);
-    let [torn, whole, open] = &told.pages[..] else {
+    assert_eq!(told.discarded, lost);
+    let [torn, whole, open] = &told.intervals[..] else {
         panic!("{told:?}")
     };
     assert_eq!(
@@ -149,7 +149,7 @@
 fn a_record_without_the_later_fields_is_read() {
     let text =
         r#"{"at":5,"since":1,"pages":[],"lost":{"pages":0,"acts":{"bound":1},"until":null}}"#;
-    let told: Told = serde_json::from_str(text).expect("it is read");
-    assert_eq!((told.at, told.since, told.lost.acts.bound), (5, 1, 1));
-    assert!(told.pages.is_empty() && told.spells.is_empty() && told.turned_down.is_empty());
+    let told: RecordSnapshot = serde_json::from_str(text).expect("it is read");
+    assert_eq!((told.at, told.since, told.discarded.acts.bound), (5, 1, 1));
+    assert!(told.intervals.is_empty() && told.spells.is_empty() && told.turned_down.is_empty());
 }
--- a/crates/heathroad-membership/tests/golden_trace.rs
+++ b/crates/heathroad-membership/tests/golden_trace.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{EPOCH, seal, version};
-use heathroad_membership::fleet::{Fleet, Terms};
+use heathroad_membership::protocol::{Config, Membership};
 use heathroad_membership::version::Digest;
-use heathroad_membership::wire::Topic;
-use heathroad_membership::{Millis, Place};
+use heathroad_membership::wire::Resource;
+use heathroad_membership::{MemberId, Millis};
 use std::fmt::Write;
 
 const MEMBERS: u16 = 7;
@@ -15,12 +15,12 @@
 
 struct Trace {
     now: Millis,
-    fleets: Vec<Option<Fleet>>,
+    fleets: Vec<Option<Membership>>,
     /// Stalled until then.
     stalled: Vec<Millis>,
     /// Nothing passes between the first so many and the others.
     cut: u16,
-    queue: Vec<(Millis, Place, Vec<u8>)>,
+    queue: Vec<(Millis, MemberId, Vec<u8>)>,
     rng: fastrand::Rng,
     /// Everything that went and was told since the last step.
     seen: String,
@@ -45,27 +45,27 @@
         trace
     }
 
-    fn start(&mut self, place: Place, life: u64) {
+    fn start(&mut self, place: MemberId, life: u64) {
         let seed = self.rng.u64(..);
-        let mut fleet = Fleet::new(
+        let mut fleet = Membership::new(
             self.now,
             seal(),
             place,
             MEMBERS,
             life,
             seed,
-            Terms::default(),
+            Config::default(),
         );
         fleet.act_on(version(1));
         self.fleets[usize::from(place)] = Some(fleet);
     }
 
-    fn fleet(&mut self, place: Place) -> &mut Fleet {
+    fn fleet(&mut self, place: MemberId) -> &mut Membership {
         self.fleets[usize::from(place)].as_mut().expect("it runs")
     }
 
     /// Takes what one member sends and tells.
-    fn collect(&mut self, place: Place) {
+    fn collect(&mut self, place: MemberId) {
         let (now, cut) = (self.now, self.cut);
         let Some(fleet) = self.fleets[usize::from(place)].as_mut() else {
             return;
@@ -192,13 +192,13 @@
     }
     t.fleet(0).want(now, 4, Digest::of(b"four"), Some(30_000));
     t.fleet(1)
-        .fetch(now, 2, Topic::Record, Digest::default())
+        .fetch(now, 2, Resource::ActivityRecord, Digest::default())
         .expect("room");
     t.fleet(1)
-        .fetch(now, 3, Topic::Record, Digest::of(b"absent"))
+        .fetch(now, 3, Resource::ActivityRecord, Digest::of(b"absent"))
         .expect("room");
     t.fleet(2)
-        .fetch(now, 4, Topic::Routes, Digest::of(b"other"))
+        .fetch(now, 4, Resource::Routes, Digest::of(b"other"))
         .expect("room");
     t.run_to(20_000);
     let routes = version(2).routes;
--- a/crates/heathroad-membership/tests/membership.rs
+++ b/crates/heathroad-membership/tests/membership.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{EPOCH, World, version};
-use heathroad_membership::fleet::News;
+use heathroad_membership::protocol::Event;
 use heathroad_membership::table::Standing;
 use heathroad_membership::version::Digest;
 
@@ -56,7 +56,7 @@
         let others = world
             .news
             .iter()
-            .filter(|(_, _, n)| matches!(n, News::Gone { member } if *member != 5));
+            .filter(|(_, _, n)| matches!(n, Event::Gone { member } if *member != 5));
         assert_eq!(others.count(), 0, "loss {loss}");
     }
 }
@@ -71,9 +71,9 @@
         let woke = world
             .news
             .iter()
-            .any(|(_, at, n)| *at == 2 && matches!(n, News::Woke { .. }));
+            .any(|(_, at, n)| *at == 2 && matches!(n, Event::Woke { .. }));
         assert!(woke, "seed {seed}");
-        let accused = |n: &News| matches!(n, News::Suspected { by: 2, .. } | News::Gone { .. });
+        let accused = |n: &Event| matches!(n, Event::Suspected { by: 2, .. } | Event::Gone { .. });
         assert!(
             !world.news.iter().any(|(_, _, n)| accused(n)),
             "seed {seed}: {:?}",
@@ -82,7 +82,7 @@
     }
 }
 
-/// News that comes after a quiet time is no sign of a stall.
+/// Event that comes after a quiet time is no sign of a stall.
 #[test]
 fn nobody_wakes_who_was_not_stalled() {
     let mut world = settled(6, 12);
@@ -93,7 +93,7 @@
     let woke = world
         .news
         .iter()
-        .filter(|(_, _, n)| matches!(n, News::Woke { .. }));
+        .filter(|(_, _, n)| matches!(n, Event::Woke { .. }));
     assert_eq!(woke.count(), 0);
 }
 
@@ -114,7 +114,7 @@
         world
             .news
             .iter()
-            .any(|(_, at, n)| *at == 2 && matches!(n, News::Reborn { .. }))
+            .any(|(_, at, n)| *at == 2 && matches!(n, Event::Reborn { .. }))
     );
 }
 
@@ -131,13 +131,13 @@
     assert!(world.fleet(3).cut_off(), "it knows within some periods");
     world.run(54_000);
     assert!(world.fleet(3).cut_off());
-    let by_it = |n: &News| matches!(n, News::Suspected { by: 3, .. });
+    let by_it = |n: &Event| matches!(n, Event::Suspected { by: 3, .. });
     assert!(
         !world.news.iter().any(|(_, _, n)| by_it(n)),
         "{:?}",
         world.news
     );
-    let gone = |n: &News| matches!(n, News::Gone { member } if *member != 3);
+    let gone = |n: &Event| matches!(n, Event::Gone { member } if *member != 3);
     assert!(!world.news.iter().any(|(_, _, n)| gone(n)));
     world.faults.cut.clear();
     let end = world.now + LONG;
--- a/crates/heathroad-membership/tests/record.rs
+++ b/crates/heathroad-membership/tests/record.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::version;
-use heathroad_membership::record::{Act, Acts, MAX_PAGES, Page, Record, Told};
+use heathroad_membership::activity_record::{
+    Activity, ActivityRecord, Acts, MAX_PAGES, Page, RecordSnapshot,
+};
 use heathroad_membership::version::{Digest, Source, Version};
 use proptest::prelude::*;
 use std::rc::Rc;
@@ -18,21 +20,21 @@
     }
 }
 
-fn sum(told: &Told) -> u64 {
-    told.pages.iter().map(|p| p.acts.sum()).sum::<u64>() + told.lost.acts.sum()
+fn sum(told: &RecordSnapshot) -> u64 {
+    told.intervals.iter().map(|p| p.acts.sum()).sum::<u64>() + told.discarded.acts.sum()
 }
 
 #[test]
 fn an_act_is_written_under_what_it_was_bound_to() {
-    let mut record = Record::new(100, 7, None);
-    let first = record.begin(100, version(1));
-    first.act(Act::Bound, 110);
-    let second = record.begin(200, version(2));
-    first.act(Act::Sent, 250);
-    second.act(Act::Bound, 260);
-    first.act(Act::Served, 300);
-    let told = record.told(400);
-    let [one, two] = &told.pages[..] else {
+    let mut record = ActivityRecord::new(100, 7, None);
+    let first = record.begin_interval(100, version(1));
+    first.act(Activity::RequestBound, 110);
+    let second = record.begin_interval(200, version(2));
+    first.act(Activity::AttemptSent, 250);
+    second.act(Activity::RequestBound, 260);
+    first.act(Activity::RequestServed, 300);
+    let told = record.snapshot(400);
+    let [one, two] = &told.intervals[..] else {
         panic!("{told:?}")
     };
     assert_eq!(
@@ -53,27 +55,29 @@
         (200, None, 1, 7)
     );
     // The same again begins no page; going back to the first does.
-    assert!(Rc::ptr_eq(&record.begin(450, version(2)), &second));
-    assert!(!Rc::ptr_eq(&record.begin(500, version(1)), &first));
+    assert!(Rc::ptr_eq(&record.begin_interval(450, version(2)), &second));
+    assert!(!Rc::ptr_eq(&record.begin_interval(500, version(1)), &first));
 }
 
 /// Pages past the most that differ in their lists alone become one, which goes on taking the acts
 /// of both.
 #[test]
 fn a_full_record_joins_what_differs_in_lists_alone() {
-    let mut record = Record::new(0, 1, None);
+    let mut record = ActivityRecord::new(0, 1, None);
     let mut pages: Vec<Rc<Page>> = Vec::new();
     for seq in 0..1000 {
-        pages.push(record.begin(seq, listed(1, seq)));
+        pages.push(record.begin_interval(seq, listed(1, seq)));
     }
-    pages.iter().for_each(|p| p.act(Act::Sent, 2000));
-    let told = record.told(2000);
-    assert_eq!(told.pages.len(), MAX_PAGES);
-    assert_eq!((told.lost.pages, sum(&told)), (0, 1000));
-    assert_eq!(told.pages.iter().map(|p| p.versions).sum::<u64>(), 1000);
-    assert_eq!(told.pages[0].from, 0);
+    pages
+        .iter()
+        .for_each(|p| p.act(Activity::AttemptSent, 2000));
+    let told = record.snapshot(2000);
+    assert_eq!(told.intervals.len(), MAX_PAGES);
+    assert_eq!((told.discarded.count, sum(&told)), (0, 1000));
+    assert_eq!(told.intervals.iter().map(|p| p.versions).sum::<u64>(), 1000);
+    assert_eq!(told.intervals[0].from, 0);
     let ends: Vec<_> = told
-        .pages
+        .intervals
         .windows(2)
         .map(|w| (w[0].to, w[1].from))
         .collect();
@@ -87,14 +91,22 @@
 /// too.
 #[test]
 fn a_full_record_says_what_it_has_lost() {
-    let mut record = Record::new(0, 1, None);
+    let mut record = ActivityRecord::new(0, 1, None);
     let pages: Vec<_> = (0..MAX_PAGES as u64 + 10)
-        .map(|n| record.begin(n, version(n)))
+        .map(|n| record.begin_interval(n, version(n)))
         .collect();
-    pages.iter().for_each(|p| p.act(Act::Refused, 5000));
-    let told = record.told(5000);
-    assert_eq!((told.pages.len(), told.lost.pages), (MAX_PAGES, 10));
-    assert_eq!((told.lost.acts.refused, told.lost.until), (10, Some(10)));
+    pages
+        .iter()
+        .for_each(|p| p.act(Activity::RequestRejected, 5000));
+    let told = record.snapshot(5000);
+    assert_eq!(
+        (told.intervals.len(), told.discarded.count),
+        (MAX_PAGES, 10)
+    );
+    assert_eq!(
+        (told.discarded.acts.refused, told.discarded.until),
+        (10, Some(10))
+    );
     assert_eq!(sum(&told), MAX_PAGES as u64 + 10);
 }
 
@@ -102,15 +114,17 @@
 /// and that is said.
 #[test]
 fn a_restart_says_where_the_record_is_torn() {
-    let mut record = Record::new(100, 7, None);
-    record.begin(100, version(1)).act(Act::Sent, 120);
-    let kept: Told =
-        serde_json::from_str(&serde_json::to_string(&record.told(500)).expect("plain"))
+    let mut record = ActivityRecord::new(100, 7, None);
+    record
+        .begin_interval(100, version(1))
+        .act(Activity::AttemptSent, 120);
+    let kept: RecordSnapshot =
+        serde_json::from_str(&serde_json::to_string(&record.snapshot(500)).expect("plain"))
             .expect("same");
-    let mut next = Record::new(900, 8, Some(kept));
-    next.begin(900, version(1));
-    let told = next.told(1000);
-    let [one, two] = &told.pages[..] else {
+    let mut next = ActivityRecord::new(900, 8, Some(kept));
+    next.begin_interval(900, version(1));
+    let told = next.snapshot(1000);
+    let [one, two] = &told.intervals[..] else {
         panic!("{told:?}")
     };
     assert_eq!(
@@ -121,9 +135,15 @@
     assert_eq!(told.since, 100);
     // One that was stopped as planned had closed it.
     next.close(1100);
-    let told = Record::new(1200, 9, Some(next.told(1150))).told(1200);
-    assert_eq!((told.pages[1].to, told.pages[1].torn), (Some(1100), false));
-    assert_eq!(Record::new(2000, 9, None).told(2000).since, 2000);
+    let told = ActivityRecord::new(1200, 9, Some(next.snapshot(1150))).snapshot(1200);
+    assert_eq!(
+        (told.intervals[1].to, told.intervals[1].torn),
+        (Some(1100), false)
+    );
+    assert_eq!(
+        ActivityRecord::new(2000, 9, None).snapshot(2000).since,
+        2000
+    );
 }
 
 proptest! {
@@ -131,19 +151,19 @@
     /// order.
     #[test]
     fn no_act_is_unaccounted_for(steps in prop::collection::vec((0..6_u64, 0..40_u64, 0..8_usize), 1..900)) {
-        let mut record = Record::new(0, 1, None);
+        let mut record = ActivityRecord::new(0, 1, None);
         let (mut held, mut acts): (Vec<Rc<Page>>, u64) = (Vec::new(), 0);
         for (now, (generation, seq, late)) in steps.into_iter().enumerate() {
-            let page = record.begin(now as u64, listed(generation / 5, seq));
+            let page = record.begin_interval(now as u64, listed(generation / 5, seq));
             held.push(page);
             let from = held.len().saturating_sub(1 + late * 50);
-            held[from].act(Act::Sent, now as u64);
+            held[from].act(Activity::AttemptSent, now as u64);
             acts += 1;
         }
-        let told = record.told(10_000);
+        let told = record.snapshot(10_000);
         prop_assert_eq!(sum(&told), acts);
-        prop_assert!(told.pages.len() <= MAX_PAGES);
-        for pair in told.pages.windows(2) {
+        prop_assert!(told.intervals.len() <= MAX_PAGES);
+        for pair in told.intervals.windows(2) {
             prop_assert!(pair[0].to == Some(pair[1].from));
         }
     }
--- a/crates/heathroad-membership/tests/texts.rs
+++ b/crates/heathroad-membership/tests/texts.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::World;
-use heathroad_membership::fleet::fetch::{MAX_TEXT, PART, Unfetched};
+use heathroad_membership::protocol::fetch::{MAX_TEXT, PART, Unfetched};
 use heathroad_membership::version::Digest;
-use heathroad_membership::wire::Topic;
+use heathroad_membership::wire::Resource;
 
 /// Lets 0 fetch from 1, which has `text`.
 fn fetch(
     world: &mut World,
-    topic: Topic,
+    topic: Resource,
     key: Digest,
     text: Option<Vec<u8>>,
 ) -> Result<Vec<u8>, Unfetched> {
@@ -54,7 +54,7 @@
             let mut world = pair(loss);
             let came = fetch(
                 &mut world,
-                Topic::Routes,
+                Resource::Routes,
                 Digest::of(&text),
                 Some(text.clone()),
             );
@@ -68,18 +68,23 @@
     let mut world = pair(0.0);
     let text = vec![1; 1000];
     assert_eq!(
-        fetch(&mut world, Topic::Record, Digest::default(), None),
+        fetch(
+            &mut world,
+            Resource::ActivityRecord,
+            Digest::default(),
+            None
+        ),
         Err(Unfetched::NotThere)
     );
     let other = Digest::of(b"another text");
     assert_eq!(
-        fetch(&mut world, Topic::Routes, other, Some(text.clone())),
+        fetch(&mut world, Resource::Routes, other, Some(text.clone())),
         Err(Unfetched::Spoilt)
     );
     assert_eq!(
         fetch(
             &mut world,
-            Topic::Record,
+            Resource::ActivityRecord,
             other,
             Some(vec![0; MAX_TEXT + 1])
         ),
@@ -87,7 +92,7 @@
     );
     world.faults.loss = 1.0;
     assert_eq!(
-        fetch(&mut world, Topic::Record, other, Some(text)),
+        fetch(&mut world, Resource::ActivityRecord, other, Some(text)),
         Err(Unfetched::Silence)
     );
 }
@@ -99,7 +104,7 @@
     let (now, text) = (world.now, vec![1; 60_000]);
     let id = world
         .fleet_mut(0)
-        .fetch(now, 1, Topic::Record, Digest::default())
+        .fetch(now, 1, Resource::ActivityRecord, Digest::default())
         .expect("there is room");
     for _ in 0..50 {
         world.run(1);
--- a/crates/heathroad-membership/tests/want.rs
+++ b/crates/heathroad-membership/tests/want.rs
@@ -3,27 +3,29 @@
 mod common;
 
 use common::{World, version};
+use heathroad_membership::desired_version::{
+    Conflict, Desired, DesiredVersion, MAX_REQUIRED, Required, Requirements,
+};
 use heathroad_membership::version::Digest;
-use heathroad_membership::want::{Conflict, MAX_REQUIRED, Required, Requirements, Want, Wanted};
 use proptest::prelude::*;
 
-fn want(number: u64, text: &str) -> Wanted {
-    Wanted::One(Want {
-        number,
+fn want(number: u64, text: &str) -> Desired {
+    Desired::Version(DesiredVersion {
+        generation: number,
         digest: Digest::of(text.as_bytes()),
         by: 0,
     })
 }
 
-fn after(words: &[Wanted]) -> Wanted {
-    let mut wanted = Wanted::Nothing;
+fn after(words: &[Desired]) -> Desired {
+    let mut wanted = Desired::Unset;
     for word in words {
         wanted.merge(*word);
     }
     wanted
 }
 
-fn words() -> impl Strategy<Value = Vec<Wanted>> {
+fn words() -> impl Strategy<Value = Vec<Desired>> {
     let one = (1..4_u64, 0..3_u8).prop_map(|(number, text)| want(number, &text.to_string()));
     prop::collection::vec(one, 1..10)
 }
@@ -51,7 +53,7 @@
 proptest! {
     #[test]
     fn order_and_repeats_do_not_matter(words in words(), seed in any::<u64>()) {
-        let mut other: Vec<Wanted> = words.iter().chain(&words).copied().collect();
+        let mut other: Vec<Desired> = words.iter().chain(&words).copied().collect();
         fastrand::Rng::with_seed(seed).shuffle(&mut other);
         prop_assert_eq!(after(&words), after(&other));
     }
@@ -88,7 +90,7 @@
         after(&[want(1, "a"), want(2, "b"), want(1, "c")]),
         want(2, "b")
     );
-    let Wanted::Both(Conflict { number: 2, .. }) = after(&[want(2, "b"), want(2, "c")]) else {
+    let Desired::Conflict(Conflict { number: 2, .. }) = after(&[want(2, "b"), want(2, "c")]) else {
         panic!("two texts under one number")
     };
     assert_eq!(
@@ -97,7 +99,7 @@
     );
 }
 
-fn wants(world: &World, at: u16) -> Wanted {
+fn wants(world: &World, at: u16) -> Desired {
     world.fleet(at).table().wanted()
 }
 
@@ -149,7 +151,7 @@
     );
     world.faults.cut.clear();
     let end = world.now + 60_000;
-    let known = |w: &World| (0..8).all(|at| matches!(wants(w, at), Wanted::Both(_)));
+    let known = |w: &World| (0..8).all(|at| matches!(wants(w, at), Desired::Conflict(_)));
     world
         .run_until(end, known)
         .expect("the conflict is known to all");
--- a/crates/heathroad/src/admin/mod.rs
+++ b/crates/heathroad/src/admin/mod.rs
@@ -2,8 +2,8 @@
 //! as JSON, and where there are routes, changing them.
 
 use crate::lease::Duties;
-use crate::membership::Peers;
-use crate::membership::audit::{self, Ask};
+use crate::membership::MembershipService;
+use crate::membership::audit::{self, AuditQuery};
 use crate::router::Router;
 use crate::router::transactions::words;
 use crate::runtime_accounting::{sleep, spawn_local, timeout};
@@ -41,7 +41,7 @@
     /// Of counts and routes.
     pub router: Rc<Router>,
     /// Of the fleet.
-    pub peers: Option<Rc<Peers>>,
+    pub peers: Option<Rc<MembershipService>>,
     /// Of duties.
     pub duties: Option<Rc<Duties>>,
 }
@@ -91,9 +91,9 @@
     }
     let told = match request.uri().path() {
         "/fleet/members" => peers.members(),
-        "/fleet/audit" => match Ask::read(request.uri().query().unwrap_or_default()) {
+        "/fleet/audit" => match AuditQuery::parse(request.uri().query().unwrap_or_default()) {
             Ok(ask) => audit::audit(peers.clone(), asked.duties.clone(), ask).await,
-            Err(wrong) => return said(StatusCode::BAD_REQUEST, TEXT, wrong),
+            Err(wrong) => return said(StatusCode::BAD_REQUEST, TEXT, wrong.to_string()),
         },
         _ => return plain(StatusCode::NOT_FOUND),
     };
--- a/crates/heathroad/src/configuration/lease.rs
+++ b/crates/heathroad/src/configuration/lease.rs
@@ -2,7 +2,7 @@
 
 use heathroad_lease::electorate::Electorate;
 use heathroad_lease::{DutyId, LEASE_MS, Terms};
-use heathroad_membership::Place;
+use heathroad_membership::MemberId;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -62,11 +62,11 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Duties {
-    voters: Vec<Place>,
+    voters: Vec<MemberId>,
     #[serde(default)]
     generation: u8,
     #[serde(default)]
-    previous: Vec<Place>,
+    previous: Vec<MemberId>,
     #[serde(default = "usual_lease")]
     lease_ms: u64,
 }
--- a/crates/heathroad/src/configuration/membership.rs
+++ b/crates/heathroad/src/configuration/membership.rs
@@ -1,8 +1,8 @@
 //! The file of the fleet: its name, its key, and what this proxy does in it. Addresses are the
 //! platform's: `peer_listen` and `peers` of the daemon's own file.
 
-use heathroad_membership::Place;
-use heathroad_membership::fleet::Terms;
+use heathroad_membership::MemberId;
+use heathroad_membership::protocol::Config;
 use heathroad_membership::seal::{MAX_KEY, Seal};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -30,16 +30,16 @@
     /// Where each is reached, by its place.
     pub addresses: Vec<SocketAddr>,
     /// This proxy's place among them.
-    pub own: Place,
+    pub own: MemberId,
     /// Times and bounds of the protocol.
-    pub terms: Terms,
+    pub terms: Config,
     /// A proxy that has confirmed nothing with a fellow for so long, or sees no more than half of
     /// the fleet, fences itself.
-    pub sure_for: Option<Duration>,
+    pub fence_unsure_after: Option<Duration>,
     /// Backends are told by which version each attempt was decided; for rehearsals.
-    pub tells_backends: bool,
+    pub sends_version_header: bool,
     /// The duties, where there are voters.
-    pub duties: Option<super::lease::Settings>,
+    pub leases: Option<super::lease::Settings>,
 }
 
 #[derive(Deserialize)]
@@ -58,7 +58,7 @@
 }
 
 fn usual_period() -> u64 {
-    Terms::default().period
+    Config::default().period
 }
 
 /// The platform's addresses, as the daemon's file has them.
@@ -122,7 +122,7 @@
             peers.len()
         ));
     }
-    let own = Place::try_from(addresses.own)
+    let own = MemberId::try_from(addresses.own)
         .ok()
         .filter(|own| usize::from(*own) < peers.len());
     let own =
@@ -130,14 +130,14 @@
     let members = u16::try_from(peers.len()).map_err(|_| "config: peers: too many")?;
     let duties = super::lease::check(read.duties, read.duty, members).map_err(|e| wrong(&e))?;
     Ok(Settings {
-        duties,
+        leases: duties,
         name: read.name,
         seal,
         listen: address("peer_listen", listen)?,
         addresses: peers,
         own,
-        sure_for: read.fence_unsure_after_ms.map(Duration::from_millis),
-        terms: Terms::with_period(read.period_ms),
-        tells_backends: read.tells_backends,
+        fence_unsure_after: read.fence_unsure_after_ms.map(Duration::from_millis),
+        terms: Config::with_period(read.period_ms),
+        sends_version_header: read.tells_backends,
     })
 }
--- a/crates/heathroad/src/engine/mod.rs
+++ b/crates/heathroad/src/engine/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::backend::{Attempt, Call, End, Line, Pool, Target};
 use crate::discovery::endpoint_list::{Health, Host};
-use crate::membership::activity_log::{self, Acts};
+use crate::membership::activity_log::{self, ActivityLog};
 use crate::metrics::{Counts, Final, Moment, Notice, Special};
 use crate::retry_budget::{OnBooks, Purse};
 use crate::runtime_accounting::{sleep, sleep_until, spawn_local};
@@ -20,7 +20,7 @@
     Resolved, SettingsError,
 };
 use heathroad_balancer::settings::Facts;
-use heathroad_membership::record::Act;
+use heathroad_membership::activity_record::Activity;
 use heathroad_retry_budget::account::Loan;
 use heathroad_retry_budget::wire::Spent;
 use pending_response::{Running, Wait};
@@ -102,23 +102,23 @@
     /// What it may spend, where budgets are kept.
     pub budget: Option<OnBooks>,
     /// The page of the record that it was bound under, where one is kept.
-    pub acts: Option<activity_log::Bound>,
+    pub acts: Option<activity_log::RequestActivity>,
 }
 
 impl Incoming {
-    fn act(&self, act: Act) {
+    fn act(&self, act: Activity) {
         if let Some(acts) = &self.acts {
-            acts.act(act);
+            acts.record(act);
         }
     }
 }
 
 /// What an end is on the record.
-fn act(end: Final) -> Act {
+fn act(end: Final) -> Activity {
     match end {
-        Final::Served => Act::Served,
-        Final::Refused => Act::Refused,
-        Final::Failed | Final::TimedOut | Final::Left => Act::Failed,
+        Final::Served => Activity::RequestServed,
+        Final::Refused => Activity::RequestRejected,
+        Final::Failed | Final::TimedOut | Final::Left => Activity::RequestFailed,
     }
 }
 
@@ -198,7 +198,7 @@
     /// What it may spend, until its last attempt has ended.
     budget: Option<OnBooks>,
     /// The page that its attempts are written on.
-    acts: Option<activity_log::Bound>,
+    acts: Option<activity_log::RequestActivity>,
 }
 
 impl Open {
@@ -276,7 +276,7 @@
     facts: Facts,
     counts: Counts,
     /// What this proxy acts on, where a record is kept.
-    acts: Option<Rc<Acts>>,
+    acts: Option<Rc<ActivityLog>>,
     watching: watch::Sender<bool>,
     /// From when on nothing is awaited any more; set by a planned stop.
     last: Cell<Option<Instant>>,
@@ -293,7 +293,7 @@
         seed: u64,
         pool: Rc<Pool>,
         counts: Counts,
-        acts: Option<Rc<Acts>>,
+        acts: Option<Rc<ActivityLog>>,
         watching: watch::Sender<bool>,
     ) -> Result<Rc<Self>, SettingsError> {
         facts.settings.caps.late_ends = true;
@@ -349,7 +349,7 @@
     /// Dropped before that, the client has hung up.
     pub async fn decide(self: &Rc<Self>, incoming: Incoming, client: Option<Waiting>) -> Told {
         if self.fenced() {
-            incoming.act(Act::Fenced);
+            incoming.act(Activity::RequestFenced);
             self.shut_out.set(self.shut_out.get() + 1);
             self.counts
                 .answered(incoming.class, incoming.tenant, Final::Refused);
@@ -360,7 +360,7 @@
                 None,
             );
         }
-        incoming.act(Act::Bound);
+        incoming.act(Activity::RequestBound);
         let budget = &incoming.budget;
         let patience = budget
             .as_ref()
@@ -384,7 +384,7 @@
             tracing::debug!(id = %incoming.call.label(), reason = "deadline passed before it was decided", "request timed out");
             self.counts
                 .answered(incoming.class, incoming.tenant, Final::TimedOut);
-            incoming.act(Act::Failed);
+            incoming.act(Activity::RequestFailed);
             return (Answer::TimedOut, None);
         }
         let wait = Rc::<Wait<Told>>::default();
@@ -395,7 +395,7 @@
                 tracing::debug!(id = %incoming.call.label(), reason = "open requests at their limit", "request refused");
                 self.counts
                     .answered(incoming.class, incoming.tenant, Final::Refused);
-                incoming.act(Act::Refused);
+                incoming.act(Activity::RequestRejected);
                 return (Answer::Refused { retry_after: None }, None);
             }
             let id = s.next;
@@ -463,7 +463,7 @@
     /// caller.
     pub fn undecided(&self, incoming: &Incoming, end: Final) {
         self.counts.answered(incoming.class, incoming.tenant, end);
-        incoming.act(Act::Bound);
+        incoming.act(Activity::RequestBound);
         incoming.act(act(end));
     }
 
@@ -475,12 +475,12 @@
     /// Whether this proxy binds no request, since others are required than it acts on, or it can't
     /// know.
     pub fn fenced(&self) -> bool {
-        self.acts.as_ref().is_some_and(|a| a.fenced())
+        self.acts.as_ref().is_some_and(|a| a.is_fenced())
     }
 
     /// What is in force now, to bind a request to, where a record is kept.
-    pub fn acts(&self) -> Option<activity_log::Bound> {
-        self.acts.as_ref().map(Acts::bind)
+    pub fn acts(&self) -> Option<activity_log::RequestActivity> {
+        self.acts.as_ref().map(ActivityLog::begin_request)
     }
 
     /// What is counted beside the requests that are decided here.
@@ -762,7 +762,10 @@
             duplicate,
             now,
         )?;
-        let granted = open.acts.as_ref().is_none_or(activity_log::Bound::may)
+        let granted = open
+            .acts
+            .as_ref()
+            .is_none_or(activity_log::RequestActivity::permits_attempt)
             && (number == 0 || open.budget.as_ref().is_none_or(OnBooks::again));
         if granted {
             Ok((target, known.place, write_by))
@@ -825,7 +828,7 @@
             self.counts.sent_cold();
         }
         if let Some(acts) = &open.acts {
-            acts.act(Act::Sent);
+            acts.record(Activity::AttemptSent);
         }
         let line = Rc::new(Line::new(open.client.clone(), write_by));
         let lent = open
@@ -1010,7 +1013,7 @@
     request: RequestId,
     class: u16,
     tenant: u16,
-    acts: Option<activity_log::Bound>,
+    acts: Option<activity_log::RequestActivity>,
     /// What it was given; that it left, until then.
     answer: Final,
 }
@@ -1029,7 +1032,7 @@
             .counts
             .answered(self.class, self.tenant, self.answer);
         if let Some(acts) = &self.acts {
-            acts.act(act(self.answer));
+            acts.record(act(self.answer));
         }
         let left = {
             let s = &mut *self.engine.state.borrow_mut();
--- a/crates/heathroad/src/frontend/http.rs
+++ b/crates/heathroad/src/frontend/http.rs
@@ -449,7 +449,9 @@
         };
         let budget = self.books.as_ref().map(enter).transpose()?;
         let acts = bound.acts.clone();
-        let version = acts.as_ref().and_then(activity_log::Bound::header);
+        let version = acts
+            .as_ref()
+            .and_then(activity_log::RequestActivity::version_header);
         let call = Call::Http(http::Call {
             method,
             uri,
--- a/crates/heathroad/src/lease/audit_collector.rs
+++ b/crates/heathroad/src/lease/audit_collector.rs
@@ -5,14 +5,14 @@
 
 use super::worker::Hold;
 use super::{Duties, Store};
-use crate::membership::Peers;
+use crate::membership::MembershipService;
 use crate::membership::audit;
 use crate::runtime_accounting::sleep;
 use heathroad_lease::DutyId;
-use heathroad_membership::Place;
-use heathroad_membership::record::Told;
+use heathroad_membership::MemberId;
+use heathroad_membership::activity_record::RecordSnapshot;
 use heathroad_membership::version::Digest;
-use heathroad_membership::wire::Topic;
+use heathroad_membership::wire::Resource;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Kept {
     /// Who collected it.
-    pub by: Place,
+    pub by: MemberId,
     /// When, Unix time in milliseconds by that one's clock.
     pub at: u64,
     /// To be added to the record's times for that clock, give or take `error`.
@@ -43,12 +43,12 @@
     /// Milliseconds.
     pub error: u64,
     /// The record.
-    pub told: Told,
+    pub told: RecordSnapshot,
 }
 
 /// All records.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Collected(BTreeMap<Place, Kept>);
+pub struct Collected(BTreeMap<MemberId, Kept>);
 
 fn length(of: &impl Serialize) -> usize {
     serde_json::to_vec(of).map_or(0, |b| b.len())
@@ -56,18 +56,18 @@
 
 impl Collected {
     /// That of a member.
-    pub fn get(&self, place: Place) -> Option<&Kept> {
+    pub fn get(&self, place: MemberId) -> Option<&Kept> {
         self.0.get(&place)
     }
 
     /// Takes a record, unless a later one of that member is kept.
-    fn take(&mut self, place: Place, mut kept: Kept) {
+    fn take(&mut self, place: MemberId, mut kept: Kept) {
         // Of two collectors' clocks nothing is known; a member's own record says when it was
         // written down, and only grows.
         if self.0.get(&place).is_some_and(|k| k.told.at > kept.told.at) {
             return;
         }
-        while length(&kept.told) > MAX_RECORD && kept.told.give_up_oldest() {}
+        while length(&kept.told) > MAX_RECORD && kept.told.discard_oldest() {}
         self.0.insert(place, kept);
     }
 
@@ -85,14 +85,14 @@
             if bytes.len() <= MAX_ALL {
                 return bytes;
             }
-            let Some(longest) = self.0.values_mut().max_by_key(|k| k.told.pages.len()) else {
+            let Some(longest) = self.0.values_mut().max_by_key(|k| k.told.intervals.len()) else {
                 return bytes;
             };
             // A quarter of it at once: one page at a time would write all of it hundreds of times.
-            for _ in 0..longest.told.pages.len().div_ceil(4) {
-                longest.told.give_up_oldest();
+            for _ in 0..longest.told.intervals.len().div_ceil(4) {
+                longest.told.discard_oldest();
             }
-            if longest.told.pages.len() <= 1 {
+            if longest.told.intervals.len() <= 1 {
                 // Records of a page each are still too much: those that were collected longest ago
                 // go.
                 let oldest = self
@@ -146,7 +146,7 @@
         kept.1
     }
 
-    fn take(&self, place: Place, kept: Kept) {
+    fn take(&self, place: MemberId, kept: Kept) {
         self.0.borrow_mut().0.take(place, kept);
     }
 
@@ -176,7 +176,7 @@
 /// Collects for as long as the duty is held; why it can't.
 pub async fn collect(
     hold: Hold,
-    peers: Rc<Peers>,
+    peers: Rc<MembershipService>,
     duties: Weak<Duties>,
     every: Duration,
 ) -> String {
@@ -194,36 +194,45 @@
         let voters = duties.upgrade().map(|d| d.voters()).unwrap_or_default();
         let have = std::iter::once(last)
             .chain(voters)
-            .filter(|p| *p != peers.place());
+            .filter(|p| *p != peers.member_id());
         for from in have {
-            let came = peers.fetch(from, Topic::Collected, key, PATIENCE).await;
-            if came.is_ok_and(|(text, _)| collection.merge(&text)) {
+            let came = peers
+                .fetch(from, Resource::CollectedRecords, key, PATIENCE)
+                .await;
+            if came.is_ok_and(|fetched| collection.merge(&fetched.bytes)) {
                 break;
             }
         }
     }
     let mut alone = 0;
     loop {
-        let there = peers.there(true);
+        let there = peers.present_members(true);
         let pause = (every / u32::try_from(there.len().max(1)).unwrap_or(u32::MAX)).max(LEAST);
         let mut reached = 0;
         for place in &there {
             if !hold.may() {
                 return "it is no longer held".into();
             }
-            let own = *place == peers.place();
+            let own = *place == peers.member_id();
             let kept = |told, off, error| Kept {
-                by: peers.place(),
-                at: peers.acts().now(),
+                by: peers.member_id(),
+                at: peers.activity_log().now(),
                 off,
                 error,
                 told,
             };
             if own {
-                collection.take(*place, kept(peers.acts().told(), 0, 0));
-            } else if let Ok(heard) = audit::record(&peers, *place).await {
+                collection.take(*place, kept(peers.activity_log().snapshot(), 0, 0));
+            } else if let Ok(heard) = audit::fetch_record(&peers, *place).await {
                 reached += 1;
-                collection.take(*place, kept(heard.told, heard.off, heard.error));
+                collection.take(
+                    *place,
+                    kept(
+                        heard.snapshot,
+                        heard.clock_offset.offset_ms,
+                        heard.clock_offset.error_ms,
+                    ),
+                );
             }
             sleep(pause).await;
         }
@@ -256,9 +265,9 @@
         };
         let came = duties
             .peers
-            .fetch(from, Topic::Collected, key, PATIENCE)
+            .fetch(from, Resource::CollectedRecords, key, PATIENCE)
             .await;
-        if came.is_ok_and(|(text, _)| duties.collection.merge(&text)) {
+        if came.is_ok_and(|fetched| duties.collection.merge(&fetched.bytes)) {
             duties.collection.seal();
             duties.collection.keep(duties.store.clone()).await;
         }
@@ -268,11 +277,11 @@
 impl Duties {
     /// What a voter has been told to keep of the collector, and from whom it is to be had; none
     /// where it has that, or is the collector.
-    fn to_mirror(&self, duty: DutyId) -> Option<(Digest, Place)> {
+    fn to_mirror(&self, duty: DutyId) -> Option<(Digest, MemberId)> {
         let core = self.core.borrow();
         let mark = core.voter()?.memory().duties.get(&duty).map(|h| &h.mark)?;
         let (key, from) = (marked(&mark.state)?, mark.token.place());
-        (key != self.collection.digest() && from != self.peers.place()).then_some((key, from))
+        (key != self.collection.digest() && from != self.peers.member_id()).then_some((key, from))
     }
 
     /// What the collector kept: here, or at somebody who votes.
@@ -281,18 +290,23 @@
         let (duty, _) = self.all.iter().find(|(_, one)| collects(one))?;
         let holds = self.holds(*duty).is_some();
         let voters = self.voters();
-        if holds || voters.contains(&self.peers.place()) {
+        if holds || voters.contains(&self.peers.member_id()) {
             return Some(self.collection.all());
         }
-        let there = self.peers.there(false);
+        let there = self.peers.present_members(false);
         for from in voters.into_iter().filter(|v| there.contains(v)) {
             let came = self
                 .peers
-                .fetch(from, Topic::Collected, Digest::default(), PATIENCE)
+                .fetch(
+                    from,
+                    Resource::CollectedRecords,
+                    Digest::default(),
+                    PATIENCE,
+                )
                 .await;
             if let Some(collected) = came
                 .ok()
-                .and_then(|(text, _)| serde_json::from_slice(&text).ok())
+                .and_then(|fetched| serde_json::from_slice(&fetched.bytes).ok())
             {
                 return Some(collected);
             }
@@ -300,7 +314,7 @@
         None
     }
 
-    fn voters(&self) -> Vec<Place> {
+    fn voters(&self) -> Vec<MemberId> {
         self.core.borrow().electorate().all().collect()
     }
 }
@@ -308,13 +322,13 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use heathroad_membership::record::Record;
+    use heathroad_membership::activity_record::ActivityRecord;
     use heathroad_membership::version::Version;
 
-    fn told(at: u64, pages: u64) -> Told {
-        let mut record = Record::new(1, 0, None);
+    fn told(at: u64, pages: u64) -> RecordSnapshot {
+        let mut record = ActivityRecord::new(1, 0, None);
         for n in 0..pages {
-            record.begin(
+            record.begin_interval(
                 n,
                 Version {
                     generation: n,
@@ -322,7 +336,7 @@
                 },
             );
         }
-        record.told(at)
+        record.snapshot(at)
     }
 
     fn kept(at: u64, pages: u64) -> Kept {
@@ -340,16 +354,18 @@
         let mut all = Collected::default();
         all.take(3, kept(20, 2));
         all.take(3, kept(10, 5));
-        assert_eq!(all.get(3).map(|k| k.told.pages.len()), Some(2));
+        assert_eq!(all.get(3).map(|k| k.told.intervals.len()), Some(2));
         all.take(4, kept(10, 250));
         let long = &all.get(4).expect("kept").told;
-        assert!(length(long) <= MAX_RECORD && long.lost.pages > 0 && long.pages.len() > 20);
+        assert!(
+            length(long) <= MAX_RECORD && long.discarded.count > 0 && long.intervals.len() > 20
+        );
         (0..400).for_each(|p| all.take(p, kept(30 + u64::from(p), 40)));
         assert!(all.bytes().len() <= MAX_ALL);
         assert!(all.get(399).is_some(), "what was collected last is kept");
         let last = all
             .get(399)
-            .map(|k| k.told.pages.last().map(|p| p.version.generation));
+            .map(|k| k.told.intervals.last().map(|p| p.version.generation));
         assert_eq!(last, Some(Some(39)));
     }
 
--- a/crates/heathroad/src/lease/mod.rs
+++ b/crates/heathroad/src/lease/mod.rs
@@ -13,7 +13,7 @@
 pub use store::Store;
 
 use crate::configuration::lease::{Kind, Settings};
-use crate::membership::Peers;
+use crate::membership::MembershipService;
 use crate::runtime_accounting::{sleep_until, spawn_local};
 use audit_collector::Collection;
 use heathroad_lease::DutyId;
@@ -22,8 +22,8 @@
 use heathroad_lease::seat::{Ended, Event};
 use heathroad_lease::token::Token;
 use heathroad_lease::voter::Mark;
-use heathroad_membership::wire::Topic;
-use heathroad_membership::{Millis, Place};
+use heathroad_membership::wire::Resource;
+use heathroad_membership::{MemberId, Millis};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone)]
 pub struct Stand {
     /// Which voter.
-    pub voter: Place,
+    pub voter: MemberId,
     /// Its word.
     pub what: What,
 }
@@ -77,7 +77,7 @@
 /// This proxy's duties.
 pub struct Duties {
     core: RefCell<Core>,
-    peers: Rc<Peers>,
+    peers: Rc<MembershipService>,
     store: Option<Store>,
     lease: Duration,
     all: BTreeMap<DutyId, One>,
@@ -98,7 +98,7 @@
     pub async fn begin(
         settings: Settings,
         seed: u64,
-        peers: Rc<Peers>,
+        peers: Rc<MembershipService>,
         store: Option<Store>,
     ) -> Result<Rc<Duties>, String> {
         let Settings {
@@ -120,7 +120,7 @@
                 .as_deref(),
         );
         let ids = duties.iter().map(|d| DutyId::of(&d.name)).collect();
-        let own = peers.place();
+        let own = peers.member_id();
         let core = CoreSettings {
             own,
             electorate,
@@ -128,7 +128,12 @@
             duties: ids,
             seed,
         };
-        let core = RefCell::new(Core::new(peers.now(), peers.acts().now(), core, memory));
+        let core = RefCell::new(Core::new(
+            peers.now(),
+            peers.activity_log().now(),
+            core,
+            memory,
+        ));
         let one = |d: crate::configuration::lease::Duty| {
             let (work, own, unfit) = (RefCell::default(), RefCell::default(), RefCell::default());
             (
@@ -158,12 +163,12 @@
             me: me.clone(),
         });
         let texts = duties.me.clone();
-        peers.serve(Box::new(move |topic, key| {
+        peers.serve_resources(Box::new(move |topic, key| {
             let duties = texts.upgrade()?;
             match topic {
-                Topic::Duties => serde_json::to_vec(&duties.told()).ok(),
-                Topic::Collected => duties.collection.text(key),
-                Topic::Record | Topic::Routes => None,
+                Resource::LeaseHistory => serde_json::to_vec(&duties.told()).ok(),
+                Resource::CollectedRecords => duties.collection.text(key),
+                Resource::ActivityRecord | Resource::Routes => None,
             }
         }));
         spawn_local(duties.clone().run());
@@ -188,7 +193,7 @@
             let due = due.min(Instant::now() + MOST);
             tokio::select! {
                 biased;
-                () = self.peers.carried_any() => {}
+                () = self.peers.messages_received() => {}
                 () = self.stirred.notified() => {}
                 () = sleep_until(due) => {}
             }
@@ -198,15 +203,15 @@
 
     /// What has come, and what is due.
     async fn turn(&self) {
-        let (now, fenced) = (self.peers.now(), self.peers.acts().fenced());
+        let (now, fenced) = (self.peers.now(), self.peers.activity_log().is_fenced());
         let willing = !self.stopping.get() && !fenced;
         {
             let mut core = self.core.borrow_mut();
-            core.unix(self.peers.acts().now());
-            core.present(self.peers.there(willing));
+            core.unix(self.peers.activity_log().now());
+            core.present(self.peers.present_members(willing));
             // What has come counts before it is said that nothing has.
-            for carried in self.peers.carried() {
-                core.receive(now, carried.from, carried.life, &carried.bytes);
+            for carried in self.peers.take_messages() {
+                core.receive(now, carried.from, carried.incarnation, &carried.bytes);
             }
             core.tick(now);
             if fenced {
@@ -260,13 +265,14 @@
                                 send.message.what,
                                 What::Granted { .. } | What::Kept { .. }
                             ) => {}
-                    Output::Send(send) if send.to == self.peers.place() => {
-                        let (now, life) = (self.peers.now(), self.peers.acts().life());
+                    Output::Send(send) if send.to == self.peers.member_id() => {
+                        let (now, life) =
+                            (self.peers.now(), self.peers.activity_log().incarnation());
                         self.core
                             .borrow_mut()
                             .hear(now, send.to, life, send.message);
                     }
-                    Output::Send(send) => self.peers.carry(send.to, send.message.write()),
+                    Output::Send(send) => self.peers.send_message(send.to, send.message.write()),
                     Output::Event(duty, event) => self.event(duty, event),
                     Output::Stands(voter, duty, what) => {
                         let mut stands = self.stands.borrow_mut();
@@ -293,7 +299,7 @@
                 }
                 own.push_back(Own {
                     token,
-                    from: self.peers.acts().now(),
+                    from: self.peers.activity_log().now(),
                     to: None,
                     why: None,
                 });
@@ -303,7 +309,7 @@
             }
             Event::End { token, why } => {
                 tracing::info!(duty = %name, %token, ?why, "duty {name}: no longer held: {why:?}");
-                let to = Some(self.peers.acts().now());
+                let to = Some(self.peers.activity_log().now());
                 if let Some(own) = one
                     .own
                     .borrow_mut()
@@ -380,7 +386,7 @@
 }
 
 /// A time of this proxy's monotonic clock as Unix time in milliseconds.
-fn unix_at(peers: &Peers, at: Millis) -> u64 {
-    let (now, unix) = (peers.now(), peers.acts().now());
+fn unix_at(peers: &MembershipService, at: Millis) -> u64 {
+    let (now, unix) = (peers.now(), peers.activity_log().now());
     unix.saturating_sub(now).saturating_add(at)
 }
--- a/crates/heathroad/src/lease/status.rs
+++ b/crates/heathroad/src/lease/status.rs
@@ -1,14 +1,14 @@
 //! What operators ask of duties: how they stand now by the voters' words, and who held what.
 
 use super::{Duties, Kind, Own, unix_at};
-use crate::membership::audit::{self, Off};
+use crate::membership::audit::{self, ClockOffset};
 use crate::runtime_accounting::{sleep, spawn_in};
 use heathroad_lease::DutyId;
 use heathroad_lease::history::End;
 use heathroad_lease::message::{What, Why};
 use heathroad_lease::token::Token;
-use heathroad_membership::Place;
-use heathroad_membership::wire::Topic;
+use heathroad_membership::MemberId;
+use heathroad_membership::wire::Resource;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
             }
         };
         Told {
-            at: self.peers.acts().now(),
+            at: self.peers.activity_log().now(),
             duties: self.all.iter().map(part).collect(),
         }
     }
@@ -125,7 +125,7 @@
         let silent = core
             .voter()
             .map(|v| v.silent_until().saturating_sub(self.peers.now()));
-        json!({"asked": self.peers.place(), "at": self.peers.acts().now(), "generation": electorate.generation(),
+        json!({"asked": self.peers.member_id(), "at": self.peers.activity_log().now(), "generation": electorate.generation(),
             "voters": electorate.all().collect::<Vec<_>>(), "votes": core.voter().is_some(),
             "silent_ms": silent, "lease_ms": self.lease.as_millis() as u64, "duties": duties})
     }
@@ -143,13 +143,13 @@
             _ => None,
         };
         // Whom a quorum grants it to holds it, or may.
-        let mut by: BTreeMap<Token, Vec<(Place, u32)>> = BTreeMap::new();
+        let mut by: BTreeMap<Token, Vec<(MemberId, u32)>> = BTreeMap::new();
         for s in of {
             if let Some((token, left)) = held(&s.what) {
                 by.entry(token).or_default().push((s.voter, left));
             }
         }
-        let quorum = |voters: &[(Place, u32)]| {
+        let quorum = |voters: &[(MemberId, u32)]| {
             core.electorate()
                 .quorum(|p| voters.iter().any(|(v, _)| *v == p))
         };
@@ -185,16 +185,17 @@
     /// clock.
     pub async fn history(self: &Rc<Self>) -> Value {
         let mut asking = JoinSet::new();
-        for place in self.peers.there(false) {
+        for place in self.peers.present_members(false) {
             let peers = self.peers.clone();
             spawn_in(&mut asking, async move {
                 (
                     place,
-                    audit::told::<Told>(&peers, place, Topic::Duties, |t| t.at).await,
+                    audit::fetch_snapshot::<Told>(&peers, place, Resource::LeaseHistory, |t| t.at)
+                        .await,
                 )
             });
         }
-        let mut all = vec![(self.peers.place(), self.told(), Off::default())];
+        let mut all = vec![(self.peers.member_id(), self.told(), ClockOffset::default())];
         let mut unreached = Vec::new();
         while let Some(one) = asking.join_next().await {
             match one {
@@ -209,7 +210,7 @@
             .values()
             .map(|one| spells(&one.name, &all))
             .collect();
-        json!({"asked": self.peers.place(), "at": self.peers.acts().now(), "unreached": unreached,
+        json!({"asked": self.peers.member_id(), "at": self.peers.activity_log().now(), "unreached": unreached,
             "duties": duties})
     }
 }
@@ -224,28 +225,31 @@
     granted: Option<u64>,
     bound: Option<u64>,
     resigned: bool,
-    told_by: Vec<Place>,
+    told_by: Vec<MemberId>,
     error: u64,
 }
 
-fn spells(name: &str, all: &[(Place, Told, Off)]) -> Value {
+fn spells(name: &str, all: &[(MemberId, Told, ClockOffset)]) -> Value {
     let mut by: BTreeMap<Token, Spell> = BTreeMap::new();
     for (place, told, off) in all {
         for part in told.duties.iter().filter(|p| p.name == name) {
             for own in &part.own {
                 let s = by.entry(own.token).or_default();
-                (s.from, s.to) = (Some(off.here(own.from)), own.to.map(|t| off.here(t)));
+                (s.from, s.to) = (
+                    Some(off.to_local(own.from)),
+                    own.to.map(|t| off.to_local(t)),
+                );
                 (s.why, s.holds) = (own.why.clone(), own.to.is_none());
-                s.error = s.error.max(off.error);
+                s.error = s.error.max(off.error_ms);
                 s.told_by.push(*place);
             }
             for g in &part.granted {
                 let s = by.entry(g.token).or_default();
-                let (from, until) = (off.here(g.from), off.here(g.until));
+                let (from, until) = (off.to_local(g.from), off.to_local(g.until));
                 s.granted = Some(s.granted.map_or(from, |t| t.min(from)));
                 s.bound = Some(s.bound.map_or(until, |t| t.max(until)));
                 s.resigned |= g.end == End::Resigned;
-                s.error = s.error.max(off.error);
+                s.error = s.error.max(off.error_ms);
                 if !s.told_by.contains(place) {
                     s.told_by.push(*place);
                 }
--- a/crates/heathroad/src/lease/worker.rs
+++ b/crates/heathroad/src/lease/worker.rs
@@ -56,7 +56,10 @@
 
     /// This proxy's place and life, for people.
     pub fn holder(&self) -> String {
-        let life = self.duties.upgrade().map_or(0, |d| d.peers.acts().life());
+        let life = self
+            .duties
+            .upgrade()
+            .map_or(0, |d| d.peers.activity_log().incarnation());
         format!("{}.{life}", self.token.place())
     }
 
--- a/crates/heathroad/src/lib.rs
+++ b/crates/heathroad/src/lib.rs
@@ -52,8 +52,8 @@
 use heathroad_balancer::api::ListKind;
 use heathroad_routing::transaction::Event;
 use lease::{Duties, Store};
-use membership::Peers;
-use membership::activity_log::Acts;
+use membership::MembershipService;
+use membership::activity_log::ActivityLog;
 use metrics::{Counts, Meter};
 use retry_budget::Books;
 use router::routed_pools::Many;
@@ -116,13 +116,17 @@
         wanted: watch::Receiver<bool>,
         following: JoinHandle<()>,
         address: SocketAddr,
-        acts: Option<Rc<Acts>>,
+        acts: Option<Rc<ActivityLog>>,
     },
     /// Pools by routes follow their own.
     Routes(Rc<Many>),
 }
 
-fn one_pool(config: &mut Config, pool: &Rc<Pool>, acts: Option<Rc<Acts>>) -> Result<Lists, String> {
+fn one_pool(
+    config: &mut Config,
+    pool: &Rc<Pool>,
+    acts: Option<Rc<ActivityLog>>,
+) -> Result<Lists, String> {
     let (watching, wanted) = watch::channel(false);
     let must_ask = config.facts.settings.must_ask;
     let counts = Counts::new(&Rc::new(Meter::new()), "", &config.facts.site);
@@ -163,14 +167,14 @@
     address: SocketAddr,
     must_ask: bool,
     wanted: &watch::Receiver<bool>,
-    acts: Option<Rc<Acts>>,
+    acts: Option<Rc<ActivityLog>>,
 ) -> JoinHandle<()> {
     let (engine, grace) = (engine.clone(), millis(engine.facts().site.drain_grace));
     let hear = move |news| match news {
         News::List(kind, hosts, seq) => {
             tracing::debug!(?kind, hosts = hosts.len(), seq, "list of backends");
             if let Some(acts) = &acts {
-                acts.heard(address, seq);
+                acts.endpoint_list_received(address, seq);
             }
             engine.list(kind, hosts);
         }
@@ -204,7 +208,7 @@
                 *following = follow(engine, address, *must_ask, wanted, acts.clone());
                 let old = std::mem::replace(old, address);
                 if let Some(acts) = acts.as_ref().filter(|_| old != address) {
-                    acts.left(old);
+                    acts.endpoint_source_removed(old);
                 }
             }
             Lists::Routes(many) => {
@@ -231,23 +235,23 @@
     let fleet = config
         .fleet
         .as_ref()
-        .map_or(0, |f| if f.duties.is_some() { 1 + DUTIES } else { 1 });
+        .map_or(0, |f| if f.leases.is_some() { 1 + DUTIES } else { 1 });
     let usable = config.sockets - RESERVED - admin - fleet;
     let acts = config.fleet.as_ref().map(|fleet| {
         let before = config
             .state
             .as_deref()
-            .map(membership::read)
+            .map(membership::read_record)
             .transpose()
             .unwrap_or_else(|e| {
                 tracing::warn!("fleet: record: {e}");
                 None
             });
-        Acts::new(
+        ActivityLog::new(
             config.digest,
             before.flatten(),
-            fleet.tells_backends,
-            fleet.sure_for,
+            fleet.sends_version_header,
+            fleet.fence_unsure_after,
         )
     });
     let site = &config.facts.site;
@@ -272,8 +276,9 @@
     });
     let (mut peers, mut duties) = (None, None);
     if let Some((mut fleet, acts)) = config.fleet.take().zip(acts) {
-        let named = fleet.duties.take();
-        let among = Peers::begin(fleet, config.seed, acts, config.state.clone()).await?;
+        let named = fleet.leases.take();
+        let among =
+            MembershipService::begin(fleet, config.seed, acts, config.state.clone()).await?;
         if let Some(named) = named {
             let store = config.state.as_deref().map(Store::open).transpose()?;
             duties = Some(Duties::begin(named, seed(), among.clone(), store).await?);
--- a/crates/heathroad/src/membership/activity_log.rs
+++ b/crates/heathroad/src/membership/activity_log.rs
@@ -1,8 +1,10 @@
 //! What this proxy acts on, and the record of what it did on which.
 
-use heathroad_membership::record::{Act, Page, Record, Spell, Told, Trouble, TurnedDown, Unix};
+use heathroad_membership::activity_record::{
+    Activity, ActivityRecord, Page, RecordSnapshot, Spell, Trouble, TurnedDown, Unix,
+};
+use heathroad_membership::desired_version::Required;
 use heathroad_membership::version::{Digest, Source, Version};
-use heathroad_membership::want::Required;
 use heathroad_membership::wire::SPOKEN;
 use hyper::header::HeaderValue;
 use std::cell::{Cell, RefCell};
@@ -15,25 +17,25 @@
 
 /// The page that a request was bound under, to its end.
 #[derive(Clone)]
-pub struct Bound {
-    acts: Rc<Acts>,
+pub struct RequestActivity {
+    acts: Rc<ActivityLog>,
     page: Rc<Page>,
 }
 
-impl Bound {
+impl RequestActivity {
     /// Something was done for the request.
-    pub fn act(&self, act: Act) {
+    pub fn record(&self, act: Activity) {
         self.page.act(act, self.acts.now());
     }
 
     /// Whether an attempt may be sent for the request: not on routes past the time by which others
     /// are required.
-    pub fn may(&self) -> bool {
+    pub fn permits_attempt(&self) -> bool {
         self.acts.may_on(self.page.generation(), self.page.routes())
     }
 
     /// What backends are told of the version, where they are.
-    pub fn header(&self) -> Option<HeaderValue> {
+    pub fn version_header(&self) -> Option<HeaderValue> {
         let digest = self
             .acts
             .tells_backends
@@ -54,9 +56,9 @@
 }
 
 /// What this proxy acts on.
-pub struct Acts {
+pub struct ActivityLog {
     version: RefCell<Version>,
-    record: RefCell<Record>,
+    record: RefCell<ActivityRecord>,
     page: RefCell<Rc<Page>>,
     changed: Notify,
     tells_backends: bool,
@@ -76,15 +78,15 @@
     fenced: Cell<bool>,
 }
 
-impl Acts {
+impl ActivityLog {
     /// Begins with a version without routes and lists, and with what was kept of the record from
     /// before.
     pub fn new(
         settings: Digest,
-        before: Option<Told>,
+        before: Option<RecordSnapshot>,
         tells_backends: bool,
         sure_for: Option<Duration>,
-    ) -> Rc<Acts> {
+    ) -> Rc<ActivityLog> {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -96,9 +98,9 @@
             settings,
             ..Version::default()
         };
-        let mut record = Record::new(base, base, before);
-        let page = RefCell::new(record.begin(base, version.clone()));
-        Rc::new(Acts {
+        let mut record = ActivityRecord::new(base, base, before);
+        let page = RefCell::new(record.begin_interval(base, version.clone()));
+        Rc::new(ActivityLog {
             version: RefCell::new(version),
             record: RefCell::new(record),
             page,
@@ -117,7 +119,7 @@
     }
 
     /// Unix time in milliseconds at the start, and so this process's life.
-    pub fn life(&self) -> Unix {
+    pub fn incarnation(&self) -> Unix {
         self.base
     }
 
@@ -137,22 +139,22 @@
     }
 
     /// Binds a request to what is in force.
-    pub fn bind(self: &Rc<Self>) -> Bound {
-        Bound {
+    pub fn begin_request(self: &Rc<Self>) -> RequestActivity {
+        RequestActivity {
             acts: self.clone(),
             page: self.page.borrow().clone(),
         }
     }
 
     /// A generation of routes is in force.
-    pub fn in_force(&self, number: u64, text: &str) {
+    pub fn set_routes(&self, number: u64, text: &str) {
         let digest = Digest::of(text.as_bytes());
         self.routes.replace((number, digest, text.into()));
         self.change(|v| (v.generation, v.routes) = (number, digest));
     }
 
     /// Routes in force were committed.
-    pub fn commit(&self, number: u64, text: &str, within: Option<u64>) {
+    pub fn announce_commit(&self, number: u64, text: &str, within: Option<u64>) {
         self.committed.set(Some(Committed {
             number,
             digest: Digest::of(text.as_bytes()),
@@ -167,7 +169,7 @@
     }
 
     /// The highest number of a generation that is known in the fleet.
-    pub fn highest(&self) -> u64 {
+    pub fn highest_known_generation(&self) -> u64 {
         self.highest.get()
     }
 
@@ -183,7 +185,7 @@
 
     /// The soonest that anything can be required, in milliseconds: where proxies that can't know
     /// what is required fence themselves, they do so after as long.
-    pub fn least_required(&self) -> u64 {
+    pub fn min_required_within_ms(&self) -> u64 {
         self.sure_for
             .map_or(0, |t| u64::try_from(t.as_millis()).unwrap_or(u64::MAX))
     }
@@ -209,7 +211,7 @@
     }
 
     /// Whether this proxy is fenced: it binds no request. The record tells from when to when.
-    pub fn fenced(&self) -> bool {
+    pub fn is_fenced(&self) -> bool {
         let (number, digest) = {
             let routes = self.routes.borrow();
             (routes.0, routes.1)
@@ -237,7 +239,7 @@
     }
 
     /// A generation was not taken, for a reason.
-    pub fn turn_down(&self, generation: u64, routes: Digest, why: String) {
+    pub fn record_rejection(&self, generation: u64, routes: Digest, why: String) {
         let at = self.now();
         self.record.borrow_mut().turn_down(TurnedDown {
             at,
@@ -248,7 +250,7 @@
     }
 
     /// Whether a text was turned down before.
-    pub fn turned_down(&self, routes: Digest) -> bool {
+    pub fn was_rejected(&self, routes: Digest) -> bool {
         self.record.borrow().turned_down(routes).is_some()
     }
 
@@ -259,12 +261,12 @@
     }
 
     /// A change of routes has come into force, or was undone.
-    pub fn act(&self, act: Act) {
+    pub fn record(&self, act: Activity) {
         self.page.borrow().act(act, self.now());
     }
 
     /// A source of backends has told a list or a change.
-    pub fn heard(&self, source: SocketAddr, seq: u64) {
+    pub fn endpoint_list_received(&self, source: SocketAddr, seq: u64) {
         let source = Digest::of(source.to_string().as_bytes());
         self.change(
             |v| match v.sources.iter_mut().find(|s| s.source == source) {
@@ -278,7 +280,7 @@
     }
 
     /// A source of backends is followed no longer.
-    pub fn left(&self, source: SocketAddr) {
+    pub fn endpoint_source_removed(&self, source: SocketAddr) {
         let source = Digest::of(source.to_string().as_bytes());
         self.change(|v| v.sources.retain(|s| s.source != source));
     }
@@ -289,7 +291,7 @@
         let version = version.clone().bounded();
         let now = self.now();
         self.page
-            .replace(self.record.borrow_mut().begin(now, version));
+            .replace(self.record.borrow_mut().begin_interval(now, version));
         self.changed.notify_waiters();
     }
 
@@ -322,8 +324,8 @@
     }
 
     /// The record as it stands.
-    pub fn told(&self) -> Told {
-        self.record.borrow().told(self.now())
+    pub fn snapshot(&self) -> RecordSnapshot {
+        self.record.borrow().snapshot(self.now())
     }
 
     /// The proxy stops: nothing is in force any more.
--- a/crates/heathroad/src/membership/audit.rs
+++ b/crates/heathroad/src/membership/audit.rs
@@ -2,15 +2,15 @@
 //! that; of whoever is not reached, what was last heard is told, and that nothing is known beyond
 //! it.
 
-use super::Peers;
+use super::{FetchedResource, MembershipService};
 use crate::lease::Duties;
 use crate::lease::audit_collector::Kept;
-use heathroad_membership::Place;
-use heathroad_membership::fleet::fetch::Unfetched;
-use heathroad_membership::record::{Kept as Interval, Spell, Told};
+use heathroad_membership::MemberId;
+use heathroad_membership::activity_record::{Kept as Interval, RecordSnapshot, Spell};
+use heathroad_membership::protocol::fetch::Unfetched;
 use heathroad_membership::table::Standing;
 use heathroad_membership::version::Digest;
-use heathroad_membership::wire::Topic;
+use heathroad_membership::wire::Resource;
 use serde_json::{Value, json};
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 
 /// What is asked. Times are Unix time in milliseconds by the clock of the proxy that is asked.
 #[derive(Default, Clone, Copy)]
-pub struct Ask {
+pub struct AuditQuery {
     /// Nothing that ended before.
     pub since: Option<u64>,
     /// Of this generation of routes alone.
@@ -30,10 +30,10 @@
     pub at: Option<u64>,
 }
 
-impl Ask {
+impl AuditQuery {
     /// From a request's query, such as `since=1790000000000&version=7`.
-    pub fn read(query: &str) -> Result<Ask, String> {
-        let mut ask = Ask::default();
+    pub fn parse(query: &str) -> Result<AuditQuery, String> {
+        let mut ask = AuditQuery::default();
         for pair in query.split('&').filter(|p| !p.is_empty()) {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
             let number = value
@@ -65,59 +65,65 @@
 /// How another's clock lies to this proxy's: `off` is to be added to its times, give or take
 /// `error`, in milliseconds.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Off {
+pub struct ClockOffset {
     /// To be added.
-    pub off: i64,
+    pub offset_ms: i64,
     /// Give or take so much.
-    pub error: u64,
+    pub error_ms: u64,
 }
 
-impl Off {
+impl ClockOffset {
     /// Another's time by this proxy's clock.
-    pub fn here(self, time: u64) -> u64 {
-        time.saturating_add_signed(self.off)
+    pub fn to_local(self, time: u64) -> u64 {
+        time.saturating_add_signed(self.offset_ms)
     }
 }
 
 /// A record, and how its clock lies.
-pub struct Heard {
+pub struct RemoteRecord {
     /// The record.
-    pub told: Told,
-    /// To be added to its times.
-    pub off: i64,
-    /// Give or take so much.
-    pub error: u64,
+    pub snapshot: RecordSnapshot,
+    /// How its clock lies to this proxy's.
+    pub clock_offset: ClockOffset,
 }
 
 /// What a member tells as JSON that says when it was written down.
-pub async fn told<T: serde::de::DeserializeOwned>(
-    peers: &Peers,
-    of: Place,
-    topic: Topic,
+pub async fn fetch_snapshot<T: serde::de::DeserializeOwned>(
+    peers: &MembershipService,
+    of: MemberId,
+    topic: Resource,
     at: impl Fn(&T) -> u64,
-) -> Result<(T, Off), Unfetched> {
-    let (text, span) = peers.fetch(of, topic, Digest::default(), PATIENCE).await?;
+) -> Result<(T, ClockOffset), Unfetched> {
+    let FetchedResource { bytes: text, span } =
+        peers.fetch(of, topic, Digest::default(), PATIENCE).await?;
     let told: T = serde_json::from_slice(&text).map_err(|_| Unfetched::Spoilt)?;
     // It was written down somewhere in that span.
     let middle = span.begun.saturating_add(span.within / 2);
     let off = i64::try_from(i128::from(middle) - i128::from(at(&told))).unwrap_or(i64::MAX);
     Ok((
         told,
-        Off {
-            off,
-            error: span.within.div_ceil(2),
+        ClockOffset {
+            offset_ms: off,
+            error_ms: span.within.div_ceil(2),
         },
     ))
 }
 
 /// A member's record.
-pub async fn record(peers: &Peers, of: Place) -> Result<Heard, Unfetched> {
-    let (told, Off { off, error }) = told::<Told>(peers, of, Topic::Record, |t| t.at).await?;
-    Ok(Heard { told, off, error })
+pub async fn fetch_record(
+    peers: &MembershipService,
+    of: MemberId,
+) -> Result<RemoteRecord, Unfetched> {
+    let (snapshot, clock_offset) =
+        fetch_snapshot::<RecordSnapshot>(peers, of, Resource::ActivityRecord, |t| t.at).await?;
+    Ok(RemoteRecord {
+        snapshot,
+        clock_offset,
+    })
 }
 
-fn pages(ask: &Ask, told: &Told, off: i64) -> Vec<Value> {
-    let wanted = told.pages.iter().filter(|p| ask.wants(p, told.at, off));
+fn pages(ask: &AuditQuery, told: &RecordSnapshot, off: i64) -> Vec<Value> {
+    let wanted = told.intervals.iter().filter(|p| ask.wants(p, told.at, off));
     let page = |kept: &Interval| {
         let mut page = serde_json::to_value(kept).unwrap_or_default();
         for time in ["from", "to", "first", "last"] {
@@ -130,25 +136,25 @@
     wanted.map(page).collect()
 }
 
-fn spells(told: &Told, off: i64) -> Vec<Value> {
+fn spells(told: &RecordSnapshot, off: i64) -> Vec<Value> {
     let here = |t: u64| t.saturating_add_signed(off);
     let spell =
         |s: &Spell| json!({"trouble": s.trouble, "from": here(s.from), "to": s.to.map(here)});
     told.spells.iter().map(spell).collect()
 }
 
-fn member(ask: &Ask, told: &Told, off: i64, error: u64) -> Value {
+fn member(ask: &AuditQuery, told: &RecordSnapshot, off: i64, error: u64) -> Value {
     let here = |t: u64| t.saturating_add_signed(off);
     json!({
         "reached": true, "clock_off_ms": -off, "clock_error_ms": error, "since": here(told.since), "at": here(told.at),
-        "pages": pages(ask, told, off), "lost": told.lost, "spells": spells(told, off),
+        "pages": pages(ask, told, off), "lost": told.discarded, "spells": spells(told, off),
         "turned_down": told.turned_down,
     })
 }
 
 /// What the collector kept of a member: by the collector's clock, and of nothing after it was
 /// collected.
-fn collected(ask: &Ask, kept: &Kept) -> Value {
+fn collected(ask: &AuditQuery, kept: &Kept) -> Value {
     let mut told = member(ask, &kept.told, kept.off, kept.error);
     told["reached"] = false.into();
     (told["by"], told["collected_at"]) = (kept.by.into(), kept.at.into());
@@ -157,11 +163,15 @@
 
 /// Asks every member for its record. Of whom it does not reach, what the fleet's collector kept is
 /// told, where there is one.
-pub async fn audit(peers: Rc<Peers>, duties: Option<Rc<Duties>>, ask: Ask) -> Value {
+pub async fn audit(
+    peers: Rc<MembershipService>,
+    duties: Option<Rc<Duties>>,
+    ask: AuditQuery,
+) -> Value {
     let acts = &peers.acts;
     let views = peers.members();
     let mut asking = JoinSet::new();
-    let (own, standings): (Place, Vec<(Place, Standing)>) = {
+    let (own, standings): (MemberId, Vec<(MemberId, Standing)>) = {
         let fleet = peers.fleet.borrow();
         (
             fleet.own(),
@@ -177,7 +187,7 @@
         if place != own && matches!(standing, Standing::Alive | Standing::Suspect) {
             let peers = peers.clone();
             crate::runtime_accounting::spawn_in(&mut asking, async move {
-                (place, record(&peers, place).await)
+                (place, fetch_record(&peers, place).await)
             });
         }
     }
@@ -198,11 +208,14 @@
     for view in views["members"].as_array().into_iter().flatten() {
         let place = view["place"]
             .as_u64()
-            .and_then(|p| Place::try_from(p).ok())
-            .unwrap_or(Place::MAX);
+            .and_then(|p| MemberId::try_from(p).ok())
+            .unwrap_or(MemberId::MAX);
         let mut member = match heard.remove(&place) {
-            _ if place == own => member(&ask, &acts.told(), 0, 0),
-            Some(Ok(h)) => member(&ask, &h.told, h.off, h.error),
+            _ if place == own => member(&ask, &acts.snapshot(), 0, 0),
+            Some(Ok(h)) => {
+                let off = h.clock_offset;
+                member(&ask, &h.snapshot, off.offset_ms, off.error_ms)
+            }
             other => {
                 let why = match other {
                     Some(Err(Unfetched::NotThere)) => "it keeps no record",
--- a/crates/heathroad/src/membership/file.rs
+++ b/crates/heathroad/src/membership/file.rs
@@ -2,9 +2,9 @@
 //! whole at any time. What was not written yet when the process ended is on nobody's record, and
 //! the next one says so.
 
-use super::activity_log::Acts;
+use super::activity_log::ActivityLog;
 use crate::runtime_accounting::sleep;
-use heathroad_membership::record::Told;
+use heathroad_membership::activity_record::RecordSnapshot;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 }
 
 /// What an earlier process kept; what can't be read is said, and counts as none.
-pub fn read(folder: &Path) -> Result<Option<Told>, String> {
+pub fn read(folder: &Path) -> Result<Option<RecordSnapshot>, String> {
     let file = path(folder);
     let wrong =
         |e: &dyn std::fmt::Display| format!("{}: {e}; the record begins anew", file.display());
@@ -42,19 +42,20 @@
 }
 
 /// Writes a record down.
-pub fn write(folder: &Path, told: &Told) -> io::Result<()> {
+pub fn write(folder: &Path, told: &RecordSnapshot) -> io::Result<()> {
     let beside = folder.join("acts.json.new");
     std::fs::write(&beside, serde_json::to_vec(told)?)?;
     std::fs::rename(&beside, path(folder))
 }
 
 /// Keeps the record for as long as the process lives.
-pub async fn keep(folder: PathBuf, acts: Rc<Acts>) {
+pub async fn keep(folder: PathBuf, acts: Rc<ActivityLog>) {
     let (mut written, mut failing) = (None, false);
     loop {
-        let told = acts.told();
-        let same = written.as_ref().is_some_and(|w: &Told| {
-            (&w.pages, &w.lost, &w.spells) == (&told.pages, &told.lost, &told.spells)
+        let told = acts.snapshot();
+        let same = written.as_ref().is_some_and(|w: &RecordSnapshot| {
+            (&w.intervals, &w.discarded, &w.spells)
+                == (&told.intervals, &told.discarded, &told.spells)
         });
         if !same {
             let (to, copy) = (folder.clone(), told.clone());
--- a/crates/heathroad/src/membership/mod.rs
+++ b/crates/heathroad/src/membership/mod.rs
@@ -5,18 +5,18 @@
 pub mod audit;
 mod file;
 
-pub use file::read;
+pub use file::read as read_record;
 
 use crate::configuration::membership::Settings;
 use crate::runtime_accounting::{sleep, sleep_until, spawn_local, timeout};
-use activity_log::{Acts, Committed};
-use heathroad_membership::fleet::carry::Carried;
-use heathroad_membership::fleet::fetch::{Fetched, Unfetched};
-use heathroad_membership::fleet::{Fleet, News};
+use activity_log::{ActivityLog, Committed};
+use heathroad_membership::desired_version::Desired;
+use heathroad_membership::protocol::carry::Carried;
+use heathroad_membership::protocol::fetch::{Fetched, Unfetched};
+use heathroad_membership::protocol::{Event, Membership};
 use heathroad_membership::version::Digest;
-use heathroad_membership::want::Wanted;
-use heathroad_membership::wire::{MAX_DATAGRAM, Topic};
-use heathroad_membership::{Millis, Place};
+use heathroad_membership::wire::{MAX_DATAGRAM, Resource};
+use heathroad_membership::{MemberId, Millis};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -38,7 +38,7 @@
 /// A proxy that has to be sure of what is required asks so many times in the span for which an
 /// answer makes it sure.
 const CONFIRMS: u32 = 6;
-/// News that is kept to be asked for.
+/// Events that are kept to be asked for.
 const KEPT: usize = 200;
 /// Pause between two looks whether a text can be fetched, where too many are.
 const CROWDED: Duration = Duration::from_millis(20);
@@ -46,7 +46,7 @@
 type Waiting = oneshot::Sender<Fetched>;
 
 /// Texts that others than the fleet itself tell.
-type Texts = Box<dyn Fn(Topic, Digest) -> Option<Vec<u8>>>;
+type Texts = Box<dyn Fn(Resource, Digest) -> Option<Vec<u8>>>;
 
 /// From when on, Unix time in milliseconds, and for how long.
 pub struct Span {
@@ -54,34 +54,41 @@
     within: Millis,
 }
 
+/// A text that was fetched, and the span in which it was as it is.
+pub struct FetchedResource {
+    /// The text.
+    pub bytes: Vec<u8>,
+    span: Span,
+}
+
 /// This proxy among its fellows.
-pub struct Peers {
+pub struct MembershipService {
     name: String,
-    fleet: RefCell<Fleet>,
+    fleet: RefCell<Membership>,
     socket: UdpSocket,
     addresses: Vec<SocketAddr>,
-    acts: Rc<Acts>,
+    acts: Rc<ActivityLog>,
     started: Instant,
     stirred: Notify,
     waiting: RefCell<HashMap<u32, Waiting>>,
-    news: RefCell<VecDeque<(u64, News)>>,
+    news: RefCell<VecDeque<(u64, Event)>>,
     state: Option<PathBuf>,
     /// A proxy that has confirmed nothing for so long does not know what is required.
     sure_for: Option<Duration>,
-    wanted: watch::Sender<Wanted>,
+    wanted: watch::Sender<Desired>,
     came: Notify,
     texts: RefCell<Option<Texts>>,
 }
 
-impl Peers {
+impl MembershipService {
     /// Opens the peers' port, and begins. The record is kept in `state`, where there is such a
     /// folder.
     pub async fn begin(
         settings: Settings,
         seed: u64,
-        acts: Rc<Acts>,
+        acts: Rc<ActivityLog>,
         state: Option<PathBuf>,
-    ) -> Result<Rc<Peers>, String> {
+    ) -> Result<Rc<MembershipService>, String> {
         let Settings {
             name,
             seal,
@@ -89,7 +96,7 @@
             addresses,
             own,
             terms,
-            sure_for,
+            fence_unsure_after: sure_for,
             ..
         } = settings;
         let socket = UdpSocket::bind(listen)
@@ -97,12 +104,12 @@
             .map_err(|e| format!("fleet: {listen}: {e}"))?;
         let members =
             u16::try_from(addresses.len()).map_err(|_| "fleet: too many peers".to_string())?;
-        let mut fleet = Fleet::new(0, seal, own, members, acts.life(), seed, terms);
+        let mut fleet = Membership::new(0, seal, own, members, acts.incarnation(), seed, terms);
         fleet.act_on(acts.version());
         let (fleet, started) = (RefCell::new(fleet), Instant::now());
-        let wanted = watch::Sender::new(Wanted::Nothing);
+        let wanted = watch::Sender::new(Desired::Unset);
         let (stirred, waiting, news) = (Notify::new(), RefCell::default(), RefCell::default());
-        let peers = Rc::new(Peers {
+        let peers = Rc::new(MembershipService {
             name,
             fleet,
             socket,
@@ -126,7 +133,7 @@
     }
 
     /// This proxy's place.
-    pub fn place(&self) -> Place {
+    pub fn member_id(&self) -> MemberId {
         self.fleet.borrow().own()
     }
 
@@ -195,7 +202,7 @@
         self.wanted
             .send_if_modified(|known| std::mem::replace(known, wanted) != wanted);
         // Its being fenced begins and ends also while nothing is asked of it.
-        self.acts.fenced();
+        self.acts.is_fenced();
     }
 
     fn read(&self) {
@@ -218,24 +225,24 @@
     }
 
     /// Waits until messages of others than the fleet itself have come.
-    pub async fn carried_any(&self) {
+    pub async fn messages_received(&self) {
         self.came.notified().await;
     }
 
     /// Those that came since the last look.
-    pub fn carried(&self) -> Vec<Carried> {
+    pub fn take_messages(&self) -> Vec<Carried> {
         self.fleet.borrow_mut().carried().collect()
     }
 
     /// Sends such a message.
-    pub fn carry(&self, to: Place, bytes: Vec<u8>) {
+    pub fn send_message(&self, to: MemberId, bytes: Vec<u8>) {
         let now = self.now();
         self.fleet.borrow_mut().carry(now, to, bytes);
         self.send_out();
     }
 
     /// Who is there, and this proxy too if it is `willing` to be counted.
-    pub fn there(&self, willing: bool) -> Vec<Place> {
+    pub fn present_members(&self, willing: bool) -> Vec<MemberId> {
         let fleet = self.fleet.borrow();
         let own = fleet.own();
         fleet
@@ -246,7 +253,7 @@
     }
 
     /// Has texts that the fleet itself does not know told by somebody.
-    pub fn serve(&self, texts: Texts) {
+    pub fn serve_resources(&self, texts: Texts) {
         self.texts.replace(Some(texts));
     }
 
@@ -255,9 +262,9 @@
         let asked: Vec<_> = fleet.asked().collect();
         for one in asked {
             let text = match one.topic {
-                Topic::Record => serde_json::to_vec(&self.acts.told()).ok(),
-                Topic::Routes => self.acts.routes(one.key).map(|t| t.as_bytes().to_vec()),
-                Topic::Duties | Topic::Collected => self
+                Resource::ActivityRecord => serde_json::to_vec(&self.acts.snapshot()).ok(),
+                Resource::Routes => self.acts.routes(one.key).map(|t| t.as_bytes().to_vec()),
+                Resource::LeaseHistory | Resource::CollectedRecords => self
                     .texts
                     .borrow()
                     .as_ref()
@@ -289,7 +296,7 @@
         }
     }
 
-    fn tell(&self, news: News) {
+    fn tell(&self, news: Event) {
         let mut kept = self.news.borrow_mut();
         if kept.len() == KEPT {
             kept.pop_front();
@@ -297,29 +304,29 @@
         kept.push_back((self.acts.now(), news));
         drop(kept);
         match news {
-            News::CutOff => self.acts.cut_off(),
-            News::Heard => self.acts.heard_again(),
-            News::Woke { after } => self.acts.stalled(after),
+            Event::CutOff => self.acts.cut_off(),
+            Event::Heard => self.acts.heard_again(),
+            Event::Woke { after } => self.acts.stalled(after),
             _ => {}
         }
         match news {
-            News::Up { member, life } => {
+            Event::Up { member, life } => {
                 info!(member, life, "fleet: member {member} is there, life {life}")
             }
-            News::Suspected { member, by } => {
+            Event::Suspected { member, by } => {
                 info!(member, by, "fleet: member {member} is suspected by {by}")
             }
-            News::Refuted { member } => info!(member, "fleet: member {member} is there after all"),
-            News::Gone { member } => warn!(member, "fleet: member {member} is gone"),
-            News::Left { member } => info!(member, "fleet: member {member} has left"),
-            News::Reborn { life } => {
+            Event::Refuted { member } => info!(member, "fleet: member {member} is there after all"),
+            Event::Gone { member } => warn!(member, "fleet: member {member} is gone"),
+            Event::Left { member } => info!(member, "fleet: member {member} has left"),
+            Event::Reborn { life } => {
                 warn!(life, "fleet: was taken for gone, goes on in life {life}")
             }
-            News::Woke { after } => warn!(after, "fleet: did nothing for {after} ms"),
-            News::Wanted { number, digest } => {
+            Event::Woke { after } => warn!(after, "fleet: did nothing for {after} ms"),
+            Event::Wanted { number, digest } => {
                 info!(number, %digest, "fleet: generation {number} is wanted, digest {digest}")
             }
-            News::Conflict {
+            Event::Conflict {
                 number,
                 digests: [a, b],
             } => warn!(
@@ -328,10 +335,10 @@
                 %b,
                 "fleet: generation {number} was committed twice, {a} and {b}: neither is spread"
             ),
-            News::Required { number } => info!(number, "fleet: generation {number} is required"),
-            News::CutOff => warn!("fleet: nobody is heard"),
-            News::Heard => info!("fleet: somebody is heard again"),
-            News::Acts { .. } => {}
+            Event::Required { number } => info!(number, "fleet: generation {number} is required"),
+            Event::CutOff => warn!("fleet: nobody is heard"),
+            Event::Heard => info!("fleet: somebody is heard again"),
+            Event::Acts { .. } => {}
         }
     }
 
@@ -339,7 +346,7 @@
     pub fn leave(&self) {
         self.acts.close();
         if let Some(folder) = &self.state
-            && let Err(e) = file::write(folder, &self.acts.told())
+            && let Err(e) = file::write(folder, &self.acts.snapshot())
         {
             tracing::warn!("fleet: record: {}: {e}", folder.display());
         }
@@ -349,31 +356,35 @@
     }
 
     /// What all are to act on.
-    pub fn wanted(&self) -> watch::Receiver<Wanted> {
+    pub fn watch_desired(&self) -> watch::Receiver<Desired> {
         self.wanted.subscribe()
     }
 
     /// What this proxy acts on.
-    pub fn acts(&self) -> &Rc<Acts> {
+    pub fn activity_log(&self) -> &Rc<ActivityLog> {
         &self.acts
     }
 
     /// The text of routes, from some member that acts on them, by chance; nothing where none is
     /// known, or none came.
-    pub async fn pull(&self, routes: Digest) -> Option<String> {
+    pub async fn fetch_routes(&self, routes: Digest) -> Option<String> {
         let from = self.fleet.borrow_mut().source_of(routes)?;
-        let (text, _) = self.fetch(from, Topic::Routes, routes, PULL).await.ok()?;
+        let text = self
+            .fetch(from, Resource::Routes, routes, PULL)
+            .await
+            .ok()?
+            .bytes;
         String::from_utf8(text).ok()
     }
 
     /// Fetches a text from a member, with the span in which it was as it is.
     pub async fn fetch(
         &self,
-        to: Place,
-        topic: Topic,
+        to: MemberId,
+        topic: Resource,
         key: Digest,
         most: Duration,
-    ) -> Result<(Vec<u8>, Span), Unfetched> {
+    ) -> Result<FetchedResource, Unfetched> {
         let (id, begun) = loop {
             let (now, begun) = (self.now(), self.acts.now());
             let id = self.fleet.borrow_mut().fetch(now, to, topic, key);
@@ -388,13 +399,13 @@
         let came = timeout(most, told).await;
         self.waiting.borrow_mut().remove(&id);
         let fetched = came.ok().and_then(Result::ok).ok_or(Unfetched::Silence)?;
-        Ok((
-            fetched.text?,
-            Span {
+        Ok(FetchedResource {
+            bytes: fetched.text?,
+            span: Span {
                 begun,
                 within: fetched.within,
             },
-        ))
+        })
     }
 
     /// Who is there, as JSON.
@@ -417,7 +428,7 @@
             .collect();
         json!({
             "fleet": self.name, "place": fleet.own(), "at": self.acts.now(), "cut_off": fleet.cut_off(),
-            "wanted": fleet.table().wanted(), "required": fleet.table().required(), "fenced": self.acts.fenced(),
+            "wanted": fleet.table().wanted(), "required": fleet.table().required(), "fenced": self.acts.is_fenced(),
             "silent_ms": fleet.silent_for(now), "doubt": fleet.doubt(), "traffic": fleet.traffic(),
             "members": members, "news": news,
         })
--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -53,7 +53,7 @@
     /// How the pool's backends are called remotely, where they can be.
     pub way: Option<Way>,
     /// The page of the record that it is written on, where one is kept.
-    pub acts: Option<activity_log::Bound>,
+    pub acts: Option<activity_log::RequestActivity>,
     /// Keeps the generation and the pool that it was taken under.
     _held: Option<(Rc<Generation>, Rc<PoolRun>)>,
 }
@@ -86,7 +86,7 @@
     pub fn ready(&self) -> bool {
         let fenced = match self {
             Router::One(engine) => engine.fenced(),
-            Router::Many(many) => many.base.acts.as_ref().is_some_and(|a| a.fenced()),
+            Router::Many(many) => many.base.acts.as_ref().is_some_and(|a| a.is_fenced()),
         };
         !fenced && self.has_backends()
     }
--- a/crates/heathroad/src/router/registry.rs
+++ b/crates/heathroad/src/router/registry.rs
@@ -77,7 +77,7 @@
             return;
         };
         if let Some(acts) = &self.base.acts {
-            acts.heard(from, seq);
+            acts.endpoint_list_received(from, seq);
         }
         self.retell(from, kind, hosts);
     }
--- a/crates/heathroad/src/router/routed_pools.rs
+++ b/crates/heathroad/src/router/routed_pools.rs
@@ -8,7 +8,7 @@
 use crate::configuration::verification_gate::{Expected, Gate};
 use crate::discovery::endpoint_list::Host;
 use crate::engine::Engine;
-use crate::membership::activity_log::Acts;
+use crate::membership::activity_log::ActivityLog;
 use crate::metrics::{Counts, Meter};
 use crate::runtime_accounting::{sleep, spawn_local};
 use heathroad_balancer::api::{self, Effect, ListKind};
@@ -85,7 +85,7 @@
     /// Where the daemon listens for HTTP, as it was told.
     pub listens: SocketAddr,
     /// What this proxy acts on, where a record is kept.
-    pub acts: Option<Rc<Acts>>,
+    pub acts: Option<Rc<ActivityLog>>,
 }
 
 /// Pools by routes, changed by transactions.
@@ -163,7 +163,7 @@
         many.open_doors(&first)?;
         many.activate(&first)?;
         if let Some(acts) = &many.base.acts {
-            acts.commit(first.number, &first.text, None);
+            acts.announce_commit(first.number, &first.text, None);
         }
         let ticking = Rc::downgrade(&many);
         let tick = Duration::from_millis(many.base.terms.probation / PARTS).clamp(TICK[0], TICK[1]);
@@ -364,7 +364,7 @@
             classes,
         }));
         if let Some(acts) = &self.base.acts {
-            acts.in_force(generation.number, &generation.text);
+            acts.set_routes(generation.number, &generation.text);
         }
         self.share_cold();
         self.doors_changed.send_replace(());
@@ -412,7 +412,7 @@
             if !stays {
                 registry.following.abort();
                 if let Some(acts) = &self.base.acts {
-                    acts.left(*address);
+                    acts.endpoint_source_removed(*address);
                 }
             }
             stays
--- a/crates/heathroad/src/router/stale_routes.rs
+++ b/crates/heathroad/src/router/stale_routes.rs
@@ -4,10 +4,10 @@
 
 use super::routed_pools::Many;
 use super::transactions::words;
-use crate::membership::Peers;
+use crate::membership::MembershipService;
 use crate::runtime_accounting::{sleep, timeout};
+use heathroad_membership::desired_version::{Desired, DesiredVersion};
 use heathroad_membership::version::Digest;
-use heathroad_membership::want::{Want, Wanted};
 use heathroad_routing::transaction::Said;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -21,8 +21,8 @@
 const AGAIN: Duration = Duration::from_secs(5);
 
 /// Brings this proxy up whenever it is behind, for ever.
-pub async fn follow(many: Weak<Many>, peers: Rc<Peers>, seed: u64) {
-    let (mut wanted, mut rng) = (peers.wanted(), fastrand::Rng::with_seed(seed));
+pub async fn follow(many: Weak<Many>, peers: Rc<MembershipService>, seed: u64) {
+    let (mut wanted, mut rng) = (peers.watch_desired(), fastrand::Rng::with_seed(seed));
     loop {
         // Its sender is the peers', which are held here.
         let _ = timeout(AGAIN, wanted.changed()).await;
@@ -36,7 +36,7 @@
             if many.changer.borrow().open().is_some() {
                 continue;
             }
-            if let Some(text) = peers.pull(want.digest).await {
+            if let Some(text) = peers.fetch_routes(want.digest).await {
                 bring_up(&many, &peers, want, &text).await;
             }
         }
@@ -44,19 +44,23 @@
 }
 
 /// What is wanted, where this proxy acts on an older one and has not turned it down.
-fn behind(many: &Many, peers: &Peers, wanted: Wanted) -> Option<Want> {
-    let Wanted::One(want) = wanted else {
+fn behind(many: &Many, peers: &MembershipService, wanted: Desired) -> Option<DesiredVersion> {
+    let Desired::Version(want) = wanted else {
         return None;
     };
-    let (acts, current) = (peers.acts(), many.in_force());
+    let (acts, current) = (peers.activity_log(), many.in_force());
     let same = Digest::of(current.text.as_bytes()) == want.digest;
-    (want.number > current.number && !same && !acts.turned_down(want.digest)).then_some(want)
+    (want.generation > current.number && !same && !acts.was_rejected(want.digest)).then_some(want)
 }
 
-async fn bring_up(many: &Rc<Many>, peers: &Peers, want: Want, text: &str) {
-    let turn_down = |why: String| peers.acts().turn_down(want.number, want.digest, why);
-    let file = format!("generation {} of the fleet", want.number);
-    let said = match many.take(&file, text, want.number).await {
+async fn bring_up(many: &Rc<Many>, peers: &MembershipService, want: DesiredVersion, text: &str) {
+    let turn_down = |why: String| {
+        peers
+            .activity_log()
+            .record_rejection(want.generation, want.digest, why)
+    };
+    let file = format!("generation {} of the fleet", want.generation);
+    let said = match many.take(&file, text, want.generation).await {
         Ok(said) => said,
         Err(why) => {
             many.tell(format!("{file} is turned down: {why}"));
--- a/crates/heathroad/src/router/startup.rs
+++ b/crates/heathroad/src/router/startup.rs
@@ -6,7 +6,7 @@
 use crate::configuration::routes::{numbered, rounds};
 use crate::configuration::state_folder::Folder;
 use crate::configuration::verification_gate::{self, Gate};
-use crate::membership::activity_log::Acts;
+use crate::membership::activity_log::ActivityLog;
 use heathroad_routing::generation::Generation;
 use heathroad_routing::journal::{Journal, OpenError, Record};
 use heathroad_routing::transaction::Terms;
@@ -18,7 +18,7 @@
     file: &Path,
     config: &Config,
     connections: &Rc<Pool>,
-    acts: Option<Rc<Acts>>,
+    acts: Option<Rc<ActivityLog>>,
 ) -> Result<Rc<Many>, String> {
     let (mut journal, mut highest, mut first) = (None, 1, None);
     if let Some(folder) = &config.state {
--- a/crates/heathroad/src/router/transactions.rs
+++ b/crates/heathroad/src/router/transactions.rs
@@ -6,7 +6,7 @@
 use crate::configuration::verification_gate::{self, Gate};
 use crate::engine::Engine;
 use crate::runtime_accounting::{sleep, spawn_local, timeout};
-use heathroad_membership::record::Act;
+use heathroad_membership::activity_record::Activity;
 use heathroad_routing::generation::Generation;
 use heathroad_routing::harm::Sample;
 use heathroad_routing::journal::Record;
@@ -75,9 +75,9 @@
                 Step::Say(told) => {
                     if let Some(acts) = &self.base.acts {
                         match told {
-                            Said::Applied(_) => acts.act(Act::Applied),
+                            Said::Applied(_) => acts.record(Activity::ChangeApplied),
                             Said::Committed(number) => self.committed(number),
-                            Said::Undone { .. } => acts.act(Act::Undone),
+                            Said::Undone { .. } => acts.record(Activity::ChangeRolledBack),
                             _ => {}
                         }
                     }
@@ -170,7 +170,7 @@
             .filter(|(text, _)| *text == current.digest)
             .map(|(_, within)| within);
         if let Some(acts) = self.base.acts.as_ref().filter(|_| current.number == number) {
-            acts.commit(number, &current.text, within);
+            acts.announce_commit(number, &current.text, within);
         }
     }
 
@@ -185,8 +185,8 @@
         if let Some(within) = within {
             let none = "a change is required of a fleet, and this daemon's file names none";
             let acts = self.base.acts.as_ref().ok_or(none)?;
-            let least = acts.least_required();
-            if acts.fenced() {
+            let least = acts.min_required_within_ms();
+            if acts.is_fenced() {
                 let why = "this proxy is fenced, or sees no more than half of the fleet: it can require nothing of others";
                 return Err(why.into());
             }
@@ -241,7 +241,7 @@
             let given = if number > 0 {
                 number - 1
             } else {
-                acts.highest()
+                acts.highest_known_generation()
             };
             self.changer.borrow_mut().given(given);
         }
--- a/crates/heathroad/tests/unit/duty_store.rs
+++ b/crates/heathroad/tests/unit/duty_store.rs
@@ -58,7 +58,7 @@
         (kept.by, kept.at, kept.off, kept.error),
         (1, 1_790_000_000_000, -12, 3)
     );
-    assert_eq!(kept.told.pages.len(), 2);
+    assert_eq!(kept.told.intervals.len(), 2);
     std::fs::remove_dir_all(&folder).expect("it goes");
 }
 
--- a/crates/heathroad/tests/unit/duty_told.rs
+++ b/crates/heathroad/tests/unit/duty_told.rs
@@ -38,8 +38,15 @@
 #[test]
 fn history_has_the_same_json() {
     let all = [
-        (0, told(), Off::default()),
-        (1, told(), Off { off: -40, error: 3 }),
+        (0, told(), ClockOffset::default()),
+        (
+            1,
+            told(),
+            ClockOffset {
+                offset_ms: -40,
+                error_ms: 3,
+            },
+        ),
     ];
     let text = serde_json::to_string(&told()).expect("JSON");
     let actual = format!("{text}\n{}\n", spells("tick", &all));
