--- a/crates/heathroad-retry-budget/src/lib.rs
+++ b/crates/heathroad-retry-budget/src/lib.rs
@@ -1,22 +1,26 @@
-//! What a request may still spend down a chain of services. Retries at each tier multiply; a budget
-//! that is granted once, where a request enters, and lent from tier to tier, can't.
+//! Retry budgets down a chain of services. Retries at each tier multiply; a budget that is granted
+//! once, where a request enters the chain, and delegated from tier to tier cannot.
 //!
-//! - [`wire`] is its form in headers: strict, bounded, and durations only, since clocks of machines
-//!   are not compared.
-//! - [`account`] is its algebra: attempts beyond the first are granted, lent below, and come back
-//!   unspent or not at all. No operation makes any.
-//! - [`ledger`] keeps one proxy's books: who entered with what, what is lent below, and what the
-//!   tier above is told.
-//! - [`path`] finds a request that comes round again, by what it carries or by what is still held.
+//! - [`wire`] encodes and decodes the budget's headers. They are strict and bounded, and carry
+//!   durations only, since the clocks of two machines are never compared.
+//! - [`allowance`] holds the arithmetic: retries are issued, delegated to calls below, and come
+//!   back unspent or not at all.
+//! - [`request`] is a request as it claims its budget, and as it is open.
+//! - [`open_allowances`] keeps the allowances of one proxy's open requests.
+//! - [`loop_detection`] finds a request that comes round again, by the path it carries or by an
+//!   identical open request.
 //!
-//! Nothing here does I/O or knows a clock.
+//! Nothing here does I/O or reads a clock.
 
-pub mod account;
-pub mod ledger;
-pub mod path;
+pub mod allowance;
+mod id_generator;
+pub mod loop_detection;
+pub mod open_allowances;
+pub mod request;
 pub mod wire;
 
-pub use account::{Account, Grants, Loan};
-pub use ledger::{Ledger, Terms, Ticket};
-pub use path::{Held, Way};
-pub use wire::{Budget, Path, Spent, Spoilt};
+pub use allowance::{Allowance, Delegation, Issuer};
+pub use loop_detection::{InFlightRequests, Rejection, RequestFingerprint};
+pub use open_allowances::{Config, OpenAllowances};
+pub use request::{BudgetClaim, OpenRequest};
+pub use wire::{Budget, MalformedHeader, ProxyPath, RetriesSpent};
--- a/crates/heathroad-retry-budget/tests/wire.rs
+++ b/crates/heathroad-retry-budget/tests/wire.rs
@@ -1,29 +1,30 @@
-//! Headers: one spelling each, bounded, and from outside they can only lower.
+//! The headers have one spelling each, are bounded, and can only lower a budget where they are
+//! untrusted.
 
-use heathroad_retry_budget::wire::{Budget, MAX_BYTES, Path, Spent};
+use heathroad_retry_budget::wire::{Budget, MAX_HEADER_LENGTH, ProxyPath, RetriesSpent};
 
 fn budget(text: &str) -> Option<Budget> {
-    Budget::read([text.as_bytes()].into_iter()).ok().flatten()
+    Budget::decode([text.as_bytes()].into_iter()).ok().flatten()
 }
 
 #[test]
-fn what_is_written_is_read() {
+fn encoded_headers_are_decoded() {
     for seed in 0..10_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let b = Budget {
             time_ms: rng.u32(..=600_000),
-            attempts: rng.u16(..=64),
-            worth: rng.u16(..=1000),
+            retries: rng.u16(..=64),
+            priority_weight: rng.u16(..=1000),
             hops: rng.u8(..=32),
-            loan: rng.u64(..),
+            delegation_id: rng.u64(..),
         };
         assert_eq!(budget(&b.to_string()), Some(b), "seed {seed}");
-        let s = Spent {
-            attempts: rng.u16(..=64),
+        let s = RetriesSpent {
+            retries: rng.u16(..=64),
             stop: rng.bool(),
         };
         assert_eq!(
-            Spent::read([s.to_string().as_bytes()].into_iter()),
+            RetriesSpent::decode([s.to_string().as_bytes()].into_iter()),
             Ok(Some(s)),
             "seed {seed}"
         );
@@ -31,15 +32,15 @@
         let mut bytes = b.to_string().into_bytes();
         let at = rng.usize(..bytes.len());
         bytes[at] ^= 1 << rng.u8(..8);
-        if let Ok(Some(other)) = Budget::read([bytes.as_slice()].into_iter()) {
+        if let Ok(Some(other)) = Budget::decode([bytes.as_slice()].into_iter()) {
             assert_eq!(other.to_string().as_bytes(), bytes, "seed {seed}");
         }
     }
 }
 
 #[test]
-fn forged_and_spoilt_budgets_count_for_nothing() {
-    let loan = "i=0123456789abcdef";
+fn malformed_headers_count_as_absent() {
+    let delegation_id = "i=0123456789abcdef";
     for text in [
         "",
         "t=1, a=1, w=1, h=1",
@@ -63,13 +64,13 @@
         "t=1, a=1, w=1, h=1, i=0123456789abcde",
         "t=1, a=1, w=1, h=1, i=+123456789abcdef",
     ] {
-        assert_eq!(budget(&text.replace("LOAN", loan)), None, "{text}");
+        assert_eq!(budget(&text.replace("LOAN", delegation_id)), None, "{text}");
     }
     let good = b"t=1, a=1, w=1, h=1, i=0123456789abcdef".as_slice();
-    assert!(Budget::read([good].into_iter()).is_ok());
-    assert!(Budget::read([good, good].into_iter()).is_err(), "twice");
-    assert_eq!(Budget::read([].into_iter()), Ok(None));
-    assert!(Budget::read([b"\xff".as_slice()].into_iter()).is_err());
+    assert!(Budget::decode([good].into_iter()).is_ok());
+    assert!(Budget::decode([good, good].into_iter()).is_err(), "twice");
+    assert_eq!(Budget::decode([].into_iter()), Ok(None));
+    assert!(Budget::decode([b"\xff".as_slice()].into_iter()).is_err());
     for text in [
         "a=",
         "a=1,stop",
@@ -79,7 +80,7 @@
         "a=65",
     ] {
         assert!(
-            Spent::read([text.as_bytes()].into_iter()).is_err(),
+            RetriesSpent::decode([text.as_bytes()].into_iter()).is_err(),
             "{text}"
         );
     }
@@ -87,7 +88,7 @@
 
 #[test]
 fn paths_are_bounded() {
-    let read = |text: &str| Path::read([text.as_bytes()].into_iter());
+    let read = |text: &str| ProxyPath::decode([text.as_bytes()].into_iter());
     assert_eq!(
         read("gate-1, policy.2").expect("good").names(),
         ["gate-1", "policy.2"]
@@ -105,41 +106,41 @@
     ] {
         assert!(read(text).is_err(), "{:.40}", text);
     }
-    let mut path = Path::default();
+    let mut path = ProxyPath::default();
     for n in 0..32 {
         path = path.with(&format!("{n:032}")).expect("there is room");
     }
     assert_eq!(path.with("one-more"), None);
-    assert!(path.to_string().len() <= MAX_BYTES);
+    assert!(path.to_string().len() <= MAX_HEADER_LENGTH);
     assert_eq!(read(&path.to_string()), Ok(path));
 }
 
 #[test]
-fn from_outside_a_budget_can_lower_and_never_raise() {
+fn an_untrusted_budget_can_lower_and_never_raise() {
     for seed in 0..10_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut any = || Budget {
             time_ms: rng.u32(..=600_000),
-            attempts: rng.u16(..=64),
-            worth: rng.u16(..=1000),
+            retries: rng.u16(..=64),
+            priority_weight: rng.u16(..=1000),
             hops: rng.u8(..=32),
-            loan: rng.u64(..),
+            delegation_id: rng.u64(..),
         };
-        let (told, own) = (any(), any());
-        let outside = Budget::admit(Some(told), false, own);
+        let (claimed, own) = (any(), any());
+        let untrusted = Budget::admit(Some(claimed), false, own);
         let no_more = |a: Budget, b: Budget| {
             a.time_ms <= b.time_ms
-                && a.attempts <= b.attempts
-                && a.worth <= b.worth
+                && a.retries <= b.retries
+                && a.priority_weight <= b.priority_weight
                 && a.hops <= b.hops
         };
         assert!(
-            no_more(outside, own) && no_more(outside, told) && outside.loan == 0,
+            no_more(untrusted, own) && no_more(untrusted, claimed) && untrusted.delegation_id == 0,
             "seed {seed}"
         );
-        let inner = Budget::admit(Some(told), true, own);
+        let trusted = Budget::admit(Some(claimed), true, own);
         assert!(
-            inner.attempts == told.attempts && inner.time_ms <= own.time_ms,
+            trusted.retries == claimed.retries && trusted.time_ms <= own.time_ms,
             "seed {seed}"
         );
         assert_eq!(Budget::admit(None, false, own), own);
--- /dev/null
+++ b/crates/heathroad/src/backend/http/mod.rs
@@ -0,0 +1,191 @@
+//! Attempts over HTTP/1.1.
+
+mod connection;
+mod response;
+
+pub use connection::{Connection, IdleConnection};
+
+use super::attempt::AttemptControl;
+use super::outcome::{AttemptResult, classify_status};
+use super::pool::Pool;
+use super::target::Target;
+use crate::retry_budget::AttemptBudget;
+use crate::runtime_accounting::sleep;
+use crate::safety::violations;
+use crate::stream::{Progress, RequestBody, Written};
+use bytes::Bytes;
+use heathroad_balancer::api::Outcome;
+use hyper::body::Incoming;
+use hyper::header::{HOST, HeaderName, HeaderValue};
+use hyper::{Method, Request, Response, Uri, header};
+use std::rc::Rc;
+use tokio::time::Instant;
+
+/// A request's own id.
+pub static ID: HeaderName = HeaderName::from_static("req-id");
+/// How long the response is waited for, in milliseconds.
+pub static DEADLINE: HeaderName = HeaderName::from_static("req-deadline-ms");
+/// By which a backend recognizes retries.
+pub static KEY: HeaderName = HeaderName::from_static("idempotency-key");
+/// The version that a request was bound to, for test harnesses.
+static VERSION: HeaderName = HeaderName::from_static("req-version");
+/// A backend says by it that it has not looked at the request.
+static DECLINED: HeaderName = HeaderName::from_static("srv-declined");
+
+/// The `Host` of a request whose client named none.
+const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("heathroad");
+
+/// A request as every attempt of it is sent.
+pub struct Call {
+    /// Its method.
+    pub method: Method,
+    /// Path and query.
+    pub uri: Uri,
+    /// `Host`, as the client gave it.
+    pub host: Option<HeaderValue>,
+    /// `Req-Id`.
+    pub id: HeaderValue,
+    /// `Idempotency-Key`.
+    pub key: Option<HeaderValue>,
+    /// The version that it was bound to, where backends are told.
+    pub version: Option<HeaderValue>,
+    /// Its body.
+    pub body: Bytes,
+}
+
+impl Call {
+    fn to_request(
+        &self,
+        progress: &Rc<Progress>,
+        expires_at: Instant,
+        budget: Option<&AttemptBudget>,
+    ) -> Request<RequestBody> {
+        let remaining_time = expires_at.saturating_duration_since(Instant::now());
+        let mut request = Request::new(RequestBody::new(self.body.clone(), progress.clone()));
+        *request.method_mut() = self.method.clone();
+        *request.uri_mut() = self.uri.clone();
+        let headers = request.headers_mut();
+        headers.insert(HOST, self.host.clone().unwrap_or(DEFAULT_HOST));
+        headers.insert(&ID, self.id.clone());
+        headers.insert(
+            &DEADLINE,
+            HeaderValue::from(remaining_time.as_millis() as u64),
+        );
+        if let Some(budget) = budget {
+            budget.write_headers(headers, remaining_time);
+        }
+        if let Some(key) = &self.key {
+            headers.insert(&KEY, key.clone());
+        }
+        if let Some(version) = &self.version {
+            headers.insert(&VERSION, version.clone());
+        }
+        if self.body.is_empty() && self.method != Method::GET {
+            headers.insert(header::CONTENT_LENGTH, HeaderValue::from_static("0"));
+        }
+        request
+    }
+}
+
+/// Sends a request and reads its response. The control is told which connection it was handed to.
+pub(super) async fn exchange(
+    pool: &Rc<Pool>,
+    call: &Call,
+    target: &Rc<Target>,
+    expires_at: Instant,
+    control: &AttemptControl,
+    budget: Option<&AttemptBudget>,
+) -> AttemptResult {
+    let sent = send(pool, call, target, expires_at, control, budget).await;
+    let (mut connection, response) = match sent {
+        Ok(sent) => sent,
+        Err(result) => return result,
+    };
+    if connection.progress.written() != Written::Whole {
+        return classify_early_response(&connection, &response);
+    }
+    let result = response::read(response, budget).await;
+    let is_reusable = match result {
+        Some(_) => response::check_rest(&mut connection).await,
+        None => None,
+    };
+    let Some((result, is_reusable)) = result.zip(is_reusable) else {
+        // The request may have run, and what is on this connection is of no use.
+        tracing::debug!(id = ?call.id, address = %target.address, "response truncated or malformed");
+        return AttemptResult::NotServed(Outcome::Reset);
+    };
+    if is_reusable {
+        pool.keep_idle(target, connection);
+    }
+    result
+}
+
+/// Sends a request over an idle connection, or over a new one, and returns its response.
+async fn send(
+    pool: &Pool,
+    call: &Call,
+    target: &Target,
+    expires_at: Instant,
+    control: &AttemptControl,
+    budget: Option<&AttemptBudget>,
+) -> Result<(Connection, Response<Incoming>), AttemptResult> {
+    loop {
+        let acquired = acquire(pool, target).await;
+        let (mut connection, is_reused) = acquired.map_err(AttemptResult::NotServed)?;
+        // The connect may have taken long: by now the backend may drain, the client have left, or a
+        // retry come too late.
+        if let Err(denial) = pool.check_write(target, control) {
+            violations::record_denial(denial, &String::from_utf8_lossy(call.id.as_bytes()));
+            return Err(AttemptResult::NotServed(Outcome::Moot));
+        }
+        tracing::debug!(id = ?call.id, address = %target.address, is_reused, "attempt written");
+        let request = call.to_request(&connection.progress, expires_at, budget);
+        control.hand_over(Some(connection.progress.clone()));
+        match connection.sender.send_request(request).await {
+            Ok(response) => return Ok((connection, response)),
+            // An idle connection turned out to be closed, or to hold stray bytes. Not a byte of the
+            // request was written, so that it goes over another one.
+            Err(reason) if is_reused && connection.progress.written() == Written::Nothing => {
+                tracing::debug!(id = ?call.id, %reason, "idle connection of no use, another is taken");
+            }
+            // Only the connection knows whether the backend can have the whole request.
+            Err(reason) => {
+                let written = connection.progress.written();
+                tracing::debug!(id = ?call.id, %reason, ?written, "backend connection ended");
+                return Err(reset_unless_unwritten(&connection));
+            }
+        }
+    }
+}
+
+/// Returns a connection to a process, and whether it was used before.
+async fn acquire(pool: &Pool, target: &Target) -> Result<(Connection, bool), Outcome> {
+    let Some((connection, settles_for)) = pool.take_idle(target) else {
+        return Ok((pool.connect_http(target.address).await?, false));
+    };
+    if !settles_for.is_zero() {
+        sleep(settles_for).await;
+    }
+    Ok((connection, true))
+}
+
+/// Returns what a response means that came before the request's last byte was written. No backend
+/// made a response for what it has not whole, unless it rejected the request by its head.
+fn classify_early_response(
+    connection: &Connection,
+    response: &Response<Incoming>,
+) -> AttemptResult {
+    match classify_status(response.status(), response::is_declined(response)) {
+        result @ (AttemptResult::Rejected | AttemptResult::NotServed(Outcome::Full)) => result,
+        _ => reset_unless_unwritten(connection),
+    }
+}
+
+/// Returns the result of a connection that broke off. A request that was not written whole never
+/// ran: the connection is closed, and no backend gets the rest.
+fn reset_unless_unwritten(connection: &Connection) -> AttemptResult {
+    AttemptResult::NotServed(match connection.progress.written() {
+        Written::Whole => Outcome::Reset,
+        Written::Nothing | Written::Part => Outcome::ConnectFailed,
+    })
+}
--- /dev/null
+++ b/crates/heathroad/src/backend/jsonrpc/mod.rs
@@ -0,0 +1,184 @@
+//! Attempts over JSON-RPC: a connection carries several calls at once, under ids of the proxy's
+//! own. That a call never ran is claimed only where the last byte of its text was not written.
+
+mod connection;
+mod io;
+
+pub use connection::Connection;
+
+use super::attempt::AttemptControl;
+use super::outcome::{AttemptResult, classify_answer};
+use super::pool::Pool;
+use super::target::Target;
+use crate::retry_budget::AttemptBudget;
+use crate::runtime_accounting::spawn_local;
+use crate::safety::violations;
+use crate::stream::Written;
+use bytes::Bytes;
+use connection::CallEnd;
+use heathroad_balancer::api::Outcome;
+use heathroad_jsonrpc::Framing;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::task::yield_now;
+use tokio::time::Instant;
+
+/// How the backends of a pool are called.
+#[derive(Debug, Clone, Copy)]
+pub struct Transport {
+    /// Their port; none is that of the target.
+    pub port: Option<u16>,
+    /// How texts are framed.
+    pub framing: Framing,
+    /// Most calls at once on a connection.
+    pub max_calls: usize,
+    /// The error code by which a backend says that it has not looked at the call.
+    pub declined_code: Option<i64>,
+    /// Calls carry retry budgets, as members beside the specification's.
+    pub carries_budget: bool,
+}
+
+impl Transport {
+    /// Returns the address at which a process takes calls.
+    fn address(&self, target: &Target) -> SocketAddr {
+        let mut address = target.address;
+        if let Some(port) = self.port {
+            address.set_port(port);
+        }
+        address
+    }
+}
+
+/// A call as every attempt of it is sent.
+pub struct Call {
+    /// Its method's name, in quotes.
+    pub method: Bytes,
+    /// Its parameters as they stand.
+    pub params: Option<Bytes>,
+    /// It is a notification: no answer ever comes.
+    pub is_notification: bool,
+    /// How it is sent.
+    pub transport: Transport,
+}
+
+impl Pool {
+    /// Returns the least loaded connection to a process that can take one more call.
+    pub(super) fn find_jsonrpc(&self, target: &Target, max_calls: usize) -> Option<Rc<Connection>> {
+        let (connections, now) = (self.jsonrpc.borrow(), Instant::now());
+        let max_age = self.max_idle_age();
+        let load = |connection: &Rc<Connection>| {
+            let is_aged = connection
+                .idle_time()
+                .is_some_and(|idle_time| idle_time >= max_age);
+            connection.load(max_calls, now).filter(|_| !is_aged)
+        };
+        let candidates = connections.get(&target.id)?.iter().rev();
+        let fit = candidates.filter_map(|connection| Some((load(connection)?, connection)));
+        let (_, least_loaded) = fit.min_by_key(|(load, _)| *load)?;
+        Some(least_loaded.clone())
+    }
+
+    /// Opens a connection to a process.
+    pub(super) async fn connect_jsonrpc(
+        self: &Rc<Self>,
+        target: &Rc<Target>,
+        transport: Transport,
+    ) -> Result<Rc<Connection>, Outcome> {
+        let (stream, slot) = self.connect(transport.address(target)).await?;
+        let connection = Rc::new(Connection::new());
+        let mut connections = self.jsonrpc.borrow_mut();
+        connections
+            .entry(target.id)
+            .or_default()
+            .push(connection.clone());
+        let (pool, target) = (self.clone(), target.clone());
+        let framing = transport.framing;
+        spawn_local(io::run(
+            pool,
+            connection.clone(),
+            target,
+            stream,
+            framing,
+            slot,
+        ));
+        Ok(connection)
+    }
+
+    /// Removes a connection that has ended.
+    fn remove_jsonrpc(&self, target: &Target, ended: &Rc<Connection>) {
+        let mut connections = self.jsonrpc.borrow_mut();
+        if let Some(of_target) = connections.get_mut(&target.id) {
+            of_target.retain(|connection| !Rc::ptr_eq(connection, ended));
+            if of_target.is_empty() {
+                connections.remove(&target.id);
+            }
+        }
+    }
+}
+
+/// Sends a call and waits for its answer. The control is told that it was handed to a connection.
+pub(super) async fn exchange(
+    pool: &Rc<Pool>,
+    call: &Call,
+    target: &Rc<Target>,
+    expires_at: Instant,
+    control: &Rc<AttemptControl>,
+    budget: Option<&AttemptBudget>,
+) -> AttemptResult {
+    loop {
+        let (connection, is_reused) = match acquire(pool, call, target).await {
+            Ok(acquired) => acquired,
+            Err(outcome) => return AttemptResult::NotServed(outcome),
+        };
+        if let Err(denial) = pool.check_write(target, control) {
+            violations::record_denial(denial, &String::from_utf8_lossy(&call.method));
+            return AttemptResult::NotServed(Outcome::Moot);
+        }
+        let mut handle = connection.start_call(call, expires_at, control, budget);
+        let end = (&mut handle.end).await;
+        if is_reused && matches!(end, Ok(CallEnd::ConnectionLost(Written::Nothing))) {
+            // The connection turned out to be closed, and not a byte was written: the call goes
+            // over another. Others that were idle beside it may be closed too, which their tasks
+            // get to see first.
+            yield_now().await;
+            continue;
+        }
+        return classify_end(end.ok(), call, budget);
+    }
+}
+
+/// Returns a connection to a process, and whether it was used before.
+async fn acquire(
+    pool: &Rc<Pool>,
+    call: &Call,
+    target: &Rc<Target>,
+) -> Result<(Rc<Connection>, bool), Outcome> {
+    match pool.find_jsonrpc(target, call.transport.max_calls) {
+        Some(connection) => Ok((connection, true)),
+        None => Ok((pool.connect_jsonrpc(target, call.transport).await?, false)),
+    }
+}
+
+/// Returns what a call's end means; nothing is known of one whose connection's task is gone.
+fn classify_end(
+    end: Option<CallEnd>,
+    call: &Call,
+    budget: Option<&AttemptBudget>,
+) -> AttemptResult {
+    match end {
+        Some(CallEnd::Answered(answer)) => {
+            if let Some(budget) = budget {
+                budget.read_jsonrpc_report(answer.spent.as_deref());
+            }
+            classify_answer(answer, call.transport.declined_code)
+        }
+        Some(CallEnd::NotificationSent) => AttemptResult::NotificationSent,
+        Some(CallEnd::Drained) => AttemptResult::NotServed(Outcome::Moot),
+        Some(CallEnd::ConnectionLost(Written::Nothing | Written::Part)) => {
+            AttemptResult::NotServed(Outcome::ConnectFailed)
+        }
+        Some(CallEnd::ConnectionLost(Written::Whole)) | None => {
+            AttemptResult::NotServed(Outcome::Reset)
+        }
+    }
+}
--- /dev/null
+++ b/crates/heathroad/src/engine/attempt.rs
@@ -0,0 +1,340 @@
+//! The attempts of open requests: whether one may be sent, how it is sent, and what follows from
+//! its result.
+
+use super::endpoints::Endpoint;
+use super::pending_response::RunningAttempt;
+use super::request::OpenRequest;
+use super::response::{Response, ResponseState};
+use super::{Engine, State};
+use crate::backend::{Attempt, AttemptControl, AttemptResult, Target};
+use crate::membership::activity_log;
+use crate::metrics::Special;
+use crate::retry_budget::{DelegatedBudget, RequestBudget};
+use crate::safety::{
+    self, ClientHandle, Denial, Location, PastAttempt, Violation, WriteDeadline, violations,
+};
+use crate::time::as_millis;
+use bytes::Bytes;
+use heathroad_balancer::api::{BackendId, Event, Outcome, RequestId, Resolved};
+use heathroad_membership::record::Act;
+use std::rc::Rc;
+use tokio::time::Instant;
+
+/// An attempt that the decision module asked for.
+pub(super) struct AttemptRecord {
+    pub(super) backend: BackendId,
+    /// What the safety rules look at.
+    pub(super) past: PastAttempt,
+    /// What it needs while it is in flight.
+    pub(super) in_flight: Option<InFlightAttempt>,
+}
+
+/// An attempt that has not reported its result.
+pub(super) struct InFlightAttempt {
+    pub(super) control: Rc<AttemptControl>,
+    budget: Option<DelegatedBudget>,
+}
+
+/// What an attempt that may be sent needs.
+struct GrantedAttempt {
+    target: Rc<Target>,
+    location: Location,
+    write_deadline: WriteDeadline,
+}
+
+/// Names an attempt.
+#[derive(Clone, Copy)]
+struct AttemptId {
+    request: RequestId,
+    number: usize,
+    backend: BackendId,
+    started_at: Instant,
+}
+
+impl AttemptId {
+    /// Returns the decision module's event for the attempt's end.
+    fn resolved(&self, outcome: Outcome, elapsed_ms: f64, open: &OpenRequest) -> Resolved {
+        Resolved {
+            request: self.request,
+            attempt: self.number as u8,
+            backend: self.backend,
+            outcome,
+            wait: elapsed_ms,
+            closed: open.is_answered(),
+            spare: open.budget.as_ref().map(RequestBudget::remaining_retries),
+        }
+    }
+}
+
+impl Engine {
+    /// Sends an attempt that the decision module asked for, unless a rule denies it.
+    pub(super) fn send_attempt(
+        self: &Rc<Self>,
+        state: &mut State,
+        request: RequestId,
+        backend: BackendId,
+        times_out_at_ms: f64,
+    ) {
+        let Some(open) = state.requests.get(&request) else {
+            return;
+        };
+        let started_at = Instant::now();
+        let granted = match self.check_attempt(open, state.endpoints.get(backend), started_at) {
+            Ok(granted) => granted,
+            Err(denial) => return self.deny_attempt(state, request, backend, denial),
+        };
+        let priority_weight = state.balancer.worth(request);
+        let Some(open) = state.requests.get_mut(&request) else {
+            return;
+        };
+        let ResponseState::Pending(pending) = &open.response else {
+            return;
+        };
+        let pending = pending.clone();
+        let id = AttemptId {
+            request,
+            number: open.attempts.len(),
+            backend,
+            started_at,
+        };
+        let times_out_at = self.clock.to_instant(times_out_at_ms);
+        let attempt = self.begin_attempt(open, id, granted, priority_weight, times_out_at);
+        let control = attempt.control.clone();
+        pending.add_attempt(RunningAttempt {
+            future: Box::pin(self.run_attempt(id, attempt)),
+            times_out_at,
+            control,
+        });
+    }
+
+    /// Counts and records an attempt, and returns it.
+    fn begin_attempt(
+        &self,
+        open: &mut OpenRequest,
+        id: AttemptId,
+        granted: GrantedAttempt,
+        priority_weight: f64,
+        times_out_at: Instant,
+    ) -> Attempt {
+        let started_at = id.started_at;
+        self.count_attempt(open, &granted.target, started_at);
+        let client = open.client.clone();
+        let control = Rc::new(AttemptControl::new(client, granted.write_deadline));
+        let budget = open.budget.as_ref().filter(|_| open.call.carries_budget());
+        let budget = budget.and_then(|budget| budget.delegate(priority_weight));
+        tracing::debug!(
+            request = id.request, id = %open.call.label(), attempt = id.number,
+            address = %granted.target.address, after = ?open.last_outcome,
+            timeout_ms = as_millis(times_out_at.saturating_duration_since(started_at)),
+            "attempt begun"
+        );
+        let attempt = Attempt {
+            call: open.call.clone(),
+            target: granted.target,
+            times_out_at,
+            expires_at: open.backend_deadline,
+            control: control.clone(),
+            budget: budget.as_ref().map(|budget| budget.attempt.clone()),
+        };
+        let (location, outcome) = (granted.location, None);
+        open.attempts.push(AttemptRecord {
+            backend: id.backend,
+            past: PastAttempt {
+                location,
+                started_at,
+                outcome,
+            },
+            in_flight: Some(InFlightAttempt { control, budget }),
+        });
+        attempt
+    }
+
+    /// Returns what an attempt at a backend needs, or the rule that denies it now.
+    fn check_attempt(
+        &self,
+        open: &OpenRequest,
+        endpoint: Option<&Endpoint>,
+        now: Instant,
+    ) -> Result<GrantedAttempt, Denial> {
+        if open.is_answered() {
+            return Err(Denial::RequestAnswered);
+        }
+        if open.client.as_ref().is_some_and(ClientHandle::has_left) {
+            return Err(Denial::ClientLeft);
+        }
+        if open.attempts.len() >= self.facts.settings.caps.try_limit as usize {
+            return Err(Denial::AttemptLimit);
+        }
+        let endpoint = endpoint.ok_or(Denial::BackendWithdrawn)?;
+        let target = endpoint.target.clone().ok_or(Denial::BackendWithdrawn)?;
+        let location = endpoint.location;
+        let (effect, may_duplicate) = (self.effect(open.class), self.facts.site.may_duplicate);
+        let write_deadline =
+            safety::check_retry(effect, open.past_attempts(), location, may_duplicate, now)?;
+        let is_permitted = open.activity.as_ref().is_none_or(activity_log::Bound::may);
+        let is_first = open.attempts.is_empty();
+        let has_budget = || is_first || open.budget.as_ref().is_none_or(RequestBudget::try_retry);
+        if !is_permitted || !has_budget() {
+            return Err(Denial::NotGranted);
+        }
+        Ok(GrantedAttempt {
+            target,
+            location,
+            write_deadline,
+        })
+    }
+
+    /// Ends an attempt that a rule denies. If the client has left, the decision module is notified
+    /// at once.
+    fn deny_attempt(
+        &self,
+        state: &mut State,
+        request: RequestId,
+        backend: BackendId,
+        denial: Denial,
+    ) {
+        let Some(open) = state.requests.get_mut(&request) else {
+            return;
+        };
+        let label = open.call.label().into_owned();
+        violations::record_denial(denial, &label);
+        if matches!(denial, Denial::NotRetryable | Denial::OutsideGroup) {
+            violations::record_violation(Violation::UnsafeRetry, &label);
+        }
+        if denial == Denial::ClientLeft && open.close().is_some() {
+            state.events.push_back(Event::Hangup { request });
+        }
+        let (number, started_at) = (open.attempts.len(), Instant::now());
+        let (location, outcome) = (Location::default(), Some(Outcome::Moot));
+        open.attempts.push(AttemptRecord {
+            backend,
+            past: PastAttempt {
+                location,
+                started_at,
+                outcome,
+            },
+            in_flight: None,
+        });
+        self.counts.ended(Outcome::Moot, None);
+        let id = AttemptId {
+            request,
+            number,
+            backend,
+            started_at,
+        };
+        let resolved = id.resolved(Outcome::Moot, 0.0, open);
+        state.events.push_back(Event::Resolved(resolved));
+    }
+
+    fn count_attempt(&self, open: &OpenRequest, target: &Target, started_at: Instant) {
+        if !open.attempts.is_empty() {
+            self.counts.resent(open.last_outcome);
+        }
+        let age_ms = self.clock.to_ms(started_at) - target.born_ms;
+        if target.born_ms > 0.0 && age_ms < self.facts.settings.rules.cold {
+            self.counts.sent_cold();
+        }
+        if let Some(activity) = &open.activity {
+            activity.act(Act::Sent);
+        }
+    }
+
+    fn run_attempt(
+        self: &Rc<Self>,
+        id: AttemptId,
+        attempt: Attempt,
+    ) -> impl Future<Output = ()> + use<> {
+        let (engine, late_engine) = (self.clone(), self.clone());
+        let on_result = move |result| engine.record_attempt_result(id.request, id.number, result);
+        let on_late_result = move |result| late_engine.record_late_result(id, &result);
+        attempt.run(self.pool.clone(), on_result, on_late_result)
+    }
+
+    /// Records the result of an attempt, and notifies the decision module. The first served
+    /// response goes to the client at once.
+    fn record_attempt_result(
+        self: &Rc<Self>,
+        request: RequestId,
+        number: usize,
+        result: AttemptResult,
+    ) {
+        let event = {
+            let state = &mut *self.state.borrow_mut();
+            let Some(open) = state.requests.get_mut(&request) else {
+                return;
+            };
+            let Some(attempt) = open.attempts.get_mut(number) else {
+                return;
+            };
+            let Some(in_flight) = attempt.in_flight.take() else {
+                return;
+            };
+            let outcome = result.outcome();
+            attempt.past.outcome = Some(outcome);
+            let (backend, started_at) = (attempt.backend, attempt.past.started_at);
+            let id = AttemptId {
+                request,
+                number,
+                backend,
+                started_at,
+            };
+            let elapsed_ms = as_millis(started_at.elapsed());
+            tracing::debug!(
+                request,
+                attempt = number,
+                ?outcome,
+                elapsed_ms,
+                "attempt ended"
+            );
+            open.last_outcome = Some(outcome);
+            if let (Some(budget), Some(delegated)) = (&open.budget, in_flight.budget) {
+                budget.settle(delegated, outcome.never_ran());
+            }
+            self.count_result(&result);
+            open.respond_with_result(result);
+            let resolved = id.resolved(outcome, elapsed_ms, open);
+            state.remove_if_finished(request);
+            Event::Resolved(resolved)
+        };
+        self.notify(event);
+    }
+
+    fn count_result(&self, result: &AttemptResult) {
+        let special = match result {
+            AttemptResult::Rejected => Some(Special::Rejected),
+            AttemptResult::NotificationSent => Some(Special::Sent),
+            _ => None,
+        };
+        self.counts.ended(result.outcome(), special);
+    }
+
+    /// Notifies the decision module of the result of an attempt that was given up before. Its
+    /// request is over.
+    fn record_late_result(self: &Rc<Self>, id: AttemptId, result: &AttemptResult) {
+        let outcome = result.outcome();
+        self.counts.ended_late(outcome);
+        self.notify(Event::Late(Resolved {
+            request: id.request,
+            attempt: id.number as u8,
+            backend: id.backend,
+            outcome,
+            wait: as_millis(id.started_at.elapsed()),
+            closed: true,
+            spare: None,
+        }));
+    }
+}
+
+impl OpenRequest {
+    /// Sends the response that an attempt's result holds, if any.
+    fn respond_with_result(&mut self, result: AttemptResult) {
+        match result {
+            AttemptResult::Served(body) | AttemptResult::ServedWithError(body) => {
+                self.respond(Response::Served(body));
+            }
+            AttemptResult::NotificationSent => self.respond(Response::Served(Bytes::new())),
+            AttemptResult::Rejected => self.respond(Response::Failed),
+            AttemptResult::NotServed(_) => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/heathroad/src/engine/endpoints.rs
@@ -0,0 +1,220 @@
+//! The backends of a pool as discovery lists them, and updates of that list.
+
+use super::{Engine, hash_text};
+use crate::backend::{Pool, Target};
+use crate::discovery::endpoint_list::{Health, Host};
+use crate::metrics::{Counts, Notice};
+use crate::safety::Location;
+use crate::stall_detector;
+use heathroad_balancer::api::{BackendId, Entry, Event, ListKind, Phase};
+use rustc_hash::FxHashMap;
+use std::collections::{HashMap, HashSet};
+use std::rc::Rc;
+use tokio::time::Instant;
+
+/// A backend that the list names, or that an open request was sent to.
+pub(super) struct Endpoint {
+    name: String,
+    is_listed: bool,
+    /// Its process, once it was ready.
+    pub(super) target: Option<Rc<Target>>,
+    /// Where it stands, by the last list.
+    pub(super) location: Location,
+}
+
+impl Endpoint {
+    fn new(name: &str) -> Endpoint {
+        Endpoint {
+            name: name.to_string(),
+            is_listed: false,
+            target: None,
+            location: Location::default(),
+        }
+    }
+
+    /// Returns its process if that takes new requests.
+    fn available_target(&self) -> Option<&Rc<Target>> {
+        self.target.as_ref().filter(|target| !target.is_draining())
+    }
+
+    /// Sends nothing new to its process from now on.
+    fn withdraw(&self, pool: &Pool, counts: &Counts, notice: Notice) {
+        let Some(target) = self.available_target() else {
+            return;
+        };
+        tracing::debug!(
+            backend = self.name, address = %target.address, reason = ?notice, "backend withdrawn"
+        );
+        // The notice may have lain unread while the process stalled.
+        target.start_draining(stall_detector::earliest_arrival(Instant::now()));
+        pool.close_idle_connections(target);
+        counts.drained(notice);
+    }
+
+    /// Replaces its process unless that is the listed one.
+    fn set_ready_target(&mut self, host: &Host, pool: &Pool, counts: &Counts) {
+        let Some(address) = host.dial else { return };
+        // A new process knows nothing of the old one's connections. Where its machine fell silent
+        // they look open still, and a request on one would end as a reset, which may have run.
+        let is_same = self
+            .available_target()
+            .is_some_and(|target| target.address == address && target.born_ms == host.born_ms);
+        if is_same {
+            return;
+        }
+        self.withdraw(pool, counts, Notice::Replaced);
+        tracing::debug!(backend = host.host, %address, born_ms = host.born_ms, "backend ready");
+        self.target = Some(pool.target(&host.host, address, host.born_ms));
+    }
+}
+
+/// All known backends, with the decision module's ids for them.
+#[derive(Default)]
+pub(super) struct Endpoints {
+    pub(super) ids: HashMap<String, BackendId>,
+    pub(super) by_id: FxHashMap<BackendId, Endpoint>,
+}
+
+impl Endpoints {
+    /// Returns a backend by its id.
+    pub(super) fn get(&self, id: BackendId) -> Option<&Endpoint> {
+        self.by_id.get(&id)
+    }
+
+    /// Returns the processes that take new requests.
+    pub(super) fn available_targets(&self) -> impl Iterator<Item = &Rc<Target>> {
+        self.by_id.values().filter_map(Endpoint::available_target)
+    }
+
+    /// Returns a backend by its name, with its id. The id is made from the name, since every
+    /// replica of the proxy orders the backends by it: the replicas' subsets are to overlap evenly.
+    fn get_or_insert(&mut self, name: &str) -> (BackendId, &mut Endpoint) {
+        let id = self.ids.get(name).copied().unwrap_or_else(|| {
+            let mut id = hash_text(name) as BackendId;
+            while self.by_id.contains_key(&id) {
+                id = id.wrapping_add(1);
+            }
+            self.ids.insert(name.to_string(), id);
+            id
+        });
+        let endpoint = self.by_id.entry(id).or_insert_with(|| Endpoint::new(name));
+        (id, endpoint)
+    }
+
+    fn are_all_listed(&self) -> bool {
+        self.by_id.values().all(|endpoint| endpoint.is_listed)
+    }
+
+    /// Forgets the backends that are neither listed nor in use.
+    fn retain_listed_or_used(&mut self, used: &HashSet<BackendId>) {
+        let ids = &mut self.ids;
+        self.by_id.retain(|id, endpoint| {
+            let stays = endpoint.is_listed || used.contains(id);
+            if !stays {
+                ids.remove(&endpoint.name);
+            }
+            stays
+        });
+    }
+}
+
+impl Engine {
+    /// Applies a list of backends, or changes to it.
+    pub fn update_endpoints(self: &Rc<Self>, kind: ListKind, hosts: Vec<Host>) {
+        let entries = {
+            let endpoints = &mut self.state.borrow_mut().endpoints;
+            if kind != ListKind::Delta {
+                endpoints
+                    .by_id
+                    .values_mut()
+                    .for_each(|endpoint| endpoint.is_listed = false);
+            }
+            let entries = hosts
+                .into_iter()
+                .map(|host| self.update_endpoint(endpoints, host))
+                .collect();
+            let unlisted = endpoints
+                .by_id
+                .values()
+                .filter(|endpoint| !endpoint.is_listed);
+            unlisted.for_each(|endpoint| endpoint.withdraw(&self.pool, &self.counts, Notice::Gone));
+            entries
+        };
+        self.notify(Event::List { kind, entries });
+        self.forget_unlisted_endpoints();
+    }
+
+    fn update_endpoint(&self, endpoints: &mut Endpoints, host: Host) -> Entry {
+        let (backend, endpoint) = endpoints.get_or_insert(&host.host);
+        endpoint.is_listed = host.health != Health::Deleted;
+        let zones = &self.facts.site.zones;
+        let Some(zone) = zones.iter().position(|zone| *zone == host.site) else {
+            // The pool cannot send there, and takes it out wherever it was before.
+            endpoint.is_listed = false;
+            endpoint.withdraw(&self.pool, &self.counts, Notice::Gone);
+            if host.health == Health::Serving {
+                tracing::warn!(
+                    "discovery: {}: zone {:?} is unknown, passed over",
+                    host.host,
+                    host.site
+                );
+            }
+            return Entry {
+                backend,
+                phase: Phase::Gone,
+                ..Entry::default()
+            };
+        };
+        let phase = phase(host.health);
+        match phase {
+            Phase::Ready if host.dial.is_some() => {
+                endpoint.set_ready_target(&host, &self.pool, &self.counts);
+            }
+            Phase::Gone => endpoint.withdraw(&self.pool, &self.counts, Notice::Gone),
+            _ => endpoint.withdraw(&self.pool, &self.counts, Notice::Draining),
+        }
+        let (zone, cell) = (zone as u16, host.block);
+        endpoint.location = Location { zone, cell };
+        Entry {
+            backend,
+            phase,
+            zone,
+            started_at: host.born_ms.max(0.0),
+            weight: host.share.max(0.0),
+            cell,
+        }
+    }
+
+    /// Forgets the backends that no list names, once no open request was sent to them: the decision
+    /// module has forgotten such a backend too. Where backends are replaced all day, nothing grows
+    /// with their number.
+    pub fn forget_unlisted_endpoints(&self) {
+        let state = &mut *self.state.borrow_mut();
+        if state.endpoints.are_all_listed() {
+            return;
+        }
+        let attempts = state
+            .requests
+            .values()
+            .flat_map(|request| &request.attempts);
+        let used = attempts.map(|attempt| attempt.backend).collect();
+        state.endpoints.retain_listed_or_used(&used);
+    }
+
+    /// Notifies the decision module that a call to discovery failed.
+    pub fn record_list_failure(self: &Rc<Self>) {
+        self.watch_requested.send_replace(false);
+        self.notify(Event::List {
+            kind: ListKind::Failed,
+            entries: Vec::new(),
+        });
+    }
+}
+
+fn phase(health: Health) -> Phase {
+    match health {
+        Health::Serving => Phase::Ready,
+        Health::Draining => Phase::Draining,
+        Health::Deleted => Phase::Gone,
+    }
+}
--- a/crates/heathroad/src/engine/pending_response.rs
+++ b/crates/heathroad/src/engine/pending_response.rs
@@ -1,9 +1,9 @@
-//! Waiting for a request's one answer. Whoever waits carries the request's attempts in its own
-//! task: what an answer wakes is then at once the one who passes it on, and no task is made for an
-//! attempt. Attempts that outlast the wait, since the caller has left or work that was given up
-//! goes on, get a task of their own.
+//! Waiting for a request's one response. The task that waits also runs the request's attempts, so
+//! that what a response wakes is at once the task that passes it on, and an attempt needs no task
+//! of its own. Attempts that outlast the wait, since the client has left or an abandoned attempt
+//! goes on, are given one.
 
-use crate::backend::{Line, keep};
+use crate::backend::{AttemptControl, store_waker};
 use crate::runtime_accounting::{sleep_until, spawn_local};
 use std::cell::{Cell, RefCell};
 use std::future::{Future, poll_fn};
@@ -13,51 +13,58 @@
 use tokio::time::Instant;
 
 /// An attempt under way.
-pub struct Running {
-    /// Its course.
-    pub run: Pin<Box<dyn Future<Output = ()>>>,
-    /// When it reports its end at the latest.
-    pub not_past: Instant,
+pub struct RunningAttempt {
+    /// Carries the attempt out.
+    pub future: Pin<Box<dyn Future<Output = ()>>>,
+    /// The attempt reports its result by then.
+    pub times_out_at: Instant,
     /// Tells whether it has.
-    pub line: Rc<Line>,
+    pub control: Rc<AttemptControl>,
 }
 
-/// What one waits for and others bring: an answer, and attempts to be carried until then.
-pub struct Wait<T> {
-    told: Cell<Option<T>>,
-    begun: RefCell<Vec<Running>>,
+impl RunningAttempt {
+    /// Returns whether the attempt will report a result by itself before a deadline.
+    fn reports_before(&self, deadline: Instant) -> bool {
+        self.times_out_at <= deadline && !self.control.has_reported()
+    }
+}
+
+/// A response that one task waits for and others send, with the attempts that the waiting task
+/// runs.
+pub struct PendingResponse<T> {
+    response: Cell<Option<T>>,
+    new_attempts: RefCell<Vec<RunningAttempt>>,
     waker: Cell<Option<Waker>>,
-    /// The one who waits is looking just now, and sees what comes without being woken.
-    looks: Cell<bool>,
+    /// The waiting task is polling just now, and sees what comes without being woken.
+    is_polling: Cell<bool>,
 }
 
-impl<T> Default for Wait<T> {
+impl<T> Default for PendingResponse<T> {
     fn default() -> Self {
-        let (told, begun) = (Cell::new(None), RefCell::default());
-        Wait {
-            told,
-            begun,
+        PendingResponse {
+            response: Cell::new(None),
+            new_attempts: RefCell::default(),
             waker: Cell::new(None),
-            looks: Cell::new(false),
+            is_polling: Cell::new(false),
         }
     }
 }
 
-impl<T> Wait<T> {
-    /// Gives the answer.
-    pub fn tell(&self, answer: T) {
-        self.told.set(Some(answer));
+impl<T> PendingResponse<T> {
+    /// Sends the response.
+    pub fn send(&self, response: T) {
+        self.response.set(Some(response));
         self.wake();
     }
 
-    /// Gives an attempt to carry.
-    pub fn carry(&self, attempt: Running) {
-        self.begun.borrow_mut().push(attempt);
+    /// Hands an attempt to the waiting task.
+    pub fn add_attempt(&self, attempt: RunningAttempt) {
+        self.new_attempts.borrow_mut().push(attempt);
         self.wake();
     }
 
     fn wake(&self) {
-        if self.looks.get() {
+        if self.is_polling.get() {
             return;
         }
         if let Some(waker) = self.waker.take() {
@@ -65,199 +72,97 @@
         }
     }
 
-    /// The answer; nothing if none has come by `end`. While an attempt is under way that gives up
-    /// before then, no timer is made: its end is heard of here, and the time is looked at again.
-    /// What is still to carry when the wait is over, however it ends, goes on in tasks of its own.
-    pub async fn answer(self: Rc<Self>, end: Instant) -> Option<T> {
-        let mut carried = Carried {
-            wait: self.clone(),
+    /// Waits for the response; returns nothing if none has come by the deadline.
+    ///
+    /// While an attempt is under way that times out before the deadline, no timer is started: the
+    /// attempt's result wakes this task, which then looks at the time again. Attempts that still
+    /// run when the wait is over, however it ends, go on in tasks of their own.
+    pub async fn wait(self: Rc<Self>, deadline: Instant) -> Option<T> {
+        let mut attempts = Attempts {
+            pending: self.clone(),
             running: Vec::new(),
         };
-        let mut over = pin!(None);
+        let mut timer = pin!(None);
         poll_fn(|cx| {
-            self.looks.set(true);
-            let told = carried.look(cx);
-            self.looks.set(false);
-            if told.is_some() {
-                return Poll::Ready(told);
+            self.is_polling.set(true);
+            let response = attempts.poll(cx);
+            self.is_polling.set(false);
+            if response.is_some() {
+                return Poll::Ready(response);
             }
-            if carried
+            if attempts
                 .running
                 .iter()
-                .any(|r| r.not_past <= end && !r.line.reported())
+                .any(|attempt| attempt.reports_before(deadline))
             {
-                keep(&self.waker, cx);
+                store_waker(&self.waker, cx);
                 return Poll::Pending;
             }
-            if over.is_none() {
-                over.set(Some(sleep_until(end)));
+            if timer.is_none() {
+                timer.set(Some(sleep_until(deadline)));
             }
-            if over
-                .as_mut()
-                .as_pin_mut()
-                .is_some_and(|over| over.poll(cx).is_ready())
-            {
+            let timer = timer.as_mut().as_pin_mut();
+            if timer.is_some_and(|timer| timer.poll(cx).is_ready()) {
                 return Poll::Ready(None);
             }
-            keep(&self.waker, cx);
+            store_waker(&self.waker, cx);
             Poll::Pending
         })
         .await
     }
 }
 
-/// The attempts that one who waits carries.
-struct Carried<T> {
-    wait: Rc<Wait<T>>,
-    running: Vec<Running>,
+/// The attempts that the waiting task runs.
+struct Attempts<T> {
+    pending: Rc<PendingResponse<T>>,
+    running: Vec<RunningAttempt>,
 }
 
-impl<T> Carried<T> {
-    fn take_begun(&mut self) {
-        let mut begun = self.wait.begun.borrow_mut();
+impl<T> Attempts<T> {
+    fn take_new(&mut self) {
+        let mut new = self.pending.new_attempts.borrow_mut();
         if self.running.is_empty() {
-            std::mem::swap(&mut self.running, &mut begun);
+            std::mem::swap(&mut self.running, &mut new);
         }
-        self.running.append(&mut begun);
+        self.running.append(&mut new);
     }
 
-    /// Carries on all that can go on, and what that begins in turn, until the answer is there or
+    /// Polls all attempts, and those that they begin in turn, until the response is there or
     /// nothing moves.
-    fn look(&mut self, cx: &mut Context<'_>) -> Option<T> {
-        let mut from = 0;
+    fn poll(&mut self, cx: &mut Context<'_>) -> Option<T> {
+        let mut polled = 0;
         loop {
-            self.take_begun();
-            if let Some(told) = self.wait.told.take() {
-                return Some(told);
+            self.take_new();
+            if let Some(response) = self.pending.response.take() {
+                return Some(response);
             }
-            if from == self.running.len() {
+            if polled == self.running.len() {
                 return None;
             }
-            let mut at = 0;
-            while at < self.running.len() {
-                // Those that were looked at before what they began stay as they are.
-                if at >= from && self.running[at].run.as_mut().poll(cx).is_ready() {
-                    drop(self.running.remove(at));
+            let mut index = 0;
+            while index < self.running.len() {
+                // Those that were polled before they began others are not polled again.
+                let is_unpolled = index >= polled;
+                if is_unpolled && self.running[index].future.as_mut().poll(cx).is_ready() {
+                    drop(self.running.remove(index));
                 } else {
-                    at += 1;
+                    index += 1;
                 }
             }
-            from = self.running.len();
+            polled = self.running.len();
         }
     }
 }
 
-impl<T> Drop for Carried<T> {
+impl<T> Drop for Attempts<T> {
     fn drop(&mut self) {
-        let begun = self.wait.begun.take();
-        for attempt in self.running.drain(..).chain(begun) {
-            spawn_local(attempt.run);
+        let new = self.pending.new_attempts.take();
+        for attempt in self.running.drain(..).chain(new) {
+            spawn_local(attempt.future);
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use std::time::Duration;
-    use tokio::sync::oneshot;
-    use tokio::task::LocalSet;
-    use tokio::time::{advance, timeout};
-
-    const LONG: Duration = Duration::from_secs(60);
-
-    /// An attempt that reports by itself after a time, and goes on until it is let go.
-    fn attempt(reports: Duration, let_go: oneshot::Receiver<()>, over: Rc<Cell<bool>>) -> Running {
-        let (line, not_past) = (Rc::<Line>::default(), Instant::now() + reports);
-        let told = line.clone();
-        let run = Box::pin(async move {
-            tokio::time::sleep_until(not_past).await;
-            told.report();
-            let _ = let_go.await;
-            over.set(true);
-        });
-        Running {
-            run,
-            not_past,
-            line,
-        }
-    }
-
-    #[tokio::test(start_paused = true)]
-    async fn a_wait_without_an_answer_ends_in_time() {
-        let (wait, begun) = (Rc::<Wait<u8>>::default(), Instant::now());
-        assert_eq!(wait.answer(begun + LONG).await, None);
-        assert_eq!(begun.elapsed(), LONG);
-    }
-
-    /// An attempt that has reported and works on is no reason to wait for longer; it is let work
-    /// on.
-    #[tokio::test(start_paused = true)]
-    async fn work_that_goes_on_holds_no_wait_up_and_is_not_dropped() {
-        let set = LocalSet::new();
-        set.run_until(async {
-            let (wait, over, begun) = (
-                Rc::<Wait<u8>>::default(),
-                Rc::<Cell<bool>>::default(),
-                Instant::now(),
-            );
-            let (let_go, gone) = oneshot::channel();
-            wait.carry(attempt(LONG / 2, gone, over.clone()));
-            assert_eq!(wait.answer(begun + LONG).await, None);
-            assert_eq!(begun.elapsed(), LONG);
-            assert!(!over.get());
-            let_go.send(()).expect("it goes on in a task of its own");
-            tokio::task::yield_now().await;
-            assert!(over.get());
-        })
-        .await;
-    }
-
-    async fn is_over(over: &Cell<bool>) {
-        let over = async {
-            while !over.get() {
-                tokio::task::yield_now().await;
-            }
-        };
-        timeout(LONG / 4, over).await.expect("it comes to its end");
-    }
-
-    /// What others bring wakes who waits: an attempt begun for it, and its answer.
-    #[tokio::test(start_paused = true)]
-    async fn what_others_bring_is_seen() {
-        let set = LocalSet::new();
-        set.run_until(async {
-            let (wait, over) = (Rc::<Wait<u8>>::default(), Rc::<Cell<bool>>::default());
-            let waiting = tokio::task::spawn_local(wait.clone().answer(Instant::now() + LONG));
-            tokio::task::yield_now().await;
-            let (let_go, gone) = oneshot::channel();
-            wait.carry(attempt(LONG / 4, gone, over.clone()));
-            let_go.send(()).expect("it is held");
-            tokio::task::yield_now().await;
-            advance(LONG / 4).await;
-            is_over(&over).await;
-            wait.tell(7);
-            assert_eq!(waiting.await.expect("no panic"), Some(7));
-        })
-        .await;
-    }
-
-    /// Dropped, as when the caller has left: what was begun goes on, also if it was never looked
-    /// at.
-    #[tokio::test(start_paused = true)]
-    async fn who_leaves_stops_no_attempt() {
-        let set = LocalSet::new();
-        set.run_until(async {
-            let (wait, over) = (Rc::<Wait<u8>>::default(), Rc::<Cell<bool>>::default());
-            let waiting = tokio::task::spawn_local(wait.clone().answer(Instant::now() + LONG));
-            tokio::task::yield_now().await;
-            let (let_go, gone) = oneshot::channel();
-            wait.carry(attempt(Duration::ZERO, gone, over.clone()));
-            waiting.abort();
-            assert!(waiting.await.expect_err("it is gone").is_cancelled());
-            let_go.send(()).expect("it goes on");
-            is_over(&over).await;
-        })
-        .await;
-    }
-}
+#[path = "../../tests/unit/engine_pending_response.rs"]
+mod tests;
--- /dev/null
+++ b/crates/heathroad/src/engine/response.rs
@@ -0,0 +1,83 @@
+//! The final response to a request.
+
+use super::pending_response::PendingResponse;
+use crate::metrics::Final;
+use crate::time::millis;
+use bytes::Bytes;
+use heathroad_balancer::settings::Facts;
+use heathroad_membership::record::Act;
+use heathroad_retry_budget::wire::RetriesSpent;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// The retry delay advertised to clients that are rejected by the proxy itself, in milliseconds.
+const RETRY_AFTER_MS: f64 = 500.0;
+
+/// What a client is answered.
+#[derive(Debug)]
+pub enum Response {
+    /// A backend's response.
+    Served(Bytes),
+    /// The request was rejected; a retry is harmless.
+    Rejected {
+        /// The retry delay advertised to the client, if any.
+        retry_after: Option<Duration>,
+    },
+    /// The request failed; it may have run.
+    Failed,
+    /// No response came in time; the request may have run.
+    TimedOut,
+}
+
+impl Response {
+    /// Returns the kind under which the response is counted.
+    pub(super) fn kind(&self) -> Final {
+        match self {
+            Response::Served(_) => Final::Served,
+            Response::Rejected { .. } => Final::Refused,
+            Response::Failed => Final::Failed,
+            Response::TimedOut => Final::TimedOut,
+        }
+    }
+}
+
+/// The one response to a request, with the report for a caller that sent a retry budget.
+#[derive(Debug)]
+pub struct FinalResponse {
+    /// What the client is answered.
+    pub response: Response,
+    /// The retries that were spent on it.
+    pub retries_spent: Option<RetriesSpent>,
+}
+
+impl From<Response> for FinalResponse {
+    fn from(response: Response) -> Self {
+        FinalResponse {
+            response,
+            retries_spent: None,
+        }
+    }
+}
+
+/// Whether a request still waits for its response, which can be sent only once.
+pub(super) enum ResponseState {
+    Pending(Rc<PendingResponse<FinalResponse>>),
+    Sent,
+}
+
+/// Returns the retry delay advertised to clients that are rejected for lack of capacity, or by a
+/// fenced proxy, if the settings allow one.
+pub fn retry_after(facts: &Facts) -> Option<Duration> {
+    let caps = &facts.settings.caps;
+    caps.retry_after
+        .then(|| millis(RETRY_AFTER_MS.min(caps.max_retry_after)))
+}
+
+/// Returns the activity that records a final response.
+pub(super) fn final_activity(response: Final) -> Act {
+    match response {
+        Final::Served => Act::Served,
+        Final::Refused => Act::Refused,
+        Final::Failed | Final::TimedOut | Final::Left => Act::Failed,
+    }
+}
--- a/crates/heathroad/src/frontend/connections.rs
+++ b/crates/heathroad/src/frontend/connections.rs
@@ -1,10 +1,10 @@
-//! What callers hold of the proxy: places, bytes, ids. Whoever is seated may be asked to leave for
-//! those who wait.
+//! The clients' connections: which there are, how long each may be idle, and which is closed when
+//! another client needs its place.
 
-use super::read_ahead::Wire;
-use crate::safety::{self, Client, Connection, Violation, violations};
+use super::read_ahead::ReadAheadStream;
+use crate::safety::{self, ClientConnection, ConnectionState, Violation, violations};
 use crate::stall_detector;
-use crate::stream::{Peek, Progress};
+use crate::stream::{Progress, Unread};
 use hyper::header::HeaderValue;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -15,334 +15,273 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A head must have come whole so long after its first byte, and a body after its head. A
-/// connection's first request must have come so long after the connect: whoever sends nothing, or
-/// sends for ever, is not waited for.
-pub const ARRIVE: Duration = Duration::from_secs(2);
-/// A connection may rest so long between requests, while places last.
-const REST: Duration = Duration::from_secs(60);
-/// When it stops, a connection that has just come and sent nothing yet is given so long for its
-/// first request.
-pub const FIRST: Duration = Duration::from_millis(150);
-/// Connections past the limit, taken only to be refused at once.
-pub const SPARE: usize = 16;
+/// A head must arrive whole so long after its first byte, and a body after its head. A connection's
+/// first request must arrive so long after the connect: a client that sends nothing, or sends for
+/// ever, is not waited for.
+pub const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
+/// A connection may be idle so long between requests, while there are free places.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// At a stop, a connection that has just come and sent nothing yet is given so long for its first
+/// request.
+pub const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(150);
+/// Connections above the limit, which are accepted only to be rejected at once.
+pub const SPARE_CONNECTIONS: usize = 16;
 
-/// What has become of a caller's present request.
+/// What has become of a connection's present request.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Stage {
-    /// There is none, or its head has not come whole.
-    Rest,
+    /// There is none, or its head has not arrived whole.
+    Idle,
     /// Its body is being read.
-    Body,
-    /// It was taken, and is owed an answer.
-    Taken,
+    ReadingBody,
+    /// It waits for its response.
+    Pending,
 }
 
 /// Why a client's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Closed {
+pub enum CloseReason {
     /// The client has closed it.
     ByClient,
     /// The client has reset it, or sent what is no HTTP.
     Broken,
-    /// Its last answer is written.
-    Ended,
-    /// Its place is needed, or it has rested for long.
+    /// Its last response is written.
+    Finished,
+    /// Its place is needed, or it has been idle for long.
     Shed,
 }
 
-impl Closed {
-    /// By how the HTTP library says that it ended.
-    pub fn of<E>(ended: &Result<(), E>) -> Closed {
-        if ended.is_ok() {
-            Closed::Ended
-        } else {
-            Closed::Broken
+impl CloseReason {
+    /// Returns the reason by how the HTTP library ended the connection.
+    pub fn from_result<E>(result: &Result<(), E>) -> CloseReason {
+        match result {
+            Ok(()) => CloseReason::Finished,
+            Err(_) => CloseReason::Broken,
         }
     }
 }
 
-/// A caller's place.
-pub struct Seat {
-    /// By which log lines name its connection.
+/// A client's connection over HTTP.
+pub struct Connection {
+    /// The number by which log lines name it.
     pub number: u64,
+    /// What has become of its present request.
     pub stage: Cell<Stage>,
-    /// When it connected, or had its last answer.
+    /// When it was accepted, or its last response was made.
     pub since: Cell<Instant>,
-    /// It has had an answer of some kind.
-    pub answered: Cell<bool>,
-    /// It was served with what a backend made for it.
-    pub served: Cell<bool>,
+    /// Whether it was answered at all.
+    pub is_answered: Cell<bool>,
+    /// Whether it was answered with a backend's response.
+    pub is_served: Cell<bool>,
+    /// How far its messages have got.
     pub progress: Rc<Progress>,
-    pub wire: Wire,
-    leaving: Cell<bool>,
-    pub leave: Notify,
+    /// Its stream.
+    pub stream: ReadAheadStream,
+    is_closing: Cell<bool>,
+    /// Notifies its task that it is asked to close.
+    pub close_requested: Notify,
 }
 
-impl Seat {
-    /// Whether closing its connection takes away nothing that was taken or answered; nor what lies
-    /// `unread` on it.
-    fn may_close(&self, unread: bool) -> bool {
-        let owed = self.stage.get() == Stage::Taken;
-        safety::close(Connection {
-            owed,
-            unsent: self.progress.unsent(),
-            unread,
+impl Connection {
+    /// Returns whether closing it takes nothing from the client that was taken or answered, nor
+    /// what lies unread on it.
+    fn may_close(&self, has_unread_bytes: bool) -> bool {
+        safety::may_close(ConnectionState {
+            has_pending_request: self.stage.get() == Stage::Pending,
+            has_unsent_response: self.progress.has_unsent_bytes(),
+            has_unread_bytes,
         })
     }
-    /// Whether it may be asked to leave.
-    fn spare(&self) -> bool {
-        self.may_close(false) && !self.leaving.get()
+
+    /// Returns whether it may be asked to close.
+    fn is_sheddable(&self) -> bool {
+        self.may_close(false) && !self.is_closing.get()
     }
-    /// Whether it has had the time that it may take.
-    fn late(&self) -> bool {
-        let past = |since: Instant, most| since.elapsed() > most;
+
+    /// Returns whether its client has taken longer than it may.
+    fn is_overdue(&self) -> bool {
         match (
             self.stage.get(),
-            self.answered.get(),
-            self.progress.speaks(),
+            self.is_answered.get(),
+            self.progress.receiving_since(),
         ) {
-            (Stage::Rest, false, _) => past(self.since.get(), ARRIVE),
-            (Stage::Rest, true, Some(speaks)) => past(speaks, ARRIVE),
-            (Stage::Rest, true, None) => past(self.since.get(), REST),
-            // These have limits of their own.
-            (Stage::Body | Stage::Taken, ..) => false,
+            (Stage::Idle, false, _) => self.since.get().elapsed() > MESSAGE_TIMEOUT,
+            (Stage::Idle, true, Some(since)) => since.elapsed() > MESSAGE_TIMEOUT,
+            (Stage::Idle, true, None) => self.since.get().elapsed() > IDLE_TIMEOUT,
+            // These have deadlines of their own.
+            (Stage::ReadingBody | Stage::Pending, ..) => false,
         }
     }
-    /// For how long nothing was read on its connection.
-    pub fn since_read(&self) -> Duration {
-        self.progress
-            .heard()
-            .map_or(Duration::ZERO, |heard| heard.elapsed())
+
+    /// Returns for how long nothing was read on it.
+    pub fn time_since_read(&self) -> Duration {
+        let last_arrival = self.progress.last_arrival();
+        last_arrival.map_or(Duration::ZERO, |last_arrival| last_arrival.elapsed())
     }
-    /// Its connection is closed, by the client or for a reason of our own.
-    pub fn closed(&self, reason: Closed) {
-        let taken = self.stage.get() == Stage::Taken;
+
+    /// Records that it is closed.
+    pub fn record_close(&self, reason: CloseReason) {
+        let is_pending = self.stage.get() == Stage::Pending;
         tracing::debug!(
             connection = self.number,
             ?reason,
-            taken,
+            is_pending,
             "connection closed"
         );
-        if taken && !matches!(reason, Closed::ByClient | Closed::Broken) {
-            violations::violated(
-                Violation::Dropped,
-                &format!("on connection {}", self.number),
-            );
+        let is_ours = !matches!(reason, CloseReason::ByClient | CloseReason::Broken);
+        if is_pending && is_ours {
+            let label = format!("on connection {}", self.number);
+            violations::record_violation(Violation::DroppedRequest, &label);
         }
     }
-    fn close(&self) {
-        self.leaving.set(true);
-        self.leave.notify_one();
+
+    fn request_close(&self) {
+        self.is_closing.set(true);
+        self.close_requested.notify_one();
     }
-    /// It was asked to leave: whether it still can. Since it was asked a request may have come,
-    /// which is owed an answer; one that lies unread on a connection at rest is such. What is half
-    /// read is late, or of no use.
-    pub fn leaves(&self) -> bool {
-        self.leaving.set(false);
-        let rests = self.stage.get() == Stage::Rest && self.progress.speaks().is_none();
-        self.may_close(rests && self.wire.unread())
+
+    /// Returns whether it can still close as it was asked to. A request may have come since, which
+    /// is owed a response; one that lies unread on an idle connection is such. What is half read is
+    /// overdue, or of no use.
+    pub fn confirm_close(&self) -> bool {
+        self.is_closing.set(false);
+        let is_idle = self.stage.get() == Stage::Idle && self.progress.receiving_since().is_none();
+        self.may_close(is_idle && self.stream.has_unread())
     }
-    /// Whether it has nothing in work, half read or half written.
-    pub fn rests(&self) -> bool {
-        self.stage.get() == Stage::Rest
-            && self.progress.speaks().is_none()
-            && !self.progress.unsent()
+
+    /// Returns whether nothing on it is pending, half read or half written.
+    pub fn is_quiet(&self) -> bool {
+        self.stage.get() == Stage::Idle
+            && self.progress.receiving_since().is_none()
+            && !self.progress.has_unsent_bytes()
     }
 }
 
-impl Client for Seat {
-    /// By what the reactor was told; after a pause, when that is old, by the system's word.
-    fn left(&self) -> bool {
-        self.wire.left(stall_detector::held_up(Instant::now()))
+impl ClientConnection for Connection {
+    /// Asks the reactor, and the system after a stall, when the reactor's knowledge is old.
+    fn has_left(&self) -> bool {
+        self.stream
+            .has_ended(stall_detector::may_have_stalled(Instant::now()))
     }
 }
 
-/// Who waits in a listener's queue by the system's word, since the reactor knows only what it was
-/// told when it last looked. With the listener they would be reset.
-pub fn queued(listener: &TcpListener) -> impl Iterator<Item = TcpStream> {
-    let queue = SockRef::from(listener);
-    let next = move || {
-        queue
-            .accept()
-            .ok()
-            .map(|(stream, _)| std::net::TcpStream::from(stream))
+/// Accepts the clients that wait in a listener's queue by the system's word, since the reactor
+/// knows only what it was told when it last looked. They would be reset when the listener is
+/// closed.
+pub fn accept_queued(listener: &TcpListener) -> impl Iterator<Item = TcpStream> {
+    let socket = SockRef::from(listener);
+    let accept = move || {
+        let (stream, _) = socket.accept().ok()?;
+        Some(std::net::TcpStream::from(stream))
     };
-    // One that can't be used any more is no reason to leave the others there.
-    std::iter::from_fn(next).filter_map(|stream| {
+    // A stream that cannot be used any more is no reason to leave the others there.
+    std::iter::from_fn(accept).filter_map(|stream| {
         stream.set_nonblocking(true).ok()?;
         TcpStream::from_std(stream).ok()
     })
 }
 
-/// What callers hold of the proxy.
+/// All clients' connections, and what clients hold of the proxy.
 #[derive(Default)]
-pub struct Room {
-    seats: RefCell<BTreeMap<u64, Rc<Seat>>>,
-    next: Cell<u64>,
-    /// Descriptors of those who come in elsewhere.
-    guests: Cell<usize>,
-    /// Ids of the requests that are open.
-    ids: RefCell<HashSet<HeaderValue>>,
-    /// Requests that are owed an answer.
-    pub taken: Cell<usize>,
-    /// Bytes of their bodies.
-    bytes: Cell<usize>,
+pub struct ConnectionTable {
+    connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
+    next_number: Cell<u64>,
+    /// Descriptors of other connections and listeners of clients.
+    other_descriptors: Cell<usize>,
+    /// Ids of the open requests.
+    pub(super) open_ids: RefCell<HashSet<HeaderValue>>,
+    /// Number of requests that wait for their response.
+    pub(super) pending_requests: Cell<usize>,
+    /// Bytes that are buffered for clients.
+    pub(super) buffered_bytes: Cell<usize>,
 }
 
-impl Room {
-    /// Makes room for one more: of those whose connection can be closed without loss the one that
-    /// has been silent longest, and before all others one that was never served.
-    pub fn shed(&self) -> bool {
-        let seats = self.seats.borrow();
-        let spare = seats.values().filter(|s| s.spare());
-        let longest = spare.min_by_key(|s| (s.served.get(), s.since.get()));
-        longest.inspect(|s| s.close()).is_some()
+impl ConnectionTable {
+    /// Asks one connection to close that can be closed without loss: the one that has been silent
+    /// longest, and before all others one that was never served. Returns whether there was one.
+    pub fn shed_one(&self) -> bool {
+        let connections = self.connections.borrow();
+        let sheddable = connections
+            .values()
+            .filter(|connection| connection.is_sheddable());
+        let chosen =
+            sheddable.min_by_key(|connection| (connection.is_served.get(), connection.since.get()));
+        chosen
+            .inspect(|connection| connection.request_close())
+            .is_some()
     }
 
-    /// Descriptors that callers hold.
-    pub fn present(&self) -> usize {
-        self.seats.borrow().len() + self.guests.get()
+    /// Returns the number of descriptors that clients hold.
+    pub fn descriptors(&self) -> usize {
+        self.connections.borrow().len() + self.other_descriptors.get()
     }
 
-    pub fn sweep(&self) {
-        self.seats
-            .borrow()
+    /// Asks overdue connections to close.
+    pub fn close_overdue(&self) {
+        let connections = self.connections.borrow();
+        let overdue = connections
             .values()
-            .filter(|s| s.spare() && s.late())
-            .for_each(|s| s.close());
+            .filter(|connection| connection.is_sheddable() && connection.is_overdue());
+        overdue.for_each(|connection| connection.request_close());
     }
 }
 
-/// A place that is given back when dropped.
-pub struct Seated {
-    room: Rc<Room>,
-    number: u64,
-    pub seat: Rc<Seat>,
+/// A connection of the table, which is removed when this is dropped.
+pub struct RegisteredConnection {
+    table: Rc<ConnectionTable>,
+    /// The connection.
+    pub connection: Rc<Connection>,
 }
 
-impl Seated {
-    pub fn new(room: &Rc<Room>, stream: TcpStream) -> Self {
-        let number = room.next.get();
-        room.next.set(number + 1);
-        let seat = Rc::new(Seat {
+impl RegisteredConnection {
+    /// Registers an accepted stream.
+    pub fn new(table: &Rc<ConnectionTable>, stream: TcpStream) -> Self {
+        let number = table.next_number.get();
+        table.next_number.set(number + 1);
+        let connection = Rc::new(Connection {
             number,
-            stage: Cell::new(Stage::Rest),
+            stage: Cell::new(Stage::Idle),
             since: Cell::new(Instant::now()),
-            answered: Cell::new(false),
-            served: Cell::new(false),
+            is_answered: Cell::new(false),
+            is_served: Cell::new(false),
             progress: Rc::default(),
-            wire: Wire::new(stream, room),
-            leaving: Cell::new(false),
-            leave: Notify::new(),
+            stream: ReadAheadStream::new(stream, table),
+            is_closing: Cell::new(false),
+            close_requested: Notify::new(),
         });
-        room.seats.borrow_mut().insert(number, seat.clone());
-        Seated {
-            room: room.clone(),
-            number,
-            seat,
+        let mut connections = table.connections.borrow_mut();
+        connections.insert(number, connection.clone());
+        RegisteredConnection {
+            table: table.clone(),
+            connection,
         }
     }
 }
 
-impl Drop for Seated {
-    fn drop(&mut self) {
-        self.room.seats.borrow_mut().remove(&self.number);
-    }
-}
-
-/// A descriptor of somebody who comes in elsewhere.
-pub struct Guest(Rc<Room>);
-
-impl Guest {
-    /// One more.
-    pub fn new(room: &Rc<Room>) -> Guest {
-        room.guests.set(room.guests.get() + 1);
-        Guest(room.clone())
-    }
-}
-
-impl Drop for Guest {
-    fn drop(&mut self) {
-        self.0.guests.set(self.0.guests.get() - 1);
-    }
-}
-
-/// Bytes that are held for a caller; given back when dropped.
-pub struct Stock {
-    room: Rc<Room>,
-    bytes: usize,
-}
-
-impl Stock {
-    /// None yet.
-    pub fn new(room: &Rc<Room>) -> Stock {
-        Stock {
-            room: room.clone(),
-            bytes: 0,
-        }
-    }
-
-    /// Whether there is room for so many more bytes.
-    pub fn grow(&mut self, by: usize, most: usize) -> bool {
-        let all = self.room.bytes.get() + by;
-        if all <= most {
-            self.room.bytes.set(all);
-            self.bytes += by;
-        }
-        all <= most
-    }
-
-    /// Gives all back but so many.
-    pub fn shrink(&mut self, to: usize) {
-        let less = self.bytes.saturating_sub(to);
-        self.room.bytes.set(self.room.bytes.get() - less);
-        self.bytes -= less;
-    }
-}
-
-impl Drop for Stock {
-    fn drop(&mut self) {
-        self.room.bytes.set(self.room.bytes.get() - self.bytes);
-    }
-}
-
-/// An open request's id, and the bytes that its body holds.
-pub struct Held {
-    pub stock: Stock,
-    id: HeaderValue,
-}
-
-impl Held {
-    /// None if a request with this id is open.
-    pub fn new(room: &Rc<Room>, id: &HeaderValue) -> Option<Held> {
-        let held = || Held {
-            stock: Stock::new(room),
-            id: id.clone(),
-        };
-        room.ids.borrow_mut().insert(id.clone()).then(held)
-    }
-}
-
-impl Drop for Held {
+impl Drop for RegisteredConnection {
     fn drop(&mut self) {
-        self.stock.room.ids.borrow_mut().remove(&self.id);
+        let mut connections = self.table.connections.borrow_mut();
+        connections.remove(&self.connection.number);
     }
 }
 
-/// A request that is owed an answer, counted.
-pub struct Taken<'a>(&'a Room);
+/// Counts a descriptor of a client that is no connection of the table.
+pub struct DescriptorGuard(Rc<ConnectionTable>);
 
-impl<'a> Taken<'a> {
-    /// One more.
-    pub fn new(room: &'a Room) -> Self {
-        room.taken.set(room.taken.get() + 1);
-        Taken(room)
+impl DescriptorGuard {
+    /// Counts one more.
+    pub fn new(table: &Rc<ConnectionTable>) -> DescriptorGuard {
+        table
+            .other_descriptors
+            .set(table.other_descriptors.get() + 1);
+        DescriptorGuard(table.clone())
     }
 }
 
-impl Drop for Taken<'_> {
+impl Drop for DescriptorGuard {
     fn drop(&mut self) {
-        self.0.taken.set(self.0.taken.get() - 1);
+        self.0
+            .other_descriptors
+            .set(self.0.other_descriptors.get() - 1);
     }
 }
--- /dev/null
+++ b/crates/heathroad/src/frontend/http/request.rs
@@ -0,0 +1,317 @@
+//! Reading of HTTP requests: each is checked, bound to its pool, and read whole.
+
+use super::HttpFrontend;
+use super::response::RequestError;
+use crate::backend::http::{self, DEADLINE, ID, KEY};
+use crate::backend::{Call, MAX_BODY};
+use crate::engine::{self, IncomingRequest};
+use crate::frontend::connections::{Connection, MESSAGE_TIMEOUT};
+use crate::frontend::reservations::RequestReservation;
+use crate::membership::activity_log;
+use crate::retry_budget::{RequestBudget, read_http_claim};
+use crate::router::{Ask, Bound};
+use crate::runtime_accounting::timeout_at;
+use bytes::{Bytes, BytesMut};
+use heathroad_balancer::api::Effect;
+use heathroad_retry_budget::loop_detection::RequestFingerprint;
+use heathroad_routing::split::hash;
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use hyper::header::{HOST, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING};
+use hyper::http::request::Parts;
+use hyper::{Method, Request, StatusCode, Uri};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// A longer body is not read to its end, in bytes.
+const MAX_DISCARDED_BODY: usize = 16 * MAX_BODY;
+/// Longest timeout that a client may tell, in milliseconds.
+const MAX_TIMEOUT_MS: u64 = 600_000;
+/// Most header lines of a request.
+const MAX_HEADERS: usize = 64;
+/// The listener of requests over HTTP, by its name in routes.
+const MAIN_LISTENER: &str = "main";
+/// Stands before the key in a request's query.
+const KEY_PARAMETER: &str = "k=";
+
+/// Names the tenant.
+static OWNER: HeaderName = HeaderName::from_static("req-owner");
+
+const BAD_REQUEST: RequestError = RequestError::Malformed(StatusCode::BAD_REQUEST);
+
+/// A request that was read, its reservations, and what it is bound to.
+type ReadRequest = (IncomingRequest, RequestReservation, Bound);
+
+/// The headers of the protocol that the proxy reads. Each must come once and not empty, or is
+/// absent.
+struct ProtocolHeaders<'a> {
+    id: &'a HeaderValue,
+    tenant: Option<&'a str>,
+    timeout: Option<&'a HeaderValue>,
+    idempotency_key: Option<&'a HeaderValue>,
+}
+
+impl<'a> ProtocolHeaders<'a> {
+    fn read(headers: &'a HeaderMap) -> Result<ProtocolHeaders<'a>, RequestError> {
+        let names = [&ID, &OWNER, &DEADLINE, &KEY];
+        let [id, owner, timeout, idempotency_key] = single_values(headers, names);
+        Ok(ProtocolHeaders {
+            id: id.ok_or(BAD_REQUEST)?,
+            tenant: owner.and_then(|owner| owner.to_str().ok()),
+            timeout,
+            idempotency_key,
+        })
+    }
+
+    /// Returns the client's timeout.
+    fn timeout(&self) -> Result<Duration, RequestError> {
+        let text = self.timeout.and_then(|timeout| timeout.to_str().ok());
+        // A sign is no part of it.
+        let digits = text.filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
+        let milliseconds = digits.and_then(|digits| digits.parse::<u64>().ok());
+        let milliseconds = milliseconds.ok_or(BAD_REQUEST)?;
+        Ok(Duration::from_millis(milliseconds.min(MAX_TIMEOUT_MS)))
+    }
+}
+
+impl HttpFrontend {
+    /// Reads a request whole, or returns what is wrong with it.
+    pub(super) async fn read_request(
+        &self,
+        request: Request<Incoming>,
+        connection: &Connection,
+        received_at: Instant,
+        is_trusted: bool,
+    ) -> Result<ReadRequest, RequestError> {
+        let (head, body) = request.into_parts();
+        let class = self.check_head(&head)?;
+        let headers = ProtocolHeaders::read(&head.headers)?;
+        let tenant = self.tenant_index(headers.tenant)?;
+        let key = key_parameter(&head.uri);
+        let bound = self.bind(&head, class, &headers, key)?;
+        let timeout = headers.timeout()?;
+        let timeout = bound
+            .deadline
+            .map_or(timeout, |deadline| timeout.min(deadline));
+        let has_key = headers.idempotency_key.is_some();
+        check_method(bound.effect, &head.method, has_key, !body.is_end_stream())?;
+        // Of two requests with one id only the first can be told from its retry.
+        let reservation = RequestReservation::new(&self.table, headers.id);
+        let mut reservation = reservation.ok_or(RequestError::DuplicateId)?;
+        let body_deadline = body_deadline(connection, received_at, timeout);
+        let body = self
+            .read_body(body, &mut reservation, body_deadline)
+            .await?;
+        let uri = head
+            .uri
+            .path_and_query()
+            .cloned()
+            .map(Uri::from)
+            .ok_or(BAD_REQUEST)?;
+        let fingerprint = RequestFingerprint {
+            key: key.map_or(0, |key| hash(key.as_bytes())),
+            class: bound.class,
+            tenant,
+        };
+        let budget = self.admit_budget(&head.headers, is_trusted, fingerprint, timeout)?;
+        let activity = bound.acts.clone();
+        let call = http::Call {
+            host: head.headers.get(HOST).cloned(),
+            uri,
+            id: headers.id.clone(),
+            key: headers.idempotency_key.cloned(),
+            version: activity.as_ref().and_then(activity_log::Bound::header),
+            method: head.method,
+            body,
+        };
+        let incoming = IncomingRequest {
+            call: Call::Http(call),
+            class: bound.class,
+            tenant,
+            key: key.map_or(0, engine::hash_key),
+            received_at,
+            timeout,
+            budget,
+            activity,
+        };
+        Ok((incoming, reservation, bound))
+    }
+
+    /// Checks what needs no look at the protocol's headers, and returns the name of the request's
+    /// class.
+    fn check_head<'a>(&self, head: &'a Parts) -> Result<&'a str, RequestError> {
+        if head.headers.len() > MAX_HEADERS {
+            return Err(RequestError::Malformed(
+                StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+            ));
+        }
+        // The library takes a length beside a transfer coding away before it can be seen here, and
+        // what hides in such a body must not be forwarded. Nobody needs the coding: bodies are
+        // short and their length is known.
+        if head.headers.contains_key(TRANSFER_ENCODING) {
+            return Err(RequestError::Malformed(StatusCode::LENGTH_REQUIRED));
+        }
+        let path = head.uri.path().trim_start_matches('/');
+        let class = path.split('/').next().unwrap_or_default();
+        if !self.router.serves(class) {
+            return Err(RequestError::NotRouted(StatusCode::NOT_FOUND));
+        }
+        Ok(class)
+    }
+
+    fn tenant_index(&self, name: Option<&str>) -> Result<u16, RequestError> {
+        let tenants = &self.facts.site.tenants;
+        if tenants.is_empty() {
+            return Ok(0);
+        }
+        let index = tenants
+            .iter()
+            .position(|tenant| Some(tenant.as_str()) == name);
+        Ok(index.ok_or(BAD_REQUEST)? as u16)
+    }
+
+    fn bind(
+        &self,
+        head: &Parts,
+        class: &str,
+        headers: &ProtocolHeaders<'_>,
+        key: Option<&str>,
+    ) -> Result<Bound, RequestError> {
+        let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
+        let ask = Ask {
+            listener: MAIN_LISTENER,
+            method: "",
+            host: host.unwrap_or_default(),
+            path: head.uri.path(),
+            class,
+            tenant: headers.tenant.unwrap_or_default(),
+            headers: &head.headers,
+            key: key.map_or(headers.id.as_bytes(), str::as_bytes),
+        };
+        self.router.bind(&ask).map_err(RequestError::NotRouted)
+    }
+
+    /// Reads a body of bounded length, until a deadline.
+    async fn read_body(
+        &self,
+        body: Incoming,
+        reservation: &mut RequestReservation,
+        deadline: Instant,
+    ) -> Result<Bytes, RequestError> {
+        if body.is_end_stream() {
+            return Ok(Bytes::new());
+        }
+        let collected = collect(body, reservation, self.max_buffered_bytes);
+        let timed_out = RequestError::Malformed(StatusCode::REQUEST_TIMEOUT);
+        timeout_at(deadline, collected)
+            .await
+            .unwrap_or(Err(timed_out))
+    }
+
+    fn admit_budget(
+        &self,
+        headers: &HeaderMap,
+        is_trusted: bool,
+        fingerprint: RequestFingerprint,
+        timeout: Duration,
+    ) -> Result<Option<RequestBudget>, RequestError> {
+        let Some(budgets) = &self.budgets else {
+            return Ok(None);
+        };
+        let claim = read_http_claim(headers, is_trusted);
+        Ok(Some(budgets.admit(claim, fingerprint, timeout)?))
+    }
+}
+
+/// Returns when a body must have arrived. A client that stops half-way through its body is not waited
+/// for.
+fn body_deadline(connection: &Connection, received_at: Instant, timeout: Duration) -> Instant {
+    let is_first = !connection.is_answered.get();
+    let begun_at = if is_first {
+        connection.since.get()
+    } else {
+        received_at
+    };
+    (begun_at + MESSAGE_TIMEOUT).min(received_at + timeout)
+}
+
+/// Returns the key of a request, by its query.
+fn key_parameter(uri: &Uri) -> Option<&str> {
+    let mut parameters = uri.query()?.split('&');
+    let key = parameters.find_map(|parameter| parameter.strip_prefix(KEY_PARAMETER))?;
+    Some(key).filter(|key| !key.is_empty())
+}
+
+/// Checks that a request has the method, the idempotency key and the body that its class needs.
+fn check_method(
+    effect: Effect,
+    method: &Method,
+    has_key: bool,
+    has_body: bool,
+) -> Result<(), RequestError> {
+    let is_idempotent = matches!(effect, Effect::Retryable);
+    let needed = if is_idempotent {
+        Method::GET
+    } else {
+        Method::POST
+    };
+    if *method != needed {
+        return Err(RequestError::MethodNotAllowed(needed));
+    }
+    let is_good = match effect {
+        Effect::Retryable => !has_body,
+        Effect::Dedup { .. } => has_key,
+        Effect::Fragile => !has_key,
+    };
+    if is_good { Ok(()) } else { Err(BAD_REQUEST) }
+}
+
+/// Collects a body of bounded length. One that is somewhat too long is read to its end, so that the
+/// client, which may be writing still, gets to read why it is rejected.
+async fn collect(
+    mut body: Incoming,
+    reservation: &mut RequestReservation,
+    max_buffered_bytes: usize,
+) -> Result<Bytes, RequestError> {
+    const TOO_LONG: RequestError = RequestError::Malformed(StatusCode::PAYLOAD_TOO_LARGE);
+    let (mut bytes, mut length) = (BytesMut::new(), 0);
+    if body.size_hint().lower() > MAX_DISCARDED_BODY as u64 {
+        return Err(TOO_LONG);
+    }
+    while let Some(frame) = body.frame().await {
+        let Ok(data) = frame.map_err(|_| BAD_REQUEST)?.into_data() else {
+            continue;
+        };
+        length += data.len();
+        if length <= MAX_BODY {
+            if !reservation.body.try_grow(data.len(), max_buffered_bytes) {
+                return Err(RequestError::NoBufferSpace);
+            }
+            bytes.extend_from_slice(&data);
+        } else if length > MAX_DISCARDED_BODY {
+            break;
+        }
+    }
+    if length > MAX_BODY {
+        Err(TOO_LONG)
+    } else {
+        Ok(bytes.freeze())
+    }
+}
+
+/// Returns the values of headers that must come once, and not empty; nothing for one that does not.
+/// One walk over the few lines that there are costs less than a look-up for each name.
+fn single_values<'a, const N: usize>(
+    headers: &'a HeaderMap,
+    names: [&HeaderName; N],
+) -> [Option<&'a HeaderValue>; N] {
+    let (mut values, mut is_repeated) = ([None; N], [false; N]);
+    for (name, value) in headers {
+        if let Some(index) = names.iter().position(|known| *known == name) {
+            is_repeated[index] |= values[index].replace(value).is_some();
+        }
+    }
+    std::array::from_fn(|index| {
+        values[index].filter(|value: &&HeaderValue| !value.is_empty() && !is_repeated[index])
+    })
+}
--- /dev/null
+++ b/crates/heathroad/src/frontend/jsonrpc/call.rs
@@ -0,0 +1,250 @@
+//! JSON-RPC calls: how one is bound to its pool, and how the engine's response becomes its answer.
+
+use super::answer::{self, LOOP_DETECTED};
+use super::connection::Client;
+use super::exchange::{BoundCall, FinishedCall};
+use crate::backend::{self, jsonrpc};
+use crate::engine::{self, FinalResponse, IncomingRequest, Response, retry_after};
+use crate::frontend::reservations::PendingRequestGuard;
+use crate::metrics::Final;
+use crate::retry_budget::{RequestBudget, read_jsonrpc_claim};
+use crate::router::Ask;
+use bytes::Bytes;
+use heathroad_balancer::api::Effect;
+use heathroad_jsonrpc::message::{
+    Call, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, NULL, Wrong,
+};
+use heathroad_jsonrpc::pointer::{self, Missing};
+use heathroad_jsonrpc::write;
+use heathroad_retry_budget::loop_detection::RequestFingerprint;
+use heathroad_routing::file::{Listener, Method, TenantFrom};
+use heathroad_routing::split::hash;
+use hyper::header::HeaderMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The parameters of a call without any.
+const NO_PARAMS: &str = "[]";
+
+fn wrong(code: i64, expected: &'static str) -> Wrong {
+    Wrong {
+        code,
+        expected,
+        id: NULL,
+    }
+}
+
+/// Returns what is wrong with a call in whose parameters a value is missing.
+fn missing_value(missing: Missing, expected: &'static str) -> Wrong {
+    match missing {
+        Missing::Nothing => wrong(INVALID_PARAMS, expected),
+        Missing::Twice => wrong(
+            INVALID_PARAMS,
+            "each name on the way to a key or tenant once",
+        ),
+    }
+}
+
+fn params(call: &Call) -> &str {
+    let params = call
+        .params
+        .as_ref()
+        .and_then(|params| std::str::from_utf8(params).ok());
+    params.unwrap_or(NO_PARAMS)
+}
+
+/// Returns the idempotency key of a call, where its method has one.
+fn idempotency_key(call: &Call, method: &Method) -> Result<Option<String>, Wrong> {
+    let Some(pointer) = &method.key else {
+        return Ok(None);
+    };
+    let expected = "a key where the method looks for it";
+    let key = pointer
+        .find(params(call))
+        .map_err(|missing| missing_value(missing, expected))?;
+    Ok(Some(key.get().to_string()))
+}
+
+/// Returns a call as attempts of it are sent.
+fn to_outgoing(call: Call, transport: jsonrpc::Transport) -> jsonrpc::Call {
+    jsonrpc::Call {
+        method: call.method_text,
+        params: call.params,
+        is_notification: call.id.is_none(),
+        transport,
+    }
+}
+
+impl Client {
+    /// Finds out what a call is and which pool it goes to.
+    pub(super) fn bind_call(&self, call: Call, received_at: Instant) -> Result<BoundCall, Wrong> {
+        let generation = self.frontend().many.in_force();
+        let listeners = &generation.config.listeners;
+        let listener = listeners
+            .iter()
+            .find(|listener| listener.name == self.listener().name);
+        let method = listener.and_then(|listener| {
+            let named = listener.methods.get(&call.method);
+            named.or(listener.unknown.as_ref())
+        });
+        let unknown_method = wrong(METHOD_NOT_FOUND, "a method of this listener");
+        let (listener, method) = listener.zip(method).ok_or(unknown_method)?;
+        let tenant = self.tenant_name(&call, listener)?;
+        let tenant_index = self.tenant_index(tenant.as_deref())?;
+        let key = idempotency_key(&call, method)?;
+        let route_key = key
+            .as_deref()
+            .map_or(call.id.as_deref().unwrap_or_default(), str::as_bytes);
+        let bound = self.frontend().many.bind(&Ask {
+            listener: &listener.name,
+            method: &call.method,
+            host: "",
+            path: "",
+            class: &method.class,
+            tenant: tenant.as_deref().unwrap_or_default(),
+            headers: &HeaderMap::new(),
+            key: route_key,
+        });
+        let no_route = "a method that some route takes to where it is served";
+        let bound = bound.ok_or(wrong(METHOD_NOT_FOUND, no_route))?;
+        let transport = bound.way.ok_or(wrong(METHOD_NOT_FOUND, no_route))?;
+        if matches!(bound.effect, Effect::Dedup { .. }) && key.is_none() {
+            return Err(wrong(INVALID_PARAMS, "a key"));
+        }
+        let timeout = bound.deadline.unwrap_or_default();
+        let fingerprint = RequestFingerprint {
+            key: key.as_deref().map_or(0, |key| hash(key.as_bytes())),
+            class: bound.class,
+            tenant: tenant_index,
+        };
+        let budget = self.admit_budget(&call, fingerprint, timeout)?;
+        let id = call.id.clone();
+        let incoming = IncomingRequest {
+            call: backend::Call::JsonRpc(to_outgoing(call, transport)),
+            class: bound.class,
+            tenant: tenant_index,
+            key: key.as_deref().map_or(0, engine::hash_key),
+            received_at,
+            timeout,
+            budget,
+            activity: bound.acts.clone(),
+        };
+        Ok(BoundCall {
+            id,
+            incoming,
+            bound,
+        })
+    }
+
+    /// Returns the name of a call's tenant, where the listener has tenants.
+    fn tenant_name(&self, call: &Call, listener: &Listener) -> Result<Option<String>, Wrong> {
+        match &listener.tenant {
+            TenantFrom::Nothing => Ok(None),
+            TenantFrom::Fixed(name) => Ok(Some(name.clone())),
+            TenantFrom::Connection(by_address) => {
+                let unknown_address = wrong(INVALID_REQUEST, "an address with a tenant");
+                let name = by_address.get(&self.peer).ok_or(unknown_address)?;
+                Ok(Some(name.clone()))
+            }
+            TenantFrom::Params(pointer) => {
+                let expected = "a tenant where the listener looks for it";
+                let value = pointer.find(params(call));
+                let value = value.map_err(|missing| missing_value(missing, expected))?;
+                let name = pointer::text(value);
+                Ok(Some(
+                    name.ok_or(wrong(INVALID_PARAMS, "a tenant that is a text"))?,
+                ))
+            }
+        }
+    }
+
+    fn tenant_index(&self, name: Option<&str>) -> Result<u16, Wrong> {
+        let tenants = &self.frontend().facts.site.tenants;
+        if tenants.is_empty() {
+            return Ok(0);
+        }
+        let index = tenants
+            .iter()
+            .position(|tenant| Some(tenant.as_str()) == name);
+        Ok(index.ok_or(wrong(INVALID_PARAMS, "a known tenant"))? as u16)
+    }
+
+    fn admit_budget(
+        &self,
+        call: &Call,
+        fingerprint: RequestFingerprint,
+        timeout: Duration,
+    ) -> Result<Option<RequestBudget>, Wrong> {
+        let Some(budgets) = &self.frontend().budgets else {
+            return Ok(None);
+        };
+        let claim = read_jsonrpc_claim(&call.carried, budgets.is_trusted(self.peer));
+        let admitted = budgets.admit(claim, fingerprint, timeout);
+        let expected = "a call that has not passed this proxy before, nor too many";
+        Ok(Some(admitted.map_err(|_| wrong(LOOP_DETECTED, expected))?))
+    }
+
+    /// Has the engine decide a call.
+    pub(super) async fn run_call(self: Rc<Self>, exchange: u64, call: BoundCall) -> FinishedCall {
+        let BoundCall {
+            id,
+            incoming,
+            bound,
+        } = call;
+        let _pending = PendingRequestGuard::new(&self.frontend().table);
+        let FinalResponse {
+            response,
+            retries_spent,
+        } = bound.engine.handle_request(incoming, None).await;
+        let is_rejected = matches!(response, Response::Rejected { .. });
+        let member = match response {
+            Response::Served(member) => member,
+            Response::Rejected { retry_after } => answer::rejected(retry_after),
+            Response::Failed => answer::failed(),
+            Response::TimedOut => answer::timed_out(),
+        };
+        let member = match retries_spent {
+            Some(spent) => write::spent(&member, &spent.to_string()),
+            None => member,
+        };
+        FinishedCall {
+            exchange,
+            id,
+            member,
+            is_rejected,
+        }
+    }
+
+    /// Rejects a call that was not begun.
+    pub(super) fn reject_call(&self, exchange: u64, call: BoundCall) -> FinishedCall {
+        let BoundCall {
+            id,
+            incoming,
+            bound,
+        } = call;
+        bound
+            .engine
+            .counts()
+            .answered(incoming.class, incoming.tenant, Final::Refused);
+        let member = answer::rejected(retry_after(&self.frontend().facts));
+        FinishedCall {
+            exchange,
+            id,
+            member,
+            is_rejected: false,
+        }
+    }
+
+    /// Counts a call that cannot be handled, and returns its answer.
+    pub(super) fn reject_malformed(&self, wrong: &Wrong) -> Bytes {
+        let status = match wrong.code {
+            METHOD_NOT_FOUND => 404,
+            INVALID_PARAMS => 422,
+            LOOP_DETECTED => 508,
+            _ => 400,
+        };
+        self.frontend().many.meter().unusable(status);
+        answer::malformed(wrong)
+    }
+}
--- a/crates/heathroad/src/frontend/mod.rs
+++ b/crates/heathroad/src/frontend/mod.rs
@@ -1,10 +1,16 @@
-//! The callers' side: requests over `http` and calls over `rpc`, who share the `room` that there
-//! is. `pace` keeps a caller from taking all turns, `wire` sees a caller leave.
+//! The clients' side of the proxy: requests over [`http`] and calls over [`jsonrpc`].
+//!
+//! - [`connections`] are the clients' connections, `reservations` what clients hold beside them.
+//! - `read_ahead` sees a client leave while its request is pending.
+//! - `batch_concurrency` keeps the batches of one client from taking all capacity.
 
 mod batch_concurrency;
 pub mod connections;
-#[cfg(test)]
-mod crossings;
 pub mod http;
 pub mod jsonrpc;
 mod read_ahead;
+mod reservations;
+
+#[cfg(test)]
+#[path = "../../tests/unit/frontend_races.rs"]
+mod races;
--- a/crates/heathroad/src/frontend/read_ahead.rs
+++ b/crates/heathroad/src/frontend/read_ahead.rs
@@ -1,11 +1,12 @@
-//! A caller's connection. The HTTP library reads requests from it, and while one is in work looks
-//! for the caller's end only as long as nothing lies behind that request; here what lies there is
-//! read ahead, so that the end behind it is seen too.
+//! Reading ahead on a client's connection. While a request is pending the HTTP library looks for
+//! the client's end only as long as nothing lies behind that request. Here what lies there is read
+//! ahead, so that the end behind it is seen too.
 
-use super::connections::{Room, Seat, Stock};
+use super::connections::{Connection, ConnectionTable};
+use super::reservations::BufferReservation;
 use crate::runtime_accounting;
 use crate::stall_detector;
-use crate::stream::{Peek, peek};
+use crate::stream::{Unread, peek};
 use bytes::{Buf, BytesMut};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -19,93 +20,62 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Most that is read ahead on a connection: callers send one request at a time, and what is more
+/// Most bytes that are read ahead on a connection: clients send one request at a time, and more
 /// waits in the system.
-const AHEAD: usize = 80 * 1024;
-/// So much is read at a time.
-const PIECE: usize = 4 * 1024;
+const MAX_READ_AHEAD: usize = 80 * 1024;
+/// Bytes that are read at a time.
+const READ_SIZE: usize = 4 * 1024;
 
-/// A connection that two look at, both in its one task.
-pub struct Wire {
+/// A client's stream, used by the HTTP library and by its watcher, both in the connection's one
+/// task.
+pub struct ReadAheadStream {
     io: RefCell<TokioIo<TcpStream>>,
-    ahead: RefCell<BytesMut>,
-    /// When the first of what is held had come, at the earliest.
-    came: Cell<Option<Instant>>,
-    /// The same of what the library's last read gave, if that was held.
-    gave: Cell<Option<Instant>>,
-    stock: RefCell<Stock>,
-    ended: Cell<bool>,
+    buffer: RefCell<BytesMut>,
+    /// The earliest moment at which the first buffered byte can have arrived.
+    buffered_arrival: Cell<Option<Instant>>,
+    /// The same of the library's last read, if that came from the buffer.
+    last_read_arrival: Cell<Option<Instant>>,
+    reservation: RefCell<BufferReservation>,
+    has_seen_end: Cell<bool>,
 }
 
-impl Wire {
-    /// Of a connection that was taken.
-    pub fn new(stream: TcpStream, room: &Rc<Room>) -> Wire {
-        let (io, stock) = (
-            RefCell::new(TokioIo::new(stream)),
-            RefCell::new(Stock::new(room)),
-        );
-        let (ahead, came, gave) = (RefCell::default(), Cell::default(), Cell::default());
-        Wire {
-            io,
-            ahead,
-            came,
-            gave,
-            stock,
-            ended: Cell::new(false),
+impl ReadAheadStream {
+    /// Returns the stream of an accepted connection.
+    pub fn new(stream: TcpStream, table: &Rc<ConnectionTable>) -> ReadAheadStream {
+        ReadAheadStream {
+            io: RefCell::new(TokioIo::new(stream)),
+            buffer: RefCell::default(),
+            buffered_arrival: Cell::default(),
+            last_read_arrival: Cell::default(),
+            reservation: RefCell::new(BufferReservation::new(table)),
+            has_seen_end: Cell::new(false),
         }
     }
 
-    /// Whether the caller has ended by now, with nothing behind its request. Of a connection that
-    /// is `fresh` the reactor knows nothing yet, and the system is asked; of others it has been
-    /// told.
-    pub fn left(&self, fresh: bool) -> bool {
-        let lies = self.with(|s| {
-            if fresh {
-                peek(s)
-            } else {
-                s.try_io(Interest::READABLE, || peek(s))
-            }
+    /// Returns whether the client has closed the connection by now, with nothing behind its
+    /// request. The reactor is asked, or the system where the reactor knows nothing yet.
+    pub fn has_ended(&self, asks_system: bool) -> bool {
+        let unread = self.with_stream(|stream| match asks_system {
+            true => peek(stream),
+            false => stream.try_io(Interest::READABLE, || peek(stream)),
         });
-        match lies {
-            Ok(lies) => lies == 0,
-            Err(e) => e.kind() != io::ErrorKind::WouldBlock,
+        match unread {
+            Ok(unread) => unread == 0,
+            Err(error) => error.kind() != io::ErrorKind::WouldBlock,
         }
     }
 
-    /// Waits for the caller's end while `taken` says that a request of its is in work; `most` bytes
-    /// are held for all callers. It has to be looked at again, by the same task, whenever `taken`
+    /// Waits for the client's end while `is_pending` says that a request of its is. All clients
+    /// together buffer `limit` bytes at most. The same task polls this again whenever `is_pending`
     /// may have changed.
-    pub async fn gone(&self, taken: impl Fn() -> bool, most: usize) {
+    pub async fn wait_for_end(&self, is_pending: impl Fn() -> bool, limit: usize) {
         poll_fn(|cx| {
-            while taken() && !self.ended.get() {
-                let io = self.io.borrow();
-                let ahead = &mut *self.ahead.borrow_mut();
-                // Past its bound a caller's end is not seen before the answer to it.
-                if ahead.len() >= AHEAD || !self.stock.borrow_mut().grow(PIECE, most) {
-                    return Poll::Pending;
-                }
-                if io.inner().poll_read_ready(cx).is_pending() {
-                    self.settle(ahead.len());
+            while is_pending() && !self.has_seen_end.get() {
+                if self.poll_read_ahead(cx, limit).is_pending() {
                     return Poll::Pending;
                 }
-                // Mostly there is nothing, or the end: room is made for what has come.
-                let mut piece = [0; PIECE];
-                match io.inner().try_read(&mut piece) {
-                    Ok(read @ 1..) => {
-                        runtime_accounting::read();
-                        ahead.extend_from_slice(&piece[..read]);
-                        self.came.set(
-                            self.came
-                                .get()
-                                .or_else(|| Some(stall_detector::arrival(Instant::now()))),
-                        );
-                    }
-                    Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                    Ok(0) | Err(_) => self.ended.set(true),
-                }
-                self.settle(ahead.len());
             }
-            if self.ended.get() {
+            if self.has_seen_end.get() {
                 Poll::Ready(())
             } else {
                 Poll::Pending
@@ -114,67 +84,106 @@
         .await;
     }
 
-    /// Only what is held counts.
-    fn settle(&self, held: usize) {
-        self.stock.borrow_mut().shrink(held);
+    /// Reads ahead once. Behind as much as may be buffered the client's end is not seen before the
+    /// response to it.
+    fn poll_read_ahead(&self, cx: &mut Context<'_>, limit: usize) -> Poll<()> {
+        let io = self.io.borrow();
+        let buffer = &mut *self.buffer.borrow_mut();
+        let is_full = buffer.len() >= MAX_READ_AHEAD;
+        if is_full || !self.reservation.borrow_mut().try_grow(READ_SIZE, limit) {
+            return Poll::Pending;
+        }
+        if io.inner().poll_read_ready(cx).is_pending() {
+            self.reserve_buffered(buffer.len());
+            return Poll::Pending;
+        }
+        // Mostly there is nothing, or the end: memory is allocated for what has come.
+        let mut bytes = [0; READ_SIZE];
+        match io.inner().try_read(&mut bytes) {
+            Ok(read @ 1..) => {
+                runtime_accounting::read();
+                buffer.extend_from_slice(&bytes[..read]);
+                let now = || stall_detector::earliest_arrival(Instant::now());
+                let arrival = self.buffered_arrival.get().unwrap_or_else(now);
+                self.buffered_arrival.set(Some(arrival));
+            }
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            Ok(0) | Err(_) => self.has_seen_end.set(true),
+        }
+        self.reserve_buffered(buffer.len());
+        Poll::Ready(())
+    }
+
+    /// Reserves only the bytes that are buffered.
+    fn reserve_buffered(&self, bytes: usize) {
+        self.reservation.borrow_mut().shrink_to(bytes);
+    }
+
+    /// Takes buffered bytes; returns false where there are none.
+    fn read_buffered(&self, buf: &mut ReadBufCursor<'_>) -> bool {
+        let buffer = &mut *self.buffer.borrow_mut();
+        self.last_read_arrival.set(None);
+        if buffer.is_empty() {
+            return false;
+        }
+        self.last_read_arrival.set(self.buffered_arrival.get());
+        let length = buffer.len().min(buf.remaining());
+        buf.put_slice(&buffer[..length]);
+        buffer.advance(length);
+        if buffer.is_empty() {
+            *buffer = BytesMut::new();
+            self.buffered_arrival.set(None);
+        }
+        self.reserve_buffered(buffer.len());
+        true
     }
 
-    /// What the connection is asked for beside reads and writes.
-    pub fn with<T>(&self, ask: impl FnOnce(&TcpStream) -> T) -> T {
+    /// Asks the stream something beside reads and writes.
+    pub fn with_stream<T>(&self, ask: impl FnOnce(&TcpStream) -> T) -> T {
         ask(self.io.borrow().inner())
     }
 }
 
-impl Peek for Wire {
-    fn unread(&self) -> bool {
-        !self.ahead.borrow().is_empty() || self.io.borrow().unread()
+impl Unread for ReadAheadStream {
+    fn has_unread(&self) -> bool {
+        !self.buffer.borrow().is_empty() || self.io.borrow().has_unread()
     }
 }
 
-/// A caller's connection as the HTTP library has it.
-pub struct Half(pub Rc<Seat>);
+/// A client's connection as the HTTP library reads and writes it.
+pub struct ConnectionIo(pub Rc<Connection>);
 
-impl Peek for Half {
-    fn unread(&self) -> bool {
-        self.0.wire.unread()
+impl Unread for ConnectionIo {
+    fn has_unread(&self) -> bool {
+        self.0.stream.has_unread()
     }
 
-    fn read_ahead(&self) -> Option<Instant> {
-        self.0.wire.gave.get()
+    fn buffered_arrival(&self) -> Option<Instant> {
+        self.0.stream.last_read_arrival.get()
     }
 }
 
-impl Read for Half {
+impl Read for ConnectionIo {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let ahead = &mut *self.0.wire.ahead.borrow_mut();
-        self.0.wire.gave.set(None);
-        if !ahead.is_empty() {
-            self.0.wire.gave.set(self.0.wire.came.get());
-            let most = ahead.len().min(buf.remaining());
-            buf.put_slice(&ahead[..most]);
-            ahead.advance(most);
-            if ahead.is_empty() {
-                *ahead = BytesMut::new();
-                self.0.wire.came.set(None);
-            }
-            self.0.wire.settle(ahead.len());
+        let stream = &self.0.stream;
+        if stream.read_buffered(&mut buf) {
             return Poll::Ready(Ok(()));
         }
-        Pin::new(&mut *self.0.wire.io.borrow_mut()).poll_read(cx, buf)
+        Pin::new(&mut *stream.io.borrow_mut()).poll_read(cx, buf)
     }
 }
 
-impl Write for Half {
+impl Write for ConnectionIo {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut *self.0.wire.io.borrow_mut()).poll_write(cx, buf)
+        Pin::new(&mut *self.0.stream.io.borrow_mut()).poll_write(cx, buf)
     }
 
     fn poll_write_vectored(
@@ -182,18 +191,18 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut *self.0.wire.io.borrow_mut()).poll_write_vectored(cx, bufs)
+        Pin::new(&mut *self.0.stream.io.borrow_mut()).poll_write_vectored(cx, bufs)
     }
 
     fn is_write_vectored(&self) -> bool {
-        self.0.wire.io.borrow().is_write_vectored()
+        self.0.stream.io.borrow().is_write_vectored()
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut *self.0.wire.io.borrow_mut()).poll_flush(cx)
+        Pin::new(&mut *self.0.stream.io.borrow_mut()).poll_flush(cx)
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut *self.0.wire.io.borrow_mut()).poll_shutdown(cx)
+        Pin::new(&mut *self.0.stream.io.borrow_mut()).poll_shutdown(cx)
     }
 }
--- a/crates/heathroad/src/lib.rs
+++ b/crates/heathroad/src/lib.rs
@@ -1,5 +1,5 @@
-//! heathroad, a balancing proxy for services that call services: the decisions of `heathroad-balancer` on
-//! real sockets.
+//! heathroad, a balancing proxy for services that call services: the decisions of
+//! `heathroad-balancer` on real sockets.
 //!
 //! A request goes one way through the modules:
 //!
@@ -47,15 +47,16 @@
 use configuration::Config;
 use discovery::News;
 use engine::Engine;
-use frontend::http::Front;
-use frontend::{connections, jsonrpc};
+use frontend::connections;
+use frontend::http::HttpFrontend;
+use frontend::jsonrpc::JsonRpcFrontend;
 use heathroad_balancer::api::ListKind;
 use heathroad_routing::transaction::Event;
 use lease::{Duties, Store};
 use membership::Peers;
 use membership::activity_log::Acts;
 use metrics::{Counts, Meter};
-use retry_budget::Books;
+use retry_budget::RetryBudgets;
 use router::routed_pools::Many;
 use router::{Router, stale_routes, startup};
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -78,14 +79,15 @@
 /// No kill comes sooner after SIGTERM than the longest deadline, but 3 s at most, and so long: what
 /// is taken in this time is answered by its own deadline.
 const KILL: Duration = Duration::from_millis(700);
-const _: () = assert!(LINGER.as_millis() + connections::FIRST.as_millis() < KILL.as_millis());
+const _: () =
+    assert!(LINGER.as_millis() + connections::FIRST_REQUEST_GRACE.as_millis() < KILL.as_millis());
 const _: () = assert!(LAST.as_millis() < 3000 + KILL.as_millis());
 /// How often kept connections are looked through for old ones, and backends for those that are
 /// gone.
 const SWEEP: Duration = Duration::from_secs(1);
 /// Descriptors that are neither callers' nor backends' connections: standard streams, the listener,
 /// the reactor, signals, discovery, and connections that are taken only to be refused.
-const RESERVED: usize = 16 + connections::SPARE;
+const RESERVED: usize = 16 + connections::SPARE_CONNECTIONS;
 /// Descriptors of the duties: their file, and calls.
 const DUTIES: usize = 4;
 /// The bodies of open requests may fill this part of the memory; the rest is for buffers, answers
@@ -140,7 +142,7 @@
         .take()
         .map(|page| page.entries())
         .unwrap_or_default();
-    engine.list(ListKind::Cached, known);
+    engine.update_endpoints(ListKind::Cached, known);
     let following = follow(&engine, config.discovery, must_ask, &wanted, acts.clone());
     let address = config.discovery;
     Ok(Lists::One {
@@ -172,9 +174,9 @@
             if let Some(acts) = &acts {
                 acts.heard(address, seq);
             }
-            engine.list(kind, hosts);
+            engine.update_endpoints(kind, hosts);
         }
-        News::Failed => engine.list_failed(),
+        News::Failed => engine.record_list_failure(),
     };
     spawn_local(discovery::follow(
         hear,
@@ -253,8 +255,8 @@
     let site = &config.facts.site;
     let pool = Rc::new(Pool::new(backend::Limits {
         connections: usable / 2,
-        connect: millis(site.connect_timeout),
-        idle: millis(site.conn_idle),
+        connect_timeout: millis(site.connect_timeout),
+        idle_timeout: millis(site.conn_idle),
         drain_grace: millis(site.drain_grace),
         may_duplicate: site.may_duplicate,
     }));
@@ -305,39 +307,42 @@
     spawn_local(async move {
         loop {
             sleep(SWEEP).await;
-            pool.sweep();
-            kept.engines().iter().for_each(|e| e.forget_gone());
+            pool.close_aged_connections();
+            kept.engines()
+                .iter()
+                .for_each(|engine| engine.forget_unlisted_endpoints());
         }
     });
-    let books = config.budget.as_ref().map(|b| Books::new(b, seed()));
-    if let Some(books) = &books {
-        router.meter().keep(books);
+    let budgets = config.budget.as_ref().map(|b| RetryBudgets::new(b, seed()));
+    if let Some(budgets) = &budgets {
+        router.meter().keep_budgets(budgets);
     }
     let (stop, stopped) = watch::channel(false);
-    let (connections, bodies, room) = (usable - usable / 2, config.memory / BODIES, Rc::default());
+    let (max_connections, max_buffered_bytes, table) =
+        (usable - usable / 2, config.memory / BODIES, Rc::default());
     let calling = match &*router {
         Router::One(_) => None,
         Router::Many(many) => {
-            let (many, facts, room) = (many.clone(), facts.clone(), Rc::clone(&room));
-            let books = books.clone();
-            let front = jsonrpc::Front {
+            let (many, facts, table) = (many.clone(), facts.clone(), Rc::clone(&table));
+            let budgets = budgets.clone();
+            let front = JsonRpcFrontend {
                 many,
                 facts,
-                connections,
-                bodies,
-                room,
-                books,
+                max_connections,
+                max_buffered_bytes,
+                table,
+                budgets,
             };
             Some(spawn_local(Rc::new(front).serve(stopped.clone())))
         }
     };
-    let front = Front {
+    let front = HttpFrontend {
         router: router.clone(),
         facts,
-        connections,
-        bodies,
-        room,
-        books,
+        max_connections,
+        max_buffered_bytes,
+        table,
+        budgets,
     };
     let serving = spawn_local(Rc::new(front).serve(listener, stopped));
     loop {
@@ -354,14 +359,19 @@
     let engines = router.engines();
     tracing::info!(
         "stopping, {} requests open",
-        engines.iter().map(|e| e.owed()).sum::<usize>()
+        engines
+            .iter()
+            .map(|engine| engine.pending_requests())
+            .sum::<usize>()
     );
     if let Router::Many(many) = &*router {
         many.handle(Event::Stop);
     }
     // The signal may have come while the process was held up.
-    let asked = stall_detector::arrival(Instant::now());
-    engines.iter().for_each(|e| e.end_by(asked + LAST));
+    let asked = stall_detector::earliest_arrival(Instant::now());
+    engines
+        .iter()
+        .for_each(|engine| engine.end_requests_at(asked + LAST));
     // Whatever duties have to write first takes nothing of the time in which callers are answered.
     let resign = async {
         if let Some(duties) = &duties {
--- a/crates/heathroad/src/metrics/mod.rs
+++ b/crates/heathroad/src/metrics/mod.rs
@@ -2,9 +2,9 @@
 //! one JSON object. Counting is a handful of plain additions a request; names are looked up once
 //! for each pair of class and tenant.
 
-use crate::retry_budget::Books;
+use crate::retry_budget::RetryBudgets;
 use crate::runtime_accounting;
-use crate::safety::{Denied, Violation, violations};
+use crate::safety::{Denial, Violation, violations};
 use crate::stall_detector;
 use crate::time::as_millis;
 use heathroad_balancer::api::Outcome;
@@ -191,7 +191,7 @@
     violations: Family<ByRule, Counter>,
     pauses: Counter,
     longest_pause: Figure,
-    books: RefCell<Option<Rc<Books>>>,
+    budgets: RefCell<Option<Rc<RetryBudgets>>>,
 }
 
 /// What one run of a pool counts in. Counters start at 0 and never go back.
@@ -288,7 +288,7 @@
         let budget = Family::<ByEvent, Counter>::default();
         r.register(
             "budget",
-            "Requests and attempts on the books of budgets",
+            "Requests and retries under a retry budget, by event",
             budget.clone(),
         );
         let effort = Family::<ByEvent, Counter>::default();
@@ -356,29 +356,29 @@
             violations,
             pauses,
             longest_pause,
-            books: RefCell::default(),
+            budgets: RefCell::default(),
         }
     }
 
-    /// Budgets are kept in these books.
-    pub fn keep(&self, books: &Rc<Books>) {
-        self.books.replace(Some(books.clone()));
+    /// Reads the retry budgets' counters from here.
+    pub fn keep_budgets(&self, budgets: &Rc<RetryBudgets>) {
+        self.budgets.replace(Some(budgets.clone()));
     }
 
-    fn on_books(&self) -> BTreeMap<&'static str, u64> {
-        let books = self.books.borrow();
-        let Some(f) = books.as_ref().map(|b| b.figures()) else {
+    fn budget_counters(&self) -> BTreeMap<&'static str, u64> {
+        let budgets = self.budgets.borrow();
+        let Some(counters) = budgets.as_ref().map(|budgets| budgets.counters()) else {
             return BTreeMap::new();
         };
         BTreeMap::from([
-            ("entered", f.entered),
-            ("carried", f.carried),
-            ("spoilt", f.spoilt),
-            ("loops", f.loops),
-            ("too_far", f.too_far),
-            ("granted", f.granted),
-            ("again", f.again),
-            ("lost", f.lost),
+            ("entered", counters.new_budgets),
+            ("carried", counters.carried_budgets),
+            ("spoilt", counters.malformed_headers),
+            ("loops", counters.loops),
+            ("too_far", counters.too_many_hops),
+            ("granted", counters.retries_granted),
+            ("again", counters.retries_sent),
+            ("lost", counters.retries_lost),
         ])
     }
 
@@ -458,7 +458,7 @@
                 }
             }
         }
-        for (event, count) in self.on_books() {
+        for (event, count) in self.budget_counters() {
             let counter = self.budget.get_or_create(&ByEvent { event });
             counter.inc_by(count.saturating_sub(counter.get()));
         }
@@ -472,15 +472,15 @@
         let to = |counter: &Counter, count: u64| {
             counter.inc_by(count.saturating_sub(counter.get()));
         };
-        for (reason, count) in Denied::NAMES.into_iter().zip(violations::denials()) {
+        for (reason, count) in Denial::LABELS.into_iter().zip(violations::denials()) {
             to(&self.denials.get_or_create(&ByReason { reason }), count);
         }
-        for (rule, count) in Violation::NAMES.into_iter().zip(violations::violations()) {
+        for (rule, count) in Violation::LABELS.into_iter().zip(violations::violations()) {
             to(&self.violations.get_or_create(&ByRule { rule }), count);
         }
-        let pauses = stall_detector::pauses();
-        to(&self.pauses, pauses.seen);
-        self.longest_pause.set(pauses.longest.as_secs_f64());
+        let stalls = stall_detector::stalls();
+        to(&self.pauses, stalls.count);
+        self.longest_pause.set(stalls.longest.as_secs_f64());
         self.descriptors.set(gauge(descriptors[0]));
         self.descriptors_most.set(gauge(descriptors[1]));
         let mut text = String::new();
@@ -533,21 +533,21 @@
             requests_open: runs.iter().map(|m| m.open).sum(),
             descriptors: descriptors[0],
             descriptors_max: descriptors[1],
-            budget: self.on_books(),
+            budget: self.budget_counters(),
             effort: runtime_accounting::NAMES
                 .into_iter()
                 .zip(runtime_accounting::so_far())
                 .collect(),
-            denials: Denied::NAMES
+            denials: Denial::LABELS
                 .into_iter()
                 .zip(violations::denials())
                 .collect(),
-            violations: Violation::NAMES
+            violations: Violation::LABELS
                 .into_iter()
                 .zip(violations::violations())
                 .collect(),
-            pauses: stall_detector::pauses().seen,
-            longest_pause_ms: as_millis(stall_detector::pauses().longest),
+            pauses: stall_detector::stalls().count,
+            longest_pause_ms: as_millis(stall_detector::stalls().longest),
         };
         // Nothing in it can fail to be written as JSON: keys are text, figures finite.
         serde_json::to_string(&whole).unwrap_or_default()
--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -8,7 +8,7 @@
 pub mod startup;
 pub mod transactions;
 
-use crate::backend::jsonrpc::Way;
+use crate::backend::jsonrpc::Transport;
 use crate::engine::Engine;
 use crate::membership::activity_log;
 use crate::metrics::{Meter, Moment};
@@ -51,7 +51,7 @@
     /// Longest time that its class may take, where its pool says so.
     pub deadline: Option<Duration>,
     /// How the pool's backends are called remotely, where they can be.
-    pub way: Option<Way>,
+    pub way: Option<Transport>,
     /// The page of the record that it is written on, where one is kept.
     pub acts: Option<activity_log::Bound>,
     /// Keeps the generation and the pool that it was taken under.
@@ -76,7 +76,7 @@
         effect,
         deadline: None,
         way: None,
-        acts: engine.acts(),
+        acts: engine.bind_activity(),
         _held: None,
     })
 }
@@ -85,7 +85,7 @@
     /// Whether requests can be decided.
     pub fn ready(&self) -> bool {
         let fenced = match self {
-            Router::One(engine) => engine.fenced(),
+            Router::One(engine) => engine.is_fenced(),
             Router::Many(many) => many.base.acts.as_ref().is_some_and(|a| a.fenced()),
         };
         !fenced && self.has_backends()
@@ -93,8 +93,13 @@
 
     fn has_backends(&self) -> bool {
         match self {
-            Router::One(engine) => engine.ready(),
-            Router::Many(many) => many.current.borrow().runs.iter().any(|r| r.engine.ready()),
+            Router::One(engine) => engine.is_ready(),
+            Router::Many(many) => many
+                .current
+                .borrow()
+                .runs
+                .iter()
+                .any(|r| r.engine.is_ready()),
         }
     }
 
--- a/crates/heathroad/src/router/registry.rs
+++ b/crates/heathroad/src/router/registry.rs
@@ -48,7 +48,7 @@
             born_ms: 0.0,
         };
         run.engine
-            .list(ListKind::Full, members.iter().map(host).collect());
+            .update_endpoints(ListKind::Full, members.iter().map(host).collect());
     }
 
     pub(super) fn follow(self: &Rc<Self>, address: SocketAddr) {
@@ -148,7 +148,7 @@
             if address.unwrap_or(self.registry.get()) == from {
                 let left: Vec<Host> = moved.iter().filter_map(leaves).collect();
                 if !left.is_empty() {
-                    run.engine.list(ListKind::Delta, left);
+                    run.engine.update_endpoints(ListKind::Delta, left);
                 }
             }
         }
@@ -168,7 +168,8 @@
                             ..h.clone()
                         }
                     };
-                    run.engine.list(kind, hosts.iter().map(known).collect());
+                    run.engine
+                        .update_endpoints(kind, hosts.iter().map(known).collect());
                 }
                 // A node that is told of by a registry is the same node where a list names it.
                 Source::List(members) if members.iter().any(|m| changed.contains(&m.address)) => {
@@ -184,10 +185,16 @@
         let runs = self.present();
         let dials: Vec<BTreeSet<SocketAddr>> = runs
             .iter()
-            .map(|r| r.engine.targets().iter().map(|t| t.dial).collect())
+            .map(|r| {
+                r.engine
+                    .available_targets()
+                    .iter()
+                    .map(|t| t.address)
+                    .collect()
+            })
             .collect();
         for (run, sharers) in runs.iter().zip(nodes::sharers(&dials)) {
-            run.engine.share_cold(sharers);
+            run.engine.share_warm_up(sharers);
         }
     }
 
--- a/crates/heathroad/src/router/routed_pools.rs
+++ b/crates/heathroad/src/router/routed_pools.rs
@@ -3,7 +3,7 @@
 use super::registry::chosen;
 use super::{Ask, Bound, bound};
 use crate::backend::Pool as Connections;
-use crate::backend::jsonrpc::Way;
+use crate::backend::jsonrpc::Transport;
 use crate::configuration::state_folder::Folder;
 use crate::configuration::verification_gate::{Expected, Gate};
 use crate::discovery::endpoint_list::Host;
@@ -315,7 +315,7 @@
                 match known {
                     Some(hosts) => {
                         let chosen = hosts.into_values().filter(|h| chosen(h, select)).collect();
-                        run.engine.list(ListKind::Full, chosen);
+                        run.engine.update_endpoints(ListKind::Full, chosen);
                     }
                     None => self.follow(from),
                 }
@@ -332,17 +332,18 @@
         let Some(before) = current.runs.iter().find(|r| r.pool.name == pool.name) else {
             return;
         };
-        let nodes = before.engine.targets();
+        let nodes = before.engine.available_targets();
         let kept = match (&pool.source, &before.pool.source) {
             (Source::List(members), _) => nodes
                 .iter()
-                .filter(|t| members.iter().any(|m| m.address == t.dial))
+                .filter(|t| members.iter().any(|m| m.address == t.address))
                 .count(),
             (now, then) if now == then => nodes.len(),
             _ => 0,
         };
-        engine
-            .begin_at(before.engine.moment().load.limit * kept as f64 / nodes.len().max(1) as f64);
+        engine.set_initial_limit(
+            before.engine.moment().load.limit * kept as f64 / nodes.len().max(1) as f64,
+        );
     }
 
     /// From now on requests bind to a generation.
@@ -421,7 +422,7 @@
 }
 
 /// How a pool's backends are called remotely.
-pub(super) fn way(rpc: &file::Rpc) -> Way {
+pub(super) fn way(rpc: &file::Rpc) -> Transport {
     let file::Rpc {
         port,
         framing,
@@ -429,12 +430,12 @@
         declined,
         budget,
     } = *rpc;
-    Way {
+    Transport {
         port,
         framing,
-        calls: calls as usize,
-        declined,
-        budget,
+        max_calls: calls as usize,
+        declined_code: declined,
+        carries_budget: budget,
     }
 }
 
--- a/crates/heathroad/src/router/transactions.rs
+++ b/crates/heathroad/src/router/transactions.rs
@@ -2,7 +2,7 @@
 
 use super::routed_pools::{Many, way};
 use crate::backend::Pool as Connections;
-use crate::backend::jsonrpc::Way;
+use crate::backend::jsonrpc::Transport;
 use crate::configuration::verification_gate::{self, Gate};
 use crate::engine::Engine;
 use crate::runtime_accounting::{sleep, spawn_local, timeout};
@@ -138,7 +138,7 @@
         for run in runs {
             let mut now = run.engine.counts().so_far();
             // Those whom a fence refused say nothing of a change.
-            now[1] = now[1].saturating_sub(run.engine.shut_out());
+            now[1] = now[1].saturating_sub(run.engine.fenced_rejections());
             let before = run.seen.replace(now);
             let [served, refused, failed, timed_out, late] =
                 [0, 1, 2, 3, 4].map(|i| now[i].saturating_sub(before[i]) as f64);
@@ -312,12 +312,12 @@
 }
 
 /// Waits until a pool has backends, and a connection to one at the least.
-async fn warm(connections: &Rc<Connections>, engine: &Rc<Engine>, way: Option<Way>) {
+async fn warm(connections: &Rc<Connections>, engine: &Rc<Engine>, way: Option<Transport>) {
     loop {
-        let targets = engine.targets();
+        let targets = engine.available_targets();
         let mut warm = 0;
         for target in &targets {
-            warm += usize::from(connections.warm(target, way).await);
+            warm += usize::from(connections.ensure_connection(target, way).await);
         }
         if warm > 0 {
             return;
--- a/crates/heathroad/src/stream.rs
+++ b/crates/heathroad/src/stream.rs
@@ -1,5 +1,5 @@
-//! A stream that watches itself: whether a request got out whole, whether the other side has
-//! stopped taking bytes, and since when it speaks.
+//! A stream that watches what passes over it: whether a request is written whole, whether the other
+//! side has stopped taking bytes, and since when it sends.
 
 use crate::runtime_accounting::{self, sleep};
 use crate::stall_detector;
@@ -20,8 +20,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep};
 
-/// A silent machine resets nothing: a write that makes no headway for so long has failed.
-const STALL: Duration = Duration::from_secs(10);
+/// A write that makes no headway for so long has failed: a machine that fell silent resets nothing.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How far a request was written, by the bytes that the system took of it.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -38,67 +38,73 @@
 /// How far the messages on a connection have got.
 #[derive(Default)]
 pub struct Progress {
-    fresh: Cell<bool>,
-    body_taken: Cell<bool>,
-    begun: Cell<bool>,
-    flushed: Cell<bool>,
-    unsent: Cell<bool>,
-    speaks: Cell<Option<Instant>>,
-    heard: Cell<Option<Instant>>,
+    /// A request was started, and no byte of it is written.
+    is_new_request: Cell<bool>,
+    is_body_taken: Cell<bool>,
+    is_begun: Cell<bool>,
+    is_flushed: Cell<bool>,
+    has_unsent_bytes: Cell<bool>,
+    receiving_since: Cell<Option<Instant>>,
+    last_arrival: Cell<Option<Instant>>,
 }
 
 impl Progress {
-    /// Whether something is written that the system has not taken yet.
-    pub fn unsent(&self) -> bool {
-        self.unsent.get()
+    /// Returns whether bytes were written that the system has not taken yet.
+    pub fn has_unsent_bytes(&self) -> bool {
+        self.has_unsent_bytes.get()
     }
-    /// When what was read last had come, at the earliest.
-    pub fn heard(&self) -> Option<Instant> {
-        self.heard.get()
+
+    /// Returns the earliest moment at which what was read last can have arrived.
+    pub fn last_arrival(&self) -> Option<Instant> {
+        self.last_arrival.get()
     }
-    /// Since when the other side speaks, counted from the last `listen`.
-    pub fn speaks(&self) -> Option<Instant> {
-        self.speaks.get()
+
+    /// Returns since when the other side sends its present message.
+    pub fn receiving_since(&self) -> Option<Instant> {
+        self.receiving_since.get()
     }
-    /// What comes from now on is something new.
-    pub fn listen(&self) {
-        self.speaks.set(None);
+
+    /// Takes what is read from now on for a new message.
+    pub fn expect_message(&self) {
+        self.receiving_since.set(None);
     }
-    /// How far the present request was written. The HTTP library flushes a stream only once all
-    /// that it has buffered is written, and by then it has taken the body.
+
+    /// Returns how far the present request was written. The HTTP library flushes a stream only when
+    /// all that it has buffered is written, and by then it has taken the body.
     pub fn written(&self) -> Written {
-        match (self.begun.get(), self.flushed.get()) {
+        match (self.is_begun.get(), self.is_flushed.get()) {
             (false, _) => Written::Nothing,
             (true, false) => Written::Part,
             (true, true) => Written::Whole,
         }
     }
-    /// A new request is about to be written.
-    pub fn begin(&self) {
-        self.fresh.set(true);
-        self.body_taken.set(false);
-        self.begun.set(false);
-        self.flushed.set(false);
+
+    /// Starts a new request.
+    pub fn start_request(&self) {
+        self.is_new_request.set(true);
+        self.is_body_taken.set(false);
+        self.is_begun.set(false);
+        self.is_flushed.set(false);
     }
 }
 
-/// A request's body; tells when the HTTP library has taken it.
-pub struct Outgoing {
+/// The body of a request, which tells when the HTTP library has taken it.
+pub struct RequestBody {
     data: Bytes,
     progress: Rc<Progress>,
 }
 
-impl Outgoing {
-    /// The body of the request that is about to be written.
+impl RequestBody {
+    /// Starts a new request, and returns its body.
     pub fn new(data: Bytes, progress: Rc<Progress>) -> Self {
-        progress.begin();
-        // The library does not ask for a body that is empty.
-        progress.body_taken.set(data.is_empty());
-        Outgoing { data, progress }
+        progress.start_request();
+        // The library does not ask for an empty body.
+        progress.is_body_taken.set(data.is_empty());
+        RequestBody { data, progress }
     }
 }
 
-impl Body for Outgoing {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -106,7 +112,7 @@
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.progress.body_taken.set(true);
+        self.progress.is_body_taken.set(true);
         let data = std::mem::take(&mut self.data);
         Poll::Ready((!data.is_empty()).then(|| Ok(Frame::data(data))))
     }
@@ -120,86 +126,89 @@
     }
 }
 
-/// A stream that can be asked whether something lies there to be read, or it was closed.
-pub trait Peek {
-    /// Whether it is so now, by the system's word.
-    fn unread(&self) -> bool;
+/// A stream that can be asked what has arrived on it.
+pub trait Unread {
+    /// Returns whether unread bytes lie on it, or it was closed, by the system's word.
+    fn has_unread(&self) -> bool;
 
-    /// When what the last read gave had come, at the earliest, if it had been taken from the system
-    /// before that read.
-    fn read_ahead(&self) -> Option<Instant> {
+    /// Returns the earliest moment at which the bytes of the last read can have arrived, if they
+    /// had been taken from the system before that read.
+    fn buffered_arrival(&self) -> Option<Instant> {
         None
     }
 }
 
-/// Whether something lies on a stream, none if it has ended, by the system's word: the reactor
-/// knows only what it was told when it last looked.
+/// Returns the number of unread bytes on a stream (one at most is counted), none if it has ended,
+/// by the system's word. The reactor knows only what it was told when it last looked.
 pub fn peek(stream: &TcpStream) -> io::Result<usize> {
     runtime_accounting::look();
     SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
 }
 
-impl Peek for TokioIo<TcpStream> {
-    fn unread(&self) -> bool {
-        !matches!(peek(self.inner()), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+impl Unread for TokioIo<TcpStream> {
+    fn has_unread(&self) -> bool {
+        !matches!(peek(self.inner()), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
-/// A stream that sees what is written to it.
-pub struct Watched<S> {
+/// A stream that records what passes over it.
+pub struct WatchedStream<S> {
     stream: S,
     progress: Rc<Progress>,
-    stalled: Option<Pin<Box<Sleep>>>,
+    write_timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl<S> Watched<S> {
+impl<S> WatchedStream<S> {
     /// Watches a stream.
     pub fn new(stream: S) -> Self {
-        Watched::over(stream, Rc::default())
+        WatchedStream::with_progress(stream, Rc::default())
     }
 
-    /// Watches a stream, and tells it here.
-    pub fn over(stream: S, progress: Rc<Progress>) -> Self {
-        Watched {
+    /// Watches a stream, and records its progress there.
+    pub fn with_progress(stream: S, progress: Rc<Progress>) -> Self {
+        WatchedStream {
             stream,
             progress,
-            stalled: None,
+            write_timer: None,
         }
     }
 
-    /// What is seen.
+    /// Returns its progress.
     pub fn progress(&self) -> Rc<Progress> {
         self.progress.clone()
     }
 
-    fn wrote(
+    /// Records the result of a write, which fails if it makes no headway.
+    fn record_write(
         &mut self,
         cx: &mut Context<'_>,
         result: Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        self.progress.unsent.set(true);
+        self.progress.has_unsent_bytes.set(true);
         if result.is_pending() {
-            let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep(STALL)));
-            return stalled
+            let start_timer = || Box::pin(sleep(WRITE_TIMEOUT));
+            let timer = self.write_timer.get_or_insert_with(start_timer);
+            return timer
                 .as_mut()
                 .poll(cx)
                 .map(|()| Err(io::ErrorKind::TimedOut.into()));
         }
-        self.stalled = None;
+        self.write_timer = None;
         runtime_accounting::wrote();
         if let Poll::Ready(Ok(1..)) = result {
-            self.progress.begun.set(true);
+            self.progress.is_begun.set(true);
         }
         result
     }
 }
 
-impl<S: Peek> Watched<S> {
-    /// Before the first byte of a request nothing may lie on its connection: a late second copy of
-    /// the answer before would be taken for the answer to this one.
-    fn check(&self) -> io::Result<()> {
-        let unclean = self.progress.fresh.replace(false) && self.stream.unread();
-        if unclean {
+impl<S: Unread> WatchedStream<S> {
+    /// Fails where something lies on the connection before the first byte of a request: a stray
+    /// second response to the request before would be taken for the response to this one.
+    fn check_unread(&self) -> io::Result<()> {
+        let has_stray_bytes =
+            self.progress.is_new_request.replace(false) && self.stream.has_unread();
+        if has_stray_bytes {
             Err(io::ErrorKind::InvalidData.into())
         } else {
             Ok(())
@@ -207,7 +216,7 @@
     }
 }
 
-impl<S: Read + Peek + Unpin> Read for Watched<S> {
+impl<S: Read + Unread + Unpin> Read for WatchedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -217,28 +226,27 @@
         if read.is_ready() {
             runtime_accounting::read();
             let now = Instant::now();
-            let came = self
-                .stream
-                .read_ahead()
-                .unwrap_or_else(|| stall_detector::arrival(now));
-            self.progress.heard.set(Some(came));
+            let arrival = self.stream.buffered_arrival();
+            let arrival = arrival.unwrap_or_else(|| stall_detector::earliest_arrival(now));
+            self.progress.last_arrival.set(Some(arrival));
+            let receiving_since = self.progress.receiving_since.get();
             self.progress
-                .speaks
-                .set(self.progress.speaks.get().or(Some(now)));
+                .receiving_since
+                .set(receiving_since.or(Some(now)));
         }
         read
     }
 }
 
-impl<S: Write + Peek + Unpin> Write for Watched<S> {
+impl<S: Write + Unread + Unpin> Write for WatchedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.check()?;
+        self.check_unread()?;
         let result = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.wrote(cx, result)
+        self.record_write(cx, result)
     }
 
     fn poll_write_vectored(
@@ -246,9 +254,9 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.check()?;
+        self.check_unread()?;
         let result = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.wrote(cx, result)
+        self.record_write(cx, result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -256,10 +264,10 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.progress.begun.get() && self.progress.body_taken.get() {
-            self.progress.flushed.set(true);
+        if self.progress.is_begun.get() && self.progress.is_body_taken.get() {
+            self.progress.is_flushed.set(true);
         }
-        self.progress.unsent.set(false);
+        self.progress.has_unsent_bytes.set(false);
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
--- /dev/null
+++ b/crates/heathroad/tests/unit/backend_pool.rs
@@ -0,0 +1,84 @@
+//! Unit tests of the pool of connections.
+
+use super::*;
+use crate::backend::{Attempt, AttemptResult, Call};
+use bytes::Bytes;
+use hyper::header::HeaderValue;
+use hyper::{Method, Uri};
+use tokio::io::AsyncReadExt;
+use tokio::net::TcpListener;
+use tokio::sync::oneshot;
+use tokio::task::{LocalSet, spawn_local};
+
+/// With a single slot: an abandoned attempt holds it, then an idle connection does.
+#[tokio::test]
+async fn a_connection_slot_is_waited_for() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("bound");
+    let (connect_timeout, idle_timeout) = (Duration::from_secs(20), Duration::from_secs(60));
+    let (connections, may_duplicate) = (1, true);
+    let limits = Limits {
+        connections,
+        connect_timeout,
+        idle_timeout,
+        drain_grace: connect_timeout,
+        may_duplicate,
+    };
+    let pool = {
+        let mut pool = Pool::new(limits);
+        pool.max_abandoned_attempts = 1;
+        Rc::new(pool)
+    };
+    let tasks = LocalSet::new();
+    tasks
+        .run_until(async {
+            let target = pool.target("a", address, 0.0);
+            let id = HeaderValue::from_static("1");
+            let uri = Uri::from_static("/look");
+            let (method, body) = (Method::GET, Bytes::new());
+            let call = Call::Http(http::Call {
+                method,
+                uri,
+                host: None,
+                id,
+                key: None,
+                version: None,
+                body,
+            });
+            let (control, times_out_at) = (
+                Rc::<AttemptControl>::default(),
+                Instant::now() + connect_timeout,
+            );
+            let (call, target) = (Rc::new(call), target.clone());
+            let target = target.clone();
+            let attempt = Attempt {
+                call,
+                target: target.clone(),
+                times_out_at,
+                expires_at: times_out_at,
+                control: control.clone(),
+                budget: None,
+            };
+            let (sender, reported) = oneshot::channel();
+            let on_result = |result: AttemptResult| sender.send(result.outcome()).expect("awaited");
+            let (late_sender, ended_late) = oneshot::channel();
+            let on_late_result =
+                |result: AttemptResult| late_sender.send(result.outcome()).expect("awaited");
+            spawn_local(attempt.run(pool.clone(), on_result, on_late_result));
+            let (mut backend, _) = listener.accept().await.expect("it came");
+            assert_ne!(backend.read(&mut [0; 1024]).await.expect("open"), 0);
+            control.cancel();
+            assert_eq!(reported.await, Ok(Outcome::Cancelled));
+            let connection = pool
+                .connect_http(address)
+                .await
+                .expect("the abandoned one is closed");
+            assert_eq!(ended_late.await, Ok(Outcome::Cancelled));
+            pool.keep_idle(&target, connection);
+            assert!(
+                pool.connect_http(address).await.is_ok(),
+                "the idle one is closed"
+            );
+        })
+        .await;
+}
--- a/crates/heathroad/src/backend/crossings.rs
+++ b/crates/heathroad/tests/unit/backend_races.rs
@@ -1,17 +1,21 @@
-//! Attempts that are called off, or answered, before they are written whole.
+//! Races between the writing of an attempt and its cancellation or an early response.
 
 use super::*;
+use bytes::Bytes;
+use heathroad_balancer::api::Outcome;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
 use socket2::SockRef;
+use std::net::SocketAddr;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpSocket};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::oneshot;
 use tokio::task::{JoinHandle, LocalSet, spawn_local, yield_now};
 
 const LONG: Duration = Duration::from_secs(20);
 
-/// Waits for what must come.
+/// Waits for what must happen.
 async fn soon<T>(what: impl Future<Output = T>) -> T {
     tokio::time::timeout(LONG, what).await.expect("it comes")
 }
@@ -19,15 +23,16 @@
 fn pool(connections: usize, may_duplicate: bool) -> Rc<Pool> {
     let limits = Limits {
         connections,
-        connect: LONG,
-        idle: LONG * 3,
+        connect_timeout: LONG,
+        idle_timeout: LONG * 3,
         drain_grace: LONG,
         may_duplicate,
     };
-    Rc::new(Pool {
-        draining_most: 1,
-        ..Pool::new(limits)
-    })
+    {
+        let mut pool = Pool::new(limits);
+        pool.max_abandoned_attempts = 1;
+        Rc::new(pool)
+    }
 }
 
 fn call(body: usize) -> Rc<Call> {
@@ -44,30 +49,30 @@
     }))
 }
 
-/// An attempt under way: its line, how it ends, and its whole course.
-struct Run {
-    line: Rc<Line>,
-    ended: oneshot::Receiver<Outcome>,
-    course: JoinHandle<()>,
+/// An attempt under way.
+struct RunningAttempt {
+    control: Rc<AttemptControl>,
+    outcome: oneshot::Receiver<Outcome>,
+    task: JoinHandle<()>,
 }
 
-fn run(pool: &Rc<Pool>, target: &Rc<Target>, call: Rc<Call>) -> Run {
-    let (line, not_past) = (Rc::<Line>::default(), Instant::now() + LONG * 3);
+fn run(pool: &Rc<Pool>, target: &Rc<Target>, call: Rc<Call>) -> RunningAttempt {
+    let (control, times_out_at) = (Rc::<AttemptControl>::default(), Instant::now() + LONG * 3);
     let attempt = Attempt {
         call,
         target: target.clone(),
-        not_past,
-        expires: not_past,
-        line: line.clone(),
-        purse: None,
+        times_out_at,
+        expires_at: times_out_at,
+        control: control.clone(),
+        budget: None,
     };
-    let (report, ended) = oneshot::channel();
-    let report = |end: End| report.send(end.outcome()).expect("awaited");
-    let course = spawn_local(attempt.run(pool.clone(), report, |_| {}));
-    Run {
-        line,
-        ended,
-        course,
+    let (sender, outcome) = oneshot::channel();
+    let on_result = |result: AttemptResult| sender.send(result.outcome()).expect("awaited");
+    let task = spawn_local(attempt.run(pool.clone(), on_result, |_| {}));
+    RunningAttempt {
+        control,
+        outcome,
+        task,
     }
 }
 
@@ -81,8 +86,8 @@
 }
 
 /// Waits until a connect to an address is under way, by the system's table of connections.
-async fn connecting(dial: SocketAddr) {
-    let port = format!(":{:04X}", dial.port());
+async fn connecting(address: SocketAddr) {
+    let port = format!(":{:04X}", address.port());
     let waits = |line: &str| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         fields.get(2).is_some_and(|remote| remote.ends_with(&port)) && fields.get(3) == Some(&"02")
@@ -96,69 +101,72 @@
     }
 }
 
-/// The only place is another's: who is called off while it waits for one takes none, and never ran.
+/// Another attempt holds the only slot.
 #[tokio::test]
-async fn who_is_called_off_while_it_waits_for_a_place_takes_none() {
+async fn an_attempt_cancelled_while_it_waits_for_a_slot_takes_none() {
     let listener = small_listener(16).await;
-    let dial = listener.local_addr().expect("bound");
+    let address = listener.local_addr().expect("bound");
     let pool = pool(1, true);
     LocalSet::new()
         .run_until(async {
-            let target = pool.target("a", dial, 0.0);
+            let target = pool.target("a", address, 0.0);
             let busy = run(&pool, &target, call(0));
             let (mut stream, _) = soon(listener.accept()).await.expect("it came");
             assert_ne!(soon(stream.read(&mut [0; 1024])).await.expect("open"), 0);
-            for off in [Line::forsake, Line::withdraw] {
+            for cancel in [AttemptControl::abandon, AttemptControl::cancel] {
                 let waits = run(&pool, &target, call(0));
                 yield_now().await;
-                off(&waits.line);
-                assert_eq!(soon(waits.ended).await, Ok(Outcome::Moot));
-                soon(waits.course).await.expect("no panic");
+                cancel(&waits.control);
+                assert_eq!(soon(waits.outcome).await, Ok(Outcome::Moot));
+                soon(waits.task).await.expect("no panic");
             }
-            assert!(!busy.line.reported(), "the other goes on");
+            assert!(!busy.control.has_reported(), "the other goes on");
             stream
                 .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                 .await
                 .expect("open");
-            assert_eq!(soon(busy.ended).await, Ok(Outcome::Ok));
-            assert!(soon(pool.connect(dial)).await.is_ok(), "its place is free");
+            assert_eq!(soon(busy.outcome).await, Ok(Outcome::Ok));
+            assert!(
+                soon(pool.connect_http(address)).await.is_ok(),
+                "its slot is free"
+            );
         })
         .await;
 }
 
-/// A kept connection holds a late answer that nobody has heard of, so that the request needs
-/// another one, which does not come up: called off, the request never ran, and has no course any
-/// more that might send it later.
+/// An idle connection holds stray bytes, so that the request needs another one, which is not
+/// established. Cancelled then, the request never ran, and no task is left that might send it
+/// later.
 #[tokio::test]
-async fn a_second_connect_is_no_work_that_goes_on() {
-    for off in [Line::forsake, Line::withdraw] {
+async fn a_second_connect_ends_with_its_cancelled_attempt() {
+    for cancel in [AttemptControl::abandon, AttemptControl::cancel] {
         let listener = small_listener(1).await;
-        let dial = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("bound");
         let pool = pool(4, true);
         LocalSet::new()
             .run_until(async {
-                let target = pool.target("a", dial, 0.0);
-                let link = pool.connect(dial).await.expect("it listens");
+                let target = pool.target("a", address, 0.0);
+                let connection = pool.connect_http(address).await.expect("it listens");
                 let (mut kept, _) = soon(listener.accept()).await.expect("it came");
                 // The queue fills up, and what comes now neither succeeds nor fails.
                 let mut held = Vec::new();
                 while let Ok(stream) =
-                    tokio::time::timeout(Duration::from_millis(300), TcpStream::connect(dial)).await
+                    tokio::time::timeout(Duration::from_millis(300), TcpStream::connect(address))
+                        .await
                 {
                     held.push(stream.expect("a connection"));
                     assert!(held.len() < 100, "the queue fills up");
                 }
-                pool.keep(&target, link);
-                // The task that has the connection does not run before the attempt has looked at
-                // it.
+                pool.keep_idle(&target, connection);
+                // The connection's task does not run before the attempt has looked at it.
                 let sent =
                     SockRef::from(&kept).send(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
                 assert!(sent.is_ok());
                 let again = run(&pool, &target, call(0));
-                soon(connecting(dial)).await;
-                off(&again.line);
-                assert_eq!(soon(again.ended).await, Ok(Outcome::Moot));
-                soon(again.course).await.expect("no panic");
+                soon(connecting(address)).await;
+                cancel(&again.control);
+                assert_eq!(soon(again.outcome).await, Ok(Outcome::Moot));
+                soon(again.task).await.expect("no panic");
                 let mut nothing = Vec::new();
                 assert_eq!(
                     soon(kept.read_to_end(&mut nothing)).await.unwrap_or(0),
@@ -173,11 +181,11 @@
     }
 }
 
-/// The table of answers that come before a request is whole: no backend can have made them for it,
-/// and none ever gets the rest of it. Whether it may be sent again or refused is the module's by
-/// class, and rests on `never_ran`.
+/// No backend can have made such a response for the request, and none ever gets the rest of it.
+/// Whether it is retried or rejected is the decision module's by its class, and rests on
+/// `never_ran`.
 #[tokio::test]
-async fn an_answer_to_a_request_that_is_not_whole_is_none() {
+async fn a_response_to_a_request_that_is_not_whole_is_none() {
     const BODY: usize = MAX_BODY;
     let cases = [
         (
@@ -197,7 +205,7 @@
             Outcome::ConnectFailed,
         ),
         ("noise\r\n\r\n", Outcome::ConnectFailed),
-        // What the request is at fault for goes to no other backend, whether it ran or not.
+        // A request that is at fault itself is sent to no other backend, whether it ran or not.
         (
             "HTTP/1.1 413 No\r\nContent-Length: 0\r\n\r\n",
             Outcome::Cancelled,
@@ -205,25 +213,27 @@
     ];
     for (bytes, outcome) in cases {
         let listener = small_listener(16).await;
-        let dial = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("bound");
         let pool = pool(4, true);
         LocalSet::new()
             .run_until(async {
-                let target = pool.target("a", dial, 0.0);
-                let (stream, place) = pool.dial(dial).await.expect("it listens");
+                let target = pool.target("a", address, 0.0);
+                let (stream, slot) = pool.connect(address).await.expect("it listens");
                 SockRef::from(&stream)
                     .set_send_buffer_size(4096)
                     .expect("a size");
-                pool.keep(
+                pool.keep_idle(
                     &target,
-                    pool.link(stream, place).await.expect("nothing is sent yet"),
+                    pool.start_http(stream, slot)
+                        .await
+                        .expect("nothing is sent yet"),
                 );
                 let (mut backend, _) = soon(listener.accept()).await.expect("it came");
                 let attempt = run(&pool, &target, call(BODY));
                 let mut seen = [0; 64];
                 assert_ne!(soon(backend.read(&mut seen)).await.expect("open"), 0);
                 backend.write_all(bytes.as_bytes()).await.expect("open");
-                assert_eq!(soon(attempt.ended).await, Ok(outcome), "{bytes}");
+                assert_eq!(soon(attempt.outcome).await, Ok(outcome), "{bytes}");
                 let mut rest = Vec::new();
                 // A close with bytes unread may end as a reset.
                 let _ = soon(backend.read_to_end(&mut rest)).await;
@@ -233,29 +243,30 @@
     }
 }
 
-/// A request is called off half-way through: the rest of it is not sent.
 #[tokio::test]
-async fn what_is_called_off_half_way_is_not_written_on() {
-    for off in [Line::forsake, Line::withdraw] {
+async fn a_request_cancelled_half_way_is_not_written_on() {
+    for cancel in [AttemptControl::abandon, AttemptControl::cancel] {
         let listener = small_listener(16).await;
-        let dial = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("bound");
         let pool = pool(4, true);
         LocalSet::new()
             .run_until(async {
-                let target = pool.target("a", dial, 0.0);
-                let (stream, place) = pool.dial(dial).await.expect("it listens");
+                let target = pool.target("a", address, 0.0);
+                let (stream, slot) = pool.connect(address).await.expect("it listens");
                 SockRef::from(&stream)
                     .set_send_buffer_size(4096)
                     .expect("a size");
-                pool.keep(
+                pool.keep_idle(
                     &target,
-                    pool.link(stream, place).await.expect("nothing is sent yet"),
+                    pool.start_http(stream, slot)
+                        .await
+                        .expect("nothing is sent yet"),
                 );
                 let (mut backend, _) = soon(listener.accept()).await.expect("it came");
                 let attempt = run(&pool, &target, call(MAX_BODY));
                 assert_ne!(soon(backend.read(&mut [0; 64])).await.expect("open"), 0);
-                off(&attempt.line);
-                assert_eq!(soon(attempt.ended).await, Ok(Outcome::Moot));
+                cancel(&attempt.control);
+                assert_eq!(soon(attempt.outcome).await, Ok(Outcome::Moot));
                 let mut rest = Vec::new();
                 let _ = soon(backend.read_to_end(&mut rest)).await;
                 assert!(rest.len() < MAX_BODY, "it got all of it");
@@ -264,27 +275,26 @@
     }
 }
 
-/// A second answer comes late, on a connection at rest. From then on no request goes over a
-/// connection on which one may be on its way still: it would be taken for that request's. One that
-/// comes while it rests shows that it is of no use.
+/// A stray second response would be taken for the response to the next request. Once one has come,
+/// a connection is not reused while another may be on its way; one that comes meanwhile ends it.
 #[tokio::test]
-async fn a_connection_rests_where_second_answers_come() {
+async fn connections_settle_where_second_responses_come() {
     let listener = small_listener(16).await;
-    let dial = listener.local_addr().expect("bound");
+    let address = listener.local_addr().expect("bound");
     let pool = pool(4, true);
     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood";
     LocalSet::new()
         .run_until(async {
-            let target = pool.target("a", dial, 0.0);
-            let served = async |stream: &mut TcpStream, attempt: Run| {
+            let target = pool.target("a", address, 0.0);
+            let served = async |stream: &mut TcpStream, attempt: RunningAttempt| {
                 assert_ne!(soon(stream.read(&mut [0; 1024])).await.expect("open"), 0);
                 stream.write_all(answer).await.expect("open");
-                assert_eq!(soon(attempt.ended).await, Ok(Outcome::Ok));
+                assert_eq!(soon(attempt.outcome).await, Ok(Outcome::Ok));
             };
             let attempt = run(&pool, &target, call(0));
             let (mut first, _) = soon(listener.accept()).await.expect("it came");
             served(&mut first, attempt).await;
-            // Nobody has done so yet: a connection is used again at once.
+            // No stray response has come yet: the connection is reused at once.
             let attempt = run(&pool, &target, call(0));
             served(&mut first, attempt).await;
             first.write_all(answer).await.expect("open");
@@ -307,39 +317,39 @@
         .await;
 }
 
-/// The same over JSON-RPC, where nobody else has a call on the connection.
+/// No other call is on the JSON-RPC connection.
 #[tokio::test]
-async fn a_text_that_is_called_off_half_way_is_not_written_on() {
+async fn a_text_cancelled_half_way_is_not_written_on() {
     // More than the system takes for a node that reads nothing.
     const TEXT: usize = 16 << 20;
-    for off in [Line::forsake, Line::withdraw] {
+    for cancel in [AttemptControl::abandon, AttemptControl::cancel] {
         let listener = small_listener(16).await;
-        let dial = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("bound");
         let pool = pool(4, true);
         LocalSet::new()
             .run_until(async {
-                let target = pool.target("a", dial, 0.0);
+                let target = pool.target("a", address, 0.0);
                 let framing = heathroad_jsonrpc::Framing::Lines;
-                let way = jsonrpc::Way {
+                let transport = jsonrpc::Transport {
                     port: None,
                     framing,
-                    calls: 1,
-                    declined: None,
-                    budget: false,
+                    max_calls: 1,
+                    declined_code: None,
+                    carries_budget: false,
                 };
                 let params = Some(Bytes::from(format!("[\"{}\"]", "x".repeat(TEXT))));
                 let method = Bytes::from_static(b"\"once\"");
-                let call = Rc::new(Call::Rpc(jsonrpc::Call {
+                let call = Rc::new(Call::JsonRpc(jsonrpc::Call {
                     method,
                     params,
-                    notification: false,
-                    way,
+                    is_notification: false,
+                    transport,
                 }));
                 let attempt = run(&pool, &target, call);
                 let (mut node, _) = soon(listener.accept()).await.expect("it came");
                 assert_ne!(soon(node.read(&mut [0; 64])).await.expect("open"), 0);
-                off(&attempt.line);
-                assert_eq!(soon(attempt.ended).await, Ok(Outcome::Moot));
+                cancel(&attempt.control);
+                assert_eq!(soon(attempt.outcome).await, Ok(Outcome::Moot));
                 let mut rest = Vec::new();
                 let _ = soon(node.read_to_end(&mut rest)).await;
                 assert!(rest.len() < TEXT, "it got all of it");
--- a/crates/heathroad/tests/unit/engine.rs
+++ b/crates/heathroad/tests/unit/engine.rs
@@ -1,10 +1,18 @@
 //! Unit tests of the engine.
 
+use super::attempt::AttemptRecord;
+use super::response::ResponseState;
 use super::*;
-use crate::backend::{Limits, http};
+use crate::backend::{Call, Limits, http};
+use crate::discovery::endpoint_list::{Health, Host};
+use crate::runtime_accounting::spawn_local;
+use crate::safety::{ClientConnection, ClientHandle, Denial, Location, PastAttempt, violations};
+use bytes::Bytes;
+use heathroad_balancer::api::{ListKind, Outcome};
+use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// Settings of one safe class.
+/// Returns settings of one idempotent class.
 pub fn facts() -> Facts {
     let text = r#"{"slotNo": 0, "peersTotal": 1, "tier": 0, "locality": 0, "localities": ["a"], "tick": 5.0,
         "overShareWorth": 0.05, "discovery": "automatic", "tenants": [],
@@ -31,13 +39,13 @@
 }
 
 #[tokio::test]
-async fn backends_that_are_gone_are_forgotten() {
+async fn unlisted_backends_are_forgotten() {
     let limit = Duration::from_secs(1);
     let (connections, may_duplicate) = (4, true);
     let limits = Limits {
         connections,
-        connect: limit,
-        idle: limit,
+        connect_timeout: limit,
+        idle_timeout: limit,
         drain_grace: limit,
         may_duplicate,
     };
@@ -59,15 +67,19 @@
                 let (old, new) = (format!("s-{n}"), format!("s-{}", n + 1));
                 if n % 2 == 0 {
                     let hosts = vec![host(&old, Health::Deleted), host(&new, Health::Serving)];
-                    engine.list(ListKind::Delta, hosts);
+                    engine.update_endpoints(ListKind::Delta, hosts);
                 } else {
-                    engine.list(ListKind::Full, vec![host(&new, Health::Serving)]);
+                    engine.update_endpoints(ListKind::Full, vec![host(&new, Health::Serving)]);
                 }
-                let s = engine.state.borrow();
-                assert_eq!((s.ids.len(), s.backends.len()), (1, 1), "after {n}");
+                let endpoints = &engine.state.borrow().endpoints;
+                assert_eq!(
+                    (endpoints.ids.len(), endpoints.by_id.len()),
+                    (1, 1),
+                    "after {n}"
+                );
             }
-            // One that an open request was sent to stays known until the request is closed.
-            let id = engine.state.borrow().ids["s-100"];
+            // A backend that an open request was sent to stays known until the request is closed.
+            let id = engine.state.borrow().endpoints.ids["s-100"];
             let call = http::Call {
                 method: hyper::Method::GET,
                 uri: hyper::Uri::from_static("/look"),
@@ -78,55 +90,57 @@
                 body: Bytes::new(),
             };
             let now = Instant::now();
-            let attempted = Attempted {
-                place: Place::default(),
-                begun: now,
-                ended: Some(Outcome::Ok),
+            let past = PastAttempt {
+                location: Location::default(),
+                started_at: now,
+                outcome: Some(Outcome::Ok),
             };
-            let open = Open {
+            let open = OpenRequest {
                 call: Rc::new(Call::Http(call)),
                 class: 0,
-                life: Life::Over,
-                expires: now,
+                response: ResponseState::Sent,
+                backend_deadline: now,
                 client: None,
-                attempts: vec![Tried {
+                attempts: vec![AttemptRecord {
                     backend: id,
-                    attempted,
-                    out: None,
+                    past,
+                    in_flight: None,
                 }],
-                last: None,
+                last_outcome: None,
                 budget: None,
-                acts: None,
+                activity: None,
             };
             engine.state.borrow_mut().requests.insert(7, open);
-            engine.list(ListKind::Full, vec![host("s-101", Health::Serving)]);
-            assert_eq!(engine.state.borrow().backends.len(), 2);
+            engine.update_endpoints(ListKind::Full, vec![host("s-101", Health::Serving)]);
+            assert_eq!(engine.state.borrow().endpoints.by_id.len(), 2);
             engine.state.borrow_mut().requests.clear();
-            engine.forget_gone();
-            assert_eq!(engine.state.borrow().backends.len(), 1);
+            engine.forget_unlisted_endpoints();
+            assert_eq!(engine.state.borrow().endpoints.by_id.len(), 1);
         })
         .await;
 }
 
-/// A client who stays, or has left, as told.
-struct Told(Cell<bool>);
+/// A client that stays, or has left.
+struct TestClient {
+    has_left: Cell<bool>,
+}
 
-impl safety::Client for Told {
-    fn left(&self) -> bool {
-        self.0.get()
+impl ClientConnection for TestClient {
+    fn has_left(&self) -> bool {
+        self.has_left.get()
     }
 }
 
-/// An engine with one backend, and a listener that its attempts go to.
-async fn before_a_backend() -> (Rc<Engine>, tokio::net::TcpListener) {
+/// Returns an engine with one backend, and the listener that its attempts go to.
+async fn engine_with_backend() -> (Rc<Engine>, tokio::net::TcpListener) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port");
     let limit = Duration::from_secs(20);
     let limits = Limits {
         connections: 4,
-        connect: limit,
-        idle: limit,
+        connect_timeout: limit,
+        idle_timeout: limit,
         drain_grace: limit,
         may_duplicate: true,
     };
@@ -142,7 +156,7 @@
     );
     let engine = engine.expect("good settings");
     let dial = Some(listener.local_addr().expect("bound"));
-    engine.list(
+    engine.update_endpoints(
         ListKind::Full,
         vec![Host {
             dial,
@@ -152,7 +166,7 @@
     (engine, listener)
 }
 
-fn incoming(received: Instant, patience: Duration) -> Incoming {
+fn incoming(received_at: Instant, timeout: Duration) -> IncomingRequest {
     let call = http::Call {
         method: hyper::Method::GET,
         uri: hyper::Uri::from_static("/look"),
@@ -162,52 +176,41 @@
         version: None,
         body: Bytes::new(),
     };
-    let (call, budget, acts) = (Call::Http(call), None, None);
-    Incoming {
-        call,
+    IncomingRequest {
+        call: Call::Http(call),
         class: 0,
         tenant: 0,
         key: 0,
-        received,
-        patience,
-        budget,
-        acts,
+        received_at,
+        timeout,
+        budget: None,
+        activity: None,
     }
 }
 
-/// Whoever has left by the moment in which his attempt would begin gets none, whatever the module
-/// has decided.
+/// The client may leave between the decision and the attempt.
 #[tokio::test]
-async fn no_attempt_is_begun_for_a_client_who_has_left() {
+async fn no_attempt_is_begun_for_a_client_that_has_left() {
     LocalSet::new()
         .run_until(async {
-            let (engine, listener) = before_a_backend().await;
-            for (left, comes) in [(true, false), (false, true)] {
-                let client = Rc::new(Told(Cell::new(left)));
-                let before = violations::denials()[Denied::ClientLeft.place()];
+            let (engine, listener) = engine_with_backend().await;
+            for (left, is_sent) in [(true, false), (false, true)] {
+                let client = Rc::new(TestClient {
+                    has_left: Cell::new(left),
+                });
+                let before = violations::denials()[Denial::ClientLeft.index()];
                 let call = incoming(Instant::now(), Duration::from_secs(20));
-                let waiting = Some(Waiting::new(&client));
+                let handle = Some(ClientHandle::new(&client));
                 let engine = engine.clone();
-                let deciding = spawn_local(async move { engine.decide(call, waiting).await.0 });
-                let came =
+                let handling =
+                    spawn_local(async move { engine.handle_request(call, handle).await.response });
+                let connected =
                     tokio::time::timeout(Duration::from_millis(200), listener.accept()).await;
-                assert_eq!(came.is_ok(), comes, "client left: {left}");
-                let denied = violations::denials()[Denied::ClientLeft.place()] - before;
+                assert_eq!(connected.is_ok(), is_sent, "client left: {left}");
+                let denied = violations::denials()[Denial::ClientLeft.index()] - before;
                 assert_eq!(denied, u64::from(left));
-                deciding.abort();
+                handling.abort();
             }
         })
         .await;
 }
-
-/// The margin grows with what a client waits, up to what a pause asks for.
-#[test]
-fn the_margin_leaves_time_for_work_and_for_a_pause() {
-    let ms = Duration::from_millis;
-    assert_eq!(margin(ms(60_000)), MARGIN);
-    assert_eq!(margin(ms(545)), MARGIN);
-    assert_eq!(margin(ms(240)), MARGIN);
-    assert_eq!(margin(ms(200)), ms(100));
-    assert_eq!(margin(ms(40)), TRAVEL);
-    assert!(MARGIN + GRACE >= stall_detector::LONGEST + stall_detector::UNSEEN);
-}
--- a/crates/heathroad/tests/unit/frontend_http.rs
+++ b/crates/heathroad/tests/unit/frontend_http.rs
@@ -1,4 +1,4 @@
-//! Unit tests of requests over HTTP.
+//! Unit tests of the HTTP frontend.
 
 use super::*;
 use crate::backend::{Limits, Pool};
@@ -8,10 +8,9 @@
 use std::cell::Cell;
 use tokio::task::{LocalSet, spawn_local, yield_now};
 
-/// Callers who come at once are taken in a turn or two, however many others have something to do in
-/// each.
+/// Clients that connect at once are accepted in a turn or two, however many tasks run in each.
 #[tokio::test]
-async fn a_burst_of_connects_is_taken_at_once() {
+async fn a_burst_of_connects_is_accepted_at_once() {
     const CALLERS: usize = 60;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("bound");
@@ -21,8 +20,8 @@
     let (connections, may_duplicate) = (4, true);
     let limits = Limits {
         connections,
-        connect: limit,
-        idle: limit,
+        connect_timeout: limit,
+        idle_timeout: limit,
         drain_grace: limit,
         may_duplicate,
     };
@@ -37,14 +36,15 @@
         watching,
     );
     let router = Rc::new(Router::One(engine.expect("good settings")));
-    let (connections, bodies, room) = (2 * CALLERS, 1 << 20, Rc::<Room>::default());
-    let front = Front {
+    let (max_connections, max_buffered_bytes, table) =
+        (2 * CALLERS, 1 << 20, Rc::<ConnectionTable>::default());
+    let front = HttpFrontend {
         router,
         facts: facts(),
-        connections,
-        bodies,
-        room: room.clone(),
-        books: None,
+        max_connections,
+        max_buffered_bytes,
+        table: table.clone(),
+        budgets: None,
     };
     let (_stop, stopped) = watch::channel(false);
     let turns = Rc::new(Cell::new(0));
@@ -58,11 +58,11 @@
                     yield_now().await;
                 }
             });
-            while room.present() < CALLERS {
+            while table.descriptors() < CALLERS {
                 assert!(
                     turns.get() < 100_000,
                     "{} of {CALLERS} were taken",
-                    room.present()
+                    table.descriptors()
                 );
                 yield_now().await;
             }
--- a/crates/heathroad/src/frontend/crossings.rs
+++ b/crates/heathroad/tests/unit/frontend_races.rs
@@ -1,10 +1,10 @@
-//! A stop, or a request to leave, that crosses what callers send. The order of a turn is what
-//! matters: what callers do is done by the system at once, with no turn of the loop between it and
+//! Races between a stop, or a request to close, and what clients send. The order within a turn
+//! matters: the system carries out at once what clients do, with no turn of the loop between it and
 //! the stop.
 
-use super::connections::Room;
-use super::http::Front;
-use super::jsonrpc;
+use super::connections::ConnectionTable;
+use super::http::HttpFrontend;
+use super::jsonrpc::JsonRpcFrontend;
 use crate::backend::{Limits, Pool};
 use crate::engine::Engine;
 use crate::engine::tests::facts;
@@ -27,24 +27,24 @@
 
 struct Scene {
     addr: SocketAddr,
-    room: Rc<Room>,
+    table: Rc<ConnectionTable>,
     engine: Rc<Engine>,
     stop: watch::Sender<bool>,
     serving: JoinHandle<()>,
 }
 
-/// A front with no backends: whatever it takes is refused in the end.
+/// Returns a frontend without backends, which rejects whatever it takes in the end.
 async fn scene() -> Scene {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("bound");
     let limits = Limits {
         connections: 4,
-        connect: LONG,
-        idle: LONG,
+        connect_timeout: LONG,
+        idle_timeout: LONG,
         drain_grace: LONG,
         may_duplicate: true,
     };
-    let room = Rc::<Room>::default();
+    let table = Rc::<ConnectionTable>::default();
     let counts = Counts::new(&Rc::new(Meter::new()), "", &facts().site);
     let (watching, _) = watch::channel(false);
     let engine = Engine::new(
@@ -57,20 +57,20 @@
     );
     let engine = engine.expect("good settings");
     let router = Rc::new(Router::One(engine.clone()));
-    let (connections, bodies) = (100, 1 << 20);
-    let front = Front {
+    let (max_connections, max_buffered_bytes) = (100, 1 << 20);
+    let front = HttpFrontend {
         router,
         facts: facts(),
-        connections,
-        bodies,
-        room: room.clone(),
-        books: None,
+        max_connections,
+        max_buffered_bytes,
+        table: table.clone(),
+        budgets: None,
     };
     let (stop, stopped) = watch::channel(false);
     let serving = spawn_local(Rc::new(front).serve(listener, stopped));
     Scene {
         addr,
-        room,
+        table,
         engine,
         stop,
         serving,
@@ -87,7 +87,7 @@
     stream
 }
 
-/// What comes until the connection ends, read beside the loop.
+/// Reads until the connection ends, beside the loop.
 async fn rest(mut stream: TcpStream) -> String {
     let read = spawn_blocking(move || {
         let mut bytes = Vec::new();
@@ -101,12 +101,12 @@
         .expect("no panic")
 }
 
-/// An answer to each of so many requests, in whatever pieces.
+/// Returns the number of responses in a text.
 fn answers(text: &str) -> usize {
     text.matches("HTTP/1.1 503").count()
 }
 
-/// The next answer, which has no body, or nothing where the connection was closed.
+/// Reads the next response, which has no body; none where the connection was closed.
 async fn next(mut stream: TcpStream) -> (TcpStream, usize) {
     let read = spawn_blocking(move || {
         let (mut bytes, mut one) = (Vec::new(), [0]);
@@ -121,7 +121,7 @@
         .expect("no panic")
 }
 
-/// One call on a connection that is kept.
+/// Sends one request, and returns its connection.
 async fn served_once(addr: SocketAddr, id: usize) -> TcpStream {
     let mut stream = connect(addr);
     stream.write_all(request(id).as_bytes()).expect("open");
@@ -130,10 +130,9 @@
     stream
 }
 
-/// Callers in the accept queue when the listener closes, with and without their request: they are
-/// taken and answered.
+/// Clients wait in the accept queue when the listener closes, with and without their request.
 #[tokio::test]
-async fn who_is_in_the_queue_at_the_stop_is_answered() {
+async fn clients_in_the_queue_at_the_stop_are_answered() {
     LocalSet::new()
         .run_until(async {
             let s = scene().await;
@@ -144,7 +143,7 @@
             }
             s.stop.send_replace(true);
             // The others send a moment later.
-            while s.room.present() < callers.len() {
+            while s.table.descriptors() < callers.len() {
                 assert!(!s.serving.is_finished(), "it closed on them");
                 yield_now().await;
             }
@@ -167,9 +166,9 @@
         .await;
 }
 
-/// A request lies whole in a kept connection when the stop comes to close it.
+/// A request lies whole on an idle connection when the stop comes to close it.
 #[tokio::test]
-async fn what_lies_in_a_kept_connection_at_the_stop_is_answered() {
+async fn a_request_unread_on_an_idle_connection_at_the_stop_is_answered() {
     LocalSet::new()
         .run_until(async {
             let s = scene().await;
@@ -187,10 +186,9 @@
         .await;
 }
 
-/// A connection is asked to leave in the turn in which its request arrives: what was taken is
-/// answered, and is not dropped.
+/// A connection is asked to close in the turn in which its request arrives.
 #[tokio::test]
-async fn who_is_asked_to_leave_as_its_request_comes_is_answered() {
+async fn a_request_that_arrives_as_its_connection_is_shed_is_answered() {
     LocalSet::new()
         .run_until(async {
             let s = scene().await;
@@ -199,19 +197,19 @@
             // until its time is up.
             let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
             let host = json!({"host": "a", "dial": silent.local_addr().expect("bound"), "site": "a", "health": "SERVING"});
-            s.engine.list(ListKind::Full, vec![serde_json::from_value(host).expect("a host")]);
+            s.engine.update_endpoints(ListKind::Full, vec![serde_json::from_value(host).expect("a host")]);
             let mut answered = 0;
             for round in 0..5 {
                 let mut caller = served_once(s.addr, 2 * round).await;
                 let mut signal = connect(door.local_addr().expect("bound"));
                 let (waits, _) = door.accept().expect("it came");
                 waits.set_nonblocking(true).expect("a socket");
-                let (waits, room) = (tokio::net::TcpStream::from_std(waits).expect("a socket"), s.room.clone());
+                let (waits, table) = (tokio::net::TcpStream::from_std(waits).expect("a socket"), s.table.clone());
                 let sheds = spawn_local(async move {
                     waits.readable().await.expect("open");
-                    room.shed();
+                    table.shed_one();
                 });
-                while s.room.present() > 1 {
+                while s.table.descriptors() > 1 {
                     yield_now().await;
                 }
                 yield_now().await;
@@ -230,7 +228,7 @@
         .await;
 }
 
-/// A backend that serves each request, and the ids of those that it got, in order.
+/// Returns a backend that serves each request, and the ids of those that it received, in order.
 fn serves(listener: TcpListener) -> Rc<RefCell<Vec<String>>> {
     let seen = Rc::<RefCell<Vec<String>>>::default();
     let saw = seen.clone();
@@ -259,7 +257,7 @@
     seen
 }
 
-/// Calls once and takes the answer; the connection, as it is then.
+/// Sends one request and reads its response; returns the connection.
 async fn served(addr: SocketAddr, id: &str) -> TcpStream {
     let mut caller = tokio::net::TcpStream::connect(addr)
         .await
@@ -281,25 +279,25 @@
     caller.into_std().expect("a socket")
 }
 
-/// Callers that have left by the time at which their requests are read, by a close or a reset: on a
-/// new connection, on one that had said nothing so far, and on one that was served, nothing is sent
-/// for them, though a connection to a backend is at hand.
+/// Clients have left by the time at which their requests are read, by a close or a reset, on a new
+/// connection, on one that had sent nothing so far, and on one that was served. A connection to a
+/// backend is idle.
 #[tokio::test]
-async fn who_has_left_before_its_request_is_read_is_not_sent_on() {
+async fn a_request_of_a_client_that_has_left_is_not_forwarded() {
     LocalSet::new()
         .run_until(async {
             let s = scene().await;
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let host = json!({"host": "a", "dial": listener.local_addr().expect("bound"), "site": "a", "health": "SERVING"});
             let seen = serves(listener);
-            s.engine.list(ListKind::Full, vec![serde_json::from_value(host).expect("a host")]);
+            s.engine.update_endpoints(ListKind::Full, vec![serde_json::from_value(host).expect("a host")]);
             drop(served(s.addr, "first").await);
             let mut expected = vec!["first".to_string()];
             for reset in [false, true] {
                 for at in ["new", "quiet", "kept"] {
                     let wait_for = async |present| {
                         let all = async {
-                            while s.room.present() != present {
+                            while s.table.descriptors() != present {
                                 yield_now().await;
                             }
                         };
@@ -334,9 +332,8 @@
         .await;
 }
 
-/// Callers over JSON-RPC in a listener's queue at the stop, with their call and without, and one
-/// who was served before and whose next call lies unread: each call is answered, if only by a
-/// refusal.
+/// JSON-RPC clients wait in a listener's queue at the stop, with their call and without, and the
+/// next call of a served one lies unread. Each call is answered, if only by a rejection.
 #[tokio::test]
 async fn calls_in_the_queue_and_unread_at_the_stop_are_answered() {
     let folder = std::env::temp_dir().join(format!("heathroad-queue-{}", std::process::id()));
@@ -364,8 +361,8 @@
             let config = crate::configuration::check(&config).expect("a good file");
             let limits = Limits {
                 connections: 4,
-                connect: LONG,
-                idle: LONG,
+                connect_timeout: LONG,
+                idle_timeout: LONG,
                 drain_grace: LONG,
                 may_duplicate: true,
             };
@@ -373,15 +370,15 @@
                 crate::router::startup::start(&routes, &config, &Rc::new(Pool::new(limits)), None);
             let many = many.expect("good routes");
             let addr = many.doors()[0].1.local_addr().expect("bound");
-            let room = Rc::<Room>::default();
-            let (connections, bodies) = (100, 1 << 20);
-            let front = jsonrpc::Front {
+            let table = Rc::<ConnectionTable>::default();
+            let (max_connections, max_buffered_bytes) = (100, 1 << 20);
+            let front = JsonRpcFrontend {
                 many,
                 facts: facts(),
-                connections,
-                bodies,
-                room: room.clone(),
-                books: None,
+                max_connections,
+                max_buffered_bytes,
+                table: table.clone(),
+                budgets: None,
             };
             let (stop, stopped) = watch::channel(false);
             let serving = spawn_local(Rc::new(front).serve(stopped));
@@ -401,7 +398,7 @@
                 .expect("it comes")
                 .expect("no panic");
             assert!(line.ends_with(b"\n"), "it was answered");
-            let before = room.present();
+            let before = table.descriptors();
             let mut callers: Vec<_> = (0..10).map(|_| connect(addr)).collect();
             for (id, caller) in callers.iter_mut().enumerate().filter(|(id, _)| id % 2 == 0) {
                 caller.write_all(call(id).as_bytes()).expect("open");
@@ -409,7 +406,7 @@
             kept.write_all(call(2).as_bytes()).expect("open");
             stop.send_replace(true);
             // The others send a moment later.
-            while room.present() < before + callers.len() {
+            while table.descriptors() < before + callers.len() {
                 assert!(!serving.is_finished(), "it closed on them");
                 yield_now().await;
             }
--- a/crates/heathroad/tests/unit/stream.rs
+++ b/crates/heathroad/tests/unit/stream.rs
@@ -6,8 +6,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 use tokio::task::{LocalSet, spawn_local};
 
-impl Peek for TokioIo<DuplexStream> {
-    fn unread(&self) -> bool {
+impl Unread for TokioIo<DuplexStream> {
+    fn has_unread(&self) -> bool {
         false
     }
 }
@@ -18,13 +18,13 @@
     let (near, mut far) = duplex(1024);
     LocalSet::new()
         .run_until(async {
-            let watched = Watched::new(TokioIo::new(near));
+            let watched = WatchedStream::new(TokioIo::new(near));
             let progress = watched.progress();
             let (mut sender, connection) = handshake(watched).await.expect("nothing is sent yet");
             spawn_local(async move {
                 let _ = connection.await;
             });
-            let body = Outgoing::new(vec![b'x'; body].into(), progress.clone());
+            let body = RequestBody::new(vec![b'x'; body].into(), progress.clone());
             let request = Request::post("/")
                 .header("host", "b")
                 .body(body)
@@ -65,9 +65,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_write_that_makes_no_headway_fails() {
     // The far end stays open and takes nothing: only the time limit ends this.
-    assert!(!broken_after(60_000, async |_| sleep(STALL * 2).await).await);
+    assert!(!broken_after(60_000, async |_| sleep(WRITE_TIMEOUT * 2).await).await);
     let (near, _far) = duplex(8);
-    let mut watched = Watched::new(TokioIo::new(near));
+    let mut watched = WatchedStream::new(TokioIo::new(near));
     let write = std::future::poll_fn(|cx| Pin::new(&mut watched).poll_write(cx, &[0; 8]));
     assert_eq!(write.await.expect("there is room"), 8);
     let write = std::future::poll_fn(|cx| Pin::new(&mut watched).poll_write(cx, &[0; 8]));
@@ -85,11 +85,11 @@
     let addr = listener.local_addr().expect("bound");
     let near = TcpStream::connect(addr).await.expect("it listens");
     let (mut far, _) = listener.accept().await.expect("it came");
-    let mut watched = Watched::new(TokioIo::new(near));
+    let mut watched = WatchedStream::new(TokioIo::new(near));
     let progress = watched.progress();
     let mut write = async |fresh: bool| {
         if fresh {
-            progress.begin();
+            progress.start_request();
         }
         std::future::poll_fn(|cx| Pin::new(&mut watched).poll_write(cx, b"request")).await
     };
