--- a/crates/heathroad/src/backend/attempt.rs
+++ b/crates/heathroad/src/backend/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a request at a backend: how it runs, times out and is cancelled.
 
-use super::outcome::AttemptResult;
+use super::outcome::AttemptEnd;
 use super::pool::Pool;
 use super::target::Target;
 use super::{Call, exchange};
@@ -147,8 +147,8 @@
     pub async fn run(
         self,
         pool: Rc<Pool>,
-        on_result: impl FnOnce(AttemptResult),
-        on_late_result: impl FnOnce(AttemptResult),
+        on_result: impl FnOnce(AttemptEnd),
+        on_late_result: impl FnOnce(AttemptEnd),
     ) {
         let (control, budget) = (&self.control, self.budget.as_deref());
         let exchange = exchange(
@@ -172,25 +172,25 @@
         if control.written() != Written::Whole {
             // Its connection, if it has one, is closed: no backend ever has the whole request.
             exchange.set(None);
-            return report(AttemptResult::NotServed(Outcome::Moot));
+            return report(AttemptEnd::NotServed(Outcome::NotSent));
         }
-        report(AttemptResult::NotServed(given_up));
+        report(AttemptEnd::NotServed(given_up));
         // The close tells such a backend to stop, and whatever it has not sent on yet is dropped:
         // the work ends here and now.
         if budget.is_some_and(AttemptBudget::cancels_downstream) {
-            return on_late_result(AttemptResult::NotServed(given_up));
+            return on_late_result(AttemptEnd::NotServed(given_up));
         }
         let late_result = await_abandoned(&pool, exchange.as_mut()).await;
-        on_late_result(late_result.unwrap_or(AttemptResult::NotServed(given_up)));
+        on_late_result(late_result.unwrap_or(AttemptEnd::NotServed(given_up)));
     }
 }
 
 /// Runs an exchange until it ends, times out or is cancelled.
 async fn run_until_given_up(
-    mut exchange: Pin<&mut Option<impl Future<Output = AttemptResult>>>,
+    mut exchange: Pin<&mut Option<impl Future<Output = AttemptEnd>>>,
     control: &AttemptControl,
     times_out_at: Instant,
-) -> Result<AttemptResult, Outcome> {
+) -> Result<AttemptEnd, Outcome> {
     let mut timer = pin!(sleep_until(times_out_at));
     poll_fn(|cx| {
         let has_timed_out = timer.as_mut().poll(cx).is_ready();
@@ -222,8 +222,8 @@
 /// Returns nothing if none has come, or where another attempt needs the connection's slot more.
 async fn await_abandoned(
     pool: &Pool,
-    exchange: Pin<&mut Option<impl Future<Output = AttemptResult>>>,
-) -> Option<AttemptResult> {
+    exchange: Pin<&mut Option<impl Future<Output = AttemptEnd>>>,
+) -> Option<AttemptEnd> {
     if !pool.limits.may_duplicate {
         return None;
     }
--- a/crates/heathroad/src/backend/http/mod.rs
+++ b/crates/heathroad/src/backend/http/mod.rs
@@ -6,7 +6,7 @@
 pub use connection::{Connection, IdleConnection};
 
 use super::attempt::AttemptControl;
-use super::outcome::{AttemptResult, classify_status};
+use super::outcome::{AttemptEnd, classify_status};
 use super::pool::Pool;
 use super::target::Target;
 use crate::retry_budget::AttemptBudget;
@@ -95,7 +95,7 @@
     expires_at: Instant,
     control: &AttemptControl,
     budget: Option<&AttemptBudget>,
-) -> AttemptResult {
+) -> AttemptEnd {
     let sent = send(pool, call, target, expires_at, control, budget).await;
     let (mut connection, response) = match sent {
         Ok(sent) => sent,
@@ -112,7 +112,7 @@
     let Some((result, is_reusable)) = result.zip(is_reusable) else {
         // The request may have run, and what is on this connection is of no use.
         tracing::debug!(id = ?call.id, address = %target.address, "response truncated or malformed");
-        return AttemptResult::NotServed(Outcome::Reset);
+        return AttemptEnd::NotServed(Outcome::Reset);
     };
     if is_reusable {
         pool.keep_idle(target, connection);
@@ -128,15 +128,15 @@
     expires_at: Instant,
     control: &AttemptControl,
     budget: Option<&AttemptBudget>,
-) -> Result<(Connection, Response<Incoming>), AttemptResult> {
+) -> Result<(Connection, Response<Incoming>), AttemptEnd> {
     loop {
         let acquired = acquire(pool, target).await;
-        let (mut connection, is_reused) = acquired.map_err(AttemptResult::NotServed)?;
+        let (mut connection, is_reused) = acquired.map_err(AttemptEnd::NotServed)?;
         // The connect may have taken long: by now the backend may drain, the client have left, or a
         // retry come too late.
         if let Err(denial) = pool.check_write(target, control) {
             violations::record_denial(denial, &String::from_utf8_lossy(call.id.as_bytes()));
-            return Err(AttemptResult::NotServed(Outcome::Moot));
+            return Err(AttemptEnd::NotServed(Outcome::NotSent));
         }
         tracing::debug!(id = ?call.id, address = %target.address, is_reused, "attempt written");
         let request = call.to_request(&connection.progress, expires_at, budget);
@@ -171,20 +171,17 @@
 
 /// Returns what a response means that came before the request's last byte was written. No backend
 /// made a response for what it has not whole, unless it rejected the request by its head.
-fn classify_early_response(
-    connection: &Connection,
-    response: &Response<Incoming>,
-) -> AttemptResult {
+fn classify_early_response(connection: &Connection, response: &Response<Incoming>) -> AttemptEnd {
     match classify_status(response.status(), response::is_declined(response)) {
-        result @ (AttemptResult::Rejected | AttemptResult::NotServed(Outcome::Full)) => result,
+        result @ (AttemptEnd::Rejected | AttemptEnd::NotServed(Outcome::Rejected)) => result,
         _ => reset_unless_unwritten(connection),
     }
 }
 
 /// Returns the result of a connection that broke off. A request that was not written whole never
 /// ran: the connection is closed, and no backend gets the rest.
-fn reset_unless_unwritten(connection: &Connection) -> AttemptResult {
-    AttemptResult::NotServed(match connection.progress.written() {
+fn reset_unless_unwritten(connection: &Connection) -> AttemptEnd {
+    AttemptEnd::NotServed(match connection.progress.written() {
         Written::Whole => Outcome::Reset,
         Written::Nothing | Written::Part => Outcome::ConnectFailed,
     })
--- a/crates/heathroad/src/backend/http/response.rs
+++ b/crates/heathroad/src/backend/http/response.rs
@@ -3,7 +3,7 @@
 use super::DECLINED;
 use super::connection::Connection;
 use crate::backend::MAX_BODY;
-use crate::backend::outcome::{AttemptResult, classify_status};
+use crate::backend::outcome::{AttemptEnd, classify_status};
 use crate::retry_budget::AttemptBudget;
 use crate::runtime_accounting::timeout;
 use bytes::{Bytes, BytesMut};
@@ -86,7 +86,7 @@
 pub(super) async fn read(
     response: Response<Incoming>,
     budget: Option<&AttemptBudget>,
-) -> Option<AttemptResult> {
+) -> Option<AttemptEnd> {
     let (head, body) = response.into_parts();
     if let Some(budget) = budget {
         budget.read_http_report(&head.headers);
@@ -98,7 +98,7 @@
     }
     let body = read_body(body).await?;
     Some(match head.status {
-        StatusCode::OK => AttemptResult::Served(body),
+        StatusCode::OK => AttemptEnd::Served(body),
         status => classify_status(status, summary.is_declined),
     })
 }
--- a/crates/heathroad/src/backend/jsonrpc/mod.rs
+++ b/crates/heathroad/src/backend/jsonrpc/mod.rs
@@ -7,7 +7,7 @@
 pub use connection::Connection;
 
 use super::attempt::AttemptControl;
-use super::outcome::{AttemptResult, classify_answer};
+use super::outcome::{AttemptEnd, classify_answer};
 use super::pool::Pool;
 use super::target::Target;
 use crate::retry_budget::AttemptBudget;
@@ -124,15 +124,15 @@
     expires_at: Instant,
     control: &Rc<AttemptControl>,
     budget: Option<&AttemptBudget>,
-) -> AttemptResult {
+) -> AttemptEnd {
     loop {
         let (connection, is_reused) = match acquire(pool, call, target).await {
             Ok(acquired) => acquired,
-            Err(outcome) => return AttemptResult::NotServed(outcome),
+            Err(outcome) => return AttemptEnd::NotServed(outcome),
         };
         if let Err(denial) = pool.check_write(target, control) {
             violations::record_denial(denial, &String::from_utf8_lossy(&call.method));
-            return AttemptResult::NotServed(Outcome::Moot);
+            return AttemptEnd::NotServed(Outcome::NotSent);
         }
         let mut handle = connection.start_call(call, expires_at, control, budget);
         let end = (&mut handle.end).await;
@@ -160,11 +160,7 @@
 }
 
 /// Returns what a call's end means; nothing is known of one whose connection's task is gone.
-fn classify_end(
-    end: Option<CallEnd>,
-    call: &Call,
-    budget: Option<&AttemptBudget>,
-) -> AttemptResult {
+fn classify_end(end: Option<CallEnd>, call: &Call, budget: Option<&AttemptBudget>) -> AttemptEnd {
     match end {
         Some(CallEnd::Answered(answer)) => {
             if let Some(budget) = budget {
@@ -172,13 +168,13 @@
             }
             classify_answer(answer, call.transport.declined_code)
         }
-        Some(CallEnd::NotificationSent) => AttemptResult::NotificationSent,
-        Some(CallEnd::Drained) => AttemptResult::NotServed(Outcome::Moot),
+        Some(CallEnd::NotificationSent) => AttemptEnd::NotificationSent,
+        Some(CallEnd::Drained) => AttemptEnd::NotServed(Outcome::NotSent),
         Some(CallEnd::ConnectionLost(Written::Nothing | Written::Part)) => {
-            AttemptResult::NotServed(Outcome::ConnectFailed)
+            AttemptEnd::NotServed(Outcome::ConnectFailed)
         }
         Some(CallEnd::ConnectionLost(Written::Whole)) | None => {
-            AttemptResult::NotServed(Outcome::Reset)
+            AttemptEnd::NotServed(Outcome::Reset)
         }
     }
 }
--- a/crates/heathroad/src/backend/mod.rs
+++ b/crates/heathroad/src/backend/mod.rs
@@ -13,7 +13,7 @@
 mod target;
 
 pub use attempt::{Attempt, AttemptControl, store_waker};
-pub use outcome::AttemptResult;
+pub use outcome::AttemptEnd;
 pub use pool::{Limits, Pool};
 pub use target::Target;
 
@@ -58,7 +58,7 @@
     expires_at: Instant,
     control: &Rc<AttemptControl>,
     budget: Option<&AttemptBudget>,
-) -> AttemptResult {
+) -> AttemptEnd {
     match call {
         Call::Http(call) => http::exchange(pool, call, target, expires_at, control, budget).await,
         Call::JsonRpc(call) => {
--- a/crates/heathroad/src/backend/pool.rs
+++ b/crates/heathroad/src/backend/pool.rs
@@ -246,7 +246,7 @@
         // Without a slot the request was never sent, and that says nothing of the backend.
         acquired.ok().and_then(Result::ok).ok_or_else(|| {
             tracing::debug!(reason = "no connection slot", "backend connection failed");
-            Outcome::Moot
+            Outcome::NotSent
         })
     }
 
@@ -263,7 +263,7 @@
                 tracing::debug!(%address, reason = %error, "backend connection failed");
                 let is_ours = is_out_of_descriptors(&error);
                 return Err(if is_ours {
-                    Outcome::Moot
+                    Outcome::NotSent
                 } else {
                     Outcome::ConnectFailed
                 });
--- a/crates/heathroad/src/engine/attempt.rs
+++ b/crates/heathroad/src/engine/attempt.rs
@@ -1,12 +1,12 @@
 //! The attempts of open requests: whether one may be sent, how it is sent, and what follows from
 //! its result.
 
-use super::endpoints::Endpoint;
+use super::endpoints::KnownEndpoint;
 use super::pending_response::RunningAttempt;
 use super::request::OpenRequest;
 use super::response::{Response, ResponseState};
 use super::{Engine, State};
-use crate::backend::{Attempt, AttemptControl, AttemptResult, Target};
+use crate::backend::{Attempt, AttemptControl, AttemptEnd, Target};
 use crate::membership::activity_log;
 use crate::metrics::Special;
 use crate::retry_budget::{DelegatedBudget, RequestBudget};
@@ -15,7 +15,7 @@
 };
 use crate::time::as_millis;
 use bytes::Bytes;
-use heathroad_balancer::api::{BackendId, Event, Outcome, RequestId, Resolved};
+use heathroad_balancer::api::{AttemptResult, BackendId, Event, Outcome, RequestId};
 use heathroad_membership::record::Act;
 use std::rc::Rc;
 use tokio::time::Instant;
@@ -53,15 +53,15 @@
 
 impl AttemptId {
     /// Returns the decision module's event for the attempt's end.
-    fn resolved(&self, outcome: Outcome, elapsed_ms: f64, open: &OpenRequest) -> Resolved {
-        Resolved {
+    fn resolved(&self, outcome: Outcome, elapsed_ms: f64, open: &OpenRequest) -> AttemptResult {
+        AttemptResult {
             request: self.request,
             attempt: self.number as u8,
             backend: self.backend,
             outcome,
-            wait: elapsed_ms,
-            closed: open.is_answered(),
-            spare: open.budget.as_ref().map(RequestBudget::remaining_retries),
+            elapsed: elapsed_ms,
+            request_closed: open.is_answered(),
+            retries_left: open.budget.as_ref().map(RequestBudget::remaining_retries),
         }
     }
 }
@@ -83,7 +83,7 @@
             Ok(granted) => granted,
             Err(denial) => return self.deny_attempt(state, request, backend, denial),
         };
-        let priority_weight = state.balancer.worth(request);
+        let priority_weight = state.balancer.priority_share(request);
         let Some(open) = state.requests.get_mut(&request) else {
             return;
         };
@@ -153,7 +153,7 @@
     fn check_attempt(
         &self,
         open: &OpenRequest,
-        endpoint: Option<&Endpoint>,
+        endpoint: Option<&KnownEndpoint>,
         now: Instant,
     ) -> Result<GrantedAttempt, Denial> {
         if open.is_answered() {
@@ -162,13 +162,13 @@
         if open.client.as_ref().is_some_and(ClientHandle::has_left) {
             return Err(Denial::ClientLeft);
         }
-        if open.attempts.len() >= self.facts.settings.caps.try_limit as usize {
+        if open.attempts.len() >= self.facts.balancer.limits.max_attempts as usize {
             return Err(Denial::AttemptLimit);
         }
         let endpoint = endpoint.ok_or(Denial::BackendWithdrawn)?;
         let target = endpoint.target.clone().ok_or(Denial::BackendWithdrawn)?;
         let location = endpoint.location;
-        let (effect, may_duplicate) = (self.effect(open.class), self.facts.site.may_duplicate);
+        let (effect, may_duplicate) = (self.effect(open.class), self.facts.site.hedging_allowed);
         let write_deadline =
             safety::check_retry(effect, open.past_attempts(), location, may_duplicate, now)?;
         let is_permitted = open.activity.as_ref().is_none_or(activity_log::Bound::may);
@@ -202,10 +202,10 @@
             violations::record_violation(Violation::UnsafeRetry, &label);
         }
         if denial == Denial::ClientLeft && open.close().is_some() {
-            state.events.push_back(Event::Hangup { request });
+            state.events.push_back(Event::ClientLeft { request });
         }
         let (number, started_at) = (open.attempts.len(), Instant::now());
-        let (location, outcome) = (Location::default(), Some(Outcome::Moot));
+        let (location, outcome) = (Location::default(), Some(Outcome::NotSent));
         open.attempts.push(AttemptRecord {
             backend,
             past: PastAttempt {
@@ -215,15 +215,15 @@
             },
             in_flight: None,
         });
-        self.counts.ended(Outcome::Moot, None);
+        self.counts.ended(Outcome::NotSent, None);
         let id = AttemptId {
             request,
             number,
             backend,
             started_at,
         };
-        let resolved = id.resolved(Outcome::Moot, 0.0, open);
-        state.events.push_back(Event::Resolved(resolved));
+        let resolved = id.resolved(Outcome::NotSent, 0.0, open);
+        state.events.push_back(Event::AttemptEnded(resolved));
     }
 
     fn count_attempt(&self, open: &OpenRequest, target: &Target, started_at: Instant) {
@@ -231,7 +231,7 @@
             self.counts.resent(open.last_outcome);
         }
         let age_ms = self.clock.to_ms(started_at) - target.born_ms;
-        if target.born_ms > 0.0 && age_ms < self.facts.settings.rules.cold {
+        if target.born_ms > 0.0 && age_ms < self.facts.balancer.guarantees.slow_start_duration {
             self.counts.sent_cold();
         }
         if let Some(activity) = &open.activity {
@@ -256,7 +256,7 @@
         self: &Rc<Self>,
         request: RequestId,
         number: usize,
-        result: AttemptResult,
+        result: AttemptEnd,
     ) {
         let event = {
             let state = &mut *self.state.borrow_mut();
@@ -288,21 +288,21 @@
             );
             open.last_outcome = Some(outcome);
             if let (Some(budget), Some(delegated)) = (&open.budget, in_flight.budget) {
-                budget.settle(delegated, outcome.never_ran());
+                budget.settle(delegated, outcome.never_executed());
             }
             self.count_result(&result);
             open.respond_with_result(result);
             let resolved = id.resolved(outcome, elapsed_ms, open);
             state.remove_if_finished(request);
-            Event::Resolved(resolved)
+            Event::AttemptEnded(resolved)
         };
         self.notify(event);
     }
 
-    fn count_result(&self, result: &AttemptResult) {
+    fn count_result(&self, result: &AttemptEnd) {
         let special = match result {
-            AttemptResult::Rejected => Some(Special::Rejected),
-            AttemptResult::NotificationSent => Some(Special::Sent),
+            AttemptEnd::Rejected => Some(Special::Rejected),
+            AttemptEnd::NotificationSent => Some(Special::Sent),
             _ => None,
         };
         self.counts.ended(result.outcome(), special);
@@ -310,31 +310,31 @@
 
     /// Notifies the decision module of the result of an attempt that was given up before. Its
     /// request is over.
-    fn record_late_result(self: &Rc<Self>, id: AttemptId, result: &AttemptResult) {
+    fn record_late_result(self: &Rc<Self>, id: AttemptId, result: &AttemptEnd) {
         let outcome = result.outcome();
         self.counts.ended_late(outcome);
-        self.notify(Event::Late(Resolved {
+        self.notify(Event::LateCompletion(AttemptResult {
             request: id.request,
             attempt: id.number as u8,
             backend: id.backend,
             outcome,
-            wait: as_millis(id.started_at.elapsed()),
-            closed: true,
-            spare: None,
+            elapsed: as_millis(id.started_at.elapsed()),
+            request_closed: true,
+            retries_left: None,
         }));
     }
 }
 
 impl OpenRequest {
     /// Sends the response that an attempt's result holds, if any.
-    fn respond_with_result(&mut self, result: AttemptResult) {
+    fn respond_with_result(&mut self, result: AttemptEnd) {
         match result {
-            AttemptResult::Served(body) | AttemptResult::ServedWithError(body) => {
+            AttemptEnd::Served(body) | AttemptEnd::ServedWithError(body) => {
                 self.respond(Response::Served(body));
             }
-            AttemptResult::NotificationSent => self.respond(Response::Served(Bytes::new())),
-            AttemptResult::Rejected => self.respond(Response::Failed),
-            AttemptResult::NotServed(_) => {}
+            AttemptEnd::NotificationSent => self.respond(Response::Served(Bytes::new())),
+            AttemptEnd::Rejected => self.respond(Response::Failed),
+            AttemptEnd::NotServed(_) => {}
         }
     }
 }
--- a/crates/heathroad/src/engine/endpoints.rs
+++ b/crates/heathroad/src/engine/endpoints.rs
@@ -6,14 +6,14 @@
 use crate::metrics::{Counts, Notice};
 use crate::safety::Location;
 use crate::stall_detector;
-use heathroad_balancer::api::{BackendId, Entry, Event, ListKind, Phase};
+use heathroad_balancer::api::{BackendId, Endpoint, EndpointState, Event, UpdateKind};
 use rustc_hash::FxHashMap;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 use tokio::time::Instant;
 
 /// A backend that the list names, or that an open request was sent to.
-pub(super) struct Endpoint {
+pub(super) struct KnownEndpoint {
     name: String,
     is_listed: bool,
     /// Its process, once it was ready.
@@ -22,9 +22,9 @@
     pub(super) location: Location,
 }
 
-impl Endpoint {
-    fn new(name: &str) -> Endpoint {
-        Endpoint {
+impl KnownEndpoint {
+    fn new(name: &str) -> KnownEndpoint {
+        KnownEndpoint {
             name: name.to_string(),
             is_listed: false,
             target: None,
@@ -72,23 +72,25 @@
 #[derive(Default)]
 pub(super) struct Endpoints {
     pub(super) ids: HashMap<String, BackendId>,
-    pub(super) by_id: FxHashMap<BackendId, Endpoint>,
+    pub(super) by_id: FxHashMap<BackendId, KnownEndpoint>,
 }
 
 impl Endpoints {
     /// Returns a backend by its id.
-    pub(super) fn get(&self, id: BackendId) -> Option<&Endpoint> {
+    pub(super) fn get(&self, id: BackendId) -> Option<&KnownEndpoint> {
         self.by_id.get(&id)
     }
 
     /// Returns the processes that take new requests.
     pub(super) fn available_targets(&self) -> impl Iterator<Item = &Rc<Target>> {
-        self.by_id.values().filter_map(Endpoint::available_target)
+        self.by_id
+            .values()
+            .filter_map(KnownEndpoint::available_target)
     }
 
     /// Returns a backend by its name, with its id. The id is made from the name, since every
     /// replica of the proxy orders the backends by it: the replicas' subsets are to overlap evenly.
-    fn get_or_insert(&mut self, name: &str) -> (BackendId, &mut Endpoint) {
+    fn get_or_insert(&mut self, name: &str) -> (BackendId, &mut KnownEndpoint) {
         let id = self.ids.get(name).copied().unwrap_or_else(|| {
             let mut id = hash_text(name) as BackendId;
             while self.by_id.contains_key(&id) {
@@ -97,7 +99,10 @@
             self.ids.insert(name.to_string(), id);
             id
         });
-        let endpoint = self.by_id.entry(id).or_insert_with(|| Endpoint::new(name));
+        let endpoint = self
+            .by_id
+            .entry(id)
+            .or_insert_with(|| KnownEndpoint::new(name));
         (id, endpoint)
     }
 
@@ -120,16 +125,16 @@
 
 impl Engine {
     /// Applies a list of backends, or changes to it.
-    pub fn update_endpoints(self: &Rc<Self>, kind: ListKind, hosts: Vec<Host>) {
-        let entries = {
+    pub fn update_endpoints(self: &Rc<Self>, kind: UpdateKind, hosts: Vec<Host>) {
+        let updated = {
             let endpoints = &mut self.state.borrow_mut().endpoints;
-            if kind != ListKind::Delta {
+            if kind != UpdateKind::Delta {
                 endpoints
                     .by_id
                     .values_mut()
                     .for_each(|endpoint| endpoint.is_listed = false);
             }
-            let entries = hosts
+            let updated = hosts
                 .into_iter()
                 .map(|host| self.update_endpoint(endpoints, host))
                 .collect();
@@ -138,13 +143,16 @@
                 .values()
                 .filter(|endpoint| !endpoint.is_listed);
             unlisted.for_each(|endpoint| endpoint.withdraw(&self.pool, &self.counts, Notice::Gone));
-            entries
+            updated
         };
-        self.notify(Event::List { kind, entries });
+        self.notify(Event::EndpointUpdate {
+            kind,
+            endpoints: updated,
+        });
         self.forget_unlisted_endpoints();
     }
 
-    fn update_endpoint(&self, endpoints: &mut Endpoints, host: Host) -> Entry {
+    fn update_endpoint(&self, endpoints: &mut Endpoints, host: Host) -> Endpoint {
         let (backend, endpoint) = endpoints.get_or_insert(&host.host);
         endpoint.is_listed = host.health != Health::Deleted;
         let zones = &self.facts.site.zones;
@@ -159,25 +167,25 @@
                     host.site
                 );
             }
-            return Entry {
+            return Endpoint {
                 backend,
-                phase: Phase::Gone,
-                ..Entry::default()
+                state: EndpointState::Removed,
+                ..Endpoint::default()
             };
         };
-        let phase = phase(host.health);
-        match phase {
-            Phase::Ready if host.dial.is_some() => {
+        let state = endpoint_state(host.health);
+        match state {
+            EndpointState::Ready if host.dial.is_some() => {
                 endpoint.set_ready_target(&host, &self.pool, &self.counts);
             }
-            Phase::Gone => endpoint.withdraw(&self.pool, &self.counts, Notice::Gone),
+            EndpointState::Removed => endpoint.withdraw(&self.pool, &self.counts, Notice::Gone),
             _ => endpoint.withdraw(&self.pool, &self.counts, Notice::Draining),
         }
         let (zone, cell) = (zone as u16, host.block);
         endpoint.location = Location { zone, cell };
-        Entry {
+        Endpoint {
             backend,
-            phase,
+            state,
             zone,
             started_at: host.born_ms.max(0.0),
             weight: host.share.max(0.0),
@@ -204,17 +212,17 @@
     /// Notifies the decision module that a call to discovery failed.
     pub fn record_list_failure(self: &Rc<Self>) {
         self.watch_requested.send_replace(false);
-        self.notify(Event::List {
-            kind: ListKind::Failed,
-            entries: Vec::new(),
+        self.notify(Event::EndpointUpdate {
+            kind: UpdateKind::Failed,
+            endpoints: Vec::new(),
         });
     }
 }
 
-fn phase(health: Health) -> Phase {
+fn endpoint_state(health: Health) -> EndpointState {
     match health {
-        Health::Serving => Phase::Ready,
-        Health::Draining => Phase::Draining,
-        Health::Deleted => Phase::Gone,
+        Health::Serving => EndpointState::Ready,
+        Health::Draining => EndpointState::Draining,
+        Health::Deleted => EndpointState::Removed,
     }
 }
--- a/crates/heathroad/src/engine/mod.rs
+++ b/crates/heathroad/src/engine/mod.rs
@@ -25,8 +25,8 @@
 use clock::Clock;
 use endpoints::Endpoints;
 use heathroad_balancer::Balancer;
-use heathroad_balancer::api::{Action, Effect, Event, RequestId, Settings, SettingsError};
-use heathroad_balancer::settings::Facts;
+use heathroad_balancer::api::{Action, Event, Idempotency, RequestId, Settings, SettingsError};
+use heathroad_balancer::settings::InstanceSettings;
 use request::OpenRequest;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -52,7 +52,7 @@
     state: RefCell<State>,
     pool: Rc<Pool>,
     clock: Clock,
-    facts: Facts,
+    facts: InstanceSettings,
     counts: Counts,
     /// What this proxy acts on, where a record is kept.
     activity_log: Option<Rc<Acts>>,
@@ -69,14 +69,14 @@
 impl Engine {
     /// Starts the decision module, which asks for the list of backends through `watch_requested`.
     pub fn new(
-        mut facts: Facts,
+        mut facts: InstanceSettings,
         seed: u64,
         pool: Rc<Pool>,
         counts: Counts,
         activity_log: Option<Rc<Acts>>,
         watch_requested: watch::Sender<bool>,
     ) -> Result<Rc<Self>, SettingsError> {
-        facts.settings.caps.late_ends = true;
+        facts.balancer.limits.late_completions = true;
         let state = State {
             balancer: Balancer::new(balancer_settings(&facts), seed)?,
             endpoints: Endpoints::default(),
@@ -142,7 +142,7 @@
     }
 
     /// Returns the pool's settings.
-    pub fn facts(&self) -> &Facts {
+    pub fn facts(&self) -> &InstanceSettings {
         &self.facts
     }
 
@@ -168,13 +168,16 @@
     /// Tells the decision module how many engines send to some backend of this one's, and so share
     /// the requests that it may take while it warms up.
     pub fn share_warm_up(&self, engines: usize) {
-        self.state.borrow_mut().balancer.share_cold(engines);
+        self.state
+            .borrow_mut()
+            .balancer
+            .share_slow_start_budget(engines);
     }
 
     /// Sets the least initial concurrency limit, by what is known of the backends. It is told
     /// before the first list.
     pub fn set_initial_limit(&self, limit: f64) {
-        self.state.borrow_mut().balancer.begin_at(limit);
+        self.state.borrow_mut().balancer.raise_limit_to(limit);
     }
 
     /// Declares that no request will come any more. Attempts in flight end by themselves.
@@ -190,7 +193,7 @@
         while let Some(event) = state.events.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
             let now_ms = self.clock.to_ms(Instant::now());
-            state.balancer.handle(now_ms, event, &mut actions);
+            state.balancer.handle_event(now_ms, event, &mut actions);
             for action in actions.drain(..) {
                 self.carry_out(state, action);
             }
@@ -203,11 +206,11 @@
             Action::Send {
                 request,
                 backend,
-                not_past,
+                deadline: not_past,
             } => {
                 self.send_attempt(state, request, backend, not_past);
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -220,15 +223,15 @@
             Action::Cancel { request, attempt } => state.cancel_attempt(request, attempt),
             // Timers keep an engine alive: with nothing left to do they end, and the engine with
             // them.
-            Action::WakeMe { .. } if self.is_closed.get() && state.requests.is_empty() => {}
-            Action::WakeMe { delay, token } => self.schedule_wakeup(millis(delay), token),
-            Action::Close { backend } => {
+            Action::SetTimer { .. } if self.is_closed.get() && state.requests.is_empty() => {}
+            Action::SetTimer { delay, token } => self.schedule_wakeup(millis(delay), token),
+            Action::CloseIdle { backend } => {
                 let endpoint = state.endpoints.get(backend);
                 if let Some(target) = endpoint.and_then(|endpoint| endpoint.target.as_ref()) {
                     self.pool.close_idle_connections(target);
                 }
             }
-            Action::Watch { on } => {
+            Action::WatchEndpoints { on } => {
                 self.watch_requested.send_replace(on);
             }
         }
@@ -248,10 +251,10 @@
 
 /// Returns the settings by which the module decides. Its deduplication windows end earlier than the
 /// configured ones, since an attempt is written a moment after the decision.
-fn balancer_settings(facts: &Facts) -> Settings {
-    let mut settings = facts.settings.clone();
+fn balancer_settings(facts: &InstanceSettings) -> Settings {
+    let mut settings = facts.balancer.clone();
     for class in &mut settings.classes {
-        if let Effect::Dedup { window, .. } = &mut class.effect {
+        if let Idempotency::Deduplicated { window, .. } = &mut class.idempotency {
             *window = as_millis(safety::retry_window(*window));
         }
     }
--- a/crates/heathroad/src/engine/request.rs
+++ b/crates/heathroad/src/engine/request.rs
@@ -12,7 +12,7 @@
 use crate::retry_budget::RequestBudget;
 use crate::safety::{self, ClientHandle, PastAttempt, Violation, violations};
 use crate::time::{as_millis, millis};
-use heathroad_balancer::api::{Arrival, Effect, Event, Outcome, RequestId};
+use heathroad_balancer::api::{Event, Idempotency, Outcome, RequestArrival, RequestId};
 use heathroad_membership::record::Act;
 use std::rc::Rc;
 use std::time::Duration;
@@ -54,16 +54,16 @@
         budget.map_or(self.timeout, |budget| self.timeout.min(budget.time_limit()))
     }
 
-    fn arrival(&self, request: RequestId, deadline: f64) -> Arrival {
+    fn arrival(&self, request: RequestId, deadline: f64) -> RequestArrival {
         let budget = self.budget.as_ref();
-        Arrival {
+        RequestArrival {
             request,
             key: self.key,
             class: self.class,
             tenant: self.tenant,
             deadline,
-            spare: budget.map(RequestBudget::remaining_retries),
-            worth: budget.map_or(1.0, RequestBudget::priority_weight),
+            retries_left: budget.map(RequestBudget::remaining_retries),
+            priority_share: budget.map_or(1.0, RequestBudget::priority_weight),
         }
     }
 }
@@ -185,7 +185,7 @@
         let pending = Rc::<PendingResponse<FinalResponse>>::default();
         let mut guard = RequestGuard::new(self.clone(), request, &incoming);
         self.open_request(request, incoming, client, &deadlines, pending.clone());
-        self.notify(Event::Request(arrival));
+        self.notify(Event::RequestArrived(arrival));
         // The decision module answers in time; the watchdog guards against a late loop and its
         // silence.
         let response = pending.wait(deadlines.watchdog).await.unwrap_or_else(|| {
@@ -236,7 +236,7 @@
     /// Returns an unused id, or nothing where as many requests are open as may be.
     fn next_request_id(&self) -> Option<RequestId> {
         let state = &mut *self.state.borrow_mut();
-        if state.requests.len() >= self.facts.site.open_cap {
+        if state.requests.len() >= self.facts.site.max_open_requests {
             return None;
         }
         let id = state.next_request_id;
@@ -294,20 +294,20 @@
 
     /// Returns the effect that a class declares for its requests; an unknown class is taken for the
     /// strictest.
-    pub(super) fn effect(&self, class: u16) -> Effect {
-        let classes = &self.facts.settings.classes;
+    pub(super) fn effect(&self, class: u16) -> Idempotency {
+        let classes = &self.facts.balancer.classes;
         classes
             .get(usize::from(class))
-            .map_or(Effect::Fragile, |class| class.effect)
+            .map_or(Idempotency::NonIdempotent, |class| class.idempotency)
     }
 
     /// Returns the latency objective of a class.
     fn latency_objective(&self, class: u16) -> Duration {
-        let classes = &self.facts.settings.classes;
+        let classes = &self.facts.balancer.classes;
         millis(
             classes
                 .get(usize::from(class))
-                .map_or(0.0, |class| class.aim),
+                .map_or(0.0, |class| class.latency_objective),
         )
     }
 }
@@ -373,7 +373,7 @@
             has_left
         };
         if has_left {
-            self.engine.notify(Event::Hangup {
+            self.engine.notify(Event::ClientLeft {
                 request: self.request,
             });
         }
--- a/crates/heathroad/src/engine/response.rs
+++ b/crates/heathroad/src/engine/response.rs
@@ -4,7 +4,7 @@
 use crate::metrics::Final;
 use crate::time::millis;
 use bytes::Bytes;
-use heathroad_balancer::settings::Facts;
+use heathroad_balancer::settings::InstanceSettings;
 use heathroad_membership::record::Act;
 use heathroad_retry_budget::wire::RetriesSpent;
 use std::rc::Rc;
@@ -67,8 +67,8 @@
 
 /// Returns the retry delay advertised to clients that are rejected for lack of capacity, or by a
 /// fenced proxy, if the settings allow one.
-pub fn retry_after(facts: &Facts) -> Option<Duration> {
-    let caps = &facts.settings.caps;
+pub fn retry_after(facts: &InstanceSettings) -> Option<Duration> {
+    let caps = &facts.balancer.limits;
     caps.retry_after
         .then(|| millis(RETRY_AFTER_MS.min(caps.max_retry_after)))
 }
--- a/crates/heathroad/src/engine/timers.rs
+++ b/crates/heathroad/src/engine/timers.rs
@@ -69,7 +69,7 @@
         let engine = self.clone();
         spawn_local(async move {
             sleep(delay).await;
-            engine.notify(Event::Wake { token });
+            engine.notify(Event::TimerFired { token });
         });
     }
 
@@ -97,7 +97,7 @@
             state.requests.keys().copied().collect()
         };
         for request in open {
-            self.notify(Event::Hangup { request });
+            self.notify(Event::ClientLeft { request });
         }
     }
 }
--- a/crates/heathroad/src/frontend/http/mod.rs
+++ b/crates/heathroad/src/frontend/http/mod.rs
@@ -9,7 +9,7 @@
 use crate::retry_budget::RetryBudgets;
 use crate::router::Router;
 use crate::runtime_accounting::{sleep, spawn_in};
-use heathroad_balancer::settings::Facts;
+use heathroad_balancer::settings::InstanceSettings;
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     /// Says where requests go.
     pub router: Rc<Router>,
     /// The settings.
-    pub facts: Facts,
+    pub facts: InstanceSettings,
     /// Most connections at once.
     pub max_connections: usize,
     /// Most bytes that are buffered for all clients.
--- a/crates/heathroad/src/frontend/http/request.rs
+++ b/crates/heathroad/src/frontend/http/request.rs
@@ -12,7 +12,7 @@
 use crate::router::{Ask, Bound};
 use crate::runtime_accounting::timeout_at;
 use bytes::{Bytes, BytesMut};
-use heathroad_balancer::api::Effect;
+use heathroad_balancer::api::Idempotency;
 use heathroad_retry_budget::loop_detection::RequestFingerprint;
 use heathroad_routing::split::hash;
 use http_body_util::BodyExt;
@@ -244,12 +244,12 @@
 
 /// Checks that a request has the method, the idempotency key and the body that its class needs.
 fn check_method(
-    effect: Effect,
+    effect: Idempotency,
     method: &Method,
     has_key: bool,
     has_body: bool,
 ) -> Result<(), RequestError> {
-    let is_idempotent = matches!(effect, Effect::Retryable);
+    let is_idempotent = matches!(effect, Idempotency::Idempotent);
     let needed = if is_idempotent {
         Method::GET
     } else {
@@ -259,9 +259,9 @@
         return Err(RequestError::MethodNotAllowed(needed));
     }
     let is_good = match effect {
-        Effect::Retryable => !has_body,
-        Effect::Dedup { .. } => has_key,
-        Effect::Fragile => !has_key,
+        Idempotency::Idempotent => !has_body,
+        Idempotency::Deduplicated { .. } => has_key,
+        Idempotency::NonIdempotent => !has_key,
     };
     if is_good { Ok(()) } else { Err(BAD_REQUEST) }
 }
--- a/crates/heathroad/src/frontend/http/response.rs
+++ b/crates/heathroad/src/frontend/http/response.rs
@@ -4,7 +4,7 @@
 use crate::engine::{Response, retry_after};
 use crate::retry_budget::{LoopError, SPENT_HEADER};
 use bytes::Bytes;
-use heathroad_balancer::settings::Facts;
+use heathroad_balancer::settings::InstanceSettings;
 use http_body_util::Full;
 use hyper::header::{ALLOW, CONNECTION, HeaderValue, RETRY_AFTER};
 use hyper::{Method, StatusCode};
@@ -40,7 +40,7 @@
 
 impl RequestError {
     /// Returns the reply to the client.
-    pub(super) fn into_reply(self, facts: &Facts) -> Reply {
+    pub(super) fn into_reply(self, facts: &InstanceSettings) -> Reply {
         match self {
             RequestError::Malformed(status) => closing(status),
             RequestError::NotRouted(status) => plain(status),
--- a/crates/heathroad/src/frontend/jsonrpc/call.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/call.rs
@@ -10,7 +10,7 @@
 use crate::retry_budget::{RequestBudget, read_jsonrpc_claim};
 use crate::router::Ask;
 use bytes::Bytes;
-use heathroad_balancer::api::Effect;
+use heathroad_balancer::api::Idempotency;
 use heathroad_jsonrpc::message::{
     Call, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, NULL, Wrong,
 };
@@ -109,7 +109,7 @@
         let no_route = "a method that some route takes to where it is served";
         let bound = bound.ok_or(wrong(METHOD_NOT_FOUND, no_route))?;
         let transport = bound.way.ok_or(wrong(METHOD_NOT_FOUND, no_route))?;
-        if matches!(bound.effect, Effect::Dedup { .. }) && key.is_none() {
+        if matches!(bound.effect, Idempotency::Deduplicated { .. }) && key.is_none() {
             return Err(wrong(INVALID_PARAMS, "a key"));
         }
         let timeout = bound.deadline.unwrap_or_default();
--- a/crates/heathroad/src/frontend/jsonrpc/mod.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/mod.rs
@@ -23,7 +23,7 @@
 use crate::retry_budget::RetryBudgets;
 use crate::router::routed_pools::Many;
 use crate::runtime_accounting::spawn_in;
-use heathroad_balancer::settings::Facts;
+use heathroad_balancer::settings::InstanceSettings;
 use heathroad_routing::file::Listener;
 use listener::ListenerServer;
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
     /// Says where calls go, and which listeners take them.
     pub many: Rc<Many>,
     /// The settings.
-    pub facts: Facts,
+    pub facts: InstanceSettings,
     /// Most connections at once, with those over HTTP.
     pub max_connections: usize,
     /// Most bytes that are buffered for all clients, in texts and answers.
--- a/crates/heathroad/src/safety/rules.rs
+++ b/crates/heathroad/src/safety/rules.rs
@@ -2,7 +2,7 @@
 
 use crate::stall_detector;
 use crate::time::millis;
-use heathroad_balancer::api::{Effect, Group, Outcome};
+use heathroad_balancer::api::{DeduplicationScope, Idempotency, Outcome};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -72,7 +72,7 @@
 impl PastAttempt {
     /// Returns whether it may have had an effect, or may yet have one.
     fn may_have_run(&self) -> bool {
-        !self.outcome.is_some_and(Outcome::never_ran)
+        !self.outcome.is_some_and(Outcome::never_executed)
     }
 }
 
@@ -82,7 +82,7 @@
 /// Returns until when one more attempt may be written at a location, or the rule that denies it.
 /// The effect is what the request's class declares.
 pub fn check_retry<'a>(
-    effect: Effect,
+    effect: Idempotency,
     past_attempts: impl Iterator<Item = &'a PastAttempt> + Clone,
     location: Location,
     may_duplicate: bool,
@@ -99,9 +99,12 @@
         return Ok(None);
     };
     let (window, group) = match effect {
-        Effect::Retryable => return Ok(None),
-        Effect::Fragile => return Err(Denial::NotRetryable),
-        Effect::Dedup { window, group } => (window, group),
+        Idempotency::Idempotent => return Ok(None),
+        Idempotency::NonIdempotent => return Err(Denial::NotRetryable),
+        Idempotency::Deduplicated {
+            window,
+            scope: group,
+        } => (window, group),
     };
     if !is_in_group(group, first.location, location) {
         return Err(Denial::OutsideGroup);
@@ -115,11 +118,11 @@
 }
 
 /// Returns whether a location recognizes the idempotency keys that were used at the first.
-fn is_in_group(group: Group, first: Location, location: Location) -> bool {
+fn is_in_group(group: DeduplicationScope, first: Location, location: Location) -> bool {
     match group {
-        Group::All => true,
-        Group::Zone => location.zone == first.zone,
-        Group::Cell => location.cell == first.cell,
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => location.zone == first.zone,
+        DeduplicationScope::Cell => location.cell == first.cell,
     }
 }
 
@@ -132,14 +135,14 @@
 
 /// Returns whether a request may be rejected, which promises that a retry is harmless.
 pub fn may_reject<'a>(
-    effect: Effect,
+    effect: Idempotency,
     mut past_attempts: impl Iterator<Item = &'a PastAttempt>,
 ) -> bool {
     let retries_anywhere = matches!(
         effect,
-        Effect::Retryable
-            | Effect::Dedup {
-                group: Group::All,
+        Idempotency::Idempotent
+            | Idempotency::Deduplicated {
+                scope: DeduplicationScope::All,
                 ..
             }
     );
--- a/crates/heathroad/tests/unit/backend_pool.rs
+++ b/crates/heathroad/tests/unit/backend_pool.rs
@@ -1,7 +1,7 @@
 //! Unit tests of the pool of connections.
 
 use super::*;
-use crate::backend::{Attempt, AttemptResult, Call};
+use crate::backend::{Attempt, AttemptEnd, Call};
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
@@ -60,10 +60,10 @@
                 budget: None,
             };
             let (sender, reported) = oneshot::channel();
-            let on_result = |result: AttemptResult| sender.send(result.outcome()).expect("awaited");
+            let on_result = |result: AttemptEnd| sender.send(result.outcome()).expect("awaited");
             let (late_sender, ended_late) = oneshot::channel();
             let on_late_result =
-                |result: AttemptResult| late_sender.send(result.outcome()).expect("awaited");
+                |result: AttemptEnd| late_sender.send(result.outcome()).expect("awaited");
             spawn_local(attempt.run(pool.clone(), on_result, on_late_result));
             let (mut backend, _) = listener.accept().await.expect("it came");
             assert_ne!(backend.read(&mut [0; 1024]).await.expect("open"), 0);
--- a/crates/heathroad/tests/unit/backend_races.rs
+++ b/crates/heathroad/tests/unit/backend_races.rs
@@ -67,7 +67,7 @@
         budget: None,
     };
     let (sender, outcome) = oneshot::channel();
-    let on_result = |result: AttemptResult| sender.send(result.outcome()).expect("awaited");
+    let on_result = |result: AttemptEnd| sender.send(result.outcome()).expect("awaited");
     let task = spawn_local(attempt.run(pool.clone(), on_result, |_| {}));
     RunningAttempt {
         control,
@@ -117,7 +117,7 @@
                 let waits = run(&pool, &target, call(0));
                 yield_now().await;
                 cancel(&waits.control);
-                assert_eq!(soon(waits.outcome).await, Ok(Outcome::Moot));
+                assert_eq!(soon(waits.outcome).await, Ok(Outcome::NotSent));
                 soon(waits.task).await.expect("no panic");
             }
             assert!(!busy.control.has_reported(), "the other goes on");
@@ -125,7 +125,7 @@
                 .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                 .await
                 .expect("open");
-            assert_eq!(soon(busy.outcome).await, Ok(Outcome::Ok));
+            assert_eq!(soon(busy.outcome).await, Ok(Outcome::Success));
             assert!(
                 soon(pool.connect_http(address)).await.is_ok(),
                 "its slot is free"
@@ -165,7 +165,7 @@
                 let again = run(&pool, &target, call(0));
                 soon(connecting(address)).await;
                 cancel(&again.control);
-                assert_eq!(soon(again.outcome).await, Ok(Outcome::Moot));
+                assert_eq!(soon(again.outcome).await, Ok(Outcome::NotSent));
                 soon(again.task).await.expect("no panic");
                 let mut nothing = Vec::new();
                 assert_eq!(
@@ -194,7 +194,7 @@
         ),
         (
             "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
-            Outcome::Full,
+            Outcome::Rejected,
         ),
         (
             "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
@@ -266,7 +266,7 @@
                 let attempt = run(&pool, &target, call(MAX_BODY));
                 assert_ne!(soon(backend.read(&mut [0; 64])).await.expect("open"), 0);
                 cancel(&attempt.control);
-                assert_eq!(soon(attempt.outcome).await, Ok(Outcome::Moot));
+                assert_eq!(soon(attempt.outcome).await, Ok(Outcome::NotSent));
                 let mut rest = Vec::new();
                 let _ = soon(backend.read_to_end(&mut rest)).await;
                 assert!(rest.len() < MAX_BODY, "it got all of it");
@@ -289,7 +289,7 @@
             let served = async |stream: &mut TcpStream, attempt: RunningAttempt| {
                 assert_ne!(soon(stream.read(&mut [0; 1024])).await.expect("open"), 0);
                 stream.write_all(answer).await.expect("open");
-                assert_eq!(soon(attempt.outcome).await, Ok(Outcome::Ok));
+                assert_eq!(soon(attempt.outcome).await, Ok(Outcome::Success));
             };
             let attempt = run(&pool, &target, call(0));
             let (mut first, _) = soon(listener.accept()).await.expect("it came");
@@ -349,7 +349,7 @@
                 let (mut node, _) = soon(listener.accept()).await.expect("it came");
                 assert_ne!(soon(node.read(&mut [0; 64])).await.expect("open"), 0);
                 cancel(&attempt.control);
-                assert_eq!(soon(attempt.outcome).await, Ok(Outcome::Moot));
+                assert_eq!(soon(attempt.outcome).await, Ok(Outcome::NotSent));
                 let mut rest = Vec::new();
                 let _ = soon(node.read_to_end(&mut rest)).await;
                 assert!(rest.len() < TEXT, "it got all of it");
--- a/crates/heathroad/tests/unit/engine.rs
+++ b/crates/heathroad/tests/unit/engine.rs
@@ -8,12 +8,12 @@
 use crate::runtime_accounting::spawn_local;
 use crate::safety::{ClientConnection, ClientHandle, Denial, Location, PastAttempt, violations};
 use bytes::Bytes;
-use heathroad_balancer::api::{ListKind, Outcome};
+use heathroad_balancer::api::{Outcome, UpdateKind};
 use std::time::Duration;
 use tokio::task::LocalSet;
 
 /// Returns settings of one idempotent class.
-pub fn facts() -> Facts {
+pub fn facts() -> InstanceSettings {
     let text = r#"{"slotNo": 0, "peersTotal": 1, "tier": 0, "locality": 0, "localities": ["a"], "tick": 5.0,
         "overShareWorth": 0.05, "discovery": "automatic", "tenants": [],
         "classes": [{"name": "look", "aim": 1000.0, "points": 1.0, "semantics": "retryable", "group": "all",
@@ -67,9 +67,10 @@
                 let (old, new) = (format!("s-{n}"), format!("s-{}", n + 1));
                 if n % 2 == 0 {
                     let hosts = vec![host(&old, Health::Deleted), host(&new, Health::Serving)];
-                    engine.update_endpoints(ListKind::Delta, hosts);
+                    engine.update_endpoints(UpdateKind::Delta, hosts);
                 } else {
-                    engine.update_endpoints(ListKind::Full, vec![host(&new, Health::Serving)]);
+                    engine
+                        .update_endpoints(UpdateKind::Snapshot, vec![host(&new, Health::Serving)]);
                 }
                 let endpoints = &engine.state.borrow().endpoints;
                 assert_eq!(
@@ -93,7 +94,7 @@
             let past = PastAttempt {
                 location: Location::default(),
                 started_at: now,
-                outcome: Some(Outcome::Ok),
+                outcome: Some(Outcome::Success),
             };
             let open = OpenRequest {
                 call: Rc::new(Call::Http(call)),
@@ -111,7 +112,7 @@
                 activity: None,
             };
             engine.state.borrow_mut().requests.insert(7, open);
-            engine.update_endpoints(ListKind::Full, vec![host("s-101", Health::Serving)]);
+            engine.update_endpoints(UpdateKind::Snapshot, vec![host("s-101", Health::Serving)]);
             assert_eq!(engine.state.borrow().endpoints.by_id.len(), 2);
             engine.state.borrow_mut().requests.clear();
             engine.forget_unlisted_endpoints();
@@ -157,7 +158,7 @@
     let engine = engine.expect("good settings");
     let dial = Some(listener.local_addr().expect("bound"));
     engine.update_endpoints(
-        ListKind::Full,
+        UpdateKind::Snapshot,
         vec![Host {
             dial,
             ..host("a", Health::Serving)
--- a/crates/heathroad/tests/unit/safety_rules.rs
+++ b/crates/heathroad/tests/unit/safety_rules.rs
@@ -15,27 +15,31 @@
     }
 }
 
-fn idempotent(group: Group) -> Effect {
-    Effect::Dedup {
-        group,
+fn idempotent(group: DeduplicationScope) -> Idempotency {
+    Idempotency::Deduplicated {
+        scope: group,
         window: 1000.0,
     }
 }
 
 const MAY_HAVE_RUN: [Option<Outcome>; 6] = [
     None,
-    Some(Outcome::Ok),
+    Some(Outcome::Success),
     Some(Outcome::Error),
     Some(Outcome::Timeout),
     Some(Outcome::Reset),
     Some(Outcome::Cancelled),
 ];
-const NEVER_RAN: [Outcome; 3] = [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot];
+const NEVER_RAN: [Outcome; 3] = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent];
 
 #[test]
 fn a_request_that_never_ran_is_retried_anywhere_at_any_time() {
     let now = Instant::now();
-    for effect in [Effect::Retryable, Effect::Fragile, idempotent(Group::Cell)] {
+    for effect in [
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        idempotent(DeduplicationScope::Cell),
+    ] {
         assert_eq!(
             check_retry(effect, [].iter(), OTHER_ZONE, false, now),
             Ok(None)
@@ -59,31 +63,70 @@
     for ended in MAY_HAVE_RUN {
         let past = [past_attempt(FIRST, now, ended)];
         assert_eq!(
-            check_retry(Effect::Retryable, past.iter(), OTHER_ZONE, true, now),
+            check_retry(Idempotency::Idempotent, past.iter(), OTHER_ZONE, true, now),
             Ok(None)
         );
         assert_eq!(
-            check_retry(Effect::Fragile, past.iter(), FIRST, true, now),
+            check_retry(Idempotency::NonIdempotent, past.iter(), FIRST, true, now),
             Err(Denial::NotRetryable)
         );
-        assert!(check_retry(idempotent(Group::Cell), past.iter(), FIRST, true, now).is_ok());
+        assert!(
+            check_retry(
+                idempotent(DeduplicationScope::Cell),
+                past.iter(),
+                FIRST,
+                true,
+                now
+            )
+            .is_ok()
+        );
         assert_eq!(
-            check_retry(idempotent(Group::Cell), past.iter(), SAME_ZONE, true, now),
+            check_retry(
+                idempotent(DeduplicationScope::Cell),
+                past.iter(),
+                SAME_ZONE,
+                true,
+                now
+            ),
             Err(Denial::OutsideGroup)
         );
-        assert!(check_retry(idempotent(Group::Zone), past.iter(), SAME_ZONE, true, now).is_ok());
+        assert!(
+            check_retry(
+                idempotent(DeduplicationScope::Zone),
+                past.iter(),
+                SAME_ZONE,
+                true,
+                now
+            )
+            .is_ok()
+        );
         assert_eq!(
-            check_retry(idempotent(Group::Zone), past.iter(), OTHER_ZONE, true, now),
+            check_retry(
+                idempotent(DeduplicationScope::Zone),
+                past.iter(),
+                OTHER_ZONE,
+                true,
+                now
+            ),
             Err(Denial::OutsideGroup)
         );
-        assert!(check_retry(idempotent(Group::All), past.iter(), OTHER_ZONE, true, now).is_ok());
         assert!(
-            may_reject(Effect::Retryable, past.iter())
-                && may_reject(idempotent(Group::All), past.iter())
+            check_retry(
+                idempotent(DeduplicationScope::All),
+                past.iter(),
+                OTHER_ZONE,
+                true,
+                now
+            )
+            .is_ok()
         );
         assert!(
-            !may_reject(Effect::Fragile, past.iter())
-                && !may_reject(idempotent(Group::Zone), past.iter())
+            may_reject(Idempotency::Idempotent, past.iter())
+                && may_reject(idempotent(DeduplicationScope::All), past.iter())
+        );
+        assert!(
+            !may_reject(Idempotency::NonIdempotent, past.iter())
+                && !may_reject(idempotent(DeduplicationScope::Zone), past.iter())
         );
     }
 }
@@ -92,12 +135,27 @@
 fn the_group_is_that_of_the_first_attempt_that_may_have_run() {
     let now = Instant::now();
     let past = [
-        past_attempt(OTHER_ZONE, now, Some(Outcome::Full)),
+        past_attempt(OTHER_ZONE, now, Some(Outcome::Rejected)),
         past_attempt(FIRST, now, Some(Outcome::Reset)),
     ];
-    assert!(check_retry(idempotent(Group::Zone), past.iter(), SAME_ZONE, true, now).is_ok());
+    assert!(
+        check_retry(
+            idempotent(DeduplicationScope::Zone),
+            past.iter(),
+            SAME_ZONE,
+            true,
+            now
+        )
+        .is_ok()
+    );
     assert_eq!(
-        check_retry(idempotent(Group::Zone), past.iter(), OTHER_ZONE, true, now),
+        check_retry(
+            idempotent(DeduplicationScope::Zone),
+            past.iter(),
+            OTHER_ZONE,
+            true,
+            now
+        ),
         Err(Denial::OutsideGroup)
     );
 }
@@ -109,7 +167,13 @@
     let window = Duration::from_millis(1000);
     for ms in 0..1200 {
         let now = begun + Duration::from_millis(ms);
-        match check_retry(idempotent(Group::All), past.iter(), FIRST, true, now) {
+        match check_retry(
+            idempotent(DeduplicationScope::All),
+            past.iter(),
+            FIRST,
+            true,
+            now,
+        ) {
             Ok(by) => assert!(
                 now < by.expect("a keyed one has an end")
                     && by.unwrap() + stall_detector::MAX_TOLERATED_STALL <= begun + window
@@ -121,8 +185,8 @@
         }
     }
     // A window that is shorter than a stall permits no retry.
-    let short = Effect::Dedup {
-        group: Group::All,
+    let short = Idempotency::Deduplicated {
+        scope: DeduplicationScope::All,
         window: 100.0,
     };
     assert_eq!(
@@ -136,11 +200,11 @@
     let now = Instant::now();
     let out = [past_attempt(FIRST, now, None)];
     assert_eq!(
-        check_retry(Effect::Retryable, out.iter(), OTHER_ZONE, false, now),
+        check_retry(Idempotency::Idempotent, out.iter(), OTHER_ZONE, false, now),
         Err(Denial::NotRetryable)
     );
     assert_eq!(
-        check_retry(Effect::Retryable, out.iter(), OTHER_ZONE, true, now),
+        check_retry(Idempotency::Idempotent, out.iter(), OTHER_ZONE, true, now),
         Ok(None)
     );
 }
