--- a/crates/heathroad-membership/examples/membership-bench.rs
+++ b/crates/heathroad-membership/examples/membership-bench.rs
@@ -7,8 +7,8 @@
 mod common;
 
 use common::{World, version};
+use heathroad_membership::claim::MemberState;
 use heathroad_membership::protocol::Event;
-use heathroad_membership::table::Standing;
 
 const LIMIT: u64 = 300_000;
 
@@ -57,14 +57,14 @@
                 sent += (world.sent.iter().sum::<u64>() - before) as f64 / seconds / tries as f64;
                 bytes += (world.bytes - was) as f64 / seconds / tries as f64;
                 let begun = world.now;
-                world.fleet_mut(1).act_on(version(2));
+                world.fleet_mut(1).set_active_version(version(2));
                 let digest = version(2).digest();
                 let all = |w: &World| {
                     w.running().iter().all(|at| {
                         w.fleet(*at)
-                            .table()
+                            .members()
                             .get(1)
-                            .and_then(|m| m.acts)
+                            .and_then(|m| m.active_version)
                             .is_some_and(|a| a.digest == digest)
                     })
                 };
@@ -74,7 +74,7 @@
                 let gone = |w: &World| {
                     w.running()
                         .iter()
-                        .all(|at| w.standing(2, *at) == Standing::Gone)
+                        .all(|at| w.standing(2, *at) == MemberState::Dead)
                 };
                 deaths.extend(world.run_until(begun + LIMIT, gone).map(|at| at - begun));
             }
@@ -98,7 +98,7 @@
             }
             let said =
                 |w: &World, is: fn(&Event) -> bool| w.news.iter().filter(|(_, _, n)| is(n)).count();
-            let reborn = said(&world, |n| matches!(n, Event::Reborn { .. }));
+            let reborn = said(&world, |n| matches!(n, Event::Reincarnated { .. }));
             println!(
                 "  loss {:>2}%, stalls of {stall:>4} ms: {reborn}",
                 (loss * 100.0) as u32
--- a/crates/heathroad-membership/src/desired_version.rs
+++ b/crates/heathroad-membership/src/desired_version.rs
@@ -1,64 +1,77 @@
-//! What the fleet wants: the highest generation of routes that was committed at any member. Two
-//! texts under one number are a conflict that has a name and is settled by a higher number alone:
-//! who knows of it tells neither on.
+//! What all members should run: the highest generation of routes that was committed at any member,
+//! and from when on it is required. Two texts under one generation are a conflict, which only a
+//! higher generation settles.
 
 use crate::version::Digest;
 use crate::{MemberId, Millis};
 use serde::Serialize;
 
-/// A generation that all are to act on.
+/// The most requirements that are kept; the lowest generations go first.
+pub const MAX_REQUIRED: usize = 3;
+/// A deadline that is earlier by no more than this is not a change, since the time that a message
+/// waited is not deducted from it.
+const DEADLINE_TOLERANCE: Millis = 200;
+
+/// A generation of routes that all members should run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct DesiredVersion {
-    /// The generation's number.
+    /// The number of the generation.
     #[serde(rename = "number")]
     pub generation: u64,
     /// The digest of its text.
     pub digest: Digest,
-    /// Where it was committed first.
-    pub by: MemberId,
+    /// The member at which it was committed first.
+    #[serde(rename = "by")]
+    pub origin: MemberId,
 }
 
-/// From a time on nobody is to act on a generation below this one. It holds also once a higher one
-/// is wanted, which need not be required of anybody.
+/// A deadline after which no member may run a lower generation. It holds also once a higher
+/// generation is desired that is not required itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct Required {
-    /// The generation's number.
-    pub number: u64,
-    /// The digest of its text: whoever acts on that, under whatever number, does what is required.
+pub struct RequiredVersion {
+    /// The number of the generation.
+    #[serde(rename = "number")]
+    pub generation: u64,
+    /// The digest of its text. A member that runs this text complies, under whatever generation.
     pub digest: Digest,
-    /// From when on, by this proxy's clock.
-    pub at: Millis,
+    /// The deadline, by this member's clock.
+    #[serde(rename = "at")]
+    pub deadline: Millis,
 }
 
-/// All that is required, as far as is known: the later a time, the higher its number.
+/// All known requirements: the later a deadline, the higher its generation.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
-pub struct Requirements(Vec<Required>);
+pub struct RequiredVersions(Vec<RequiredVersion>);
 
-/// Most requirements that are kept; the lowest go first.
-pub const MAX_REQUIRED: usize = 3;
-
-impl Requirements {
-    /// The lowest first.
-    pub fn all(&self) -> &[Required] {
+impl RequiredVersions {
+    /// Returns the requirements, the lowest generation first.
+    pub fn as_slice(&self) -> &[RequiredVersion] {
         &self.0
     }
 
-    /// Takes a word on what is required; whether it is news.
-    pub fn merge(&mut self, word: Required) -> bool {
-        // What a higher one asks for sooner says nothing beside it; one that has lain in some
-        // message is told as a little later.
-        let covers = |r: &Required| r.number >= word.number && r.at <= word.at.saturating_add(NEAR);
-        if self.0.iter().any(covers) {
-            for r in self.0.iter_mut().filter(|r| r.number == word.number) {
-                r.at = r.at.min(word.at);
-            }
+    /// Takes a requirement, and returns whether it changes anything.
+    pub fn merge(&mut self, new: RequiredVersion) -> bool {
+        // A requirement says nothing beside one of a higher generation with an earlier deadline.
+        let latest = new.deadline.saturating_add(DEADLINE_TOLERANCE);
+        let is_covered = self
+            .0
+            .iter()
+            .any(|known| known.generation >= new.generation && known.deadline <= latest);
+        if is_covered {
+            let same = self
+                .0
+                .iter_mut()
+                .filter(|known| known.generation == new.generation);
+            same.for_each(|known| known.deadline = known.deadline.min(new.deadline));
             return false;
         }
-        self.0
-            .retain(|r| r.number > word.number || r.at < word.at && r.number < word.number);
-        self.0.push(word);
-        self.0.sort_by_key(|r| r.number);
+        self.0.retain(|known| {
+            known.generation > new.generation
+                || known.deadline < new.deadline && known.generation < new.generation
+        });
+        self.0.push(new);
+        self.0.sort_by_key(|known| known.generation);
         if self.0.len() > MAX_REQUIRED {
             self.0.remove(0);
         }
@@ -66,75 +79,71 @@
     }
 }
 
-/// Two texts under one number, the lower digest first.
+/// Two texts under one generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct Conflict {
-    /// The number.
-    pub number: u64,
-    /// The digests.
+pub struct VersionConflict {
+    /// The number of the generation.
+    #[serde(rename = "number")]
+    pub generation: u64,
+    /// The digests of the texts, the lower one first.
     pub digests: [Digest; 2],
 }
 
-/// What is wanted, as far as is known.
+/// What all members should run, as far as is known.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "snake_case", tag = "is")]
+#[serde(tag = "is")]
 pub enum Desired {
     /// Nothing was ever committed.
     #[default]
     #[serde(rename = "nothing")]
     Unset,
-    /// This.
+    /// One text is known for the highest generation.
     #[serde(rename = "one")]
     Version(DesiredVersion),
-    /// Nobody can say which.
+    /// Several texts are known for the highest generation.
     #[serde(rename = "both")]
-    Conflict(Conflict),
+    Conflict(VersionConflict),
 }
 
-/// A deadline that is sooner by less, in milliseconds, is no news: it has lain in some message for
-/// so long.
-const NEAR: Millis = 200;
-
 impl Desired {
-    /// The highest number that is known.
-    pub fn number(&self) -> u64 {
+    /// Returns the highest generation that is known, and 0 if there is none.
+    pub fn generation(&self) -> u64 {
         match self {
             Desired::Unset => 0,
-            Desired::Version(w) => w.generation,
-            Desired::Conflict(c) => c.number,
+            Desired::Version(version) => version.generation,
+            Desired::Conflict(conflict) => conflict.generation,
         }
     }
 
-    /// Takes another's word; whether it is news.
+    /// Takes what another member knows, and returns whether it changes anything.
     pub fn merge(&mut self, other: Desired) -> bool {
-        if other.number() != self.number() {
-            let higher = other.number() > self.number();
-            if higher {
+        if other.generation() != self.generation() {
+            let is_higher = other.generation() > self.generation();
+            if is_higher {
                 *self = other;
             }
-            return higher;
+            return is_higher;
         }
-        let (mut digests, was): (Vec<Digest>, _) =
-            (self.digests().chain(other.digests()).collect(), *self);
+        let mut digests: Vec<Digest> = self.digests().chain(other.digests()).collect();
         digests.sort_unstable();
         digests.dedup();
-        match (self, &digests[..]) {
-            (mine, [one, another, ..]) => {
-                *mine = Desired::Conflict(Conflict {
-                    number: mine.number(),
-                    digests: [*one, *another],
-                });
-                *mine != was
-            }
-            _ => false,
-        }
+        let [lowest, second, ..] = digests[..] else {
+            return false;
+        };
+        let conflict = Desired::Conflict(VersionConflict {
+            generation: self.generation(),
+            digests: [lowest, second],
+        });
+        let is_new = *self != conflict;
+        *self = conflict;
+        is_new
     }
 
     fn digests(&self) -> impl Iterator<Item = Digest> + use<> {
         let digests = match self {
             Desired::Unset => [None, None],
-            Desired::Version(w) => [Some(w.digest), None],
-            Desired::Conflict(c) => c.digests.map(Some),
+            Desired::Version(version) => [Some(version.digest), None],
+            Desired::Conflict(conflict) => conflict.digests.map(Some),
         };
         digests.into_iter().flatten()
     }
--- a/crates/heathroad-membership/src/lib.rs
+++ b/crates/heathroad-membership/src/lib.rs
@@ -1,34 +1,39 @@
-//! What the proxies of one fleet know of each other, decided without I/O, clock or socket.
+//! Membership of a fleet of proxies: who is alive, which configuration each runs, and which one all
+//! should run. It is a state machine without I/O, clock or sockets.
 //!
-//! What a proxy hears goes one way through the modules:
+//! A datagram passes through the modules in this order:
 //!
-//! - [`seal`] lets a datagram in: one of this fleet, whole, not forged, not repeated; [`wire`] is
-//!   its form.
-//! - [`protocol`] is the proxy's own part of the protocol: probes, answers, suspicion, its own
-//!   incarnation.
-//! - [`table`] is what is known of every member, and how two words on one member are merged.
-//!   [`gossip`] says what of that is passed on next.
-//! - [`health`] is the proxy's doubt of itself: who is slow does not accuse others.
-//! - [`version`] is what a proxy acts on, as one value; [`activity_record`] is what it did on which.
-//!   [`desired_version`] is what all should act on.
+//! - [`authentication`] accepts datagrams of this fleet and rejects forged and repeated ones;
+//!   [`wire`] is their form, on top of [`codec`].
+//! - [`protocol`] is one member's part of the protocol: failure detection, dissemination, version
+//!   agreement, fetches of resources, and the piggyback channel.
+//! - [`member_table`] holds what is known of each member; [`claim`] orders the claims made on one.
+//! - [`version`] describes what a proxy runs, [`desired_version`] what all should run, and
+//!   [`activity_record`] what a proxy did under which version.
 //!
 //! The protocol is SWIM with suspicion (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips,
-//! Currey 2017), over a list of addresses that is known: a member is its place in that list.
-//! `docs/design/fleet.md` says what was weighed, `docs/specs/fleet-datagrams.md` gives the bytes.
+//! Currey 2017) over a list of addresses that is known in advance. `docs/design/membership.md`
+//! explains the choices, `docs/specs/membership-datagrams.md` specifies the bytes.
 
 pub mod activity_record;
+pub mod authentication;
+pub mod claim;
+pub mod codec;
 pub mod desired_version;
-pub mod gossip;
-pub mod health;
-mod pace;
+mod local_health;
+pub mod member_table;
 pub mod protocol;
-pub mod seal;
-pub mod table;
+mod rate_limit;
+mod replay_window;
 pub mod version;
 pub mod wire;
 
-/// Milliseconds of a clock that only goes forward.
+/// Milliseconds of a monotonic clock.
 pub type Millis = u64;
 
-/// A member: its place in the list of the fleet's addresses.
+/// Identifies a member by its index in the fleet's list of addresses.
 pub type MemberId = u16;
+
+/// Identifies one process of a member: Unix time in milliseconds at its start, or more where a
+/// larger value is known to others already. Incarnations of a member only grow.
+pub type Incarnation = u64;
--- /dev/null
+++ b/crates/heathroad-membership/src/member_table.rs
@@ -0,0 +1,263 @@
+//! What is known of each member: its state, the suspicion against it, and the version it runs.
+
+use crate::claim::{Claim, MemberState, Revision};
+use crate::replay_window::ReplayWindow;
+use crate::version::Digest;
+use crate::wire::SUPPORTED_PROTOCOLS;
+use crate::{Incarnation, MemberId, Millis};
+use std::cmp::Ordering;
+
+/// A suspicion that runs.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Suspicion {
+    /// When it began.
+    pub since: Millis,
+    /// When the member counts as dead.
+    pub deadline: Millis,
+    /// The members that suspect it, each once.
+    pub accusers: Vec<MemberId>,
+}
+
+/// Which version a member runs.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ActiveVersion {
+    /// The incarnation of the member.
+    pub incarnation: Incarnation,
+    /// Counts the versions of this incarnation.
+    pub sequence: u32,
+    /// The digest of the version.
+    pub digest: Digest,
+}
+
+/// What is known of a member.
+#[derive(Debug, Clone)]
+pub struct Member {
+    /// Its state.
+    pub state: MemberState,
+    /// The revision to which the state applies.
+    pub revision: Revision,
+    /// The source of the claim on its state.
+    pub claim_source: MemberId,
+    /// When the state began, by this member's clock.
+    pub state_since: Millis,
+    /// When a datagram of the member itself was last accepted.
+    pub last_heard: Option<Millis>,
+    /// The suspicion, while the member is suspected.
+    pub suspicion: Option<Suspicion>,
+    /// The version it runs.
+    pub active_version: Option<ActiveVersion>,
+    /// The lowest and the highest protocol that it supports.
+    pub supported_protocols: [u8; 2],
+    /// The sequence numbers received of it.
+    pub(crate) replay_window: ReplayWindow,
+    /// When this member last probed it because it named an incarnation that nobody confirmed yet.
+    pub(crate) last_greeted: Option<Millis>,
+}
+
+impl Member {
+    /// A member of which nothing was received. Until it has told what it supports, the lowest
+    /// protocol is used with it.
+    fn unknown() -> Member {
+        Member {
+            state: MemberState::Unknown,
+            revision: Revision::default(),
+            claim_source: 0,
+            state_since: 0,
+            last_heard: None,
+            suspicion: None,
+            active_version: None,
+            supported_protocols: [SUPPORTED_PROTOCOLS[0]; 2],
+            replay_window: ReplayWindow::default(),
+            last_greeted: None,
+        }
+    }
+
+    fn apply(&mut self, now: Millis, claim: Claim) {
+        let same_incarnation = self.revision.incarnation == claim.revision.incarnation;
+        if self.state != claim.state || !same_incarnation {
+            self.state_since = now;
+        }
+        self.state = claim.state;
+        self.revision = claim.revision;
+        self.claim_source = claim.source;
+        self.suspicion = (claim.state == MemberState::Suspect).then(|| Suspicion {
+            since: now,
+            deadline: Millis::MAX,
+            accusers: vec![claim.source],
+        });
+    }
+
+    /// Adds an accuser, and returns whether it is a new one.
+    fn add_accuser(&mut self, accuser: MemberId) -> bool {
+        let Some(suspicion) = &mut self.suspicion else {
+            return false;
+        };
+        if suspicion.accusers.contains(&accuser) {
+            return false;
+        }
+        suspicion.accusers.push(accuser);
+        self.claim_source = accuser;
+        true
+    }
+}
+
+/// What became of a claim.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum MergeOutcome {
+    /// The claim is known or out of date.
+    Ignored,
+    /// The claim adds an accuser to a suspicion.
+    AccuserAdded,
+    /// The claim holds from now on.
+    Applied {
+        /// The state before.
+        previous_state: MemberState,
+        /// The incarnation before.
+        previous_incarnation: Incarnation,
+    },
+}
+
+/// What is known of all members.
+#[derive(Debug, Clone)]
+pub struct MemberTable {
+    members: Vec<Member>,
+}
+
+impl MemberTable {
+    /// Creates the table of a fleet of so many members, none of which was heard.
+    pub fn new(members: u16) -> MemberTable {
+        MemberTable {
+            members: vec![Member::unknown(); usize::from(members)],
+        }
+    }
+
+    /// Returns the number of members, whatever their state.
+    pub fn size(&self) -> u16 {
+        self.members.len() as u16
+    }
+
+    /// Returns a member, if the fleet has it.
+    pub fn get(&self, id: MemberId) -> Option<&Member> {
+        self.members.get(usize::from(id))
+    }
+
+    pub(crate) fn get_mut(&mut self, id: MemberId) -> Option<&mut Member> {
+        self.members.get_mut(usize::from(id))
+    }
+
+    /// Returns all members with their ids.
+    pub fn iter(&self) -> impl Iterator<Item = (MemberId, &Member)> {
+        self.members
+            .iter()
+            .enumerate()
+            .map(|(id, member)| (id as MemberId, member))
+    }
+
+    /// Returns the members that take part in the protocol, suspected or not.
+    pub fn present(&self) -> impl Iterator<Item = MemberId> {
+        self.iter()
+            .filter(|(_, member)| member.state.is_present())
+            .map(|(id, _)| id)
+    }
+
+    /// Returns the number of members that take part in the protocol.
+    pub fn present_count(&self) -> usize {
+        self.present().count()
+    }
+
+    /// Returns the incarnation of a member, and 0 where it is not known.
+    pub fn incarnation(&self, id: MemberId) -> Incarnation {
+        self.get(id).map_or(0, |member| member.revision.incarnation)
+    }
+
+    /// Returns the claim that holds for a member.
+    pub fn claim(&self, id: MemberId) -> Option<Claim> {
+        let member = self.get(id)?;
+        (member.state != MemberState::Unknown).then_some(Claim {
+            member: id,
+            state: member.state,
+            revision: member.revision,
+            source: member.claim_source,
+        })
+    }
+
+    /// Takes a claim.
+    pub fn merge(&mut self, now: Millis, claim: Claim) -> MergeOutcome {
+        let known = self.claim(claim.member);
+        let Some(member) = self.get_mut(claim.member) else {
+            return MergeOutcome::Ignored;
+        };
+        match known.map(|known| known.precedence().cmp(&claim.precedence())) {
+            Some(Ordering::Greater) => MergeOutcome::Ignored,
+            Some(Ordering::Equal) if member.add_accuser(claim.source) => MergeOutcome::AccuserAdded,
+            Some(Ordering::Equal) => MergeOutcome::Ignored,
+            Some(Ordering::Less) | None => {
+                let outcome = MergeOutcome::Applied {
+                    previous_state: member.state,
+                    previous_incarnation: member.revision.incarnation,
+                };
+                member.apply(now, claim);
+                outcome
+            }
+        }
+    }
+
+    /// Takes which version a member runs, and returns whether that is later than what was known.
+    pub fn update_active_version(&mut self, id: MemberId, version: ActiveVersion) -> bool {
+        let Some(member) = self.get_mut(id) else {
+            return false;
+        };
+        let order = |version: &ActiveVersion| (version.incarnation, version.sequence);
+        let is_later = member
+            .active_version
+            .is_none_or(|known| order(&known) < order(&version));
+        if is_later {
+            member.active_version = Some(version);
+        }
+        is_later
+    }
+
+    /// Returns whether any member runs the version with this digest.
+    pub fn is_active(&self, digest: Digest) -> bool {
+        self.active_digests().any(|active| active == digest)
+    }
+
+    /// Returns the digests of the versions that members run.
+    pub(crate) fn active_digests(&self) -> impl Iterator<Item = Digest> {
+        self.members
+            .iter()
+            .filter_map(|member| member.active_version.map(|version| version.digest))
+    }
+
+    /// Returns the members whose suspicion has run out.
+    pub(crate) fn expired_suspicions(&self, now: Millis) -> Vec<MemberId> {
+        let has_expired = |member: &Member| {
+            let suspicion = member.suspicion.as_ref();
+            suspicion.is_some_and(|suspicion| suspicion.deadline <= now)
+        };
+        self.iter()
+            .filter(|(_, member)| has_expired(member))
+            .map(|(id, _)| id)
+            .collect()
+    }
+
+    /// Returns the earliest deadline of a suspicion.
+    pub(crate) fn next_suspicion_deadline(&self) -> Option<Millis> {
+        self.members
+            .iter()
+            .filter_map(|member| member.suspicion.as_ref())
+            .map(|suspicion| suspicion.deadline)
+            .min()
+    }
+
+    /// Extends all suspicions by the time in which this member could not receive anything.
+    pub(crate) fn postpone_suspicions(&mut self, by: Millis) {
+        for suspicion in self
+            .members
+            .iter_mut()
+            .filter_map(|member| member.suspicion.as_mut())
+        {
+            suspicion.deadline = suspicion.deadline.saturating_add(by);
+        }
+    }
+}
--- a/crates/heathroad-membership/src/protocol/fetch.rs
+++ b/crates/heathroad-membership/src/protocol/fetch.rs
@@ -1,323 +1,280 @@
-//! Whole texts, on request: a record, or a generation's routes, in parts of a datagram each. Who
-//! asks keeps the pace, asks again for what did not come, and gives up where nothing comes; who is
-//! asked keeps a few texts as they were when first asked for.
+//! Fetches of resources from other members, in parts of a datagram each. The fetching side sets the
+//! pace: it asks again for parts that did not arrive, and gives up when nothing arrives.
 
-use super::Membership;
 use crate::version::Digest;
-use crate::wire::{Item, Kind, Resource};
+use crate::wire::{Message, Resource, Update};
 use crate::{MemberId, Millis};
-use std::sync::Arc;
+use thiserror::Error;
 
-/// Bytes of a text in one datagram.
-pub const PART: usize = 160;
-/// Longest text.
-pub const MAX_TEXT: usize = 512 * 1024;
-/// Most texts that are fetched at a time.
-pub const FETCHES: usize = 8;
-/// Parts of one that are out at a time.
-const OUT: usize = 8;
-/// A text that nothing has come of for so long is given up.
-const PATIENCE: Millis = 3000;
-/// Most texts that are kept for those who ask.
-const SERVED: usize = 16;
-/// Texts of up to so many parts are taken for what a first answer says; no buffer is made for more
-/// before that.
-const PARTS: usize = MAX_TEXT.div_ceil(PART);
+/// The bytes of a resource in one datagram.
+pub const PART_BYTES: usize = 160;
+/// The longest resource, in bytes.
+pub const MAX_RESOURCE_BYTES: usize = 512 * 1024;
+/// The most fetches at a time.
+pub const MAX_FETCHES: usize = 8;
+/// The length that says that a resource does not exist.
+pub(super) const NOT_FOUND_LENGTH: u32 = u32::MAX;
+/// The most parts of one resource that are asked for at a time.
+const MAX_PARTS_IN_FLIGHT: usize = 8;
+/// A fetch is given up when nothing has arrived for so long.
+const FETCH_TIMEOUT: Millis = 3000;
 
-/// Why a text was not fetched.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unfetched {
-    /// The one that was asked does not have it.
-    NotThere,
-    /// Nothing came for too long.
-    Silence,
-    /// It is not what its digest says, or longer than may be.
-    Spoilt,
+/// Why a resource was not fetched.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[non_exhaustive]
+pub enum FetchError {
+    /// The member that was asked does not have it.
+    #[error("the member does not have the resource")]
+    NotFound,
+    /// Nothing arrived for too long.
+    #[error("the member did not answer in time")]
+    TimedOut,
+    /// It does not match its digest, or is longer than permitted.
+    #[error("the resource arrived corrupted")]
+    Corrupted,
 }
 
-/// A text that came whole, or why it did not.
+/// A fetch that has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fetched {
-    /// The number that it was begun under.
+pub struct CompletedFetch {
+    /// The number of the fetch.
     pub id: u32,
-    /// The text.
-    pub text: Result<Vec<u8>, Unfetched>,
-    /// Its first part came so long after it was asked for: it was as it is at some time between.
-    pub within: Millis,
+    /// The resource.
+    pub result: Result<Vec<u8>, FetchError>,
+    /// How long after the start the first part arrived: the resource is as it was at some time in
+    /// this span.
+    pub first_part_after: Millis,
 }
 
-/// A question for a text, to be answered by [`Membership::serve`].
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Asked {
-    /// Who asks.
-    pub from: MemberId,
-    /// The asker's number for it.
-    pub id: u32,
-    /// For what.
-    pub topic: Resource,
-    /// Which of them, where there are several.
-    pub key: Digest,
+/// A request for a part, to be sent.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct PartRequest {
+    pub(super) source: MemberId,
+    pub(super) message: Message,
 }
 
+/// A part that arrived.
 #[derive(Debug, Clone)]
-pub(super) struct Served {
-    to: MemberId,
-    id: u32,
-    text: Arc<[u8]>,
+pub(super) struct ReceivedPart {
+    pub(super) source: MemberId,
+    pub(super) id: u32,
+    pub(super) length: u32,
+    pub(super) part: u32,
+    pub(super) updates: Vec<Update>,
+}
+
+#[derive(Debug, Clone, Copy)]
+struct PartInFlight {
+    part: usize,
+    requested_at: Millis,
 }
 
 #[derive(Debug, Clone)]
-pub(super) struct Fetch {
+struct Fetch {
     id: u32,
-    to: MemberId,
-    topic: Resource,
+    source: MemberId,
+    resource: Resource,
     key: Digest,
     /// Known from the first part on.
-    parts: Vec<Option<Vec<u8>>>,
     length: Option<usize>,
-    /// Parts that are asked for, and since when.
-    out: Vec<(usize, Millis)>,
-    next: usize,
+    parts: Vec<Option<Vec<u8>>>,
+    in_flight: Vec<PartInFlight>,
+    next_part: usize,
     begun: Millis,
-    /// When its first part came.
-    first: Option<Millis>,
-    heard: Millis,
+    first_part_at: Option<Millis>,
+    last_progress: Millis,
 }
 
 impl Fetch {
-    fn whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.length.is_some() && self.parts.iter().all(Option::is_some)
     }
-}
 
-impl Membership {
-    /// Fetches a text from a member: its number, by which [`Membership::fetched`] tells it; none if too
-    /// many are under way.
-    pub fn fetch(
-        &mut self,
-        now: Millis,
-        to: MemberId,
-        topic: Resource,
-        key: Digest,
-    ) -> Option<u32> {
-        if self.fetches.len() >= FETCHES || to == self.own || to >= self.table.places() {
-            return None;
-        }
-        let id = self.rng.u32(..);
-        let (parts, length, out) = (Vec::new(), None, Vec::new());
-        self.fetches.push(Fetch {
-            id,
-            to,
-            topic,
-            key,
-            parts,
-            length,
-            out,
-            next: 0,
-            begun: now,
-            first: None,
-            heard: now,
-        });
-        self.fetches_go_on(now);
-        Some(id)
+    fn has_timed_out(&self, now: Millis) -> bool {
+        now >= self.last_progress + FETCH_TIMEOUT
     }
 
-    /// Texts that came whole, or why they did not.
-    pub fn fetched(&mut self) -> std::vec::Drain<'_, Fetched> {
-        self.fetched.drain(..)
+    fn due(&self, retry_after: Millis) -> Millis {
+        let retries = self
+            .in_flight
+            .iter()
+            .map(|part| part.requested_at + retry_after);
+        retries.fold(self.last_progress + FETCH_TIMEOUT, Millis::min)
+    }
+
+    /// Stores a part. Returns an error if the resource cannot be fetched.
+    fn store(&mut self, now: Millis, received: ReceivedPart) -> Result<(), FetchError> {
+        if received.length == NOT_FOUND_LENGTH {
+            return Err(FetchError::NotFound);
+        }
+        let (length, part) = (received.length as usize, received.part as usize);
+        let count = length.div_ceil(PART_BYTES).max(1);
+        let length_differs = self.length.is_some_and(|known| known != length);
+        if length > MAX_RESOURCE_BYTES || part >= count || length_differs {
+            return Err(FetchError::Corrupted);
+        }
+        if self.length.is_none() {
+            self.length = Some(length);
+            self.parts = vec![None; count];
+        }
+        self.first_part_at.get_or_insert(now);
+        self.in_flight.retain(|in_flight| in_flight.part != part);
+        let is_last = part + 1 == count;
+        let expected = if is_last {
+            length - part * PART_BYTES
+        } else {
+            PART_BYTES
+        };
+        if let Some(Update::Bytes(bytes)) = received.updates.into_iter().next()
+            && bytes.len() == expected
+            && self.parts[part].is_none()
+        {
+            self.parts[part] = Some(bytes);
+            self.last_progress = now;
+        }
+        Ok(())
     }
 
-    /// What was asked for since the last look.
-    pub fn asked(&mut self) -> std::vec::Drain<'_, Asked> {
-        self.asked.drain(..)
+    /// Returns the whole resource. Routes must match the digest by which they were asked for.
+    fn assemble(&self) -> Result<Vec<u8>, FetchError> {
+        let bytes: Vec<u8> = self.parts.iter().flatten().flatten().copied().collect();
+        let is_sound = self.resource != Resource::Routes || Digest::of(&bytes) == self.key;
+        is_sound.then_some(bytes).ok_or(FetchError::Corrupted)
     }
 
-    /// Answers a question with a text, or that it is not there.
-    pub fn serve(&mut self, now: Millis, asked: Asked, text: Option<Vec<u8>>) {
-        let text: Option<Arc<[u8]>> = text.filter(|t| t.len() <= MAX_TEXT).map(Arc::from);
-        let Some(text) = text else {
-            let absent = Kind::Part {
-                id: asked.id,
-                length: u32::MAX,
-                at: 0,
-            };
-            return self.put_text(now, asked.from, absent, &[]);
+    /// Returns the parts to ask for now: those that did not arrive in time, and further ones.
+    fn take_due_parts(&mut self, now: Millis, retry_after: Millis) -> Vec<usize> {
+        let mut due = Vec::new();
+        for in_flight in &mut self.in_flight {
+            if now >= in_flight.requested_at + retry_after {
+                in_flight.requested_at = now;
+                due.push(in_flight.part);
+            }
+        }
+        // Until the length is known, the first part alone is asked for.
+        let count = if self.length.is_some() {
+            self.parts.len()
+        } else {
+            1
         };
-        if self.served.len() >= SERVED {
-            self.served.pop_front();
+        while self.in_flight.len() < MAX_PARTS_IN_FLIGHT && self.next_part < count {
+            self.in_flight.push(PartInFlight {
+                part: self.next_part,
+                requested_at: now,
+            });
+            due.push(self.next_part);
+            self.next_part += 1;
         }
-        self.served.push_back(Served {
-            to: asked.from,
-            id: asked.id,
-            text,
-        });
-        self.part(now, asked.from, asked.id, 0);
+        due
     }
 
-    fn put_text(&mut self, now: Millis, to: MemberId, kind: Kind, items: &[Item]) {
-        if !self.texts.take(now) {
-            self.traffic.held_back += 1;
-            return;
+    fn part_request(&self, part: usize) -> PartRequest {
+        PartRequest {
+            source: self.source,
+            message: Message::PartRequest {
+                id: self.id,
+                resource: self.resource,
+                key: self.key,
+                part: part as u32,
+            },
         }
-        let life = self.table.get(to).map_or(0, |m| m.incarnation.life);
-        self.write(to, life, kind, items);
     }
+}
 
-    /// One part of a text that is kept for somebody; whether it is.
-    fn part(&mut self, now: Millis, to: MemberId, id: u32, at: u32) -> bool {
-        let Some(served) = self.served.iter().find(|s| s.to == to && s.id == id) else {
-            return false;
-        };
-        let text = served.text.clone();
-        let from = (at as usize).saturating_mul(PART).min(text.len());
-        let bytes = text[from..(from + PART).min(text.len())].to_vec();
-        let kind = Kind::Part {
-            id,
-            length: text.len() as u32,
-            at,
-        };
-        self.put_text(now, to, kind, &[Item::Bytes(bytes)]);
-        true
+/// The fetches of a member.
+#[derive(Debug, Clone, Default)]
+pub(super) struct Fetches {
+    running: Vec<Fetch>,
+    completed: Vec<CompletedFetch>,
+}
+
+impl Fetches {
+    pub(super) fn has_room(&self) -> bool {
+        self.running.len() < MAX_FETCHES
     }
 
-    pub(super) fn asked_for(
+    pub(super) fn begin(
         &mut self,
         now: Millis,
-        from: MemberId,
         id: u32,
-        topic: Resource,
+        source: MemberId,
+        resource: Resource,
         key: Digest,
-        at: u32,
     ) {
-        if self.part(now, from, id, at) {
-            return;
-        }
-        let asked = Asked {
-            from,
+        self.running.push(Fetch {
             id,
-            topic,
+            source,
+            resource,
             key,
-        };
-        if at > 0 {
-            // It was kept, and is no longer.
-            return self.serve(now, asked, None);
-        }
-        if self.asked.len() < SERVED && !self.asked.contains(&asked) {
-            self.asked.push(asked);
-        }
+            length: None,
+            parts: Vec::new(),
+            in_flight: Vec::new(),
+            next_part: 0,
+            begun: now,
+            first_part_at: None,
+            last_progress: now,
+        });
     }
 
-    pub(super) fn part_came(&mut self, now: Millis, from: MemberId, kind: Kind, items: Vec<Item>) {
-        let Kind::Part { id, length, at } = kind else {
-            return;
-        };
-        let Some(n) = self.fetches.iter().position(|f| f.id == id && f.to == from) else {
-            return;
-        };
-        let fetch = &mut self.fetches[n];
-        let (length, at) = (length as usize, at as usize);
-        if length == u32::MAX as usize {
-            return self.fetch_ends(n, Err(Unfetched::NotThere));
-        }
-        let count = length.div_ceil(PART).max(1);
-        if length > MAX_TEXT
-            || at >= count
-            || count > PARTS.max(1)
-            || fetch.length.is_some_and(|l| l != length)
-        {
-            return self.fetch_ends(n, Err(Unfetched::Spoilt));
-        }
-        if fetch.length.is_none() {
-            (fetch.length, fetch.parts) = (Some(length), vec![None; count]);
-        }
-        fetch.first.get_or_insert(now);
-        fetch.out.retain(|(part, _)| *part != at);
-        let size = if at + 1 == count {
-            length - at * PART
-        } else {
-            PART
-        };
-        if let Some(Item::Bytes(bytes)) = items.into_iter().next()
-            && bytes.len() == size
-            && fetch.parts[at].is_none()
-        {
-            (fetch.parts[at], fetch.heard) = (Some(bytes), now);
-        }
-        if fetch.whole() {
-            let text: Vec<u8> = fetch.parts.iter().flatten().flatten().copied().collect();
-            let sound = fetch.topic != Resource::Routes || Digest::of(&text) == fetch.key;
-            return self.fetch_ends(
-                n,
-                if sound {
-                    Ok(text)
-                } else {
-                    Err(Unfetched::Spoilt)
-                },
-            );
-        }
-        self.fetches_go_on(now);
+    pub(super) fn drain_completed(&mut self) -> std::vec::Drain<'_, CompletedFetch> {
+        self.completed.drain(..)
     }
 
-    fn fetch_ends(&mut self, n: usize, with: Result<Vec<u8>, Unfetched>) {
-        let Fetch {
-            id,
-            begun,
-            first,
-            heard,
-            ..
-        } = self.fetches.swap_remove(n);
-        let within = first.unwrap_or(heard).saturating_sub(begun);
-        self.fetched.push(Fetched {
-            id,
-            text: with,
-            within,
-        });
-    }
-
-    /// When a part is asked for again, or a text is given up.
-    pub(super) fn fetches_due(&self) -> Option<Millis> {
-        let again = self.terms.answer;
-        self.fetches
+    /// Returns when a part is asked for again, or a fetch given up.
+    pub(super) fn due(&self, retry_after: Millis) -> Option<Millis> {
+        self.running
             .iter()
-            .flat_map(|f| {
-                f.out
-                    .iter()
-                    .map(|(_, at)| at + again)
-                    .chain([f.heard + PATIENCE])
-            })
+            .map(|fetch| fetch.due(retry_after))
             .min()
     }
 
-    pub(super) fn fetches_go_on(&mut self, now: Millis) {
-        while let Some(n) = self.fetches.iter().position(|f| now >= f.heard + PATIENCE) {
-            self.fetch_ends(n, Err(Unfetched::Silence));
+    /// Gives up the fetches that have timed out, and returns the requests that are due.
+    pub(super) fn take_due_requests(
+        &mut self,
+        now: Millis,
+        retry_after: Millis,
+    ) -> Vec<PartRequest> {
+        while let Some(at) = self.running.iter().position(|f| f.has_timed_out(now)) {
+            self.complete(at, Err(FetchError::TimedOut));
         }
-        let again = self.terms.answer;
-        let mut wanted = Vec::new();
-        for f in &mut self.fetches {
-            for (part, at) in f.out.iter_mut().filter(|(_, at)| now >= *at + again) {
-                *at = now;
-                wanted.push((f.to, f.id, f.topic, f.key, *part));
-            }
-            let count = if f.length.is_some() { f.parts.len() } else { 1 };
-            while f.out.len() < OUT && f.next < count {
-                f.out.push((f.next, now));
-                wanted.push((f.to, f.id, f.topic, f.key, f.next));
-                f.next += 1;
-            }
+        let mut requests = Vec::new();
+        for fetch in &mut self.running {
+            let parts = fetch.take_due_parts(now, retry_after);
+            requests.extend(parts.into_iter().map(|part| fetch.part_request(part)));
+        }
+        requests
+    }
+
+    /// Takes a part, and returns whether its fetch goes on.
+    pub(super) fn receive(&mut self, now: Millis, received: ReceivedPart) -> bool {
+        let is_its_fetch = |f: &Fetch| f.id == received.id && f.source == received.source;
+        let Some(at) = self.running.iter().position(is_its_fetch) else {
+            return false;
+        };
+        let fetch = &mut self.running[at];
+        if let Err(error) = fetch.store(now, received) {
+            self.complete(at, Err(error));
+            return false;
         }
-        for (to, id, topic, key, part) in wanted {
-            self.put_text(
-                now,
-                to,
-                Kind::Fetch {
-                    id,
-                    topic,
-                    key,
-                    at: part as u32,
-                },
-                &[],
-            );
+        if fetch.is_complete() {
+            let result = fetch.assemble();
+            self.complete(at, result);
+            return false;
         }
+        true
+    }
+
+    fn complete(&mut self, at: usize, result: Result<Vec<u8>, FetchError>) {
+        let fetch = self.running.swap_remove(at);
+        let first_part_at = fetch.first_part_at.unwrap_or(fetch.last_progress);
+        self.completed.push(CompletedFetch {
+            id: fetch.id,
+            result,
+            first_part_after: first_part_at.saturating_sub(fetch.begun),
+        });
     }
 }
+
+#[cfg(test)]
+#[path = "tests/fetch.rs"]
+mod tests;
--- a/crates/heathroad-membership/src/protocol/probe.rs
+++ b/crates/heathroad-membership/src/protocol/probe.rs
@@ -1,161 +1,155 @@
-//! Asking members whether they are there, alone and for others.
+//! Probes, indirect probes and rounds of gossip: what a member sends of its own accord.
 
-use super::Membership;
-use crate::table::{Claim, Standing};
-use crate::wire::Kind;
+use super::membership::Membership;
+use crate::claim::{Claim, MemberState};
+use crate::version::Digest;
+use crate::wire::Message;
 use crate::{MemberId, Millis};
 
-/// A question that is out.
-#[derive(Debug, Clone)]
-pub(super) struct Probe {
-    pub(super) member: MemberId,
-    pub(super) nonce: u32,
-    /// When others are asked; none once they were.
-    help_at: Option<Millis>,
-    ends: Millis,
-    pub(super) begun: Millis,
-    /// Helpers that were asked, and have said that they heard nothing either.
-    pub(super) helpers: u8,
-    pub(super) nacks: u8,
-    pub(super) answered: bool,
-}
-
-impl Probe {
-    pub(super) fn times(&self) -> impl Iterator<Item = Millis> {
-        [self.help_at, Some(self.ends)].into_iter().flatten()
-    }
-}
-
-/// A question that is asked for another member.
-#[derive(Debug, Clone)]
-pub(super) struct Helping {
-    pub(super) whom: MemberId,
-    pub(super) theirs: u32,
-    pub(super) after: MemberId,
-    pub(super) ours: u32,
-    /// When it is told that nothing was heard.
-    pub(super) nack_at: Millis,
-}
-
-/// Most questions that are asked for others at a time.
-pub(super) const HELPING: usize = 16;
-/// One period in so many goes to a member that is taken for gone: a cut that heals is found so,
-/// from both sides.
-const KNOCK: u32 = 3;
+/// The most versions that are asked for at a time.
+const MAX_VERSION_REQUESTS: usize = 2;
 
 impl Membership {
-    /// Whose turn it is. A member that is there, or was never heard, comes once in each round.
-    fn next_member(&mut self) -> Option<MemberId> {
-        let over =
-            |f: &Membership, place: MemberId| f.table.get(place).is_none_or(|m| m.standing.over());
-        if self.rng.u32(0..KNOCK) == 0 {
-            let gone: Vec<MemberId> = self
-                .order
-                .iter()
-                .copied()
-                .filter(|p| over(self, *p))
-                .collect();
-            if !gone.is_empty() {
-                return Some(gone[self.rng.usize(0..gone.len())]);
-            }
-        }
-        for _ in 0..self.order.len() {
-            if self.turn == 0 {
-                let mut order = std::mem::take(&mut self.order);
-                self.rng.shuffle(&mut order);
-                self.order = order;
-            }
-            let place = self.order[self.turn];
-            self.turn = (self.turn + 1) % self.order.len();
-            if !over(self, place) {
-                return Some(place);
-            }
-        }
-        // The round began anew on the way, and has passed those who are there; where nobody is,
-        // anybody may be.
-        let there = self.order.iter().copied().find(|p| !over(self, *p));
-        there.or(self.order.first().copied())
-    }
-
     pub(super) fn begin_probe(&mut self, now: Millis) {
-        let Some(member) = self.next_member() else {
+        let Some(target) = self.detector.next_target(&self.members, &mut self.rng) else {
             return;
         };
-        let (nonce, factor) = (self.rng.u32(..), self.health.factor());
-        self.probe = Some(Probe {
-            member,
-            nonce,
-            help_at: Some(now + self.terms.answer * factor),
-            ends: now + self.terms.period * factor,
-            begun: now,
-            helpers: 0,
-            nacks: 0,
-            answered: false,
-        });
-        self.send(now, member, Kind::Ping { nonce });
+        let nonce = self.rng.u32(..);
+        self.detector.start_probe(now, target, nonce, &self.config);
+        self.send(now, target, Message::Ping { nonce });
     }
 
-    /// Asks others where no answer came, and concludes at the end of the period.
-    pub(super) fn probe_goes_on(&mut self, now: Millis) {
-        let Some(mut probe) = self.probe.take() else {
+    /// Asks others for an indirect probe when the target did not answer in time, and concludes at
+    /// the end of the period.
+    pub(super) fn continue_probe(&mut self, now: Millis) {
+        let Some(target) = self.detector.probe().map(|probe| probe.target) else {
             return;
         };
-        let known = self.table.get(probe.member).is_some_and(|m| {
-            matches!(m.standing, Standing::Alive | Standing::Suspect) && m.incarnation.life > 0
-        });
-        if probe.help_at.is_some_and(|at| now >= at) {
-            probe.help_at = None;
-            if !probe.answered && known {
-                for helper in self.some(self.terms.helpers, Some(probe.member)) {
-                    self.send(
-                        now,
-                        helper,
-                        Kind::Help {
-                            nonce: probe.nonce,
-                            after: probe.member,
-                        },
-                    );
-                    probe.helpers += 1;
-                }
+        let can_be_suspected = self.can_be_suspected(target);
+        if self.detector.take_indirect_probe_due(now) && can_be_suspected {
+            self.request_indirect_probes(now);
+        }
+        if let Some(probe) = self.detector.take_ended_probe(now) {
+            if probe.acknowledged {
+                self.detector.health_mut().improve();
+            } else if can_be_suspected {
+                self.conclude_failed_probe(now, target, probe.helpers, probe.silent_helpers());
             }
         }
-        if now < probe.ends {
-            self.probe = Some(probe);
+    }
+
+    /// Whether a member is present in an incarnation that is known.
+    fn can_be_suspected(&self, id: MemberId) -> bool {
+        self.members
+            .get(id)
+            .is_some_and(|member| member.state.is_present() && member.revision.incarnation > 0)
+    }
+
+    fn request_indirect_probes(&mut self, now: Millis) {
+        let Some(probe) = self.detector.probe() else {
             return;
+        };
+        let (target, nonce) = (probe.target, probe.nonce);
+        let helpers = self.choose_present(self.config.indirect_probes, Some(target));
+        for helper in helpers {
+            self.send(now, helper, Message::PingRequest { nonce, target });
+            self.detector.count_helper();
         }
-        if probe.answered {
-            return self.health.better();
-        }
-        // Lifeguard: helpers who said nothing at all are a sign that this proxy hears badly; where
-        // all of them did speak, the fault is the member's.
-        let missing = probe.helpers.saturating_sub(probe.nacks);
-        if known {
-            self.health
-                .worse(if probe.helpers == 0 { 1 } else { missing });
-        }
-        if known && !self.cut_off && !(probe.helpers > 0 && missing == probe.helpers) {
-            self.accuse(now, probe.member);
+    }
+
+    /// As in Lifeguard, helpers that reported nothing at all are a sign that this member receives
+    /// badly; where all of them reported that the target did not answer, the fault is the target's.
+    fn conclude_failed_probe(&mut self, now: Millis, target: MemberId, helpers: u8, silent: u8) {
+        let signs = if helpers == 0 { 1 } else { silent };
+        self.detector.health_mut().worsen(signs);
+        let no_helper_answered = helpers > 0 && silent == helpers;
+        if !self.detector.is_isolated() && !no_helper_answered {
+            self.suspect(now, target);
         }
     }
 
-    fn accuse(&mut self, now: Millis, member: MemberId) {
-        if let Some(claim) = self.table.claim(member).filter(|c| !c.standing.over()) {
-            self.hear(
+    fn suspect(&mut self, now: Millis, member: MemberId) {
+        let claim = self.members.claim(member);
+        if let Some(claim) = claim.filter(|claim| !claim.state.is_final()) {
+            self.apply_claim(
                 now,
                 Claim {
-                    standing: Standing::Suspect,
-                    by: self.own,
+                    state: MemberState::Suspect,
+                    source: self.id,
                     ..claim
                 },
             );
         }
     }
 
-    /// Tells those who asked for help that nothing was heard.
-    pub(super) fn help_ends(&mut self, now: Millis) {
-        let over: Vec<Helping> = self.helping.extract_if(.., |h| h.nack_at <= now).collect();
-        for h in over {
-            self.send(now, h.whom, Kind::Nack { nonce: h.theirs });
+    /// Tells the members that asked for an indirect probe that its target did not answer.
+    pub(super) fn report_unanswered_probes(&mut self, now: Millis) {
+        for probe in self.detector.take_unanswered(now) {
+            let nonce = probe.requester_nonce;
+            self.send(now, probe.requester, Message::Nack { nonce });
+        }
+    }
+
+    /// Sends updates to some random members, and asks for versions that are known by their digests
+    /// alone.
+    pub(super) fn send_gossip(&mut self, now: Millis) {
+        let recipients = self.choose_present(self.config.gossip_fanout, None);
+        if recipients.is_empty() {
+            return self.probe_anyone(now);
+        }
+        for recipient in recipients {
+            self.send(now, recipient, Message::Gossip);
+        }
+        self.request_unknown_versions(now);
+    }
+
+    /// Probes a random member where none is known to be present.
+    fn probe_anyone(&mut self, now: Millis) {
+        let others = self.detector.others();
+        if others.is_empty() {
+            return;
+        }
+        let to = others[self.rng.usize(0..others.len())];
+        let nonce = self.rng.u32(..);
+        self.send(now, to, Message::Ping { nonce });
+    }
+
+    /// Asks for versions that are known by their digests alone. That is done in quiet times too,
+    /// since an answer may have been lost.
+    pub(super) fn request_unknown_versions(&mut self, now: Millis) {
+        let mut unknown = self.agreement.unknown_versions(self.id, &self.members);
+        // One random member that runs a version is asked, so that not all ask the same one.
+        self.rng.shuffle(&mut unknown);
+        unknown.sort_by_key(|(digest, _)| *digest);
+        unknown.dedup_by_key(|(digest, _)| *digest);
+        self.rng.shuffle(&mut unknown);
+        unknown.truncate(MAX_VERSION_REQUESTS);
+        for (digest, member) in unknown {
+            self.request_version(now, member, digest);
+        }
+    }
+
+    fn request_version(&mut self, now: Millis, member: MemberId, digest: Digest) {
+        self.send(now, member, Message::VersionRequest { member, digest });
+    }
+
+    /// Chooses some random present members.
+    pub(super) fn choose_present(
+        &mut self,
+        count: usize,
+        except: Option<MemberId>,
+    ) -> Vec<MemberId> {
+        let mut candidates: Vec<MemberId> = self
+            .members
+            .present()
+            .filter(|id| *id != self.id && Some(*id) != except)
+            .collect();
+        let count = count.min(candidates.len());
+        for at in 0..count {
+            let other = self.rng.usize(at..candidates.len());
+            candidates.swap(at, other);
         }
+        candidates.truncate(count);
+        candidates
     }
 }
--- a/crates/heathroad-membership/src/protocol/receive.rs
+++ b/crates/heathroad-membership/src/protocol/receive.rs
@@ -1,244 +1,306 @@
-//! What is heard.
+//! Datagrams that arrive: they are checked, their updates are merged, and their messages answered.
 
-use super::probe::{HELPING, Helping};
-use super::{Event, Membership};
-use crate::desired_version::{Conflict, Desired, DesiredVersion, Required};
-use crate::gossip::Topic;
-use crate::table::{Acts, Claim, Incarnation, Standing};
-use crate::wire::{self, Head, Item, Kind, MAX_DATAGRAM};
-use crate::{MemberId, Millis};
+use super::dissemination::Subject;
+use super::event::Event;
+use super::failure_detector::IndirectProbe;
+use super::fetch::ReceivedPart;
+use super::membership::Membership;
+use super::resource_server::ResourceRequest;
+use super::transport::{Channel, Endpoint};
+use crate::claim::{Claim, MemberState, Revision};
+use crate::codec::Reader;
+use crate::desired_version::{Desired, DesiredVersion, RequiredVersion, VersionConflict};
+use crate::member_table::ActiveVersion;
+use crate::version::{Digest, Version};
+use crate::wire::{self, Header, Message, Update};
+use crate::{Incarnation, MemberId, Millis};
 
 impl Membership {
-    /// A datagram has come, of whatever kind and from whomever.
-    pub fn receive(&mut self, now: Millis, bytes: &[u8]) {
-        if self.stopped {
-            return;
-        }
-        self.look_at_clock(now);
-        self.take(now, bytes);
-        self.planned = self.due().max(now);
-    }
-
-    fn take(&mut self, now: Millis, bytes: &[u8]) {
-        let Some((head, mut rest)) = self.seal.open(bytes, &mut self.traffic.dropped) else {
+    pub(super) fn receive_datagram(&mut self, now: Millis, datagram: &[u8]) {
+        let Some((header, mut content)) = self.transport.verify(datagram) else {
             return;
         };
-        let known = self.table.get(head.from).map(|m| m.incarnation.life);
-        let Some(known) = known.filter(|_| head.to == self.own && head.from != self.own) else {
-            self.traffic.dropped.astray += 1;
+        let sender = self.members.get(header.sender);
+        let known = sender.map(|member| member.revision.incarnation);
+        let is_for_us = header.recipient == self.id && header.sender != self.id;
+        let Some(known) = known.filter(|_| is_for_us) else {
+            self.transport.traffic_mut().dropped.misaddressed += 1;
             return;
         };
-        let Ok((kind, items)) = wire::read(&mut rest) else {
-            self.traffic.dropped.torn += 1;
+        self.receive_from_member(now, &header, known, &mut content);
+    }
+
+    fn receive_from_member(
+        &mut self,
+        now: Millis,
+        header: &Header,
+        known: Incarnation,
+        content: &mut Reader<'_>,
+    ) {
+        let Ok((message, updates)) = wire::decode_content(content) else {
+            self.transport.traffic_mut().dropped.malformed += 1;
             return;
         };
-        if head.to_life > self.me.life {
-            // The clock has gone back since an earlier life of this proxy, which others remember.
-            self.traffic.dropped.stale += 1;
-            return self.reborn(now, head.to_life);
+        let own = self.revision.incarnation;
+        if header.recipient_incarnation > own {
+            // This member's clock was set back since an earlier incarnation, which others remember.
+            self.transport.traffic_mut().dropped.stale += 1;
+            return self.reincarnate(now, header.recipient_incarnation);
         }
-        if head.to_life < self.me.life || head.from_life < known {
-            return self.stranger(now, &head, known, kind);
+        if header.recipient_incarnation < own || header.sender_incarnation < known {
+            return self.answer_unconfirmed(now, header, known, message);
         }
-        let Some(member) = self.table.get_mut(head.from) else {
-            return;
+        if self.accept(now, header, known) {
+            self.process(now, header, message, updates);
+        }
+    }
+
+    /// Checks the sequence number of a datagram, and records that its sender was heard.
+    fn accept(&mut self, now: Millis, header: &Header, known: Incarnation) -> bool {
+        let Some(member) = self.members.get_mut(header.sender) else {
+            return false;
         };
-        if !member.window.take(head.from_life, head.number) {
-            self.traffic.dropped.replayed += 1;
-            return;
+        let window = &mut member.replay_window;
+        if !window.accept(header.sender_incarnation, header.sequence) {
+            self.transport.traffic_mut().dropped.replayed += 1;
+            return false;
         }
-        (member.heard, member.spoken) = (Some(now), head.spoken);
-        self.traffic.heard += 1;
-        self.heard = now;
-        if std::mem::take(&mut self.cut_off) {
-            self.tell(Event::Heard);
+        member.last_heard = Some(now);
+        member.supported_protocols = header.supported_protocols;
+        self.transport.traffic_mut().received += 1;
+        if self.detector.record_heard(now) {
+            self.events.push(Event::Reconnected);
         }
-        if head.from_life > known {
-            let incarnation = Incarnation {
-                life: head.from_life,
-                turn: 0,
-            };
-            let (member, by) = (head.from, head.from);
-            self.hear(
-                now,
-                Claim {
-                    member,
-                    standing: Standing::Alive,
-                    incarnation,
-                    by,
+        if header.sender_incarnation > known {
+            let claim = Claim {
+                member: header.sender,
+                state: MemberState::Alive,
+                revision: Revision {
+                    incarnation: header.sender_incarnation,
+                    refutations: 0,
                 },
-            );
-        }
-        match kind {
-            Kind::Part { .. } => return self.part_came(now, head.from, kind, items),
-            Kind::Carry => return self.carry_came(&head, items),
-            _ => {}
+                source: header.sender,
+            };
+            self.apply_claim(now, claim);
         }
-        items.into_iter().for_each(|item| self.item(now, item));
-        self.answer(now, head.from, kind);
+        true
     }
 
-    /// Who does not know this proxy's life, or is of an ended life itself, is answered, so that it
-    /// learns; nothing that it says is used, since it may be a recording.
-    fn stranger(&mut self, now: Millis, head: &Head, known: u64, kind: Kind) {
-        if head.to_life != 0 {
-            self.traffic.dropped.stale += 1;
-        }
-        if let Kind::Ping { nonce } = kind {
-            self.put(
-                now,
-                head.from,
-                known.max(head.from_life),
-                Kind::Ack { nonce },
-                &[],
-            );
-        }
-        let period = self.terms.period;
-        let greet = |m: &mut crate::table::Member| {
-            let due = m.greeted.is_none_or(|at| now.saturating_sub(at) >= period);
-            if due {
-                m.greeted = Some(now);
+    fn process(&mut self, now: Millis, header: &Header, message: Message, updates: Vec<Update>) {
+        match message {
+            Message::Part { id, length, part } => {
+                let received = ReceivedPart {
+                    source: header.sender,
+                    id,
+                    length,
+                    part,
+                    updates,
+                };
+                if self.fetches.receive(now, received) {
+                    self.continue_fetches(now);
+                }
             }
-            due
-        };
-        if head.from_life > known && self.table.get_mut(head.from).is_some_and(greet) {
+            Message::Piggyback => {
+                self.piggyback
+                    .receive(header.sender, header.sender_incarnation, updates);
+            }
+            message => {
+                for update in updates {
+                    self.merge_update(now, update);
+                }
+                self.answer(now, header.sender, message);
+            }
+        }
+    }
+
+    /// Answers a sender that does not know this incarnation, or is of an ended one itself, so that
+    /// it learns; nothing that it says is used, since it may be a recording.
+    fn answer_unconfirmed(
+        &mut self,
+        now: Millis,
+        header: &Header,
+        known: Incarnation,
+        message: Message,
+    ) {
+        if header.recipient_incarnation != 0 {
+            self.transport.traffic_mut().dropped.stale += 1;
+        }
+        if let Message::Ping { nonce } = message {
+            let incarnation = known.max(header.sender_incarnation);
+            self.send_bare(now, header.sender, incarnation, Message::Ack { nonce });
+        }
+        if header.sender_incarnation > known && self.may_greet(now, header.sender) {
             let nonce = self.rng.u32(..);
-            self.put(now, head.from, head.from_life, Kind::Ping { nonce }, &[]);
+            let incarnation = header.sender_incarnation;
+            self.send_bare(now, header.sender, incarnation, Message::Ping { nonce });
         }
     }
 
-    fn item(&mut self, now: Millis, item: Item) {
-        match item {
-            Item::Claim(claim) if claim.member == self.own => self.hear_of_me(now, claim),
-            Item::Claim(claim) => self.hear(now, claim),
-            Item::Acts {
+    /// Whether a member may be probed that names an incarnation nobody confirmed: once a period.
+    fn may_greet(&mut self, now: Millis, id: MemberId) -> bool {
+        let period = self.config.probe_period;
+        let Some(member) = self.members.get_mut(id) else {
+            return false;
+        };
+        let is_due = member
+            .last_greeted
+            .is_none_or(|at| now.saturating_sub(at) >= period);
+        if is_due {
+            member.last_greeted = Some(now);
+        }
+        is_due
+    }
+
+    /// Sends a message without updates to an incarnation that is not confirmed.
+    fn send_bare(&mut self, now: Millis, to: MemberId, incarnation: Incarnation, message: Message) {
+        let recipient = Endpoint {
+            incarnation,
+            ..self.endpoint(to)
+        };
+        self.send_updates(now, Channel::Membership, recipient, message, &[]);
+    }
+
+    fn merge_update(&mut self, now: Millis, update: Update) {
+        match update {
+            Update::Claim(claim) if claim.member == self.id => {
+                self.receive_claim_on_self(now, claim);
+            }
+            Update::Claim(claim) => self.apply_claim(now, claim),
+            Update::ActiveVersion {
                 member,
-                life,
-                change,
+                incarnation,
+                sequence,
                 digest,
             } => {
-                if member != self.own
-                    && self.table.acts(
-                        member,
-                        Acts {
-                            life,
-                            change,
-                            digest,
-                        },
-                    )
-                {
-                    self.gossip.news(Topic::Acts(member));
-                    self.tell(Event::Acts { member, digest });
-                }
-            }
-            Item::Whole(version) => {
-                let acted = |d| {
-                    self.table
-                        .all()
-                        .any(|(_, m)| m.acts.is_some_and(|a| a.digest == d))
+                let active = ActiveVersion {
+                    incarnation,
+                    sequence,
+                    digest,
                 };
-                if acted(version.digest()) {
-                    self.table.keep(version);
-                }
+                self.merge_active_version(member, active);
             }
-            Item::Want { number, digest, by } => self.wanted(Desired::Version(DesiredVersion {
-                generation: number,
+            Update::Version(version) => self.store_version(version),
+            Update::DesiredVersion {
+                generation,
                 digest,
-                by,
+                origin,
+            } => self.merge_desired(Desired::Version(DesiredVersion {
+                generation,
+                digest,
+                origin,
             })),
-            Item::Required {
-                number,
+            Update::RequiredVersion {
+                generation,
+                digest,
+                remaining_ms,
+            } => self.merge_required(RequiredVersion {
+                generation,
                 digest,
-                left,
+                deadline: now + u64::from(remaining_ms),
+            }),
+            Update::VersionConflict {
+                generation,
+                digests,
             } => {
-                self.required(Required {
-                    number,
-                    digest,
-                    at: now + u64::from(left),
-                });
-            }
-            Item::Conflict { number, digests } => {
                 if digests[0] != digests[1] {
-                    self.wanted(Desired::Conflict(Conflict { number, digests }));
+                    self.merge_desired(Desired::Conflict(VersionConflict {
+                        generation,
+                        digests,
+                    }));
                 }
             }
-            // Only a text's part holds any, and is read elsewhere.
-            Item::Bytes(_) => {}
+            // Only parts of resources and piggybacked messages hold bytes.
+            Update::Bytes(_) => {}
         }
     }
 
-    /// A word on this proxy: what is not true is contradicted.
-    fn hear_of_me(&mut self, now: Millis, claim: Claim) {
-        let Incarnation { life, turn } = claim.incarnation;
-        if life > self.me.life || life == self.me.life && claim.standing.over() {
-            self.reborn(now, life);
-        } else if life == self.me.life
-            && claim.standing == Standing::Suspect
-            && turn >= self.me.turn
-        {
-            if turn == u16::MAX {
-                return self.reborn(now, life);
-            }
-            self.me.turn = turn + 1;
-            self.health.worse(1);
-            self.say_alive(now);
+    fn merge_active_version(&mut self, member: MemberId, active: ActiveVersion) {
+        if member != self.id && self.members.update_active_version(member, active) {
+            self.dissemination.spread(Subject::ActiveVersion(member));
+            self.events.push(Event::ActiveVersionChanged {
+                member,
+                digest: active.digest,
+            });
         }
     }
 
-    fn answer(&mut self, now: Millis, from: MemberId, kind: Kind) {
-        match kind {
-            Kind::Ping { nonce } => self.send(now, from, Kind::Ack { nonce }),
-            Kind::Ack { nonce } => {
-                if let Some(at) = self.asking.iter().position(|(asked, _)| *asked == nonce) {
-                    self.confirmed = self
-                        .confirmed
-                        .max(self.asking.remove(at).map(|(_, begun)| begun));
-                }
-                if let Some(p) = self.probe.as_mut().filter(|p| p.nonce == nonce) {
-                    p.answered = true;
-                    self.confirmed = self.confirmed.max(Some(p.begun));
-                }
-                let ours = self
-                    .helping
-                    .iter()
-                    .position(|h| h.ours == nonce && h.after == from);
-                if let Some(h) = ours.map(|at| self.helping.swap_remove(at)) {
-                    self.send(now, h.whom, Kind::Ack { nonce: h.theirs });
-                }
-            }
-            Kind::Nack { nonce } => {
-                if let Some(p) = self.probe.as_mut().filter(|p| p.nonce == nonce) {
-                    p.nacks = p.nacks.saturating_add(1).min(p.helpers);
-                }
+    /// Stores a version that some member runs; others are not asked for.
+    fn store_version(&mut self, version: Version) {
+        if self.members.is_active(version.digest()) {
+            self.agreement.store(version, &self.members);
+        }
+    }
+
+    fn answer(&mut self, now: Millis, from: MemberId, message: Message) {
+        match message {
+            Message::Ping { nonce } => self.send(now, from, Message::Ack { nonce }),
+            Message::Ack { nonce } => self.receive_ack(now, from, nonce),
+            Message::Nack { nonce } => self.detector.record_nack(nonce),
+            Message::PingRequest { nonce, target } => {
+                self.probe_for(now, from, nonce, target);
             }
-            Kind::Help { nonce, after } => {
-                if after == self.own
-                    || after >= self.table.places()
-                    || self.helping.len() >= HELPING
-                {
-                    return;
-                }
-                let (ours, nack_at) = (self.rng.u32(..), now + self.terms.answer);
-                self.helping.push(Helping {
-                    whom: from,
-                    theirs: nonce,
-                    after,
-                    ours,
-                    nack_at,
-                });
-                self.send(now, after, Kind::Ping { nonce: ours });
+            Message::VersionRequest { member, digest } if member == self.id => {
+                self.send_version(now, from, digest);
             }
-            Kind::Ask { member, digest } => {
-                if member == self.own
-                    && let Some(version) = self.table.version(digest).cloned()
-                {
-                    let life = self.table.get(from).map_or(0, |m| m.incarnation.life);
-                    self.put(now, from, life, Kind::Tell, &[Item::Whole(version)]);
+            Message::PartRequest {
+                id,
+                resource,
+                key,
+                part,
+            } => {
+                let request = ResourceRequest {
+                    from,
+                    id,
+                    resource,
+                    key,
+                };
+                if let Some(reply) = self.resources.receive(request, part) {
+                    self.send_part(now, from, reply);
                 }
             }
-            Kind::Fetch { id, topic, key, at } => self.asked_for(now, from, id, topic, key, at),
-            Kind::Gossip | Kind::Tell | Kind::Carry | Kind::Part { .. } => {}
+            Message::VersionRequest { .. }
+            | Message::Gossip
+            | Message::VersionReply
+            | Message::Piggyback
+            | Message::Part { .. } => {}
+        }
+    }
+
+    fn receive_ack(&mut self, now: Millis, from: MemberId, nonce: u32) {
+        self.agreement.acknowledge(nonce);
+        if let Some(begun) = self.detector.acknowledge(nonce) {
+            self.agreement.record_confirmation(begun);
+        }
+        if let Some(probe) = self.detector.acknowledge_indirect(nonce, from) {
+            let nonce = probe.requester_nonce;
+            self.send(now, probe.requester, Message::Ack { nonce });
         }
-        debug_assert!(self.out.iter().all(|s| s.bytes.len() <= MAX_DATAGRAM));
+    }
+
+    /// Probes a member for another one.
+    fn probe_for(&mut self, now: Millis, requester: MemberId, nonce: u32, target: MemberId) {
+        let is_other = target != self.id && target < self.members.size();
+        if !is_other || !self.detector.has_room_for_indirect_probe() {
+            return;
+        }
+        let own_nonce = self.rng.u32(..);
+        self.detector.start_indirect_probe(IndirectProbe {
+            requester,
+            requester_nonce: nonce,
+            target,
+            nonce: own_nonce,
+            nack_at: now + self.config.ack_timeout,
+        });
+        self.send(now, target, Message::Ping { nonce: own_nonce });
+    }
+
+    fn send_version(&mut self, now: Millis, to: MemberId, digest: Digest) {
+        let Some(version) = self.agreement.known(digest).cloned() else {
+            return;
+        };
+        let recipient = self.endpoint(to);
+        let updates = [Update::Version(version)];
+        let message = Message::VersionReply;
+        self.send_updates(now, Channel::Membership, recipient, message, &updates);
     }
 }
--- /dev/null
+++ b/crates/heathroad-membership/src/protocol/tests/resource_server.rs
@@ -0,0 +1,56 @@
+//! Unit tests of the resource server.
+
+use super::*;
+
+fn request(id: u32) -> ResourceRequest {
+    ResourceRequest {
+        from: 1,
+        id,
+        resource: Resource::ActivityRecord,
+        key: Digest::default(),
+    }
+}
+
+fn length(reply: &PartReply) -> u32 {
+    match reply.message {
+        Message::Part { length, .. } => length,
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn a_resource_stays_as_it_was_first_asked_for() {
+    let mut server = ResourceServer::default();
+    assert!(
+        server.receive(request(1), 0).is_none(),
+        "its owner is asked first"
+    );
+    assert!(server.receive(request(1), 0).is_none());
+    assert_eq!(server.drain_requests().collect::<Vec<_>>(), [request(1)]);
+    let first = server.serve(request(1), Some(vec![1; PART_BYTES + 1]));
+    assert_eq!(length(&first), PART_BYTES as u32 + 1);
+    let second = server.receive(request(1), 1).expect("it is kept");
+    assert_eq!(second.updates, [Update::Bytes(vec![1])]);
+}
+
+#[test]
+fn a_resource_that_is_kept_no_longer_is_not_found() {
+    let mut server = ResourceServer::default();
+    for id in 0..=MAX_SERVED as u32 {
+        server.serve(request(id), Some(vec![1; PART_BYTES + 1]));
+    }
+    let reply = server.receive(request(0), 1).expect("it is answered");
+    assert_eq!(length(&reply), NOT_FOUND_LENGTH);
+    assert!(
+        server
+            .receive(request(1), 1)
+            .is_some_and(|reply| length(&reply) != NOT_FOUND_LENGTH)
+    );
+}
+
+#[test]
+fn a_resource_that_is_too_long_is_not_found() {
+    let mut server = ResourceServer::default();
+    let reply = server.serve(request(1), Some(vec![0; MAX_RESOURCE_BYTES + 1]));
+    assert_eq!(length(&reply), NOT_FOUND_LENGTH);
+}
--- /dev/null
+++ b/crates/heathroad-membership/src/rate_limit.rs
@@ -0,0 +1,44 @@
+//! A token bucket that limits the datagrams sent per second.
+
+use crate::Millis;
+
+/// Tokens are counted in thousandths, so that whole numbers suffice.
+const TOKEN: u64 = 1000;
+
+/// A bucket that holds the tokens of one second.
+#[derive(Debug, Clone)]
+pub(crate) struct RateLimiter {
+    capacity: u64,
+    available: u64,
+    refilled_at: Millis,
+}
+
+impl RateLimiter {
+    /// Permits so many datagrams per second, and as many in a burst.
+    pub(crate) fn new(now: Millis, per_second: u32) -> RateLimiter {
+        let capacity = u64::from(per_second) * TOKEN;
+        RateLimiter {
+            capacity,
+            available: capacity,
+            refilled_at: now,
+        }
+    }
+
+    /// Takes a token if there is one.
+    pub(crate) fn try_acquire(&mut self, now: Millis) -> bool {
+        // Each millisecond refills a thousandth of the capacity.
+        let elapsed = now.saturating_sub(self.refilled_at);
+        let refill = elapsed.saturating_mul(self.capacity / TOKEN);
+        self.available = self.available.saturating_add(refill).min(self.capacity);
+        self.refilled_at = now;
+        if self.available < TOKEN {
+            return false;
+        }
+        self.available -= TOKEN;
+        true
+    }
+}
+
+#[cfg(test)]
+#[path = "tests/rate_limit.rs"]
+mod tests;
--- /dev/null
+++ b/crates/heathroad-membership/src/wire/mod.rs
@@ -0,0 +1,60 @@
+//! The form of datagrams: a header, a message, and updates up to the authentication tag, in at most
+//! 256 bytes. `docs/specs/membership-datagrams.md` specifies it. A datagram that cannot be decoded
+//! is dropped as a whole.
+
+mod header;
+mod message;
+mod update;
+
+pub use header::{Header, MAX_FLEET_NAME_BYTES};
+pub use message::{Message, Resource};
+pub use update::Update;
+
+use crate::codec::{DecodeError, Reader, Writer};
+
+/// The longest datagram, in bytes.
+pub const MAX_DATAGRAM_BYTES: usize = 256;
+/// The length of the authentication tag at the end of a datagram, in bytes.
+pub const TAG_BYTES: usize = 16;
+/// The lowest and the highest protocol that this program supports.
+pub const SUPPORTED_PROTOCOLS: [u8; 2] = [1, 1];
+
+/// Returns the highest protocol that two members support, given the lowest and the highest of each.
+pub fn negotiate_protocol(ours: [u8; 2], theirs: [u8; 2]) -> Option<u8> {
+    let highest = ours[1].min(theirs[1]);
+    let lowest = ours[0].max(theirs[0]);
+    (highest >= lowest).then_some(highest)
+}
+
+/// Encodes a message, and as many updates as fit into `capacity` bytes with it. Returns the number
+/// of updates that were encoded.
+pub fn encode_content(
+    message: Message,
+    updates: &[Update],
+    capacity: usize,
+    writer: &mut Writer,
+) -> usize {
+    let end = writer.len() + capacity;
+    message.encode(writer);
+    let mut encoded = 0;
+    for update in updates {
+        let start = writer.len();
+        update.encode(writer);
+        if writer.len() > end {
+            writer.truncate(start);
+            break;
+        }
+        encoded += 1;
+    }
+    encoded
+}
+
+/// Decodes a message and all updates behind it.
+pub fn decode_content(reader: &mut Reader<'_>) -> Result<(Message, Vec<Update>), DecodeError> {
+    let message = Message::decode(reader)?;
+    let mut updates = Vec::new();
+    while !reader.is_empty() {
+        updates.push(Update::decode(reader)?);
+    }
+    Ok((message, updates))
+}
--- a/crates/heathroad-membership/tests/common/mod.rs
+++ b/crates/heathroad-membership/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! A fleet on a network of the test's own, in time of the test's own.
 #![allow(dead_code, reason = "each test file uses its part of it")]
 
-use heathroad_membership::protocol::{Config, Event, Membership};
-use heathroad_membership::seal::Seal;
-use heathroad_membership::table::Standing;
+use heathroad_membership::authentication::Authenticator;
+use heathroad_membership::claim::MemberState;
+use heathroad_membership::protocol::{Config, Event, Membership, Settings};
 use heathroad_membership::version::{Digest, Version};
 use heathroad_membership::{MemberId, Millis};
 use std::cmp::Reverse;
@@ -13,8 +13,8 @@
 /// Unix time at which the test's clocks start.
 pub const EPOCH: u64 = 1_790_000_000_000;
 
-pub fn seal() -> Seal {
-    Seal::new("kano", KEY).expect("a good name and key")
+pub fn authenticator() -> Authenticator {
+    Authenticator::new("kano", KEY).expect("a good name and key")
 }
 
 pub fn version(generation: u64) -> Version {
@@ -35,8 +35,7 @@
     pub loss: f64,
     /// Share that comes twice.
     pub twice: f64,
-    /// Longest way, in milliseconds; each takes some time of its own, so that they overtake each
-    /// other.
+    /// Longest way, in milliseconds; each takes some time of its own, so that they overtake each other.
     pub delay: Millis,
     /// Ways on which nothing comes through.
     pub cut: HashSet<(MemberId, MemberId)>,
@@ -60,7 +59,7 @@
     waiting: Vec<Vec<Vec<u8>>>,
     count: u64,
     lives: u64,
-    terms: Config,
+    config: Config,
     members: u16,
     /// When each is to be told of the time, as it said last.
     dues: Vec<Millis>,
@@ -87,7 +86,7 @@
             waiting: vec![Vec::new(); n],
             count: 0,
             lives: 0,
-            terms: Config::default(),
+            config: Config::default(),
             members,
             dues: vec![0; n],
         };
@@ -104,14 +103,16 @@
         let seed = self.rng.u64(..);
         let mut fleet = Membership::new(
             self.now,
-            seal(),
-            place,
-            self.members,
-            life,
-            seed,
-            self.terms.clone(),
+            Settings {
+                authenticator: authenticator(),
+                id: place,
+                fleet_size: self.members,
+                incarnation: life,
+                seed,
+                config: self.config.clone(),
+            },
         );
-        fleet.act_on(version(1));
+        fleet.set_active_version(version(1));
         self.waiting[usize::from(place)].clear();
         self.fleets[usize::from(place)] = Some(fleet);
         self.dues[usize::from(place)] = 0;
@@ -144,8 +145,8 @@
         self.fleets[usize::from(place)].as_mut().expect("it runs")
     }
 
-    pub fn standing(&self, of: MemberId, at: MemberId) -> Standing {
-        self.fleet(at).table().get(of).expect("a member").standing
+    pub fn standing(&self, of: MemberId, at: MemberId) -> MemberState {
+        self.fleet(at).members().get(of).expect("a member").state
     }
 
     pub fn running(&self) -> Vec<MemberId> {
@@ -168,9 +169,9 @@
             return;
         };
         self.dues[usize::from(place)] = fleet.due();
-        let (now, sends): (_, Vec<_>) = (self.now, fleet.sends().collect());
+        let (now, sends): (_, Vec<_>) = (self.now, fleet.transmits().collect());
         self.news
-            .extend(fleet.news().map(|news| (now, place, news)));
+            .extend(fleet.events().map(|news| (now, place, news)));
         for send in sends {
             self.sent[usize::from(place)] += 1;
             self.bytes += send.bytes.len() as u64;
@@ -243,21 +244,21 @@
         holds(self).then_some(self.now)
     }
 
-    /// Everybody who runs takes exactly those who run for there, with the version that each acts
-    /// on.
+    /// Everybody who runs takes exactly those who run for there, with the version that each acts on.
     pub fn agree(&self) -> bool {
         let running = self.running();
         running.iter().all(|at| {
             (0..self.members).all(|of| {
-                let known = self.fleet(*at).table().get(of).expect("a member");
+                let known = self.fleet(*at).members().get(of).expect("a member");
                 match &self.fleets[usize::from(of)] {
                     Some(other) => {
-                        let acts = |f: &Membership| f.table().get(of).and_then(|m| m.acts);
-                        known.standing == Standing::Alive
-                            && known.incarnation.life == other.incarnation().life
+                        let acts =
+                            |f: &Membership| f.members().get(of).and_then(|m| m.active_version);
+                        known.state == MemberState::Alive
+                            && known.revision.incarnation == other.revision().incarnation
                             && acts(self.fleet(*at)) == acts(other)
                     }
-                    None => known.standing.over() || known.standing == Standing::Unknown,
+                    None => known.state.is_final() || known.state == MemberState::Unknown,
                 }
             })
         })
@@ -267,7 +268,7 @@
     pub fn false_deaths(&self) -> usize {
         self.news
             .iter()
-            .filter(|(_, _, n)| matches!(n, Event::Gone { .. }))
+            .filter(|(_, _, n)| matches!(n, Event::MemberDead { .. }))
             .count()
     }
 }
--- a/crates/heathroad-membership/tests/golden_datagrams.rs
+++ b/crates/heathroad-membership/tests/golden_datagrams.rs
@@ -1,12 +1,15 @@
-//! The bytes of one datagram of each kind and of each item stay as they are.
+//! The bytes of one datagram of each message and of each item stay as they are.
 
 mod common;
 
-use common::{EPOCH, KEY, seal};
-use heathroad_membership::seal::{Dropped, Seal};
-use heathroad_membership::table::{Claim, Incarnation, Standing};
-use heathroad_membership::version::{Digest, Source, Version};
-use heathroad_membership::wire::{self, Head, Item, Kind, MAX_DATAGRAM, Resource, SPOKEN, Writer};
+use common::{EPOCH, KEY, authenticator};
+use heathroad_membership::authentication::{Authenticator, DropCounters};
+use heathroad_membership::claim::{Claim, MemberState, Revision};
+use heathroad_membership::codec::Writer;
+use heathroad_membership::version::{Digest, EndpointSource, Version};
+use heathroad_membership::wire::{
+    self, Header, MAX_DATAGRAM_BYTES, Message, Resource, SUPPORTED_PROTOCOLS, Update,
+};
 
 fn digest(byte: u8) -> Digest {
     Digest([byte; 8])
@@ -20,146 +23,180 @@
         generation: 0x0102_0304_0506_0708,
         routes: digest(0x32),
         sources: vec![
-            Source {
-                source: digest(0x33),
-                seq: 9,
+            EndpointSource {
+                address_digest: digest(0x33),
+                sequence: 9,
             },
-            Source {
-                source: digest(0x34),
-                seq: 10,
+            EndpointSource {
+                address_digest: digest(0x34),
+                sequence: 10,
             },
         ],
-        further: 3,
+        unlisted_sources: 3,
     }
 }
 
-fn claim(standing: Standing, turn: u16) -> Item {
-    let incarnation = Incarnation { life: EPOCH, turn };
-    Item::Claim(Claim {
+fn claim(state: MemberState, refutations: u16) -> Update {
+    let revision = Revision {
+        incarnation: EPOCH,
+        refutations,
+    };
+    Update::Claim(Claim {
         member: 2,
-        standing,
-        incarnation,
-        by: 5,
+        state,
+        revision,
+        source: 5,
     })
 }
 
-fn fetch(topic: Resource) -> Kind {
-    Kind::Fetch {
+fn fetch(resource: Resource) -> Message {
+    Message::PartRequest {
         id: 0x0a0b_0c0d,
-        topic,
+        resource,
         key: digest(0x21),
-        at: 4,
+        part: 4,
     }
 }
 
-/// Each kind, and each item in some kind that holds it.
-fn cases() -> Vec<(&'static str, Kind, Vec<Item>)> {
-    let acts = Item::Acts {
-        member: 3,
-        life: EPOCH + 1,
-        change: 7,
-        digest: digest(0x11),
-    };
-    let want = Item::Want {
-        number: 12,
-        digest: digest(0x12),
-        by: 1,
-    };
-    let required = Item::Required {
-        number: 12,
-        digest: digest(0x12),
-        left: 90_000,
-    };
-    let conflict = Item::Conflict {
-        number: 13,
-        digests: [digest(0x13), digest(0x14)],
-    };
+type Case = (&'static str, Message, Vec<Update>);
+
+/// Each message, and each update in some message that holds it.
+fn cases() -> Vec<Case> {
+    messages().into_iter().chain(updates()).collect()
+}
+
+fn messages() -> Vec<Case> {
     vec![
-        ("ping", Kind::Ping { nonce: 0x0102_0304 }, vec![]),
-        ("ack", Kind::Ack { nonce: 0x0102_0304 }, vec![]),
+        ("ping", Message::Ping { nonce: 0x0102_0304 }, vec![]),
+        ("ack", Message::Ack { nonce: 0x0102_0304 }, vec![]),
         (
             "help",
-            Kind::Help {
+            Message::PingRequest {
                 nonce: 0x0102_0304,
-                after: 300,
+                target: 300,
             },
             vec![],
         ),
-        ("nack", Kind::Nack { nonce: 0x0102_0304 }, vec![]),
-        ("gossip", Kind::Gossip, vec![]),
+        ("nack", Message::Nack { nonce: 0x0102_0304 }, vec![]),
+        ("gossip", Message::Gossip, vec![]),
         (
             "ask",
-            Kind::Ask {
+            Message::VersionRequest {
                 member: 300,
                 digest: digest(0x15),
             },
             vec![],
         ),
-        ("tell", Kind::Tell, vec![Item::Whole(version())]),
+        (
+            "tell",
+            Message::VersionReply,
+            vec![Update::Version(version())],
+        ),
         ("fetch-record", fetch(Resource::ActivityRecord), vec![]),
         ("fetch-routes", fetch(Resource::Routes), vec![]),
         ("fetch-duties", fetch(Resource::LeaseHistory), vec![]),
         ("fetch-collected", fetch(Resource::CollectedRecords), vec![]),
         (
             "part",
-            Kind::Part {
+            Message::Part {
                 id: 7,
                 length: 165,
-                at: 1,
+                part: 1,
             },
-            vec![Item::Bytes(b"text!".to_vec())],
+            vec![Update::Bytes(b"text!".to_vec())],
         ),
         (
             "part-absent",
-            Kind::Part {
+            Message::Part {
                 id: 7,
                 length: u32::MAX,
-                at: 0,
+                part: 0,
             },
             vec![],
         ),
-        ("carry", Kind::Carry, vec![Item::Bytes((0..190).collect())]),
-        ("claim-alive", Kind::Gossip, vec![claim(Standing::Alive, 0)]),
+        (
+            "carry",
+            Message::Piggyback,
+            vec![Update::Bytes((0..190).collect())],
+        ),
+    ]
+}
+
+fn updates() -> Vec<Case> {
+    let acts = Update::ActiveVersion {
+        member: 3,
+        incarnation: EPOCH + 1,
+        sequence: 7,
+        digest: digest(0x11),
+    };
+    let want = Update::DesiredVersion {
+        generation: 12,
+        digest: digest(0x12),
+        origin: 1,
+    };
+    let required = Update::RequiredVersion {
+        generation: 12,
+        digest: digest(0x12),
+        remaining_ms: 90_000,
+    };
+    let conflict = Update::VersionConflict {
+        generation: 13,
+        digests: [digest(0x13), digest(0x14)],
+    };
+    vec![
+        (
+            "claim-alive",
+            Message::Gossip,
+            vec![claim(MemberState::Alive, 0)],
+        ),
         (
             "claim-suspect",
-            Kind::Gossip,
-            vec![claim(Standing::Suspect, 0x0203)],
+            Message::Gossip,
+            vec![claim(MemberState::Suspect, 0x0203)],
+        ),
+        (
+            "claim-left",
+            Message::Gossip,
+            vec![claim(MemberState::Left, 1)],
+        ),
+        (
+            "claim-gone",
+            Message::Gossip,
+            vec![claim(MemberState::Dead, 1)],
         ),
-        ("claim-left", Kind::Gossip, vec![claim(Standing::Left, 1)]),
-        ("claim-gone", Kind::Gossip, vec![claim(Standing::Gone, 1)]),
-        ("acts", Kind::Gossip, vec![acts.clone()]),
-        ("want", Kind::Gossip, vec![want.clone()]),
-        ("required", Kind::Gossip, vec![required.clone()]),
-        ("conflict", Kind::Gossip, vec![conflict.clone()]),
+        ("acts", Message::Gossip, vec![acts.clone()]),
+        ("want", Message::Gossip, vec![want.clone()]),
+        ("required", Message::Gossip, vec![required.clone()]),
+        ("conflict", Message::Gossip, vec![conflict.clone()]),
         (
             "several",
-            Kind::Ack { nonce: 1 },
-            vec![claim(Standing::Alive, 1), want, required, acts, conflict],
+            Message::Ack { nonce: 1 },
+            vec![claim(MemberState::Alive, 1), want, required, acts, conflict],
         ),
     ]
 }
 
-fn head() -> Head {
-    Head {
+fn header() -> Header {
+    Header {
         protocol: 1,
-        spoken: SPOKEN,
-        fleet: b"kano".to_vec(),
-        from: 0x0102,
-        from_life: EPOCH,
-        to: 0x0304,
-        to_life: EPOCH + 5,
-        number: 0x0506_0708,
+        supported_protocols: SUPPORTED_PROTOCOLS,
+        fleet_name: b"kano".to_vec(),
+        sender: 0x0102,
+        sender_incarnation: EPOCH,
+        recipient: 0x0304,
+        recipient_incarnation: EPOCH + 5,
+        sequence: 0x0506_0708,
     }
 }
 
-fn encode(kind: Kind, items: &[Item]) -> Vec<u8> {
+fn encode(message: Message, updates: &[Update]) -> Vec<u8> {
     let mut writer = Writer::default();
-    head().write(&mut writer);
+    header().encode(&mut writer);
     assert_eq!(
-        wire::write(kind, items, MAX_DATAGRAM, &mut writer),
-        items.len()
+        wire::encode_content(message, updates, MAX_DATAGRAM_BYTES, &mut writer),
+        updates.len()
     );
-    seal().close(writer)
+    authenticator().sign(writer)
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -180,7 +217,7 @@
 fn datagrams_are_encoded_as_before() {
     let lines = cases()
         .into_iter()
-        .map(|(name, kind, items)| format!("{name} {}\n", hex(&encode(kind, &items))));
+        .map(|(name, message, updates)| format!("{name} {}\n", hex(&encode(message, &updates))));
     common::assert_golden("datagrams.txt", &lines.collect::<String>());
 }
 
@@ -189,14 +226,22 @@
     let golden = std::fs::read_to_string(common::golden("datagrams.txt")).expect("it is there");
     let cases = cases();
     assert_eq!(golden.lines().count(), cases.len());
-    for (line, (name, kind, items)) in golden.lines().zip(cases) {
+    for (line, (name, message, updates)) in golden.lines().zip(cases) {
         let bytes = unhex(line.strip_prefix(name).expect("the same order").trim());
-        let mut dropped = Dropped::default();
-        let opened = Seal::new("kano", KEY)
+        let mut dropped = DropCounters::default();
+        let opened = Authenticator::new("kano", KEY)
             .expect("good")
-            .open(&bytes, &mut dropped);
+            .verify(&bytes, &mut dropped);
         let (read, mut rest) = opened.expect(name);
-        assert_eq!((read, dropped), (head(), Dropped::default()), "{name}");
-        assert_eq!(wire::read(&mut rest), Ok((kind, items)), "{name}");
+        assert_eq!(
+            (read, dropped),
+            (header(), DropCounters::default()),
+            "{name}"
+        );
+        assert_eq!(
+            wire::decode_content(&mut rest),
+            Ok((message, updates)),
+            "{name}"
+        );
     }
 }
--- a/crates/heathroad-membership/tests/golden_json.rs
+++ b/crates/heathroad-membership/tests/golden_json.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
+use heathroad_membership::authentication::DropCounters;
+use heathroad_membership::claim::MemberState;
 use heathroad_membership::desired_version::{
-    Conflict, Desired, DesiredVersion, Required, Requirements,
+    Desired, DesiredVersion, RequiredVersion, RequiredVersions, VersionConflict,
 };
-use heathroad_membership::protocol::{Event, Traffic};
-use heathroad_membership::seal::Dropped;
-use heathroad_membership::table::Standing;
+use heathroad_membership::protocol::{Event, TrafficCounters};
 use heathroad_membership::version::Digest;
 use serde::Serialize;
 
@@ -19,38 +19,44 @@
 fn what_is_told_as_json_is_told_as_before() {
     let [one, other] = [Digest([0x11; 8]), Digest([0x22; 8])];
     let mut text = String::new();
-    for news in [
-        Event::Up { member: 1, life: 2 },
-        Event::Suspected { member: 1, by: 3 },
-        Event::Refuted { member: 1 },
-        Event::Gone { member: 1 },
-        Event::Left { member: 1 },
-        Event::Acts {
+    for event in [
+        Event::MemberAlive {
+            member: 1,
+            incarnation: 2,
+        },
+        Event::MemberSuspected {
+            member: 1,
+            accuser: 3,
+        },
+        Event::SuspicionRefuted { member: 1 },
+        Event::MemberDead { member: 1 },
+        Event::MemberLeft { member: 1 },
+        Event::ActiveVersionChanged {
             member: 1,
             digest: one,
         },
-        Event::Reborn { life: 4 },
-        Event::Woke { after: 5 },
-        Event::Wanted {
-            number: 6,
+        Event::Reincarnated { incarnation: 4 },
+        Event::Stalled { duration: 5 },
+        Event::DesiredVersionChanged {
+            generation: 6,
             digest: one,
         },
-        Event::Required { number: 7 },
-        Event::Conflict {
-            number: 8,
+        Event::VersionRequired { generation: 7 },
+        Event::VersionConflict {
+            generation: 8,
             digests: [one, other],
         },
-        Event::CutOff,
-        Event::Heard,
+        Event::Isolated,
+        Event::Reconnected,
     ] {
-        text += &line(&news);
+        text += &line(&event);
     }
     for standing in [
-        Standing::Unknown,
-        Standing::Alive,
-        Standing::Suspect,
-        Standing::Left,
-        Standing::Gone,
+        MemberState::Unknown,
+        MemberState::Alive,
+        MemberState::Suspect,
+        MemberState::Left,
+        MemberState::Dead,
     ] {
         text += &line(&standing);
     }
@@ -58,33 +64,33 @@
     text += &line(&Desired::Version(DesiredVersion {
         generation: 9,
         digest: one,
-        by: 2,
+        origin: 2,
     }));
-    text += &line(&Desired::Conflict(Conflict {
-        number: 10,
+    text += &line(&Desired::Conflict(VersionConflict {
+        generation: 10,
         digests: [one, other],
     }));
-    let mut required = Requirements::default();
-    assert!(required.merge(Required {
-        number: 11,
+    let mut required = RequiredVersions::default();
+    assert!(required.merge(RequiredVersion {
+        generation: 11,
         digest: one,
-        at: 12
+        deadline: 12
     }));
     text += &line(&required);
-    let dropped = Dropped {
-        torn: 1,
-        foreign: 2,
-        protocol: 3,
-        forged: 4,
-        astray: 5,
+    let dropped = DropCounters {
+        malformed: 1,
+        other_fleet: 2,
+        unsupported_protocol: 3,
+        unauthenticated: 4,
+        misaddressed: 5,
         stale: 6,
         replayed: 7,
     };
-    text += &line(&Traffic {
+    text += &line(&TrafficCounters {
         sent: 1,
         sent_bytes: 2,
-        heard: 3,
-        held_back: 4,
+        received: 3,
+        rate_limited: 4,
         dropped,
     });
     common::assert_golden("json.txt", &text);
--- a/crates/heathroad-membership/tests/golden_record.rs
+++ b/crates/heathroad-membership/tests/golden_record.rs
@@ -3,9 +3,10 @@
 mod common;
 
 use heathroad_membership::activity_record::{
-    Activity, ActivityRecord, Acts, Lost, MAX_PAGES, RecordSnapshot, Spell, Trouble, TurnedDown,
+    Activity, ActivityCounts, ActivityRecord, DiscardedIntervals, FaultInterval, FaultKind,
+    MAX_INTERVALS, RecordSnapshot, RejectedVersion,
 };
-use heathroad_membership::version::{Digest, Source, Version};
+use heathroad_membership::version::{Digest, EndpointSource, Version};
 
 const START: u64 = 1_790_000_000_000;
 
@@ -20,22 +21,21 @@
         settings: digest(0xaa),
         generation,
         routes: digest(generation as u8),
-        sources: vec![Source {
-            source: digest(0xbb),
-            seq: 41,
+        sources: vec![EndpointSource {
+            address_digest: digest(0xbb),
+            sequence: 41,
         }],
-        further: 2,
+        unlisted_sources: 2,
     }
 }
 
-/// A record with everything that a record can hold: two lives, a page that was not closed, pages
-/// given up.
+/// A record with everything that a record can hold: two lives, a page that was not closed, pages given up.
 fn record() -> RecordSnapshot {
     let mut first = ActivityRecord::new(START, START, None);
-    for generation in 1..=MAX_PAGES as u64 {
+    for generation in 1..=MAX_INTERVALS as u64 {
         first
             .begin_interval(START + generation, version(generation))
-            .act(Activity::AttemptSent, START + generation);
+            .record(Activity::AttemptSent, START + generation);
     }
     let mut told = first.snapshot(START + 1000);
     // A short file does: the oldest go, as they do where there is no room.
@@ -54,34 +54,34 @@
         (Activity::ChangeApplied, 3),
         (Activity::ChangeRolledBack, 2),
     ] {
-        (0..times).for_each(|n| page.act(act, START + 2100 + n));
+        (0..times).for_each(|n| page.record(act, START + 2100 + n));
     }
     second.begin_interval(START + 2500, version(301));
-    second.spell(Spell {
-        trouble: Trouble::CutOff,
+    second.record_fault(FaultInterval {
+        kind: FaultKind::Isolated,
         from: START + 2600,
         to: Some(START + 2700),
     });
-    second.spell(Spell {
-        trouble: Trouble::Stalled,
+    second.record_fault(FaultInterval {
+        kind: FaultKind::Stalled,
         from: START + 2710,
         to: Some(START + 2720),
     });
-    second.spell(Spell {
-        trouble: Trouble::Fenced,
+    second.record_fault(FaultInterval {
+        kind: FaultKind::Fenced,
         from: START + 2730,
         to: None,
     });
-    let (at, routes, why) = (
+    let (at, routes, reason) = (
         START + 2800,
         digest(0xcc),
         "pool \"main\": is missing".to_string(),
     );
-    second.turn_down(TurnedDown {
+    second.record_rejection(RejectedVersion {
         at,
         generation: 302,
         routes,
-        why,
+        reason,
     });
     second.snapshot(START + 3000)
 }
@@ -100,11 +100,11 @@
     let told: RecordSnapshot = serde_json::from_str(&text).expect("it is read");
     assert_eq!(told, record());
     assert_eq!((told.at, told.since), (START + 3000, START));
-    let lost = Lost {
+    let lost = DiscardedIntervals {
         count: 255,
-        acts: Acts {
+        activity: ActivityCounts {
             sent: 255,
-            ..Acts::default()
+            ..ActivityCounts::default()
         },
         until: Some(START + 256),
     };
@@ -113,35 +113,40 @@
         panic!("{told:?}")
     };
     assert_eq!(
-        (torn.torn, torn.life, torn.to, torn.versions),
+        (
+            torn.truncated,
+            torn.incarnation,
+            torn.to,
+            torn.version_count
+        ),
         (true, START, Some(START + 1000), 1)
     );
     assert_eq!((whole.from, whole.to), (START + 2000, Some(START + 2500)));
     assert_eq!(
-        (whole.first, whole.last),
+        (whole.first_activity, whole.last_activity),
         (Some(START + 2100), Some(START + 2108))
     );
-    let acts = Acts {
+    let acts = ActivityCounts {
         bound: 9,
         sent: 8,
         served: 7,
-        refused: 6,
+        rejected: 6,
         failed: 5,
         fenced: 4,
         applied: 3,
-        undone: 2,
+        rolled_back: 2,
     };
-    assert_eq!(whole.acts, acts);
+    assert_eq!(whole.activity, acts);
     assert_eq!(
         (open.version.clone(), open.digest, open.to),
         (version(301), version(301).digest(), None)
     );
-    let troubles: Vec<Trouble> = told.spells.iter().map(|s| s.trouble).collect();
+    let troubles: Vec<FaultKind> = told.faults.iter().map(|fault| fault.kind).collect();
     assert_eq!(
         troubles,
-        [Trouble::CutOff, Trouble::Stalled, Trouble::Fenced]
+        [FaultKind::Isolated, FaultKind::Stalled, FaultKind::Fenced]
     );
-    assert_eq!(told.turned_down[0].why, "pool \"main\": is missing");
+    assert_eq!(told.rejected[0].reason, "pool \"main\": is missing");
 }
 
 /// Records of the first programs, which told neither spells nor what was turned down.
@@ -150,6 +155,9 @@
     let text =
         r#"{"at":5,"since":1,"pages":[],"lost":{"pages":0,"acts":{"bound":1},"until":null}}"#;
     let told: RecordSnapshot = serde_json::from_str(text).expect("it is read");
-    assert_eq!((told.at, told.since, told.discarded.acts.bound), (5, 1, 1));
-    assert!(told.intervals.is_empty() && told.spells.is_empty() && told.turned_down.is_empty());
+    assert_eq!(
+        (told.at, told.since, told.discarded.activity.bound),
+        (5, 1, 1)
+    );
+    assert!(told.intervals.is_empty() && told.faults.is_empty() && told.rejected.is_empty());
 }
--- a/crates/heathroad-membership/tests/golden_trace.rs
+++ b/crates/heathroad-membership/tests/golden_trace.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::{EPOCH, seal, version};
-use heathroad_membership::protocol::{Config, Membership};
+use common::{EPOCH, authenticator, version};
+use heathroad_membership::protocol::{Config, Membership, Settings};
 use heathroad_membership::version::Digest;
 use heathroad_membership::wire::Resource;
 use heathroad_membership::{MemberId, Millis};
@@ -49,14 +49,16 @@
         let seed = self.rng.u64(..);
         let mut fleet = Membership::new(
             self.now,
-            seal(),
-            place,
-            MEMBERS,
-            life,
-            seed,
-            Config::default(),
+            Settings {
+                authenticator: authenticator(),
+                id: place,
+                fleet_size: MEMBERS,
+                incarnation: life,
+                seed,
+                config: Config::default(),
+            },
         );
-        fleet.act_on(version(1));
+        fleet.set_active_version(version(1));
         self.fleets[usize::from(place)] = Some(fleet);
     }
 
@@ -70,37 +72,37 @@
         let Some(fleet) = self.fleets[usize::from(place)].as_mut() else {
             return;
         };
-        let asked: Vec<_> = fleet.asked().collect();
+        let asked: Vec<_> = fleet.resource_requests().collect();
         for question in asked {
             let there = question.key != Digest::of(b"absent");
             let text = vec![place as u8; 1000 + usize::from(place)];
             fleet.serve(now, question, there.then_some(text));
         }
-        for news in fleet.news() {
+        for news in fleet.events() {
             let _ = writeln!(
                 self.seen,
                 "{now} {place} {}",
                 serde_json::to_string(&news).expect("plain")
             );
         }
-        for fetched in fleet.fetched() {
-            let text = fetched.text.map(|text| Digest::of(&text));
+        for fetched in fleet.completed_fetches() {
+            let text = fetched.result.map(|text| Digest::of(&text));
             let outcome =
                 text.map_or_else(|_| "not fetched".to_string(), |digest| digest.to_string());
             let _ = writeln!(
                 self.seen,
                 "{now} {place} {} {} {outcome}",
-                fetched.id, fetched.within
+                fetched.id, fetched.first_part_after
             );
         }
-        for message in fleet.carried() {
+        for message in fleet.messages() {
             let _ = writeln!(
                 self.seen,
                 "{now} {place} {} {:?}",
                 message.from, message.bytes
             );
         }
-        let sends: Vec<_> = fleet.sends().collect();
+        let sends: Vec<_> = fleet.transmits().collect();
         for send in sends {
             self.datagrams += 1;
             let _ = writeln!(
@@ -167,11 +169,11 @@
                 continue;
             };
             let facts = serde_json::json!({
-                "members": fleet.members(now), "traffic": fleet.traffic(), "doubt": fleet.doubt(),
-                "cut_off": fleet.cut_off(), "silent_ms": fleet.silent_for(now), "confirmed": fleet.confirmed(),
-                "majority": fleet.majority(), "incarnation": fleet.incarnation(),
-                "wanted": fleet.table().wanted(), "required": fleet.table().required(),
-                "highest": fleet.table().highest_generation(),
+                "members": fleet.member_views(now), "traffic": fleet.traffic(), "doubt": fleet.health_multiplier(),
+                "cut_off": fleet.is_isolated(), "silent_ms": fleet.silent_for(now), "confirmed": fleet.confirmed(),
+                "majority": fleet.sees_majority(), "incarnation": fleet.revision(),
+                "wanted": fleet.desired(), "required": fleet.required(),
+                "highest": fleet.highest_generation(),
             });
             // One in full, for whoever looks for a difference; of the others a digest.
             let text = facts.to_string();
@@ -188,9 +190,11 @@
     t.run_to(10_000);
     let now = t.now;
     for place in 0..MEMBERS {
-        t.fleet(place).act_on(version(2 + u64::from(place % 2)));
+        t.fleet(place)
+            .set_active_version(version(2 + u64::from(place % 2)));
     }
-    t.fleet(0).want(now, 4, Digest::of(b"four"), Some(30_000));
+    t.fleet(0)
+        .propose_version(now, 4, Digest::of(b"four"), Some(30_000));
     t.fleet(1)
         .fetch(now, 2, Resource::ActivityRecord, Digest::default())
         .expect("room");
@@ -202,12 +206,12 @@
         .expect("room");
     t.run_to(20_000);
     let routes = version(2).routes;
-    let source = t.fleet(5).source_of(routes);
+    let source = t.fleet(5).choose_routes_source(routes);
     let _ = writeln!(t.text, "source {source:?}");
     let now = t.now;
     for place in 1..MEMBERS {
-        t.fleet(0).carry(now, place, vec![place as u8; 20]);
-        t.fleet(place).confirm(now);
+        t.fleet(0).send_message(now, place, vec![place as u8; 20]);
+        t.fleet(place).request_confirmation(now);
     }
     t.stalled[3] = now + 7_000;
     t.run_to(40_000);
@@ -215,8 +219,10 @@
     t.cut = 3;
     t.run_to(50_000);
     let now = t.now;
-    t.fleet(0).want(now, 5, Digest::of(b"five"), None);
-    t.fleet(6).want(now, 5, Digest::of(b"fifth"), None);
+    t.fleet(0)
+        .propose_version(now, 5, Digest::of(b"five"), None);
+    t.fleet(6)
+        .propose_version(now, 5, Digest::of(b"fifth"), None);
     t.run_to(80_000);
     t.describe();
     t.cut = 0;
@@ -228,7 +234,8 @@
     let now = t.now;
     t.fleet(6).leave(now);
     t.collect(6);
-    t.fleet(0).want(now, 6, Digest::of(b"six"), Some(5_000));
+    t.fleet(0)
+        .propose_version(now, 6, Digest::of(b"six"), Some(5_000));
     t.run_to(160_000);
     t.describe();
     t.text
--- a/crates/heathroad-membership/tests/histories.rs
+++ b/crates/heathroad-membership/tests/histories.rs
@@ -46,7 +46,7 @@
             }
         }
         if world.running().contains(&who) {
-            world.fleet_mut(who).act_on(version(step));
+            world.fleet_mut(who).set_active_version(version(step));
         }
         world.run(rng.u64(0..15_000));
     }
@@ -64,7 +64,7 @@
     let settled = world.run_until(end, World::agree);
     if settled.is_none() {
         for at in world.running() {
-            println!("{at}: {:#?}", world.fleet(at).members(world.now));
+            println!("{at}: {:#?}", world.fleet(at).member_views(world.now));
         }
     }
     assert!(
--- a/crates/heathroad-membership/tests/hostile.rs
+++ b/crates/heathroad-membership/tests/hostile.rs
@@ -2,48 +2,57 @@
 
 mod common;
 
-use common::{KEY, World, seal};
-use heathroad_membership::seal::{Dropped, Seal, Unfit};
-use heathroad_membership::table::{Claim, Incarnation, Standing};
-use heathroad_membership::wire::{self, Head, Item, Kind, MAX_DATAGRAM, SPOKEN, Writer};
+use common::{KEY, World, authenticator};
+use heathroad_membership::authentication::{Authenticator, CredentialsError, DropCounters};
+use heathroad_membership::claim::{Claim, MemberState, Revision};
+use heathroad_membership::codec::{Reader, Writer};
+use heathroad_membership::wire::{
+    self, Header, MAX_DATAGRAM_BYTES, Message, SUPPORTED_PROTOCOLS, Update,
+};
 use proptest::prelude::*;
 
 /// Everything that a proxy holds to be true of others, as text.
 fn held(world: &World, at: u16) -> String {
-    let mut views = world.fleet(at).members(world.now);
-    views.iter_mut().for_each(|v| v.heard_ms = None);
-    format!("{views:?} {:?}", world.fleet(at).incarnation())
+    let mut views = world.fleet(at).member_views(world.now);
+    views.iter_mut().for_each(|v| v.last_heard_ago_ms = None);
+    format!("{views:?} {:?}", world.fleet(at).revision())
 }
 
 /// Well-formed, for any life, and about somebody's end.
-fn death(seal: &Seal, number: u32) -> Vec<u8> {
-    let (fleet, life) = (seal.name().to_vec(), common::EPOCH + 1_000_000);
-    let head = Head {
+fn death(authenticator: &Authenticator, number: u32) -> Vec<u8> {
+    let (fleet_name, incarnation) = (
+        authenticator.fleet_name().to_vec(),
+        common::EPOCH + 1_000_000,
+    );
+    let header = Header {
         protocol: 1,
-        spoken: SPOKEN,
-        fleet,
-        from: 1,
-        from_life: life,
-        to: 0,
-        to_life: life,
-        number,
+        supported_protocols: SUPPORTED_PROTOCOLS,
+        fleet_name,
+        sender: 1,
+        sender_incarnation: incarnation,
+        recipient: 0,
+        recipient_incarnation: incarnation,
+        sequence: number,
+    };
+    let revision = Revision {
+        incarnation,
+        refutations: 0,
     };
-    let (standing, incarnation) = (Standing::Gone, Incarnation { life, turn: 0 });
     let claim = Claim {
         member: 2,
-        standing,
-        incarnation,
-        by: 1,
+        state: MemberState::Dead,
+        revision,
+        source: 1,
     };
     let mut datagram = Writer::default();
-    head.write(&mut datagram);
-    wire::write(
-        Kind::Gossip,
-        &[Item::Claim(claim)],
-        MAX_DATAGRAM,
+    header.encode(&mut datagram);
+    wire::encode_content(
+        Message::Gossip,
+        &[Update::Claim(claim)],
+        MAX_DATAGRAM_BYTES,
         &mut datagram,
     );
-    seal.close(datagram)
+    authenticator.sign(datagram)
 }
 
 fn quiet_pair() -> World {
@@ -63,14 +72,14 @@
         let now = world.now;
         let fleet = world.fleet_mut(1);
         fleet.tick(now);
-        good.extend(fleet.sends().filter(|s| s.to == 0).map(|s| s.bytes));
+        good.extend(fleet.transmits().filter(|s| s.to == 0).map(|s| s.bytes));
         world.now += 500;
     }
     good.iter().for_each(|bytes| world.bring(0, bytes));
     let before = held(&world, 0);
-    let dropped = world.fleet(0).traffic().dropped.sum();
-    let foreign = Seal::new("other", KEY).expect("good");
-    let wrong_key = Seal::new("kano", b"another key, just as long as it").expect("good");
+    let dropped = world.fleet(0).traffic().dropped.total();
+    let foreign = Authenticator::new("other", KEY).expect("good");
+    let wrong_key = Authenticator::new("kano", b"another key, just as long as it").expect("good");
     for n in 0..10_000_u32 {
         let mut bytes = good[rng.usize(0..good.len())].clone();
         match n % 7 {
@@ -90,15 +99,15 @@
         world.bring(0, &bytes);
     }
     assert_eq!(held(&world, 0), before);
-    let Dropped {
-        torn,
-        foreign,
-        forged,
+    let DropCounters {
+        malformed,
+        other_fleet,
+        unauthenticated,
         replayed,
         ..
     } = world.fleet(0).traffic().dropped;
-    assert_eq!(world.fleet(0).traffic().dropped.sum(), dropped + 10_000);
-    assert!(torn > 0 && foreign > 1_000 && forged > 1_000 && replayed > 1_000);
+    assert_eq!(world.fleet(0).traffic().dropped.total(), dropped + 10_000);
+    assert!(malformed > 0 && other_fleet > 1_000 && unauthenticated > 1_000 && replayed > 1_000);
 }
 
 /// What was recorded is sealed rightly, and names a life of its receiver that has ended.
@@ -113,7 +122,7 @@
         let now = world.now;
         let fleet = world.fleet_mut(1);
         fleet.tick(now);
-        recorded.extend(fleet.sends().filter(|s| s.to == 0).map(|s| s.bytes));
+        recorded.extend(fleet.transmits().filter(|s| s.to == 0).map(|s| s.bytes));
     }
     world.kill(0);
     world.start(0);
@@ -129,31 +138,43 @@
 
 #[test]
 fn names_and_keys_that_cannot_be_used() {
-    assert_eq!(Seal::new("", KEY).err(), Some(Unfit::Name));
-    assert_eq!(Seal::new("seventeen-letters", KEY).err(), Some(Unfit::Name));
-    assert_eq!(Seal::new("kano", b"short").err(), Some(Unfit::Key));
-    assert!(Seal::new("sixteen-letters-", &[0; 16]).is_ok());
+    assert_eq!(
+        Authenticator::new("", KEY).err(),
+        Some(CredentialsError::InvalidName)
+    );
+    assert_eq!(
+        Authenticator::new("seventeen-letters", KEY).err(),
+        Some(CredentialsError::InvalidName)
+    );
+    assert_eq!(
+        Authenticator::new("kano", b"short").err(),
+        Some(CredentialsError::InvalidKey)
+    );
+    assert!(Authenticator::new("sixteen-letters-", &[0; 16]).is_ok());
 }
 
 #[test]
 fn old_and_new_speak_the_highest_that_both_do() {
-    assert_eq!(wire::common([1, 2], [2, 3]), Some(2));
-    assert_eq!(wire::common([1, 1], [1, 4]), Some(1));
-    assert_eq!(wire::common([1, 2], [3, 4]), None);
-    assert_eq!(wire::common(SPOKEN, SPOKEN), Some(SPOKEN[1]));
+    assert_eq!(wire::negotiate_protocol([1, 2], [2, 3]), Some(2));
+    assert_eq!(wire::negotiate_protocol([1, 1], [1, 4]), Some(1));
+    assert_eq!(wire::negotiate_protocol([1, 2], [3, 4]), None);
+    assert_eq!(
+        wire::negotiate_protocol(SUPPORTED_PROTOCOLS, SUPPORTED_PROTOCOLS),
+        Some(SUPPORTED_PROTOCOLS[1])
+    );
 }
 
 proptest! {
     /// Whatever comes, it is read or torn, and what is read is written as it was.
     #[test]
-    fn any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..MAX_DATAGRAM)) {
-        if let Ok((kind, items)) = wire::read(&mut wire::Reader::new(&bytes)) {
+    fn any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..MAX_DATAGRAM_BYTES)) {
+        if let Ok((message, updates)) = wire::decode_content(&mut Reader::new(&bytes)) {
             let mut again = Writer::default();
-            prop_assert_eq!(wire::write(kind, &items, MAX_DATAGRAM, &mut again), items.len());
+            prop_assert_eq!(wire::encode_content(message, &updates, MAX_DATAGRAM_BYTES, &mut again), updates.len());
             prop_assert_eq!(again.as_slice(), &bytes[..]);
         }
-        let mut dropped = Dropped::default();
-        prop_assert!(seal().open(&bytes, &mut dropped).is_none());
-        prop_assert_eq!(dropped.sum(), 1);
+        let mut dropped = DropCounters::default();
+        prop_assert!(authenticator().verify(&bytes, &mut dropped).is_none());
+        prop_assert_eq!(dropped.total(), 1);
     }
 }
--- a/crates/heathroad-membership/tests/membership.rs
+++ b/crates/heathroad-membership/tests/membership.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{EPOCH, World, version};
+use heathroad_membership::claim::MemberState;
 use heathroad_membership::protocol::Event;
-use heathroad_membership::table::Standing;
 use heathroad_membership::version::Digest;
 
 const LONG: u64 = 120_000;
@@ -20,17 +20,17 @@
 fn all_come_to_know_all_and_what_each_acts_on() {
     for (members, seed) in [(2, 1), (3, 2), (24, 3)] {
         let mut world = settled(members, seed);
-        world.fleet_mut(1).act_on(version(7));
+        world.fleet_mut(1).set_active_version(version(7));
         let end = world.now + LONG;
         let known = |w: &World| {
-            let table = w.fleet(0).table();
+            let table = w.fleet(0).members();
             let acts = table
                 .get(1)
-                .and_then(|m| m.acts)
+                .and_then(|m| m.active_version)
                 .expect("it acts on something");
             w.agree()
-                && table
-                    .version(acts.digest)
+                && w.fleet(0)
+                    .known_version(acts.digest)
                     .is_some_and(|v| v.generation == 7)
         };
         world
@@ -50,13 +50,13 @@
         let gone = |w: &World| {
             w.running()
                 .iter()
-                .all(|at| w.standing(5, *at) == Standing::Gone)
+                .all(|at| w.standing(5, *at) == MemberState::Dead)
         };
         world.run_until(end, gone).expect("it is gone for all");
         let others = world
             .news
             .iter()
-            .filter(|(_, _, n)| matches!(n, Event::Gone { member } if *member != 5));
+            .filter(|(_, _, n)| matches!(n, Event::MemberDead { member } if *member != 5));
         assert_eq!(others.count(), 0, "loss {loss}");
     }
 }
@@ -71,9 +71,14 @@
         let woke = world
             .news
             .iter()
-            .any(|(_, at, n)| *at == 2 && matches!(n, Event::Woke { .. }));
+            .any(|(_, at, n)| *at == 2 && matches!(n, Event::Stalled { .. }));
         assert!(woke, "seed {seed}");
-        let accused = |n: &Event| matches!(n, Event::Suspected { by: 2, .. } | Event::Gone { .. });
+        let accused = |n: &Event| {
+            matches!(
+                n,
+                Event::MemberSuspected { accuser: 2, .. } | Event::MemberDead { .. }
+            )
+        };
         assert!(
             !world.news.iter().any(|(_, _, n)| accused(n)),
             "seed {seed}: {:?}",
@@ -87,13 +92,13 @@
 fn nobody_wakes_who_was_not_stalled() {
     let mut world = settled(6, 12);
     world.run(60_000);
-    world.fleet_mut(1).act_on(version(7));
+    world.fleet_mut(1).set_active_version(version(7));
     world.kill(5);
     world.run(60_000);
     let woke = world
         .news
         .iter()
-        .filter(|(_, _, n)| matches!(n, Event::Woke { .. }));
+        .filter(|(_, _, n)| matches!(n, Event::Stalled { .. }));
     assert_eq!(woke.count(), 0);
 }
 
@@ -101,20 +106,20 @@
 #[test]
 fn who_was_given_up_comes_back_in_a_new_life() {
     let mut world = settled(6, 4);
-    let life = world.fleet(2).incarnation().life;
+    let life = world.fleet(2).revision().incarnation;
     world.stall(2, 40_000);
     world.run(39_000);
-    assert_eq!(world.standing(2, 0), Standing::Gone);
+    assert_eq!(world.standing(2, 0), MemberState::Dead);
     let end = world.now + LONG;
     world
         .run_until(end, World::agree)
         .expect("it is back for all");
-    assert!(world.fleet(2).incarnation().life > life);
+    assert!(world.fleet(2).revision().incarnation > life);
     assert!(
         world
             .news
             .iter()
-            .any(|(_, at, n)| *at == 2 && matches!(n, Event::Reborn { .. }))
+            .any(|(_, at, n)| *at == 2 && matches!(n, Event::Reincarnated { .. }))
     );
 }
 
@@ -128,16 +133,16 @@
         .cut
         .extend((0..6).filter(|p| *p != 3).map(|p| (p, 3)));
     world.run(6_000);
-    assert!(world.fleet(3).cut_off(), "it knows within some periods");
+    assert!(world.fleet(3).is_isolated(), "it knows within some periods");
     world.run(54_000);
-    assert!(world.fleet(3).cut_off());
-    let by_it = |n: &Event| matches!(n, Event::Suspected { by: 3, .. });
+    assert!(world.fleet(3).is_isolated());
+    let by_it = |n: &Event| matches!(n, Event::MemberSuspected { accuser: 3, .. });
     assert!(
         !world.news.iter().any(|(_, _, n)| by_it(n)),
         "{:?}",
         world.news
     );
-    let gone = |n: &Event| matches!(n, Event::Gone { member } if *member != 3);
+    let gone = |n: &Event| matches!(n, Event::MemberDead { member } if *member != 3);
     assert!(!world.news.iter().any(|(_, _, n)| gone(n)));
     world.faults.cut.clear();
     let end = world.now + LONG;
@@ -154,14 +159,14 @@
     let across = |(a, b): (u16, u16)| [world.standing(a, b), world.standing(b, a)];
     let pairs = (0..4).flat_map(|a| (4..8).map(move |b| (a, b)));
     assert!(
-        pairs.flat_map(across).all(|s| s == Standing::Gone),
+        pairs.flat_map(across).all(|s| s == MemberState::Dead),
         "nobody is asked but by a knock"
     );
     assert_eq!(
         (world.standing(2, 0), world.standing(4, 6)),
-        (Standing::Alive, Standing::Alive)
+        (MemberState::Alive, MemberState::Alive)
     );
-    world.fleet_mut(6).act_on(version(9));
+    world.fleet_mut(6).set_active_version(version(9));
     world.faults.cut.clear();
     let end = world.now + LONG;
     world
@@ -180,7 +185,7 @@
     world
         .run_until(end, World::agree)
         .expect("it is known in a life above its former one");
-    assert!(world.fleet(2).incarnation().life > EPOCH);
+    assert!(world.fleet(2).revision().incarnation > EPOCH);
 }
 
 /// What was said to a former life, or by one, changes nothing.
@@ -192,17 +197,17 @@
     world.start(2);
     let end = world.now + LONG;
     world.run_until(end, World::agree).expect("it is back");
-    let life = world.fleet(2).incarnation();
-    former.act_on(version(99));
+    let life = world.fleet(2).revision();
+    former.set_active_version(version(99));
     for _ in 0..20 {
         let now = world.now;
         former.tick(now);
-        let old: Vec<_> = former.sends().collect();
+        let old: Vec<_> = former.transmits().collect();
         for s in old {
-            let heard = world.fleet(s.to).traffic().heard;
+            let heard = world.fleet(s.to).traffic().received;
             world.bring(s.to, &s.bytes);
             assert_eq!(
-                world.fleet(s.to).traffic().heard,
+                world.fleet(s.to).traffic().received,
                 heard,
                 "nothing of it is used"
             );
@@ -210,7 +215,7 @@
         world.run(500);
     }
     assert!(world.agree());
-    assert_eq!(world.fleet(2).incarnation().life, life.life);
+    assert_eq!(world.fleet(2).revision().incarnation, life.incarnation);
     let stale: u64 = (0..5).map(|p| world.fleet(p).traffic().dropped.stale).sum();
     assert!(stale > 0);
 }
@@ -221,14 +226,14 @@
     let now = world.now;
     world.fleet_mut(3).leave(now);
     world.run(20);
-    let last: Vec<_> = world.fleet_mut(3).sends().collect();
+    let last: Vec<_> = world.fleet_mut(3).transmits().collect();
     last.iter().for_each(|s| world.bring(s.to, &s.bytes));
     world.kill(3);
     let end = world.now + 5_000;
     let left = |w: &World| {
         w.running()
             .iter()
-            .all(|at| w.standing(3, *at) == Standing::Left)
+            .all(|at| w.standing(3, *at) == MemberState::Left)
     };
     world
         .run_until(end, left)
@@ -243,7 +248,7 @@
     (0..50).for_each(|p| world.kill(p));
     world.run(5_000);
     (0..50).for_each(|p| world.start(p));
-    let (heard, begun) = (|w: &World, p| w.fleet(p).traffic().heard, world.now);
+    let (heard, begun) = (|w: &World, p| w.fleet(p).traffic().received, world.now);
     let before: Vec<u64> = (0..100).map(|p| heard(&world, p)).collect();
     world.run(2_000);
     let most = (0..100)
@@ -276,7 +281,7 @@
     assert!(most <= 10 * 41);
     assert!(world.longest <= 256);
     world.kill(17);
-    world.fleet_mut(3).act_on(version(5));
+    world.fleet_mut(3).set_active_version(version(5));
     let end = world.now + LONG;
     world
         .run_until(end, World::agree)
@@ -284,9 +289,9 @@
     assert_eq!(
         world
             .fleet(9)
-            .table()
+            .members()
             .get(3)
-            .and_then(|m| m.acts)
+            .and_then(|m| m.active_version)
             .map(|a| a.digest),
         Some(version(5).digest())
     );
--- a/crates/heathroad-membership/tests/merge.rs
+++ b/crates/heathroad-membership/tests/merge.rs
@@ -1,36 +1,41 @@
 //! Words on a member, in any order: who has heard the same holds the same.
 
-use heathroad_membership::table::{Claim, Incarnation, Standing, Table};
+use heathroad_membership::claim::{Claim, MemberState, Precedence, Revision};
+use heathroad_membership::member_table::MemberTable;
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
 
-fn standing() -> impl Strategy<Value = Standing> {
+fn standing() -> impl Strategy<Value = MemberState> {
     prop::sample::select(vec![
-        Standing::Alive,
-        Standing::Suspect,
-        Standing::Left,
-        Standing::Gone,
+        MemberState::Alive,
+        MemberState::Suspect,
+        MemberState::Left,
+        MemberState::Dead,
     ])
 }
 
 fn claims() -> impl Strategy<Value = Vec<Claim>> {
-    let claim =
-        (standing(), 1..4_u64, 0..4_u16, 0..5_u16).prop_map(|(standing, life, turn, by)| Claim {
+    let claim = (standing(), 1..4_u64, 0..4_u16, 0..5_u16).prop_map(
+        |(state, incarnation, refutations, source)| Claim {
             member: 0,
-            standing,
-            incarnation: Incarnation { life, turn },
-            by,
-        });
+            state,
+            revision: Revision {
+                incarnation,
+                refutations,
+            },
+            source,
+        },
+    );
     prop::collection::vec(claim, 1..12)
 }
 
 /// What stands after some words; an end stands in whichever turn it was told.
-fn after(claims: &[Claim]) -> (u64, u8, u16, u8) {
-    let mut table = Table::new(1);
+fn after(claims: &[Claim]) -> Precedence {
+    let mut table = MemberTable::new(1);
     for claim in claims {
         table.merge(0, *claim);
     }
-    table.claim(0).expect("something was said").weight()
+    table.claim(0).expect("something was said").precedence()
 }
 
 proptest! {
@@ -39,7 +44,7 @@
         let mut other: Vec<Claim> = claims.iter().chain(&claims).copied().collect();
         fastrand::Rng::with_seed(seed).shuffle(&mut other);
         prop_assert_eq!(after(&claims), after(&other));
-        prop_assert_eq!(after(&claims), claims.iter().map(Claim::weight).max().expect("some"));
+        prop_assert_eq!(after(&claims), claims.iter().map(Claim::precedence).max().expect("some"));
     }
 }
 
@@ -47,17 +52,20 @@
 /// life.
 #[test]
 fn an_end_holds_in_its_life() {
-    let claim = |standing, life, turn| Claim {
+    let claim = |state, incarnation, refutations| Claim {
         member: 0,
-        standing,
-        incarnation: Incarnation { life, turn },
-        by: 1,
+        state,
+        revision: Revision {
+            incarnation,
+            refutations,
+        },
+        source: 1,
     };
-    for end in [Standing::Left, Standing::Gone] {
-        let words = [claim(end, 1, 0), claim(Standing::Alive, 1, 9)];
-        assert_eq!(after(&words), claim(end, 1, 0).weight());
-        let back = claim(Standing::Alive, 2, 0);
-        assert_eq!(after(&[words[0], back]), back.weight());
+    for end in [MemberState::Left, MemberState::Dead] {
+        let words = [claim(end, 1, 0), claim(MemberState::Alive, 1, 9)];
+        assert_eq!(after(&words), claim(end, 1, 0).precedence());
+        let back = claim(MemberState::Alive, 2, 0);
+        assert_eq!(after(&[words[0], back]), back.precedence());
     }
 }
 
@@ -68,7 +76,7 @@
 /// What was said so far, the member's own incarnation, what each of two listeners has heard.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Said {
-    me: Incarnation,
+    me: Revision,
     over: bool,
     said: Vec<Claim>,
     heard: [Vec<usize>; 2],
@@ -84,7 +92,7 @@
 }
 
 impl Words {
-    fn stands(state: &Said, who: usize) -> Option<(u64, u8, u16, u8)> {
+    fn stands(state: &Said, who: usize) -> Option<Precedence> {
         let heard: Vec<Claim> = state.heard[who].iter().map(|at| state.said[*at]).collect();
         (!heard.is_empty()).then(|| after(&heard))
     }
@@ -97,12 +105,15 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<Said> {
-        let me = Incarnation { life: 1, turn: 0 };
+        let me = Revision {
+            incarnation: 1,
+            refutations: 0,
+        };
         let alive = Claim {
             member: 0,
-            standing: Standing::Alive,
-            incarnation: me,
-            by: 0,
+            state: MemberState::Alive,
+            revision: me,
+            source: 0,
         };
         vec![Said {
             me,
@@ -114,10 +125,10 @@
 
     fn actions(&self, state: &Said, steps: &mut Vec<Step>) {
         if state.said.len() < MOST_WORDS {
-            let last = state.said.last().expect("it began with one").standing;
+            let last = state.said.last().expect("it began with one").state;
             match last {
-                Standing::Alive => steps.push(Step::Accuse),
-                Standing::Suspect => steps.extend([Step::Refute, Step::Bury]),
+                MemberState::Alive => steps.push(Step::Accuse),
+                MemberState::Suspect => steps.extend([Step::Refute, Step::Bury]),
                 _ => {}
             }
             if state.over {
@@ -132,34 +143,34 @@
 
     fn next_state(&self, last: &Said, step: Step) -> Option<Said> {
         let mut state = last.clone();
-        let mut say = |standing, incarnation| {
+        let mut say = |state_now, revision| {
             state.said.push(Claim {
                 member: 0,
-                standing,
-                incarnation,
-                by: 1,
+                state: state_now,
+                revision,
+                source: 1,
             });
         };
         match step {
-            Step::Accuse => say(Standing::Suspect, last.me),
+            Step::Accuse => say(MemberState::Suspect, last.me),
             Step::Bury => {
-                say(Standing::Gone, last.me);
+                say(MemberState::Dead, last.me);
                 state.over = true;
             }
             Step::Refute => {
-                let me = Incarnation {
-                    turn: last.me.turn + 1,
+                let me = Revision {
+                    refutations: last.me.refutations + 1,
                     ..last.me
                 };
-                say(Standing::Alive, me);
+                say(MemberState::Alive, me);
                 state.me = me;
             }
             Step::Return => {
-                let me = Incarnation {
-                    life: last.me.life + 1,
-                    turn: 0,
+                let me = Revision {
+                    incarnation: last.me.incarnation + 1,
+                    refutations: 0,
                 };
-                say(Standing::Alive, me);
+                say(MemberState::Alive, me);
                 (state.me, state.over) = (me, false);
             }
             Step::Hear(who, at) => state.heard[who].push(at),
@@ -178,17 +189,18 @@
                 set(0) != set(1) || Words::stands(s, 0) == Words::stands(s, 1)
             }),
             Property::always("nobody holds more than was said", |_, s: &Said| {
-                let most = s.said.iter().map(Claim::weight).max();
+                let most = s.said.iter().map(Claim::precedence).max();
                 (0..2).all(|who| Words::stands(s, who) <= most)
             }),
             Property::always("who has heard all holds the last word", |_, s: &Said| {
-                let last = s.said.last().map(Claim::weight);
+                let last = s.said.last().map(Claim::precedence);
                 (0..2).all(|who| s.heard[who].len() < s.said.len() || Words::stands(s, who) == last)
             }),
             Property::sometimes(
                 "a member is back in a second life, and known",
                 |_, s: &Said| {
-                    Words::stands(s, 0).is_some_and(|(life, ended, ..)| life == 2 && ended == 0)
+                    Words::stands(s, 0)
+                        .is_some_and(|held| held.incarnation == 2 && held.final_state == 0)
                 },
             ),
         ]
--- a/crates/heathroad-membership/tests/texts.rs
+++ b/crates/heathroad-membership/tests/texts.rs
@@ -3,37 +3,37 @@
 mod common;
 
 use common::World;
-use heathroad_membership::protocol::fetch::{MAX_TEXT, PART, Unfetched};
+use heathroad_membership::protocol::fetch::{FetchError, MAX_RESOURCE_BYTES, PART_BYTES};
 use heathroad_membership::version::Digest;
 use heathroad_membership::wire::Resource;
 
 /// Lets 0 fetch from 1, which has `text`.
 fn fetch(
     world: &mut World,
-    topic: Resource,
+    resource: Resource,
     key: Digest,
     text: Option<Vec<u8>>,
-) -> Result<Vec<u8>, Unfetched> {
+) -> Result<Vec<u8>, FetchError> {
     let now = world.now;
     let id = world
         .fleet_mut(0)
-        .fetch(now, 1, topic, key)
+        .fetch(now, 1, resource, key)
         .expect("there is room");
     let begun = now;
     for _ in 0..200_000 {
         world.run(1);
         let now = world.now;
         if world.running().contains(&1) {
-            let asked: Vec<_> = world.fleet_mut(1).asked().collect();
+            let asked: Vec<_> = world.fleet_mut(1).resource_requests().collect();
             asked
                 .into_iter()
                 .for_each(|a| world.fleet_mut(1).serve(now, a, text.clone()));
         }
-        let done: Vec<_> = world.fleet_mut(0).fetched().collect();
+        let done: Vec<_> = world.fleet_mut(0).completed_fetches().collect();
         if let Some(fetched) = done.into_iter().next() {
             assert_eq!(fetched.id, id);
-            assert!(fetched.within <= world.now - begun);
-            return fetched.text;
+            assert!(fetched.first_part_after <= world.now - begun);
+            return fetched.result;
         }
     }
     panic!("neither a text nor an end");
@@ -49,7 +49,7 @@
 #[test]
 fn texts_come_whole_whatever_is_lost() {
     for loss in [0.0, 0.1, 0.3] {
-        for length in [0, 1, PART, PART + 1, 40_000] {
+        for length in [0, 1, PART_BYTES, PART_BYTES + 1, 40_000] {
             let text: Vec<u8> = (0..length).map(|n| (n * 7 % 251) as u8).collect();
             let mut world = pair(loss);
             let came = fetch(
@@ -74,26 +74,26 @@
             Digest::default(),
             None
         ),
-        Err(Unfetched::NotThere)
+        Err(FetchError::NotFound)
     );
     let other = Digest::of(b"another text");
     assert_eq!(
         fetch(&mut world, Resource::Routes, other, Some(text.clone())),
-        Err(Unfetched::Spoilt)
+        Err(FetchError::Corrupted)
     );
     assert_eq!(
         fetch(
             &mut world,
             Resource::ActivityRecord,
             other,
-            Some(vec![0; MAX_TEXT + 1])
+            Some(vec![0; MAX_RESOURCE_BYTES + 1])
         ),
-        Err(Unfetched::NotThere)
+        Err(FetchError::NotFound)
     );
     world.faults.loss = 1.0;
     assert_eq!(
         fetch(&mut world, Resource::ActivityRecord, other, Some(text)),
-        Err(Unfetched::Silence)
+        Err(FetchError::TimedOut)
     );
 }
 
@@ -109,16 +109,16 @@
     for _ in 0..50 {
         world.run(1);
         let now = world.now;
-        let asked: Vec<_> = world.fleet_mut(1).asked().collect();
+        let asked: Vec<_> = world.fleet_mut(1).resource_requests().collect();
         asked
             .into_iter()
             .for_each(|a| world.fleet_mut(1).serve(now, a, Some(text.clone())));
     }
     world.kill(1);
     world.run(4_000);
-    let done: Vec<_> = world.fleet_mut(0).fetched().collect();
+    let done: Vec<_> = world.fleet_mut(0).completed_fetches().collect();
     assert_eq!(
-        done.iter().map(|f| (f.id, &f.text)).collect::<Vec<_>>(),
-        [(id, &Err(Unfetched::Silence))]
+        done.iter().map(|f| (f.id, &f.result)).collect::<Vec<_>>(),
+        [(id, &Err(FetchError::TimedOut))]
     );
 }
--- a/crates/heathroad/src/configuration/mod.rs
+++ b/crates/heathroad/src/configuration/mod.rs
@@ -212,7 +212,8 @@
         .fleet
         .as_deref()
         .map(|path| membership::read(path, &addresses))
-        .transpose()?;
+        .transpose()
+        .map_err(|error| error.to_string())?;
     Ok(Config {
         fleet,
         digest,
--- a/crates/heathroad/src/lib.rs
+++ b/crates/heathroad/src/lib.rs
@@ -277,8 +277,9 @@
     let (mut peers, mut duties) = (None, None);
     if let Some((mut fleet, acts)) = config.fleet.take().zip(acts) {
         let named = fleet.leases.take();
-        let among =
-            MembershipService::begin(fleet, config.seed, acts, config.state.clone()).await?;
+        let among = MembershipService::begin(fleet, config.seed, acts, config.state.clone())
+            .await
+            .map_err(|error| error.to_string())?;
         if let Some(named) = named {
             let store = config.state.as_deref().map(Store::open).transpose()?;
             duties = Some(Duties::begin(named, seed(), among.clone(), store).await?);
--- a/crates/heathroad/src/membership/activity_log.rs
+++ b/crates/heathroad/src/membership/activity_log.rs
@@ -1,336 +1,335 @@
-//! What this proxy acts on, and the record of what it did on which.
+//! The version that this proxy runs, and the record of what it does under it.
 
+use super::version_fence::{Requirement, VersionFence};
+use heathroad_membership::Incarnation;
 use heathroad_membership::activity_record::{
-    Activity, ActivityRecord, Page, RecordSnapshot, Spell, Trouble, TurnedDown, Unix,
+    Activity, ActivityRecord, Epoch, FaultInterval, FaultKind, RecordSnapshot, RejectedVersion,
+    UnixMillis,
 };
-use heathroad_membership::desired_version::Required;
-use heathroad_membership::version::{Digest, Source, Version};
-use heathroad_membership::wire::SPOKEN;
+use heathroad_membership::version::{Digest, EndpointSource, Version};
+use heathroad_membership::wire::SUPPORTED_PROTOCOLS;
 use hyper::header::HeaderValue;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
-use std::time::{SystemTime, UNIX_EPOCH};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The page that a request was bound under, to its end.
+/// The activity of one request, under the version to which it was bound.
 #[derive(Clone)]
 pub struct RequestActivity {
-    acts: Rc<ActivityLog>,
-    page: Rc<Page>,
+    log: Rc<ActivityLog>,
+    epoch: Rc<Epoch>,
 }
 
 impl RequestActivity {
-    /// Something was done for the request.
-    pub fn record(&self, act: Activity) {
-        self.page.act(act, self.acts.now());
+    /// Records that something was done for the request.
+    pub fn record(&self, activity: Activity) {
+        self.epoch.record(activity, self.log.now());
     }
 
-    /// Whether an attempt may be sent for the request: not on routes past the time by which others
-    /// are required.
+    /// Whether an attempt may be sent for the request: not under a generation of routes that a
+    /// requirement forbids.
     pub fn permits_attempt(&self) -> bool {
-        self.acts.may_on(self.page.generation(), self.page.routes())
+        let fence = &self.log.fence;
+        fence.permits(self.epoch.generation(), self.epoch.routes())
     }
 
-    /// What backends are told of the version, where they are.
+    /// Returns the header that tells backends the version, if they are told.
     pub fn version_header(&self) -> Option<HeaderValue> {
-        let digest = self
-            .acts
-            .tells_backends
-            .then(|| self.page.digest().to_string())?;
-        HeaderValue::try_from(digest).ok()
+        if !self.log.sends_version_header {
+            return None;
+        }
+        HeaderValue::try_from(self.epoch.digest().to_string()).ok()
     }
 }
 
-/// Routes that were committed here, for the fleet to hear of.
+/// A generation of routes that was committed at this proxy, to be proposed to the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Committed {
-    /// Their number.
-    pub number: u64,
-    /// The digest of their text.
+pub struct CommittedGeneration {
+    /// The number of the generation.
+    pub generation: u64,
+    /// The digest of its text.
     pub digest: Digest,
-    /// Within how many milliseconds they are required of all.
-    pub within: Option<u64>,
+    /// Within how many milliseconds it is required of all members.
+    pub required_within_ms: Option<u64>,
+}
+
+/// The routes in force.
+struct ActiveRoutes {
+    generation: u64,
+    digest: Digest,
+    text: Rc<str>,
+}
+
+impl ActiveRoutes {
+    fn new(generation: u64, text: &str) -> ActiveRoutes {
+        ActiveRoutes {
+            generation,
+            digest: Digest::of(text.as_bytes()),
+            text: text.into(),
+        }
+    }
 }
 
-/// What this proxy acts on.
+/// The version that this proxy runs, and the record of what it does under it.
 pub struct ActivityLog {
     version: RefCell<Version>,
+    version_changed: Notify,
     record: RefCell<ActivityRecord>,
-    page: RefCell<Rc<Page>>,
-    changed: Notify,
-    tells_backends: bool,
-    base: Unix,
+    epoch: RefCell<Rc<Epoch>>,
+    sends_version_header: bool,
+    /// Unix time at the start, in milliseconds; later times are by the monotonic clock.
+    started_at: UnixMillis,
     started: Instant,
-    /// The number, digest and text of the routes in force.
-    routes: RefCell<(u64, Digest, Rc<str>)>,
-    committed: Cell<Option<Committed>>,
-    /// The highest number of a generation that is known in the fleet.
-    highest: Cell<u64>,
-    /// From when on nobody is to act on lower generations.
-    required: RefCell<Vec<(Required, Instant)>>,
-    /// Where a proxy that can't know what is required fences itself: until when it does know.
-    sure: Cell<Option<Instant>>,
-    /// For how long it knows, after a fellow has answered it.
-    sure_for: Option<Duration>,
-    fenced: Cell<bool>,
+    routes: RefCell<ActiveRoutes>,
+    committed: Cell<Option<CommittedGeneration>>,
+    highest_known_generation: Cell<u64>,
+    fence: VersionFence,
+    was_fenced: Cell<bool>,
 }
 
 impl ActivityLog {
-    /// Begins with a version without routes and lists, and with what was kept of the record from
-    /// before.
+    /// Starts with a version without routes and endpoint lists, and continues the record of an
+    /// earlier process. Backends are told the version where `sends_version_header` says so.
     pub fn new(
-        settings: Digest,
-        before: Option<RecordSnapshot>,
-        tells_backends: bool,
-        sure_for: Option<Duration>,
+        settings_digest: Digest,
+        previous_record: Option<RecordSnapshot>,
+        sends_version_header: bool,
+        fence_unsure_after: Option<Duration>,
     ) -> Rc<ActivityLog> {
-        let unix = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or_default();
-        let base = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX);
-        let build = env!("CARGO_PKG_VERSION").to_string();
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        let started_at = as_millis(since_epoch.unwrap_or_default());
         let version = Version {
-            build,
-            protocols: SPOKEN,
-            settings,
+            build: env!("CARGO_PKG_VERSION").to_string(),
+            protocols: SUPPORTED_PROTOCOLS,
+            settings: settings_digest,
             ..Version::default()
         };
-        let mut record = ActivityRecord::new(base, base, before);
-        let page = RefCell::new(record.begin_interval(base, version.clone()));
+        let mut record = ActivityRecord::new(started_at, started_at, previous_record);
+        let epoch = record.begin_interval(started_at, version.clone());
         Rc::new(ActivityLog {
             version: RefCell::new(version),
+            version_changed: Notify::new(),
             record: RefCell::new(record),
-            page,
-            changed: Notify::new(),
-            tells_backends,
-            base,
+            epoch: RefCell::new(epoch),
+            sends_version_header,
+            started_at,
             started: Instant::now(),
-            routes: RefCell::new((0, Digest::default(), "".into())),
+            routes: RefCell::new(ActiveRoutes {
+                generation: 0,
+                digest: Digest::default(),
+                text: "".into(),
+            }),
             committed: Cell::default(),
-            highest: Cell::default(),
-            required: RefCell::default(),
-            sure: Cell::default(),
-            sure_for,
-            fenced: Cell::default(),
+            highest_known_generation: Cell::default(),
+            fence: VersionFence::new(fence_unsure_after),
+            was_fenced: Cell::default(),
         })
     }
 
-    /// Unix time in milliseconds at the start, and so this process's life.
-    pub fn incarnation(&self) -> Unix {
-        self.base
+    /// Returns the incarnation of this process: Unix time in milliseconds at its start.
+    pub fn incarnation(&self) -> Incarnation {
+        self.started_at
     }
 
-    /// Unix time in milliseconds, by a clock that only goes forward.
-    pub fn now(&self) -> Unix {
-        self.base + u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
+    /// Returns Unix time in milliseconds, by a clock that never goes back.
+    pub fn now(&self) -> UnixMillis {
+        self.started_at + as_millis(self.started.elapsed())
     }
 
-    /// What is in force.
+    /// Returns the version in force.
     pub fn version(&self) -> Version {
         self.version.borrow().clone()
     }
 
-    /// Waits until that changes.
+    /// Waits until the version changes, or a generation is committed.
     pub async fn changed(&self) {
-        self.changed.notified().await;
+        self.version_changed.notified().await;
     }
 
-    /// Binds a request to what is in force.
+    /// Binds a request to the version in force.
     pub fn begin_request(self: &Rc<Self>) -> RequestActivity {
         RequestActivity {
-            acts: self.clone(),
-            page: self.page.borrow().clone(),
+            log: self.clone(),
+            epoch: self.epoch.borrow().clone(),
         }
     }
 
-    /// A generation of routes is in force.
-    pub fn set_routes(&self, number: u64, text: &str) {
-        let digest = Digest::of(text.as_bytes());
-        self.routes.replace((number, digest, text.into()));
-        self.change(|v| (v.generation, v.routes) = (number, digest));
+    /// Sets the generation of routes in force.
+    pub fn set_routes(&self, generation: u64, text: &str) {
+        let routes = ActiveRoutes::new(generation, text);
+        let digest = routes.digest;
+        self.routes.replace(routes);
+        self.change_version(|version| {
+            version.generation = generation;
+            version.routes = digest;
+        });
     }
 
-    /// Routes in force were committed.
-    pub fn announce_commit(&self, number: u64, text: &str, within: Option<u64>) {
-        self.committed.set(Some(Committed {
-            number,
+    /// Announces that the routes in force were committed.
+    pub fn announce_commit(&self, generation: u64, text: &str, required_within_ms: Option<u64>) {
+        self.committed.set(Some(CommittedGeneration {
+            generation,
             digest: Digest::of(text.as_bytes()),
-            within,
+            required_within_ms,
         }));
-        self.changed.notify_waiters();
+        self.version_changed.notify_waiters();
     }
 
-    /// What was committed since the last look.
-    pub fn committed(&self) -> Option<Committed> {
+    /// Returns what was committed since the last call.
+    pub(super) fn take_committed(&self) -> Option<CommittedGeneration> {
         self.committed.take()
     }
 
-    /// The highest number of a generation that is known in the fleet.
+    /// Returns the highest generation that is known in the fleet.
     pub fn highest_known_generation(&self) -> u64 {
-        self.highest.get()
+        self.highest_known_generation.get()
     }
 
-    /// So high a number is known.
-    pub fn known(&self, highest: u64) {
-        self.highest.set(highest);
+    pub(super) fn set_highest_known_generation(&self, generation: u64) {
+        self.highest_known_generation.set(generation);
     }
 
-    /// From these times on nobody is to act on lower generations.
-    pub fn require(&self, required: Vec<(Required, Instant)>) {
-        self.required.replace(required);
-    }
-
-    /// The soonest that anything can be required, in milliseconds: where proxies that can't know
-    /// what is required fence themselves, they do so after as long.
-    pub fn min_required_within_ms(&self) -> u64 {
-        self.sure_for
-            .map_or(0, |t| u64::try_from(t.as_millis()).unwrap_or(u64::MAX))
+    pub(super) fn set_requirements(&self, requirements: Vec<Requirement>) {
+        self.fence.set_requirements(requirements);
     }
 
-    /// All that was required until now is known, and will be until a time.
-    pub fn sure_until(&self, until: Option<Instant>) {
-        self.sure.set(until);
+    /// Sets until when all requirements are known.
+    pub(super) fn set_sure_until(&self, until: Option<Instant>) {
+        self.fence.set_sure_until(until);
     }
 
-    /// Whether anything may be done on a generation of routes. The clock is looked at each time: a
-    /// proxy that has stalled finds out before its next act.
-    pub fn may_on(&self, generation: u64, routes: Digest) -> bool {
-        let required = self.required.borrow();
-        if required.is_empty() && self.sure_for.is_none() {
-            return true;
-        }
-        let now = Instant::now();
-        let unmet = |(r, at): &(Required, Instant)| {
-            generation < r.number && routes != r.digest && now >= *at
-        };
-        let unsure = self.sure_for.is_some() && self.sure.get().is_none_or(|until| now >= until);
-        !required.iter().any(unmet) && !unsure
+    /// Returns the shortest time within which a generation can be required, in milliseconds: where
+    /// proxies fence themselves when they cannot know what is required, they do so after as long.
+    pub fn min_required_within_ms(&self) -> u64 {
+        self.fence.fence_unsure_after().map_or(0, as_millis)
     }
 
-    /// Whether this proxy is fenced: it binds no request. The record tells from when to when.
+    /// Whether this proxy is fenced: it binds no request. The record says from when to when.
     pub fn is_fenced(&self) -> bool {
-        let (number, digest) = {
+        let (generation, digest) = {
             let routes = self.routes.borrow();
-            (routes.0, routes.1)
+            (routes.generation, routes.digest)
         };
-        let fenced = !self.may_on(number, digest);
-        if self.fenced.replace(fenced) != fenced {
-            let (trouble, from) = (Trouble::Fenced, self.now());
-            let mut record = self.record.borrow_mut();
-            match fenced {
-                true => record.spell(Spell {
-                    trouble,
-                    from,
-                    to: None,
-                }),
-                false => record.spell_over(trouble, from),
-            }
-            let what = if fenced {
-                "fenced: no request is bound"
-            } else {
-                "no longer fenced"
-            };
-            tracing::warn!(fenced, "fleet: {what}");
+        let is_fenced = !self.fence.permits(generation, digest);
+        if self.was_fenced.replace(is_fenced) != is_fenced {
+            self.record_fence(is_fenced);
+        }
+        is_fenced
+    }
+
+    fn record_fence(&self, is_fenced: bool) {
+        if is_fenced {
+            self.begin_fault(FaultKind::Fenced);
+            tracing::warn!(fenced = true, "fleet: fenced: no request is bound");
+        } else {
+            self.end_fault(FaultKind::Fenced);
+            tracing::warn!(fenced = false, "fleet: no longer fenced");
         }
-        fenced
     }
 
-    /// A generation was not taken, for a reason.
-    pub fn record_rejection(&self, generation: u64, routes: Digest, why: String) {
-        let at = self.now();
-        self.record.borrow_mut().turn_down(TurnedDown {
-            at,
+    /// Records that a generation was rejected.
+    pub fn record_rejection(&self, generation: u64, routes: Digest, reason: String) {
+        self.record.borrow_mut().record_rejection(RejectedVersion {
+            at: self.now(),
             generation,
             routes,
-            why,
+            reason,
         });
     }
 
-    /// Whether a text was turned down before.
+    /// Whether routes with this digest were rejected before.
     pub fn was_rejected(&self, routes: Digest) -> bool {
-        self.record.borrow().turned_down(routes).is_some()
+        self.record.borrow().rejection_of(routes).is_some()
     }
 
-    /// The text of the routes with a digest, if they are in force.
+    /// Returns the text of the routes in force, if they have this digest.
     pub fn routes(&self, digest: Digest) -> Option<Rc<str>> {
         let routes = self.routes.borrow();
-        (routes.1 == digest && digest != Digest::default()).then(|| routes.2.clone())
+        let matches = routes.digest == digest && digest != Digest::default();
+        matches.then(|| routes.text.clone())
     }
 
-    /// A change of routes has come into force, or was undone.
-    pub fn record(&self, act: Activity) {
-        self.page.borrow().act(act, self.now());
+    /// Records an activity under the version in force.
+    pub fn record(&self, activity: Activity) {
+        self.epoch.borrow().record(activity, self.now());
     }
 
-    /// A source of backends has told a list or a change.
-    pub fn endpoint_list_received(&self, source: SocketAddr, seq: u64) {
-        let source = Digest::of(source.to_string().as_bytes());
-        self.change(
-            |v| match v.sources.iter_mut().find(|s| s.source == source) {
-                Some(known) => known.seq = seq,
+    /// Takes the sequence number of a source's endpoint list into the version.
+    pub fn endpoint_list_received(&self, source: SocketAddr, sequence: u64) {
+        let address_digest = Digest::of(source.to_string().as_bytes());
+        self.change_version(|version| {
+            let mut sources = version.sources.iter_mut();
+            match sources.find(|known| known.address_digest == address_digest) {
+                Some(known) => known.sequence = sequence,
                 None => {
-                    v.sources.push(Source { source, seq });
-                    v.sources.sort_by_key(|s| s.source);
+                    version.sources.push(EndpointSource {
+                        address_digest,
+                        sequence,
+                    });
+                    version.sources.sort_by_key(|known| known.address_digest);
                 }
-            },
-        );
+            }
+        });
     }
 
-    /// A source of backends is followed no longer.
+    /// Takes a source that is followed no longer out of the version.
     pub fn endpoint_source_removed(&self, source: SocketAddr) {
-        let source = Digest::of(source.to_string().as_bytes());
-        self.change(|v| v.sources.retain(|s| s.source != source));
+        let address_digest = Digest::of(source.to_string().as_bytes());
+        self.change_version(|version| {
+            version
+                .sources
+                .retain(|known| known.address_digest != address_digest);
+        });
     }
 
-    fn change(&self, by: impl FnOnce(&mut Version)) {
+    fn change_version(&self, change: impl FnOnce(&mut Version)) {
         let mut version = self.version.borrow_mut();
-        by(&mut version);
+        change(&mut version);
         let version = version.clone().bounded();
-        let now = self.now();
-        self.page
-            .replace(self.record.borrow_mut().begin_interval(now, version));
-        self.changed.notify_waiters();
+        let mut record = self.record.borrow_mut();
+        self.epoch
+            .replace(record.begin_interval(self.now(), version));
+        self.version_changed.notify_waiters();
     }
 
-    /// This proxy is kept from its fellows from now on.
-    pub fn cut_off(&self) {
-        let (trouble, from) = (Trouble::CutOff, self.now());
-        self.record.borrow_mut().spell(Spell {
-            trouble,
-            from,
+    /// Records a fault that lasts.
+    pub(super) fn begin_fault(&self, kind: FaultKind) {
+        self.record.borrow_mut().record_fault(FaultInterval {
+            kind,
+            from: self.now(),
             to: None,
         });
     }
 
-    /// It hears somebody again.
-    pub fn heard_again(&self) {
-        self.record
-            .borrow_mut()
-            .spell_over(Trouble::CutOff, self.now());
+    /// Records the end of a fault.
+    pub(super) fn end_fault(&self, kind: FaultKind) {
+        self.record.borrow_mut().end_fault(kind, self.now());
     }
 
-    /// It did nothing for so many milliseconds until now.
-    pub fn stalled(&self, after: u64) {
+    /// Records that this proxy was stalled until now.
+    pub(super) fn record_stall(&self, duration_ms: u64) {
         let now = self.now();
-        let (trouble, from) = (Trouble::Stalled, now.saturating_sub(after));
-        self.record.borrow_mut().spell(Spell {
-            trouble,
-            from,
+        self.record.borrow_mut().record_fault(FaultInterval {
+            kind: FaultKind::Stalled,
+            from: now.saturating_sub(duration_ms),
             to: Some(now),
         });
     }
 
-    /// The record as it stands.
+    /// Returns the record as it stands.
     pub fn snapshot(&self) -> RecordSnapshot {
         self.record.borrow().snapshot(self.now())
     }
 
-    /// The proxy stops: nothing is in force any more.
-    pub fn close(&self) {
-        let now = self.now();
-        self.record.borrow_mut().close(now);
+    /// Ends the last interval of the record: this proxy shuts down.
+    pub(super) fn close(&self) {
+        self.record.borrow_mut().close(self.now());
     }
 }
+
+fn as_millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
+}
