--- a/crates/heathroad/src/cli/commands.rs
+++ b/crates/heathroad/src/cli/commands.rs
@@ -1,7 +1,7 @@
 //! What the program does beside running: looks at files, and calls to a running daemon.
 
 use super::arguments::{Cli, Command};
-use super::{admin_client, lease, membership, verify};
+use super::{admin_client, lease, membership, query, verify};
 use crate::configuration::{self as config, routes};
 use clap::Parser;
 use hyper::Method;
@@ -115,7 +115,7 @@
 
 fn apply(file: &Path, within: Option<&str>, admin: Option<SocketAddr>) -> Result<(), String> {
     let within = within
-        .map(|t| membership::millis(t).map_err(|e| format!("--required-within: {e}")))
+        .map(|t| query::parse_duration_ms(t).map_err(|e| format!("--required-within: {e}")))
         .transpose()?;
     let path = within.map_or("/config/apply".to_string(), |ms| {
         format!("/config/apply?required_ms={ms}")
--- a/crates/heathroad/src/cli/lease.rs
+++ b/crates/heathroad/src/cli/lease.rs
@@ -2,7 +2,7 @@
 
 use super::arguments::Duty;
 use super::timeline_chart::{COLOURS, escape};
-use super::{admin_client, membership};
+use super::{admin_client, query};
 use hyper::Method;
 use serde_json::Value;
 use std::fmt::Write;
@@ -10,10 +10,10 @@
 /// Asks, and words the answer.
 pub fn ask(ask: &Duty) -> Result<String, String> {
     match ask {
-        Duty::List { how } => membership::told(how, "/duty/list", list),
+        Duty::List { how } => query::run(how, "/duty/list", list),
         Duty::History { how, picture } => {
-            let text = membership::get(how, "/duty/history")?;
-            let answer = membership::json(&text)?;
+            let text = query::fetch(how, "/duty/history")?;
+            let answer = query::parse(&text)?;
             if let Some(file) = picture {
                 std::fs::write(file, draw(&answer))
                     .map_err(|e| format!("{}: {e}", file.display()))?;
@@ -48,7 +48,7 @@
         answer["asked"],
         places(&answer["voters"]),
         answer["generation"],
-        membership::span(&answer["lease_ms"])
+        query::format_duration(&answer["lease_ms"])
     );
     for d in rows(&answer["duties"]) {
         let holder = match (d["holder"].as_u64(), d["majority_reached"] == true) {
@@ -69,7 +69,7 @@
             let _ = write!(
                 out,
                 "; held here for {} more",
-                membership::span(&d["held_here"]["left_ms"])
+                query::format_duration(&d["held_here"]["left_ms"])
             );
         }
         if let Some(why) = d["unfit"].as_str() {
@@ -90,7 +90,7 @@
                 out,
                 "\n    voter {}: {why}, {} left, highest token {}{died}",
                 v["voter"],
-                membership::span(&v["left_ms"]),
+                query::format_duration(&v["left_ms"]),
                 text(&v["highest"])
             );
         }
@@ -101,8 +101,8 @@
 fn history(answer: &Value) -> String {
     let at = answer["at"].as_u64().unwrap_or(0);
     let ago = |t: &Value| match t.as_u64() {
-        Some(t) if t <= at => format!("{} ago", membership::span(&(at - t).into())),
-        Some(t) => format!("in {}", membership::span(&(t - at).into())),
+        Some(t) if t <= at => format!("{} ago", query::format_duration(&(at - t).into())),
+        Some(t) => format!("in {}", query::format_duration(&(t - at).into())),
         None => "now".into(),
     };
     let mut out = format!("asked of member {}", answer["asked"]);
--- a/crates/heathroad/src/cli/membership.rs
+++ b/crates/heathroad/src/cli/membership.rs
@@ -1,18 +1,23 @@
-//! What a fleet is asked on the command line, and its answers as text.
+//! The `fleet` command: what the proxies of a fleet know of each other, and the audit.
 
 use super::arguments::{Fleet, How};
-use super::{admin_client, timeline_chart};
-use hyper::Method;
+use super::query::{
+    self, ParseDurationError, describe_version, elements, format_duration, text_or_dash,
+};
+use super::timeline_chart;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt::Write;
+use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Asks, and words the answer.
-pub fn ask(ask: &Fleet) -> Result<String, String> {
-    match ask {
-        Fleet::Members { how } => told(how, "/fleet/members", members),
-        Fleet::Versions { how } => told(how, "/fleet/members", versions),
+const MEMBERS_PATH: &str = "/fleet/members";
+
+/// Runs the command.
+pub fn ask(command: &Fleet) -> Result<String, String> {
+    match command {
+        Fleet::Members { how } => query::run(how, MEMBERS_PATH, render_members),
+        Fleet::Versions { how } => query::run(how, MEMBERS_PATH, render_versions),
         Fleet::Audit {
             how,
             since,
@@ -20,355 +25,282 @@
             at,
             picture,
         } => {
-            let mut path = "/fleet/audit?".to_string();
-            let times = [("since", since), ("at", at)];
-            for (name, text) in times
-                .into_iter()
-                .filter_map(|(name, text)| Some((name, text.as_ref()?)))
-            {
-                let _ = write!(
-                    path,
-                    "{name}={}&",
-                    time(text).map_err(|e| format!("--{name}: {e}"))?
-                );
-            }
-            if let Some(version) = version {
-                let _ = write!(path, "version={version}");
-            }
-            let text = get(how, &path)?;
-            let answer = json(&text)?;
-            if let Some(file) = picture {
-                std::fs::write(file, timeline_chart::draw(&answer))
-                    .map_err(|e| format!("{}: {e}", file.display()))?;
-            }
-            Ok(if how.json { text } else { audit(&answer) })
+            let path = audit_path(since.as_deref(), *version, at.as_deref())?;
+            run_audit(how, &path, picture.as_deref())
         }
     }
 }
 
-pub(super) fn get(how: &How, path: &str) -> Result<String, String> {
-    admin_client::call(how.at.admin, Method::GET, path, String::new())
-}
-
-pub(super) fn json(text: &str) -> Result<Value, String> {
-    serde_json::from_str(text).map_err(|e| format!("the answer: {e}"))
-}
-
-pub(super) fn told(how: &How, path: &str, words: fn(&Value) -> String) -> Result<String, String> {
-    let text = get(how, path)?;
-    if how.json {
-        Ok(text)
-    } else {
-        json(&text).map(|v| words(&v))
+fn run_audit(how: &How, path: &str, chart: Option<&Path>) -> Result<String, String> {
+    let text = query::fetch(how, path)?;
+    let answer = query::parse(&text)?;
+    if let Some(file) = chart {
+        std::fs::write(file, timeline_chart::draw(&answer))
+            .map_err(|error| format!("{}: {error}", file.display()))?;
     }
+    Ok(if how.json {
+        text
+    } else {
+        render_audit(&answer)
+    })
 }
 
-/// A time span such as 90s, 5m or 2h, in milliseconds.
-pub fn millis(text: &str) -> Result<u64, String> {
-    let wrong = || format!("{text:?}: expected a time such as 90s, 5m, 2h");
-    let (digits, unit) = text
-        .split_at_checked(text.len().saturating_sub(1))
-        .ok_or_else(wrong)?;
-    let number: u64 = digits.parse().map_err(|_| wrong())?;
-    let unit = match unit {
-        "s" => 1_000,
-        "m" => 60_000,
-        "h" => 3_600_000,
-        _ => return Err(wrong()),
-    };
-    number.checked_mul(unit).ok_or_else(wrong)
+/// Returns the path of the audit with its query.
+fn audit_path(
+    since: Option<&str>,
+    generation: Option<u64>,
+    at: Option<&str>,
+) -> Result<String, String> {
+    let mut path = "/fleet/audit?".to_string();
+    for (name, time) in [("since", since), ("at", at)] {
+        if let Some(time) = time {
+            let time = parse_time(time).map_err(|error| format!("--{name}: {error}"))?;
+            path += &format!("{name}={time}&");
+        }
+    }
+    if let Some(generation) = generation {
+        path += &format!("version={generation}");
+    }
+    Ok(path)
 }
 
-/// Unix time in milliseconds, from that or from how long ago.
-fn time(text: &str) -> Result<u64, String> {
-    if let Ok(unix) = text.parse() {
-        return Ok(unix);
+/// Parses a time, given as Unix time in milliseconds or as how long ago it was.
+pub(super) fn parse_time(text: &str) -> Result<u64, String> {
+    if let Ok(unix_ms) = text.parse() {
+        return Ok(unix_ms);
     }
-    let ago = millis(text).map_err(|e| format!("{e}; or Unix time in milliseconds"))?;
-    let now = SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default()
-        .as_millis();
+    let explain = |error: ParseDurationError| format!("{error}; or Unix time in milliseconds");
+    let ago = query::parse_duration_ms(text).map_err(explain)?;
+    let now = SystemTime::now().duration_since(UNIX_EPOCH);
+    let now = now.unwrap_or_default().as_millis();
     Ok(u64::try_from(now).unwrap_or(u64::MAX).saturating_sub(ago))
 }
 
-/// A time span, in the unit that suits it.
-pub(super) fn span(ms: &Value) -> String {
-    match ms.as_u64() {
-        None => "-".into(),
-        Some(ms) if ms < 10_000 => format!("{:.1} s", ms as f64 / 1000.0),
-        Some(ms) if ms < 600_000 => format!("{} s", ms / 1000),
-        Some(ms) if ms < 36_000_000 => format!("{} min", ms / 60_000),
-        Some(ms) => format!("{} h", ms / 3_600_000),
+/// Says when something of a member was received; most of a large fleet is known from others alone.
+fn describe_last_heard(ms: &Value) -> String {
+    if ms.is_null() {
+        return "never heard by itself".into();
     }
+    format!("heard {} ago", format_duration(ms))
 }
 
-/// When something of a member was heard here; most of a large fleet is known from others alone.
-fn heard(ms: &Value) -> String {
-    if ms.is_null() {
-        "never heard by itself".into()
+fn render_heading(answer: &Value, asked: &Value) -> String {
+    let isolated = if answer["cut_off"] == true {
+        "; IT HEARS NOBODY"
     } else {
-        format!("heard {} ago", span(ms))
-    }
+        ""
+    };
+    let fleet = text_or_dash(&answer["fleet"]);
+    let desired = describe_desired(answer);
+    format!("fleet {fleet}, asked of member {asked}{desired}{isolated}")
 }
 
-fn text(value: &Value) -> &str {
-    value.as_str().unwrap_or("-")
+fn describe_desired(answer: &Value) -> String {
+    let desired = &answer["wanted"];
+    let generation = &desired["number"];
+    match desired["is"].as_str() {
+        Some("one") => {
+            let mut requirements = elements(&answer["required"]);
+            let is_required = requirements.any(|required| required["number"] == *generation);
+            let required = if is_required { ", required" } else { "" };
+            let digest = text_or_dash(&desired["digest"]);
+            format!("; wanted: routes {generation} ({digest}){required}")
+        }
+        Some("both") => {
+            let [lower, higher] = [0, 1].map(|at| text_or_dash(&desired["digests"][at]));
+            format!(
+                "; CONFLICT: routes {generation} were committed as {lower} and as {higher}, \
+                 neither is spread"
+            )
+        }
+        _ => String::new(),
+    }
 }
 
-/// A version in a few words; its digest where no more was told.
-pub fn version(version: &Value, digest: &str) -> String {
-    if !version.is_object() {
-        return format!("digest {digest}");
+fn render_members(answer: &Value) -> String {
+    let mut out = render_heading(answer, &answer["place"]);
+    for member in elements(&answer["members"]) {
+        out.push('\n');
+        out += &render_member(member);
     }
-    let generation = match version["generation"].as_u64() {
-        Some(0) | None => "no routes".into(),
-        Some(n) => format!("routes {n} ({})", text(&version["routes"])),
+    out
+}
+
+fn render_member(member: &Value) -> String {
+    let is_asked = member["me"] == true;
+    let last_heard = if is_asked {
+        String::new()
+    } else {
+        format!(", {}", describe_last_heard(&member["heard_ms"]))
+    };
+    let version = match member["acts"][0].as_str() {
+        Some(digest) => format!("; {}", describe_version(&member["version"], digest)),
+        None => String::new(),
     };
-    let lists: Vec<String> = version["sources"]
-        .as_array()
-        .into_iter()
-        .flatten()
-        .map(|s| s["seq"].to_string())
+    let accusers: Vec<String> = elements(&member["accusers"])
+        .map(Value::to_string)
         .collect();
-    let lists = if lists.is_empty() {
+    let accusers = if accusers.is_empty() {
         String::new()
     } else {
-        format!(", lists {}", lists.join(" "))
+        format!(" by {}", accusers.join(", "))
     };
     format!(
-        "program {}, settings {}, {generation}{lists}",
-        text(&version["build"]),
-        text(&version["settings"])
+        "{:>4}  {:<21} {}{accusers} for {}{last_heard}{version}{}",
+        member["place"].to_string(),
+        text_or_dash(&member["address"]),
+        text_or_dash(&member["standing"]),
+        format_duration(&member["for_ms"]),
+        if is_asked { " (asked)" } else { "" },
     )
 }
 
-fn rows(answer: &Value) -> impl Iterator<Item = &Value> {
-    answer["members"].as_array().into_iter().flatten()
+/// The members that run a version.
+struct VersionUsers<'a> {
+    version: &'a Value,
+    members: Vec<String>,
 }
 
-fn heading(answer: &Value, asked: &Value) -> String {
-    let alone = if answer["cut_off"] == true {
-        "; IT HEARS NOBODY"
-    } else {
-        ""
-    };
-    let wanted = &answer["wanted"];
-    let wanted = match wanted["is"].as_str() {
-        Some("one") => {
-            let all = answer["required"].as_array().map_or(&[][..], Vec::as_slice);
-            let required = if all.iter().any(|r| r["number"] == wanted["number"]) {
-                ", required"
-            } else {
-                ""
-            };
-            format!(
-                "; wanted: routes {} ({}){required}",
-                wanted["number"],
-                text(&wanted["digest"])
-            )
-        }
-        Some("both") => {
-            let [one, other] = [0, 1].map(|n| text(&wanted["digests"][n]));
-            format!(
-                "; CONFLICT: routes {} were committed as {one} and as {other}, neither is spread",
-                wanted["number"]
-            )
+fn render_versions(answer: &Value) -> String {
+    let mut by_digest: BTreeMap<&str, VersionUsers<'_>> = BTreeMap::new();
+    for member in elements(&answer["members"]) {
+        if let Some(digest) = member["acts"][0].as_str() {
+            let users = by_digest.entry(digest).or_insert_with(|| VersionUsers {
+                version: &member["version"],
+                members: Vec::new(),
+            });
+            users.members.push(describe_user(member));
         }
-        _ => String::new(),
-    };
-    format!(
-        "fleet {}, asked of member {asked}{wanted}{alone}",
-        text(&answer["fleet"])
-    )
+    }
+    let mut out = render_heading(answer, &answer["place"]);
+    for (digest, users) in by_digest {
+        let version = describe_version(users.version, digest);
+        let members = users.members.join(", ");
+        out += &format!("\n{digest}  {version}\n      members {members}");
+    }
+    out
 }
 
-fn members(answer: &Value) -> String {
-    let mut out = heading(answer, &answer["place"]);
-    for m in rows(answer) {
-        let me = if m["me"] == true { " (asked)" } else { "" };
-        let heard = if m["me"] == true {
-            String::new()
-        } else {
-            format!(", {}", heard(&m["heard_ms"]))
-        };
-        let acts = match m["acts"][0].as_str() {
-            Some(digest) => format!("; {}", version(&m["version"], digest)),
-            None => String::new(),
-        };
-        let by: Vec<String> = m["accusers"]
-            .as_array()
-            .into_iter()
-            .flatten()
-            .map(Value::to_string)
-            .collect();
-        let by = if by.is_empty() {
-            String::new()
+fn describe_user(member: &Value) -> String {
+    let id = &member["place"];
+    match member["standing"].as_str() {
+        Some(state @ ("gone" | "left")) => format!("{id} ({state})"),
+        _ => id.to_string(),
+    }
+}
+
+fn render_audit(answer: &Value) -> String {
+    let mut out = render_heading(answer, &answer["asked"]);
+    let now = answer["at"].as_u64().unwrap_or(0);
+    for member in elements(&answer["members"]) {
+        let (address, state) = (&member["address"], &member["standing"]);
+        let (address, state) = (text_or_dash(address), text_or_dash(state));
+        out += &format!("\nmember {} {address}, {state}", member["place"]);
+        if member["reached"] == true {
+            out += &render_record(member, now);
         } else {
-            format!(" by {}", by.join(", "))
-        };
-        // Writing to text does not fail.
-        let _ = write!(
-            out,
-            "\n{:>4}  {:<21} {}{by} for {}{heard}{acts}{me}",
-            m["place"].to_string(),
-            text(&m["address"]),
-            text(&m["standing"]),
-            span(&m["for_ms"]),
-        );
+            out += &render_unreached(member, now);
+        }
     }
     out
 }
 
-fn versions(answer: &Value) -> String {
-    let mut by: BTreeMap<&str, (Vec<String>, &Value)> = BTreeMap::new();
-    for m in rows(answer) {
-        if let Some(digest) = m["acts"][0].as_str() {
-            let over = matches!(m["standing"].as_str(), Some("gone" | "left"));
-            let who = if over {
-                format!("{} ({})", m["place"], text(&m["standing"]))
-            } else {
-                m["place"].to_string()
-            };
-            let entry = by.entry(digest).or_insert((Vec::new(), &m["version"]));
-            entry.0.push(who);
+fn render_unreached(member: &Value, now: u64) -> String {
+    let last_version = match member["last_acts"][0].as_str() {
+        Some(digest) => {
+            let version = describe_version(&member["last_version"], digest);
+            format!("when last heard it acted on {version}")
         }
-    }
-    let mut out = heading(answer, &answer["place"]);
-    for (digest, (who, whole)) in by {
-        let _ = write!(
-            out,
-            "\n{digest}  {}\n      members {}",
-            version(whole, digest),
-            who.join(", ")
-        );
+        None => "nothing was ever heard of what it acts on".into(),
+    };
+    let mut out = format!(
+        "\n    NOT KNOWN: {}; {}; {last_version}; what it did since is not known",
+        text_or_dash(&member["why"]),
+        describe_last_heard(&member["last_heard_ms"])
+    );
+    let collected = &member["collected"];
+    if collected.is_object() {
+        let at = describe_age(&collected["collected_at"], now);
+        let by = &collected["by"];
+        out += &format!("\n    COLLECTED {at} by member {by}, and nothing is known of after that");
+        out += &render_record(collected, now);
     }
     out
 }
 
-/// What a member's record tells.
-fn record(out: &mut String, m: &Value, ago: &dyn Fn(&Value) -> String) {
-    let _ = write!(
-        out,
-        ", clock off by {} ms (give or take {})",
-        m["clock_off_ms"], m["clock_error_ms"]
+/// Renders the record of a member.
+fn render_record(record: &Value, now: u64) -> String {
+    let mut out = format!(
+        ", clock off by {} ms (give or take {})\n    on record since {}",
+        record["clock_off_ms"],
+        record["clock_error_ms"],
+        describe_age(&record["since"], now)
     );
-    let _ = write!(out, "\n    on record since {}", ago(&m["since"]));
-    if m["lost"]["pages"].as_u64().is_some_and(|n| n > 0) {
-        let _ = write!(
-            out,
-            "; LOST {} pages, until {}",
-            m["lost"]["pages"],
-            ago(&m["lost"]["until"])
-        );
+    let discarded = &record["lost"];
+    if discarded["pages"].as_u64().is_some_and(|count| count > 0) {
+        let until = describe_age(&discarded["until"], now);
+        let _ = write!(out, "; LOST {} pages, until {until}", discarded["pages"]);
     }
-    for p in m["pages"].as_array().into_iter().flatten() {
-        let digest = text(&p["digest"]);
-        let a = &p["acts"];
-        let several = match p["versions"].as_u64() {
-            Some(n) if n > 1 => format!(" ({n} versions that differ in lists)"),
-            _ => String::new(),
-        };
-        let torn = if p["torn"] == true {
-            "; ended without a word, what it did after is not known"
-        } else {
-            ""
-        };
-        let _ = write!(
-            out,
-            "\n    {} to {}: {}{several}: bound {}, sent {}, served {}, refused {}, failed {}{torn}",
-            ago(&p["from"]),
-            ago(&p["to"]),
-            version(&p["version"], digest),
-            a["bound"],
-            a["sent"],
-            a["served"],
-            a["refused"],
-            a["failed"]
-        );
+    for interval in elements(&record["pages"]) {
+        out += &render_interval(interval, now);
     }
-    for t in m["turned_down"].as_array().into_iter().flatten() {
-        let (number, digest) = (&t["generation"], text(&t["routes"]));
+    for rejected in elements(&record["turned_down"]) {
+        let generation = &rejected["generation"];
+        let digest = text_or_dash(&rejected["routes"]);
+        let reason = text_or_dash(&rejected["why"]);
         let _ = write!(
             out,
-            "\n    turned routes {number} ({digest}) down: {}",
-            text(&t["why"])
+            "\n    turned routes {generation} ({digest}) down: {reason}"
         );
     }
-    for s in m["spells"].as_array().into_iter().flatten() {
-        let what = match s["trouble"].as_str() {
+    for fault in elements(&record["spells"]) {
+        let what = match fault["trouble"].as_str() {
             Some("cut_off") => "heard nobody",
             Some("stalled") => "did nothing",
             _ => "fenced, bound no requests",
         };
-        let _ = write!(
-            out,
-            "\n    {} to {}: {what}",
-            ago(&s["from"]),
-            ago(&s["to"])
-        );
+        let _ = write!(out, "\n    {}: {what}", describe_span(fault, now));
     }
+    out
 }
 
-fn audit(answer: &Value) -> String {
-    let mut out = heading(answer, &answer["asked"]);
-    let at = answer["at"].as_u64().unwrap_or(0);
-    let ago = |t: &Value| match t.as_u64() {
-        Some(t) => format!("{} ago", span(&at.saturating_sub(t).into())),
-        None => "now".into(),
+fn render_interval(interval: &Value, now: u64) -> String {
+    let counts = &interval["acts"];
+    let merged = match interval["versions"].as_u64() {
+        Some(count) if count > 1 => format!(" ({count} versions that differ in lists)"),
+        _ => String::new(),
     };
-    for m in rows(answer) {
-        let _ = write!(
-            out,
-            "\nmember {} {}, {}",
-            m["place"],
-            text(&m["address"]),
-            text(&m["standing"])
-        );
-        if m["reached"] != true {
-            let last = match m["last_acts"][0].as_str() {
-                Some(digest) => {
-                    format!(
-                        "when last heard it acted on {}",
-                        version(&m["last_version"], digest)
-                    )
-                }
-                None => "nothing was ever heard of what it acts on".into(),
-            };
-            let _ = write!(
-                out,
-                "\n    NOT KNOWN: {}; {}; {last}; what it did since is not known",
-                text(&m["why"]),
-                heard(&m["last_heard_ms"])
-            );
-            let kept = &m["collected"];
-            if kept.is_object() {
-                let at = ago(&kept["collected_at"]);
-                let _ = write!(
-                    out,
-                    "\n    COLLECTED {at} by member {}, and nothing is known of after that",
-                    kept["by"]
-                );
-                record(&mut out, kept, &ago);
-            }
-            continue;
-        }
-        record(&mut out, m, &ago);
-    }
-    out
+    let truncated = if interval["torn"] == true {
+        "; ended without a word, what it did after is not known"
+    } else {
+        ""
+    };
+    format!(
+        "\n    {}: {}{merged}: bound {}, sent {}, served {}, refused {}, failed {}{truncated}",
+        describe_span(interval, now),
+        describe_version(&interval["version"], text_or_dash(&interval["digest"])),
+        counts["bound"],
+        counts["sent"],
+        counts["served"],
+        counts["refused"],
+        counts["failed"]
+    )
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+fn describe_span(span: &Value, now: u64) -> String {
+    let from = describe_age(&span["from"], now);
+    let to = describe_age(&span["to"], now);
+    format!("{from} to {to}")
+}
 
-    #[test]
-    fn times_are_unix_or_ago() {
-        assert_eq!(time("1790000000000"), Ok(1_790_000_000_000));
-        let [minute, hour] = ["60s", "1h"].map(|t| time(t).expect("good"));
-        assert!((minute - hour).abs_diff(3_540_000) < 10_000);
-        for wrong in ["", "s", "5d", "-3", "1.5h"] {
-            assert!(time(wrong).is_err(), "{wrong}");
-        }
+/// Says how long ago a time was; none stands for now.
+fn describe_age(time: &Value, now: u64) -> String {
+    match time.as_u64() {
+        Some(time) => format!("{} ago", format_duration(&now.saturating_sub(time).into())),
+        None => "now".into(),
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/cli_membership.rs"]
+mod tests;
--- a/crates/heathroad/src/cli/mod.rs
+++ b/crates/heathroad/src/cli/mod.rs
@@ -6,5 +6,6 @@
 pub mod commands;
 mod lease;
 mod membership;
+mod query;
 mod timeline_chart;
 mod verify;
