--- a/crates/heathroad-membership/examples/membership-bench.rs
+++ b/crates/heathroad-membership/examples/membership-bench.rs
@@ -29,11 +29,11 @@
 
 fn settled(members: u16, loss: f64, seed: u64) -> World {
     let mut world = World::new(members, seed);
-    world.run_until(LIMIT, World::agree).expect("all know all");
+    world.run_until(LIMIT, World::agrees).expect("all know all");
     world.faults.loss = loss;
     // The news of all who joined is old by then.
     world.run(150_000);
-    world.news.clear();
+    world.events.clear();
     world
 }
 
@@ -57,11 +57,11 @@
                 sent += (world.sent.iter().sum::<u64>() - before) as f64 / seconds / tries as f64;
                 bytes += (world.bytes - was) as f64 / seconds / tries as f64;
                 let begun = world.now;
-                world.fleet_mut(1).set_active_version(version(2));
+                world.member_mut(1).set_active_version(version(2));
                 let digest = version(2).digest();
                 let all = |w: &World| {
                     w.running().iter().all(|at| {
-                        w.fleet(*at)
+                        w.member(*at)
                             .members()
                             .get(1)
                             .and_then(|m| m.active_version)
@@ -74,7 +74,7 @@
                 let gone = |w: &World| {
                     w.running()
                         .iter()
-                        .all(|at| w.standing(2, *at) == MemberState::Dead)
+                        .all(|at| w.state_of(2, *at) == MemberState::Dead)
                 };
                 deaths.extend(world.run_until(begun + LIMIT, gone).map(|at| at - begun));
             }
@@ -96,8 +96,9 @@
                 }
                 world.run(30_000);
             }
-            let said =
-                |w: &World, is: fn(&Event) -> bool| w.news.iter().filter(|(_, _, n)| is(n)).count();
+            let said = |w: &World, is: fn(&Event) -> bool| {
+                w.events.iter().filter(|(_, _, n)| is(n)).count()
+            };
             let reborn = said(&world, |n| matches!(n, Event::Reincarnated { .. }));
             println!(
                 "  loss {:>2}%, stalls of {stall:>4} ms: {reborn}",
--- a/crates/heathroad-membership/tests/want.rs
+++ b/crates/heathroad-membership/tests/desired_version.rs
@@ -1,4 +1,4 @@
-//! What the fleet wants, in any order of words; and how it spreads, also across a cut.
+//! The desired version, whatever the order of updates, and how it spreads, also across a partition.
 
 mod common;
 
@@ -9,24 +9,24 @@
 use heathroad_membership::version::Digest;
 use proptest::prelude::*;
 
-fn want(number: u64, text: &str) -> Desired {
+fn desired(generation: u64, text: &str) -> Desired {
     Desired::Version(DesiredVersion {
-        generation: number,
+        generation,
         digest: Digest::of(text.as_bytes()),
         origin: 0,
     })
 }
 
-fn after(words: &[Desired]) -> Desired {
-    let mut wanted = Desired::Unset;
-    for word in words {
-        wanted.merge(*word);
+fn after(updates: &[Desired]) -> Desired {
+    let mut merged = Desired::Unset;
+    for update in updates {
+        merged.merge(*update);
     }
-    wanted
+    merged
 }
 
-fn words() -> impl Strategy<Value = Vec<Desired>> {
-    let one = (1..4_u64, 0..3_u8).prop_map(|(number, text)| want(number, &text.to_string()));
+fn updates() -> impl Strategy<Value = Vec<Desired>> {
+    let one = (1..4_u64, 0..3_u8).prop_map(|(number, text)| desired(number, &text.to_string()));
     prop::collection::vec(one, 1..10)
 }
 
@@ -40,9 +40,9 @@
     prop::collection::vec(one, 1..8)
 }
 
-/// The lowest generation that may be acted on at a time.
-fn least(words: &[RequiredVersion], at: u64) -> u64 {
-    words
+/// Returns the lowest generation that is permitted at a time.
+fn least(updates: &[RequiredVersion], at: u64) -> u64 {
+    updates
         .iter()
         .filter(|r| r.deadline <= at)
         .map(|r| r.generation)
@@ -52,23 +52,23 @@
 
 proptest! {
     #[test]
-    fn order_and_repeats_do_not_matter(words in words(), seed in any::<u64>()) {
-        let mut other: Vec<Desired> = words.iter().chain(&words).copied().collect();
+    fn order_and_duplicates_of_updates_do_not_matter(updates in updates(), seed in any::<u64>()) {
+        let mut other: Vec<Desired> = updates.iter().chain(&updates).copied().collect();
         fastrand::Rng::with_seed(seed).shuffle(&mut other);
-        prop_assert_eq!(after(&words), after(&other));
+        prop_assert_eq!(after(&updates), after(&other));
     }
 
     /// What is kept asks for no less than all that was said, but for what was given up for want of
     /// room; and never for more.
     #[test]
-    fn what_is_required_is_kept(words in required()) {
+    fn requirements_are_kept_but_for_the_lowest(updates in required()) {
         let (mut kept, mut given_up) = (RequiredVersions::default(), Vec::new());
-        for word in &words {
+        for update in &updates {
             let before = kept.clone();
-            kept.merge(*word);
+            kept.merge(*update);
             if [&before, &kept].iter().all(|k| k.as_slice().len() == MAX_REQUIRED) {
                 let covered = |r: &RequiredVersion| kept.as_slice().iter().any(|k| k.generation >= r.generation && k.deadline <= r.deadline);
-                let all = before.as_slice().iter().chain([word]);
+                let all = before.as_slice().iter().chain([update]);
                 let left: Vec<u64> = all.filter(|r| !covered(r)).map(|r| r.generation).collect();
                 // Of what finds no room the lowest goes.
                 prop_assert!(left.iter().all(|n| kept.as_slice().iter().all(|k| k.generation > *n)));
@@ -76,7 +76,7 @@
             }
         }
         for at in (0..7).map(|t| t * 1000) {
-            let (asked, said) = (least(kept.as_slice(), at), least(&words, at));
+            let (asked, said) = (least(kept.as_slice(), at), least(&updates, at));
             prop_assert!(asked <= said);
             prop_assert!(asked == said || given_up.contains(&said));
         }
@@ -85,53 +85,55 @@
 }
 
 #[test]
-fn the_highest_number_stands() {
+fn the_highest_generation_holds() {
     assert_eq!(
-        after(&[want(1, "a"), want(2, "b"), want(1, "c")]),
-        want(2, "b")
+        after(&[desired(1, "a"), desired(2, "b"), desired(1, "c")]),
+        desired(2, "b")
     );
     let Desired::Conflict(VersionConflict { generation: 2, .. }) =
-        after(&[want(2, "b"), want(2, "c")])
+        after(&[desired(2, "b"), desired(2, "c")])
     else {
         panic!("two texts under one number")
     };
     assert_eq!(
-        after(&[want(2, "b"), want(2, "c"), want(3, "d")]),
-        want(3, "d")
+        after(&[desired(2, "b"), desired(2, "c"), desired(3, "d")]),
+        desired(3, "d")
     );
 }
 
-fn wants(world: &World, at: u16) -> Desired {
-    world.fleet(at).desired()
+fn desired_at(world: &World, at: u16) -> Desired {
+    world.member(at).desired()
 }
 
 /// Deadlines are told as what is left of them: clocks that are far apart, and hops, move them by
-/// the ways' delay alone. They hold on when a higher generation is wanted that is not required.
+/// the ways' delay alone. They hold on when a higher generation is merged that is not required.
 #[test]
-fn a_deadline_is_the_same_for_all_and_stays() {
+fn a_deadline_is_the_same_for_all_members_and_stays() {
     let mut world = World::new(24, 3);
-    world.run_until(60_000, World::agree).expect("all know all");
+    world
+        .run_until(60_000, World::agrees)
+        .expect("all know all");
     let (now, digest) = (world.now, version(7).routes);
     world
-        .fleet_mut(4)
+        .member_mut(4)
         .propose_version(now, 7, digest, Some(30_000));
     world.run(2_000);
     let later = world.now;
     world
-        .fleet_mut(9)
+        .member_mut(9)
         .propose_version(later, 8, version(8).routes, None);
     world.run(5_000);
     for at in 0..24 {
-        assert_eq!(wants(&world, at).generation(), 8);
+        assert_eq!(desired_at(&world, at).generation(), 8);
         let [
             RequiredVersion {
                 generation: 7,
                 deadline: required,
                 ..
             },
-        ] = world.fleet(at).required().as_slice()
+        ] = world.member(at).required().as_slice()
         else {
-            panic!("{at}: {:?}", world.fleet(at).required())
+            panic!("{at}: {:?}", world.member(at).required())
         };
         assert!(
             (now + 30_000..now + 31_000).contains(required),
@@ -143,34 +145,41 @@
 /// Two changes under one number on both sides of a cut: healed, all know of the conflict and nobody
 /// spreads either; a higher number settles it.
 #[test]
-fn two_changes_under_one_number() {
+fn two_changes_under_one_generation_are_a_conflict_until_a_higher_one() {
     let mut world = World::new(8, 4);
-    world.run_until(60_000, World::agree).expect("all know all");
-    world.cut(&[0, 1, 2, 3], &[4, 5, 6, 7]);
+    world
+        .run_until(60_000, World::agrees)
+        .expect("all know all");
+    world.partition(&[0, 1, 2, 3], &[4, 5, 6, 7]);
     let now = world.now;
     world
-        .fleet_mut(0)
+        .member_mut(0)
         .propose_version(now, 5, Digest::of(b"one"), None);
     world
-        .fleet_mut(7)
+        .member_mut(7)
         .propose_version(now, 5, Digest::of(b"other"), None);
     world.run(20_000);
     assert_eq!(
-        (wants(&world, 3), wants(&world, 4)),
-        (after(&[wants(&world, 0)]), after(&[wants(&world, 7)]))
+        (desired_at(&world, 3), desired_at(&world, 4)),
+        (
+            after(&[desired_at(&world, 0)]),
+            after(&[desired_at(&world, 7)])
+        )
     );
-    world.faults.cut.clear();
+    world.faults.blocked.clear();
     let end = world.now + 60_000;
-    let known = |w: &World| (0..8).all(|at| matches!(wants(w, at), Desired::Conflict(_)));
+    let known = |w: &World| (0..8).all(|at| matches!(desired_at(w, at), Desired::Conflict(_)));
     world
         .run_until(end, known)
         .expect("the conflict is known to all");
     let now = world.now;
     world
-        .fleet_mut(2)
+        .member_mut(2)
         .propose_version(now, 6, Digest::of(b"third"), None);
     let end = world.now + 60_000;
     world
-        .run_until(end, |w| (0..8).all(|at| wants(w, at).generation() == 6))
+        .run_until(end, |w| {
+            (0..8).all(|at| desired_at(w, at).generation() == 6)
+        })
         .expect("it is settled");
 }
--- a/crates/heathroad-membership/tests/golden_record.rs
+++ b/crates/heathroad-membership/tests/golden_record.rs
@@ -1,4 +1,4 @@
-//! A record of acts that was stored before is read, and stored again as the same bytes.
+//! A record stored by an earlier program is read, and stored again as the same bytes.
 
 mod common;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A record with everything that a record can hold: two lives, a page that was not closed, pages given up.
+/// A record with everything that a record can hold: two lives, a epoch that was not closed, pages given up.
 fn record() -> RecordSnapshot {
     let mut first = ActivityRecord::new(START, START, None);
     for generation in 1..=MAX_INTERVALS as u64 {
@@ -37,13 +37,13 @@
             .begin_interval(START + generation, version(generation))
             .record(Activity::AttemptSent, START + generation);
     }
-    let mut told = first.snapshot(START + 1000);
+    let mut snapshot = first.snapshot(START + 1000);
     // A short file does: the oldest go, as they do where there is no room.
-    while told.intervals.len() > 1 {
-        assert!(told.discard_oldest());
+    while snapshot.intervals.len() > 1 {
+        assert!(snapshot.discard_oldest());
     }
-    let mut second = ActivityRecord::new(START + 2000, START + 2000, Some(told));
-    let page = second.begin_interval(START + 2000, version(300));
+    let mut second = ActivityRecord::new(START + 2000, START + 2000, Some(snapshot));
+    let epoch = second.begin_interval(START + 2000, version(300));
     for (act, times) in [
         (Activity::RequestBound, 9),
         (Activity::AttemptSent, 8),
@@ -54,7 +54,7 @@
         (Activity::ChangeApplied, 3),
         (Activity::ChangeRolledBack, 2),
     ] {
-        (0..times).for_each(|n| page.record(act, START + 2100 + n));
+        (0..times).for_each(|n| epoch.record(act, START + 2100 + n));
     }
     second.begin_interval(START + 2500, version(301));
     second.record_fault(FaultInterval {
@@ -97,9 +97,9 @@
 fn a_record_stored_before_is_read() {
     let text =
         std::fs::read_to_string(common::golden("activity_record.json")).expect("it is there");
-    let told: RecordSnapshot = serde_json::from_str(&text).expect("it is read");
-    assert_eq!(told, record());
-    assert_eq!((told.at, told.since), (START + 3000, START));
+    let snapshot: RecordSnapshot = serde_json::from_str(&text).expect("it is read");
+    assert_eq!(snapshot, record());
+    assert_eq!((snapshot.at, snapshot.since), (START + 3000, START));
     let lost = DiscardedIntervals {
         count: 255,
         activity: ActivityCounts {
@@ -108,9 +108,9 @@
         },
         until: Some(START + 256),
     };
-    assert_eq!(told.discarded, lost);
-    let [torn, whole, open] = &told.intervals[..] else {
-        panic!("{told:?}")
+    assert_eq!(snapshot.discarded, lost);
+    let [torn, whole, open] = &snapshot.intervals[..] else {
+        panic!("{snapshot:?}")
     };
     assert_eq!(
         (
@@ -141,23 +141,29 @@
         (open.version.clone(), open.digest, open.to),
         (version(301), version(301).digest(), None)
     );
-    let troubles: Vec<FaultKind> = told.faults.iter().map(|fault| fault.kind).collect();
+    let troubles: Vec<FaultKind> = snapshot.faults.iter().map(|fault| fault.kind).collect();
     assert_eq!(
         troubles,
         [FaultKind::Isolated, FaultKind::Stalled, FaultKind::Fenced]
     );
-    assert_eq!(told.rejected[0].reason, "pool \"main\": is missing");
+    assert_eq!(snapshot.rejected[0].reason, "pool \"main\": is missing");
 }
 
-/// Records of the first programs, which told neither spells nor what was turned down.
+/// Records of the first programs, which snapshot neither spells nor what was turned down.
 #[test]
 fn a_record_without_the_later_fields_is_read() {
     let text =
         r#"{"at":5,"since":1,"pages":[],"lost":{"pages":0,"acts":{"bound":1},"until":null}}"#;
-    let told: RecordSnapshot = serde_json::from_str(text).expect("it is read");
+    let snapshot: RecordSnapshot = serde_json::from_str(text).expect("it is read");
     assert_eq!(
-        (told.at, told.since, told.discarded.activity.bound),
+        (
+            snapshot.at,
+            snapshot.since,
+            snapshot.discarded.activity.bound
+        ),
         (5, 1, 1)
     );
-    assert!(told.intervals.is_empty() && told.faults.is_empty() && told.rejected.is_empty());
+    assert!(
+        snapshot.intervals.is_empty() && snapshot.faults.is_empty() && snapshot.rejected.is_empty()
+    );
 }
--- a/crates/heathroad-membership/tests/golden_trace.rs
+++ b/crates/heathroad-membership/tests/golden_trace.rs
@@ -62,11 +62,11 @@
         self.fleets[usize::from(place)] = Some(fleet);
     }
 
-    fn fleet(&mut self, place: MemberId) -> &mut Membership {
+    fn member(&mut self, place: MemberId) -> &mut Membership {
         self.fleets[usize::from(place)].as_mut().expect("it runs")
     }
 
-    /// Takes what one member sends and tells.
+    /// Takes what one member transmits and tells.
     fn collect(&mut self, place: MemberId) {
         let (now, cut) = (self.now, self.cut);
         let Some(fleet) = self.fleets[usize::from(place)].as_mut() else {
@@ -78,11 +78,11 @@
             let text = vec![place as u8; 1000 + usize::from(place)];
             fleet.serve(now, question, there.then_some(text));
         }
-        for news in fleet.events() {
+        for event in fleet.events() {
             let _ = writeln!(
                 self.seen,
                 "{now} {place} {}",
-                serde_json::to_string(&news).expect("plain")
+                serde_json::to_string(&event).expect("plain")
             );
         }
         for fetched in fleet.completed_fetches() {
@@ -102,16 +102,16 @@
                 message.from, message.bytes
             );
         }
-        let sends: Vec<_> = fleet.transmits().collect();
-        for send in sends {
+        let transmits: Vec<_> = fleet.transmits().collect();
+        for transmit in transmits {
             self.datagrams += 1;
             let _ = writeln!(
                 self.seen,
                 "{now} {place} {} {}",
-                send.to,
-                Digest::of(&send.bytes)
+                transmit.to,
+                Digest::of(&transmit.bytes)
             );
-            let apart = (place < cut) != (send.to < cut);
+            let apart = (place < cut) != (transmit.to < cut);
             let copies = match self.rng.u32(0..100) {
                 0..10 => 0,
                 10..15 => 2,
@@ -119,7 +119,7 @@
             };
             for _ in 0..if apart { 0 } else { copies } {
                 let at = now + 1 + self.rng.u64(0..30);
-                self.queue.push((at, send.to, send.bytes.clone()));
+                self.queue.push((at, transmit.to, transmit.bytes.clone()));
             }
         }
     }
@@ -190,28 +190,28 @@
     t.run_to(10_000);
     let now = t.now;
     for place in 0..MEMBERS {
-        t.fleet(place)
+        t.member(place)
             .set_active_version(version(2 + u64::from(place % 2)));
     }
-    t.fleet(0)
+    t.member(0)
         .propose_version(now, 4, Digest::of(b"four"), Some(30_000));
-    t.fleet(1)
+    t.member(1)
         .fetch(now, 2, Resource::ActivityRecord, Digest::default())
         .expect("room");
-    t.fleet(1)
+    t.member(1)
         .fetch(now, 3, Resource::ActivityRecord, Digest::of(b"absent"))
         .expect("room");
-    t.fleet(2)
+    t.member(2)
         .fetch(now, 4, Resource::Routes, Digest::of(b"other"))
         .expect("room");
     t.run_to(20_000);
     let routes = version(2).routes;
-    let source = t.fleet(5).choose_routes_source(routes);
+    let source = t.member(5).choose_routes_source(routes);
     let _ = writeln!(t.text, "source {source:?}");
     let now = t.now;
     for place in 1..MEMBERS {
-        t.fleet(0).send_message(now, place, vec![place as u8; 20]);
-        t.fleet(place).request_confirmation(now);
+        t.member(0).send_message(now, place, vec![place as u8; 20]);
+        t.member(place).request_confirmation(now);
     }
     t.stalled[3] = now + 7_000;
     t.run_to(40_000);
@@ -219,9 +219,9 @@
     t.cut = 3;
     t.run_to(50_000);
     let now = t.now;
-    t.fleet(0)
+    t.member(0)
         .propose_version(now, 5, Digest::of(b"five"), None);
-    t.fleet(6)
+    t.member(6)
         .propose_version(now, 5, Digest::of(b"fifth"), None);
     t.run_to(80_000);
     t.describe();
@@ -232,9 +232,9 @@
     t.run_to(130_000);
     t.start(4, EPOCH - 1_000);
     let now = t.now;
-    t.fleet(6).leave(now);
+    t.member(6).leave(now);
     t.collect(6);
-    t.fleet(0)
+    t.member(0)
         .propose_version(now, 6, Digest::of(b"six"), Some(5_000));
     t.run_to(160_000);
     t.describe();
--- a/crates/heathroad-membership/tests/hostile.rs
+++ b/crates/heathroad-membership/tests/hostile_datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams that should not have come: nothing is changed by them.
+//! Hostile datagrams change nothing.
 
 mod common;
 
@@ -11,14 +11,14 @@
 };
 use proptest::prelude::*;
 
-/// Everything that a proxy holds to be true of others, as text.
-fn held(world: &World, at: u16) -> String {
-    let mut views = world.fleet(at).member_views(world.now);
+/// Returns all that a member knows of others, as text.
+fn knowledge(world: &World, at: u16) -> String {
+    let mut views = world.member(at).member_views(world.now);
     views.iter_mut().for_each(|v| v.last_heard_ago_ms = None);
-    format!("{views:?} {:?}", world.fleet(at).revision())
+    format!("{views:?} {:?}", world.member(at).revision())
 }
 
-/// Well-formed, for any life, and about somebody's end.
+/// Builds a well-formed datagram, for some incarnation, that declares a member dead.
 fn death(authenticator: &Authenticator, number: u32) -> Vec<u8> {
     let (fleet_name, incarnation) = (
         authenticator.fleet_name().to_vec(),
@@ -55,9 +55,11 @@
     authenticator.sign(datagram)
 }
 
-fn quiet_pair() -> World {
+fn settled_world() -> World {
     let mut world = World::new(3, 1);
-    world.run_until(60_000, World::agree).expect("all know all");
+    world
+        .run_until(60_000, World::agrees)
+        .expect("all know all");
     world
 }
 
@@ -65,19 +67,19 @@
 /// ones.
 #[test]
 fn ten_thousand_datagrams_change_nothing() {
-    let mut world = quiet_pair();
+    let mut world = settled_world();
     let mut rng = fastrand::Rng::with_seed(2);
     let mut good = Vec::new();
     for _ in 0..40 {
         let now = world.now;
-        let fleet = world.fleet_mut(1);
+        let fleet = world.member_mut(1);
         fleet.tick(now);
         good.extend(fleet.transmits().filter(|s| s.to == 0).map(|s| s.bytes));
         world.now += 500;
     }
-    good.iter().for_each(|bytes| world.bring(0, bytes));
-    let before = held(&world, 0);
-    let dropped = world.fleet(0).traffic().dropped.total();
+    good.iter().for_each(|bytes| world.deliver(0, bytes));
+    let before = knowledge(&world, 0);
+    let dropped = world.member(0).traffic().dropped.total();
     let foreign = Authenticator::new("other", KEY).expect("good");
     let wrong_key = Authenticator::new("kano", b"another key, just as long as it").expect("good");
     for n in 0..10_000_u32 {
@@ -96,48 +98,48 @@
             }
             _ => {}
         }
-        world.bring(0, &bytes);
+        world.deliver(0, &bytes);
     }
-    assert_eq!(held(&world, 0), before);
+    assert_eq!(knowledge(&world, 0), before);
     let DropCounters {
         malformed,
         other_fleet,
         unauthenticated,
         replayed,
         ..
-    } = world.fleet(0).traffic().dropped;
-    assert_eq!(world.fleet(0).traffic().dropped.total(), dropped + 10_000);
+    } = world.member(0).traffic().dropped;
+    assert_eq!(world.member(0).traffic().dropped.total(), dropped + 10_000);
     assert!(malformed > 0 && other_fleet > 1_000 && unauthenticated > 1_000 && replayed > 1_000);
 }
 
-/// What was recorded is sealed rightly, and names a life of its receiver that has ended.
+/// A recording is authentic, and names an incarnation of its recipient that has ended.
 #[test]
-fn a_recording_for_an_earlier_life_changes_nothing() {
-    let mut world = quiet_pair();
+fn a_recording_for_an_earlier_incarnation_changes_nothing() {
+    let mut world = settled_world();
     let now = world.now;
-    world.fleet_mut(1).tick(now);
+    world.member_mut(1).tick(now);
     let mut recorded = Vec::new();
     for _ in 0..10 {
         world.now += 1000;
         let now = world.now;
-        let fleet = world.fleet_mut(1);
+        let fleet = world.member_mut(1);
         fleet.tick(now);
         recorded.extend(fleet.transmits().filter(|s| s.to == 0).map(|s| s.bytes));
     }
     world.kill(0);
     world.start(0);
-    let before = held(&world, 0);
-    recorded.iter().for_each(|bytes| world.bring(0, bytes));
+    let before = knowledge(&world, 0);
+    recorded.iter().for_each(|bytes| world.deliver(0, bytes));
     assert!(!recorded.is_empty());
-    assert_eq!(held(&world, 0), before);
+    assert_eq!(knowledge(&world, 0), before);
     assert_eq!(
-        world.fleet(0).traffic().dropped.stale,
+        world.member(0).traffic().dropped.stale,
         recorded.len() as u64
     );
 }
 
 #[test]
-fn names_and_keys_that_cannot_be_used() {
+fn invalid_names_and_keys_are_rejected() {
     assert_eq!(
         Authenticator::new("", KEY).err(),
         Some(CredentialsError::InvalidName)
@@ -154,7 +156,7 @@
 }
 
 #[test]
-fn old_and_new_speak_the_highest_that_both_do() {
+fn the_highest_common_protocol_is_negotiated() {
     assert_eq!(wire::negotiate_protocol([1, 2], [2, 3]), Some(2));
     assert_eq!(wire::negotiate_protocol([1, 1], [1, 4]), Some(1));
     assert_eq!(wire::negotiate_protocol([1, 2], [3, 4]), None);
@@ -165,9 +167,9 @@
 }
 
 proptest! {
-    /// Whatever comes, it is read or torn, and what is read is written as it was.
+    /// Any bytes are decoded or rejected, and what is decoded is encoded as it was.
     #[test]
-    fn any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..MAX_DATAGRAM_BYTES)) {
+    fn decoded_bytes_are_encoded_as_they_were(bytes in prop::collection::vec(any::<u8>(), 0..MAX_DATAGRAM_BYTES)) {
         if let Ok((message, updates)) = wire::decode_content(&mut Reader::new(&bytes)) {
             let mut again = Writer::default();
             prop_assert_eq!(wire::encode_content(message, &updates, MAX_DATAGRAM_BYTES, &mut again), updates.len());
--- a/crates/heathroad-membership/tests/histories.rs
+++ b/crates/heathroad-membership/tests/random_histories.rs
@@ -1,5 +1,5 @@
-//! Random histories of small fleets, held against the truth: whoever runs is known, whoever does
-//! not is not taken for there, as soon as the faults are over. `FLEET_HISTORIES` asks for more of
+//! Random histories of small fleets: soon after the last fault all running members know that exactly
+//! the running ones are alive. `FLEET_HISTORIES` asks for more of
 //! them, from `FLEET_SEED` on.
 
 mod common;
@@ -33,20 +33,20 @@
             4 => {
                 let one: Vec<u16> = (0..members).filter(|_| rng.bool()).collect();
                 let other: Vec<u16> = (0..members).filter(|p| !one.contains(p)).collect();
-                world.cut(&one, &other);
+                world.partition(&one, &other);
             }
             5 => {
                 let to = rng.u16(0..members);
-                world.faults.cut.insert((who, to));
+                world.faults.blocked.insert((who, to));
             }
             _ => {
-                world.faults.cut.clear();
-                (world.faults.loss, world.faults.twice) = (rng.f64() * 0.4, rng.f64() * 0.2);
+                world.faults.blocked.clear();
+                (world.faults.loss, world.faults.duplication) = (rng.f64() * 0.4, rng.f64() * 0.2);
                 world.faults.delay = rng.u64(1..400);
             }
         }
         if world.running().contains(&who) {
-            world.fleet_mut(who).set_active_version(version(step));
+            world.member_mut(who).set_active_version(version(step));
         }
         world.run(rng.u64(0..15_000));
     }
@@ -60,11 +60,11 @@
         world.start(1);
     }
     let end = world.now + 300_000;
-    // Two that alone are left of more can't tell a death from a cut, where no third speaks.
-    let settled = world.run_until(end, World::agree);
+    // Where two members are left of more, they cannot tell a death from a partition.
+    let settled = world.run_until(end, World::agrees);
     if settled.is_none() {
         for at in world.running() {
-            println!("{at}: {:#?}", world.fleet(at).member_views(world.now));
+            println!("{at}: {:#?}", world.member(at).member_views(world.now));
         }
     }
     assert!(
--- a/crates/heathroad-membership/tests/texts.rs
+++ b/crates/heathroad-membership/tests/resources.rs
@@ -1,4 +1,4 @@
-//! Whole texts over lossy ways.
+//! Fetches of resources over a lossy network.
 
 mod common;
 
@@ -16,7 +16,7 @@
 ) -> Result<Vec<u8>, FetchError> {
     let now = world.now;
     let id = world
-        .fleet_mut(0)
+        .member_mut(0)
         .fetch(now, 1, resource, key)
         .expect("there is room");
     let begun = now;
@@ -24,30 +24,32 @@
         world.run(1);
         let now = world.now;
         if world.running().contains(&1) {
-            let asked: Vec<_> = world.fleet_mut(1).resource_requests().collect();
-            asked
+            let requests: Vec<_> = world.member_mut(1).resource_requests().collect();
+            requests
                 .into_iter()
-                .for_each(|a| world.fleet_mut(1).serve(now, a, text.clone()));
+                .for_each(|a| world.member_mut(1).serve(now, a, text.clone()));
         }
-        let done: Vec<_> = world.fleet_mut(0).completed_fetches().collect();
+        let done: Vec<_> = world.member_mut(0).completed_fetches().collect();
         if let Some(fetched) = done.into_iter().next() {
             assert_eq!(fetched.id, id);
             assert!(fetched.first_part_after <= world.now - begun);
             return fetched.result;
         }
     }
-    panic!("neither a text nor an end");
+    panic!("the fetch did not end");
 }
 
 fn pair(loss: f64) -> World {
     let mut world = World::new(3, 5);
-    world.run_until(60_000, World::agree).expect("all know all");
-    (world.faults.loss, world.faults.twice) = (loss, loss);
+    world
+        .run_until(60_000, World::agrees)
+        .expect("all know all");
+    (world.faults.loss, world.faults.duplication) = (loss, loss);
     world
 }
 
 #[test]
-fn texts_come_whole_whatever_is_lost() {
+fn resources_arrive_whole_whatever_is_lost() {
     for loss in [0.0, 0.1, 0.3] {
         for length in [0, 1, PART_BYTES, PART_BYTES + 1, 40_000] {
             let text: Vec<u8> = (0..length).map(|n| (n * 7 % 251) as u8).collect();
@@ -64,7 +66,7 @@
 }
 
 #[test]
-fn what_is_not_there_or_not_what_it_should_be() {
+fn missing_and_corrupted_resources_are_reported() {
     let mut world = pair(0.0);
     let text = vec![1; 1000];
     assert_eq!(
@@ -97,26 +99,26 @@
     );
 }
 
-/// The one that has a text dies while it is fetched: that is told, and soon.
+/// The fetch ends soon after the source has died.
 #[test]
-fn a_source_that_dies_on_the_way() {
+fn a_source_that_dies_during_a_fetch_is_reported() {
     let mut world = pair(0.0);
     let (now, text) = (world.now, vec![1; 60_000]);
     let id = world
-        .fleet_mut(0)
+        .member_mut(0)
         .fetch(now, 1, Resource::ActivityRecord, Digest::default())
         .expect("there is room");
     for _ in 0..50 {
         world.run(1);
         let now = world.now;
-        let asked: Vec<_> = world.fleet_mut(1).resource_requests().collect();
-        asked
+        let requests: Vec<_> = world.member_mut(1).resource_requests().collect();
+        requests
             .into_iter()
-            .for_each(|a| world.fleet_mut(1).serve(now, a, Some(text.clone())));
+            .for_each(|a| world.member_mut(1).serve(now, a, Some(text.clone())));
     }
     world.kill(1);
     world.run(4_000);
-    let done: Vec<_> = world.fleet_mut(0).completed_fetches().collect();
+    let done: Vec<_> = world.member_mut(0).completed_fetches().collect();
     assert_eq!(
         done.iter().map(|f| (f.id, &f.result)).collect::<Vec<_>>(),
         [(id, &Err(FetchError::TimedOut))]
