--- a/crates/heathroad-retry-budget/src/id_generator.rs
+++ b/crates/heathroad-retry-budget/src/id_generator.rs
@@ -1,6 +1,7 @@
 //! Ids of delegations.
 
-/// Generator of ids that nobody guesses by chance (SplitMix64: Steele, Lea and Flood 2014). They are names and no secrets.
+/// Generator of ids that nobody guesses by chance (SplitMix64: Steele, Lea and Flood 2014). They
+/// are names and no secrets.
 #[derive(Debug)]
 pub(crate) struct SplitMix64(u64);
 
--- a/crates/heathroad-retry-budget/src/request.rs
+++ b/crates/heathroad-retry-budget/src/request.rs
@@ -14,7 +14,8 @@
     pub from_trusted_peer: bool,
 }
 
-/// An admitted request. It is given back to [`OpenAllowances::close`](crate::OpenAllowances::close), once.
+/// An admitted request. It is given back to
+/// [`OpenAllowances::close`](crate::OpenAllowances::close), once.
 #[derive(Debug)]
 #[must_use = "an open request is closed"]
 pub struct OpenRequest {
--- a/crates/heathroad/src/engine/attempt.rs
+++ b/crates/heathroad/src/engine/attempt.rs
@@ -162,15 +162,23 @@
         if open.client.as_ref().is_some_and(ClientHandle::has_left) {
             return Err(Denial::ClientLeft);
         }
-        if open.attempts.len() >= self.facts.balancer.limits.max_attempts as usize {
+        if open.attempts.len() >= self.settings.balancer.limits.max_attempts as usize {
             return Err(Denial::AttemptLimit);
         }
         let endpoint = endpoint.ok_or(Denial::BackendWithdrawn)?;
         let target = endpoint.target.clone().ok_or(Denial::BackendWithdrawn)?;
         let location = endpoint.location;
-        let (effect, may_duplicate) = (self.effect(open.class), self.facts.site.hedging_allowed);
-        let write_deadline =
-            safety::check_retry(effect, open.past_attempts(), location, may_duplicate, now)?;
+        let (idempotency, may_duplicate) = (
+            self.idempotency(open.class),
+            self.settings.site.hedging_allowed,
+        );
+        let write_deadline = safety::check_retry(
+            idempotency,
+            open.past_attempts(),
+            location,
+            may_duplicate,
+            now,
+        )?;
         let is_permitted = open.activity.as_ref().is_none_or(activity_log::Bound::may);
         let is_first = open.attempts.is_empty();
         let has_budget = || is_first || open.budget.as_ref().is_none_or(RequestBudget::try_retry);
@@ -231,7 +239,7 @@
             self.counts.resent(open.last_outcome);
         }
         let age_ms = self.clock.to_ms(started_at) - target.born_ms;
-        if target.born_ms > 0.0 && age_ms < self.facts.balancer.guarantees.slow_start_duration {
+        if target.born_ms > 0.0 && age_ms < self.settings.balancer.guarantees.slow_start_duration {
             self.counts.sent_cold();
         }
         if let Some(activity) = &open.activity {
--- a/crates/heathroad/src/engine/endpoints.rs
+++ b/crates/heathroad/src/engine/endpoints.rs
@@ -155,7 +155,7 @@
     fn update_endpoint(&self, endpoints: &mut Endpoints, host: Host) -> Endpoint {
         let (backend, endpoint) = endpoints.get_or_insert(&host.host);
         endpoint.is_listed = host.health != Health::Deleted;
-        let zones = &self.facts.site.zones;
+        let zones = &self.settings.site.zones;
         let Some(zone) = zones.iter().position(|zone| *zone == host.site) else {
             // The pool cannot send there, and takes it out wherever it was before.
             endpoint.is_listed = false;
--- a/crates/heathroad/src/engine/mod.rs
+++ b/crates/heathroad/src/engine/mod.rs
@@ -52,7 +52,7 @@
     state: RefCell<State>,
     pool: Rc<Pool>,
     clock: Clock,
-    facts: InstanceSettings,
+    settings: InstanceSettings,
     counts: Counts,
     /// What this proxy acts on, where a record is kept.
     activity_log: Option<Rc<Acts>>,
@@ -69,16 +69,16 @@
 impl Engine {
     /// Starts the decision module, which asks for the list of backends through `watch_requested`.
     pub fn new(
-        mut facts: InstanceSettings,
+        mut settings: InstanceSettings,
         seed: u64,
         pool: Rc<Pool>,
         counts: Counts,
         activity_log: Option<Rc<Acts>>,
         watch_requested: watch::Sender<bool>,
     ) -> Result<Rc<Self>, SettingsError> {
-        facts.balancer.limits.late_completions = true;
+        settings.balancer.limits.late_completions = true;
         let state = State {
-            balancer: Balancer::new(balancer_settings(&facts), seed)?,
+            balancer: Balancer::new(balancer_settings(&settings), seed)?,
             endpoints: Endpoints::default(),
             requests: FxHashMap::default(),
             next_request_id: 1,
@@ -89,7 +89,7 @@
             state: RefCell::new(state),
             pool,
             clock: Clock::new(),
-            facts,
+            settings,
             counts,
             activity_log,
             watch_requested,
@@ -142,8 +142,8 @@
     }
 
     /// Returns the pool's settings.
-    pub fn facts(&self) -> &InstanceSettings {
-        &self.facts
+    pub fn settings(&self) -> &InstanceSettings {
+        &self.settings
     }
 
     /// Returns the pool's present load.
@@ -206,9 +206,9 @@
             Action::Send {
                 request,
                 backend,
-                deadline: not_past,
+                deadline,
             } => {
-                self.send_attempt(state, request, backend, not_past);
+                self.send_attempt(state, request, backend, deadline);
             }
             Action::Reject {
                 request,
@@ -251,8 +251,8 @@
 
 /// Returns the settings by which the module decides. Its deduplication windows end earlier than the
 /// configured ones, since an attempt is written a moment after the decision.
-fn balancer_settings(facts: &InstanceSettings) -> Settings {
-    let mut settings = facts.balancer.clone();
+fn balancer_settings(settings: &InstanceSettings) -> Settings {
+    let mut settings = settings.balancer.clone();
     for class in &mut settings.classes {
         if let Idempotency::Deduplicated { window, .. } = &mut class.idempotency {
             *window = as_millis(safety::retry_window(*window));
--- a/crates/heathroad/src/engine/request.rs
+++ b/crates/heathroad/src/engine/request.rs
@@ -209,7 +209,7 @@
         self.fenced_rejections.set(self.fenced_rejections.get() + 1);
         self.counts
             .answered(incoming.class, incoming.tenant, Final::Refused);
-        let retry_after = retry_after(&self.facts);
+        let retry_after = retry_after(&self.settings);
         Response::Rejected { retry_after }.into()
     }
 
@@ -236,7 +236,7 @@
     /// Returns an unused id, or nothing where as many requests are open as may be.
     fn next_request_id(&self) -> Option<RequestId> {
         let state = &mut *self.state.borrow_mut();
-        if state.requests.len() >= self.facts.site.max_open_requests {
+        if state.requests.len() >= self.settings.site.max_open_requests {
             return None;
         }
         let id = state.next_request_id;
@@ -285,17 +285,17 @@
         let Some(open) = state.requests.get(&request) else {
             return true;
         };
-        let may_reject = safety::may_reject(self.effect(open.class), open.past_attempts());
+        let may_reject = safety::may_reject(self.idempotency(open.class), open.past_attempts());
         if !may_reject {
             violations::record_violation(Violation::UnsafeRejection, &open.call.label());
         }
         may_reject
     }
 
-    /// Returns the effect that a class declares for its requests; an unknown class is taken for the
-    /// strictest.
-    pub(super) fn effect(&self, class: u16) -> Idempotency {
-        let classes = &self.facts.balancer.classes;
+    /// Returns the idempotency that a class declares for its requests; an unknown class is taken
+    /// for the strictest.
+    pub(super) fn idempotency(&self, class: u16) -> Idempotency {
+        let classes = &self.settings.balancer.classes;
         classes
             .get(usize::from(class))
             .map_or(Idempotency::NonIdempotent, |class| class.idempotency)
@@ -303,7 +303,7 @@
 
     /// Returns the latency objective of a class.
     fn latency_objective(&self, class: u16) -> Duration {
-        let classes = &self.facts.balancer.classes;
+        let classes = &self.settings.balancer.classes;
         millis(
             classes
                 .get(usize::from(class))
--- a/crates/heathroad/src/engine/response.rs
+++ b/crates/heathroad/src/engine/response.rs
@@ -67,8 +67,8 @@
 
 /// Returns the retry delay advertised to clients that are rejected for lack of capacity, or by a
 /// fenced proxy, if the settings allow one.
-pub fn retry_after(facts: &InstanceSettings) -> Option<Duration> {
-    let caps = &facts.balancer.limits;
+pub fn retry_after(settings: &InstanceSettings) -> Option<Duration> {
+    let caps = &settings.balancer.limits;
     caps.retry_after
         .then(|| millis(RETRY_AFTER_MS.min(caps.max_retry_after)))
 }
--- a/crates/heathroad/src/frontend/http/connection.rs
+++ b/crates/heathroad/src/frontend/http/connection.rs
@@ -169,7 +169,7 @@
         let (incoming, _reservation, bound) = match read {
             Ok(read) => read,
             Err(error) => {
-                let reply = error.into_reply(&self.facts);
+                let reply = error.into_reply(&self.settings);
                 let status = reply.status().as_u16();
                 tracing::debug!(connection = connection.number, status, "request unusable");
                 self.router.meter().unusable(status);
@@ -179,7 +179,7 @@
         if self.is_over_capacity(connection, acceptance.is_crowded) {
             tracing::debug!(id = %incoming.call.label(), reason = "no capacity", "request rejected");
             bound.engine.record_undecided(&incoming, Final::Refused);
-            let retry_after = retry_after(&self.facts);
+            let retry_after = retry_after(&self.settings);
             return to_reply(engine::Response::Rejected { retry_after });
         }
         self.handle(incoming, &bound, connection).await
--- a/crates/heathroad/src/frontend/http/mod.rs
+++ b/crates/heathroad/src/frontend/http/mod.rs
@@ -28,7 +28,7 @@
     /// Says where requests go.
     pub router: Rc<Router>,
     /// The settings.
-    pub facts: InstanceSettings,
+    pub settings: InstanceSettings,
     /// Most connections at once.
     pub max_connections: usize,
     /// Most bytes that are buffered for all clients.
--- a/crates/heathroad/src/frontend/http/request.rs
+++ b/crates/heathroad/src/frontend/http/request.rs
@@ -160,7 +160,7 @@
     }
 
     fn tenant_index(&self, name: Option<&str>) -> Result<u16, RequestError> {
-        let tenants = &self.facts.site.tenants;
+        let tenants = &self.settings.site.tenants;
         if tenants.is_empty() {
             return Ok(0);
         }
@@ -223,8 +223,8 @@
     }
 }
 
-/// Returns when a body must have arrived. A client that stops half-way through its body is not waited
-/// for.
+/// Returns when a body must have arrived. A client that stops half-way through its body is not
+/// waited for.
 fn body_deadline(connection: &Connection, received_at: Instant, timeout: Duration) -> Instant {
     let is_first = !connection.is_answered.get();
     let begun_at = if is_first {
--- a/crates/heathroad/src/frontend/http/response.rs
+++ b/crates/heathroad/src/frontend/http/response.rs
@@ -40,14 +40,14 @@
 
 impl RequestError {
     /// Returns the reply to the client.
-    pub(super) fn into_reply(self, facts: &InstanceSettings) -> Reply {
+    pub(super) fn into_reply(self, settings: &InstanceSettings) -> Reply {
         match self {
             RequestError::Malformed(status) => closing(status),
             RequestError::NotRouted(status) => plain(status),
             RequestError::MethodNotAllowed(allowed) => method_not_allowed(&allowed),
             RequestError::DuplicateId => plain(StatusCode::CONFLICT),
             RequestError::NoBufferSpace => {
-                let retry_after = retry_after(facts);
+                let retry_after = retry_after(settings);
                 to_reply(Response::Rejected { retry_after })
             }
             RequestError::Loop(error) => loop_detected(&error),
--- a/crates/heathroad/src/frontend/jsonrpc/call.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/call.rs
@@ -160,7 +160,7 @@
     }
 
     fn tenant_index(&self, name: Option<&str>) -> Result<u16, Wrong> {
-        let tenants = &self.frontend().facts.site.tenants;
+        let tenants = &self.frontend().settings.site.tenants;
         if tenants.is_empty() {
             return Ok(0);
         }
@@ -227,7 +227,7 @@
             .engine
             .counts()
             .answered(incoming.class, incoming.tenant, Final::Refused);
-        let member = answer::rejected(retry_after(&self.frontend().facts));
+        let member = answer::rejected(retry_after(&self.frontend().settings));
         FinishedCall {
             exchange,
             id,
--- a/crates/heathroad/src/frontend/jsonrpc/intake.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/intake.rs
@@ -1,5 +1,5 @@
-//! The intake of texts that were read on a JSON-RPC connection: their calls are bound, and wait for their
-//! turn.
+//! The intake of texts that were read on a JSON-RPC connection: their calls are bound, and wait for
+//! their turn.
 
 use super::answer::answer;
 use super::connection::Session;
@@ -25,8 +25,8 @@
 }
 
 impl Session {
-    /// Takes a text: its calls are bound, and wait for their turn. Where there is no capacity for them they
-    /// are rejected.
+    /// Takes a text: its calls are bound, and wait for their turn. Where there is no capacity for
+    /// them they are rejected.
     pub(super) async fn take_text(&mut self, text: &Bytes, is_crowded: bool) {
         let (is_batch, members) = self.parse(text);
         let frontend = self.client.frontend();
--- a/crates/heathroad/src/frontend/jsonrpc/listener.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/listener.rs
@@ -142,7 +142,7 @@
     /// Rejects a connection for which there is no place. What it sends is not read.
     async fn reject(self: Rc<Self>, mut stream: TcpStream) {
         let _descriptor = DescriptorGuard::new(&self.frontend.table);
-        let member = rejected(retry_after(&self.frontend.facts));
+        let member = rejected(retry_after(&self.frontend.settings));
         let mut output = BytesMut::new();
         write::frame(self.listener.framing, &answer(&NULL, &member), &mut output);
         let (mut reader, mut writer) = stream.split();
--- a/crates/heathroad/src/frontend/jsonrpc/mod.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/mod.rs
@@ -36,7 +36,7 @@
     /// Says where calls go, and which listeners take them.
     pub many: Rc<Many>,
     /// The settings.
-    pub facts: InstanceSettings,
+    pub settings: InstanceSettings,
     /// Most connections at once, with those over HTTP.
     pub max_connections: usize,
     /// Most bytes that are buffered for all clients, in texts and answers.
--- a/crates/heathroad/src/lib.rs
+++ b/crates/heathroad/src/lib.rs
@@ -167,7 +167,7 @@
     wanted: &watch::Receiver<bool>,
     acts: Option<Rc<Acts>>,
 ) -> JoinHandle<()> {
-    let (engine, grace) = (engine.clone(), millis(engine.facts().site.drain_grace));
+    let (engine, grace) = (engine.clone(), millis(engine.settings().site.drain_grace));
     let hear = move |news| match news {
         News::List(kind, hosts, seq) => {
             tracing::debug!(?kind, hosts = hosts.len(), seq, "list of backends");
@@ -263,7 +263,7 @@
     let listener = TcpListener::bind(config.listen).await;
     let listener = listener.map_err(|e| format!("listen: {}: {e}", config.listen))?;
     let bound = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
-    let (facts, descriptors) = (config.facts.clone(), config.sockets);
+    let (settings, descriptors) = (config.facts.clone(), config.sockets);
     let mut source = match &config.routes {
         None => one_pool(&mut config, &pool, acts.clone())?,
         Some(file) => Lists::Routes(startup::start(file, &config, &pool, acts.clone())?),
@@ -323,11 +323,11 @@
     let calling = match &*router {
         Router::One(_) => None,
         Router::Many(many) => {
-            let (many, facts, table) = (many.clone(), facts.clone(), Rc::clone(&table));
+            let (many, settings, table) = (many.clone(), settings.clone(), Rc::clone(&table));
             let budgets = budgets.clone();
             let front = JsonRpcFrontend {
                 many,
-                facts,
+                settings,
                 max_connections,
                 max_buffered_bytes,
                 table,
@@ -338,7 +338,7 @@
     };
     let front = HttpFrontend {
         router: router.clone(),
-        facts,
+        settings,
         max_connections,
         max_buffered_bytes,
         table,
--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -67,7 +67,7 @@
 }
 
 fn bound(engine: &Rc<Engine>, class: &str) -> Option<Bound> {
-    let facts = engine.facts();
+    let facts = engine.settings();
     let place = facts.site.classes.iter().position(|c| c == class)?;
     let effect = facts.balancer.classes[place].idempotency;
     Some(Bound {
@@ -106,7 +106,7 @@
     /// Whether any pool in force serves a class.
     pub fn serves(&self, class: &str) -> bool {
         match self {
-            Router::One(engine) => engine.facts().site.classes.iter().any(|c| c == class),
+            Router::One(engine) => engine.settings().site.classes.iter().any(|c| c == class),
             Router::Many(many) => many.current.borrow().classes.contains(class),
         }
     }
--- a/crates/heathroad/src/safety/rules.rs
+++ b/crates/heathroad/src/safety/rules.rs
@@ -80,9 +80,9 @@
 pub type WriteDeadline = Option<Instant>;
 
 /// Returns until when one more attempt may be written at a location, or the rule that denies it.
-/// The effect is what the request's class declares.
+/// The idempotency is what the request's class declares.
 pub fn check_retry<'a>(
-    effect: Idempotency,
+    idempotency: Idempotency,
     past_attempts: impl Iterator<Item = &'a PastAttempt> + Clone,
     location: Location,
     may_duplicate: bool,
@@ -98,7 +98,7 @@
     let Some(first) = may_have_run.next() else {
         return Ok(None);
     };
-    let (window, group) = match effect {
+    let (window, group) = match idempotency {
         Idempotency::Idempotent => return Ok(None),
         Idempotency::NonIdempotent => return Err(Denial::NotRetryable),
         Idempotency::Deduplicated {
@@ -135,11 +135,11 @@
 
 /// Returns whether a request may be rejected, which promises that a retry is harmless.
 pub fn may_reject<'a>(
-    effect: Idempotency,
+    idempotency: Idempotency,
     mut past_attempts: impl Iterator<Item = &'a PastAttempt>,
 ) -> bool {
     let retries_anywhere = matches!(
-        effect,
+        idempotency,
         Idempotency::Idempotent
             | Idempotency::Deduplicated {
                 scope: DeduplicationScope::All,
--- a/crates/heathroad/tests/unit/engine.rs
+++ b/crates/heathroad/tests/unit/engine.rs
@@ -13,7 +13,7 @@
 use tokio::task::LocalSet;
 
 /// Returns settings of one idempotent class.
-pub fn facts() -> InstanceSettings {
+pub fn settings() -> InstanceSettings {
     let text = r#"{"slotNo": 0, "peersTotal": 1, "tier": 0, "locality": 0, "localities": ["a"], "tick": 5.0,
         "overShareWorth": 0.05, "discovery": "automatic", "tenants": [],
         "classes": [{"name": "look", "aim": 1000.0, "points": 1.0, "semantics": "retryable", "group": "all",
@@ -53,9 +53,9 @@
     let tasks = LocalSet::new();
     tasks
         .run_until(async {
-            let counts = Counts::new(&Rc::new(crate::metrics::Meter::new()), "", &facts().site);
+            let counts = Counts::new(&Rc::new(crate::metrics::Meter::new()), "", &settings().site);
             let engine = Engine::new(
-                facts(),
+                settings(),
                 1,
                 Rc::new(Pool::new(limits)),
                 counts,
@@ -146,9 +146,9 @@
         may_duplicate: true,
     };
     let (watching, _) = watch::channel(false);
-    let counts = Counts::new(&Rc::new(crate::metrics::Meter::new()), "", &facts().site);
+    let counts = Counts::new(&Rc::new(crate::metrics::Meter::new()), "", &settings().site);
     let engine = Engine::new(
-        facts(),
+        settings(),
         1,
         Rc::new(Pool::new(limits)),
         counts,
--- a/crates/heathroad/tests/unit/frontend_http.rs
+++ b/crates/heathroad/tests/unit/frontend_http.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::backend::{Limits, Pool};
 use crate::engine::Engine;
-use crate::engine::tests::facts;
+use crate::engine::tests::settings;
 use crate::metrics::{Counts, Meter};
 use std::cell::Cell;
 use tokio::task::{LocalSet, spawn_local, yield_now};
@@ -25,10 +25,10 @@
         drain_grace: limit,
         may_duplicate,
     };
-    let counts = Counts::new(&Rc::new(Meter::new()), "", &facts().site);
+    let counts = Counts::new(&Rc::new(Meter::new()), "", &settings().site);
     let (watching, _) = watch::channel(false);
     let engine = Engine::new(
-        facts(),
+        settings(),
         1,
         Rc::new(Pool::new(limits)),
         counts,
@@ -40,7 +40,7 @@
         (2 * CALLERS, 1 << 20, Rc::<ConnectionTable>::default());
     let front = HttpFrontend {
         router,
-        facts: facts(),
+        settings: settings(),
         max_connections,
         max_buffered_bytes,
         table: table.clone(),
--- a/crates/heathroad/tests/unit/frontend_races.rs
+++ b/crates/heathroad/tests/unit/frontend_races.rs
@@ -7,7 +7,7 @@
 use super::jsonrpc::JsonRpcFrontend;
 use crate::backend::{Limits, Pool};
 use crate::engine::Engine;
-use crate::engine::tests::facts;
+use crate::engine::tests::settings;
 use crate::metrics::{Counts, Meter};
 use crate::router::Router;
 use heathroad_balancer::api::UpdateKind;
@@ -45,10 +45,10 @@
         may_duplicate: true,
     };
     let table = Rc::<ConnectionTable>::default();
-    let counts = Counts::new(&Rc::new(Meter::new()), "", &facts().site);
+    let counts = Counts::new(&Rc::new(Meter::new()), "", &settings().site);
     let (watching, _) = watch::channel(false);
     let engine = Engine::new(
-        facts(),
+        settings(),
         1,
         Rc::new(Pool::new(limits)),
         counts,
@@ -60,7 +60,7 @@
     let (max_connections, max_buffered_bytes) = (100, 1 << 20);
     let front = HttpFrontend {
         router,
-        facts: facts(),
+        settings: settings(),
         max_connections,
         max_buffered_bytes,
         table: table.clone(),
@@ -346,7 +346,7 @@
     let listener = "[[listener]]\nname = \"calls\"\nlisten = \"127.0.0.1:0\"\nframing = \"lines\"\nprotocol = \"json-rpc\"\n";
     let method = "[[listener.method]]\nname = \"look\"\nclass = \"look\"\n";
     std::fs::write(&routes, [pool, class, route, listener, method].concat()).expect("written");
-    let settings = json!({"slotNo": 0, "peersTotal": 1, "tier": 0, "locality": 0, "localities": ["a"], "tick": 5.0,
+    let file_settings = json!({"slotNo": 0, "peersTotal": 1, "tier": 0, "locality": 0, "localities": ["a"], "tick": 5.0,
         "overShareWorth": 0.05, "discovery": "automatic", "tenants": [],
         "classes": [{"name": "look", "aim": 1000.0, "giveUp": 2000.0, "points": 1.0, "semantics": "retryable", "group": "all",
                      "window": 0.0}],
@@ -354,7 +354,7 @@
                  "connIdle": 60_000.0, "connectTimeout": 2000.0},
         "guarantees": {"coldFrom": 0.1, "cold": 1000.0, "fallMultiple": 3.0, "fall": 1000.0, "stopSendingWithin": 500.0}});
     let text = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
-        "limits": {"sockets": 256, "memory_mb": 64}, "settings": settings});
+        "limits": {"sockets": 256, "memory_mb": 64}, "settings": file_settings});
     std::fs::write(&config, text.to_string()).expect("written");
     LocalSet::new()
         .run_until(async {
@@ -374,7 +374,7 @@
             let (max_connections, max_buffered_bytes) = (100, 1 << 20);
             let front = JsonRpcFrontend {
                 many,
-                facts: facts(),
+                settings: settings(),
                 max_connections,
                 max_buffered_bytes,
                 table: table.clone(),
--- a/crates/heathroad/tests/unit/safety_rules.rs
+++ b/crates/heathroad/tests/unit/safety_rules.rs
@@ -35,24 +35,24 @@
 #[test]
 fn a_request_that_never_ran_is_retried_anywhere_at_any_time() {
     let now = Instant::now();
-    for effect in [
+    for idempotency in [
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
         idempotent(DeduplicationScope::Cell),
     ] {
         assert_eq!(
-            check_retry(effect, [].iter(), OTHER_ZONE, false, now),
+            check_retry(idempotency, [].iter(), OTHER_ZONE, false, now),
             Ok(None)
         );
         for outcome in NEVER_RAN {
             let past = [past_attempt(FIRST, now, Some(outcome))];
             let late = now + Duration::from_secs(3600);
             assert_eq!(
-                check_retry(effect, past.iter(), OTHER_ZONE, false, late),
+                check_retry(idempotency, past.iter(), OTHER_ZONE, false, late),
                 Ok(None),
-                "{effect:?} {outcome:?}"
+                "{idempotency:?} {outcome:?}"
             );
-            assert!(may_reject(effect, past.iter()));
+            assert!(may_reject(idempotency, past.iter()));
         }
     }
 }
