--- a/crates/heathroad-lease/examples/lease-bench.rs
+++ b/crates/heathroad-lease/examples/lease-bench.rs
@@ -1,114 +1,155 @@
-//! How long nobody holds a duty after a fault, how many messages it takes, and what a shorter lease
-//! costs: in time of its own, so that every machine finds the same.
+//! Measures how long nobody holds a lease after a fault, how many messages a lease takes, and what
+//! a shorter lease duration costs. The time is simulated, so that every machine finds the same.
 //!
 //!     cargo run --release -p heathroad-lease --example lease-bench 200
 
-#[path = "../tests/common/mod.rs"]
-mod common;
+#[path = "../tests/simulation/mod.rs"]
+mod simulation;
 
-use common::{World, duty};
 use fastrand::Rng;
-use heathroad_lease::seat::Ended;
-use heathroad_lease::token::Token;
-use heathroad_membership::Place;
+use heathroad_lease::candidate::EndReason;
+use heathroad_lease::{MemberId, Millis};
+use simulation::{Simulation, lease};
 
-const HOUR: u64 = 3_600_000;
-const LEASE: u64 = 5000;
+const HOUR: Millis = 3_600_000;
+const LEASE_DURATION: Millis = 5000;
+const MEMBER_COUNT: u16 = 9;
+const VOTER_COUNT: u16 = 3;
 
-fn begin(members: u16, seed: u64, lease: u64) -> World {
-    let mut world = World::with_lease(members, 3, seed, lease);
-    world
-        .run_until(HOUR, |w| w.holder().is_some())
-        .expect("it is held");
-    world.run(lease * 6);
-    world
+#[derive(Debug, Clone, Copy)]
+enum Fault {
+    Kill,
+    Stall,
+    Partition,
+    Resign,
 }
 
-/// From a fault on, until somebody holds it by a later token.
-fn without(world: &mut World, last: Token) -> u64 {
-    let (from, end) = (world.now, world.now + HOUR);
-    let at = world.run_until(end, |w| w.holders().iter().any(|(_, t)| *t > last));
-    at.expect("it is held again") - from
+impl Fault {
+    const ALL: [Fault; 4] = [Fault::Kill, Fault::Stall, Fault::Partition, Fault::Resign];
+
+    fn name(self) -> &'static str {
+        match self {
+            Fault::Kill => "kill",
+            Fault::Stall => "stall",
+            Fault::Partition => "cut",
+            Fault::Resign => "resign",
+        }
+    }
+
+    fn inject(self, simulation: &mut Simulation, holder: MemberId) {
+        match self {
+            Fault::Kill => simulation.kill(holder),
+            Fault::Stall => simulation.stall(holder, HOUR),
+            Fault::Partition => {
+                let members = 0..MEMBER_COUNT;
+                let others: Vec<MemberId> = members.filter(|member| *member != holder).collect();
+                simulation.partition(&[holder], &others);
+            }
+            Fault::Resign => simulation.with_manager(holder, |manager, now| {
+                manager.resign(now, lease(), EndReason::Resigned);
+            }),
+        }
+    }
+}
+
+/// Returns a simulation in which the lease has been held for a while.
+fn settled_simulation(member_count: u16, seed: u64, lease_duration: Millis) -> Simulation {
+    let mut simulation =
+        Simulation::with_lease_duration(member_count, VOTER_COUNT, seed, lease_duration);
+    simulation
+        .run_until(HOUR, |simulation| simulation.holder().is_some())
+        .expect("it is held");
+    simulation.run(lease_duration * 6);
+    simulation
 }
 
-fn after(fault: &str, loss: f64, seed: u64, lease: u64) -> u64 {
-    let mut world = begin(9, seed, lease);
-    world.faults.loss = loss;
-    world.run(lease * 2 + Rng::with_seed(seed).u64(0..lease));
-    let Some((holder, last)) = world.holders().first().copied() else {
+/// Returns how long it takes from a fault until the lease is held under a later token.
+fn time_to_succession(fault: Fault, loss: f64, seed: u64, lease_duration: Millis) -> Millis {
+    let mut simulation = settled_simulation(MEMBER_COUNT, seed, lease_duration);
+    simulation.faults.loss = loss;
+    simulation.run(lease_duration * 2 + Rng::with_seed(seed).u64(0..lease_duration));
+    let Some((holder, last)) = simulation.holders().first().copied() else {
         return 0;
     };
-    match fault {
-        "kill" => world.kill(holder),
-        "stall" => world.stall(holder, HOUR),
-        "cut" => {
-            let others: Vec<Place> = (0..9).filter(|p| *p != holder).collect();
-            world.cut(&[holder], &others);
-        }
-        _ => world.with(holder, |d, now| d.resign(now, duty(), Ended::Told)),
-    }
-    without(&mut world, last)
+    fault.inject(&mut simulation, holder);
+    let from = simulation.now;
+    let is_succeeded =
+        |simulation: &Simulation| simulation.holders().iter().any(|(_, token)| *token > last);
+    let at = simulation
+        .run_until(from + HOUR, is_succeeded)
+        .expect("it is held again");
+    at - from
 }
 
-fn main() {
-    let count = std::env::args()
-        .nth(1)
-        .and_then(|n| n.parse().ok())
-        .unwrap_or(20);
+fn sorted_times(fault: Fault, loss: f64, count: u64, lease_duration: Millis) -> Vec<Millis> {
+    let time = |seed| time_to_succession(fault, loss, seed, lease_duration);
+    let mut times: Vec<Millis> = (0..count).map(time).collect();
+    times.sort_unstable();
+    times
+}
+
+fn print_succession_times(count: u64) {
     println!(
-        "time without a new holder after a fault, ms: median, p99 of {count}; 9 members, ways of 1 to 12 ms"
+        "time without a holder after a fault, ms: median, p99 of {count}; 9 members, delays of 1 to 12 ms"
     );
-    for fault in ["kill", "stall", "cut", "resign"] {
+    for fault in Fault::ALL {
         for loss in [0.0, 0.1, 0.3] {
-            let mut times: Vec<u64> = (0..count)
-                .map(|seed| after(fault, loss, seed, LEASE))
-                .collect();
-            times.sort_unstable();
-            let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
+            let times = sorted_times(fault, loss, count, LEASE_DURATION);
+            let quantile = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
+            let (name, percent) = (fault.name(), loss * 100.0);
             println!(
-                "| {fault} | {:.0}% | {} | {} |",
-                loss * 100.0,
-                at(0.5),
-                at(0.99)
+                "| {name} | {percent:.0}% | {} | {} |",
+                quantile(0.5),
+                quantile(0.99)
             );
         }
     }
-    println!("messages a second at rest, one duty");
-    for (members, loss) in [(9, 0.0), (300, 0.0), (300, 0.1), (300, 0.3)] {
-        let mut world = begin(members, 1, LEASE);
-        world.faults.loss = loss;
-        let sent = world.sent;
-        world.run(100_000);
-        let (a_second, longest) = ((world.sent - sent) as f64 / 100.0, world.longest);
-        let holds = world.begun().len();
+}
+
+fn print_message_rates() {
+    println!("messages a second at rest, one lease");
+    for (member_count, loss) in [(9, 0.0), (300, 0.0), (300, 0.1), (300, 0.3)] {
+        let mut simulation = settled_simulation(member_count, 1, LEASE_DURATION);
+        simulation.faults.loss = loss;
+        let sent_before = simulation.messages_sent;
+        simulation.run(100_000);
+        let per_second = (simulation.messages_sent - sent_before) as f64 / 100.0;
+        let (percent, longest) = (loss * 100.0, simulation.longest_message);
+        let holds = simulation.acquisitions().len();
         println!(
-            "| {members} | {:.0}% | {a_second:.1} | {longest} bytes | {holds} holds |",
-            loss * 100.0
+            "| {member_count} | {percent:.0}% | {per_second:.1} | {longest} bytes | {holds} holds |"
         );
     }
+}
+
+fn print_cost_of_short_leases() {
     println!(
-        "the holder stalls for 0.2 to 3 s once in 20 s, for an hour: lease, hand-ons, and the median after a kill"
+        "the holder stalls for 0.2 to 3 s once in 20 s, for an hour: lease, handovers, and the median after a kill"
     );
-    for lease in [1000, 2500, 5000, 10_000] {
-        let (mut world, mut rng) = (begin(9, 3, lease), Rng::with_seed(3));
-        let (before, end) = (world.begun().len(), world.now + HOUR);
-        while world.now < end {
-            world.run(20_000);
-            if let Some(holder) = world.holder() {
+    for lease_duration in [1000, 2500, 5000, 10_000] {
+        let mut simulation = settled_simulation(MEMBER_COUNT, 3, lease_duration);
+        let mut rng = Rng::with_seed(3);
+        let acquisitions_before = simulation.acquisitions().len();
+        let end = simulation.now + HOUR;
+        while simulation.now < end {
+            simulation.run(20_000);
+            if let Some(holder) = simulation.holder() {
                 // Most stalls are short.
-                let time = (200.0 * 15.0_f64.powf(rng.f64())) as u64;
-                world.stall(holder, time);
+                let time = (200.0 * 15.0_f64.powf(rng.f64())) as Millis;
+                simulation.stall(holder, time);
             }
         }
-        let handed = world.begun().len() - before;
-        let mut times: Vec<u64> = (0..20)
-            .map(|seed| after("kill", 0.0, seed, lease))
-            .collect();
-        times.sort_unstable();
-        println!(
-            "| {:.1} s | {handed} | {} ms |",
-            lease as f64 / 1000.0,
-            times[10]
-        );
+        let handovers = simulation.acquisitions().len() - acquisitions_before;
+        let times = sorted_times(Fault::Kill, 0.0, 20, lease_duration);
+        let seconds = lease_duration as f64 / 1000.0;
+        println!("| {seconds:.1} s | {handovers} | {} ms |", times[10]);
     }
 }
+
+fn main() {
+    let argument = std::env::args().nth(1);
+    let count = argument.and_then(|count| count.parse().ok()).unwrap_or(20);
+    print_succession_times(count);
+    print_message_rates();
+    print_cost_of_short_leases();
+}
--- /dev/null
+++ b/crates/heathroad-lease/src/lease_manager.rs
@@ -0,0 +1,321 @@
+//! All leases of one member: it seeks and holds leases as a candidate, and grants them where it is
+//! a voter.
+
+use crate::candidate::{Candidate, Context, EndReason, LeaseEvent};
+use crate::message::{Body, Message, OutgoingMessage, Status};
+use crate::token::{Token, count_at};
+use crate::voter::{Reply, Voter};
+use crate::voter_set::VoterSet;
+use crate::voter_state::VoterState;
+use crate::{LeaseId, LeaseTiming, MemberId, Millis};
+use fastrand::Rng;
+use heathroad_membership::version::Digest;
+use std::collections::BTreeMap;
+
+/// What the caller has to do, in order: a state must be on disk before the messages behind it are
+/// sent.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Output {
+    /// Write the voter's state to disk, where there is one.
+    PersistState(VoterState),
+    /// Send a message. One to this member itself comes back to [`LeaseManager::handle_message`].
+    Send(OutgoingMessage),
+    /// Something has happened to a lease.
+    Event(LeaseId, LeaseEvent),
+    /// A voter has reported the status of a lease.
+    Status(VoterStatus),
+}
+
+/// The status of a lease as a voter has reported it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct VoterStatus {
+    /// The voter.
+    pub voter: MemberId,
+    /// The lease.
+    pub lease: LeaseId,
+    /// The reported status.
+    pub status: Status,
+}
+
+/// The settings of a [`LeaseManager`].
+#[derive(Debug, Clone)]
+pub struct Settings {
+    /// This member.
+    pub own: MemberId,
+    /// The voters.
+    pub voters: VoterSet,
+    /// The durations of the protocol.
+    pub timing: LeaseTiming,
+    /// The leases that this member may hold.
+    pub leases: Vec<LeaseId>,
+    /// Seed of the jitter.
+    pub seed: u64,
+}
+
+/// All leases of one member.
+#[derive(Clone)]
+pub struct LeaseManager {
+    own: MemberId,
+    voters: VoterSet,
+    timing: LeaseTiming,
+    candidates: Vec<Candidate>,
+    voter: Option<Voter>,
+    /// The members that are known to be present, this one included.
+    present: Vec<MemberId>,
+    ranks: BTreeMap<LeaseId, u16>,
+    min_token_count: u64,
+    rng: Rng,
+    outputs: Vec<Output>,
+}
+
+/// Returns the members in the order in which they should hold a lease. The order differs from lease
+/// to lease, so that leases are spread over the members (rendezvous hashing).
+pub fn preference_order(lease: LeaseId, present: &[MemberId]) -> Vec<MemberId> {
+    let weight = |member: &MemberId| {
+        let [a, b] = member.to_be_bytes();
+        let LeaseId([l0, l1, l2, l3]) = lease;
+        Digest::of(&[l0, l1, l2, l3, a, b])
+    };
+    let mut order = present.to_vec();
+    order.sort_by_cached_key(weight);
+    order
+}
+
+impl LeaseManager {
+    /// Creates the manager of a member that starts, with the state that it remembers as a voter and
+    /// the Unix time in milliseconds as far as it is known.
+    pub fn new(now: Millis, unix_ms: u64, settings: Settings, state: VoterState) -> LeaseManager {
+        let Settings {
+            own,
+            voters,
+            timing,
+            leases,
+            seed,
+        } = settings;
+        let min_token_count = count_at(unix_ms);
+        let is_voter = voters.is_voter(own);
+        let voter =
+            is_voter.then(|| Voter::new(now, min_token_count, timing, voters.generation(), state));
+        let mut manager = LeaseManager {
+            own,
+            voters,
+            timing,
+            candidates: leases
+                .into_iter()
+                .map(|lease| Candidate::new(now, lease))
+                .collect(),
+            voter,
+            present: Vec::new(),
+            ranks: BTreeMap::new(),
+            min_token_count,
+            rng: Rng::with_seed(seed),
+            outputs: Vec::new(),
+        };
+        manager.set_present_members(vec![own]);
+        manager
+    }
+
+    /// Sets the members that are present, this one included if it is willing to hold leases.
+    pub fn set_present_members(&mut self, present: Vec<MemberId>) {
+        if present == self.present {
+            return;
+        }
+        for candidate in &self.candidates {
+            let order = preference_order(candidate.lease(), &present);
+            let rank = order.iter().position(|member| *member == self.own);
+            let rank = rank
+                .and_then(|rank| u16::try_from(rank).ok())
+                .unwrap_or(u16::MAX);
+            self.ranks.insert(candidate.lease(), rank);
+        }
+        self.present = present;
+    }
+
+    /// Sets the Unix time in milliseconds, as far as it is known.
+    pub fn set_unix_time(&mut self, unix_ms: u64) {
+        self.min_token_count = count_at(unix_ms);
+    }
+
+    /// Returns when [`LeaseManager::tick`] is to be called at the latest.
+    pub fn next_due(&self) -> Millis {
+        let due = |candidate: &Candidate| candidate.next_due(self.rank(candidate.lease()));
+        self.candidates.iter().map(due).min().unwrap_or(Millis::MAX)
+    }
+
+    fn rank(&self, lease: LeaseId) -> u16 {
+        self.ranks.get(&lease).copied().unwrap_or(u16::MAX)
+    }
+
+    /// Removes and returns what the caller has to do.
+    pub fn take_outputs(&mut self) -> std::vec::Drain<'_, Output> {
+        self.outputs.drain(..)
+    }
+
+    /// Runs `act` on the candidate of a lease and collects its outputs. Returns `None` if this
+    /// member does not seek the lease.
+    fn with_candidate<R>(
+        &mut self,
+        lease: LeaseId,
+        act: impl FnOnce(&mut Candidate, &mut Context<'_>) -> R,
+    ) -> Option<R> {
+        let rank = self.rank(lease);
+        let mut candidates = self.candidates.iter_mut();
+        let candidate = candidates.find(|candidate| candidate.lease() == lease)?;
+        let mut outgoing = Vec::new();
+        let mut context = Context {
+            timing: self.timing,
+            voters: &self.voters,
+            own: self.own,
+            min_token_count: self.min_token_count,
+            rank,
+            rng: &mut self.rng,
+            outgoing: &mut outgoing,
+        };
+        let result = act(candidate, &mut context);
+        let events = candidate
+            .take_events()
+            .map(|event| Output::Event(lease, event));
+        self.outputs.extend(events);
+        self.outputs.extend(outgoing.into_iter().map(Output::Send));
+        Some(result)
+    }
+
+    /// Does what is due.
+    pub fn tick(&mut self, now: Millis) {
+        let leases: Vec<LeaseId> = self.candidates.iter().map(Candidate::lease).collect();
+        for lease in leases {
+            self.with_candidate(lease, |candidate, context| candidate.tick(now, context));
+        }
+    }
+
+    /// Handles the bytes of a message from a member in one of its incarnations. Bytes that are no
+    /// message are ignored.
+    pub fn handle_datagram(&mut self, now: Millis, from: MemberId, incarnation: u64, bytes: &[u8]) {
+        if let Ok(message) = Message::decode(bytes) {
+            self.handle_message(now, from, incarnation, message);
+        }
+    }
+
+    /// Handles a message from a member in one of its incarnations.
+    pub fn handle_message(
+        &mut self,
+        now: Millis,
+        from: MemberId,
+        incarnation: u64,
+        message: Message,
+    ) {
+        let Message { lease, body } = message;
+        match body {
+            Body::GrantRequest(_)
+            | Body::Resign { .. }
+            | Body::StoreCheckpoint { .. }
+            | Body::StatusRequest { .. } => self.ask_voter(now, from, incarnation, lease, body),
+            Body::Granted(_)
+            | Body::Rejected(_)
+            | Body::Resigned { .. }
+            | Body::CheckpointStored { .. }
+            | Body::Handover
+            | Body::Status(_) => self.inform_candidate(now, from, lease, body),
+        }
+    }
+
+    fn ask_voter(
+        &mut self,
+        now: Millis,
+        from: MemberId,
+        incarnation: u64,
+        lease: LeaseId,
+        body: Body,
+    ) {
+        let Some(voter) = &mut self.voter else {
+            return;
+        };
+        let reply = voter.handle_message(now, from, incarnation, lease, body);
+        let Reply {
+            body,
+            is_state_changed,
+        } = reply;
+        if is_state_changed {
+            self.outputs
+                .push(Output::PersistState(voter.state().clone()));
+        }
+        if let Some(body) = body {
+            let message = Message { lease, body };
+            self.outputs
+                .push(Output::Send(OutgoingMessage { to: from, message }));
+        }
+    }
+
+    fn inform_candidate(&mut self, now: Millis, from: MemberId, lease: LeaseId, body: Body) {
+        if let Body::Status(status) = body {
+            self.outputs.push(Output::Status(VoterStatus {
+                voter: from,
+                lease,
+                status,
+            }));
+        }
+        self.with_candidate(lease, |candidate, context| {
+            candidate.handle_message(now, from, body, context);
+        });
+    }
+
+    /// Returns the token by which this member holds a lease now. To be called before each act.
+    pub fn held_token(&self, now: Millis, lease: LeaseId) -> Option<Token> {
+        self.candidate(lease)?.hold(now).map(|(token, _)| token)
+    }
+
+    /// Returns the candidate of a lease.
+    pub fn candidate(&self, lease: LeaseId) -> Option<&Candidate> {
+        self.candidates
+            .iter()
+            .find(|candidate| candidate.lease() == lease)
+    }
+
+    /// Gives a lease up, and does not seek it for a while. The member that should hold it next is
+    /// told.
+    pub fn resign(&mut self, now: Millis, lease: LeaseId, reason: EndReason) {
+        let order = preference_order(lease, &self.present);
+        let successor = order.into_iter().find(|member| *member != self.own);
+        self.with_candidate(lease, |candidate, context| {
+            candidate.resign(now, reason, successor, context);
+        });
+    }
+
+    /// Notes a token that a server has seen. The next token that this member asks for is above it.
+    pub fn observe_token(&mut self, lease: LeaseId, token: Token) {
+        self.with_candidate(lease, |candidate, _| candidate.observe_token(token));
+    }
+
+    /// Has a quorum store how far the work under a lease has come. Returns the checkpoint's
+    /// sequence number; [`LeaseEvent::CheckpointStored`] reports it once it is stored.
+    pub fn store_checkpoint(&mut self, now: Millis, lease: LeaseId, state: Vec<u8>) -> Option<u32> {
+        self.with_candidate(lease, |candidate, context| {
+            candidate.store_checkpoint(now, state, context)
+        })?
+    }
+
+    /// Asks all voters for the status of a lease. Their answers come as [`Output::Status`].
+    pub fn request_status(&mut self, lease: LeaseId) {
+        let body = Body::StatusRequest {
+            round: self.rng.u32(..),
+        };
+        let message = Message { lease, body };
+        let requests = self.voters.members().map(|to| {
+            Output::Send(OutgoingMessage {
+                to,
+                message: message.clone(),
+            })
+        });
+        self.outputs.extend(requests);
+    }
+
+    /// Returns the voters.
+    pub fn voters(&self) -> &VoterSet {
+        &self.voters
+    }
+
+    /// Returns this member's voter, if it is one.
+    pub fn voter(&self) -> Option<&Voter> {
+        self.voter.as_ref()
+    }
+}
--- a/crates/heathroad-lease/src/lib.rs
+++ b/crates/heathroad-lease/src/lib.rs
@@ -1,103 +1,57 @@
-//! Duties that one proxy of a fleet alone may hold at a time, granted and fenced without I/O or
-//! clock.
+//! Leader leases without I/O: a majority of voters grants each lease to one member of the cluster
+//! at a time, under a fencing token.
 //!
-//! A few members are voters ([`electorate`]). Whoever wants a duty asks all of them under a
-//! [`token`] of its own; a [`voter`] grants it for a time, to nobody else meanwhile, and to nobody
-//! ever under a lower token. Who has a quorum's grants holds the duty until the first of them may
-//! end ([`seat`]). What it has come to is told to the voters as a [`mark`](voter::Mark), which the
-//! next holder begins with. Who is acted on keeps the highest token it has seen ([`fence`]) and
-//! refuses lower ones: that is what nothing double rests on; the time of a grant serves to hand a
-//! duty on.
+//! A few members are voters ([`voter_set`]). A [`candidate`] asks all of them for a lease under a
+//! [`token`] of its own. A [`voter`] grants the lease for a limited time, to nobody else during
+//! that time, and never again under a lower token. A candidate that a quorum has granted the lease
+//! holds it until the grants of that quorum expire. The holder has the voters store a
+//! [`checkpoint`] of its work, and the next holder resumes from it. A server that the holder calls
+//! keeps the highest token it has seen ([`fencing`]) and rejects lower ones; this is what prevents
+//! two holders from acting out of order. The time limit only serves to hand a lease over.
 //!
-//! [`duties`] is a proxy's whole part in it; [`message`] is what is sent; [`history`] is who held
-//! what, as far as is known. `docs/design/duties.md` says what was weighed,
-//! `docs/specs/duty-messages.md` gives the bytes.
-
-pub mod duties;
-pub mod electorate;
-pub mod fence;
-pub mod history;
+//! [`lease_manager`] drives all candidates and the voter of one member, [`message`] defines the
+//! protocol's messages, and [`grant_history`] records who was granted what. `docs/design/leases.md`
+//! gives the design, `docs/specs/lease-messages.md` the wire format.
+
+pub mod candidate;
+pub mod checkpoint;
+pub mod fencing;
+pub mod grant_history;
+pub mod lease_manager;
 pub mod message;
-pub mod seat;
+pub mod timing;
 pub mod token;
 pub mod voter;
+pub mod voter_set;
+pub mod voter_state;
+
+pub use heathroad_membership::{Millis, Place as MemberId};
+pub use timing::LeaseTiming;
 
-use heathroad_membership::Millis;
 use heathroad_membership::version::Digest;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A duty: the first four bytes of its name's digest.
+/// Identifies a lease: the first four bytes of the SHA-256 digest of its name.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct DutyId(pub [u8; 4]);
+pub struct LeaseId(pub [u8; 4]);
 
-impl DutyId {
-    /// Of a name.
-    pub fn of(name: &str) -> DutyId {
+impl LeaseId {
+    /// Returns the identifier of the lease with this name.
+    pub fn from_name(name: &str) -> LeaseId {
         let [a, b, c, d, ..] = Digest::of(name.as_bytes()).0;
-        DutyId([a, b, c, d])
+        LeaseId([a, b, c, d])
     }
 }
 
-impl fmt::Display for DutyId {
+impl fmt::Display for LeaseId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0.iter().try_for_each(|b| write!(f, "{b:02x}"))
+        self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
-impl fmt::Debug for DutyId {
+impl fmt::Debug for LeaseId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
 }
-
-/// Times of grants, the same at every proxy of a fleet.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Terms {
-    /// A holder counts a grant for so long from before it asked for it.
-    pub lease: Millis,
-}
-
-/// Shortest and longest lease, in milliseconds.
-pub const LEASE_MS: std::ops::RangeInclusive<u64> = 200..=60_000;
-
-impl Terms {
-    /// A voter counts a grant for so long from when it gave it: a fiftieth more than the holder, so
-    /// that clocks whose rates differ by less than that agree on who may act. It is also how long a
-    /// voter that has started keeps silent, of whatever it may have granted before.
-    pub fn kept(self, lease: Millis) -> Millis {
-        lease + lease / 50 + 1
-    }
-
-    /// A first grant, before a quorum is known to have given it, is for half as long: what a loser
-    /// was granted is soon free.
-    pub fn first(self) -> Millis {
-        self.lease / 2
-    }
-
-    /// A candidate waits so long for a quorum.
-    pub fn patience(self) -> Millis {
-        self.lease / 4
-    }
-
-    /// Nothing came back for so long: it is asked again. A lease holds several of these, so that
-    /// losses alone end none.
-    pub fn again(self) -> Millis {
-        (self.lease / 16).max(1)
-    }
-
-    /// A holder has its grants renewed so often.
-    pub fn renew(self) -> Millis {
-        self.lease / 4
-    }
-
-    /// Who has held for so long has held well: its end is no sign that the duty kills its holders.
-    pub fn young(self) -> Millis {
-        self.lease * 5
-    }
-
-    /// Who has resigned does not ask for so long.
-    pub fn barred(self) -> Millis {
-        self.lease * 10
-    }
-}
--- a/crates/heathroad-lease/src/message.rs
+++ b/crates/heathroad-lease/src/message.rs
@@ -1,139 +1,181 @@
-//! What proxies tell each other of duties: a few fields each, in postcard's form, inside the
-//! fleet's sealed datagrams, which say from whom and for which of the receiver's lives they are and
-//! let none in twice.
+//! The messages of the lease protocol, in postcard's encoding.
+//!
+//! Messages travel inside the authenticated datagrams of the membership protocol. Those name the
+//! sender and the receiver's incarnation, and let each message in only once.
 
-use crate::DutyId;
+use crate::checkpoint::Checkpoint;
 use crate::token::Token;
-use crate::voter::Mark;
-use heathroad_membership::Place;
+use crate::{LeaseId, MemberId};
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-/// Longest message, in bytes.
-pub const MAX_MESSAGE: usize = 176;
+/// Longest encoded message, in bytes.
+pub const MAX_MESSAGE_BYTES: usize = 176;
 
-/// A message on one duty.
+/// A message about one lease.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Message {
-    /// Which.
-    pub duty: DutyId,
-    /// What is said of it.
-    pub what: What,
+    /// The lease.
+    pub lease: LeaseId,
+    /// What is asked or answered.
+    pub body: Body,
 }
 
-/// What is said of a duty.
+/// The body of a message. The order of the variants is part of the wire format.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum What {
-    /// To a voter: grant it to me, or go on granting it.
-    Ask {
-        /// Under this token, whose place is the asker's.
-        token: Token,
-        /// The asker's number for this question: it knows when it asked.
-        round: u32,
-        /// For so many milliseconds.
-        lease: u32,
-    },
-    /// From a voter: it is granted.
-    Granted {
-        /// Under this token.
-        token: Token,
-        /// That of the question.
-        round: u32,
-        /// For so many milliseconds, no more than were asked for.
-        lease: u32,
-        /// The last mark that it keeps.
-        mark: Option<Mark>,
-    },
-    /// From a voter: it is not granted.
-    Refused {
-        /// That of the question.
-        round: u32,
-        /// A token must be above this one.
-        highest: Token,
-        /// For so many milliseconds nobody is granted it, but its holder.
-        left: u32,
-        /// Why.
-        why: Why,
-    },
-    /// To a voter: what was granted to me under this token is free.
+pub enum Body {
+    /// To a voter: grant the lease, or renew the grant.
+    GrantRequest(GrantRequest),
+    /// From a voter: the lease is granted.
+    Granted(Granted),
+    /// From a voter: the lease is not granted.
+    Rejected(Rejected),
+    /// To a voter: the sender gives up what it was granted.
     Resign {
-        /// The token.
+        /// The token of the grant.
         token: Token,
     },
-    /// From a voter: it is.
-    Freed {
-        /// The token.
+    /// From a voter: the resignation is noted.
+    Resigned {
+        /// The token of the grant.
         token: Token,
     },
-    /// To a voter: keep this mark.
-    Keep {
-        /// The mark; its token is the holder's.
-        mark: Mark,
+    /// To a voter: store a checkpoint.
+    StoreCheckpoint {
+        /// The checkpoint, under the holder's token.
+        checkpoint: Checkpoint,
     },
-    /// From a voter: it is kept.
-    Kept {
-        /// The mark's token.
+    /// From a voter: the checkpoint is stored.
+    CheckpointStored {
+        /// The token of the checkpoint.
         token: Token,
-        /// Its number.
-        seq: u32,
-    },
-    /// To whom the sender thinks best: the duty is free now.
-    Yours,
-    /// To a voter: how does it stand?
-    Look {
-        /// The asker's number for this question.
-        round: u32,
+        /// The sequence number of the checkpoint.
+        sequence: u32,
     },
-    /// From a voter: so.
-    Stands {
-        /// That of the question.
+    /// To the member that should hold the lease next: it is free now.
+    Handover,
+    /// To a voter: report the status of the lease.
+    StatusRequest {
+        /// The sender's number of the request.
         round: u32,
-        /// The highest token that was granted here.
-        highest: Token,
-        /// For so many milliseconds it is granted, or held back where there is a reason to.
-        left: u32,
-        /// How it stands, in the words of a refusal; none where it is free.
-        why: Option<Why>,
-        /// So many holders in a row have died young.
-        died: u8,
     },
+    /// From a voter: the status of the lease.
+    Status(Status),
+}
+
+/// A candidate or holder asks a voter to grant a lease, or to renew the grant.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct GrantRequest {
+    /// The token to grant the lease under. It names the sender.
+    pub token: Token,
+    /// The sender's number of the request, by which it knows when it sent it.
+    pub round: u32,
+    /// The requested duration.
+    pub duration_ms: u32,
+}
+
+/// A voter grants a lease.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Granted {
+    /// The token of the grant.
+    pub token: Token,
+    /// The number of the request.
+    pub round: u32,
+    /// The granted duration, which is at most the requested one.
+    pub duration_ms: u32,
+    /// The last checkpoint that the voter stores.
+    pub checkpoint: Option<Checkpoint>,
+}
+
+/// A voter does not grant a lease.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Rejected {
+    /// The number of the request.
+    pub round: u32,
+    /// A token must be above this one to be granted.
+    pub highest_token: Token,
+    /// How long the voter grants the lease to nobody but its holder.
+    pub remaining_ms: u32,
+    /// Why the lease is not granted.
+    pub reason: RejectReason,
+}
+
+/// The status of a lease at a voter.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Status {
+    /// The number of the request.
+    pub round: u32,
+    /// The highest token that the voter has granted.
+    pub highest_token: Token,
+    /// How long the lease is still granted, or withheld.
+    pub remaining_ms: u32,
+    /// Why the voter would reject a request; `None` if the lease is free.
+    pub reason: Option<RejectReason>,
+    /// How many holders in a row have failed soon after they acquired the lease.
+    pub early_failures: u8,
 }
 
-/// Why a voter does not grant.
+/// Why a voter does not grant a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
-    /// It is granted to somebody.
+pub enum RejectReason {
+    /// The lease is granted to another member.
     Held,
-    /// The token is not above all that were granted here, or may have been.
-    Low,
-    /// The voter has started lately: what it granted before may still be counted on.
-    Silent,
-    /// The last holders died soon after they had got it.
-    HeldBack,
-    /// The asker goes by an older electorate than the voter has heard of, or the voter keeps too
-    /// many duties.
-    Foreign,
+    /// The token is not above all tokens that the voter has granted, or may have granted.
+    #[serde(rename = "low")]
+    TokenTooLow,
+    /// The voter has just started. Grants of its former process may still be in force.
+    #[serde(rename = "silent")]
+    VoterStarting,
+    /// The last holders failed soon after they acquired the lease.
+    #[serde(rename = "held_back")]
+    FailureBackoff,
+    /// The sender uses an outdated voter set, or the voter already keeps as many leases as it can.
+    #[serde(rename = "foreign")]
+    NotAccepted,
+}
+
+/// Why bytes are not a message.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+#[non_exhaustive]
+pub enum DecodeError {
+    /// There are more bytes than a message may have.
+    #[error("{0} bytes; expected {MAX_MESSAGE_BYTES} at most")]
+    TooLong(usize),
+    /// The bytes do not follow the encoding.
+    #[error("malformed message")]
+    Malformed(#[source] postcard::Error),
+    /// Bytes follow the message.
+    #[error("{0} bytes follow the message")]
+    TrailingBytes(usize),
 }
 
 impl Message {
-    /// Its bytes.
-    pub fn write(&self) -> Vec<u8> {
-        // Into memory, and of plain fields: it can't fail.
+    /// Encodes the message.
+    pub fn encode(&self) -> Vec<u8> {
+        // Plain fields are written to memory, which cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Of bytes; none where they are no whole message.
-    pub fn read(bytes: &[u8]) -> Option<Message> {
-        let (message, rest) = postcard::take_from_bytes(bytes).ok()?;
-        rest.is_empty().then_some(message)
+    /// Decodes a message.
+    pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            return Err(DecodeError::TooLong(bytes.len()));
+        }
+        let (message, rest) = postcard::take_from_bytes(bytes).map_err(DecodeError::Malformed)?;
+        if rest.is_empty() {
+            Ok(message)
+        } else {
+            Err(DecodeError::TrailingBytes(rest.len()))
+        }
     }
 }
 
 /// A message that is to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Send {
-    /// To whom; it may be to this proxy itself.
-    pub to: Place,
-    /// What.
+pub struct OutgoingMessage {
+    /// The receiver, which may be the sender itself.
+    pub to: MemberId,
+    /// The message.
     pub message: Message,
 }
--- a/crates/heathroad-lease/src/token.rs
+++ b/crates/heathroad-lease/src/token.rs
@@ -1,63 +1,84 @@
-//! Fencing tokens.
+//! Fencing tokens: numbers that order the holders of a lease.
 
-use heathroad_membership::Place;
+use crate::MemberId;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
+use std::borrow::Cow;
 use std::fmt;
 use std::str::FromStr;
+use thiserror::Error;
 
-/// A grant's number. It only grows from one holder of a duty to the next, and names one holder
-/// alone: eight bits of the electorate's generation, then a count of 40 bits, then the place of
-/// whoever asked.
+/// Highest count that a token holds.
+const MAX_COUNT: u64 = (1 << COUNT_BITS) - 1;
+/// Width of the count.
+const COUNT_BITS: u32 = 40;
+/// Width of the member id below the count.
+const MEMBER_BITS: u32 = 16;
+/// Position of the generation above the count.
+const GENERATION_SHIFT: u32 = COUNT_BITS + MEMBER_BITS;
+/// Length of a token as text, in hexadecimal digits.
+const TEXT_LENGTH: usize = 16;
+/// One step of the count, in milliseconds of Unix time.
+const COUNT_STEP_MS: u64 = 10;
+
+/// The fencing token of a grant.
+///
+/// Tokens grow from one holder of a lease to the next, and each token names one holder. A token
+/// consists of eight bits of the voter set's generation, a count of 40 bits, and the id of the
+/// member that asked for the lease.
 ///
-/// The count is at least the Unix time in hundredths of a second of some voter's start, and grows
-/// more slowly than that time goes by: a voter that has forgotten everything asks for a higher one
-/// than whatever was granted before it started.
+/// The count is at least the Unix time of some voter's start in hundredths of a second, and grows
+/// more slowly than that time passes. A voter that has lost its state therefore asks for a higher
+/// count than whatever was granted before it started.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Token(u64);
 
-/// The highest count.
-const MAX_COUNT: u64 = (1 << 40) - 1;
+/// The text is not a token.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[error("expected a token of 16 hexadecimal digits")]
+pub struct ParseTokenError;
 
-/// Unix time in milliseconds as a count: it comes to the highest in the year 2318.
+/// Converts a Unix time in milliseconds to a token count. The highest count is reached in the year
+/// 2318.
 pub fn count_at(unix_ms: u64) -> u64 {
-    unix_ms / 10
+    unix_ms / COUNT_STEP_MS
 }
 
 impl Token {
-    /// Of its parts; a count past the highest is the highest.
-    pub const fn new(generation: u8, count: u64, place: Place) -> Token {
+    /// Creates a token from its parts. A count past the highest becomes the highest.
+    pub const fn new(generation: u8, count: u64, member: MemberId) -> Token {
         let count = if count > MAX_COUNT { MAX_COUNT } else { count };
-        Token((generation as u64) << 56 | count << 16 | place as u64)
+        Token((generation as u64) << GENERATION_SHIFT | count << MEMBER_BITS | member as u64)
     }
 
-    /// The electorate's generation under which it was asked for.
+    /// Returns the generation of the voter set under which the token was requested.
     pub fn generation(self) -> u8 {
-        (self.0 >> 56) as u8
+        (self.0 >> GENERATION_SHIFT) as u8
     }
 
-    /// Its count.
+    /// Returns the count.
     pub fn count(self) -> u64 {
-        self.0 >> 16 & MAX_COUNT
+        self.0 >> MEMBER_BITS & MAX_COUNT
     }
 
-    /// Whose it is.
-    pub fn place(self) -> Place {
-        self.0 as u16
+    /// Returns the member that requested the token.
+    pub fn member(self) -> MemberId {
+        self.0 as MemberId
     }
 
-    /// The least that is above this one, with a count of `floor` or more; none if there is no
-    /// further count.
-    pub fn above(self, floor: u64, generation: u8, place: Place) -> Option<Token> {
-        let token = Token::new(generation, floor, place);
+    /// Returns the lowest token of `member` above this one whose count is at least `min_count`, or
+    /// `None` if no count is left or the generation is older than this token's.
+    pub fn successor(self, min_count: u64, generation: u8, member: MemberId) -> Option<Token> {
+        let token = Token::new(generation, min_count, member);
         if token > self {
             return Some(token);
         }
         if generation < self.generation() {
             return None;
         }
-        let here =
-            [self.count(), self.count() + 1].map(|count| Token::new(generation, count, place));
-        here.into_iter().find(|token| *token > self)
+        [self.count(), self.count() + 1]
+            .map(|count| Token::new(generation, count, member))
+            .into_iter()
+            .find(|token| *token > self)
     }
 }
 
@@ -74,33 +95,37 @@
 }
 
 impl FromStr for Token {
-    type Err = &'static str;
+    type Err = ParseTokenError;
 
-    fn from_str(text: &str) -> Result<Token, Self::Err> {
-        let whole = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-        let number = whole.then(|| u64::from_str_radix(text, 16).ok()).flatten();
-        number
+    fn from_str(text: &str) -> Result<Token, ParseTokenError> {
+        // `from_str_radix` alone would accept a sign.
+        let is_token = text.len() == TEXT_LENGTH && text.bytes().all(|b| b.is_ascii_hexdigit());
+        if !is_token {
+            return Err(ParseTokenError);
+        }
+        u64::from_str_radix(text, 16)
             .map(Token)
-            .ok_or("expected a token of 16 hexadecimal digits")
+            .map_err(|_| ParseTokenError)
     }
 }
 
 impl Serialize for Token {
-    fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        if s.is_human_readable() {
-            s.collect_str(self)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        if serializer.is_human_readable() {
+            serializer.collect_str(self)
         } else {
-            self.0.to_be_bytes().serialize(s)
+            self.0.to_be_bytes().serialize(serializer)
         }
     }
 }
 
 impl<'de> Deserialize<'de> for Token {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        if !d.is_human_readable() {
-            return <[u8; 8]>::deserialize(d).map(|b| Token(u64::from_be_bytes(b)));
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        if !deserializer.is_human_readable() {
+            return <[u8; 8]>::deserialize(deserializer)
+                .map(|bytes| Token(u64::from_be_bytes(bytes)));
         }
-        let text = std::borrow::Cow::<'de, str>::deserialize(d)?;
+        let text = Cow::<'de, str>::deserialize(deserializer)?;
         text.parse().map_err(serde::de::Error::custom)
     }
 }
--- /dev/null
+++ b/crates/heathroad-lease/tests/faults.rs
@@ -0,0 +1,185 @@
+//! What a holder does that stalls, or is cut off from its voters.
+
+mod simulation;
+
+use heathroad_lease::MemberId;
+use heathroad_lease::candidate::{EndReason, LeaseEvent};
+use simulation::succession::SUCCESSION_BOUND;
+use simulation::{LEASE, Simulation, lease};
+
+/// A stalled holder that is asked before anything else is done when it wakes knows that its time is
+/// over.
+#[test]
+fn the_time_is_checked_before_an_act() {
+    let mut simulation = Simulation::with_holder(6, 3, 21);
+    let first = simulation.current_holder();
+    simulation.stall(first, LEASE * 3);
+    simulation.run(LEASE * 3 - 1);
+    let now = simulation.now;
+    assert_eq!(simulation.manager(first).held_token(now, lease()), None);
+}
+
+#[test]
+fn a_write_of_a_holder_that_has_stalled_is_rejected_by_its_token() {
+    for checks_tokens in [true, false] {
+        let mut simulation = Simulation::with_holder(6, 3, 5);
+        simulation.write_interval = Some(5);
+        simulation.checks_tokens = checks_tokens;
+        simulation.run(LEASE * 6);
+        let first = simulation.current_holder();
+        simulation.stall(first, LEASE * 3);
+        simulation.run(LEASE * 8);
+        let result = simulation.check_invariants();
+        assert_eq!(result.is_ok(), checks_tokens, "{result:?}");
+        let is_rejected = simulation
+            .writes
+            .iter()
+            .any(|w| w.by == first && !w.is_admitted);
+        assert_eq!(
+            is_rejected, checks_tokens,
+            "its last write comes after another's"
+        );
+        let reason = simulation
+            .events
+            .iter()
+            .find_map(|(_, member, event)| match event {
+                LeaseEvent::Ended { reason, .. } if *member == first => Some(*reason),
+                _ => None,
+            });
+        assert_eq!(reason, Some(EndReason::Expired));
+    }
+}
+
+/// A holder that is cut off from the voters alone stops before another begins.
+#[test]
+fn a_holder_that_is_cut_off_from_voters_stops_before_another_begins() {
+    for [blocks_requests, blocks_answers] in [[false, true], [true, false], [true, true]] {
+        let mut simulation = Simulation::with_holder(8, 3, 6);
+        simulation.write_interval = Some(5);
+        simulation.run(LEASE * 6);
+        let (first, last) = (simulation.current_holder(), simulation.current_token());
+        for voter in (0..3).filter(|voter| *voter != first) {
+            let links = &mut simulation.faults.blocked_links;
+            links.extend(blocks_requests.then_some((first, voter)));
+            links.extend(blocks_answers.then_some((voter, first)));
+        }
+        let next = simulation.run_until_succeeded(last);
+        let is_other = next.holder != first;
+        assert!(
+            is_other && next.took < SUCCESSION_BOUND,
+            "{} after {}",
+            next.holder,
+            next.took
+        );
+        simulation.run(LEASE);
+        assert_eq!(simulation.check_invariants(), Ok(()));
+        assert!(
+            simulation.writes.iter().all(|write| write.is_admitted),
+            "no write came late"
+        );
+    }
+}
+
+/// A holder that is cut off from other members, and not from the voters, goes on.
+#[test]
+fn a_holder_that_reaches_its_voters_goes_on() {
+    let mut simulation = Simulation::with_holder(9, 3, 7);
+    let (first, last) = (simulation.current_holder(), simulation.current_token());
+    let others: Vec<MemberId> = (3..9).filter(|member| *member != first).collect();
+    simulation.partition(&[first], &others);
+    simulation.run(LEASE * 10);
+    assert_eq!(
+        (simulation.holder(), simulation.current_token()),
+        (Some(first), last)
+    );
+}
+
+#[test]
+fn without_a_quorum_nothing_is_granted_and_holds_expire() {
+    let mut simulation = Simulation::with_holder(6, 3, 8);
+    let last = simulation.current_token();
+    for voter in 0..3 {
+        let others: Vec<MemberId> = (0..6).filter(|member| *member != voter).collect();
+        simulation.partition(&[voter], &others);
+    }
+    simulation.run(LEASE * 2);
+    assert_eq!(simulation.holders(), []);
+    assert!(
+        simulation
+            .acquisitions()
+            .iter()
+            .all(|acquisition| acquisition.token <= last)
+    );
+    simulation.faults.blocked_links.clear();
+    let took = simulation.run_until_succeeded(last).took;
+    assert!(took < SUCCESSION_BOUND, "{took}");
+}
+
+/// Work that kills each of its holders is withheld for longer and longer, and does not go through
+/// the whole cluster.
+#[test]
+fn a_lease_that_kills_its_holders_is_withheld() {
+    let mut simulation = Simulation::with_holder(12, 3, 15);
+    let mut killed = Vec::new();
+    let end = simulation.now + LEASE * 60;
+    while simulation.now < end {
+        if let Some(holder) = simulation.holder() {
+            killed.push(holder);
+            simulation.kill(holder);
+            // With its disk, so that a voter remembers what it has granted.
+            simulation.start(holder);
+        }
+        simulation.run(20);
+    }
+    assert!((4..11).contains(&killed.len()), "{killed:?}");
+    // A holder that lives ends that.
+    let end = simulation.now + LEASE * 100;
+    let is_held = |simulation: &Simulation| simulation.holder().is_some();
+    simulation
+        .run_until(end, is_held)
+        .expect("it is tried again");
+    let holder = simulation.current_holder();
+    simulation.run(LEASE * 6);
+    assert_eq!(simulation.holder(), Some(holder));
+}
+
+/// Holders that stall and live do not count as killed.
+#[test]
+fn holders_that_stall_do_not_cause_a_backoff() {
+    let mut simulation = Simulation::with_holder(5, 5, 16);
+    for _ in 0..8 {
+        let (holder, last) = (simulation.current_holder(), simulation.current_token());
+        simulation.stall(holder, LEASE + LEASE / 2);
+        let took = simulation.run_until_succeeded(last).took;
+        assert!(took < SUCCESSION_BOUND + LEASE, "{took}");
+        simulation.run(LEASE);
+    }
+}
+
+/// Clocks whose rates differ by as much as is allowed; beyond that only tokens protect.
+#[test]
+fn leases_alone_keep_the_order_while_clock_rates_are_close() {
+    for rate in [-9, 9] {
+        let mut simulation = Simulation::with_holder(5, 3, 17);
+        for (n, node) in simulation.nodes.iter_mut().enumerate() {
+            node.clock_rate_permille = if n % 2 == 0 { rate } else { -rate };
+            node.clock_offset = 1000 * n as u64;
+        }
+        (0..5).for_each(|member| simulation.kill(member));
+        (0..5).for_each(|member| simulation.start(member));
+        simulation.write_interval = Some(2);
+        for _ in 0..6 {
+            simulation.run(LEASE * 6);
+            let Some(holder) = simulation.holder() else {
+                continue;
+            };
+            let others: Vec<MemberId> = (0..5).filter(|member| *member != holder).collect();
+            simulation.partition(&[holder], &others);
+            simulation.run(LEASE * 3);
+            simulation.faults.blocked_links.clear();
+        }
+        assert_eq!(simulation.check_invariants(), Ok(()));
+        let is_ordered = simulation.writes.iter().all(|write| write.is_admitted);
+        assert!(is_ordered, "leases alone keep the order");
+    }
+}
--- a/crates/heathroad-lease/tests/golden_messages.rs
+++ b/crates/heathroad-lease/tests/golden_messages.rs
@@ -1,124 +1,126 @@
 //! The bytes of lease messages and the words of their reasons in JSON stay as they were when the
 //! golden files were written.
 
-use heathroad_lease::DutyId;
-use heathroad_lease::history::{End, Spell};
-use heathroad_lease::message::{Message, What, Why};
-use heathroad_lease::seat::Ended;
+use heathroad_lease::LeaseId;
+use heathroad_lease::candidate::EndReason;
+use heathroad_lease::checkpoint::Checkpoint;
+use heathroad_lease::grant_history::{GrantEnd, GrantRecord};
+use heathroad_lease::message::{
+    Body, GrantRequest, Granted, Message, RejectReason, Rejected, Status,
+};
 use heathroad_lease::token::Token;
-use heathroad_lease::voter::{Hard, Mark, Memory};
+use heathroad_lease::voter_state::{DurableGrant, VoterState};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 const MESSAGES: &str = include_str!("golden/messages.txt");
 const JSON: &str = include_str!("golden/json.txt");
 
+const ROUND: u32 = 300;
+
 fn token() -> Token {
     Token::new(3, 179_000_000_123, 7)
 }
 
-fn mark() -> Mark {
-    Mark {
+fn highest_token() -> Token {
+    Token::new(1, 70_000, 2)
+}
+
+fn checkpoint() -> Checkpoint {
+    Checkpoint {
         token: Token::new(2, 300, 5),
-        seq: 77,
+        sequence: 77,
         state: b"state".to_vec(),
     }
 }
 
-/// One message of each kind, with each reason.
+fn granted(checkpoint: Option<Checkpoint>) -> Body {
+    Body::Granted(Granted {
+        token: token(),
+        round: ROUND,
+        duration_ms: 5000,
+        checkpoint,
+    })
+}
+
+fn rejected(reason: RejectReason) -> Body {
+    Body::Rejected(Rejected {
+        round: ROUND,
+        highest_token: highest_token(),
+        remaining_ms: 129,
+        reason,
+    })
+}
+
+fn status(remaining_ms: u32, reason: Option<RejectReason>, early_failures: u8) -> Body {
+    Body::Status(Status {
+        round: ROUND,
+        highest_token: highest_token(),
+        remaining_ms,
+        reason,
+        early_failures,
+    })
+}
+
+/// Returns one message of each kind, with each reason, by the names of the golden file.
 fn messages() -> Vec<(String, Message)> {
-    let (token, round, lease, highest) = (token(), 300, 5000, Token::new(1, 70_000, 2));
-    let mut all = vec![
-        (
-            "ask".to_string(),
-            What::Ask {
-                token,
-                round,
-                lease,
-            },
-        ),
-        (
-            "granted".into(),
-            What::Granted {
-                token,
-                round,
-                lease,
-                mark: None,
-            },
-        ),
-        (
-            "granted with a mark".into(),
-            What::Granted {
-                token,
-                round,
-                lease,
-                mark: Some(mark()),
-            },
-        ),
-        ("resign".into(), What::Resign { token }),
-        ("freed".into(), What::Freed { token }),
-        ("keep".into(), What::Keep { mark: mark() }),
-        ("kept".into(), What::Kept { token, seq: 77 }),
-        ("yours".into(), What::Yours),
-        ("look".into(), What::Look { round }),
-        (
-            "stands free".into(),
-            What::Stands {
-                round,
-                highest,
-                left: 0,
-                why: None,
-                died: 0,
-            },
-        ),
+    let token = token();
+    let request = GrantRequest {
+        token,
+        round: ROUND,
+        duration_ms: 5000,
+    };
+    let store_checkpoint = Body::StoreCheckpoint {
+        checkpoint: checkpoint(),
+    };
+    let checkpoint_stored = Body::CheckpointStored {
+        token,
+        sequence: 77,
+    };
+    let mut bodies = vec![
+        ("ask".to_string(), Body::GrantRequest(request)),
+        ("granted".into(), granted(None)),
+        ("granted with a mark".into(), granted(Some(checkpoint()))),
+        ("resign".into(), Body::Resign { token }),
+        ("freed".into(), Body::Resigned { token }),
+        ("keep".into(), store_checkpoint),
+        ("kept".into(), checkpoint_stored),
+        ("yours".into(), Body::Handover),
+        ("look".into(), Body::StatusRequest { round: ROUND }),
+        ("stands free".into(), status(0, None, 0)),
     ];
-    for (name, why) in reasons() {
-        all.push((
-            format!("refused {name}"),
-            What::Refused {
-                round,
-                highest,
-                left: 129,
-                why,
-            },
-        ));
-        let stands = What::Stands {
-            round,
-            highest,
-            left: 1200,
-            why: Some(why),
-            died: 4,
-        };
-        all.push((format!("stands {name}"), stands));
+    for (name, reason) in reasons() {
+        bodies.push((format!("refused {name}"), rejected(reason)));
+        bodies.push((format!("stands {name}"), status(1200, Some(reason), 4)));
     }
-    let duty = DutyId::of("conductor");
-    all.into_iter()
-        .map(|(name, what)| (name, Message { duty, what }))
-        .collect()
+    let lease = LeaseId::from_name("conductor");
+    let message = |(name, body)| (name, Message { lease, body });
+    bodies.into_iter().map(message).collect()
 }
 
-fn reasons() -> [(&'static str, Why); 5] {
+fn reasons() -> [(&'static str, RejectReason); 5] {
     [
-        ("held", Why::Held),
-        ("low", Why::Low),
-        ("silent", Why::Silent),
-        ("held back", Why::HeldBack),
-        ("foreign", Why::Foreign),
+        ("held", RejectReason::Held),
+        ("low", RejectReason::TokenTooLow),
+        ("silent", RejectReason::VoterStarting),
+        ("held back", RejectReason::FailureBackoff),
+        ("foreign", RejectReason::NotAccepted),
     ]
 }
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|b| format!("{b:02x}")).collect()
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
-    let digits = text.as_bytes().chunks(2);
-    digits
-        .map(|d| u8::from_str_radix(std::str::from_utf8(d).expect("ASCII"), 16).expect("hex"))
-        .collect()
+fn from_hex(text: &str) -> Vec<u8> {
+    let byte = |digits: &[u8]| {
+        let digits = std::str::from_utf8(digits).expect("ASCII");
+        u8::from_str_radix(digits, 16).expect("hexadecimal digits")
+    };
+    text.as_bytes().chunks(2).map(byte).collect()
 }
 
-fn compare(golden: &str, actual: &str) {
+fn assert_golden(golden: &str, actual: &str) {
     assert!(
         golden == actual,
         "differs from the golden file; the actual text is:\n{actual}"
@@ -129,9 +131,9 @@
 fn each_message_is_encoded_as_before() {
     let mut actual = String::new();
     for (name, message) in messages() {
-        writeln!(actual, "{name}: {}", hex(&message.write())).expect("a string");
+        writeln!(actual, "{name}: {}", to_hex(&message.encode())).expect("a string");
     }
-    compare(MESSAGES, &actual);
+    assert_golden(MESSAGES, &actual);
 }
 
 #[test]
@@ -139,50 +141,50 @@
     let messages = messages();
     assert_eq!(MESSAGES.lines().count(), messages.len());
     for (line, (name, message)) in MESSAGES.lines().zip(messages) {
-        let bytes = unhex(line.rsplit(' ').next().expect("a line"));
-        assert_eq!(Message::read(&bytes), Some(message), "{name}");
+        let bytes = from_hex(line.rsplit(' ').next().expect("a line"));
+        assert_eq!(Message::decode(&bytes), Ok(message), "{name}");
     }
 }
 
 #[test]
 fn words_in_json_are_as_before() {
-    let ends = [
-        Ended::Lapsed,
-        Ended::Told,
-        Ended::Stops,
-        Ended::Fenced,
-        Ended::Unfit,
-        Ended::Overtaken,
-        Ended::Anew,
+    let end_reasons = [
+        EndReason::Expired,
+        EndReason::Resigned,
+        EndReason::ShuttingDown,
+        EndReason::Fenced,
+        EndReason::WorkFailed,
+        EndReason::Superseded,
+        EndReason::VoterRestarted,
     ];
-    let spells = [End::Open, End::Resigned, End::Lapsed];
-    let spells = spells.map(|end| Spell {
+    let grant_ends = [GrantEnd::Open, GrantEnd::Resigned, GrantEnd::Expired];
+    let records = grant_ends.map(|end| GrantRecord {
         token: token(),
-        life: 4,
+        incarnation: 4,
         from: 5,
         until: 6,
         end,
     });
-    let hard = Hard {
+    let durable = DurableGrant {
         token: token(),
-        life: 9,
-        mark: mark(),
+        incarnation: 9,
+        checkpoint: checkpoint(),
     };
-    let memory = Memory {
+    let state = VoterState {
         generation: 3,
-        duties: BTreeMap::from([(DutyId::of("conductor"), hard)]),
+        leases: BTreeMap::from([(LeaseId::from_name("conductor"), durable)]),
     };
     let mut actual = String::new();
     let texts = [
-        serde_json::to_string(&ends),
-        serde_json::to_string(&reasons().map(|(_, why)| why)),
-        serde_json::to_string(&spells),
-        serde_json::to_string(&memory.duties.values().collect::<Vec<_>>()),
-        serde_json::to_string(&memory.duties.keys().collect::<Vec<_>>()),
-        serde_json::to_string(&memory.generation),
+        serde_json::to_string(&end_reasons),
+        serde_json::to_string(&reasons().map(|(_, reason)| reason)),
+        serde_json::to_string(&records),
+        serde_json::to_string(&state.leases.values().collect::<Vec<_>>()),
+        serde_json::to_string(&state.leases.keys().collect::<Vec<_>>()),
+        serde_json::to_string(&state.generation),
     ];
     for text in texts {
         writeln!(actual, "{}", text.expect("JSON")).expect("a string");
     }
-    compare(JSON, &actual);
+    assert_golden(JSON, &actual);
 }
--- a/crates/heathroad/src/admin/mod.rs
+++ b/crates/heathroad/src/admin/mod.rs
@@ -1,7 +1,7 @@
 //! The operators' address, off unless it is named: what the daemon counts, as Prometheus text and
 //! as JSON, and where there are routes, changing them.
 
-use crate::lease::Duties;
+use crate::lease::LeaseService;
 use crate::membership::Peers;
 use crate::membership::audit::{self, Ask};
 use crate::router::Router;
@@ -43,7 +43,7 @@
     /// Of the fleet.
     pub peers: Option<Rc<Peers>>,
     /// Of duties.
-    pub duties: Option<Rc<Duties>>,
+    pub duties: Option<Rc<LeaseService>>,
 }
 
 /// Answers for ever.
@@ -101,7 +101,7 @@
 }
 
 /// What is asked of duties.
-async fn duty(duties: Option<&Rc<Duties>>, request: &Request<Incoming>) -> Reply {
+async fn duty(duties: Option<&Rc<LeaseService>>, request: &Request<Incoming>) -> Reply {
     let Some(duties) = duties else {
         let why = "no duties: the daemon's file names no fleet whose file has `[duties]`";
         return said(StatusCode::NOT_FOUND, TEXT, why.into());
@@ -115,8 +115,8 @@
         return only(allowed);
     }
     let told = match request.uri().path() {
-        "/duty/list" => duties.list().await,
-        "/duty/history" => duties.history().await,
+        "/duty/list" => duties.status_json().await,
+        "/duty/history" => duties.history_json().await,
         _ => {
             let name = request
                 .uri()
--- a/crates/heathroad/src/cli/arguments.rs
+++ b/crates/heathroad/src/cli/arguments.rs
@@ -99,9 +99,10 @@
     /// Say what the proxies of a fleet know of each other, asked of any one of them.
     #[command(subcommand)]
     Fleet(Fleet),
-    /// Say who holds which duty of a fleet and who held it, or let one go, asked of any one proxy.
+    /// Show who holds and who held which lease of a fleet, or resign one; asked of any one proxy.
     #[command(subcommand)]
-    Duty(Duty),
+    #[command(name = "duty")]
+    Lease(LeaseCommand),
     /// Say in words which requests move where between two files of routes and pools.
     Diff {
         /// The file in force.
@@ -145,26 +146,27 @@
     },
 }
 
-/// What is asked of a fleet's duties.
+/// The subcommands of `duty`.
 #[derive(Subcommand)]
-pub enum Duty {
-    /// Say who holds each duty now, by its voters' words.
+pub enum LeaseCommand {
+    /// Show who holds each lease now, by the reports of its voters.
     List {
         #[command(flatten)]
         how: How,
     },
-    /// Say who held each duty by which token from when to when, as known by its holder and as
+    /// Show who held each lease under which token and when, as recorded by its holder and as
     /// bounded by voters.
     History {
         #[command(flatten)]
         how: How,
-        /// Draw it into an SVG file: one lane a duty.
+        /// Draw it into an SVG file: one lane a lease.
         #[arg(long, value_name = "FILE")]
         picture: Option<PathBuf>,
     },
-    /// Have the proxy that is asked let go of a duty; it does not seek it again for ten leases.
+    /// Have the proxy that is asked resign a lease; it does not seek it again for ten lease
+    /// durations.
     Resign {
-        /// The duty's name.
+        /// The name of the lease.
         name: String,
         #[command(flatten)]
         at: At,
--- a/crates/heathroad/src/cli/commands.rs
+++ b/crates/heathroad/src/cli/commands.rs
@@ -34,8 +34,8 @@
             membership::ask(&ask).and_then(|text| say(&text)),
             ExitCode::FAILURE,
         ),
-        Some(Command::Duty(ask)) => (
-            lease::ask(&ask).and_then(|text| say(&text)),
+        Some(Command::Lease(command)) => (
+            lease::run(&command).and_then(|text| say(&text)),
             ExitCode::FAILURE,
         ),
         Some(Command::Diff { from, to }) => (diff(&from, &to), ExitCode::from(BAD_INPUT)),
--- a/crates/heathroad/src/cli/mod.rs
+++ b/crates/heathroad/src/cli/mod.rs
@@ -5,6 +5,7 @@
 mod arguments;
 pub mod commands;
 mod lease;
+mod lease_chart;
 mod membership;
 mod timeline_chart;
 mod verify;
--- a/crates/heathroad/src/configuration/lease.rs
+++ b/crates/heathroad/src/configuration/lease.rs
@@ -1,86 +1,96 @@
-//! The duties of a fleet, as its file names them.
+//! The leases of a fleet, as the fleet's file configures them.
 
-use heathroad_lease::electorate::Electorate;
-use heathroad_lease::{DutyId, LEASE_MS, Terms};
-use heathroad_membership::Place;
+use heathroad_lease::timing::LEASE_DURATION_MS;
+use heathroad_lease::voter_set::{VoterSet, VoterSetError};
+use heathroad_lease::{LeaseId, LeaseTiming, MemberId};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::time::Duration;
+use thiserror::Error;
 
-/// Most duties.
-const MAX_DUTIES: usize = 16;
-/// Longest name, in bytes.
-const MAX_NAME: usize = 32;
-/// Between two acts of a duty's work, in milliseconds.
-const EVERY_MS: std::ops::RangeInclusive<u64> = 10..=3_600_000;
+/// Most leases.
+const MAX_LEASES: usize = 16;
+/// Longest name of a lease.
+const MAX_NAME_BYTES: usize = 32;
+/// Shortest and longest interval between two acts of a lease's work, in milliseconds.
+const INTERVAL_MS: RangeInclusive<u64> = 10..=3_600_000;
+/// Lease duration where the file gives none, in milliseconds.
+const DEFAULT_LEASE_DURATION_MS: u64 = 5000;
+/// Interval of calls where the file gives none, in milliseconds.
+const DEFAULT_CALL_INTERVAL_MS: u64 = 1000;
+/// Duration of the collector's rounds where the file gives none, in milliseconds.
+const DEFAULT_ROUND_DURATION_MS: u64 = 30_000;
+/// Path of calls where the file gives none.
+const DEFAULT_PATH: &str = "/";
 
-/// Where a duty's work calls.
+/// Which server the holder of a lease calls, and how often.
 #[derive(Debug, Clone)]
-pub struct Call {
-    /// Whom.
+pub struct HttpCallSettings {
+    /// The server.
     pub address: SocketAddr,
-    /// What there.
+    /// The path of the request.
     pub path: String,
-    /// How often.
-    pub every: Duration,
+    /// The interval of the calls.
+    pub interval: Duration,
 }
 
-/// What a duty's work is.
+/// What the holder of a lease does.
 #[derive(Debug, Clone)]
-pub enum Kind {
-    /// To call an address.
-    Call(Call),
-    /// To keep the whole audit.
-    Collect {
+pub enum WorkSettings {
+    /// It calls a server at an interval.
+    HttpCall(HttpCallSettings),
+    /// It collects the audit.
+    CollectAudit {
         /// How long one round through the fleet takes.
-        every: Duration,
+        round_duration: Duration,
     },
 }
 
-/// A duty.
+/// A lease.
 #[derive(Debug, Clone)]
-pub struct Duty {
+pub struct LeaseSettings {
     /// Its name.
     pub name: String,
-    /// Its work.
-    pub kind: Kind,
+    /// What its holder does.
+    pub work: WorkSettings,
 }
 
-/// What a start needs of them.
+/// The checked configuration of all leases.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Who votes.
-    pub electorate: Electorate,
-    /// Times.
-    pub terms: Terms,
-    /// The duties.
-    pub duties: Vec<Duty>,
+    /// The voters.
+    pub voters: VoterSet,
+    /// The durations of the protocol.
+    pub timing: LeaseTiming,
+    /// The leases.
+    pub leases: Vec<LeaseSettings>,
 }
 
-/// `[duties]` in the fleet's file.
+/// The section `[duties]` of the fleet's file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Duties {
-    voters: Vec<Place>,
+pub struct LeasesSection {
+    voters: Vec<MemberId>,
     #[serde(default)]
     generation: u8,
     #[serde(default)]
-    previous: Vec<Place>,
-    #[serde(default = "usual_lease")]
+    previous: Vec<MemberId>,
+    #[serde(default = "default_lease_duration_ms")]
     lease_ms: u64,
 }
 
-fn usual_lease() -> u64 {
-    5000
+fn default_lease_duration_ms() -> u64 {
+    DEFAULT_LEASE_DURATION_MS
 }
 
-/// One `[[duty]]` there.
+/// An entry `[[duty]]` of the fleet's file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Named {
+pub struct LeaseEntry {
     name: String,
-    work: Work,
+    work: WorkKind,
     address: Option<SocketAddr>,
     path: Option<String>,
     every_ms: Option<u64>,
@@ -88,165 +98,168 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum Work {
+enum WorkKind {
     Call,
     Collect,
 }
 
-/// Checks them; `members` are the fleet's.
+/// What is wrong with the configuration of leases.
+#[derive(Debug, Error)]
+#[non_exhaustive]
+pub enum LeaseConfigError {
+    /// There are leases and no voters.
+    #[error("duty: needs `[duties]` with its voters")]
+    MissingVoters,
+    /// The set of voters is rejected.
+    #[error("duties: voters: {0}")]
+    Voters(#[source] VoterSetError),
+    /// The lease duration is out of bounds.
+    #[error("duties: lease_ms: {0}; expected {least} to {most}",
+        least = LEASE_DURATION_MS.start(), most = LEASE_DURATION_MS.end())]
+    LeaseDuration(u64),
+    /// There are too many leases.
+    #[error("duty: {0}; expected {MAX_LEASES} at most")]
+    TooManyLeases(usize),
+    /// A lease is rejected.
+    #[error("duty {name:?}: {source}")]
+    Lease {
+        /// Its name.
+        name: String,
+        /// What is wrong with it.
+        #[source]
+        source: LeaseEntryError,
+    },
+}
+
+/// What is wrong with one lease.
+#[derive(Debug, Error)]
+#[non_exhaustive]
+pub enum LeaseEntryError {
+    /// The name has a forbidden character or length.
+    #[error("name: expected 1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` or `.`")]
+    InvalidName,
+    /// Another lease has the same identifier.
+    #[error("name: is taken by another, or told apart from one by nothing")]
+    DuplicateName,
+    /// The interval is out of bounds.
+    #[error("every_ms: {0}; expected {least} to {most}",
+        least = INTERVAL_MS.start(), most = INTERVAL_MS.end())]
+    Interval(u64),
+    /// The work is to call a server, and none is given.
+    #[error("address: is missing; its work calls one")]
+    MissingAddress,
+    /// The path is no path of a URL.
+    #[error("path: {0:?}: expected one that begins with `/`")]
+    InvalidPath(String),
+    /// The work calls no server, and one is given.
+    #[error("address, path: are of use where its work is to call")]
+    UnusedTarget,
+}
+
+/// Checks the configuration of leases for a fleet of `member_count`. Returns `None` where the file
+/// configures none.
 pub fn check(
-    duties: Option<Duties>,
-    named: Vec<Named>,
-    members: u16,
-) -> Result<Option<Settings>, String> {
-    let Some(Duties {
-        voters,
-        generation,
-        previous,
-        lease_ms,
-    }) = duties
-    else {
-        return if named.is_empty() {
+    section: Option<LeasesSection>,
+    entries: Vec<LeaseEntry>,
+    member_count: u16,
+) -> Result<Option<Settings>, LeaseConfigError> {
+    let Some(section) = section else {
+        return if entries.is_empty() {
             Ok(None)
         } else {
-            Err("duty: needs `[duties]` with its voters".into())
+            Err(LeaseConfigError::MissingVoters)
         };
     };
-    let electorate = Electorate::new(generation, voters, previous, members);
-    let electorate = electorate.map_err(|e| format!("duties: voters: {e}"))?;
-    if !LEASE_MS.contains(&lease_ms) {
-        let [least, most] = [LEASE_MS.start(), LEASE_MS.end()];
-        return Err(format!(
-            "duties: lease_ms: {lease_ms}; expected {least} to {most}"
-        ));
+    let LeasesSection {
+        voters,
+        generation,
+        previous,
+        lease_ms,
+    } = section;
+    let voters = VoterSet::new(generation, voters, previous, member_count)
+        .map_err(LeaseConfigError::Voters)?;
+    if !LEASE_DURATION_MS.contains(&lease_ms) {
+        return Err(LeaseConfigError::LeaseDuration(lease_ms));
     }
-    if named.len() > MAX_DUTIES {
-        return Err(format!(
-            "duty: {}; expected {MAX_DUTIES} at most",
-            named.len()
-        ));
+    Ok(Some(Settings {
+        voters,
+        timing: LeaseTiming {
+            lease_duration: lease_ms,
+        },
+        leases: check_entries(entries)?,
+    }))
+}
+
+fn check_entries(entries: Vec<LeaseEntry>) -> Result<Vec<LeaseSettings>, LeaseConfigError> {
+    if entries.len() > MAX_LEASES {
+        return Err(LeaseConfigError::TooManyLeases(entries.len()));
     }
     let mut ids = BTreeSet::new();
-    let mut duties = Vec::new();
-    for duty in named {
-        let Named {
-            name,
-            work,
-            address,
-            path,
-            every_ms,
-        } = duty;
-        let wrong = |what: &str| format!("duty {name:?}: {what}");
-        let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-        if name.is_empty() || name.len() > MAX_NAME || !name.bytes().all(plain) {
-            return Err(wrong(&format!(
-                "name: expected 1 to {MAX_NAME} letters, digits, `-`, `_` or `.`"
-            )));
-        }
-        if !ids.insert(DutyId::of(&name)) {
-            return Err(wrong(
-                "name: is taken by another, or told apart from one by nothing",
-            ));
-        }
-        let every = |usual: u64| {
-            let ms = every_ms.unwrap_or(usual);
-            let [least, most] = [EVERY_MS.start(), EVERY_MS.end()];
-            let good = EVERY_MS.contains(&ms).then(|| Duration::from_millis(ms));
-            good.ok_or_else(|| wrong(&format!("every_ms: {ms}; expected {least} to {most}")))
-        };
-        let kind = match work {
-            Work::Call => {
-                let address =
-                    address.ok_or_else(|| wrong("address: is missing; its work calls one"))?;
-                let path = path.unwrap_or_else(|| "/".into());
-                let visible = path.starts_with('/') && path.bytes().all(|b| b.is_ascii_graphic());
-                if !visible {
-                    return Err(wrong(&format!(
-                        "path: {path:?}: expected one that begins with `/`"
-                    )));
-                }
-                Kind::Call(Call {
-                    address,
-                    path,
-                    every: every(1000)?,
-                })
-            }
-            Work::Collect if address.is_some() || path.is_some() => {
-                return Err(wrong("address, path: are of use where its work is to call"));
-            }
-            Work::Collect => Kind::Collect {
-                every: every(30_000)?,
-            },
-        };
-        duties.push(Duty { name, kind });
+    let mut leases = Vec::new();
+    for entry in entries {
+        let name = entry.name.clone();
+        let lease = check_entry(entry, &mut ids);
+        leases.push(lease.map_err(|source| LeaseConfigError::Lease { name, source })?);
     }
-    Ok(Some(Settings {
-        electorate,
-        terms: Terms { lease: lease_ms },
-        duties,
-    }))
+    Ok(leases)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[derive(Deserialize)]
-    struct File {
-        duties: Option<Duties>,
-        #[serde(default)]
-        duty: Vec<Named>,
+fn check_entry(
+    entry: LeaseEntry,
+    ids: &mut BTreeSet<LeaseId>,
+) -> Result<LeaseSettings, LeaseEntryError> {
+    let LeaseEntry {
+        name,
+        work,
+        address,
+        path,
+        every_ms,
+    } = entry;
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(is_allowed) {
+        return Err(LeaseEntryError::InvalidName);
+    }
+    if !ids.insert(LeaseId::from_name(&name)) {
+        return Err(LeaseEntryError::DuplicateName);
     }
+    let work = match work {
+        WorkKind::Call => WorkSettings::HttpCall(check_http_call(address, path, every_ms)?),
+        WorkKind::Collect if address.is_some() || path.is_some() => {
+            return Err(LeaseEntryError::UnusedTarget);
+        }
+        WorkKind::Collect => WorkSettings::CollectAudit {
+            round_duration: check_interval(every_ms, DEFAULT_ROUND_DURATION_MS)?,
+        },
+    };
+    Ok(LeaseSettings { name, work })
+}
 
-    fn read(text: &str) -> Result<Option<Settings>, String> {
-        let File { duties, duty } = toml::from_str(text).map_err(|e| e.to_string())?;
-        check(duties, duty, 5)
+fn check_http_call(
+    address: Option<SocketAddr>,
+    path: Option<String>,
+    every_ms: Option<u64>,
+) -> Result<HttpCallSettings, LeaseEntryError> {
+    let address = address.ok_or(LeaseEntryError::MissingAddress)?;
+    let path = path.unwrap_or_else(|| DEFAULT_PATH.into());
+    if !path.starts_with('/') || !path.bytes().all(|byte| byte.is_ascii_graphic()) {
+        return Err(LeaseEntryError::InvalidPath(path));
     }
+    Ok(HttpCallSettings {
+        address,
+        path,
+        interval: check_interval(every_ms, DEFAULT_CALL_INTERVAL_MS)?,
+    })
+}
 
-    #[test]
-    fn what_is_wrong_is_said() {
-        let voters = "[duties]\nvoters = [0, 1, 2]\n";
-        let call = "[[duty]]\nname = \"tick\"\nwork = \"call\"\naddress = \"127.0.0.1:9\"\n";
-        let good = read(&format!("{voters}{call}path = \"/tick\""))
-            .expect("good")
-            .expect("some");
-        assert_eq!((good.duties.len(), good.terms.lease), (1, 5000));
-        assert!(read("").expect("good").is_none());
-        for (text, why) in [
-            (call.to_string(), "needs `[duties]`"),
-            ("[duties]\nvoters = [0, 1]".into(), "2 voters"),
-            ("[duties]\nvoters = [0, 1, 5]".into(), "5 is not among"),
-            (
-                "[duties]\nvoters = [0, 1, 2]\nprevious = [0, 1, 3]".into(),
-                "generation 0",
-            ),
-            (format!("{voters}lease_ms = 50"), "expected 200 to 60000"),
-            (format!("{voters}{call}{call}"), "taken by another"),
-            (
-                format!("{voters}{call}every_ms = 1"),
-                "expected 10 to 3600000",
-            ),
-            (format!("{voters}{call}path = \"tick\""), "begins with `/`"),
-            (
-                format!("{voters}{}", call.replace("tick", "a b")),
-                "expected 1 to 32 letters",
-            ),
-            (
-                format!("{voters}{}", call.replace("address", "# ")),
-                "address: is missing",
-            ),
-            (
-                format!("{voters}{}", call.replace("call", "collect")),
-                "where its work is to call",
-            ),
-            (format!("{voters}other = 1"), "unknown field"),
-        ] {
-            let said = read(&text).expect_err(&text);
-            assert!(said.contains(why), "{text}: {said}");
-        }
+fn check_interval(every_ms: Option<u64>, default_ms: u64) -> Result<Duration, LeaseEntryError> {
+    let interval_ms = every_ms.unwrap_or(default_ms);
+    if INTERVAL_MS.contains(&interval_ms) {
+        Ok(Duration::from_millis(interval_ms))
+    } else {
+        Err(LeaseEntryError::Interval(interval_ms))
     }
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/duty_configuration.rs"]
-mod golden_tests;
+#[path = "../../tests/unit/lease_configuration.rs"]
+mod tests;
--- a/crates/heathroad/src/configuration/membership.rs
+++ b/crates/heathroad/src/configuration/membership.rs
@@ -52,9 +52,9 @@
     fence_unsure_after_ms: Option<u64>,
     #[serde(default = "usual_period")]
     period_ms: u64,
-    duties: Option<super::lease::Duties>,
+    duties: Option<super::lease::LeasesSection>,
     #[serde(default)]
-    duty: Vec<super::lease::Named>,
+    duty: Vec<super::lease::LeaseEntry>,
 }
 
 fn usual_period() -> u64 {
--- a/crates/heathroad/src/lease/audit_collector.rs
+++ b/crates/heathroad/src/lease/audit_collector.rs
@@ -1,370 +1,224 @@
-//! The fleet's one collector: it fetches every member's record by turns and keeps it, so that the
-//! audit can answer for members that are gone for good. What it keeps is bounded, lasts where there
-//! is a state folder, and is mirrored by the voters; the duty's mark is its digest, so that the
-//! next collector begins with it, whichever of them it has it from.
-
-use super::worker::Hold;
-use super::{Duties, Store};
+//! The work of collecting the activity records of all members, so that the audit can answer for
+//! members that are gone.
+//!
+//! The collector's checkpoint is the digest of its collection. Voters mirror the collection, and
+//! the next collector begins with it.
+
+use super::audit_collection::{CollectedRecord, CollectedRecords};
+use super::service::LeaseService;
+use super::worker::{LeaseHandle, WorkError};
+use crate::configuration::lease::WorkSettings;
 use crate::membership::Peers;
 use crate::membership::audit;
 use crate::runtime_accounting::sleep;
-use heathroad_lease::DutyId;
-use heathroad_membership::Place;
-use heathroad_membership::record::Told;
+use heathroad_lease::checkpoint::Checkpoint;
+use heathroad_lease::{LeaseId, MemberId};
 use heathroad_membership::version::Digest;
 use heathroad_membership::wire::Topic;
-use serde::{Deserialize, Serialize};
-use std::cell::RefCell;
-use std::collections::BTreeMap;
-use std::rc::{Rc, Weak};
+use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::spawn_blocking;
 
-/// Most of one member's record that is kept, in bytes of JSON; its oldest pages go first.
-const MAX_RECORD: usize = 32 * 1024;
-/// Most of all, in bytes of JSON; pages of the longest record go first.
-const MAX_ALL: usize = 384 * 1024;
 /// Shortest pause between two members.
-const LEAST: Duration = Duration::from_millis(50);
-/// A text has so long to come.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// So many rounds that reach none of the others are a sign that they can't be reached from here.
-const ALONE: u32 = 3;
-
-/// A member's record, as the collector has it.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
-    /// Who collected it.
-    pub by: Place,
-    /// When, Unix time in milliseconds by that one's clock.
-    pub at: u64,
-    /// To be added to the record's times for that clock, give or take `error`.
-    pub off: i64,
-    /// Milliseconds.
-    pub error: u64,
-    /// The record.
-    pub told: Told,
-}
-
-/// All records.
-#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Collected(BTreeMap<Place, Kept>);
-
-fn length(of: &impl Serialize) -> usize {
-    serde_json::to_vec(of).map_or(0, |b| b.len())
+const MIN_MEMBER_PAUSE: Duration = Duration::from_millis(50);
+/// How long a document may take to arrive.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
+/// This many rounds that reach no other member are a sign that they cannot be reached from here.
+const MAX_LONELY_ROUNDS: u32 = 3;
+
+/// The collection that a checkpoint refers to.
+struct CheckpointedCollection {
+    digest: Digest,
+    collector: MemberId,
 }
 
-impl Collected {
-    /// That of a member.
-    pub fn get(&self, place: Place) -> Option<&Kept> {
-        self.0.get(&place)
-    }
-
-    /// Takes a record, unless a later one of that member is kept.
-    fn take(&mut self, place: Place, mut kept: Kept) {
-        // Of two collectors' clocks nothing is known; a member's own record says when it was
-        // written down, and only grows.
-        if self.0.get(&place).is_some_and(|k| k.told.at > kept.told.at) {
-            return;
-        }
-        while length(&kept.told) > MAX_RECORD && kept.told.give_up_oldest() {}
-        self.0.insert(place, kept);
+impl CheckpointedCollection {
+    fn from_checkpoint(checkpoint: &Checkpoint) -> Option<CheckpointedCollection> {
+        let digest = checkpoint.state.as_slice().try_into().ok().map(Digest)?;
+        Some(CheckpointedCollection {
+            digest,
+            collector: checkpoint.token.member(),
+        })
     }
+}
 
-    fn merge(&mut self, other: Collected) {
-        other
-            .0
-            .into_iter()
-            .for_each(|(place, kept)| self.take(place, kept));
+/// Collects records in rounds for as long as that is possible, and returns why it ended.
+pub(super) async fn collect(
+    handle: &LeaseHandle,
+    peers: &Rc<Peers>,
+    round_duration: Duration,
+) -> WorkError {
+    if let Err(error) = resume_collection(handle, peers).await {
+        return error;
     }
-
-    /// As bytes, within the bound.
-    fn bytes(&mut self) -> Vec<u8> {
-        loop {
-            let bytes = serde_json::to_vec(self).unwrap_or_default();
-            if bytes.len() <= MAX_ALL {
-                return bytes;
-            }
-            let Some(longest) = self.0.values_mut().max_by_key(|k| k.told.pages.len()) else {
-                return bytes;
+    let mut lonely_rounds = 0;
+    loop {
+        let is_lonely = match collect_round(handle, peers, round_duration).await {
+            Ok(is_lonely) => is_lonely,
+            Err(error) => return error,
+        };
+        lonely_rounds = if is_lonely { lonely_rounds + 1 } else { 0 };
+        if lonely_rounds >= MAX_LONELY_ROUNDS {
+            return WorkError::NobodyReached {
+                rounds: MAX_LONELY_ROUNDS,
             };
-            // A quarter of it at once: one page at a time would write all of it hundreds of times.
-            for _ in 0..longest.told.pages.len().div_ceil(4) {
-                longest.told.give_up_oldest();
-            }
-            if longest.told.pages.len() <= 1 {
-                // Records of a page each are still too much: those that were collected longest ago
-                // go.
-                let oldest = self
-                    .0
-                    .iter()
-                    .min_by_key(|(_, k)| k.at)
-                    .map(|(place, _)| *place);
-                oldest.and_then(|place| self.0.remove(&place));
-            }
         }
     }
 }
 
-/// What this proxy has of it: as collector, or as a mirror.
-pub struct Collection(RefCell<(Collected, Digest, Rc<[u8]>)>);
-
-impl Collection {
-    /// With what was kept on disk; what can't be read is none.
-    pub fn new(bytes: Option<&[u8]>) -> Rc<Collection> {
-        let collected = bytes
-            .and_then(|b| serde_json::from_slice(b).ok())
-            .unwrap_or_default();
-        let collection = Collection(RefCell::new((collected, Digest::default(), Rc::from([]))));
-        collection.seal();
-        Rc::new(collection)
-    }
-
-    /// All of it.
-    pub fn all(&self) -> Collected {
-        self.0.borrow().0.clone()
-    }
-
-    /// Its text, if that has this digest; whatever it is, where none is given.
-    pub fn text(&self, key: Digest) -> Option<Vec<u8>> {
-        let kept = self.0.borrow();
-        let wanted = key == Digest::default() || key == kept.1;
-        (wanted && !kept.0.0.is_empty()).then(|| kept.2.to_vec())
-    }
-
-    /// The digest of its text as it was sealed last.
-    pub fn digest(&self) -> Digest {
-        self.0.borrow().1
-    }
-
-    /// Its text and digest are made anew.
-    fn seal(&self) -> Digest {
-        let mut kept = self.0.borrow_mut();
-        let bytes = kept.0.bytes();
-        kept.1 = Digest::of(&bytes);
-        kept.2 = Rc::from(bytes);
-        kept.1
-    }
-
-    fn take(&self, place: Place, kept: Kept) {
-        self.0.borrow_mut().0.take(place, kept);
+/// Fetches the collection of the last checkpoint from the last collector, or from a voter.
+async fn resume_collection(handle: &LeaseHandle, peers: &Rc<Peers>) -> Result<(), WorkError> {
+    let service = handle.service().ok_or(WorkError::ShuttingDown)?;
+    let collection = service.collection.clone();
+    let last = handle
+        .checkpoint()
+        .and_then(CheckpointedCollection::from_checkpoint);
+    let Some(last) = last.filter(|last| last.digest != collection.digest()) else {
+        return Ok(());
+    };
+    let sources = std::iter::once(last.collector).chain(service.voters());
+    // The work must not keep the service alive.
+    drop(service);
+    for source in sources.filter(|member| *member != peers.place()) {
+        let fetched = peers
+            .fetch(source, Topic::Collected, last.digest, FETCH_TIMEOUT)
+            .await;
+        if fetched.is_ok_and(|(document, _)| collection.merge_document(&document)) {
+            break;
+        }
     }
+    Ok(())
+}
 
-    fn merge(&self, text: &[u8]) -> bool {
-        let Ok(other) = serde_json::from_slice(text) else {
-            return false;
-        };
-        self.0.borrow_mut().0.merge(other);
-        true
+/// Collects the record of each member once. Returns whether no other member was reached.
+async fn collect_round(
+    handle: &LeaseHandle,
+    peers: &Rc<Peers>,
+    round_duration: Duration,
+) -> Result<bool, WorkError> {
+    let service = handle.service().ok_or(WorkError::ShuttingDown)?;
+    let (collection, store) = (service.collection.clone(), service.store.clone());
+    drop(service);
+    let members = peers.there(true);
+    let member_count = u32::try_from(members.len().max(1)).unwrap_or(u32::MAX);
+    let pause = (round_duration / member_count).max(MIN_MEMBER_PAUSE);
+    let mut reached = 0;
+    for member in &members {
+        if !handle.is_held() {
+            return Err(WorkError::LeaseLost);
+        }
+        if *member == peers.place() {
+            collection.insert(*member, own_record(peers));
+        } else if let Ok(heard) = audit::record(peers, *member).await {
+            reached += 1;
+            collection.insert(*member, fetched_record(peers, heard));
+        }
+        sleep(pause).await;
     }
+    let digest = collection.update_document();
+    save_collection(collection.document_to_store(), store).await;
+    // If the checkpoint is not stored, the next round writes it again.
+    let _ = handle.store_checkpoint(digest.0.to_vec()).await;
+    Ok(reached == 0 && members.len() > 1)
+}
 
-    async fn keep(&self, store: Option<Store>) {
-        let Some(store) = store else { return };
-        let bytes = self.0.borrow().2.clone().to_vec();
-        let kept = spawn_blocking(move || store.collect(&bytes)).await;
-        if let Err(e) = kept.unwrap_or_else(|e| Err(e.to_string())) {
-            tracing::warn!("collector: {e}");
-        }
+fn own_record(peers: &Peers) -> CollectedRecord {
+    CollectedRecord {
+        by: peers.place(),
+        collected_at: peers.acts().now(),
+        clock_offset: 0,
+        clock_error: 0,
+        record: peers.acts().told(),
     }
 }
 
-/// What a mark says: the digest of all that is kept.
-fn marked(state: &[u8]) -> Option<Digest> {
-    state.try_into().ok().map(Digest)
+fn fetched_record(peers: &Peers, heard: audit::Heard) -> CollectedRecord {
+    CollectedRecord {
+        by: peers.place(),
+        collected_at: peers.acts().now(),
+        clock_offset: heard.off,
+        clock_error: heard.error,
+        record: heard.told,
+    }
 }
 
-/// Collects for as long as the duty is held; why it can't.
-pub async fn collect(
-    hold: Hold,
-    peers: Rc<Peers>,
-    duties: Weak<Duties>,
-    every: Duration,
-) -> String {
-    let Some((collection, store)) = duties
-        .upgrade()
-        .map(|d| (d.collection.clone(), d.store.clone()))
-    else {
-        return "this proxy stops".into();
+async fn save_collection(document: Vec<u8>, store: Option<super::LeaseStore>) {
+    let Some(store) = store else {
+        return;
     };
-    if let Some((key, last)) = hold
-        .mark()
-        .and_then(|m| Some((marked(&m.state)?, m.token.place())))
-        && key != collection.digest()
-    {
-        let voters = duties.upgrade().map(|d| d.voters()).unwrap_or_default();
-        let have = std::iter::once(last)
-            .chain(voters)
-            .filter(|p| *p != peers.place());
-        for from in have {
-            let came = peers.fetch(from, Topic::Collected, key, PATIENCE).await;
-            if came.is_ok_and(|(text, _)| collection.merge(&text)) {
-                break;
-            }
-        }
-    }
-    let mut alone = 0;
-    loop {
-        let there = peers.there(true);
-        let pause = (every / u32::try_from(there.len().max(1)).unwrap_or(u32::MAX)).max(LEAST);
-        let mut reached = 0;
-        for place in &there {
-            if !hold.may() {
-                return "it is no longer held".into();
-            }
-            let own = *place == peers.place();
-            let kept = |told, off, error| Kept {
-                by: peers.place(),
-                at: peers.acts().now(),
-                off,
-                error,
-                told,
-            };
-            if own {
-                collection.take(*place, kept(peers.acts().told(), 0, 0));
-            } else if let Ok(heard) = audit::record(&peers, *place).await {
-                reached += 1;
-                collection.take(*place, kept(heard.told, heard.off, heard.error));
-            }
-            sleep(pause).await;
-        }
-        let key = collection.seal();
-        collection.keep(store.clone()).await;
-        // Not kept in time: it is marked again after the next round.
-        let _ = hold.keep(key.0.to_vec()).await;
-        alone = if reached == 0 && there.len() > 1 {
-            alone + 1
-        } else {
-            0
-        };
-        if alone >= ALONE {
-            return format!("{ALONE} rounds reached nobody");
-        }
+    match spawn_blocking(move || store.write_audit_collection(&document)).await {
+        Ok(Ok(())) => {}
+        Ok(Err(error)) => tracing::warn!("audit collector: {error}"),
+        Err(error) => tracing::warn!("audit collector: {error}"),
     }
 }
 
-/// A voter keeps a copy of what the collector marked.
-pub async fn mirror(duties: Rc<Duties>) {
-    let found = duties.all.iter().find_map(|(id, one)| match one.kind {
-        super::Kind::Collect { every } => Some((*id, every)),
-        super::Kind::Call(_) => None,
-    });
-    let Some((duty, every)) = found else { return };
+/// Keeps a copy of the collection at a voter.
+pub(super) async fn mirror(service: Rc<LeaseService>) {
+    let Some((lease, round_duration)) = service.audit_lease() else {
+        return;
+    };
     loop {
-        sleep(every).await;
-        let Some((key, from)) = duties.to_mirror(duty) else {
+        sleep(round_duration).await;
+        let Some(wanted) = service.collection_to_mirror(lease) else {
             continue;
         };
-        let came = duties
+        let fetched = service
             .peers
-            .fetch(from, Topic::Collected, key, PATIENCE)
+            .fetch(
+                wanted.collector,
+                Topic::Collected,
+                wanted.digest,
+                FETCH_TIMEOUT,
+            )
             .await;
-        if came.is_ok_and(|(text, _)| duties.collection.merge(&text)) {
-            duties.collection.seal();
-            duties.collection.keep(duties.store.clone()).await;
+        let collection = &service.collection;
+        if fetched.is_ok_and(|(document, _)| collection.merge_document(&document)) {
+            collection.update_document();
+            save_collection(collection.document_to_store(), service.store.clone()).await;
         }
     }
 }
 
-impl Duties {
-    /// What a voter has been told to keep of the collector, and from whom it is to be had; none
-    /// where it has that, or is the collector.
-    fn to_mirror(&self, duty: DutyId) -> Option<(Digest, Place)> {
-        let core = self.core.borrow();
-        let mark = core.voter()?.memory().duties.get(&duty).map(|h| &h.mark)?;
-        let (key, from) = (marked(&mark.state)?, mark.token.place());
-        (key != self.collection.digest() && from != self.peers.place()).then_some((key, from))
+impl LeaseService {
+    /// Returns the lease whose work is to collect the audit, and how long a round takes.
+    pub(super) fn audit_lease(&self) -> Option<(LeaseId, Duration)> {
+        self.leases.iter().find_map(|(id, lease)| match lease.work {
+            WorkSettings::CollectAudit { round_duration } => Some((*id, round_duration)),
+            WorkSettings::HttpCall(_) => None,
+        })
     }
 
-    /// What the collector kept: here, or at somebody who votes.
-    pub async fn collected(&self) -> Option<Collected> {
-        let collects = |one: &super::One| matches!(one.kind, super::Kind::Collect { .. });
-        let (duty, _) = self.all.iter().find(|(_, one)| collects(one))?;
-        let holds = self.holds(*duty).is_some();
+    /// Returns the collection that this voter has a checkpoint of, unless it has the collection
+    /// already, or is the collector itself.
+    fn collection_to_mirror(&self, lease: LeaseId) -> Option<CheckpointedCollection> {
+        let manager = self.manager.borrow();
+        let durable = manager.voter()?.state().leases.get(&lease)?;
+        let wanted = CheckpointedCollection::from_checkpoint(&durable.checkpoint)?;
+        let is_missing = wanted.digest != self.collection.digest();
+        (is_missing && wanted.collector != self.peers.place()).then_some(wanted)
+    }
+
+    /// Returns what was collected: from here, or from a voter that can be reached.
+    pub async fn collected_records(&self) -> Option<CollectedRecords> {
+        let (lease, _) = self.audit_lease()?;
         let voters = self.voters();
-        if holds || voters.contains(&self.peers.place()) {
-            return Some(self.collection.all());
+        if self.held_token(lease).is_some() || voters.contains(&self.peers.place()) {
+            return Some(self.collection.records());
         }
-        let there = self.peers.there(false);
-        for from in voters.into_iter().filter(|v| there.contains(v)) {
-            let came = self
+        let present = self.peers.there(false);
+        for voter in voters.into_iter().filter(|voter| present.contains(voter)) {
+            let fetched = self
                 .peers
-                .fetch(from, Topic::Collected, Digest::default(), PATIENCE)
+                .fetch(voter, Topic::Collected, Digest::default(), FETCH_TIMEOUT)
                 .await;
-            if let Some(collected) = came
+            let records = fetched
                 .ok()
-                .and_then(|(text, _)| serde_json::from_slice(&text).ok())
-            {
-                return Some(collected);
+                .and_then(|(document, _)| serde_json::from_slice(&document).ok());
+            if records.is_some() {
+                return records;
             }
         }
         None
     }
-
-    fn voters(&self) -> Vec<Place> {
-        self.core.borrow().electorate().all().collect()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use heathroad_membership::record::Record;
-    use heathroad_membership::version::Version;
-
-    fn told(at: u64, pages: u64) -> Told {
-        let mut record = Record::new(1, 0, None);
-        for n in 0..pages {
-            record.begin(
-                n,
-                Version {
-                    generation: n,
-                    ..Version::default()
-                },
-            );
-        }
-        record.told(at)
-    }
-
-    fn kept(at: u64, pages: u64) -> Kept {
-        Kept {
-            by: 0,
-            at,
-            off: 0,
-            error: 0,
-            told: told(at, pages),
-        }
-    }
-
-    #[test]
-    fn the_later_record_stands_and_all_is_bounded() {
-        let mut all = Collected::default();
-        all.take(3, kept(20, 2));
-        all.take(3, kept(10, 5));
-        assert_eq!(all.get(3).map(|k| k.told.pages.len()), Some(2));
-        all.take(4, kept(10, 250));
-        let long = &all.get(4).expect("kept").told;
-        assert!(length(long) <= MAX_RECORD && long.lost.pages > 0 && long.pages.len() > 20);
-        (0..400).for_each(|p| all.take(p, kept(30 + u64::from(p), 40)));
-        assert!(all.bytes().len() <= MAX_ALL);
-        assert!(all.get(399).is_some(), "what was collected last is kept");
-        let last = all
-            .get(399)
-            .map(|k| k.told.pages.last().map(|p| p.version.generation));
-        assert_eq!(last, Some(Some(39)));
-    }
-
-    #[test]
-    fn texts_are_by_their_digest() {
-        let one = Collection::new(None);
-        assert_eq!(one.text(Digest::default()), None);
-        one.take(1, kept(5, 1));
-        let key = one.seal();
-        let text = one.text(key).expect("it is");
-        assert_eq!(
-            (one.text(Digest::of(b"other")), Digest::of(&text)),
-            (None, key)
-        );
-        let other = Collection::new(Some(&text));
-        assert_eq!(other.digest(), key);
-    }
 }
--- a/crates/heathroad/src/lease/http_call.rs
+++ b/crates/heathroad/src/lease/http_call.rs
@@ -1,94 +1,154 @@
-//! A duty whose work is somebody else's: its holder calls an address again and again, and nobody
-//! else does. Each call carries the duty's name, the token, who holds it (place and life), and the
-//! call's number; an address that keeps the highest token it has seen answers 412 to a lower one,
-//! and may tell the highest in `Duty-Token`.
+//! Work that calls an HTTP server at an interval, from the holder alone.
+//!
+//! Each call carries the lease's name, the token, the holder, and the call's number. A server that
+//! keeps the highest token it has seen answers 412 to a lower one, and may return the highest in
+//! `Duty-Token`.
 
-use super::worker::Hold;
-use crate::configuration::lease::Call;
+use super::worker::{LeaseHandle, WorkError};
+use crate::configuration::lease::HttpCallSettings;
 use crate::runtime_accounting::{sleep_until, spawn_local, timeout};
 use bytes::Bytes;
 use heathroad_lease::token::Token;
 use http_body_util::Empty;
 use hyper::client::conn::http1::handshake;
-use hyper::{Request, StatusCode, header};
+use hyper::{HeaderMap, Request, StatusCode, header};
 use hyper_util::rt::TokioIo;
+use std::io;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// A call that takes longer has failed; whether it was taken is not known.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// So many calls that fail in a row are a sign that they can't be made from here.
-const FAILED: u32 = 3;
+/// A call that takes longer has failed. Whether the server has acted on it is not known.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// This many failed calls in a row are a sign that the server cannot be called from here.
+const MAX_FAILED_CALLS: u32 = 3;
 
-/// Calls for as long as the duty is held; why it can't.
-pub async fn call(hold: Hold, to: Call) -> String {
-    let number = |state: &[u8]| state.try_into().ok().map(u64::from_be_bytes);
-    let mut next = hold
-        .mark()
-        .and_then(|m| number(&m.state))
-        .map_or(1, |n| n.saturating_add(1));
-    let (mut failed, mut at) = (0, Instant::now());
+/// Header with the name of the lease.
+const LEASE_NAME_HEADER: &str = "Duty";
+/// Header with the fencing token.
+const TOKEN_HEADER: &str = "Duty-Token";
+/// Header with the holder's member id and incarnation.
+const HOLDER_HEADER: &str = "Duty-Holder";
+/// Header with the number of the call.
+const NUMBER_HEADER: &str = "Duty-Number";
+
+/// Why a call has failed.
+#[derive(Debug, Error)]
+enum CallError {
+    #[error("no connection")]
+    Connect(#[source] io::Error),
+    #[error("the request cannot be made")]
+    InvalidRequest(#[source] hyper::http::Error),
+    #[error("the exchange has failed")]
+    Exchange(#[source] hyper::Error),
+    #[error("no answer in time")]
+    Timeout,
+    #[error("the lease is no longer held")]
+    LeaseLost,
+}
+
+/// The answer to a call.
+struct Answer {
+    status: StatusCode,
+    /// The highest token that the server has seen, if it returned it.
+    highest_token: Option<Token>,
+}
+
+/// Calls the server at its interval for as long as that is possible, and returns why it ended.
+pub(super) async fn run_http_calls(handle: &LeaseHandle, target: &HttpCallSettings) -> WorkError {
+    let mut number = first_number(handle);
+    let mut failed_calls = 0;
+    let mut call_at = Instant::now();
     loop {
-        sleep_until(at).await;
-        at = (at + to.every).max(Instant::now());
-        if !hold.may() {
-            return "it is no longer held".into();
+        sleep_until(call_at).await;
+        call_at = (call_at + target.interval).max(Instant::now());
+        if !handle.is_held() {
+            return WorkError::LeaseLost;
         }
-        match timeout(PATIENCE, one(&hold, &to, next)).await {
-            Ok(Ok((status, _))) if status.is_success() => {
-                failed = 0;
-                // Not kept in time: this number may be called again, by this holder or the next.
-                if hold.keep(next.to_be_bytes().to_vec()).await.is_ok() {
-                    next = next.saturating_add(1);
+        let result = timeout(CALL_TIMEOUT, call_once(handle, target, number)).await;
+        match result.unwrap_or(Err(CallError::Timeout)) {
+            Ok(answer) if answer.status.is_success() => {
+                failed_calls = 0;
+                // If the checkpoint is not stored, this holder or the next repeats the number.
+                if handle
+                    .store_checkpoint(number.to_be_bytes().to_vec())
+                    .await
+                    .is_ok()
+                {
+                    number = number.saturating_add(1);
                 }
                 continue;
             }
-            Ok(Ok((StatusCode::PRECONDITION_FAILED, seen))) => {
-                hold.overtaken(seen);
-                return "a later holder has called".into();
+            Ok(answer) if answer.status == StatusCode::PRECONDITION_FAILED => {
+                handle.give_up_superseded(answer.highest_token);
+                return WorkError::Superseded;
+            }
+            Ok(answer) => {
+                tracing::debug!("lease {}: answered {}", handle.name(), answer.status);
             }
-            Ok(Ok((status, _))) => tracing::debug!("duty {}: answered {status}", hold.name()),
-            Ok(Err(e)) => tracing::debug!("duty {}: {e}", hold.name()),
-            Err(_) => tracing::debug!("duty {}: no answer in time", hold.name()),
+            Err(error) => log_failed_call(handle, &error),
         }
-        failed += 1;
-        if failed >= FAILED {
-            return format!("{}: {failed} calls in a row have failed", to.address);
+        failed_calls += 1;
+        if failed_calls >= MAX_FAILED_CALLS {
+            return WorkError::CallsFailed {
+                address: target.address,
+                count: failed_calls,
+            };
         }
     }
 }
 
-async fn one(hold: &Hold, to: &Call, number: u64) -> Result<(StatusCode, Option<Token>), String> {
-    let stream = TcpStream::connect(to.address)
+/// Returns the number of the first call: the one after the last checkpoint's.
+fn first_number(handle: &LeaseHandle) -> u64 {
+    let state = handle
+        .checkpoint()
+        .and_then(|checkpoint| checkpoint.state.as_slice().try_into().ok());
+    state.map_or(1, |bytes| u64::from_be_bytes(bytes).saturating_add(1))
+}
+
+fn log_failed_call(handle: &LeaseHandle, error: &CallError) {
+    let name = handle.name();
+    match std::error::Error::source(error) {
+        Some(source) => tracing::debug!("lease {name}: call failed: {error}: {source}"),
+        None => tracing::debug!("lease {name}: call failed: {error}"),
+    }
+}
+
+async fn call_once(
+    handle: &LeaseHandle,
+    target: &HttpCallSettings,
+    number: u64,
+) -> Result<Answer, CallError> {
+    let stream = TcpStream::connect(target.address)
         .await
-        .map_err(|e| e.to_string())?;
+        .map_err(CallError::Connect)?;
     let (mut sender, connection) = handshake(TokioIo::new(stream))
         .await
-        .map_err(|e| e.to_string())?;
-    let request = Request::post(&to.path)
-        .header(header::HOST, to.address.to_string())
-        .header("Duty", hold.name())
-        .header("Duty-Token", hold.token().to_string())
-        .header("Duty-Holder", hold.holder())
-        .header("Duty-Number", number)
+        .map_err(CallError::Exchange)?;
+    let request = Request::post(&target.path)
+        .header(header::HOST, target.address.to_string())
+        .header(LEASE_NAME_HEADER, handle.name())
+        .header(TOKEN_HEADER, handle.token().to_string())
+        .header(HOLDER_HEADER, handle.holder())
+        .header(NUMBER_HEADER, number)
         .body(Empty::<Bytes>::new())
-        .map_err(|e| e.to_string())?;
-    // It ends with the answer, or with the sender.
+        .map_err(CallError::InvalidRequest)?;
+    // The task ends with the answer, or with the sender.
     let connection = spawn_local(connection);
-    // Time may have gone by over the connection.
-    if !hold.may() {
-        return Err("it is no longer held".into());
+    // Connecting may have taken a while.
+    if !handle.is_held() {
+        return Err(CallError::LeaseLost);
     }
-    let answer = sender
-        .send_request(request)
-        .await
-        .map_err(|e| e.to_string());
+    let response = sender.send_request(request).await;
     connection.abort();
-    let answer = answer?;
-    let seen = answer
-        .headers()
-        .get("Duty-Token")
-        .and_then(|t| t.to_str().ok()?.parse().ok());
-    Ok((answer.status(), seen))
+    let response = response.map_err(CallError::Exchange)?;
+    Ok(Answer {
+        status: response.status(),
+        highest_token: token_header(response.headers()),
+    })
+}
+
+fn token_header(headers: &HeaderMap) -> Option<Token> {
+    headers.get(TOKEN_HEADER)?.to_str().ok()?.parse().ok()
 }
--- /dev/null
+++ b/crates/heathroad/src/lease/service.rs
@@ -0,0 +1,342 @@
+//! The lease service: carries the inputs of the lease manager to it, and carries out its outputs.
+
+use super::audit_collection::AuditCollection;
+use super::managed_lease::ManagedLease;
+use super::store::{LeaseStore, StoreError};
+use super::worker::LeaseHandle;
+use super::{audit_collector, http_call};
+use crate::configuration::lease::{Settings, WorkSettings};
+use crate::membership::Peers;
+use crate::runtime_accounting::{sleep_until, spawn_local};
+use heathroad_lease::candidate::{EndReason, LeaseEvent};
+use heathroad_lease::checkpoint::Checkpoint;
+use heathroad_lease::lease_manager::{self, LeaseManager, Output, VoterStatus};
+use heathroad_lease::message::{Body, OutgoingMessage};
+use heathroad_lease::token::Token;
+use heathroad_lease::voter_state::VoterState;
+use heathroad_lease::{LeaseId, MemberId, Millis};
+use heathroad_membership::wire::Topic;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::{Rc, Weak};
+use std::time::Duration;
+use tokio::sync::{Mutex, Notify, watch};
+use tokio::task::spawn_blocking;
+use tokio::time::Instant;
+
+/// Longest time between two turns of the service.
+const MAX_TURN_INTERVAL: Duration = Duration::from_millis(500);
+
+/// The leases of this proxy.
+pub struct LeaseService {
+    pub(super) manager: RefCell<LeaseManager>,
+    pub(super) peers: Rc<Peers>,
+    pub(super) store: Option<LeaseStore>,
+    pub(super) lease_duration: Duration,
+    pub(super) leases: BTreeMap<LeaseId, ManagedLease>,
+    /// Wakes the service for a turn.
+    pub(super) wake: Notify,
+    /// The last checkpoint of each lease that a quorum has stored, as token and sequence number.
+    pub(super) stored_checkpoints: watch::Sender<BTreeMap<LeaseId, (Token, u32)>>,
+    /// The last status of each lease that each voter has reported.
+    pub(super) voter_statuses: RefCell<BTreeMap<LeaseId, Vec<VoterStatus>>>,
+    pub(super) collection: Rc<AuditCollection>,
+    is_shutting_down: Cell<bool>,
+    /// Held while outputs are processed: an older voter state must not be written behind a newer.
+    output_lock: Mutex<()>,
+    /// Whether the last write to the store has failed, which has been logged.
+    is_store_failing: Cell<bool>,
+    weak_self: Weak<LeaseService>,
+}
+
+impl LeaseService {
+    /// Starts the service, with the state that is on disk where there is a store.
+    pub async fn start(
+        settings: Settings,
+        seed: u64,
+        peers: Rc<Peers>,
+        store: Option<LeaseStore>,
+    ) -> Result<Rc<LeaseService>, StoreError> {
+        let state = store
+            .as_ref()
+            .map(LeaseStore::read_voter_state)
+            .transpose()?;
+        let collected = store
+            .as_ref()
+            .map(LeaseStore::read_audit_collection)
+            .transpose()?;
+        let collection = AuditCollection::from_stored(collected.flatten().as_deref());
+        let lease_duration = Duration::from_millis(settings.timing.lease_duration);
+        let manager_settings = lease_manager::Settings {
+            own: peers.place(),
+            voters: settings.voters,
+            timing: settings.timing,
+            leases: settings
+                .leases
+                .iter()
+                .map(|lease| LeaseId::from_name(&lease.name))
+                .collect(),
+            seed,
+        };
+        let unix_ms = peers.acts().now();
+        let manager = LeaseManager::new(
+            peers.now(),
+            unix_ms,
+            manager_settings,
+            state.unwrap_or_default(),
+        );
+        let managed = |lease: crate::configuration::lease::LeaseSettings| {
+            (LeaseId::from_name(&lease.name), ManagedLease::new(lease))
+        };
+        let service = Rc::new_cyclic(|weak_self| LeaseService {
+            manager: RefCell::new(manager),
+            peers,
+            store,
+            lease_duration,
+            leases: settings.leases.into_iter().map(managed).collect(),
+            wake: Notify::new(),
+            stored_checkpoints: watch::Sender::new(BTreeMap::new()),
+            voter_statuses: RefCell::default(),
+            collection: Rc::new(collection),
+            is_shutting_down: Cell::new(false),
+            output_lock: Mutex::default(),
+            is_store_failing: Cell::new(false),
+            weak_self: weak_self.clone(),
+        });
+        service.serve_documents();
+        spawn_local(service.clone().run());
+        if service.audit_lease().is_some() {
+            spawn_local(audit_collector::mirror(service.clone()));
+        }
+        Ok(service)
+    }
+
+    /// Has the membership protocol serve this proxy's lease history and audit collection.
+    fn serve_documents(&self) {
+        let service = self.weak_self.clone();
+        self.peers.serve(Box::new(move |topic, key| {
+            let service = service.upgrade()?;
+            match topic {
+                Topic::Duties => serde_json::to_vec(&service.local_history()).ok(),
+                Topic::Collected => service.collection.document(key),
+                Topic::Record | Topic::Routes => None,
+            }
+        }));
+    }
+
+    async fn run(self: Rc<Self>) {
+        loop {
+            let due = Duration::from_millis(self.manager.borrow().next_due());
+            let due = self
+                .peers
+                .started()
+                .checked_add(due)
+                .unwrap_or_else(Instant::now);
+            let due = due.min(Instant::now() + MAX_TURN_INTERVAL);
+            tokio::select! {
+                biased;
+                () = self.peers.carried_any() => {}
+                () = self.wake.notified() => {}
+                () = sleep_until(due) => {}
+            }
+            self.run_turn().await;
+        }
+    }
+
+    /// Handles what has arrived, and does what is due.
+    async fn run_turn(&self) {
+        self.process_inputs();
+        self.process_outputs().await;
+    }
+
+    fn process_inputs(&self) {
+        let now = self.peers.now();
+        let is_fenced = self.peers.acts().fenced();
+        let is_willing = !self.is_shutting_down.get() && !is_fenced;
+        let mut manager = self.manager.borrow_mut();
+        manager.set_unix_time(self.peers.acts().now());
+        manager.set_present_members(self.peers.there(is_willing));
+        // What has arrived counts before the manager concludes that nothing has.
+        for carried in self.peers.carried() {
+            manager.handle_datagram(now, carried.from, carried.life, &carried.bytes);
+        }
+        manager.tick(now);
+        if !is_fenced {
+            return;
+        }
+        for lease in self.leases.keys() {
+            if manager.held_token(now, *lease).is_some() {
+                manager.resign(now, *lease, EndReason::Fenced);
+            }
+        }
+    }
+
+    /// Carries out, in order, what the lease manager asks for. What must be on disk is there before
+    /// the messages behind it are sent.
+    async fn process_outputs(&self) {
+        let _guard = self.output_lock.lock().await;
+        loop {
+            let outputs: Vec<Output> = self.manager.borrow_mut().take_outputs().collect();
+            if outputs.is_empty() {
+                return;
+            }
+            // One write serves all of a turn: the last state includes the earlier ones.
+            let last_state = outputs.iter().rev().find_map(|output| match output {
+                Output::PersistState(state) => Some(state.clone()),
+                _ => None,
+            });
+            let is_persisted = self.persist(last_state).await;
+            for output in outputs {
+                self.process_output(output, is_persisted);
+            }
+        }
+    }
+
+    /// Writes the voter's state to the store, where there is one. Returns whether it is safe to
+    /// make promises that depend on it.
+    async fn persist(&self, state: Option<VoterState>) -> bool {
+        let result = match state.zip(self.store.clone()) {
+            Some((state, store)) => {
+                let written = spawn_blocking(move || store.write_voter_state(&state)).await;
+                written.unwrap_or_else(|e| Err(StoreError::WriterFailed(e)))
+            }
+            None => Ok(()),
+        };
+        let is_failing = result.is_err();
+        let was_failing = self.is_store_failing.replace(is_failing);
+        if let Err(error) = result
+            && !was_failing
+        {
+            tracing::warn!("leases: {error}: nothing is granted");
+        }
+        !is_failing
+    }
+
+    fn process_output(&self, output: Output, is_persisted: bool) {
+        match output {
+            // Written by `persist`.
+            Output::PersistState(_) => {}
+            Output::Send(outgoing) => {
+                if is_persisted || !is_promise(&outgoing.message.body) {
+                    self.send(outgoing);
+                }
+            }
+            Output::Event(lease, event) => self.handle_event(lease, event),
+            Output::Status(status) => {
+                let mut statuses = self.voter_statuses.borrow_mut();
+                let of_lease = statuses.entry(status.lease).or_default();
+                of_lease.retain(|known| known.voter != status.voter);
+                of_lease.push(status);
+            }
+        }
+    }
+
+    fn send(&self, outgoing: OutgoingMessage) {
+        let OutgoingMessage { to, message } = outgoing;
+        if to != self.peers.place() {
+            self.peers.carry(to, message.encode());
+            return;
+        }
+        let (now, incarnation) = (self.peers.now(), self.peers.acts().life());
+        self.manager
+            .borrow_mut()
+            .handle_message(now, to, incarnation, message);
+    }
+
+    fn handle_event(&self, id: LeaseId, event: LeaseEvent) {
+        let Some(lease) = self.leases.get(&id) else {
+            return;
+        };
+        let name = &lease.name;
+        let unix_ms = self.peers.acts().now();
+        match event {
+            LeaseEvent::Acquired { token, checkpoint } => {
+                tracing::info!(lease = %name, %token, "lease {name}: acquired with token {token}");
+                lease.record_acquisition(token, unix_ms);
+                lease.stop_work();
+                self.start_work(id, lease, token, checkpoint);
+            }
+            LeaseEvent::Ended { token, reason } => {
+                tracing::info!(lease = %name, %token, ?reason, "lease {name}: lost: {reason:?}");
+                lease.record_end(token, unix_ms, reason);
+                lease.stop_work();
+            }
+            LeaseEvent::CheckpointStored { token, sequence } => {
+                self.stored_checkpoints.send_modify(|stored| {
+                    stored.insert(id, (token, sequence));
+                });
+            }
+        }
+    }
+
+    fn start_work(
+        &self,
+        id: LeaseId,
+        lease: &ManagedLease,
+        token: Token,
+        checkpoint: Option<Checkpoint>,
+    ) {
+        let service = self.weak_self.clone();
+        let handle = LeaseHandle::new(service, id, lease.name.clone(), token, checkpoint);
+        let work = lease.work.clone();
+        let peers = self.peers.clone();
+        let task = spawn_local(async move {
+            // Work ends by itself where it cannot be done: another member is to try.
+            let error = match work {
+                WorkSettings::HttpCall(target) => http_call::run_http_calls(&handle, &target).await,
+                WorkSettings::CollectAudit { round_duration } => {
+                    audit_collector::collect(&handle, &peers, round_duration).await
+                }
+            };
+            handle.give_back(&error);
+        });
+        lease.set_work_task(task);
+    }
+
+    /// Returns the token by which a lease is held now. To be called before each act.
+    pub(super) fn held_token(&self, lease: LeaseId) -> Option<Token> {
+        self.manager.borrow().held_token(self.peers.now(), lease)
+    }
+
+    pub(super) fn resign_lease(&self, lease: LeaseId, reason: EndReason) {
+        let now = self.peers.now();
+        self.manager.borrow_mut().resign(now, lease, reason);
+        self.wake.notify_one();
+    }
+
+    /// Resigns the lease of this name, and returns whether it was held here; `None` if there is no
+    /// such lease. A member that resigns does not seek the lease for ten lease durations.
+    pub fn resign(&self, name: &str) -> Option<bool> {
+        let (id, _) = self.leases.iter().find(|(_, lease)| lease.name == name)?;
+        let was_held = self.held_token(*id).is_some();
+        self.resign_lease(*id, EndReason::Resigned);
+        Some(was_held)
+    }
+
+    /// Resigns all leases, because the process shuts down.
+    pub async fn shut_down(&self) {
+        self.is_shutting_down.set(true);
+        let now = self.peers.now();
+        for lease in self.leases.keys() {
+            self.manager
+                .borrow_mut()
+                .resign(now, *lease, EndReason::ShuttingDown);
+        }
+        self.process_outputs().await;
+    }
+
+    pub(super) fn voters(&self) -> Vec<MemberId> {
+        self.manager.borrow().voters().members().collect()
+    }
+
+    /// Converts a time of this proxy's monotonic clock to Unix time in milliseconds.
+    pub(super) fn unix_time_at(&self, at: Millis) -> u64 {
+        let (now, unix_ms) = (self.peers.now(), self.peers.acts().now());
+        unix_ms.saturating_sub(now).saturating_add(at)
+    }
+}
+
+/// Returns whether a message promises something that must be on disk first.
+fn is_promise(body: &Body) -> bool {
+    matches!(body, Body::Granted(_) | Body::CheckpointStored { .. })
+}
--- a/crates/heathroad/src/lease/status.rs
+++ b/crates/heathroad/src/lease/status.rs
@@ -1,266 +1,135 @@
-//! What operators ask of duties: how they stand now by the voters' words, and who held what.
+//! The present status of leases for operators: who holds each lease, by the reports of its voters.
 
-use super::{Duties, Kind, Own, unix_at};
-use crate::membership::audit::{self, Off};
-use crate::runtime_accounting::{sleep, spawn_in};
-use heathroad_lease::DutyId;
-use heathroad_lease::history::End;
-use heathroad_lease::message::{What, Why};
+use super::managed_lease::ManagedLease;
+use super::report::{LeaseStatus, LocalHold, StatusReport, VoterReport};
+use super::service::LeaseService;
+use crate::configuration::lease::WorkSettings;
+use crate::runtime_accounting::sleep;
+use heathroad_lease::lease_manager::VoterStatus;
+use heathroad_lease::message::RejectReason;
 use heathroad_lease::token::Token;
-use heathroad_membership::Place;
-use heathroad_membership::wire::Topic;
-use serde::{Deserialize, Serialize};
-use serde_json::{Value, json};
-use std::collections::BTreeMap;
-use std::rc::Rc;
+use heathroad_lease::voter_set::VoterSet;
+use heathroad_lease::{LeaseId, MemberId};
+use serde_json::Value;
 use std::time::Duration;
-use tokio::task::JoinSet;
+use tokio::time::Instant;
 
-/// Voters that have not answered by then are not reached.
-const ANSWERS: Duration = Duration::from_secs(1);
-/// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(20);
+/// Voters that have not answered by then count as not reached.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
+/// How often the answers of voters are counted.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a voter granted: by its clock, Unix time in milliseconds.
-#[derive(Debug, Clone, Serialize, Deserialize)]
-struct Granted {
-    token: Token,
-    from: u64,
-    /// Until when at the latest it may have been held.
-    until: u64,
-    end: End,
-}
-
-/// What a proxy tells of one duty.
-#[derive(Debug, Clone, Serialize, Deserialize)]
-struct Part {
-    name: String,
-    own: Vec<OwnTold>,
-    granted: Vec<Granted>,
+impl From<&VoterStatus> for VoterReport {
+    fn from(reported: &VoterStatus) -> VoterReport {
+        VoterReport {
+            voter: reported.voter,
+            highest_token: reported.status.highest_token,
+            remaining_ms: reported.status.remaining_ms,
+            reason: reported.status.reason,
+            early_failures: reported.status.early_failures,
+        }
+    }
 }
 
-#[derive(Debug, Clone, Serialize, Deserialize)]
-struct OwnTold {
-    token: Token,
-    from: u64,
-    to: Option<u64>,
-    why: Option<String>,
+/// Returns the lowest token that a quorum reports as granted. Its member holds the lease, or may.
+fn token_granted_by_quorum(statuses: &[VoterStatus], voters: &VoterSet) -> Option<Token> {
+    let granted_token = |reported: &VoterStatus| {
+        let is_granted = reported.status.reason == Some(RejectReason::Held);
+        is_granted.then_some(reported.status.highest_token)
+    };
+    let is_granted_by = |voter: MemberId, token: Token| {
+        let mut of_voter = statuses.iter().filter(|reported| reported.voter == voter);
+        of_voter.any(|reported| granted_token(reported) == Some(token))
+    };
+    let tokens = statuses.iter().filter_map(granted_token);
+    tokens
+        .filter(|token| voters.is_quorum(|voter| is_granted_by(voter, *token)))
+        .min()
 }
 
-/// What a proxy tells of all.
-#[derive(Debug, Clone, Serialize, Deserialize)]
-pub(super) struct Told {
-    at: u64,
-    duties: Vec<Part>,
+fn describe_work(work: &WorkSettings) -> String {
+    match work {
+        WorkSettings::HttpCall(target) => format!("call {}{}", target.address, target.path),
+        WorkSettings::CollectAudit { .. } => "collect".into(),
+    }
 }
 
-impl Duties {
-    /// What this proxy knows of who held what.
-    pub(super) fn told(&self) -> Told {
-        let core = self.core.borrow();
-        let part = |(id, one): (&DutyId, &super::One)| {
-            let own = one.own.borrow();
-            let own = own.iter().map(
-                |Own {
-                     token,
-                     from,
-                     to,
-                     why,
-                 }| OwnTold {
-                    token: *token,
-                    from: *from,
-                    to: *to,
-                    why: why
-                        .and_then(|w| Some(serde_json::to_value(w).ok()?.as_str()?.to_string())),
-                },
-            );
-            let spells = core
-                .voter()
-                .and_then(|v| v.history().get(id))
-                .into_iter()
-                .flatten();
-            let granted = spells.map(|s| Granted {
-                token: s.token,
-                from: unix_at(&self.peers, s.from),
-                until: unix_at(&self.peers, s.until),
-                end: s.end,
-            });
-            Part {
-                name: one.name.clone(),
-                own: own.collect(),
-                granted: granted.collect(),
-            }
-        };
-        Told {
-            at: self.peers.acts().now(),
-            duties: self.all.iter().map(part).collect(),
+impl LeaseService {
+    /// Asks the voters for the status of all leases, and returns a [`StatusReport`] as JSON.
+    pub async fn status_json(&self) -> Value {
+        self.request_voter_statuses();
+        let deadline = Instant::now() + STATUS_TIMEOUT;
+        while !self.have_all_voters_answered() && Instant::now() < deadline {
+            sleep(STATUS_POLL_INTERVAL).await;
         }
+        serde_json::to_value(self.status_report()).unwrap_or_default()
     }
 
-    /// How all duties stand now.
-    pub async fn list(&self) -> Value {
-        self.stands.borrow_mut().clear();
-        for duty in self.all.keys() {
-            self.core.borrow_mut().look(*duty);
-        }
-        self.stirred.notify_one();
-        let voters = self.core.borrow().electorate().all().count();
-        let heard = || {
-            let stands = self.stands.borrow();
-            self.all
-                .keys()
-                .all(|d| stands.get(d).is_some_and(|s| s.len() >= voters))
-        };
-        let end = tokio::time::Instant::now() + ANSWERS;
-        while !heard() && tokio::time::Instant::now() < end {
-            sleep(LOOK).await;
-        }
-        let duties: Vec<Value> = self
-            .all
-            .iter()
-            .map(|(id, one)| self.one(*id, one))
-            .collect();
-        let core = self.core.borrow();
-        let electorate = core.electorate();
-        let silent = core
+    fn status_report(&self) -> StatusReport {
+        let manager = self.manager.borrow();
+        let voters = manager.voters();
+        let now = self.peers.now();
+        let silent_ms = manager
             .voter()
-            .map(|v| v.silent_until().saturating_sub(self.peers.now()));
-        json!({"asked": self.peers.place(), "at": self.peers.acts().now(), "generation": electorate.generation(),
-            "voters": electorate.all().collect::<Vec<_>>(), "votes": core.voter().is_some(),
-            "silent_ms": silent, "lease_ms": self.lease.as_millis() as u64, "duties": duties})
-    }
-
-    fn one(&self, id: DutyId, one: &super::One) -> Value {
-        let (stands, core) = (self.stands.borrow(), self.core.borrow());
-        let of = stands.get(&id).map(Vec::as_slice).unwrap_or_default();
-        let held = |what: &What| match what {
-            What::Stands {
-                highest,
-                left,
-                why: Some(Why::Held),
-                ..
-            } => Some((*highest, *left)),
-            _ => None,
-        };
-        // Whom a quorum grants it to holds it, or may.
-        let mut by: BTreeMap<Token, Vec<(Place, u32)>> = BTreeMap::new();
-        for s in of {
-            if let Some((token, left)) = held(&s.what) {
-                by.entry(token).or_default().push((s.voter, left));
-            }
-        }
-        let quorum = |voters: &[(Place, u32)]| {
-            core.electorate()
-                .quorum(|p| voters.iter().any(|(v, _)| *v == p))
-        };
-        let holder = by
-            .iter()
-            .find(|(_, voters)| quorum(voters))
-            .map(|(token, _)| *token);
-        let reached = core
-            .electorate()
-            .quorum(|p| of.iter().any(|s| s.voter == p));
-        let here = core.seat(id).and_then(|s| s.holds(self.peers.now()));
-        let voters: Vec<Value> = of
+            .map(|voter| voter.silent_until().saturating_sub(now));
+        let leases = self
+            .leases
             .iter()
-            .map(|s| match &s.what {
-                What::Stands { highest, left, why, died, .. } => {
-                    json!({"voter": s.voter, "highest": highest, "left_ms": left, "why": why, "died": died})
-                }
-                _ => Value::Null,
-            })
-            .collect();
-        let work = match &one.kind {
-            Kind::Call(to) => format!("call {}{}", to.address, to.path),
-            Kind::Collect { .. } => "collect".into(),
-        };
-        json!({"name": one.name, "work": work, "holder": holder.map(Token::place), "token": holder,
-            "majority_reached": reached, "voters": voters,
-            "held_here": here.map(|(token, until)|
-                json!({"token": token, "left_ms": until.saturating_sub(self.peers.now())})),
-            "refused": core.seat(id).and_then(|s| s.refused()), "unfit": *one.unfit.borrow()})
+            .map(|(id, lease)| self.lease_status(*id, lease));
+        StatusReport {
+            asked: self.peers.place(),
+            at: self.peers.acts().now(),
+            generation: voters.generation(),
+            voters: voters.members().collect(),
+            is_voter: manager.voter().is_some(),
+            silent_ms,
+            lease_ms: self.lease_duration.as_millis() as u64,
+            leases: leases.collect(),
+        }
     }
 
-    /// Who held what, from all who are there and know anything of it. Times are by this proxy's
-    /// clock.
-    pub async fn history(self: &Rc<Self>) -> Value {
-        let mut asking = JoinSet::new();
-        for place in self.peers.there(false) {
-            let peers = self.peers.clone();
-            spawn_in(&mut asking, async move {
-                (
-                    place,
-                    audit::told::<Told>(&peers, place, Topic::Duties, |t| t.at).await,
-                )
-            });
-        }
-        let mut all = vec![(self.peers.place(), self.told(), Off::default())];
-        let mut unreached = Vec::new();
-        while let Some(one) = asking.join_next().await {
-            match one {
-                Ok((place, Ok((told, off)))) => all.push((place, told, off)),
-                Ok((place, Err(_))) => unreached.push(place),
-                Err(_) => {}
-            }
+    fn request_voter_statuses(&self) {
+        self.voter_statuses.borrow_mut().clear();
+        for lease in self.leases.keys() {
+            self.manager.borrow_mut().request_status(*lease);
         }
-        unreached.sort_unstable();
-        let duties: Vec<Value> = self
-            .all
-            .values()
-            .map(|one| spells(&one.name, &all))
-            .collect();
-        json!({"asked": self.peers.place(), "at": self.peers.acts().now(), "unreached": unreached,
-            "duties": duties})
+        self.wake.notify_one();
     }
-}
 
-/// One hold: what its holder knows of it, and what voters bound it by.
-#[derive(Default)]
-struct Spell {
-    from: Option<u64>,
-    to: Option<u64>,
-    why: Option<String>,
-    holds: bool,
-    granted: Option<u64>,
-    bound: Option<u64>,
-    resigned: bool,
-    told_by: Vec<Place>,
-    error: u64,
-}
+    fn have_all_voters_answered(&self) -> bool {
+        let voter_count = self.voters().len();
+        let statuses = self.voter_statuses.borrow();
+        let mut leases = self.leases.keys();
+        leases.all(|lease| {
+            statuses
+                .get(lease)
+                .is_some_and(|known| known.len() >= voter_count)
+        })
+    }
 
-fn spells(name: &str, all: &[(Place, Told, Off)]) -> Value {
-    let mut by: BTreeMap<Token, Spell> = BTreeMap::new();
-    for (place, told, off) in all {
-        for part in told.duties.iter().filter(|p| p.name == name) {
-            for own in &part.own {
-                let s = by.entry(own.token).or_default();
-                (s.from, s.to) = (Some(off.here(own.from)), own.to.map(|t| off.here(t)));
-                (s.why, s.holds) = (own.why.clone(), own.to.is_none());
-                s.error = s.error.max(off.error);
-                s.told_by.push(*place);
-            }
-            for g in &part.granted {
-                let s = by.entry(g.token).or_default();
-                let (from, until) = (off.here(g.from), off.here(g.until));
-                s.granted = Some(s.granted.map_or(from, |t| t.min(from)));
-                s.bound = Some(s.bound.map_or(until, |t| t.max(until)));
-                s.resigned |= g.end == End::Resigned;
-                s.error = s.error.max(off.error);
-                if !s.told_by.contains(place) {
-                    s.told_by.push(*place);
-                }
-            }
+    fn lease_status(&self, id: LeaseId, lease: &ManagedLease) -> LeaseStatus {
+        let statuses = self.voter_statuses.borrow();
+        let statuses = statuses.get(&id).map(Vec::as_slice).unwrap_or_default();
+        let manager = self.manager.borrow();
+        let voters = manager.voters();
+        let has_answered = |voter| statuses.iter().any(|reported| reported.voter == voter);
+        let candidate = manager.candidate(id);
+        let now = self.peers.now();
+        let hold = candidate.and_then(|candidate| candidate.hold(now));
+        let token = token_granted_by_quorum(statuses, voters);
+        LeaseStatus {
+            name: lease.name.clone(),
+            work: describe_work(&lease.work),
+            holder: token.map(Token::member),
+            token,
+            is_quorum_reached: voters.is_quorum(has_answered),
+            voters: statuses.iter().map(VoterReport::from).collect(),
+            held_here: hold.map(|(token, expires_at)| LocalHold {
+                token,
+                remaining_ms: expires_at.saturating_sub(now),
+            }),
+            last_rejection: candidate.and_then(|candidate| candidate.last_rejection()),
+            work_failure: lease.work_failure(),
         }
     }
-    let spell = |(token, s): (Token, Spell)| {
-        // Who was granted it by some, and did not say that it held, may never have had a quorum.
-        json!({"token": token, "place": token.place(), "from": s.from.or(s.granted), "to": s.to, "why": s.why,
-            "known": s.from.is_some(), "holds": s.holds, "at_the_latest": s.to.or(s.bound), "resigned": s.resigned,
-            "told_by": s.told_by, "clock_error_ms": s.error})
-    };
-    json!({"name": name, "spells": by.into_iter().map(spell).collect::<Vec<_>>()})
 }
-
-#[cfg(test)]
-#[path = "../../tests/unit/duty_told.rs"]
-mod tests;
--- a/crates/heathroad/src/lease/store.rs
+++ b/crates/heathroad/src/lease/store.rs
@@ -1,91 +1,151 @@
-//! What lasts, where there is a state folder: what a voter must not forget, each change synced
-//! before the answer that rests on it goes; and what the collector keeps. One file, by `redb`:
-//! whole at any time, whenever the process or the machine ends.
+//! The lease store: what must last over a restart, where there is a state folder.
+//!
+//! It keeps the voter's state, which is synced before the answers that depend on it are sent, and
+//! the audit collection. Both are in one `redb` file, which is consistent whenever the process or
+//! the machine ends.
 
-use heathroad_lease::voter::Memory;
+use heathroad_lease::voter_state::VoterState;
 use redb::{Builder, Database, Durability, TableDefinition, TableError};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::sync::Arc;
+use thiserror::Error;
+use tokio::task::JoinError;
 
+/// Name of the file in the state folder.
+const FILE_NAME: &str = "duties.redb";
 const TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("duties");
-/// What a voter must not forget.
-const MEMORY: &str = "memory";
-/// What the collector keeps.
-const COLLECTED: &str = "collected";
-/// Of the file that is held in memory, in bytes.
-const CACHE: usize = 512 * 1024;
-
-/// The file.
+/// Key of the voter's state.
+const VOTER_STATE_KEY: &str = "memory";
+/// Key of the audit collection.
+const AUDIT_COLLECTION_KEY: &str = "collected";
+/// How much of the file is held in memory.
+const CACHE_BYTES: usize = 512 * 1024;
+
+/// Why the store cannot be used.
+#[derive(Debug, Error)]
+#[non_exhaustive]
+pub enum StoreError {
+    /// The database cannot be opened, read or written.
+    #[error("{}: {source}", .path.display())]
+    Database {
+        /// The file.
+        path: PathBuf,
+        /// What failed.
+        #[source]
+        source: Box<redb::Error>,
+    },
+    /// The stored voter state cannot be decoded.
+    #[error("{}: {source}", .path.display())]
+    Decode {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        #[source]
+        source: serde_json::Error,
+    },
+    /// The voter state cannot be encoded.
+    #[error("{0}")]
+    Encode(#[source] serde_json::Error),
+    /// The task that writes has failed.
+    #[error("{0}")]
+    WriterFailed(#[source] JoinError),
+}
+
+/// Database errors are large, and boxed so that results are not.
+fn boxed(error: impl Into<redb::Error>) -> Box<redb::Error> {
+    Box::new(error.into())
+}
+
+/// The lease store.
 #[derive(Clone)]
-pub struct Store {
+pub struct LeaseStore {
     database: Arc<Database>,
-    path: String,
+    path: PathBuf,
 }
 
-impl Store {
-    /// Opens the file in a state folder, or makes it.
-    pub fn open(folder: &Path) -> Result<Store, String> {
-        let file = folder.join("duties.redb");
-        let path = file.display().to_string();
-        let database = Builder::new()
-            .set_cache_size(CACHE)
-            .create(&file)
-            .map_err(|e| format!("{path}: {e}"))?;
-        Ok(Store {
-            database: Arc::new(database),
-            path,
-        })
+impl LeaseStore {
+    /// Opens the store in a state folder, or creates it.
+    pub fn open(folder: &Path) -> Result<LeaseStore, StoreError> {
+        let path = folder.join(FILE_NAME);
+        match Builder::new().set_cache_size(CACHE_BYTES).create(&path) {
+            Ok(database) => Ok(LeaseStore {
+                database: Arc::new(database),
+                path,
+            }),
+            Err(error) => Err(StoreError::Database {
+                path,
+                source: boxed(error),
+            }),
+        }
+    }
+
+    fn database_error(&self, source: Box<redb::Error>) -> StoreError {
+        StoreError::Database {
+            path: self.path.clone(),
+            source,
+        }
+    }
+
+    fn read(&self, key: &str) -> Result<Option<Vec<u8>>, StoreError> {
+        self.try_read(key)
+            .map_err(|source| self.database_error(source))
     }
 
-    fn read(&self, key: &str) -> Result<Option<Vec<u8>>, String> {
-        let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", self.path);
-        let reading = self.database.begin_read().map_err(|e| wrong(&e))?;
-        let table = match reading.open_table(TABLE) {
+    fn try_read(&self, key: &str) -> Result<Option<Vec<u8>>, Box<redb::Error>> {
+        let transaction = self.database.begin_read().map_err(boxed)?;
+        let table = match transaction.open_table(TABLE) {
             Ok(table) => table,
             Err(TableError::TableDoesNotExist(_)) => return Ok(None),
-            Err(e) => return Err(wrong(&e)),
+            Err(error) => return Err(boxed(error)),
         };
-        let value = table.get(key).map_err(|e| wrong(&e))?;
-        Ok(value.map(|v| v.value().to_vec()))
+        let value = table.get(key).map_err(boxed)?;
+        Ok(value.map(|value| value.value().to_vec()))
     }
 
-    fn write(&self, key: &str, bytes: &[u8], durability: Durability) -> Result<(), String> {
-        let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", self.path);
-        let mut writing = self.database.begin_write().map_err(|e| wrong(&e))?;
-        writing.set_durability(durability);
-        {
-            let mut table = writing.open_table(TABLE).map_err(|e| wrong(&e))?;
-            table.insert(key, bytes).map_err(|e| wrong(&e))?;
-        }
-        writing.commit().map_err(|e| wrong(&e))
+    fn write(&self, key: &str, bytes: &[u8]) -> Result<(), StoreError> {
+        self.try_write(key, bytes)
+            .map_err(|source| self.database_error(source))
+    }
+
+    /// Writes a value and syncs it to disk.
+    fn try_write(&self, key: &str, bytes: &[u8]) -> Result<(), Box<redb::Error>> {
+        let mut transaction = self.database.begin_write().map_err(boxed)?;
+        transaction.set_durability(Durability::Immediate);
+        let mut table = transaction.open_table(TABLE).map_err(boxed)?;
+        table.insert(key, bytes).map_err(boxed)?;
+        drop(table);
+        transaction.commit().map_err(boxed)
     }
 
-    /// What a voter had kept. One that can't be read is an error: it would grant what it had
-    /// promised not to.
-    pub fn memory(&self) -> Result<Memory, String> {
-        let Some(bytes) = self.read(MEMORY)? else {
-            return Ok(Memory::default());
+    /// Reads the voter's state. A state that cannot be decoded is an error: a voter without it
+    /// would grant what it has promised not to.
+    pub fn read_voter_state(&self) -> Result<VoterState, StoreError> {
+        let Some(bytes) = self.read(VOTER_STATE_KEY)? else {
+            return Ok(VoterState::default());
         };
-        serde_json::from_slice(&bytes).map_err(|e| format!("{}: {e}", self.path))
+        serde_json::from_slice(&bytes).map_err(|source| StoreError::Decode {
+            path: self.path.clone(),
+            source,
+        })
     }
 
-    /// Keeps it; on disk when this returns.
-    pub fn keep(&self, memory: &Memory) -> Result<(), String> {
-        let bytes = serde_json::to_vec(memory).map_err(|e| e.to_string())?;
-        self.write(MEMORY, &bytes, Durability::Immediate)
+    /// Writes the voter's state, which is on disk when this returns.
+    pub fn write_voter_state(&self, state: &VoterState) -> Result<(), StoreError> {
+        let bytes = serde_json::to_vec(state).map_err(StoreError::Encode)?;
+        self.write(VOTER_STATE_KEY, &bytes)
     }
 
-    /// What the collector kept.
-    pub fn collected(&self) -> Result<Option<Vec<u8>>, String> {
-        self.read(COLLECTED)
+    /// Reads the encoded audit collection.
+    pub fn read_audit_collection(&self) -> Result<Option<Vec<u8>>, StoreError> {
+        self.read(AUDIT_COLLECTION_KEY)
     }
 
-    /// Keeps it.
-    pub fn collect(&self, bytes: &[u8]) -> Result<(), String> {
-        self.write(COLLECTED, bytes, Durability::Immediate)
+    /// Writes the encoded audit collection.
+    pub fn write_audit_collection(&self, bytes: &[u8]) -> Result<(), StoreError> {
+        self.write(AUDIT_COLLECTION_KEY, bytes)
     }
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/duty_store.rs"]
+#[path = "../../tests/unit/lease_store.rs"]
 mod tests;
--- a/crates/heathroad/src/lease/worker.rs
+++ b/crates/heathroad/src/lease/worker.rs
@@ -1,116 +1,166 @@
-//! What a duty's work is given: a token, the last mark, and what it is to ask before each act.
+//! What the work of a lease is given: the token, the last checkpoint, and the checks before each
+//! act.
 //!
-//! Work is a future that runs while the duty is held here and is dropped when that ends. It acts
-//! only after [`Hold::may`], tells its token with each act, and marks how far it came: the next
-//! holder begins with the last mark that a quorum keeps, and so does again what was done after
-//! that. Whatever can't check a token may see such an act twice, and one of a stalled holder late.
+//! Work is a future that runs while the lease is held here and is dropped when that ends. It acts
+//! only after [`LeaseHandle::is_held`], sends its token with each act, and stores checkpoints. The
+//! next holder resumes from the last checkpoint that a quorum has stored, and repeats what was done
+//! after it. A server that does not check tokens may see such an act twice, and an act of a stalled
+//! holder late.
 
-use super::Duties;
+use super::service::LeaseService;
 use crate::runtime_accounting::timeout;
-use heathroad_lease::DutyId;
-use heathroad_lease::seat::Ended;
+use heathroad_lease::LeaseId;
+use heathroad_lease::candidate::EndReason;
+use heathroad_lease::checkpoint::Checkpoint;
 use heathroad_lease::token::Token;
-use heathroad_lease::voter::Mark;
-use std::rc::Weak;
+use std::net::SocketAddr;
+use std::rc::{Rc, Weak};
+use thiserror::Error;
 
-/// A hold of a duty.
-#[derive(Clone)]
-pub struct Hold {
-    duties: Weak<Duties>,
-    duty: DutyId,
+/// Why work has ended by itself. Operators are shown this.
+#[derive(Debug, Error)]
+#[non_exhaustive]
+pub(super) enum WorkError {
+    /// The lease is no longer held.
+    #[error("it is no longer held")]
+    LeaseLost,
+    /// The server has seen a higher token.
+    #[error("a later holder has called")]
+    Superseded,
+    /// The server cannot be called from here.
+    #[error("{address}: {count} calls in a row have failed")]
+    CallsFailed {
+        /// The server.
+        address: SocketAddr,
+        /// How many calls have failed.
+        count: u32,
+    },
+    /// The other members cannot be reached from here.
+    #[error("{rounds} rounds reached nobody")]
+    NobodyReached {
+        /// In how many rounds.
+        rounds: u32,
+    },
+    /// The process shuts down.
+    #[error("this proxy stops")]
+    ShuttingDown,
+}
+
+/// A checkpoint was not stored: the lease is no longer held, or no quorum has answered in time.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[error("the checkpoint was not stored")]
+pub(super) struct CheckpointNotStored;
+
+/// A hold of a lease, as its work sees it.
+pub(super) struct LeaseHandle {
+    service: Weak<LeaseService>,
+    lease: LeaseId,
     name: String,
     token: Token,
-    mark: Option<Mark>,
+    checkpoint: Option<Checkpoint>,
 }
 
-/// The duty is no longer held, or the mark was not kept in time.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Lost;
-
-impl Hold {
+impl LeaseHandle {
     pub(super) fn new(
-        duties: Weak<Duties>,
-        duty: DutyId,
+        service: Weak<LeaseService>,
+        lease: LeaseId,
         name: String,
         token: Token,
-        mark: Option<Mark>,
-    ) -> Hold {
-        Hold {
-            duties,
-            duty,
+        checkpoint: Option<Checkpoint>,
+    ) -> LeaseHandle {
+        LeaseHandle {
+            service,
+            lease,
             name,
             token,
-            mark,
+            checkpoint,
         }
     }
 
-    /// The duty's name.
-    pub fn name(&self) -> &str {
+    /// Returns the service, unless the process shuts down.
+    pub(super) fn service(&self) -> Option<Rc<LeaseService>> {
+        self.service.upgrade()
+    }
+
+    /// Returns the service if the lease is still held.
+    fn service_while_held(&self) -> Option<Rc<LeaseService>> {
+        let service = self.service()?;
+        (service.held_token(self.lease) == Some(self.token)).then_some(service)
+    }
+
+    /// Returns the name of the lease.
+    pub(super) fn name(&self) -> &str {
         &self.name
     }
 
-    /// The token that each act carries.
-    pub fn token(&self) -> Token {
+    /// Returns the token, which each act carries.
+    pub(super) fn token(&self) -> Token {
         self.token
     }
 
-    /// This proxy's place and life, for people.
-    pub fn holder(&self) -> String {
-        let life = self.duties.upgrade().map_or(0, |d| d.peers.acts().life());
-        format!("{}.{life}", self.token.place())
+    /// Returns this proxy's member id and incarnation as text, for operators.
+    pub(super) fn holder(&self) -> String {
+        let incarnation = self
+            .service()
+            .map_or(0, |service| service.peers.acts().life());
+        format!("{}.{incarnation}", self.token.member())
     }
 
-    /// What the holder before this one had come to; of its own token, which is lower.
-    pub fn mark(&self) -> Option<&Mark> {
-        self.mark.as_ref()
+    /// Returns the last checkpoint of the holders before this one.
+    pub(super) fn checkpoint(&self) -> Option<&Checkpoint> {
+        self.checkpoint.as_ref()
     }
 
-    /// Whether it is held still: to be asked before each act.
-    pub fn may(&self) -> bool {
-        self.duties
-            .upgrade()
-            .is_some_and(|d| d.holds(self.duty) == Some(self.token))
+    /// Returns whether the lease is still held. To be called before each act.
+    pub(super) fn is_held(&self) -> bool {
+        self.service_while_held().is_some()
     }
 
-    /// Has a quorum keep what the work has come to, at most [`heathroad_lease::voter::MAX_STATE`]
-    /// bytes.
-    pub async fn keep(&self, state: Vec<u8>) -> Result<(), Lost> {
-        let duties = self.duties.upgrade().filter(|_| self.may()).ok_or(Lost)?;
-        let mut saved = duties.saved.subscribe();
-        let now = duties.peers.now();
-        let seq = duties
-            .core
+    /// Has a quorum store how far the work has come, in at most
+    /// [`MAX_STATE_BYTES`](heathroad_lease::checkpoint::MAX_STATE_BYTES).
+    pub(super) async fn store_checkpoint(&self, state: Vec<u8>) -> Result<(), CheckpointNotStored> {
+        let service = self.service_while_held().ok_or(CheckpointNotStored)?;
+        let mut stored = service.stored_checkpoints.subscribe();
+        let now = service.peers.now();
+        let sequence = service
+            .manager
             .borrow_mut()
-            .mark(now, self.duty, state)
-            .ok_or(Lost)?;
-        duties.stirred.notify_one();
-        let (duty, wanted) = (self.duty, (self.token, seq));
-        let kept = saved.wait_for(|saved| saved.get(&duty).is_some_and(|s| *s >= wanted));
-        match timeout(duties.lease, kept).await {
+            .store_checkpoint(now, self.lease, state)
+            .ok_or(CheckpointNotStored)?;
+        service.wake.notify_one();
+        let awaited = (self.token, sequence);
+        let is_stored =
+            stored.wait_for(|stored| stored.get(&self.lease).is_some_and(|last| *last >= awaited));
+        match timeout(service.lease_duration, is_stored).await {
             Ok(Ok(_)) => Ok(()),
-            _ => Err(Lost),
+            _ => Err(CheckpointNotStored),
         }
     }
 
-    /// The work can't be done here: another is to try.
-    pub fn unfit(&self, why: String) {
-        let Some(duties) = self.duties.upgrade().filter(|_| self.may()) else {
+    /// Gives the lease back, because the work cannot be done here.
+    pub(super) fn give_back(&self, error: &WorkError) {
+        let Some(service) = self.service_while_held() else {
             return;
         };
-        tracing::warn!(duty = %self.name, "duty {}: given back: {why}", self.name);
-        if let Some(one) = duties.all.get(&self.duty) {
-            one.unfit.replace(Some(why));
+        let name = &self.name;
+        tracing::warn!(lease = %name, "lease {name}: given back: {error}");
+        if let Some(lease) = service.leases.get(&self.lease) {
+            lease.set_work_failure(error.to_string());
         }
-        duties.let_go(self.duty, Ended::Unfit);
+        service.resign_lease(self.lease, EndReason::WorkFailed);
     }
 
-    /// Something that was acted on had seen a higher token, which it may have told.
-    pub fn overtaken(&self, by: Option<Token>) {
-        if let Some(duties) = self.duties.upgrade().filter(|_| self.may()) {
-            if let Some(by) = by {
-                duties.core.borrow_mut().seen(self.duty, by);
-            }
-            duties.let_go(self.duty, Ended::Overtaken);
+    /// Gives the lease up, because a server has seen a higher token, which it may have told.
+    pub(super) fn give_up_superseded(&self, highest_token: Option<Token>) {
+        let Some(service) = self.service_while_held() else {
+            return;
+        };
+        if let Some(token) = highest_token {
+            service
+                .manager
+                .borrow_mut()
+                .observe_token(self.lease, token);
         }
+        service.resign_lease(self.lease, EndReason::Superseded);
     }
 }
--- a/crates/heathroad/src/lib.rs
+++ b/crates/heathroad/src/lib.rs
@@ -1,5 +1,5 @@
-//! heathroad, a balancing proxy for services that call services: the decisions of `heathroad-balancer` on
-//! real sockets.
+//! heathroad, a balancing proxy for services that call services: the decisions of
+//! `heathroad-balancer` on real sockets.
 //!
 //! A request goes one way through the modules:
 //!
@@ -51,7 +51,7 @@
 use frontend::{connections, jsonrpc};
 use heathroad_balancer::api::ListKind;
 use heathroad_routing::transaction::Event;
-use lease::{Duties, Store};
+use lease::{LeaseService, LeaseStore};
 use membership::Peers;
 use membership::activity_log::Acts;
 use metrics::{Counts, Meter};
@@ -275,8 +275,10 @@
         let named = fleet.duties.take();
         let among = Peers::begin(fleet, config.seed, acts, config.state.clone()).await?;
         if let Some(named) = named {
-            let store = config.state.as_deref().map(Store::open).transpose()?;
-            duties = Some(Duties::begin(named, seed(), among.clone(), store).await?);
+            let store = config.state.as_deref().map(LeaseStore::open).transpose();
+            let store = store.map_err(|e| e.to_string())?;
+            let service = LeaseService::start(named, seed(), among.clone(), store).await;
+            duties = Some(service.map_err(|e| e.to_string())?);
         }
         peers = Some(among);
     }
@@ -367,7 +369,7 @@
         if let Some(duties) = &duties {
             // What it could not write is missed by nobody: who holds what was decided by the
             // voters.
-            let _ = timeout(LINGER, duties.stop()).await;
+            let _ = timeout(LINGER, duties.shut_down()).await;
         }
     };
     tokio::join!(sleep(LINGER), resign);
--- a/crates/heathroad/src/membership/audit.rs
+++ b/crates/heathroad/src/membership/audit.rs
@@ -3,8 +3,8 @@
 //! it.
 
 use super::Peers;
-use crate::lease::Duties;
-use crate::lease::audit_collector::Kept;
+use crate::lease::LeaseService;
+use crate::lease::audit_collection::CollectedRecord;
 use heathroad_membership::Place;
 use heathroad_membership::fleet::fetch::Unfetched;
 use heathroad_membership::record::{Kept as Interval, Spell, Told};
@@ -148,16 +148,16 @@
 
 /// What the collector kept of a member: by the collector's clock, and of nothing after it was
 /// collected.
-fn collected(ask: &Ask, kept: &Kept) -> Value {
-    let mut told = member(ask, &kept.told, kept.off, kept.error);
+fn collected(ask: &Ask, kept: &CollectedRecord) -> Value {
+    let mut told = member(ask, &kept.record, kept.clock_offset, kept.clock_error);
     told["reached"] = false.into();
-    (told["by"], told["collected_at"]) = (kept.by.into(), kept.at.into());
+    (told["by"], told["collected_at"]) = (kept.by.into(), kept.collected_at.into());
     told
 }
 
 /// Asks every member for its record. Of whom it does not reach, what the fleet's collector kept is
 /// told, where there is one.
-pub async fn audit(peers: Rc<Peers>, duties: Option<Rc<Duties>>, ask: Ask) -> Value {
+pub async fn audit(peers: Rc<Peers>, duties: Option<Rc<LeaseService>>, ask: Ask) -> Value {
     let acts = &peers.acts;
     let views = peers.members();
     let mut asking = JoinSet::new();
@@ -191,7 +191,7 @@
         + views["members"].as_array().map_or(0, Vec::len);
     let kept = match &duties {
         // Nobody is left to be told of but this proxy itself and those who were reached.
-        Some(duties) if apart > heard.len() + 1 => duties.collected().await,
+        Some(duties) if apart > heard.len() + 1 => duties.collected_records().await,
         _ => None,
     };
     let mut members = Vec::new();
