--- a/crates/heathroad-lease/src/candidate/mod.rs
+++ b/crates/heathroad-lease/src/candidate/mod.rs
@@ -1,8 +1,8 @@
 //! One lease as a member seeks and holds it.
 //!
-//! A candidate that is [`Idle`](Phase::Idle) asks voters for the lease's status ([`pre_vote`]),
-//! asks them for the lease once a quorum reports that it is free ([`campaign`]), and holds it once
-//! a quorum has granted it ([`held`]). What it gives up it tells the voters ([`releasing`]). All
+//! A candidate that is idle asks voters for the lease's status (`pre_vote`),
+//! asks them for the lease once a quorum reports that it is free (`campaign`), and holds it once
+//! a quorum has granted it (`held`). What it gives up it tells the voters (`releasing`). All
 //! times of a hold are counted from before its grants were asked for. A holder asks
 //! [`Candidate::hold`] before each act, which is how one that has stalled learns that its time is
 //! over.
