--- a/crates/heathroad-lease/src/lib.rs
+++ b/crates/heathroad-lease/src/lib.rs
@@ -25,7 +25,7 @@
 pub mod voter_set;
 pub mod voter_state;
 
-pub use heathroad_membership::{Millis, Place as MemberId};
+pub use heathroad_membership::{MemberId, Millis};
 pub use timing::LeaseTiming;
 
 use heathroad_membership::version::Digest;
--- a/crates/heathroad/src/lease/audit_collection.rs
+++ b/crates/heathroad/src/lease/audit_collection.rs
@@ -2,7 +2,7 @@
 //! a digest.
 
 use heathroad_lease::MemberId;
-use heathroad_membership::record::Told;
+use heathroad_membership::activity_record::RecordSnapshot;
 use heathroad_membership::version::Digest;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -33,7 +33,7 @@
     pub clock_error: u64,
     /// The record.
     #[serde(rename = "told")]
-    pub record: Told,
+    pub record: RecordSnapshot,
 }
 
 /// The collected records by member.
@@ -59,7 +59,7 @@
             return;
         }
         while encoded_length(&collected.record) > MAX_RECORD_BYTES
-            && collected.record.give_up_oldest()
+            && collected.record.discard_oldest()
         {}
         self.0.insert(member, collected);
     }
@@ -83,13 +83,13 @@
 
     fn drop_oldest(&mut self) {
         let records = self.0.values_mut().map(|collected| &mut collected.record);
-        let Some(longest) = records.max_by_key(|record| record.pages.len()) else {
+        let Some(longest) = records.max_by_key(|record| record.intervals.len()) else {
             return;
         };
-        for _ in 0..longest.pages.len().div_ceil(DROPPED_FRACTION) {
-            longest.give_up_oldest();
+        for _ in 0..longest.intervals.len().div_ceil(DROPPED_FRACTION) {
+            longest.discard_oldest();
         }
-        if longest.pages.len() <= 1 {
+        if longest.intervals.len() <= 1 {
             // Records of one interval each are still too many.
             let oldest = self
                 .0
--- a/crates/heathroad/src/lease/audit_collector.rs
+++ b/crates/heathroad/src/lease/audit_collector.rs
@@ -8,13 +8,13 @@
 use super::service::LeaseService;
 use super::worker::{LeaseHandle, WorkError};
 use crate::configuration::lease::WorkSettings;
-use crate::membership::Peers;
+use crate::membership::MembershipService;
 use crate::membership::audit;
 use crate::runtime_accounting::sleep;
 use heathroad_lease::checkpoint::Checkpoint;
 use heathroad_lease::{LeaseId, MemberId};
 use heathroad_membership::version::Digest;
-use heathroad_membership::wire::Topic;
+use heathroad_membership::wire::Resource;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::spawn_blocking;
@@ -45,7 +45,7 @@
 /// Collects records in rounds for as long as that is possible, and returns why it ended.
 pub(super) async fn collect(
     handle: &LeaseHandle,
-    peers: &Rc<Peers>,
+    peers: &Rc<MembershipService>,
     round_duration: Duration,
 ) -> WorkError {
     if let Err(error) = resume_collection(handle, peers).await {
@@ -67,7 +67,10 @@
 }
 
 /// Fetches the collection of the last checkpoint from the last collector, or from a voter.
-async fn resume_collection(handle: &LeaseHandle, peers: &Rc<Peers>) -> Result<(), WorkError> {
+async fn resume_collection(
+    handle: &LeaseHandle,
+    peers: &Rc<MembershipService>,
+) -> Result<(), WorkError> {
     let service = handle.service().ok_or(WorkError::ShuttingDown)?;
     let collection = service.collection.clone();
     let last = handle
@@ -79,11 +82,16 @@
     let sources = std::iter::once(last.collector).chain(service.voters());
     // The work must not keep the service alive.
     drop(service);
-    for source in sources.filter(|member| *member != peers.place()) {
+    for source in sources.filter(|member| *member != peers.member_id()) {
         let fetched = peers
-            .fetch(source, Topic::Collected, last.digest, FETCH_TIMEOUT)
+            .fetch(
+                source,
+                Resource::CollectedRecords,
+                last.digest,
+                FETCH_TIMEOUT,
+            )
             .await;
-        if fetched.is_ok_and(|(document, _)| collection.merge_document(&document)) {
+        if fetched.is_ok_and(|fetched| collection.merge_document(&fetched.bytes)) {
             break;
         }
     }
@@ -93,13 +101,13 @@
 /// Collects the record of each member once. Returns whether no other member was reached.
 async fn collect_round(
     handle: &LeaseHandle,
-    peers: &Rc<Peers>,
+    peers: &Rc<MembershipService>,
     round_duration: Duration,
 ) -> Result<bool, WorkError> {
     let service = handle.service().ok_or(WorkError::ShuttingDown)?;
     let (collection, store) = (service.collection.clone(), service.store.clone());
     drop(service);
-    let members = peers.there(true);
+    let members = peers.present_members(true);
     let member_count = u32::try_from(members.len().max(1)).unwrap_or(u32::MAX);
     let pause = (round_duration / member_count).max(MIN_MEMBER_PAUSE);
     let mut reached = 0;
@@ -107,11 +115,11 @@
         if !handle.is_held() {
             return Err(WorkError::LeaseLost);
         }
-        if *member == peers.place() {
+        if *member == peers.member_id() {
             collection.insert(*member, own_record(peers));
-        } else if let Ok(heard) = audit::record(peers, *member).await {
+        } else if let Ok(fetched) = audit::fetch_record(peers, *member).await {
             reached += 1;
-            collection.insert(*member, fetched_record(peers, heard));
+            collection.insert(*member, fetched_record(peers, fetched));
         }
         sleep(pause).await;
     }
@@ -122,23 +130,23 @@
     Ok(reached == 0 && members.len() > 1)
 }
 
-fn own_record(peers: &Peers) -> CollectedRecord {
+fn own_record(peers: &MembershipService) -> CollectedRecord {
     CollectedRecord {
-        by: peers.place(),
-        collected_at: peers.acts().now(),
+        by: peers.member_id(),
+        collected_at: peers.activity_log().now(),
         clock_offset: 0,
         clock_error: 0,
-        record: peers.acts().told(),
+        record: peers.activity_log().snapshot(),
     }
 }
 
-fn fetched_record(peers: &Peers, heard: audit::Heard) -> CollectedRecord {
+fn fetched_record(peers: &MembershipService, fetched: audit::RemoteRecord) -> CollectedRecord {
     CollectedRecord {
-        by: peers.place(),
-        collected_at: peers.acts().now(),
-        clock_offset: heard.off,
-        clock_error: heard.error,
-        record: heard.told,
+        by: peers.member_id(),
+        collected_at: peers.activity_log().now(),
+        clock_offset: fetched.clock_offset.offset_ms,
+        clock_error: fetched.clock_offset.error_ms,
+        record: fetched.snapshot,
     }
 }
 
@@ -167,13 +175,13 @@
             .peers
             .fetch(
                 wanted.collector,
-                Topic::Collected,
+                Resource::CollectedRecords,
                 wanted.digest,
                 FETCH_TIMEOUT,
             )
             .await;
         let collection = &service.collection;
-        if fetched.is_ok_and(|(document, _)| collection.merge_document(&document)) {
+        if fetched.is_ok_and(|fetched| collection.merge_document(&fetched.bytes)) {
             collection.update_document();
             save_collection(collection.document_to_store(), service.store.clone()).await;
         }
@@ -196,25 +204,30 @@
         let durable = manager.voter()?.state().leases.get(&lease)?;
         let wanted = CheckpointedCollection::from_checkpoint(&durable.checkpoint)?;
         let is_missing = wanted.digest != self.collection.digest();
-        (is_missing && wanted.collector != self.peers.place()).then_some(wanted)
+        (is_missing && wanted.collector != self.peers.member_id()).then_some(wanted)
     }
 
     /// Returns what was collected: from here, or from a voter that can be reached.
     pub async fn collected_records(&self) -> Option<CollectedRecords> {
         let (lease, _) = self.audit_lease()?;
         let voters = self.voters();
-        if self.held_token(lease).is_some() || voters.contains(&self.peers.place()) {
+        if self.held_token(lease).is_some() || voters.contains(&self.peers.member_id()) {
             return Some(self.collection.records());
         }
-        let present = self.peers.there(false);
+        let present = self.peers.present_members(false);
         for voter in voters.into_iter().filter(|voter| present.contains(voter)) {
             let fetched = self
                 .peers
-                .fetch(voter, Topic::Collected, Digest::default(), FETCH_TIMEOUT)
+                .fetch(
+                    voter,
+                    Resource::CollectedRecords,
+                    Digest::default(),
+                    FETCH_TIMEOUT,
+                )
                 .await;
             let records = fetched
                 .ok()
-                .and_then(|(document, _)| serde_json::from_slice(&document).ok());
+                .and_then(|fetched| serde_json::from_slice(&fetched.bytes).ok());
             if records.is_some() {
                 return records;
             }
--- a/crates/heathroad/src/lease/history.rs
+++ b/crates/heathroad/src/lease/history.rs
@@ -3,13 +3,13 @@
 use super::managed_lease::{ManagedLease, OwnHold};
 use super::report::{HistoryReport, Hold, LeaseHistory};
 use super::service::LeaseService;
-use crate::membership::audit::{self, Off};
+use crate::membership::audit::{self, ClockOffset};
 use crate::runtime_accounting::spawn_in;
 use heathroad_lease::candidate::EndReason;
 use heathroad_lease::grant_history::GrantEnd;
 use heathroad_lease::token::Token;
 use heathroad_lease::{LeaseId, MemberId};
-use heathroad_membership::wire::Topic;
+use heathroad_membership::wire::Resource;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -60,7 +60,7 @@
     member: MemberId,
     history: LocalHistory,
     /// How the member's clock compares to this proxy's.
-    clock: Off,
+    clock: ClockOffset,
 }
 
 /// What is known of one hold, from its holder and from voters.
@@ -78,21 +78,21 @@
 }
 
 impl HoldSummary {
-    fn add_own_hold(&mut self, member: MemberId, hold: &OwnHoldRecord, clock: Off) {
-        self.from = Some(clock.here(hold.from));
-        self.to = hold.to.map(|to| clock.here(to));
+    fn add_own_hold(&mut self, member: MemberId, hold: &OwnHoldRecord, clock: ClockOffset) {
+        self.from = Some(clock.to_local(hold.from));
+        self.to = hold.to.map(|to| clock.to_local(to));
         self.end_reason = hold.end_reason.clone();
         self.is_held = hold.to.is_none();
-        self.clock_error_ms = self.clock_error_ms.max(clock.error);
+        self.clock_error_ms = self.clock_error_ms.max(clock.error_ms);
         self.reported_by.push(member);
     }
 
-    fn add_grant(&mut self, member: MemberId, grant: &VoterGrantRecord, clock: Off) {
-        let (from, until) = (clock.here(grant.from), clock.here(grant.until));
+    fn add_grant(&mut self, member: MemberId, grant: &VoterGrantRecord, clock: ClockOffset) {
+        let (from, until) = (clock.to_local(grant.from), clock.to_local(grant.until));
         self.granted_from = Some(self.granted_from.map_or(from, |first| first.min(from)));
         self.granted_until = Some(self.granted_until.map_or(until, |last| last.max(until)));
         self.is_resigned |= grant.end == GrantEnd::Resigned;
-        self.clock_error_ms = self.clock_error_ms.max(clock.error);
+        self.clock_error_ms = self.clock_error_ms.max(clock.error_ms);
         if !self.reported_by.contains(&member) {
             self.reported_by.push(member);
         }
@@ -171,7 +171,7 @@
             .iter()
             .map(|(id, lease)| self.lease_records(*id, lease));
         LocalHistory {
-            at: self.peers.acts().now(),
+            at: self.peers.activity_log().now(),
             leases: leases.collect(),
         }
     }
@@ -199,9 +199,9 @@
 
     async fn history_report(&self) -> HistoryReport {
         let own = MemberHistory {
-            member: self.peers.place(),
+            member: self.peers.member_id(),
             history: self.local_history(),
-            clock: Off::default(),
+            clock: ClockOffset::default(),
         };
         let mut histories = vec![own];
         let mut unreached = Vec::new();
@@ -219,8 +219,8 @@
             .values()
             .map(|lease| combine(&lease.name, &histories));
         HistoryReport {
-            asked: self.peers.place(),
-            at: self.peers.acts().now(),
+            asked: self.peers.member_id(),
+            at: self.peers.activity_log().now(),
             unreached,
             leases: leases.collect(),
         }
@@ -230,11 +230,12 @@
     /// the member's id.
     fn start_history_fetches(&self) -> JoinSet<Result<MemberHistory, MemberId>> {
         let mut fetches = JoinSet::new();
-        for member in self.peers.there(false) {
+        for member in self.peers.present_members(false) {
             let peers = self.peers.clone();
             spawn_in(&mut fetches, async move {
                 let at = |history: &LocalHistory| history.at;
-                let fetched = audit::told(&peers, member, Topic::Duties, at).await;
+                let fetched =
+                    audit::fetch_snapshot(&peers, member, Resource::LeaseHistory, at).await;
                 let (history, clock) = fetched.map_err(|_| member)?;
                 Ok(MemberHistory {
                     member,
--- a/crates/heathroad/src/lease/service.rs
+++ b/crates/heathroad/src/lease/service.rs
@@ -6,7 +6,7 @@
 use super::worker::LeaseHandle;
 use super::{audit_collector, http_call};
 use crate::configuration::lease::{Settings, WorkSettings};
-use crate::membership::Peers;
+use crate::membership::MembershipService;
 use crate::runtime_accounting::{sleep_until, spawn_local};
 use heathroad_lease::candidate::{EndReason, LeaseEvent};
 use heathroad_lease::checkpoint::Checkpoint;
@@ -15,7 +15,7 @@
 use heathroad_lease::token::Token;
 use heathroad_lease::voter_state::VoterState;
 use heathroad_lease::{LeaseId, MemberId, Millis};
-use heathroad_membership::wire::Topic;
+use heathroad_membership::wire::Resource;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
@@ -30,7 +30,7 @@
 /// The leases of this proxy.
 pub struct LeaseService {
     pub(super) manager: RefCell<LeaseManager>,
-    pub(super) peers: Rc<Peers>,
+    pub(super) peers: Rc<MembershipService>,
     pub(super) store: Option<LeaseStore>,
     pub(super) lease_duration: Duration,
     pub(super) leases: BTreeMap<LeaseId, ManagedLease>,
@@ -54,7 +54,7 @@
     pub async fn start(
         settings: Settings,
         seed: u64,
-        peers: Rc<Peers>,
+        peers: Rc<MembershipService>,
         store: Option<LeaseStore>,
     ) -> Result<Rc<LeaseService>, StoreError> {
         let state = store
@@ -68,7 +68,7 @@
         let collection = AuditCollection::from_stored(collected.flatten().as_deref());
         let lease_duration = Duration::from_millis(settings.timing.lease_duration);
         let manager_settings = lease_manager::Settings {
-            own: peers.place(),
+            own: peers.member_id(),
             voters: settings.voters,
             timing: settings.timing,
             leases: settings
@@ -78,7 +78,7 @@
                 .collect(),
             seed,
         };
-        let unix_ms = peers.acts().now();
+        let unix_ms = peers.activity_log().now();
         let manager = LeaseManager::new(
             peers.now(),
             unix_ms,
@@ -114,12 +114,12 @@
     /// Has the membership protocol serve this proxy's lease history and audit collection.
     fn serve_documents(&self) {
         let service = self.weak_self.clone();
-        self.peers.serve(Box::new(move |topic, key| {
+        self.peers.serve_resources(Box::new(move |topic, key| {
             let service = service.upgrade()?;
             match topic {
-                Topic::Duties => serde_json::to_vec(&service.local_history()).ok(),
-                Topic::Collected => service.collection.document(key),
-                Topic::Record | Topic::Routes => None,
+                Resource::LeaseHistory => serde_json::to_vec(&service.local_history()).ok(),
+                Resource::CollectedRecords => service.collection.document(key),
+                Resource::ActivityRecord | Resource::Routes => None,
             }
         }));
     }
@@ -135,7 +135,7 @@
             let due = due.min(Instant::now() + MAX_TURN_INTERVAL);
             tokio::select! {
                 biased;
-                () = self.peers.carried_any() => {}
+                () = self.peers.messages_received() => {}
                 () = self.wake.notified() => {}
                 () = sleep_until(due) => {}
             }
@@ -151,14 +151,14 @@
 
     fn process_inputs(&self) {
         let now = self.peers.now();
-        let is_fenced = self.peers.acts().fenced();
+        let is_fenced = self.peers.activity_log().is_fenced();
         let is_willing = !self.is_shutting_down.get() && !is_fenced;
         let mut manager = self.manager.borrow_mut();
-        manager.set_unix_time(self.peers.acts().now());
-        manager.set_present_members(self.peers.there(is_willing));
+        manager.set_unix_time(self.peers.activity_log().now());
+        manager.set_present_members(self.peers.present_members(is_willing));
         // What has arrived counts before the manager concludes that nothing has.
-        for carried in self.peers.carried() {
-            manager.handle_datagram(now, carried.from, carried.life, &carried.bytes);
+        for carried in self.peers.take_messages() {
+            manager.handle_datagram(now, carried.from, carried.incarnation, &carried.bytes);
         }
         manager.tick(now);
         if !is_fenced {
@@ -233,11 +233,11 @@
 
     fn send(&self, outgoing: OutgoingMessage) {
         let OutgoingMessage { to, message } = outgoing;
-        if to != self.peers.place() {
-            self.peers.carry(to, message.encode());
+        if to != self.peers.member_id() {
+            self.peers.send_message(to, message.encode());
             return;
         }
-        let (now, incarnation) = (self.peers.now(), self.peers.acts().life());
+        let (now, incarnation) = (self.peers.now(), self.peers.activity_log().incarnation());
         self.manager
             .borrow_mut()
             .handle_message(now, to, incarnation, message);
@@ -248,7 +248,7 @@
             return;
         };
         let name = &lease.name;
-        let unix_ms = self.peers.acts().now();
+        let unix_ms = self.peers.activity_log().now();
         match event {
             LeaseEvent::Acquired { token, checkpoint } => {
                 tracing::info!(lease = %name, %token, "lease {name}: acquired with token {token}");
@@ -331,7 +331,7 @@
 
     /// Converts a time of this proxy's monotonic clock to Unix time in milliseconds.
     pub(super) fn unix_time_at(&self, at: Millis) -> u64 {
-        let (now, unix_ms) = (self.peers.now(), self.peers.acts().now());
+        let (now, unix_ms) = (self.peers.now(), self.peers.activity_log().now());
         unix_ms.saturating_sub(now).saturating_add(at)
     }
 }
--- a/crates/heathroad/src/lease/status.rs
+++ b/crates/heathroad/src/lease/status.rs
@@ -77,8 +77,8 @@
             .iter()
             .map(|(id, lease)| self.lease_status(*id, lease));
         StatusReport {
-            asked: self.peers.place(),
-            at: self.peers.acts().now(),
+            asked: self.peers.member_id(),
+            at: self.peers.activity_log().now(),
             generation: voters.generation(),
             voters: voters.members().collect(),
             is_voter: manager.voter().is_some(),
--- a/crates/heathroad/src/lease/worker.rs
+++ b/crates/heathroad/src/lease/worker.rs
@@ -102,7 +102,7 @@
     pub(super) fn holder(&self) -> String {
         let incarnation = self
             .service()
-            .map_or(0, |service| service.peers.acts().life());
+            .map_or(0, |service| service.peers.activity_log().incarnation());
         format!("{}.{incarnation}", self.token.member())
     }
 
--- a/crates/heathroad/tests/unit/audit_collection.rs
+++ b/crates/heathroad/tests/unit/audit_collection.rs
@@ -1,19 +1,19 @@
 //! Unit tests of the audit collection.
 
 use super::*;
-use heathroad_membership::record::Record;
+use heathroad_membership::activity_record::ActivityRecord;
 use heathroad_membership::version::Version;
 
-fn record(at: u64, interval_count: u64) -> Told {
-    let mut record = Record::new(1, 0, None);
+fn record(at: u64, interval_count: u64) -> RecordSnapshot {
+    let mut record = ActivityRecord::new(1, 0, None);
     for generation in 0..interval_count {
         let version = Version {
             generation,
             ..Version::default()
         };
-        record.begin(generation, version);
+        record.begin_interval(generation, version);
     }
-    record.told(at)
+    record.snapshot(at)
 }
 
 fn collected(at: u64, interval_count: u64) -> CollectedRecord {
@@ -29,7 +29,7 @@
 fn interval_count(records: &CollectedRecords, member: MemberId) -> Option<usize> {
     records
         .get(member)
-        .map(|collected| collected.record.pages.len())
+        .map(|collected| collected.record.intervals.len())
 }
 
 #[test]
@@ -46,7 +46,7 @@
     records.insert(4, collected(10, 250));
     let long = &records.get(4).expect("it is kept").record;
     assert!(encoded_length(long) <= MAX_RECORD_BYTES);
-    assert!(long.lost.pages > 0 && long.pages.len() > 20);
+    assert!(long.discarded.count > 0 && long.intervals.len() > 20);
 }
 
 #[test]
@@ -60,7 +60,7 @@
     let last = records.get(399).expect("what was collected last is kept");
     let generation = last
         .record
-        .pages
+        .intervals
         .last()
         .map(|interval| interval.version.generation);
     assert_eq!(generation, Some(39));
--- a/crates/heathroad/tests/unit/lease_history.rs
+++ b/crates/heathroad/tests/unit/lease_history.rs
@@ -45,7 +45,13 @@
 
 #[test]
 fn history_has_the_same_json() {
-    let clocks = [Off::default(), Off { off: -40, error: 3 }];
+    let clocks = [
+        ClockOffset::default(),
+        ClockOffset {
+            offset_ms: -40,
+            error_ms: 3,
+        },
+    ];
     let histories = [0, 1].map(|member| MemberHistory {
         member,
         history: local_history(),
--- a/crates/heathroad/tests/unit/lease_store.rs
+++ b/crates/heathroad/tests/unit/lease_store.rs
@@ -62,7 +62,7 @@
         ),
         (1, 1_790_000_000_000, -12, 3)
     );
-    assert_eq!(collected.record.pages.len(), 2);
+    assert_eq!(collected.record.intervals.len(), 2);
     std::fs::remove_dir_all(&folder).expect("it is removed");
 }
 
