--- a/crates/heathroad/src/cli/lease.rs
+++ b/crates/heathroad/src/cli/lease.rs
@@ -1,7 +1,7 @@
 //! The `duty` command: asks a running daemon about leases, and words its answers as text.
 
 use super::arguments::LeaseCommand;
-use super::{admin_client, lease_chart, membership};
+use super::{admin_client, lease_chart, query};
 use crate::lease::report::{
     HistoryReport, Hold, LeaseHistory, LeaseStatus, StatusReport, VoterReport,
 };
@@ -18,14 +18,14 @@
 pub fn run(command: &LeaseCommand) -> Result<String, String> {
     match command {
         LeaseCommand::List { how } => {
-            let text = membership::get(how, STATUS_PATH)?;
+            let text = query::fetch(how, STATUS_PATH)?;
             if how.json {
                 return Ok(text);
             }
             Ok(format_status(&decode(&text)?))
         }
         LeaseCommand::History { how, picture } => {
-            let text = membership::get(how, HISTORY_PATH)?;
+            let text = query::fetch(how, HISTORY_PATH)?;
             let history: HistoryReport = decode(&text)?;
             if let Some(file) = picture {
                 std::fs::write(file, lease_chart::draw(&history))
@@ -49,7 +49,7 @@
 }
 
 fn format_duration(ms: u64) -> String {
-    membership::span(&ms.into())
+    query::format_duration(&ms.into())
 }
 
 fn join(members: &[MemberId]) -> String {
--- a/crates/heathroad/src/cli/mod.rs
+++ b/crates/heathroad/src/cli/mod.rs
@@ -7,5 +7,6 @@
 mod lease;
 mod lease_chart;
 mod membership;
+mod query;
 mod timeline_chart;
 mod verify;
--- a/crates/heathroad/src/lease/audit_collector.rs
+++ b/crates/heathroad/src/lease/audit_collector.rs
@@ -6,6 +6,7 @@
 
 use super::audit_collection::{CollectedRecord, CollectedRecords};
 use super::service::LeaseService;
+use super::store::LeaseStore;
 use super::worker::{LeaseHandle, WorkError};
 use crate::configuration::lease::WorkSettings;
 use crate::membership::MembershipService;
@@ -150,7 +151,7 @@
     }
 }
 
-async fn save_collection(document: Vec<u8>, store: Option<super::LeaseStore>) {
+async fn save_collection(document: Vec<u8>, store: Option<LeaseStore>) {
     let Some(store) = store else {
         return;
     };
--- a/crates/heathroad/src/lease/mod.rs
+++ b/crates/heathroad/src/lease/mod.rs
@@ -13,4 +13,3 @@
 mod worker;
 
 pub use service::LeaseService;
-pub use store::LeaseStore;
--- a/crates/heathroad/src/lease/service.rs
+++ b/crates/heathroad/src/lease/service.rs
@@ -18,6 +18,7 @@
 use heathroad_membership::wire::Resource;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::path::Path;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 use tokio::sync::{Mutex, Notify, watch};
@@ -50,13 +51,14 @@
 }
 
 impl LeaseService {
-    /// Starts the service, with the state that is on disk where there is a store.
+    /// Starts the service, with the state that is in the state folder, where there is one.
     pub async fn start(
         settings: Settings,
         seed: u64,
         peers: Rc<MembershipService>,
-        store: Option<LeaseStore>,
+        state_folder: Option<&Path>,
     ) -> Result<Rc<LeaseService>, StoreError> {
+        let store = state_folder.map(LeaseStore::open).transpose()?;
         let state = store
             .as_ref()
             .map(LeaseStore::read_voter_state)
