--- a/crates/heathroad/src/cli/mod.rs
+++ b/crates/heathroad/src/cli/mod.rs
@@ -5,6 +5,7 @@
 mod arguments;
 pub mod commands;
 mod lease;
+mod lease_chart;
 mod membership;
 mod query;
 mod timeline_chart;
--- a/crates/heathroad/src/configuration/membership.rs
+++ b/crates/heathroad/src/configuration/membership.rs
@@ -53,9 +53,9 @@
     fence_unsure_after_ms: Option<u64>,
     #[serde(rename = "period_ms", default = "default_probe_period_ms")]
     probe_period_ms: u64,
-    duties: Option<super::lease::Duties>,
+    duties: Option<super::lease::LeasesSection>,
     #[serde(default)]
-    duty: Vec<super::lease::Named>,
+    duty: Vec<super::lease::LeaseEntry>,
 }
 
 fn default_probe_period_ms() -> u64 {
@@ -139,7 +139,7 @@
     Credentials(#[from] CredentialsError),
     /// The leases are rejected.
     #[error("{0}")]
-    Leases(String),
+    Leases(#[source] super::lease::LeaseConfigError),
 }
 
 /// What is wrong with the platform's addresses.
--- a/crates/heathroad/src/membership/audit/mod.rs
+++ b/crates/heathroad/src/membership/audit/mod.rs
@@ -7,16 +7,15 @@
 
 pub use super::clock_offset::ClockOffset;
 pub use query::AuditQuery;
-pub use remote::{fetch_record, fetch_snapshot};
+pub use remote::{RemoteRecord, fetch_record, fetch_snapshot};
 
 use super::MembershipService;
-use crate::lease::Duties;
-use crate::lease::audit_collector::{Collected, Kept};
+use crate::lease::LeaseService;
+use crate::lease::audit_collection::{CollectedRecord, CollectedRecords};
 use crate::runtime_accounting::spawn_in;
 use heathroad_membership::MemberId;
 use heathroad_membership::activity_record::{FaultInterval, Interval, RecordSnapshot};
 use heathroad_membership::protocol::fetch::FetchError;
-use remote::RemoteRecord;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -33,7 +32,7 @@
 /// collector is reported, where there is one.
 pub async fn audit(
     service: Rc<MembershipService>,
-    leases: Option<Rc<Duties>>,
+    leases: Option<Rc<LeaseService>>,
     query: AuditQuery,
 ) -> Value {
     let views = service.members();
@@ -99,8 +98,8 @@
     members > reached + 1
 }
 
-async fn fetch_collected(leases: Option<Rc<Duties>>) -> Option<Collected> {
-    leases?.collected().await
+async fn fetch_collected(leases: Option<Rc<LeaseService>>) -> Option<CollectedRecords> {
+    leases?.collected_records().await
 }
 
 fn member_id(view: &Value) -> MemberId {
@@ -126,7 +125,12 @@
 
 /// Reports a member that was not reached. Which version it ran since it was last heard, and until
 /// when, nobody here can know.
-fn report_unreached(query: AuditQuery, view: &Value, why: &str, collected: Option<&Kept>) -> Value {
+fn report_unreached(
+    query: AuditQuery,
+    view: &Value,
+    why: &str,
+    collected: Option<&CollectedRecord>,
+) -> Value {
     json!({"reached": false, "why": why, "last_heard_ms": view["heard_ms"],
         "last_acts": view["acts"], "last_version": view["version"], "unknown_until": Value::Null,
         "collected": collected.map(|collected| report_collected(query, collected))})
@@ -144,15 +148,15 @@
 
 /// Reports the collector's record of a member. It is by the collector's clock, and says nothing of
 /// the time after it was collected.
-fn report_collected(query: AuditQuery, collected: &Kept) -> Value {
+fn report_collected(query: AuditQuery, collected: &CollectedRecord) -> Value {
     let clock = ClockOffset {
-        offset_ms: collected.off,
-        error_ms: collected.error,
+        offset_ms: collected.clock_offset,
+        error_ms: collected.clock_error,
     };
-    let mut report = report_record(query, &collected.told, clock);
+    let mut report = report_record(query, &collected.record, clock);
     report["reached"] = false.into();
     report["by"] = collected.by.into();
-    report["collected_at"] = collected.at.into();
+    report["collected_at"] = collected.collected_at.into();
     report
 }
 
