--- a/crates/heathroad/src/frontend/http/connection.rs
+++ b/crates/heathroad/src/frontend/http/connection.rs
@@ -2,7 +2,7 @@
 
 use super::HttpFrontend;
 use super::response::{Reply, plain, to_reply};
-use crate::engine::{self, FinalResponse, IncomingRequest, retry_after};
+use crate::engine::{self, FinalResponse, retry_after};
 use crate::frontend::connections::{
     CloseReason, Connection, FIRST_REQUEST_GRACE, RegisteredConnection, Stage,
 };
@@ -10,7 +10,6 @@
 use crate::frontend::reservations::PendingRequestGuard;
 use crate::metrics::Final;
 use crate::retry_budget::SPENT_HEADER;
-use crate::router::Bound;
 use crate::runtime_accounting::sleep;
 use crate::safety::ClientHandle;
 use crate::stall_detector;
@@ -182,22 +181,8 @@
             let retry_after = retry_after(&self.settings);
             return to_reply(engine::Response::Rejected { retry_after });
         }
-        self.handle(incoming, &bound, connection).await
-    }
-
-    /// Has the engine decide a request.
-    async fn handle(
-        &self,
-        incoming: IncomingRequest,
-        bound: &Bound,
-        connection: &Rc<Connection>,
-    ) -> Reply {
         connection.stage.set(Stage::Pending);
-        // The client may have left while its request lay unread: nothing is begun for it. The
-        // connection's task sees the same, and ends.
-        let asks_system =
-            !connection.is_answered.get() || stall_detector::may_have_stalled(Instant::now());
-        if connection.stream.has_ended(asks_system) {
+        if has_left_unread(connection) {
             tracing::debug!(id = %incoming.call.label(), reason = "client left", "request dropped");
             bound.engine.record_undecided(&incoming, Final::Left);
             return pending().await;
@@ -207,19 +192,8 @@
             id = %incoming.call.label(), connection = connection.number, "request taken"
         );
         let client = Some(ClientHandle::new(connection));
-        let FinalResponse {
-            response,
-            retries_spent,
-        } = bound.engine.handle_request(incoming, client).await;
-        if matches!(response, engine::Response::Served(_)) {
-            connection.is_served.set(true);
-        }
-        let mut reply = to_reply(response);
-        let report = retries_spent.and_then(|spent| HeaderValue::try_from(spent.to_string()).ok());
-        if let Some(report) = report {
-            reply.headers_mut().insert(SPENT_HEADER, report);
-        }
-        reply
+        let decided = bound.engine.handle_request(incoming, client).await;
+        final_reply(connection, decided)
     }
 
     /// Returns whether there is no capacity for one more request. Idle clients hold places too:
@@ -231,6 +205,31 @@
     }
 }
 
+/// Returns whether the client has left while its request lay unread: nothing is begun for it. The
+/// connection's task sees the same, and ends.
+fn has_left_unread(connection: &Connection) -> bool {
+    let asks_system =
+        !connection.is_answered.get() || stall_detector::may_have_stalled(Instant::now());
+    connection.stream.has_ended(asks_system)
+}
+
+/// Returns the reply for the engine's decision.
+fn final_reply(connection: &Connection, decided: FinalResponse) -> Reply {
+    let FinalResponse {
+        response,
+        retries_spent,
+    } = decided;
+    if matches!(response, engine::Response::Served(_)) {
+        connection.is_served.set(true);
+    }
+    let mut reply = to_reply(response);
+    let report = retries_spent.and_then(|spent| HeaderValue::try_from(spent.to_string()).ok());
+    if let Some(report) = report {
+        reply.headers_mut().insert(SPENT_HEADER, report);
+    }
+    reply
+}
+
 /// Runs a connection until it is closed, for the reason returned, or the stop.
 async fn run_until_stop<S>(
     mut http: Pin<&mut HttpConnection<S>>,
--- a/crates/heathroad/src/frontend/http/request.rs
+++ b/crates/heathroad/src/frontend/http/request.rs
@@ -99,31 +99,23 @@
         let reservation = RequestReservation::new(&self.table, headers.id);
         let mut reservation = reservation.ok_or(RequestError::DuplicateId)?;
         let body_deadline = body_deadline(connection, received_at, timeout);
-        let body = self
-            .read_body(body, &mut reservation, body_deadline)
-            .await?;
-        let uri = head
-            .uri
-            .path_and_query()
-            .cloned()
-            .map(Uri::from)
-            .ok_or(BAD_REQUEST)?;
+        let body = if body.is_end_stream() {
+            Bytes::new()
+        } else {
+            let collected = collect(body, &mut reservation, self.max_buffered_bytes);
+            let timed_out = RequestError::Malformed(StatusCode::REQUEST_TIMEOUT);
+            timeout_at(body_deadline, collected)
+                .await
+                .unwrap_or(Err(timed_out))?
+        };
+        let activity = bound.acts.clone();
+        let call = to_call(&head, &headers, activity.as_ref(), body)?;
         let fingerprint = RequestFingerprint {
             key: key.map_or(0, |key| hash(key.as_bytes())),
             class: bound.class,
             tenant,
         };
         let budget = self.admit_budget(&head.headers, is_trusted, fingerprint, timeout)?;
-        let activity = bound.acts.clone();
-        let call = http::Call {
-            host: head.headers.get(HOST).cloned(),
-            uri,
-            id: headers.id.clone(),
-            key: headers.idempotency_key.cloned(),
-            version: activity.as_ref().and_then(activity_log::Bound::header),
-            method: head.method,
-            body,
-        };
         let incoming = IncomingRequest {
             call: Call::Http(call),
             class: bound.class,
@@ -191,23 +183,6 @@
         self.router.bind(&ask).map_err(RequestError::NotRouted)
     }
 
-    /// Reads a body of bounded length, until a deadline.
-    async fn read_body(
-        &self,
-        body: Incoming,
-        reservation: &mut RequestReservation,
-        deadline: Instant,
-    ) -> Result<Bytes, RequestError> {
-        if body.is_end_stream() {
-            return Ok(Bytes::new());
-        }
-        let collected = collect(body, reservation, self.max_buffered_bytes);
-        let timed_out = RequestError::Malformed(StatusCode::REQUEST_TIMEOUT);
-        timeout_at(deadline, collected)
-            .await
-            .unwrap_or(Err(timed_out))
-    }
-
     fn admit_budget(
         &self,
         headers: &HeaderMap,
@@ -223,6 +198,25 @@
     }
 }
 
+/// Returns a request as attempts of it are sent.
+fn to_call(
+    head: &Parts,
+    headers: &ProtocolHeaders<'_>,
+    activity: Option<&activity_log::Bound>,
+    body: Bytes,
+) -> Result<http::Call, RequestError> {
+    let path_and_query = head.uri.path_and_query().cloned();
+    Ok(http::Call {
+        method: head.method.clone(),
+        uri: path_and_query.map(Uri::from).ok_or(BAD_REQUEST)?,
+        host: head.headers.get(HOST).cloned(),
+        id: headers.id.clone(),
+        key: headers.idempotency_key.cloned(),
+        version: activity.and_then(activity_log::Bound::header),
+        body,
+    })
+}
+
 /// Returns when a body must have arrived. A client that stops half-way through its body is not
 /// waited for.
 fn body_deadline(connection: &Connection, received_at: Instant, timeout: Duration) -> Instant {
