--- a/crates/heathroad/src/engine/attempt.rs
+++ b/crates/heathroad/src/engine/attempt.rs
@@ -16,7 +16,7 @@
 use crate::time::as_millis;
 use bytes::Bytes;
 use heathroad_balancer::api::{AttemptResult, BackendId, Event, Outcome, RequestId};
-use heathroad_membership::record::Act;
+use heathroad_membership::activity_record::Activity;
 use std::rc::Rc;
 use tokio::time::Instant;
 
@@ -179,7 +179,10 @@
             may_duplicate,
             now,
         )?;
-        let is_permitted = open.activity.as_ref().is_none_or(activity_log::Bound::may);
+        let is_permitted = open
+            .activity
+            .as_ref()
+            .is_none_or(activity_log::RequestActivity::permits_attempt);
         let is_first = open.attempts.is_empty();
         let has_budget = || is_first || open.budget.as_ref().is_none_or(RequestBudget::try_retry);
         if !is_permitted || !has_budget() {
@@ -243,7 +246,7 @@
             self.counts.sent_cold();
         }
         if let Some(activity) = &open.activity {
-            activity.act(Act::Sent);
+            activity.record(Activity::AttemptSent);
         }
     }
 
--- a/crates/heathroad/src/engine/mod.rs
+++ b/crates/heathroad/src/engine/mod.rs
@@ -18,7 +18,7 @@
 pub use response::{FinalResponse, Response, retry_after};
 
 use crate::backend::{Pool, Target};
-use crate::membership::activity_log::{self, Acts};
+use crate::membership::activity_log::{self, ActivityLog};
 use crate::metrics::{Counts, Moment};
 use crate::safety;
 use crate::time::{as_millis, millis};
@@ -55,7 +55,7 @@
     settings: InstanceSettings,
     counts: Counts,
     /// What this proxy acts on, where a record is kept.
-    activity_log: Option<Rc<Acts>>,
+    activity_log: Option<Rc<ActivityLog>>,
     /// Whether the decision module wants the list of backends to be watched.
     watch_requested: watch::Sender<bool>,
     /// All requests end by then; set by a planned stop.
@@ -73,7 +73,7 @@
         seed: u64,
         pool: Rc<Pool>,
         counts: Counts,
-        activity_log: Option<Rc<Acts>>,
+        activity_log: Option<Rc<ActivityLog>>,
         watch_requested: watch::Sender<bool>,
     ) -> Result<Rc<Self>, SettingsError> {
         settings.balancer.limits.late_completions = true;
@@ -128,12 +128,14 @@
     /// Returns whether this proxy is fenced: it admits no request, since another configuration is
     /// required than it acts on, or it cannot know.
     pub fn is_fenced(&self) -> bool {
-        self.activity_log.as_ref().is_some_and(|log| log.fenced())
+        self.activity_log
+            .as_ref()
+            .is_some_and(|log| log.is_fenced())
     }
 
     /// Binds a request to the configuration in force, where a record is kept.
-    pub fn bind_activity(&self) -> Option<activity_log::Bound> {
-        self.activity_log.as_ref().map(Acts::bind)
+    pub fn bind_activity(&self) -> Option<activity_log::RequestActivity> {
+        self.activity_log.as_ref().map(ActivityLog::begin_request)
     }
 
     /// Returns the pool's counters.
--- a/crates/heathroad/src/engine/request.rs
+++ b/crates/heathroad/src/engine/request.rs
@@ -13,7 +13,7 @@
 use crate::safety::{self, ClientHandle, PastAttempt, Violation, violations};
 use crate::time::{as_millis, millis};
 use heathroad_balancer::api::{Event, Idempotency, Outcome, RequestArrival, RequestId};
-use heathroad_membership::record::Act;
+use heathroad_membership::activity_record::Activity;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -38,13 +38,13 @@
     /// Its retry budget, where budgets are configured.
     pub budget: Option<RequestBudget>,
     /// Records its activities, where a record is kept.
-    pub activity: Option<activity_log::Bound>,
+    pub activity: Option<activity_log::RequestActivity>,
 }
 
 impl IncomingRequest {
-    fn record(&self, activity: Act) {
+    fn record(&self, activity: Activity) {
         if let Some(log) = &self.activity {
-            log.act(activity);
+            log.record(activity);
         }
     }
 
@@ -81,7 +81,7 @@
     /// The outcome of the attempt that ended last.
     pub(super) last_outcome: Option<Outcome>,
     pub(super) budget: Option<RequestBudget>,
-    pub(super) activity: Option<activity_log::Bound>,
+    pub(super) activity: Option<activity_log::RequestActivity>,
 }
 
 impl OpenRequest {
@@ -166,7 +166,7 @@
         if self.is_fenced() {
             return self.reject_while_fenced(&incoming);
         }
-        incoming.record(Act::Bound);
+        incoming.record(Activity::RequestBound);
         let timeout = incoming.effective_timeout();
         let deadlines = Deadlines::new(incoming.received_at, timeout, self.stop_at.get());
         tracing::debug!(
@@ -200,12 +200,12 @@
     pub fn record_undecided(&self, incoming: &IncomingRequest, response: Final) {
         self.counts
             .answered(incoming.class, incoming.tenant, response);
-        incoming.record(Act::Bound);
+        incoming.record(Activity::RequestBound);
         incoming.record(final_activity(response));
     }
 
     fn reject_while_fenced(&self, incoming: &IncomingRequest) -> FinalResponse {
-        incoming.record(Act::Fenced);
+        incoming.record(Activity::RequestFenced);
         self.fenced_rejections.set(self.fenced_rejections.get() + 1);
         self.counts
             .answered(incoming.class, incoming.tenant, Final::Refused);
@@ -219,7 +219,7 @@
         );
         self.counts
             .answered(incoming.class, incoming.tenant, Final::TimedOut);
-        incoming.record(Act::Failed);
+        incoming.record(Activity::RequestFailed);
         Response::TimedOut.into()
     }
 
@@ -229,7 +229,7 @@
         );
         self.counts
             .answered(incoming.class, incoming.tenant, Final::Refused);
-        incoming.record(Act::Refused);
+        incoming.record(Activity::RequestRejected);
         Response::Rejected { retry_after: None }.into()
     }
 
@@ -319,7 +319,7 @@
     request: RequestId,
     class: u16,
     tenant: u16,
-    activity: Option<activity_log::Bound>,
+    activity: Option<activity_log::RequestActivity>,
     /// How the request ends, by what is known now.
     outcome: Final,
 }
@@ -363,7 +363,7 @@
             .counts
             .answered(self.class, self.tenant, self.outcome);
         if let Some(activity) = &self.activity {
-            activity.act(final_activity(self.outcome));
+            activity.record(final_activity(self.outcome));
         }
         let has_left = {
             let state = &mut *self.engine.state.borrow_mut();
--- a/crates/heathroad/src/engine/response.rs
+++ b/crates/heathroad/src/engine/response.rs
@@ -5,7 +5,7 @@
 use crate::time::millis;
 use bytes::Bytes;
 use heathroad_balancer::settings::InstanceSettings;
-use heathroad_membership::record::Act;
+use heathroad_membership::activity_record::Activity;
 use heathroad_retry_budget::wire::RetriesSpent;
 use std::rc::Rc;
 use std::time::Duration;
@@ -74,10 +74,10 @@
 }
 
 /// Returns the activity that records a final response.
-pub(super) fn final_activity(response: Final) -> Act {
+pub(super) fn final_activity(response: Final) -> Activity {
     match response {
-        Final::Served => Act::Served,
-        Final::Refused => Act::Refused,
-        Final::Failed | Final::TimedOut | Final::Left => Act::Failed,
+        Final::Served => Activity::RequestServed,
+        Final::Refused => Activity::RequestRejected,
+        Final::Failed | Final::TimedOut | Final::Left => Activity::RequestFailed,
     }
 }
--- a/crates/heathroad/src/frontend/http/request.rs
+++ b/crates/heathroad/src/frontend/http/request.rs
@@ -202,7 +202,7 @@
 fn to_call(
     head: &Parts,
     headers: &ProtocolHeaders<'_>,
-    activity: Option<&activity_log::Bound>,
+    activity: Option<&activity_log::RequestActivity>,
     body: Bytes,
 ) -> Result<http::Call, RequestError> {
     let path_and_query = head.uri.path_and_query().cloned();
@@ -212,7 +212,7 @@
         host: head.headers.get(HOST).cloned(),
         id: headers.id.clone(),
         key: headers.idempotency_key.cloned(),
-        version: activity.and_then(activity_log::Bound::header),
+        version: activity.and_then(activity_log::RequestActivity::version_header),
         body,
     })
 }
