--- a/crates/heathroad/src/membership/audit/mod.rs
+++ b/crates/heathroad/src/membership/audit/mod.rs
@@ -4,29 +4,27 @@
 
 mod query;
 mod remote;
+mod report;
 
 pub use super::clock_offset::ClockOffset;
 pub use query::AuditQuery;
 pub use remote::{fetch_record, fetch_snapshot};
 
 use super::MembershipService;
+use super::member_report::MemberReport;
 use crate::lease::Duties;
 use crate::lease::audit_collector::{Collected, Kept};
 use crate::runtime_accounting::spawn_in;
 use heathroad_membership::MemberId;
-use heathroad_membership::activity_record::{FaultInterval, Interval, RecordSnapshot};
+use heathroad_membership::claim::MemberState;
 use heathroad_membership::protocol::fetch::FetchError;
 use remote::RemoteRecord;
-use serde_json::{Value, json};
+use report::{AuditReport, AuditedMember, AuditedRecord, RecordReport, UnreachedReport};
+use serde_json::Value;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::task::JoinSet;
 
-/// The fields of an interval that hold times.
-const INTERVAL_TIMES: [&str; 4] = ["from", "to", "first", "last"];
-/// The fields that are reported of each member, reached or not.
-const MEMBER_FIELDS: [&str; 5] = ["place", "address", "standing", "incarnation", "me"];
-
 type FetchedRecords = BTreeMap<MemberId, Result<RemoteRecord, FetchError>>;
 
 /// Asks every member for its record. Of a member that is not reached, the record of the fleet's
@@ -36,51 +34,47 @@
     leases: Option<Rc<Duties>>,
     query: AuditQuery,
 ) -> Value {
-    let views = service.members();
-    let own = service.member_id();
-    let mut records = fetch_records(&service).await;
-    let views_of_members = views["members"].as_array().map_or(&[][..], Vec::as_slice);
-    let collected = if is_any_unreached(&records, views_of_members.len()) {
+    let fleet = service.report();
+    let mut records = fetch_records(&service, &fleet.members).await;
+    let collected = if is_any_unreached(&records, fleet.members.len()) {
         fetch_collected(leases).await
     } else {
         None
     };
-    let mut members = Vec::new();
-    for view in views_of_members {
-        let id = member_id(view);
-        let mut member = match records.remove(&id) {
-            _ if id == own => {
-                let record = service.activity_log().snapshot();
-                report_record(query, &record, ClockOffset::default())
-            }
-            Some(Ok(remote)) => report_record(query, &remote.snapshot, remote.clock_offset),
-            Some(Err(error)) => {
-                let collected = collected.as_ref().and_then(|records| records.get(id));
-                report_unreached(query, view, describe_fetch_error(error), collected)
-            }
-            None => {
-                let collected = collected.as_ref().and_then(|records| records.get(id));
-                report_unreached(query, view, describe_absence(view), collected)
-            }
+    let audited = |member: MemberReport| {
+        let id = member.view.id;
+        let record = if member.is_self {
+            let record = service.activity_log().snapshot();
+            let report = RecordReport::new(query, &record, ClockOffset::default());
+            AuditedRecord::Reached(report)
+        } else {
+            let collected = collected.as_ref().and_then(|records| records.get(id));
+            audit_member(query, &member, records.remove(&id), collected)
         };
-        for field in MEMBER_FIELDS {
-            member[field] = view[field].clone();
-        }
-        members.push(member);
-    }
-    json!({"fleet": views["fleet"], "asked": own, "at": service.activity_log().now(),
-        "cut_off": views["cut_off"], "wanted": views["wanted"], "required": views["required"],
-        "members": members})
+        AuditedMember::new(member, record)
+    };
+    let report = AuditReport {
+        fleet_name: fleet.fleet_name,
+        asked: fleet.own_id,
+        at: service.activity_log().now(),
+        isolated: fleet.isolated,
+        desired: fleet.desired,
+        required: fleet.required,
+        members: fleet.members.into_iter().map(audited).collect(),
+    };
+    serde_json::to_value(report).unwrap_or_default()
 }
 
 /// Fetches the records of all present members. Dead members are not waited for: half of a fleet
 /// would take minutes.
-async fn fetch_records(service: &Rc<MembershipService>) -> FetchedRecords {
-    let own = service.member_id();
+async fn fetch_records(
+    service: &Rc<MembershipService>,
+    members: &[MemberReport],
+) -> FetchedRecords {
     let mut fetching = JoinSet::new();
-    for (id, state) in service.member_states() {
-        if id != own && state.is_present() {
-            let service = service.clone();
+    for member in members {
+        if !member.is_self && member.view.state.is_present() {
+            let (service, id) = (service.clone(), member.view.id);
             spawn_in(&mut fetching, async move {
                 (id, fetch_record(&service, id).await)
             });
@@ -103,78 +97,23 @@
     leases?.collected().await
 }
 
-fn member_id(view: &Value) -> MemberId {
-    let id = view["place"].as_u64().and_then(|id| id.try_into().ok());
-    id.unwrap_or(MemberId::MAX)
-}
-
-fn describe_fetch_error(error: FetchError) -> &'static str {
-    match error {
-        FetchError::NotFound => "it keeps no record",
-        FetchError::Corrupted => "its record came spoilt",
-        _ => "it did not answer",
-    }
-}
-
-fn describe_absence(view: &Value) -> &'static str {
-    if view["standing"] == "unknown" {
-        "it was never heard"
-    } else {
-        "it is not there, as far as is known here"
-    }
-}
-
-/// Reports a member that was not reached. Which version it ran since it was last heard, and until
-/// when, nobody here can know.
-fn report_unreached(query: AuditQuery, view: &Value, why: &str, collected: Option<&Kept>) -> Value {
-    json!({"reached": false, "why": why, "last_heard_ms": view["heard_ms"],
-        "last_acts": view["acts"], "last_version": view["version"], "unknown_until": Value::Null,
-        "collected": collected.map(|collected| report_collected(query, collected))})
-}
-
-/// Reports a record, with its times by this proxy's clock.
-fn report_record(query: AuditQuery, record: &RecordSnapshot, clock: ClockOffset) -> Value {
-    json!({
-        "reached": true, "clock_off_ms": -clock.offset_ms, "clock_error_ms": clock.error_ms,
-        "since": clock.to_local(record.since), "at": clock.to_local(record.at),
-        "pages": report_intervals(query, record, clock), "lost": record.discarded,
-        "spells": report_faults(record, clock), "turned_down": record.rejected,
-    })
-}
-
-/// Reports the collector's record of a member. It is by the collector's clock, and says nothing of
-/// the time after it was collected.
-fn report_collected(query: AuditQuery, collected: &Kept) -> Value {
-    let clock = ClockOffset {
-        offset_ms: collected.off,
-        error_ms: collected.error,
-    };
-    let mut report = report_record(query, &collected.told, clock);
-    report["reached"] = false.into();
-    report["by"] = collected.by.into();
-    report["collected_at"] = collected.at.into();
-    report
-}
-
-fn report_intervals(query: AuditQuery, record: &RecordSnapshot, clock: ClockOffset) -> Vec<Value> {
-    let report = |interval: &Interval| {
-        let mut report = serde_json::to_value(interval).unwrap_or_default();
-        for field in INTERVAL_TIMES {
-            if let Some(time) = report[field].as_u64() {
-                report[field] = clock.to_local(time).into();
-            }
+fn audit_member(
+    query: AuditQuery,
+    member: &MemberReport,
+    fetched: Option<Result<RemoteRecord, FetchError>>,
+    collected: Option<&Kept>,
+) -> AuditedRecord {
+    let why = match fetched {
+        Some(Ok(remote)) => {
+            let report = RecordReport::new(query, &remote.snapshot, remote.clock_offset);
+            return AuditedRecord::Reached(report);
         }
-        report
-    };
-    let intervals = record.intervals.iter();
-    let selected = intervals.filter(|interval| query.selects(interval, record.at, clock));
-    selected.map(report).collect()
-}
-
-fn report_faults(record: &RecordSnapshot, clock: ClockOffset) -> Vec<Value> {
-    let report = |fault: &FaultInterval| {
-        json!({"trouble": fault.kind, "from": clock.to_local(fault.from),
-            "to": fault.to.map(|time| clock.to_local(time))})
+        Some(Err(FetchError::NotFound)) => "it keeps no record",
+        Some(Err(FetchError::Corrupted)) => "its record came spoilt",
+        Some(Err(_)) => "it did not answer",
+        None if member.view.state == MemberState::Unknown => "it was never heard",
+        None => "it is not there, as far as is known here",
     };
-    record.faults.iter().map(report).collect()
+    let collected = collected.map(|collected| RecordReport::of_collected(query, collected));
+    AuditedRecord::Unreached(UnreachedReport::new(&member.view, why, collected))
 }
--- a/crates/heathroad/src/membership/event_log.rs
+++ b/crates/heathroad/src/membership/event_log.rs
@@ -2,7 +2,7 @@
 
 use heathroad_membership::activity_record::UnixMillis;
 use heathroad_membership::protocol::Event;
-use serde_json::{Value, json};
+use serde::Serialize;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use tracing::{info, warn};
@@ -10,9 +10,17 @@
 /// The most events that are kept.
 const MAX_EVENTS: usize = 200;
 
+/// An event, and when it was recorded.
+#[derive(Debug, Clone, Copy, Serialize)]
+pub(super) struct LoggedEvent {
+    at: UnixMillis,
+    #[serde(rename = "news")]
+    event: Event,
+}
+
 /// The latest events.
 #[derive(Default)]
-pub(super) struct EventLog(RefCell<VecDeque<(UnixMillis, Event)>>);
+pub(super) struct EventLog(RefCell<VecDeque<LoggedEvent>>);
 
 impl EventLog {
     /// Keeps an event, and writes it to the log.
@@ -21,15 +29,13 @@
         if events.len() == MAX_EVENTS {
             events.pop_front();
         }
-        events.push_back((now, event));
+        events.push_back(LoggedEvent { at: now, event });
         write_to_log(event);
     }
 
-    /// Returns the events as operators read them.
-    pub(super) fn to_json(&self) -> Vec<Value> {
-        let events = self.0.borrow();
-        let entry = |(at, event): &(UnixMillis, Event)| json!({"at": at, "news": event});
-        events.iter().map(entry).collect()
+    /// Returns the events that are kept, the oldest first.
+    pub(super) fn latest(&self) -> Vec<LoggedEvent> {
+        self.0.borrow().iter().copied().collect()
     }
 }
 
--- a/crates/heathroad/src/membership/member_report.rs
+++ b/crates/heathroad/src/membership/member_report.rs
@@ -1,36 +1,79 @@
-//! What operators read of the members, as JSON.
+//! What operators read of the members at `/fleet/members`.
 
+use super::event_log::LoggedEvent;
 use super::service::MembershipService;
-use heathroad_membership::MemberId;
-use heathroad_membership::claim::MemberState;
-use serde_json::{Value, json};
+use heathroad_membership::activity_record::UnixMillis;
+use heathroad_membership::desired_version::{Desired, RequiredVersions};
+use heathroad_membership::protocol::{MemberView, TrafficCounters};
+use heathroad_membership::{MemberId, Millis};
+use serde::Serialize;
+use serde_json::Value;
+use std::net::SocketAddr;
+
+/// What this proxy knows of its fleet.
+#[derive(Debug, Serialize)]
+pub(super) struct FleetReport {
+    #[serde(rename = "fleet")]
+    pub(super) fleet_name: String,
+    #[serde(rename = "place")]
+    pub(super) own_id: MemberId,
+    pub(super) at: UnixMillis,
+    #[serde(rename = "cut_off")]
+    pub(super) isolated: bool,
+    #[serde(rename = "wanted")]
+    pub(super) desired: Desired,
+    pub(super) required: RequiredVersions,
+    fenced: bool,
+    #[serde(rename = "silent_ms")]
+    silent_for_ms: Millis,
+    #[serde(rename = "doubt")]
+    health_multiplier: u64,
+    traffic: TrafficCounters,
+    pub(super) members: Vec<MemberReport>,
+    #[serde(rename = "news")]
+    events: Vec<LoggedEvent>,
+}
+
+/// What this proxy knows of a member.
+#[derive(Debug, Serialize)]
+pub(super) struct MemberReport {
+    #[serde(flatten)]
+    pub(super) view: MemberView,
+    pub(super) address: Option<SocketAddr>,
+    #[serde(rename = "me")]
+    pub(super) is_self: bool,
+}
 
 impl MembershipService {
-    /// Returns all members with their states.
-    pub(super) fn member_states(&self) -> Vec<(MemberId, MemberState)> {
-        let membership = self.membership.borrow();
-        let members = membership.members().iter();
-        members.map(|(id, member)| (id, member.state)).collect()
+    /// Returns what operators read of the members, as JSON.
+    pub fn members(&self) -> Value {
+        serde_json::to_value(self.report()).unwrap_or_default()
     }
 
-    /// Returns what operators read of the members.
-    pub fn members(&self) -> Value {
+    /// Returns what this proxy knows of its fleet.
+    pub(super) fn report(&self) -> FleetReport {
         let now = self.now();
         let membership = self.membership.borrow();
-        let mut members: Vec<Value> = Vec::new();
-        for view in membership.member_views(now) {
-            let address = self.addresses.get(usize::from(view.id));
-            let mut member = serde_json::to_value(&view).unwrap_or_default();
-            member["address"] = address.map(ToString::to_string).into();
-            member["me"] = (view.id == membership.id()).into();
-            members.push(member);
+        let own_id = membership.id();
+        let member_report = |view: MemberView| MemberReport {
+            address: self.addresses.get(usize::from(view.id)).copied(),
+            is_self: view.id == own_id,
+            view,
+        };
+        let views = membership.member_views(now);
+        FleetReport {
+            fleet_name: self.fleet_name.clone(),
+            own_id,
+            at: self.activity_log.now(),
+            isolated: membership.is_isolated(),
+            desired: membership.desired(),
+            required: membership.required().clone(),
+            fenced: self.activity_log.is_fenced(),
+            silent_for_ms: membership.silent_for(now),
+            health_multiplier: membership.health_multiplier(),
+            traffic: membership.traffic(),
+            members: views.into_iter().map(member_report).collect(),
+            events: self.events.latest(),
         }
-        json!({
-            "fleet": self.fleet_name, "place": membership.id(), "at": self.activity_log.now(),
-            "cut_off": membership.is_isolated(), "wanted": membership.desired(),
-            "required": membership.required(), "fenced": self.activity_log.is_fenced(),
-            "silent_ms": membership.silent_for(now), "doubt": membership.health_multiplier(),
-            "traffic": membership.traffic(), "members": members, "news": self.events.to_json(),
-        })
     }
 }
