--- a/crates/heathroad/src/lib.rs
+++ b/crates/heathroad/src/lib.rs
@@ -12,8 +12,7 @@
 //!   sockets into the module's events, in one order, and carries out its actions.
 //! - `backend` carries out attempts over kept connections, and says what each ending means.
 //!
-//! `fleet` is this proxy among its fellows, `duty` what one of them alone does at a time (decided
-//! in `heathroad-lease`).
+//! `membership` is this proxy among its peers, `lease` the work that one of them does at a time.
 //!
 //! Beside that way: `configuration` is read at the start and kept on disk, `discovery` follows the
 //! list of backends, `operation` is the command line and the address at which operators ask. Both
@@ -52,7 +51,7 @@
 use frontend::jsonrpc::JsonRpcFrontend;
 use heathroad_balancer::api::UpdateKind;
 use heathroad_routing::transaction::Event;
-use lease::{Duties, Store};
+use lease::LeaseService;
 use membership::MembershipService;
 use membership::activity_log::ActivityLog;
 use metrics::{Counts, Meter};
@@ -283,8 +282,9 @@
             .await
             .map_err(|error| error.to_string())?;
         if let Some(named) = named {
-            let store = config.state.as_deref().map(Store::open).transpose()?;
-            duties = Some(Duties::begin(named, seed(), among.clone(), store).await?);
+            let folder = config.state.as_deref();
+            let service = LeaseService::start(named, seed(), among.clone(), folder).await;
+            duties = Some(service.map_err(|e| e.to_string())?);
         }
         peers = Some(among);
     }
@@ -381,9 +381,8 @@
     // Whatever duties have to write first takes nothing of the time in which callers are answered.
     let resign = async {
         if let Some(duties) = &duties {
-            // What it could not write is missed by nobody: who holds what was decided by the
-            // voters.
-            let _ = timeout(LINGER, duties.stop()).await;
+            // A write that is cut off does no harm: the voters have granted the leases.
+            let _ = timeout(LINGER, duties.shut_down()).await;
         }
     };
     tokio::join!(sleep(LINGER), resign);
--- a/crates/heathroad/src/membership/audit/mod.rs
+++ b/crates/heathroad/src/membership/audit/mod.rs
@@ -8,17 +8,16 @@
 
 pub use super::clock_offset::ClockOffset;
 pub use query::AuditQuery;
-pub use remote::{fetch_record, fetch_snapshot};
+pub use remote::{RemoteRecord, fetch_record, fetch_snapshot};
 
 use super::MembershipService;
 use super::member_report::MemberReport;
-use crate::lease::Duties;
-use crate::lease::audit_collector::{Collected, Kept};
+use crate::lease::LeaseService;
+use crate::lease::audit_collection::{CollectedRecord, CollectedRecords};
 use crate::runtime_accounting::spawn_in;
 use heathroad_membership::MemberId;
 use heathroad_membership::claim::MemberState;
 use heathroad_membership::protocol::fetch::FetchError;
-use remote::RemoteRecord;
 use report::{AuditReport, AuditedMember, AuditedRecord, RecordReport, UnreachedReport};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -31,7 +30,7 @@
 /// collector is reported, where there is one.
 pub async fn audit(
     service: Rc<MembershipService>,
-    leases: Option<Rc<Duties>>,
+    leases: Option<Rc<LeaseService>>,
     query: AuditQuery,
 ) -> Value {
     let fleet = service.report();
@@ -93,15 +92,15 @@
     members > reached + 1
 }
 
-async fn fetch_collected(leases: Option<Rc<Duties>>) -> Option<Collected> {
-    leases?.collected().await
+async fn fetch_collected(leases: Option<Rc<LeaseService>>) -> Option<CollectedRecords> {
+    leases?.collected_records().await
 }
 
 fn audit_member(
     query: AuditQuery,
     member: &MemberReport,
     fetched: Option<Result<RemoteRecord, FetchError>>,
-    collected: Option<&Kept>,
+    collected: Option<&CollectedRecord>,
 ) -> AuditedRecord {
     let why = match fetched {
         Some(Ok(remote)) => {
--- a/crates/heathroad/src/membership/audit/report.rs
+++ b/crates/heathroad/src/membership/audit/report.rs
@@ -2,7 +2,7 @@
 
 use super::super::member_report::MemberReport;
 use super::{AuditQuery, ClockOffset};
-use crate::lease::audit_collector::Kept;
+use crate::lease::audit_collection::CollectedRecord;
 use heathroad_membership::activity_record::{
     DiscardedIntervals, FaultInterval, Interval, RecordSnapshot, RejectedVersion, UnixMillis,
 };
@@ -122,18 +122,18 @@
     }
 
     /// Reports the collector's record of a member that was not reached.
-    pub(super) fn of_collected(query: AuditQuery, collected: &Kept) -> RecordReport {
+    pub(super) fn of_collected(query: AuditQuery, collected: &CollectedRecord) -> RecordReport {
         let clock = ClockOffset {
-            offset_ms: collected.off,
-            error_ms: collected.error,
+            offset_ms: collected.clock_offset,
+            error_ms: collected.clock_error,
         };
         RecordReport {
             reached: false,
             collection: Some(Collection {
                 by: collected.by,
-                collected_at: collected.at,
+                collected_at: collected.collected_at,
             }),
-            ..RecordReport::new(query, &collected.told, clock)
+            ..RecordReport::new(query, &collected.record, clock)
         }
     }
 }
--- a/crates/heathroad/tests/unit/membership_audit.rs
+++ b/crates/heathroad/tests/unit/membership_audit.rs
@@ -22,13 +22,13 @@
     record.snapshot(300)
 }
 
-fn collected() -> Kept {
-    Kept {
+fn collected() -> CollectedRecord {
+    CollectedRecord {
         by: 2,
-        at: 400,
-        off: 1000,
-        error: 7,
-        told: record(),
+        collected_at: 400,
+        clock_offset: 1000,
+        clock_error: 7,
+        record: record(),
     }
 }
 
