--- a/crates/heathroad-balancer/src/dispatch.rs
+++ b/crates/heathroad-balancer/src/dispatch.rs
@@ -30,7 +30,7 @@
     /// Sends the next attempt of a request if a backend can take it; returns whether it was sent.
     pub(crate) fn send(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let request = self.requests.get(&id);
-        if request.is_none_or(|r| r.is_retry_budget_spent()) {
+        if request.is_none_or(super::request::Request::is_retry_budget_spent) {
             return false;
         }
         let Some(to) = self.select_backend(now, id) else {
--- a/crates/heathroad-balancer/tests/decisions.rs
+++ b/crates/heathroad-balancer/tests/decisions.rs
@@ -540,7 +540,7 @@
         ("classes[0].aim", |s| s.classes[0].latency_objective = 0.0),
         ("tick", |s| s.tick = f64::NAN),
         ("guarantees.coldFrom", |s| {
-            s.guarantees.slow_start_floor = -1.0
+            s.guarantees.slow_start_floor = -1.0;
         }),
     ];
     for (field, change) in cases {
--- a/crates/heathroad-balancer/tests/rules.rs
+++ b/crates/heathroad-balancer/tests/rules.rs
@@ -154,8 +154,8 @@
 fn rules_hold_where_cancels_are_forbidden() {
     (100..140).for_each(|seed| {
         life(seed, |s| {
-            (s.limits.cancellation, s.limits.max_attempts) = (false, 2)
-        })
+            (s.limits.cancellation, s.limits.max_attempts) = (false, 2);
+        });
     });
 }
 
--- a/crates/heathroad-bench/src/bare.rs
+++ b/crates/heathroad-bench/src/bare.rs
@@ -61,7 +61,9 @@
         self.turn.set((turn + 1) % self.nodes.len());
         let (head, body) = request.into_parts();
         let body = body.collect().await?.to_bytes();
-        let idle = self.idle.borrow_mut()[turn].pop().filter(|s| s.is_ready());
+        let idle = self.idle.borrow_mut()[turn]
+            .pop()
+            .filter(hyper::client::conn::http1::SendRequest::is_ready);
         let mut sender = match idle {
             Some(sender) => sender,
             None => {
--- a/crates/heathroad-bench/src/main.rs
+++ b/crates/heathroad-bench/src/main.rs
@@ -8,6 +8,12 @@
 //!   out. Times mean something beside each other only; counts do by themselves, and
 //!   `tests/guard.rs` holds them to `ceilings.toml`.
 
+#![allow(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    reason = "the package is still to be split, see docs/ROADMAP.md"
+)]
+
 mod bare;
 mod case;
 mod load;
--- a/crates/heathroad-harness/src/lib.rs
+++ b/crates/heathroad-harness/src/lib.rs
@@ -15,6 +15,12 @@
 //! - [`outcome`]: the two together with the void rules, as table, JSON and exit code; [`report`] as
 //!   a page.
 
+#![allow(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    reason = "the package is still to be split, see docs/ROADMAP.md"
+)]
+
 pub mod agreement;
 pub mod audited;
 pub mod caller;
--- a/crates/heathroad-harness/src/main.rs
+++ b/crates/heathroad-harness/src/main.rs
@@ -1,5 +1,11 @@
 //! `heathroad-harness`: one command to see heathroad work, and fail.
 
+#![allow(
+    clippy::too_many_lines,
+    clippy::cognitive_complexity,
+    reason = "the package is still to be split, see docs/ROADMAP.md"
+)]
+
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/heathroad-harness/tests/soak.rs
+++ b/crates/heathroad-harness/tests/soak.rs
@@ -20,7 +20,7 @@
         .filter_map(|c| c.counts.as_ref()?.get("violations")?.as_object());
     counts
         .flat_map(|rules| rules.values())
-        .filter_map(|n| n.as_u64())
+        .filter_map(serde_json::value::Value::as_u64)
         .sum()
 }
 
--- a/crates/heathroad-jsonrpc/tests/streams.rs
+++ b/crates/heathroad-jsonrpc/tests/streams.rs
@@ -175,7 +175,7 @@
     for (framing, bytes, want) in cases {
         for size in [1, 3, 100_000] {
             let (_, broken) = cut(framing, SMALL, bytes.as_bytes(), &[size]);
-            assert_eq!(broken, Some(want), "{framing:?} {:.60}", bytes);
+            assert_eq!(broken, Some(want), "{framing:?} {bytes:.60}");
         }
     }
     let mut decoder = Decoder::new(Framing::RunOn, SMALL);
--- a/crates/heathroad-retry-budget/tests/wire.rs
+++ b/crates/heathroad-retry-budget/tests/wire.rs
@@ -104,7 +104,7 @@
         &long,
         &"y".repeat(64 * 1024),
     ] {
-        assert!(read(text).is_err(), "{:.40}", text);
+        assert!(read(text).is_err(), "{text:.40}");
     }
     let mut path = ProxyPath::default();
     for n in 0..32 {
--- a/crates/heathroad-routing/src/diff.rs
+++ b/crates/heathroad-routing/src/diff.rs
@@ -60,7 +60,7 @@
                     b.class
                 )),
                 (Some(_), None) => {
-                    lines.push(format!("listener {name} takes method {method} no more"))
+                    lines.push(format!("listener {name} takes method {method} no more"));
                 }
                 _ => {}
             }
--- a/crates/heathroad-routing/src/file/rpc.rs
+++ b/crates/heathroad-routing/src/file/rpc.rs
@@ -282,7 +282,7 @@
                     return TenantFrom::Nothing;
                 };
                 let mut by = BTreeMap::new();
-                for (key, value) in table.iter() {
+                for (key, value) in table {
                     let (address, name) = (key.get_ref().parse(), value.get_ref().as_str());
                     match (address, name) {
                         (Ok(address), Some(name)) => {
--- a/crates/heathroad-routing/src/reader.rs
+++ b/crates/heathroad-routing/src/reader.rs
@@ -227,7 +227,7 @@
             return Vec::new();
         };
         let mut texts: Vec<String> = Vec::new();
-        for item in array.iter() {
+        for item in array {
             match item.get_ref().as_str() {
                 Some(text) if texts.iter().any(|t| t == text) => {
                     self.wrong(item, name, format!("{text:?} comes twice"), "each once");
@@ -391,7 +391,7 @@
             return Vec::new();
         };
         let mut items = Vec::new();
-        for item in array.iter() {
+        for item in array {
             match read(item.get_ref()) {
                 Some(read) => items.push(read),
                 None => self.wrong(
--- a/crates/heathroad-routing/src/transaction.rs
+++ b/crates/heathroad-routing/src/transaction.rs
@@ -394,7 +394,7 @@
                     if before != now || weights(was) != weights(route) {
                         touched.extend(before.iter().chain(&now).cloned());
                         now.iter().for_each(|p| {
-                            heirs.entry(p.clone()).or_default().extend(before.clone())
+                            heirs.entry(p.clone()).or_default().extend(before.clone());
                         });
                     }
                 }
--- a/crates/heathroad-routing/tests/harm.rs
+++ b/crates/heathroad-routing/tests/harm.rs
@@ -61,7 +61,10 @@
         .collect();
     let mut watch = Watch::new(
         before,
-        touched.iter().map(|t| t.to_string()).collect(),
+        touched
+            .iter()
+            .map(std::string::ToString::to_string)
+            .collect(),
         heirs,
     );
     for s in 0..SECONDS {
--- a/crates/heathroad-routing/tests/table.rs
+++ b/crates/heathroad-routing/tests/table.rs
@@ -126,9 +126,9 @@
         });
         assert!(!ambiguous || !found.is_empty(), "seed {seed}: {routes:?}");
         if found.is_empty() {
-            sound += 1
+            sound += 1;
         } else {
-            clashing += 1
+            clashing += 1;
         }
     }
     assert!(sound > 300 && clashing > 300, "{sound} and {clashing}");
--- a/crates/heathroad-verifier/tests/file.rs
+++ b/crates/heathroad-verifier/tests/file.rs
@@ -49,7 +49,9 @@
             match rng.u8(..3) {
                 0 if at < bytes.len() => bytes[at] = b"[]{}=\",.\n09ax"[rng.usize(..13)],
                 1 => {
-                    drop(bytes.drain(at.min(bytes.len())..(at + rng.usize(1..20)).min(bytes.len())))
+                    drop(
+                        bytes.drain(at.min(bytes.len())..(at + rng.usize(1..20)).min(bytes.len())),
+                    );
                 }
                 _ => bytes.truncate(at.max(1)),
             }
--- a/crates/heathroad/src/admin/mod.rs
+++ b/crates/heathroad/src/admin/mod.rs
@@ -203,7 +203,7 @@
             let body = Limited::new(body, MAX_BODY)
                 .collect()
                 .await
-                .map(|b| b.to_bytes());
+                .map(http_body_util::Collected::to_bytes);
             let Ok(text) = body
                 .map_err(|_| ())
                 .and_then(|b| String::from_utf8(b.to_vec()).map_err(|_| ()))
--- a/crates/heathroad/src/discovery/endpoint_list.rs
+++ b/crates/heathroad/src/discovery/endpoint_list.rs
@@ -61,7 +61,7 @@
             match Host::deserialize(&value) {
                 // What takes nothing new needs no address.
                 Ok(host) if host.health != Health::Serving || host.dial.is_some() => {
-                    good.push(host)
+                    good.push(host);
                 }
                 Ok(host) => (bad, example) = (bad + 1, format!("{}: no address", host.host)),
                 Err(e) => (bad, example) = (bad + 1, format!("{value}: {e}")),
--- a/crates/heathroad/src/lease/status.rs
+++ b/crates/heathroad/src/lease/status.rs
@@ -128,7 +128,8 @@
                 token,
                 remaining_ms: expires_at.saturating_sub(now),
             }),
-            last_rejection: candidate.and_then(|candidate| candidate.last_rejection()),
+            last_rejection: candidate
+                .and_then(heathroad_lease::candidate::Candidate::last_rejection),
             work_failure: lease.work_failure(),
         }
     }
--- a/crates/heathroad/src/lib.rs
+++ b/crates/heathroad/src/lib.rs
@@ -143,7 +143,7 @@
     let known = config
         .known
         .take()
-        .map(|page| page.entries())
+        .map(discovery::endpoint_list::Page::entries)
         .unwrap_or_default();
     engine.update_endpoints(UpdateKind::Cached, known);
     let following = follow(&engine, config.discovery, must_ask, &wanted, acts.clone());
--- a/crates/heathroad/src/router/registry.rs
+++ b/crates/heathroad/src/router/registry.rs
@@ -173,7 +173,7 @@
                 }
                 // A node that is told of by a registry is the same node where a list names it.
                 Source::List(members) if members.iter().any(|m| changed.contains(&m.address)) => {
-                    self.list(run)
+                    self.list(run);
                 }
                 _ => {}
             }
--- a/crates/heathroad/src/router/stale_routes.rs
+++ b/crates/heathroad/src/router/stale_routes.rs
@@ -57,7 +57,7 @@
     let turn_down = |why: String| {
         peers
             .activity_log()
-            .record_rejection(want.generation, want.digest, why)
+            .record_rejection(want.generation, want.digest, why);
     };
     let file = format!("generation {} of the fleet", want.generation);
     let said = match many.take(&file, text, want.generation).await {
--- a/crates/heathroad/tests/crossings.rs
+++ b/crates/heathroad/tests/crossings.rs
@@ -79,7 +79,7 @@
         .map(|line| line.split_whitespace().collect::<Vec<_>>());
     let states: Vec<String> = fields
         .filter(|f| f.get(2).is_some_and(|remote| remote.ends_with(&port)))
-        .filter_map(|f| f.get(3).map(|state| state.to_string()))
+        .filter_map(|f| f.get(3).map(std::string::ToString::to_string))
         .collect();
     ["02", "01"].map(|state| states.iter().filter(|s| *s == state).count())
 }
--- a/crates/heathroad/tests/endings.rs
+++ b/crates/heathroad/tests/endings.rs
@@ -281,7 +281,7 @@
                 match says {
                     Served => assert_eq!((status, body.as_str(), came), (200, "good", 1), "{case}"),
                     NeverRan => {
-                        assert_eq!((status, body.as_str(), came), (200, "again", 2), "{case}")
+                        assert_eq!((status, body.as_str(), came), (200, "again", 2), "{case}");
                     }
                     MayHaveRun if again => {
                         assert_eq!((status, body.as_str(), came), (200, "again", 2), "{case}");
--- a/crates/heathroad/tests/expectations.rs
+++ b/crates/heathroad/tests/expectations.rs
@@ -160,7 +160,7 @@
     let text = |to: SocketAddr| pool("p", &[to]) + &route("all", "", "p");
     let expected = write_file(".toml", ONCE);
     let mut s = scene(&text(a.addr), 20, |c| {
-        c["expectations"] = name(&expected).into()
+        c["expectations"] = name(&expected).into();
     })
     .await;
     let broken = text(b.addr).replace(
@@ -361,7 +361,7 @@
         .collect();
     let expected = write_file(".toml", &(ONCE.to_string() + &more));
     let s = scene(&text("one", "unsafe"), 20, |c| {
-        c["expectations"] = name(&expected).into()
+        c["expectations"] = name(&expected).into();
     })
     .await;
     let load = Load::start(&s.proxy, 4).await;
--- a/crates/heathroad/tests/jsonrpc.rs
+++ b/crates/heathroad/tests/jsonrpc.rs
@@ -439,7 +439,7 @@
                     assert!(
                         code(&told) == 0 && sent == 2 || code(&told) != 0,
                         "{what}: {told}, sent {sent}"
-                    )
+                    );
                 }
             }
             // What serves in between earns the retries.
@@ -759,9 +759,9 @@
     // Its connections end, in good order or not, and it is called on new ones.
     for n in 0..6 {
         if n % 2 == 0 {
-            nodes[1].close_all()
+            nodes[1].close_all();
         } else {
-            nodes[1].break_all()
+            nodes[1].break_all();
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
         assert_eq!(
--- a/crates/heathroad/tests/rig/rpc.rs
+++ b/crates/heathroad/tests/rig/rpc.rs
@@ -189,7 +189,7 @@
                 node: name,
                 connection,
                 text: text.clone(),
-            })
+            });
         });
         // The proxy writes it last, as a number.
         let id = text
--- a/crates/heathroad/tests/routes.rs
+++ b/crates/heathroad/tests/routes.rs
@@ -351,7 +351,7 @@
         + &route("k", "class = \"keep\"", "m3")
         + &route("o", "class = \"once\"", "listed");
     let s = scene(&text, 1000, |c| {
-        c["discovery"] = discovery.config(settings())["discovery"].clone()
+        c["discovery"] = discovery.config(settings())["discovery"].clone();
     })
     .await;
     discovery.settled().await;
@@ -463,7 +463,7 @@
     let old = old + &route("all", "", "p");
     let new = pool("p", &[c.addr]) + &route("all", "", "p");
     let s = scene(&old, 20, |c| {
-        c["discovery"] = discovery.config(settings())["discovery"].clone()
+        c["discovery"] = discovery.config(settings())["discovery"].clone();
     })
     .await;
     discovery.settled().await;
@@ -510,7 +510,7 @@
     let text = chosen("m", "m") + &chosen("m3", "m3");
     let text = text + &route("l", "class = \"look\"", "m") + &route("o", "class = \"once\"", "m3");
     let s = scene(&text, 1000, |c| {
-        c["discovery"] = discovery.config(settings())["discovery"].clone()
+        c["discovery"] = discovery.config(settings())["discovery"].clone();
     })
     .await;
     discovery.settled().await;
@@ -545,7 +545,7 @@
         + &route("all", "", "p");
     let new = pool("p", &[c.addr]) + &route("all", "", "p");
     let s = scene(&old, 60_000, |c| {
-        c["discovery"] = discovery.config(settings())["discovery"].clone()
+        c["discovery"] = discovery.config(settings())["discovery"].clone();
     })
     .await;
     discovery.settled().await;
