--- a/crates/heathroad-routing/src/condition.rs
+++ b/crates/heathroad-routing/src/condition.rs
@@ -1,59 +1,64 @@
-//! The conditions of a route, and what of a request they look at. Routes with conditions on the
-//! same fields are of one shape.
+//! The conditions of a route, and the attributes of a request that they compare.
+//!
+//! Conditions that look at the same attributes have the same [`ConditionShape`], so that one hash
+//! look-up finds all routes of a shape that a request may match.
 
 use serde::Serialize;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The conditions of a route; those that are none match everything.
+/// The conditions of a route. An attribute without a condition matches every value.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize)]
-pub struct Match {
-    /// The listener's name.
+pub struct RouteCondition {
+    /// The name of the listener.
     pub listener: Option<String>,
-    /// The host, in lower case: a name, or `*.` and what it ends with.
+    /// The host in lower case: a name, or `*.` and the suffix of the name.
     pub host: Option<String>,
-    /// The path, whole or, with `/*` at its end, its first segments.
+    /// The whole path, or a path prefix that ends with `/*`.
     pub path: Option<String>,
-    /// The method's name, of a remote call.
+    /// The method name of a JSON-RPC call.
     pub method: Option<String>,
-    /// The class.
+    /// The request class.
     pub class: Option<String>,
     /// The tenant.
     pub tenant: Option<String>,
-    /// A header, its name in lower case, and its value.
+    /// A header name in lower case, and its value.
     pub header: Option<(String, String)>,
 }
 
-/// What routes ask of a request. Texts that it does not have are empty.
-pub struct Request<'a> {
-    /// The listener that took it.
+/// The attributes of a request that routes compare. An absent attribute is empty.
+pub struct RequestAttributes<'a> {
+    /// The listener that accepted the request.
     pub listener: &'a str,
-    /// Its host, in lower case, without a port.
+    /// The host in lower case, without a port.
     pub host: &'a str,
-    /// Its path, without a query.
+    /// The path without a query.
     pub path: &'a str,
-    /// Its method's name, for a remote call.
+    /// The method name of a JSON-RPC call.
     pub method: &'a str,
-    /// Its class.
+    /// The request class.
     pub class: &'a str,
-    /// Its tenant.
+    /// The tenant.
     pub tenant: &'a str,
-    /// Its headers, by their name in lower case.
+    /// Looks up a header by its name in lower case.
     pub header: &'a dyn Fn(&str) -> Option<&'a str>,
 }
 
-/// How exactly a shape looks at a name that has parts.
+/// How much of a name with several parts a condition compares.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Part {
+enum NameScope {
+    /// Nothing.
     Any,
-    /// At so many parts: a host's last labels, a path's first segments.
-    Some(u16),
+    /// A number of parts: the last labels of a host, or the first segments of a path.
+    Parts(u16),
+    /// The whole name.
     Whole,
 }
 
+/// The set of attributes that a condition compares.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct Shape {
-    path: Part,
-    host: Part,
+pub(crate) struct ConditionShape {
+    path: NameScope,
+    host: NameScope,
     header: Option<String>,
     class: bool,
     tenant: bool,
@@ -61,136 +66,92 @@
     listener: bool,
 }
 
-impl Part {
-    fn rank(self) -> u32 {
+impl NameScope {
+    /// The specificity of a whole name, above that of any number of parts.
+    const WHOLE_SPECIFICITY: u32 = 1 << 17;
+
+    fn of_parts(count: usize) -> NameScope {
+        NameScope::Parts(u16::try_from(count).unwrap_or(u16::MAX))
+    }
+
+    fn specificity(self) -> u32 {
         match self {
-            Part::Any => 0,
-            Part::Some(n) => 1 + u32::from(n),
-            Part::Whole => 1 << 17,
+            NameScope::Any => 0,
+            NameScope::Parts(n) => 1 + u32::from(n),
+            NameScope::Whole => Self::WHOLE_SPECIFICITY,
         }
     }
 }
 
-fn segments(path: &str) -> impl Iterator<Item = &str> {
+/// Iterates over the segments of a path that are not empty.
+fn path_segments(path: &str) -> impl Iterator<Item = &str> {
     path.trim_matches('/').split('/').filter(|s| !s.is_empty())
 }
 
-/// A path's first segments, if it has so many.
-fn head(path: &str, n: u16) -> Option<Vec<&str>> {
-    let first: Vec<&str> = segments(path).take(usize::from(n)).collect();
-    (first.len() == usize::from(n)).then_some(first)
+/// Returns the first segments of a path, if it has as many.
+fn first_segments(path: &str, count: u16) -> Option<Vec<&str>> {
+    let count = usize::from(count);
+    let segments: Vec<&str> = path_segments(path).take(count).collect();
+    (segments.len() == count).then_some(segments)
 }
 
-/// A host's last labels, if it has more than these.
-fn tail(host: &str, n: u16) -> Option<&str> {
-    let mut at = host.len();
-    for _ in 0..n {
-        at = host[..at].rfind('.')?;
+/// Returns the last labels of a host, if it has more than these.
+fn last_labels(host: &str, count: u16) -> Option<&str> {
+    let mut start = host.len();
+    for _ in 0..count {
+        start = host[..start].rfind('.')?;
     }
-    Some(&host[at + 1..])
+    Some(&host[start + 1..])
 }
 
-impl Match {
-    fn path_part(&self) -> Part {
-        match self.path.as_deref().map(|p| (p, p.strip_suffix("/*"))) {
-            None => Part::Any,
-            Some((_, Some(prefix))) => match segments(prefix).count() {
-                0 => Part::Any,
-                n => Part::Some(n.min(usize::from(u16::MAX)) as u16),
-            },
-            Some((_, None)) => Part::Whole,
-        }
+impl RouteCondition {
+    /// Whether a request fulfils every condition.
+    pub fn matches(&self, request: &RequestAttributes<'_>) -> bool {
+        let equals = |wanted: &Option<String>, actual: &str| {
+            wanted.as_deref().is_none_or(|wanted| wanted == actual)
+        };
+        self.matches_host(request.host)
+            && self.matches_path(request.path)
+            && self.matches_header(request)
+            && equals(&self.listener, request.listener)
+            && equals(&self.method, request.method)
+            && equals(&self.class, request.class)
+            && equals(&self.tenant, request.tenant)
     }
 
-    fn host_part(&self) -> Part {
-        match self.host.as_deref().map(|h| h.strip_prefix("*.")) {
-            None => Part::Any,
-            Some(Some(rest)) => {
-                Part::Some(rest.split('.').count().min(usize::from(u16::MAX)) as u16)
-            }
-            Some(None) => Part::Whole,
+    fn matches_host(&self, host: &str) -> bool {
+        let Some(wanted) = self.host.as_deref() else {
+            return true;
+        };
+        match wanted.strip_prefix("*.") {
+            Some(suffix) => host
+                .strip_suffix(suffix)
+                .is_some_and(|labels| labels.len() > 1 && labels.ends_with('.')),
+            None => wanted == host,
         }
     }
 
-    pub(crate) fn shape(&self) -> Shape {
-        Shape {
-            path: self.path_part(),
-            host: self.host_part(),
-            header: self.header.as_ref().map(|(name, _)| name.clone()),
-            class: self.class.is_some(),
-            tenant: self.tenant.is_some(),
-            method: self.method.is_some(),
-            listener: self.listener.is_some(),
+    fn matches_path(&self, path: &str) -> bool {
+        let Some(wanted) = self.path.as_deref() else {
+            return true;
+        };
+        let mut segments = path_segments(path);
+        match wanted.strip_suffix("/*") {
+            Some(prefix) => path_segments(prefix).all(|s| segments.next() == Some(s)),
+            None => path_segments(wanted).eq(segments),
         }
     }
 
-    /// What of this match a shape that is no more specific looks at.
-    pub(crate) fn under(&self, shape: &Shape) -> Option<u64> {
-        self.sample(|request| shape.key(request))
-    }
-
-    /// A request that fulfils the conditions and has nothing beside.
-    pub(crate) fn sample<T>(&self, look: impl FnOnce(&Request<'_>) -> T) -> T {
-        let own = |name: &Option<String>| name.clone().unwrap_or_default();
-        // A wildcard host has one label more than it names.
-        let host = self
-            .host
-            .as_deref()
-            .map(|h| h.replace('*', "x"))
-            .unwrap_or_default();
-        let path = self
-            .path
-            .as_deref()
-            .map(|p| p.strip_suffix("/*").unwrap_or(p))
-            .unwrap_or_default();
-        let value = self.header.as_ref().map(|(_, v)| v.as_str());
-        let header =
-            |name: &str| value.filter(|_| self.header.as_ref().is_some_and(|(n, _)| n == name));
-        look(&Request {
-            listener: &own(&self.listener),
-            host: &host,
-            path,
-            method: &own(&self.method),
-            class: &own(&self.class),
-            tenant: &own(&self.tenant),
-            header: &header,
-        })
-    }
-
-    /// Whether a request fulfils every condition.
-    pub fn matches(&self, r: &Request<'_>) -> bool {
-        let is = |want: &Option<String>, have: &str| want.as_deref().is_none_or(|w| w == have);
-        let host = match self.host.as_deref().map(|h| (h, h.strip_prefix("*."))) {
-            None => true,
-            Some((_, Some(rest))) => r
-                .host
-                .strip_suffix(rest)
-                .is_some_and(|h| h.len() > 1 && h.ends_with('.')),
-            Some((whole, None)) => whole == r.host,
+    fn matches_header(&self, request: &RequestAttributes<'_>) -> bool {
+        let Some((name, value)) = &self.header else {
+            return true;
         };
-        let path = match self.path.as_deref().map(|p| (p, p.strip_suffix("/*"))) {
-            None => true,
-            Some((_, Some(prefix))) => {
-                let mut have = segments(r.path);
-                segments(prefix).all(|want| have.next() == Some(want))
-            }
-            Some((whole, None)) => segments(whole).eq(segments(r.path)),
-        };
-        let header = self
-            .header
-            .as_ref()
-            .is_none_or(|(name, value)| (r.header)(name) == Some(value));
-        host && path
-            && header
-            && is(&self.listener, r.listener)
-            && is(&self.method, r.method)
-            && is(&self.class, r.class)
-            && is(&self.tenant, r.tenant)
+        (request.header)(name) == Some(value)
     }
 
-    /// In words, for people.
-    pub fn words(&self) -> String {
-        let said = [
+    /// Describes the requests that match, for people.
+    pub fn describe(&self) -> String {
+        let attributes = [
             ("listener", &self.listener),
             ("host", &self.host),
             ("path", &self.path),
@@ -198,26 +159,89 @@
             ("class", &self.class),
             ("tenant", &self.tenant),
         ];
-        let mut words: Vec<String> = said
-            .iter()
+        let mut parts: Vec<String> = attributes
+            .into_iter()
             .filter_map(|(name, value)| Some(format!("{name} {}", value.as_ref()?)))
             .collect();
-        words.extend(
-            self.header
-                .as_ref()
-                .map(|(name, value)| format!("header {name}: {value}")),
-        );
-        if words.is_empty() {
-            "every request".to_string()
-        } else {
-            format!("requests with {}", words.join(", "))
+        if let Some((name, value)) = &self.header {
+            parts.push(format!("header {name}: {value}"));
+        }
+        if parts.is_empty() {
+            return "every request".to_string();
         }
+        format!("requests with {}", parts.join(", "))
+    }
+
+    fn path_scope(&self) -> NameScope {
+        let Some(path) = self.path.as_deref() else {
+            return NameScope::Any;
+        };
+        match path.strip_suffix("/*") {
+            Some(prefix) => match path_segments(prefix).count() {
+                0 => NameScope::Any,
+                count => NameScope::of_parts(count),
+            },
+            None => NameScope::Whole,
+        }
+    }
+
+    fn host_scope(&self) -> NameScope {
+        let Some(host) = self.host.as_deref() else {
+            return NameScope::Any;
+        };
+        match host.strip_prefix("*.") {
+            Some(suffix) => NameScope::of_parts(suffix.split('.').count()),
+            None => NameScope::Whole,
+        }
+    }
+
+    pub(crate) fn shape(&self) -> ConditionShape {
+        ConditionShape {
+            path: self.path_scope(),
+            host: self.host_scope(),
+            header: self.header.as_ref().map(|(name, _)| name.clone()),
+            class: self.class.is_some(),
+            tenant: self.tenant.is_some(),
+            method: self.method.is_some(),
+            listener: self.listener.is_some(),
+        }
+    }
+
+    /// Returns the key under which this condition stands in a shape that is no more specific than
+    /// its own.
+    pub(crate) fn key_in(&self, shape: &ConditionShape) -> Option<u64> {
+        self.with_minimal_request(|request| shape.key_of(request))
+    }
+
+    /// Calls a function with a request that fulfils the conditions and has no other attribute.
+    pub(crate) fn with_minimal_request<T>(
+        &self,
+        inspect: impl FnOnce(&RequestAttributes<'_>) -> T,
+    ) -> T {
+        let text = |value: &Option<String>| value.clone().unwrap_or_default();
+        // A host that matches a wildcard has one label more than the suffix.
+        let host = text(&self.host).replace('*', "x");
+        let path = self.path.as_deref().unwrap_or_default();
+        let header = |name: &str| {
+            let (own_name, value) = self.header.as_ref()?;
+            (own_name == name).then_some(value.as_str())
+        };
+        inspect(&RequestAttributes {
+            listener: &text(&self.listener),
+            host: &host,
+            path: path.strip_suffix("/*").unwrap_or(path),
+            method: &text(&self.method),
+            class: &text(&self.class),
+            tenant: &text(&self.tenant),
+            header: &header,
+        })
     }
 }
 
-impl Shape {
-    /// Grows with each condition: a match within another's has the higher rank.
-    pub(crate) fn rank(&self) -> u32 {
+impl ConditionShape {
+    /// Returns a rank that grows with each condition: a condition that is nested in another one has
+    /// the higher rank.
+    pub(crate) fn specificity(&self) -> u32 {
         let flags = [
             self.header.is_some(),
             self.class,
@@ -225,18 +249,17 @@
             self.method,
             self.listener,
         ];
-        self.path.rank() + self.host.rank() + flags.into_iter().map(u32::from).sum::<u32>()
+        let flag_count: u32 = flags.into_iter().map(u32::from).sum();
+        self.path.specificity() + self.host.specificity() + flag_count
     }
 
-    /// What both look at.
-    pub(crate) fn meet(&self, other: &Shape) -> Shape {
-        Shape {
+    /// Returns the attributes that both shapes compare.
+    pub(crate) fn intersection(&self, other: &ConditionShape) -> ConditionShape {
+        let header = self.header.as_ref();
+        ConditionShape {
             path: self.path.min(other.path),
             host: self.host.min(other.host),
-            header: self
-                .header
-                .clone()
-                .filter(|h| other.header.as_ref() == Some(h)),
+            header: header.filter(|h| other.header.as_ref() == Some(h)).cloned(),
             class: self.class && other.class,
             tenant: self.tenant && other.tenant,
             method: self.method && other.method,
@@ -244,34 +267,36 @@
         }
     }
 
-    /// What this shape sees of a request; none if it has no such part.
-    pub(crate) fn key(&self, r: &Request<'_>) -> Option<u64> {
-        // The same in every run of one build, which is all that is needed: it stays in memory.
-        let mut hash = DefaultHasher::new();
+    /// Hashes the attributes of a request that the shape compares. Returns `None` if the request
+    /// lacks one of them.
+    pub(crate) fn key_of(&self, request: &RequestAttributes<'_>) -> Option<u64> {
+        // The key stays in memory, so that it need not be the same in other builds.
+        let mut hasher = DefaultHasher::new();
         match self.path {
-            Part::Any => {}
-            Part::Some(n) => head(r.path, n)?.hash(&mut hash),
-            Part::Whole => segments(r.path).for_each(|s| s.hash(&mut hash)),
+            NameScope::Any => {}
+            NameScope::Parts(n) => first_segments(request.path, n)?.hash(&mut hasher),
+            NameScope::Whole => path_segments(request.path).for_each(|s| s.hash(&mut hasher)),
         }
-        0u8.hash(&mut hash);
+        0u8.hash(&mut hasher);
         match self.host {
-            Part::Any => {}
-            Part::Some(n) => tail(r.host, n)?.hash(&mut hash),
-            Part::Whole => r.host.hash(&mut hash),
+            NameScope::Any => {}
+            NameScope::Parts(n) => last_labels(request.host, n)?.hash(&mut hasher),
+            NameScope::Whole => request.host.hash(&mut hasher),
         }
         if let Some(name) = &self.header {
-            (r.header)(name)?.hash(&mut hash);
+            (request.header)(name)?.hash(&mut hasher);
         }
-        let flagged = [
-            (self.class, r.class),
-            (self.tenant, r.tenant),
-            (self.method, r.method),
-            (self.listener, r.listener),
+        let attributes = [
+            (self.class, request.class),
+            (self.tenant, request.tenant),
+            (self.method, request.method),
+            (self.listener, request.listener),
         ];
-        flagged
-            .into_iter()
-            .filter(|(on, _)| *on)
-            .for_each(|(_, text)| text.hash(&mut hash));
-        Some(hash.finish())
+        for (compared, value) in attributes {
+            if compared {
+                value.hash(&mut hasher);
+            }
+        }
+        Some(hasher.finish())
     }
 }
--- a/crates/heathroad-routing/src/diff.rs
+++ b/crates/heathroad-routing/src/diff.rs
@@ -1,273 +1,304 @@
-//! What a change does, in words: which requests move where, and what becomes of pools.
+//! A description of what a change does, for people: which requests move to which pools, and how
+//! pools and listeners change.
 
-use crate::condition::{Match, Request};
-use crate::file::{Class, Config, Effect, Listener, Pool, Source, TenantFrom};
+use crate::condition::{RequestAttributes, RouteCondition};
+use crate::config::{
+    BackendSource, Class, Config, Idempotency, Listener, Method, Pool, TenantSource,
+};
 use crate::generation::Generation;
-use crate::split::Share;
-use std::collections::BTreeSet;
+use crate::traffic_split::WeightedPool;
+use std::collections::{BTreeSet, HashSet};
 
-/// Lines that say what going from one generation to another does; none where nothing changes.
-pub fn words(from: &Generation, to: &Generation) -> Vec<String> {
+/// A text that no condition asks for.
+const UNUSED_TEXT: &str = "\u{1}";
+
+/// Describes the change from one generation to another, line by line. Returns no line where nothing
+/// changes.
+pub fn describe_changes(from: &Generation, to: &Generation) -> Vec<String> {
     let mut lines = Vec::new();
-    pools(&from.config, &to.config, &mut lines);
-    routes(from, to, &mut lines);
-    listeners(&from.config, &to.config, &mut lines);
+    describe_pools(&from.config, &to.config, &mut lines);
+    describe_routes(from, to, &mut lines);
+    describe_listeners(&from.config, &to.config, &mut lines);
     lines
 }
 
-fn listeners(from: &Config, to: &Config, lines: &mut Vec<String>) {
-    let of = |c: &'_ Config, name: &str| c.listeners.iter().find(|l| l.name == name).cloned();
-    for new in &to.listeners {
-        let name = &new.name;
-        let Some(old) = of(from, name) else {
-            lines.push(format!("listener {name} is new, on {}", new.address));
-            continue;
-        };
-        if (&old.tenant, &old.unknown) != (&new.tenant, &new.unknown) {
-            lines.push(format!(
-                "listener {name}: its tenants or unknown methods are told otherwise"
-            ));
-        }
-        let apart = |l: &Listener| Listener {
-            methods: Default::default(),
-            tenant: TenantFrom::Nothing,
-            unknown: None,
-            ..l.clone()
-        };
-        if apart(&old) != apart(new) {
-            lines.push(format!(
-                "listener {name} changes; connections to it end once they are answered"
-            ));
-        }
-        let mut methods: Vec<_> = old.methods.keys().chain(new.methods.keys()).collect();
-        methods.sort();
-        methods.dedup();
-        for method in methods {
-            match (old.methods.get(method), new.methods.get(method)) {
-                (Some(a), Some(b)) if a.class != b.class => {
-                    lines.push(format!(
-                        "listener {name}, method {method}: class {} instead of {}",
-                        b.class, a.class
-                    ));
-                }
-                (Some(a), Some(b)) if a != b => {
-                    lines.push(format!(
-                        "listener {name}, method {method}: its key lies elsewhere"
-                    ));
-                }
-                (None, Some(b)) => lines.push(format!(
-                    "listener {name} takes method {method}, class {}",
-                    b.class
-                )),
-                (Some(_), None) => {
-                    lines.push(format!("listener {name} takes method {method} no more"))
-                }
-                _ => {}
+fn describe_pools(from: &Config, to: &Config, lines: &mut Vec<String>) {
+    let find =
+        |config: &Config, name: &str| config.pools.iter().find(|pool| pool.name == name).cloned();
+    for new in &to.pools {
+        match find(from, &new.name) {
+            None => {
+                let source = describe_source(&new.source);
+                lines.push(format!("pool {} is new: {source}", new.name));
             }
+            Some(old) => describe_pool(&old, new, lines),
         }
     }
-    let gone = from.listeners.iter().filter(|l| of(to, &l.name).is_none());
-    lines.extend(gone.map(|l| format!("listener {} is closed; what it has is finished", l.name)));
-}
-
-fn pools(from: &Config, to: &Config, lines: &mut Vec<String>) {
-    let of = |c: &Config, name: &str| c.pools.iter().find(|p| p.name == name).cloned();
-    for p in &to.pools {
-        match of(from, &p.name) {
-            None => lines.push(format!("pool {} is new: {}", p.name, source(&p.source))),
-            Some(old) => pool(&old, p, lines),
-        }
-    }
-    for p in from.pools.iter().filter(|p| of(to, &p.name).is_none()) {
+    for old in from
+        .pools
+        .iter()
+        .filter(|pool| find(to, &pool.name).is_none())
+    {
         lines.push(format!(
             "pool {} is removed; what it has is finished",
-            p.name
+            old.name
         ));
     }
 }
 
-fn source(s: &Source) -> String {
-    match s {
-        Source::List(members) => format!("{} listed backends", members.len()),
-        Source::Registry { address, select } => {
-            let at = address.map_or("the default registry".to_string(), |a| {
-                format!("the registry at {a}")
-            });
+fn describe_source(source: &BackendSource) -> String {
+    match source {
+        BackendSource::List(backends) => format!("{} listed backends", backends.len()),
+        BackendSource::Registry { address, select } => {
+            let registry = match address {
+                Some(address) => format!("the registry at {address}"),
+                None => "the default registry".to_string(),
+            };
             let labels: Vec<String> = select.iter().map(|(k, v)| format!("{k} {v}")).collect();
             if labels.is_empty() {
-                format!("all of {at}")
+                format!("all of {registry}")
             } else {
-                format!("{} of {at}", labels.join(", "))
+                format!("{} of {registry}", labels.join(", "))
             }
         }
     }
 }
 
-fn pool(old: &Pool, new: &Pool, lines: &mut Vec<String>) {
+fn describe_pool(old: &Pool, new: &Pool, lines: &mut Vec<String>) {
     let name = &new.name;
-    match (&old.source, &new.source) {
-        (Source::List(a), Source::List(b)) => {
-            let [a, b] = [a, b].map(|list| list.iter().map(|m| m.address).collect::<BTreeSet<_>>());
-            for (list, word) in [(&b - &a, "joins"), (&a - &b, "leaves")] {
-                lines.extend(
-                    list.iter()
-                        .map(|m| format!("backend {m} {word} pool {name}")),
-                );
-            }
-            if a == b && old.source != new.source {
-                lines.push(format!(
-                    "pool {name}: sites, blocks or weights of its backends change"
-                ));
-            }
+    describe_backends(old, new, lines);
+    for class in &new.classes {
+        match old.classes.iter().find(|o| o.name == class.name) {
+            None => lines.push(format!(
+                "pool {name} serves class {} from now on",
+                class.name
+            )),
+            Some(old_class) => describe_class(name, old_class, class, lines),
         }
-        (a, b) if a != b => lines.push(format!(
-            "pool {name} takes its backends from {} instead of {}",
-            source(b),
-            source(a)
-        )),
-        _ => {}
     }
-    for c in &new.classes {
-        match old.classes.iter().find(|o| o.name == c.name) {
-            None => lines.push(format!("pool {name} serves class {} from now on", c.name)),
-            Some(o) => class(name, o, c, lines),
+    for class in &old.classes {
+        if new.classes.iter().all(|c| c.name != class.name) {
+            lines.push(format!("pool {name} serves class {} no more", class.name));
         }
     }
-    for o in old
-        .classes
-        .iter()
-        .filter(|o| new.classes.iter().all(|c| c.name != o.name))
-    {
-        lines.push(format!("pool {name} serves class {} no more", o.name));
-    }
-    if old.rpc != new.rpc {
+    if old.jsonrpc != new.jsonrpc {
         lines.push(format!(
             "pool {name}: its backends are called over JSON-RPC in another way, or no more"
         ));
     }
-    let say = |x: Option<u32>| x.map_or("the daemon's own".to_string(), |x| x.to_string());
-    if old.open != new.open {
+    if old.max_open_requests != new.max_open_requests {
+        let limit = |limit: Option<u32>| {
+            limit.map_or("the daemon's own".to_string(), |limit| limit.to_string())
+        };
         lines.push(format!(
             "pool {name}: most open requests {} instead of {}",
-            say(new.open),
-            say(old.open)
+            limit(new.max_open_requests),
+            limit(old.max_open_requests)
         ));
     }
 }
 
-fn effect(e: Effect) -> String {
-    match e {
-        Effect::Safe => "safe to repeat".into(),
-        Effect::Unsafe => "never run twice".into(),
-        Effect::Keyed { group, window_ms } => {
-            format!("keyed, {group:?} for {window_ms} ms").to_lowercase()
+fn describe_backends(old: &Pool, new: &Pool, lines: &mut Vec<String>) {
+    let name = &new.name;
+    match (&old.source, &new.source) {
+        (BackendSource::List(old_list), BackendSource::List(new_list)) => {
+            let [before, after] = [old_list, new_list]
+                .map(|list| list.iter().map(|b| b.address).collect::<BTreeSet<_>>());
+            for (addresses, verb) in [(&after - &before, "joins"), (&before - &after, "leaves")] {
+                let changes = addresses.iter();
+                lines
+                    .extend(changes.map(|address| format!("backend {address} {verb} pool {name}")));
+            }
+            if before == after && old_list != new_list {
+                lines.push(format!(
+                    "pool {name}: sites, blocks or weights of its backends change"
+                ));
+            }
         }
+        (old_source, new_source) if old_source != new_source => lines.push(format!(
+            "pool {name} takes its backends from {} instead of {}",
+            describe_source(new_source),
+            describe_source(old_source)
+        )),
+        _ => {}
     }
 }
 
-fn class(pool: &str, old: &Class, new: &Class, lines: &mut Vec<String>) {
+fn describe_idempotency(idempotency: Idempotency) -> String {
+    match idempotency {
+        Idempotency::Idempotent => "safe to repeat".into(),
+        Idempotency::NonIdempotent => "never run twice".into(),
+        Idempotency::Keyed { scope, window_ms } => format!("keyed, {scope} for {window_ms} ms"),
+    }
+}
+
+fn describe_class(pool: &str, old: &Class, new: &Class, lines: &mut Vec<String>) {
     let name = &new.name;
-    if old.effect != new.effect {
+    if old.idempotency != new.idempotency {
         lines.push(format!(
             "pool {pool}, class {name}: {} instead of {}; calls that are out keep the old way",
-            effect(new.effect),
-            effect(old.effect)
+            describe_idempotency(new.idempotency),
+            describe_idempotency(old.idempotency)
         ));
     }
-    for (what, a, b) in [
-        ("aim", old.aim_ms, new.aim_ms),
+    let durations = [
+        ("aim", old.latency_objective_ms, new.latency_objective_ms),
         ("deadline", old.deadline_ms, new.deadline_ms),
-    ] {
-        if a != b {
+    ];
+    for (what, before, after) in durations {
+        if before != after {
             lines.push(format!(
-                "pool {pool}, class {name}: {what} {b} ms instead of {a} ms"
+                "pool {pool}, class {name}: {what} {after} ms instead of {before} ms"
             ));
         }
     }
-    if old.worth != new.worth {
+    if old.priority_weight != new.priority_weight {
         lines.push(format!(
             "pool {pool}, class {name}: worth {} instead of {}",
-            new.worth, old.worth
+            new.priority_weight, old.priority_weight
         ));
     }
 }
 
-/// A request that a match is the most general description of, with what no other match asks for
-/// elsewhere.
-fn example<'a>(m: &'a Match, host: &'a str, path: &'a str, r: impl FnOnce(&Request<'_>)) {
-    let text = |t: &'a Option<String>| t.as_deref().unwrap_or("\u{1}");
+/// Describes where the requests of each route go, for the routes of either generation.
+fn describe_routes(from: &Generation, to: &Generation, lines: &mut Vec<String>) {
+    let mut seen = HashSet::new();
+    for route in from.config.routes.iter().chain(&to.config.routes) {
+        let condition = &route.condition;
+        if !seen.insert(condition) {
+            continue;
+        }
+        let [before, after] = [from, to].map(|generation| pool_parts(generation, condition));
+        if before != after {
+            lines.push(format!(
+                "{} go to {} instead of {}",
+                condition.describe(),
+                describe_parts(&after),
+                describe_parts(&before)
+            ));
+        }
+    }
+}
+
+/// A pool's part of the requests of a route.
+#[derive(Debug, PartialEq)]
+struct PoolPart {
+    pool: String,
+    /// From 0 to 1.
+    fraction: f64,
+}
+
+/// Returns where a generation sends the requests that fulfil a condition, sorted by pool.
+fn pool_parts(generation: &Generation, condition: &RouteCondition) -> Vec<PoolPart> {
+    let host = condition.host.as_deref().unwrap_or(UNUSED_TEXT);
+    let path = condition.path.as_deref().unwrap_or("/*");
+    let text = |value: &Option<String>| value.clone().unwrap_or_else(|| UNUSED_TEXT.to_string());
     let header = |name: &str| {
-        m.header
-            .as_ref()
-            .filter(|(n, _)| n == name)
-            .map(|(_, value)| value.as_str())
+        let (own_name, value) = condition.header.as_ref()?;
+        (own_name == name).then_some(value.as_str())
     };
-    r(&Request {
-        listener: text(&m.listener),
-        host,
-        path,
-        method: text(&m.method),
-        class: text(&m.class),
-        tenant: text(&m.tenant),
+    let route = generation.table.find_route(&RequestAttributes {
+        listener: &text(&condition.listener),
+        host: &host.replace('*', UNUSED_TEXT),
+        path: &path.replace('*', UNUSED_TEXT),
+        method: &text(&condition.method),
+        class: &text(&condition.class),
+        tenant: &text(&condition.tenant),
         header: &header,
     });
+    let destinations: &[WeightedPool] = route.map_or(&[], |route| &route.destinations);
+    let total: f64 = destinations.iter().map(|d| d.weight).sum();
+    let mut parts: Vec<PoolPart> = destinations
+        .iter()
+        .filter(|destination| destination.weight > 0.0)
+        .map(|destination| PoolPart {
+            pool: generation.config.pools[destination.pool].name.clone(),
+            fraction: destination.weight / total,
+        })
+        .collect();
+    parts.sort_by(|a, b| a.pool.cmp(&b.pool));
+    parts
 }
 
-/// Where a generation sends what a match describes: pools by name with their parts.
-fn goes(g: &Generation, m: &Match) -> Vec<(String, f64)> {
-    let host = m
-        .host
-        .as_deref()
-        .map_or("\u{1}".to_string(), |h| h.replace('*', "\u{1}"));
-    let path = m
-        .path
-        .as_deref()
-        .map_or("/\u{1}".to_string(), |p| p.replace('*', "\u{1}"));
-    let mut found = Vec::new();
-    example(m, &host, &path, |request| {
-        let to: &[Share] = g.table.route(request).map_or(&[], |r| &r.to);
-        let all: f64 = to.iter().map(|s| s.weight).sum();
-        let some = to.iter().filter(|s| s.weight > 0.0);
-        found = some
-            .map(|s| (g.config.pools[s.pool].name.clone(), s.weight / all))
-            .collect();
-    });
-    found.sort_by(|a, b| a.0.cmp(&b.0));
-    found
-}
-
-fn shares(to: &[(String, f64)]) -> String {
-    match to {
+fn describe_parts(parts: &[PoolPart]) -> String {
+    match parts {
         [] => "nowhere".to_string(),
-        [(pool, _)] => pool.clone(),
-        many => {
-            let parts: Vec<String> = many
+        [only] => only.pool.clone(),
+        several => {
+            let percentages = several
                 .iter()
-                .map(|(p, part)| format!("{:.1}% to {p}", part * 100.0))
-                .collect();
-            parts.join(", ")
+                .map(|PoolPart { pool, fraction }| format!("{:.1}% to {pool}", fraction * 100.0));
+            percentages.collect::<Vec<_>>().join(", ")
         }
     }
 }
 
-/// Every kind of request that a route of either side describes: where it went, and where it goes.
-fn routes(from: &Generation, to: &Generation, lines: &mut Vec<String>) {
-    let mut seen: Vec<&Match> = Vec::new();
-    let mut known = std::collections::HashSet::new();
-    for r in from.config.routes.iter().chain(&to.config.routes) {
-        if known.insert(&r.when) {
-            seen.push(&r.when);
+fn describe_listeners(from: &Config, to: &Config, lines: &mut Vec<String>) {
+    let find =
+        |config: &Config, name: &str| config.listeners.iter().find(|l| l.name == name).cloned();
+    for new in &to.listeners {
+        match find(from, &new.name) {
+            None => lines.push(format!("listener {} is new, on {}", new.name, new.address)),
+            Some(old) => describe_listener(&old, new, lines),
         }
     }
-    for m in seen {
-        let [before, after] = [from, to].map(|g| goes(g, m));
-        if before != after {
-            lines.push(format!(
-                "{} go to {} instead of {}",
-                m.words(),
-                shares(&after),
-                shares(&before)
-            ));
-        }
+    for old in from
+        .listeners
+        .iter()
+        .filter(|l| find(to, &l.name).is_none())
+    {
+        lines.push(format!(
+            "listener {} is closed; what it has is finished",
+            old.name
+        ));
+    }
+}
+
+fn describe_listener(old: &Listener, new: &Listener, lines: &mut Vec<String>) {
+    let name = &new.name;
+    if (&old.tenant_source, &old.default_method) != (&new.tenant_source, &new.default_method) {
+        lines.push(format!(
+            "listener {name}: its tenants or unknown methods are told otherwise"
+        ));
+    }
+    // Connections end only where something else than tenants and methods changes.
+    let connection_settings = |listener: &Listener| Listener {
+        methods: Default::default(),
+        tenant_source: TenantSource::None,
+        default_method: None,
+        ..listener.clone()
+    };
+    if connection_settings(old) != connection_settings(new) {
+        lines.push(format!(
+            "listener {name} changes; connections to it end once they are answered"
+        ));
+    }
+    let methods: BTreeSet<&String> = old.methods.keys().chain(new.methods.keys()).collect();
+    for method in methods {
+        let (before, after) = (old.methods.get(method), new.methods.get(method));
+        lines.extend(describe_method(name, method, before, after));
+    }
+}
+
+fn describe_method(
+    listener: &str,
+    method: &str,
+    old: Option<&Method>,
+    new: Option<&Method>,
+) -> Option<String> {
+    match (old, new) {
+        (Some(old), Some(new)) if old.class != new.class => Some(format!(
+            "listener {listener}, method {method}: class {} instead of {}",
+            new.class, old.class
+        )),
+        (Some(old), Some(new)) if old != new => Some(format!(
+            "listener {listener}, method {method}: its key lies elsewhere"
+        )),
+        (None, Some(new)) => Some(format!(
+            "listener {listener} takes method {method}, class {}",
+            new.class
+        )),
+        (Some(_), None) => Some(format!("listener {listener} takes method {method} no more")),
+        _ => None,
     }
 }
--- a/crates/heathroad-routing/src/generation.rs
+++ b/crates/heathroad-routing/src/generation.rs
@@ -1,128 +1,150 @@
-//! A configuration as it is in force: an immutable snapshot with number and digest. A request binds
-//! to one when it is taken and keeps it to its final answer.
+//! An immutable snapshot of a configuration, with its number and digest.
+//!
+//! A request binds to the generation in force when it arrives, and keeps it to its final response.
 
-use crate::condition::Request;
-use crate::fault::{Fault, Faults};
-use crate::file::{self, Config, Pool, TenantFrom};
-use crate::table::Table;
+use crate::condition::RequestAttributes;
+use crate::config::error::{ConfigError, ConfigErrors};
+use crate::config::{self, Config, Listener, Method, Pool, TenantSource};
+use crate::table::{MAX_SHAPES, RouteTable, TooManyShapes};
 use sha2::{Digest, Sha256};
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// A snapshot. It is shared by reference count; the last request that is bound to it lets it go.
+/// The number of bytes of the SHA-256 hash that a digest shows.
+const DIGEST_BYTES: usize = 8;
+
+/// A snapshot of a configuration. Reference counts keep it until the last request that is bound to
+/// it ends.
 #[derive(Debug)]
 pub struct Generation {
-    /// Its number; it grows with each change that is applied, undoing included.
+    /// The number, which grows with each change that is applied, rollbacks included.
     pub number: u64,
-    /// Tells its text from others.
+    /// The digest of the text.
     pub digest: String,
-    /// The text that it was read from.
+    /// The text of the configuration file.
     pub text: String,
-    /// What that says.
+    /// The parsed text.
     pub config: Config,
-    /// Its routes.
-    pub table: Table,
-}
-
-/// A text's digest: the same on every machine.
-pub fn digest(text: &str) -> String {
-    Sha256::digest(text.as_bytes())
-        .iter()
-        .take(8)
-        .fold(String::new(), |mut hex, byte| {
-            // Writing to text does not fail.
-            let _ = write!(hex, "{byte:02x}");
-            hex
-        })
-}
-
-/// Methods whose calls some route takes to a pool that does not speak JSON-RPC or does not serve
-/// their class, whoever calls: they would never be served.
-fn unserved(config: &Config, table: &Table) -> Vec<Fault> {
-    let mut faults = Vec::new();
-    for l in &config.listeners {
-        let mut methods: Vec<_> = l.methods.iter().collect();
-        methods.sort_by_key(|(name, _)| *name);
-        for (name, method) in methods {
-            let request = Request {
-                listener: &l.name,
-                host: "",
-                path: "",
-                method: name,
-                class: &method.class,
-                tenant: match &l.tenant {
-                    TenantFrom::Fixed(tenant) => tenant,
-                    _ => "",
-                },
-                header: &|_| None,
-            };
-            let Some(route) = table.route(&request) else {
-                continue;
-            };
-            for pool in route.to.iter().map(|s| &config.pools[s.pool]) {
-                if pool.rpc.is_some() && pool.classes.iter().any(|c| c.name == method.class) {
-                    continue;
-                }
-                faults.push(Fault {
-                    line: route.line,
-                    field: format!("route {:?}", route.name),
-                    reason: format!(
-                        "calls of {name:?} on listener {:?} go to pool {:?}",
-                        l.name, pool.name
-                    ),
-                    expected: format!("a pool with [pool.rpc] that serves {:?}", method.class),
-                });
-            }
-        }
-    }
-    faults
+    /// The routing table of the configuration.
+    pub table: RouteTable,
 }
 
 impl Generation {
-    /// Reads and checks a text whole; what is wrong is told all at once.
-    pub fn read(number: u64, file: &str, text: &str) -> Result<Rc<Generation>, Faults> {
-        let config = file::read(file, text)?;
-        let table = Table::new(&config).map_err(|said| {
-            let (reason, expected) = said.split_once("; expected ").unwrap_or((&said, ""));
-            let reason = reason.trim_start_matches("route: ").to_string();
-            let fault = Fault {
-                line: 1,
-                field: "route".into(),
-                reason,
-                expected: expected.into(),
-            };
-            Faults {
-                file: file.to_string(),
-                list: vec![fault],
-            }
-        })?;
-        let faults = unserved(&config, &table);
-        if !faults.is_empty() {
-            return Err(Faults {
-                file: file.to_string(),
-                list: faults,
-            });
+    /// Parses and checks a text. `file` is its name in error messages.
+    ///
+    /// # Errors
+    ///
+    /// Returns all errors of the text, sorted by line.
+    pub fn parse(number: u64, file: &str, text: &str) -> Result<Rc<Generation>, ConfigErrors> {
+        let errors = |list| ConfigErrors {
+            file: file.to_string(),
+            list,
+        };
+        let config = config::parse(file, text)?;
+        let pool_names = config.pools.iter().map(|pool| pool.name.clone()).collect();
+        let table = RouteTable::new(config.routes.clone(), pool_names)
+            .map_err(|error| errors(vec![too_many_shapes(error)]))?;
+        let unserved = find_unserved_methods(&config, &table);
+        if !unserved.is_empty() {
+            return Err(errors(unserved));
         }
         Ok(Rc::new(Generation {
             number,
-            digest: digest(text),
+            digest: digest_text(text),
             text: text.to_string(),
             config,
             table,
         }))
     }
 
-    /// A pool by its name.
+    /// Finds a pool by its name.
     pub fn pool(&self, name: &str) -> Option<&Pool> {
-        self.config.pools.iter().find(|p| p.name == name)
+        self.config.pools.iter().find(|pool| pool.name == name)
     }
 
-    /// The names of its pools that another generation lacks or words otherwise.
-    pub fn pools_unlike<'a>(&'a self, other: &'a Generation) -> impl Iterator<Item = &'a str> {
-        self.config
-            .pools
-            .iter()
-            .filter(|p| other.pool(&p.name) != Some(p))
-            .map(|p| p.name.as_str())
+    /// Iterates over the names of the pools that another generation lacks or defines otherwise.
+    pub fn pools_differing_from<'a>(
+        &'a self,
+        other: &'a Generation,
+    ) -> impl Iterator<Item = &'a str> {
+        let pools = self.config.pools.iter();
+        let differing = pools.filter(|pool| other.pool(&pool.name) != Some(pool));
+        differing.map(|pool| pool.name.as_str())
+    }
+}
+
+/// Returns the digest of a text, which is the same on every machine.
+pub fn digest_text(text: &str) -> String {
+    let hash = Sha256::digest(text.as_bytes());
+    let mut digest = String::new();
+    for byte in hash.iter().take(DIGEST_BYTES) {
+        // Writing to a string does not fail.
+        let _ = write!(digest, "{byte:02x}");
     }
+    digest
+}
+
+fn too_many_shapes(error: TooManyShapes) -> ConfigError {
+    ConfigError {
+        line: 1,
+        field: "route".into(),
+        reason: format!("{} kinds of conditions", error.count),
+        expected: format!("{MAX_SHAPES} at most, for each costs every request a look-up"),
+    }
+}
+
+/// Finds methods whose calls some route takes to a pool that does not speak JSON-RPC or does not
+/// serve their class: such calls would never be served.
+fn find_unserved_methods(config: &Config, table: &RouteTable) -> Vec<ConfigError> {
+    let mut errors = Vec::new();
+    for listener in &config.listeners {
+        let mut methods: Vec<_> = listener.methods.iter().collect();
+        methods.sort_by_key(|(name, _)| *name);
+        for (name, method) in methods {
+            errors.extend(find_unserved_destinations(
+                config, table, listener, name, method,
+            ));
+        }
+    }
+    errors
+}
+
+fn find_unserved_destinations(
+    config: &Config,
+    table: &RouteTable,
+    listener: &Listener,
+    method_name: &str,
+    method: &Method,
+) -> Vec<ConfigError> {
+    let tenant = match &listener.tenant_source {
+        TenantSource::Fixed(tenant) => tenant,
+        _ => "",
+    };
+    let route = table.find_route(&RequestAttributes {
+        listener: &listener.name,
+        host: "",
+        path: "",
+        method: method_name,
+        class: &method.class,
+        tenant,
+        header: &|_| None,
+    });
+    let Some(route) = route else {
+        return Vec::new();
+    };
+    let pools = route.destinations.iter().map(|d| &config.pools[d.pool]);
+    let unserved = pools.filter(|pool| {
+        pool.jsonrpc.is_none() || pool.classes.iter().all(|c| c.name != method.class)
+    });
+    unserved
+        .map(|pool| ConfigError {
+            line: route.line,
+            field: format!("route {:?}", route.name),
+            reason: format!(
+                "calls of {method_name:?} on listener {:?} go to pool {:?}",
+                listener.name, pool.name
+            ),
+            expected: format!("a pool with [pool.rpc] that serves {:?}", method.class),
+        })
+        .collect()
 }
--- a/crates/heathroad-routing/src/lib.rs
+++ b/crates/heathroad-routing/src/lib.rs
@@ -1,29 +1,23 @@
-//! Where requests go, and how that is changed safely: heathroad's routing, without I/O, clock or
-//! socket.
+//! Routing of requests to pools, and safe changes of its configuration, without I/O or clock.
 //!
-//! A change goes one way through the modules:
-//!
-//! - [`file`](mod@file) reads a configuration as text and checks it whole: every [`fault`] is told
-//!   at once, with line, field, reason and what was expected.
-//! - [`condition`] is what a route asks of a request; [`table`] compiles routes: the most specific
-//!   match wins, and two that could both win are an error. A split is by [`split`]: one key stays
-//!   in one pool while weights change.
-//! - [`generation`] is an immutable snapshot with number and digest; [`diff`] says in words which
-//!   requests move where between two.
-//! - [`transaction`] stages, applies, watches by [`harm`], commits or undoes; one change at a time.
-//! - [`nodes`] keeps what belongs to backends and to no generation: drains and cold starts.
-//! - [`journal`] is what survives a kill: the last committed generation and the open transaction,
-//!   record by record.
+//! - [`config`] parses a configuration file and reports all of its errors at once.
+//! - [`condition`] holds the conditions of a [`route`], and [`table`] finds the most specific route
+//!   that matches a request. [`traffic_split`] spreads a route's requests over pools by key.
+//! - [`generation`] is an immutable snapshot of a configuration, and [`diff`] describes for people
+//!   what a change from one to another does.
+//! - [`transaction`] stages, applies, observes and commits a change, or rolls it back when
+//!   [`regression`] finds that the change does harm.
+//! - [`backend_state`] holds the state of backends, which belongs to no generation.
+//! - [`journal`] records transactions, so that a restart begins with a committed generation.
 
+pub mod backend_state;
 pub mod condition;
+pub mod config;
 pub mod diff;
-pub mod fault;
-pub mod file;
 pub mod generation;
-pub mod harm;
 pub mod journal;
-pub mod nodes;
-pub mod reader;
-pub mod split;
+pub mod regression;
+pub mod route;
 pub mod table;
+pub mod traffic_split;
 pub mod transaction;
--- a/crates/heathroad-routing/src/table.rs
+++ b/crates/heathroad-routing/src/table.rs
@@ -1,171 +1,193 @@
-//! Which route a request takes: the most specific one that matches. Routes with conditions on the
-//! same fields are of one shape; a shape is one hash look-up, and shapes are tried from the most
-//! specific on. Two routes that could both be the most specific for some request are a clash, found
-//! when the table is made and not when that request comes.
+//! The routing table, which finds the most specific route that matches a request.
+//!
+//! Routes are grouped by the shape of their conditions. A shape costs one hash look-up, and shapes
+//! are tried from the most specific one on. Two routes that could both be the most specific one for
+//! some request are a conflict; [`find_conflicts`] finds it before such a request arrives.
 
-use crate::condition::{Request, Shape};
-use crate::file::{Config, Route};
-use crate::split::{self, Share};
+use crate::condition::{ConditionShape, RequestAttributes};
+use crate::route::Route;
+use crate::traffic_split;
 use std::collections::{BTreeSet, HashMap};
 
-/// Most shapes; each costs every request a look-up.
+/// The maximum number of shapes. Each of them costs every request a look-up.
 pub const MAX_SHAPES: usize = 128;
 
-/// Two routes that could both win.
+/// Two routes that are both the most specific one for some request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Clash {
-    /// Place of the one.
-    pub one: usize,
-    /// Place of the other, which stands behind it.
-    pub other: usize,
-    /// They match the very same requests; else only some alike.
-    pub same: bool,
+pub struct RouteConflict {
+    /// The index of the first route.
+    pub first: usize,
+    /// The index of the second route, which stands behind the first one.
+    pub second: usize,
+    /// Whether both match exactly the same requests, and not only some of them.
+    pub identical: bool,
 }
 
-impl Clash {
-    /// In words, at the place of the other.
-    pub fn reason(&self, one: &Route) -> String {
-        if self.same {
-            format!(
-                "matches the same requests as route {:?} of line {}, unreachable",
-                one.name, one.line
-            )
+impl RouteConflict {
+    /// Describes the conflict as an error of the second route. `first` is the first one.
+    pub fn describe(&self, first: &Route) -> String {
+        let Route { name, line, .. } = first;
+        if self.identical {
+            format!("matches the same requests as route {name:?} of line {line}, unreachable")
         } else {
             format!(
-                "some requests match it and route {:?} of line {}, neither more specific",
-                one.name, one.line
+                "some requests match it and route {name:?} of line {line}, neither more specific"
             )
         }
     }
 }
 
-/// Finds the routes that clash, one other for each at the most. (Too many shapes are found by
-/// [`Table::new`].)
-pub fn clashes(routes: &[Route]) -> Vec<Clash> {
-    let mut by_shape: HashMap<Shape, Vec<usize>> = HashMap::new();
-    for (i, r) in routes.iter().enumerate() {
-        by_shape.entry(r.when.shape()).or_default().push(i);
+/// The error of a table with more than [`MAX_SHAPES`] shapes.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("{count} kinds of conditions; expected {MAX_SHAPES} at most")]
+pub struct TooManyShapes {
+    /// The number of shapes.
+    pub count: usize,
+}
+
+/// Finds conflicts between routes, at most one for each second route.
+///
+/// Only the first [`MAX_SHAPES`] shapes are compared; [`RouteTable::new`] rejects more.
+pub fn find_conflicts(routes: &[Route]) -> Vec<RouteConflict> {
+    let mut routes_by_shape: HashMap<ConditionShape, Vec<usize>> = HashMap::new();
+    for (index, route) in routes.iter().enumerate() {
+        let shape = route.condition.shape();
+        routes_by_shape.entry(shape).or_default().push(index);
     }
-    let mut shapes: Vec<&Shape> = by_shape.keys().collect();
+    let mut shapes: Vec<(&ConditionShape, &Vec<usize>)> = routes_by_shape.iter().collect();
     shapes.sort();
-    let (mut clashes, mut named) = (Vec::new(), BTreeSet::new());
-    for (n, one) in shapes.iter().enumerate().take(MAX_SHAPES) {
-        for other in shapes.iter().skip(n).take(MAX_SHAPES) {
-            let meet = one.meet(other);
-            // Where one looks at nothing that the other does not, it is the less specific, and no
-            // clash.
-            if n < shapes.len() && (meet == **one || meet == **other) && one != other {
+    let mut conflicts = Vec::new();
+    let mut reported = BTreeSet::new();
+    for (n, (shape, indices)) in shapes.iter().enumerate().take(MAX_SHAPES) {
+        for (other_shape, other_indices) in shapes.iter().skip(n).take(MAX_SHAPES) {
+            let common = shape.intersection(other_shape);
+            let is_nested = common == **shape || common == **other_shape;
+            if is_nested && shape != other_shape {
+                // The route that compares less is the less specific one.
                 continue;
             }
-            let mut seen: HashMap<u64, Vec<usize>> = HashMap::new();
-            for i in &by_shape[*one] {
-                if let Some(key) = routes[*i].when.under(&meet) {
-                    seen.entry(key).or_default().push(*i);
-                }
-            }
-            for j in &by_shape[*other] {
-                let Some(key) = routes[*j].when.under(&meet) else {
-                    continue;
-                };
-                let Some(i) = seen
-                    .get(&key)
-                    .and_then(|list| list.iter().find(|i| **i != *j))
-                else {
-                    continue;
-                };
-                let (first, second) = (*i.min(j), *i.max(j));
-                if named.insert(second) {
-                    clashes.push(Clash {
-                        one: first,
-                        other: second,
-                        same: one == other,
+            for (first, second) in find_common_keys(routes, &common, indices, other_indices) {
+                if reported.insert(second) {
+                    conflicts.push(RouteConflict {
+                        first,
+                        second,
+                        identical: shape == other_shape,
                     });
                 }
             }
         }
     }
-    clashes.sort_by_key(|c| c.other);
-    clashes
+    conflicts.sort_by_key(|c| c.second);
+    conflicts
 }
 
-/// The routes of a configuration, ready to be asked.
+/// Finds pairs of routes with the same key in a shape, in the order of their indices.
+fn find_common_keys(
+    routes: &[Route],
+    shape: &ConditionShape,
+    indices: &[usize],
+    other_indices: &[usize],
+) -> Vec<(usize, usize)> {
+    let mut indices_by_key: HashMap<u64, Vec<usize>> = HashMap::new();
+    for index in indices {
+        if let Some(key) = routes[*index].condition.key_in(shape) {
+            indices_by_key.entry(key).or_default().push(*index);
+        }
+    }
+    let mut pairs = Vec::new();
+    for other in other_indices {
+        let key = routes[*other].condition.key_in(shape);
+        let same_key = key.and_then(|key| indices_by_key.get(&key));
+        if let Some(index) = same_key.and_then(|list| list.iter().find(|i| *i != other)) {
+            pairs.push((*index.min(other), *index.max(other)));
+        }
+    }
+    pairs
+}
+
+/// The routes of a configuration, indexed by the shapes of their conditions.
 #[derive(Debug)]
-pub struct Table {
-    /// From the most specific on.
-    shapes: Vec<(Shape, HashMap<u64, Vec<u32>>)>,
+pub struct RouteTable {
+    /// The shapes from the most specific one on, with the indices of their routes by key.
+    shapes: Vec<(ConditionShape, HashMap<u64, Vec<u32>>)>,
     routes: Vec<Route>,
-    pools: Vec<String>,
+    pool_names: Vec<String>,
 }
 
-impl Table {
-    /// Compiles a checked configuration's routes; more than [`MAX_SHAPES`] kinds of conditions are
-    /// told.
-    pub fn new(config: &Config) -> Result<Table, String> {
-        let mut by_shape: HashMap<Shape, HashMap<u64, Vec<u32>>> = HashMap::new();
-        for (i, route) in config.routes.iter().enumerate() {
-            let shape = route.when.shape();
-            if let Some(key) = route.when.under(&shape) {
-                by_shape
-                    .entry(shape)
-                    .or_default()
-                    .entry(key)
-                    .or_default()
-                    .push(i as u32);
+impl RouteTable {
+    /// Indexes routes that have no conflicts. `pool_names` are the names of the pools that their
+    /// destinations refer to.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the routes have more than [`MAX_SHAPES`] shapes.
+    pub fn new(routes: Vec<Route>, pool_names: Vec<String>) -> Result<RouteTable, TooManyShapes> {
+        let mut keys_by_shape: HashMap<ConditionShape, HashMap<u64, Vec<u32>>> = HashMap::new();
+        for (index, route) in routes.iter().enumerate() {
+            let shape = route.condition.shape();
+            if let Some(key) = route.condition.key_in(&shape) {
+                let keys = keys_by_shape.entry(shape).or_default();
+                keys.entry(key).or_default().push(index as u32);
             }
         }
-        if by_shape.len() > MAX_SHAPES {
-            return Err(format!(
-                "route: {} kinds of conditions; expected {MAX_SHAPES} at most, for each costs every request a look-up",
-                by_shape.len()
-            ));
+        if keys_by_shape.len() > MAX_SHAPES {
+            return Err(TooManyShapes {
+                count: keys_by_shape.len(),
+            });
         }
-        let mut shapes: Vec<_> = by_shape.into_iter().collect();
-        shapes.sort_by(|(a, _), (b, _)| b.rank().cmp(&a.rank()).then_with(|| a.cmp(b)));
-        let pools = config.pools.iter().map(|p| p.name.clone()).collect();
-        Ok(Table {
+        let mut shapes: Vec<_> = keys_by_shape.into_iter().collect();
+        shapes.sort_by(|(a, _), (b, _)| {
+            let by_specificity = b.specificity().cmp(&a.specificity());
+            by_specificity.then_with(|| a.cmp(b))
+        });
+        Ok(RouteTable {
             shapes,
-            routes: config.routes.clone(),
-            pools,
+            routes,
+            pool_names,
         })
     }
 
-    /// The route that a request takes: the most specific one that matches.
-    pub fn route(&self, request: &Request<'_>) -> Option<&Route> {
-        self.shapes.iter().find_map(|(shape, routes)| {
-            let found = routes.get(&shape.key(request)?)?;
-            // Keys are hashes: what they find is looked at.
-            found
-                .iter()
-                .map(|i| &self.routes[*i as usize])
-                .find(|r| r.when.matches(request))
+    /// Finds the most specific route that matches a request.
+    pub fn find_route(&self, request: &RequestAttributes<'_>) -> Option<&Route> {
+        self.shapes.iter().find_map(|(shape, routes_by_key)| {
+            let indices = routes_by_key.get(&shape.key_of(request)?)?;
+            let mut candidates = indices.iter().map(|i| &self.routes[*i as usize]);
+            // Keys are hashes, so that a candidate may differ from the request.
+            candidates.find(|route| route.condition.matches(request))
         })
     }
 
-    /// For each route the place of the narrowest other one that matches all that it matches. The
-    /// routes of a checked configuration are nested or apart: two that only overlap are a clash.
-    pub fn outer(&self) -> Vec<Option<usize>> {
-        let outer = |route: &Route| {
-            let own = route.when.shape();
-            // They are tried from the most specific on.
-            self.shapes
-                .iter()
-                .filter(|(s, _)| *s != own && s.meet(&own) == *s)
-                .find_map(|(shape, routes)| {
-                    let found = routes.get(&route.when.under(shape)?)?;
-                    let around = |i: &&u32| {
-                        route
-                            .when
-                            .sample(|r| self.routes[**i as usize].when.matches(r))
-                    };
-                    found.iter().find(around).map(|i| *i as usize)
-                })
-        };
-        self.routes.iter().map(outer).collect()
+    /// Returns for each route the index of the narrowest other route that matches everything that
+    /// it matches.
+    ///
+    /// The routes of a checked configuration are nested or disjoint, because others are a conflict.
+    pub fn enclosing_routes(&self) -> Vec<Option<usize>> {
+        self.routes
+            .iter()
+            .map(|route| self.enclosing_route(route))
+            .collect()
+    }
+
+    fn enclosing_route(&self, route: &Route) -> Option<usize> {
+        let own_shape = route.condition.shape();
+        let mut less_specific = self
+            .shapes
+            .iter()
+            .filter(|(shape, _)| *shape != own_shape && shape.intersection(&own_shape) == *shape);
+        less_specific.find_map(|(shape, routes_by_key)| {
+            let indices = routes_by_key.get(&route.condition.key_in(shape)?)?;
+            let encloses = |index: &&u32| {
+                let other = &self.routes[**index as usize].condition;
+                route.condition.with_minimal_request(|r| other.matches(r))
+            };
+            indices.iter().find(encloses).map(|index| *index as usize)
+        })
     }
 
-    /// Where a request with a key goes by a route; `key` is what keeps together what belongs
-    /// together.
-    pub fn share(&self, route: &Route, key: u64) -> Option<usize> {
-        split::pick(&route.to, &self.pools, key).map(|s: &Share| s.pool)
+    /// Selects the pool that a request with a key goes to by a route, and returns its index.
+    /// Requests with the same key go to the same pool.
+    pub fn select_pool(&self, route: &Route, key: u64) -> Option<usize> {
+        let selected = traffic_split::select_pool(&route.destinations, &self.pool_names, key);
+        selected.map(|destination| destination.pool)
     }
 }
--- a/crates/heathroad-routing/tests/file.rs
+++ b/crates/heathroad-routing/tests/config.rs
@@ -1,8 +1,8 @@
 //! The file: what is read of a good one, and everything that is wrong with a bad one, at once, with
 //! lines.
 
+use heathroad_routing::config::{BackendSource, DeduplicationScope, Idempotency, parse};
 use heathroad_routing::diff;
-use heathroad_routing::file::{Effect, Group, Source, read};
 use heathroad_routing::generation::Generation;
 
 const GOOD: &str = r#"
@@ -54,9 +54,9 @@
 
 #[test]
 fn a_good_file_is_read() {
-    let c = read("routes.toml", GOOD).expect("good");
+    let c = parse("routes.toml", GOOD).expect("good");
     assert_eq!((c.tenants.len(), c.pools.len(), c.routes.len()), (2, 2, 2));
-    let Source::List(members) = &c.pools[0].source else {
+    let BackendSource::List(members) = &c.pools[0].source else {
         panic!("a list")
     };
     assert_eq!(
@@ -67,7 +67,7 @@
         ),
         ("kano-dc", 2, 0.5)
     );
-    let Source::Registry { address, select } = &c.pools[1].source else {
+    let BackendSource::Registry { address, select } = &c.pools[1].source else {
         panic!("a registry")
     };
     assert_eq!(
@@ -75,16 +75,16 @@
         (Some(8500), "m2")
     );
     assert_eq!(
-        c.pools[0].classes[1].effect,
-        Effect::Keyed {
-            group: Group::Block,
+        c.pools[0].classes[1].idempotency,
+        Idempotency::Keyed {
+            scope: DeduplicationScope::Block,
             window_ms: 10_000.0
         }
     );
     assert_eq!(
         (
             c.routes[1].name.as_str(),
-            c.routes[1].to.len(),
+            c.routes[1].destinations.len(),
             c.routes[1].line
         ),
         ("some", 2, 36)
@@ -135,7 +135,7 @@
 path = "/x"
 pool = "a"
 "#;
-    let said = read("bad.toml", bad).expect_err("bad").to_string();
+    let said = parse("bad.toml", bad).expect_err("bad").to_string();
     for part in [
         "bad.toml:2: pols: unknown field; expected one of listener, pool, route, tenants",
         "bad.toml:5: pool[0].backends: is \"nowhere\"; expected an address and port",
@@ -162,7 +162,7 @@
 fn other_bad_files_are_told_too() {
     let with = |from: &str, to: &str| {
         assert!(GOOD.contains(from), "{from}");
-        read("f", &GOOD.replacen(from, to, 1))
+        parse("f", &GOOD.replacen(from, to, 1))
             .expect_err("bad")
             .to_string()
     };
@@ -243,13 +243,13 @@
         "backends = [{ address = \"127.0.0.1:9002\", block = 3 }]",
     );
     let two = two.replace("select = { site = \"kano-dc\", class = \"m2\" }", "");
-    let said = read("f", &two).expect_err("bad").to_string();
+    let said = parse("f", &two).expect_err("bad").to_string();
     assert!(
         said.contains("127.0.0.1:9002 is of another site or block in pool \"policy\""),
         "{said}"
     );
     assert!(
-        read("f", "")
+        parse("f", "")
             .expect_err("empty")
             .to_string()
             .contains("pool: is missing or empty")
@@ -277,7 +277,7 @@
         let Ok(text) = String::from_utf8(bytes) else {
             continue;
         };
-        if let Err(faults) = read("f", &text) {
+        if let Err(faults) = parse("f", &text) {
             assert!(!faults.list.is_empty(), "seed {seed}");
             assert_eq!(
                 faults.to_string().lines().count(),
@@ -290,9 +290,9 @@
 
 #[test]
 fn a_change_is_told_in_words() {
-    let read = |text: &str| Generation::read(1, "f", text).expect("good");
+    let read = |text: &str| Generation::parse(1, "f", text).expect("good");
     let from = read(GOOD);
-    assert_eq!(diff::words(&from, &from), Vec::<String>::new());
+    assert_eq!(diff::describe_changes(&from, &from), Vec::<String>::new());
     let to = GOOD
         .replace("weight = 9", "weight = 4")
         .replace("\"127.0.0.1:9001\", ", "\"127.0.0.1:9003\", ")
@@ -304,7 +304,7 @@
     let to = to
         + "[[pool]]\nname = \"third\"\nregistry = \"default\"\n[[pool.class]]\nname = \"c\"\neffect = \"safe\"\n\
         aim_ms = 1\ndeadline_ms = 2\n[[route]]\nname = \"c\"\nclass = \"c\"\npool = \"third\"\n";
-    let lines = diff::words(&from, &read(&to));
+    let lines = diff::describe_changes(&from, &read(&to));
     for part in [
         "backend 127.0.0.1:9003 joins pool policy",
         "backend 127.0.0.1:9001 leaves pool policy",
@@ -320,7 +320,7 @@
         );
     }
     assert_eq!(lines.len(), 7, "{lines:#?}");
-    let back = diff::words(&read(&to), &from);
+    let back = diff::describe_changes(&read(&to), &from);
     assert!(
         back.iter().any(|l| l.starts_with("pool third is removed")),
         "{back:#?}"
--- a/crates/heathroad-routing/tests/golden_config_keys.rs
+++ b/crates/heathroad-routing/tests/golden_config_keys.rs
@@ -1,17 +1,17 @@
-//! The keys of the file of routes and pools: each is read, and whatever is no key is refused with
-//! the list of those that are. Both golden answers come from commit 1355c4b.
+//! The keys of the file of routes and pools: each is read, and whatever is no key is refused with the list of those that
+//! are. Both golden answers come from commit 1355c4b.
 
-use heathroad_routing::condition::Match;
-use heathroad_routing::file::{Config, TenantFrom, read};
+use heathroad_routing::condition::RouteCondition;
+use heathroad_routing::config::{Config, TenantSource, parse};
 use heathroad_routing::generation::Generation;
 
 fn config() -> Config {
-    read("f", include_str!("golden/all_keys.toml")).unwrap_or_else(|e| panic!("{e}"))
+    parse("f", include_str!("golden/all_keys.toml")).unwrap_or_else(|e| panic!("{e}"))
 }
 
 #[test]
 fn every_key_is_accepted_and_digested_alike() {
-    let generation = Generation::read(7, "f", include_str!("golden/all_keys.toml"))
+    let generation = Generation::parse(7, "f", include_str!("golden/all_keys.toml"))
         .unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(
         generation.digest,
@@ -27,7 +27,7 @@
         .iter()
         .map(|p| serde_json::to_string(p).expect("JSON") + "\n")
         .collect();
-    let conditions: Vec<&Match> = config.routes.iter().map(|r| &r.when).collect();
+    let conditions: Vec<&RouteCondition> = config.routes.iter().map(|r| &r.condition).collect();
     let actual = format!("{}{:#}\n", pools.concat(), serde_json::json!(conditions));
     assert!(
         actual == include_str!("golden/all_keys.json"),
@@ -41,12 +41,12 @@
     let l = &config.listeners[0];
     assert_eq!(
         (
-            l.in_order,
-            l.connections,
-            l.calls,
-            l.text,
-            l.batch,
-            l.idle_ms
+            l.ordered_responses,
+            l.max_connections,
+            l.max_concurrent_calls,
+            l.max_message_bytes,
+            l.max_batch_size,
+            l.idle_timeout_ms
         ),
         (true, 12, 34, 56 * 1024, 78, 90.0)
     );
@@ -54,7 +54,10 @@
         (l.address.port(), l.framing),
         (7001, heathroad_jsonrpc::Framing::Headers)
     );
-    assert_eq!(l.unknown.as_ref().map(|m| m.class.as_str()), Some("once"));
+    assert_eq!(
+        l.default_method.as_ref().map(|m| m.class.as_str()),
+        Some("once")
+    );
     assert_eq!(
         (
             l.methods["look-up"].class.as_str(),
@@ -62,18 +65,23 @@
         ),
         ("look", true)
     );
-    assert_eq!(l.tenant, TenantFrom::Fixed("zaria-foods".into()));
-    assert!(matches!(&config.listeners[1].tenant, TenantFrom::Connection(by) if by.len() == 1));
-    assert!(matches!(config.listeners[2].tenant, TenantFrom::Params(_)));
+    assert_eq!(l.tenant_source, TenantSource::Fixed("zaria-foods".into()));
+    assert!(
+        matches!(&config.listeners[1].tenant_source, TenantSource::ClientAddress(by) if by.len() == 1)
+    );
+    assert!(matches!(
+        config.listeners[2].tenant_source,
+        TenantSource::Params(_)
+    ));
     let d = &config.listeners[2];
     assert_eq!(
         (
-            d.in_order,
-            d.connections,
-            d.calls,
-            d.text,
-            d.batch,
-            d.idle_ms
+            d.ordered_responses,
+            d.max_connections,
+            d.max_concurrent_calls,
+            d.max_message_bytes,
+            d.max_batch_size,
+            d.idle_timeout_ms
         ),
         (false, 256, 64, 4096 * 1024, 10_000, 600_000.0)
     );
@@ -82,7 +90,7 @@
 /// Each line of the answer names a section's keys, so that a key that is renamed shows.
 #[test]
 fn unknown_keys_are_refused_with_all_known_ones() {
-    let actual = read("f", include_str!("golden/unknown_keys.toml"))
+    let actual = parse("f", include_str!("golden/unknown_keys.toml"))
         .expect_err("it has stray keys")
         .to_string();
     assert!(
--- a/crates/heathroad-routing/tests/golden_journal.rs
+++ b/crates/heathroad-routing/tests/golden_journal.rs
@@ -1,7 +1,7 @@
-//! The stored bytes of the routes' journal: a log of every kind of record, written by commit
-//! 1355c4b, is read and written again byte by byte.
+//! The stored bytes of the routes' journal: a log of every kind of record, written by commit 1355c4b, is read and
+//! written again byte by byte.
 
-use heathroad_routing::journal::{Disk, Journal, Record, read};
+use heathroad_routing::journal::{Journal, JournalStorage, OpenTransaction, Record, recover};
 use std::convert::Infallible;
 
 const LOG: &[u8] = include_bytes!("golden/routes.journal");
@@ -11,7 +11,7 @@
 #[derive(Default)]
 struct Memory(Vec<u8>);
 
-impl Disk for Memory {
+impl JournalStorage for Memory {
     type Error = Infallible;
 
     fn load(&mut self) -> Result<Option<Vec<u8>>, Infallible> {
@@ -56,7 +56,7 @@
         },
         Record::Closed {
             number: 3,
-            why: "not ready in time: \"p\"".into(),
+            reason: "not ready in time: \"p\"".into(),
         },
         Record::Opened {
             number: u64::MAX - 1,
@@ -89,31 +89,35 @@
     assert_eq!(list, records());
 }
 
+fn open(number: u64, applied: bool) -> Option<OpenTransaction> {
+    Some(OpenTransaction { number, applied })
+}
+
 #[test]
 fn the_log_recovers_to_the_same_after_each_record() {
     let mut seen = Vec::new();
     for (_, end) in decoded() {
-        let found = read(&LOG[..end]).expect("a log");
-        assert_eq!((found.sound, found.note.as_deref()), (end, None));
+        let found = recover(&LOG[..end]).expect("a log");
+        assert_eq!((found.valid_bytes, found.damage.as_deref()), (end, None));
         seen.push((
             found.committed.expect("one is committed").0,
-            found.open,
-            found.highest,
+            found.open_transaction,
+            found.highest_number,
         ));
     }
     let last = u64::MAX - 1;
     let expected = [
         (1, None, 1),
-        (1, Some((2, false)), 2),
-        (1, Some((2, true)), 2),
+        (1, open(2, false), 2),
+        (1, open(2, true), 2),
         (2, None, 2),
-        (2, Some((3, false)), 3),
+        (2, open(3, false), 3),
         (2, None, 3),
-        (2, Some((last, false)), last),
-        (2, Some((last, true)), last),
+        (2, open(last, false), last),
+        (2, open(last, true), last),
     ];
     assert_eq!(seen, expected);
-    let text = read(LOG)
+    let text = recover(LOG)
         .expect("a log")
         .committed
         .expect("one is committed")
@@ -127,14 +131,14 @@
     for record in records() {
         journal.write(record).expect("memory does not fail");
     }
-    let bytes = journal.into_disk().0;
+    let bytes = journal.into_storage().0;
     assert!(bytes == LOG, "the bytes are now:\n{}", bytes.escape_ascii());
 }
 
 #[test]
 fn an_open_change_is_closed_by_the_next_start_in_the_same_bytes() {
     let (journal, _) = Journal::open(Memory(LOG.to_vec())).unwrap_or_else(|e| panic!("{e}"));
-    let bytes = journal.into_disk().0;
+    let bytes = journal.into_storage().0;
     let payload = b"{\"what\":\"closed\",\"number\":18446744073709551614,\"why\":\"the daemon ended before it was committed\"}";
     assert_eq!(
         &bytes[LOG.len() + 8..],
--- a/crates/heathroad-routing/tests/journal.rs
+++ b/crates/heathroad-routing/tests/journal.rs
@@ -2,7 +2,9 @@
 //! turn, and each is a crash. A start always begins with a generation that was committed, and with
 //! the last one that was said to be.
 
-use heathroad_routing::journal::{Disk, Journal, OpenError, Record, Unusable, read};
+use heathroad_routing::journal::{
+    FormatError, Journal, JournalStorage, OpenError, OpenTransaction, Record, recover,
+};
 
 /// A disk in memory. What was not synced may be lost or torn by a crash.
 #[derive(Clone, Default)]
@@ -43,7 +45,7 @@
     }
 }
 
-impl Disk for Memory {
+impl JournalStorage for Memory {
     type Error = &'static str;
 
     fn load(&mut self) -> Result<Option<Vec<u8>>, Self::Error> {
@@ -114,7 +116,7 @@
         opened(3),
         Record::Closed {
             number: 3,
-            why: "not ready".into(),
+            reason: "not ready".into(),
         },
         opened(4),
         applied(4),
@@ -139,24 +141,35 @@
 #[test]
 fn a_start_begins_with_the_last_committed_generation() {
     let (mut journal, found) = Journal::open(Memory::default()).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!((found.committed, found.highest), (None, 0));
+    assert_eq!((found.committed, found.highest_number), (None, 0));
     for r in life() {
         journal.write(r).expect("the disk is well");
     }
     let (journal, found) =
-        Journal::open(journal.into_disk().crashed(8)).unwrap_or_else(|e| panic!("{e}"));
+        Journal::open(journal.into_storage().crashed(8)).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(found.committed, Some((5, text(2))));
     assert_eq!(
-        (found.open, found.highest, found.note),
-        (Some((6, true)), 6, None),
+        (found.open_transaction, found.highest_number, found.damage),
+        (
+            Some(OpenTransaction {
+                number: 6,
+                applied: true
+            }),
+            6,
+            None
+        ),
         "it was in probation"
     );
     // The start itself closed it.
-    let found = Journal::open(journal.into_disk().crashed(0))
+    let found = Journal::open(journal.into_storage().crashed(0))
         .unwrap_or_else(|e| panic!("{e}"))
         .1;
     assert_eq!(
-        (found.committed, found.open, found.highest),
+        (
+            found.committed,
+            found.open_transaction,
+            found.highest_number
+        ),
         (Some((5, text(2))), None, 6)
     );
 }
@@ -188,7 +201,7 @@
                             }
                             told.push(r);
                         }
-                        journal.into_disk()
+                        journal.into_storage()
                     }
                 };
                 let found = match Journal::open(disk.crashed(kept)) {
@@ -224,7 +237,7 @@
                         text: text(1),
                     })
                     .expect("well");
-                journal.into_disk()
+                journal.into_storage()
             };
             (disk.fails_at, disk.torn, disk.calls) = (Some(fails_at), torn, 0);
             let Ok((mut journal, _)) = Journal::open(disk) else {
@@ -239,16 +252,16 @@
                 while journal.write(record.clone()).is_err() {
                     failed += 1;
                     // The disk is well again.
-                    let mut disk = journal.into_disk();
+                    let mut disk = journal.into_storage();
                     disk.fails_at = None;
                     journal = Journal::open(disk).unwrap_or_else(|e| panic!("{e}")).0;
                 }
             }
             assert_eq!(failed, 1, "{torn} {fails_at}");
-            let found = Journal::open(journal.into_disk().crashed(0))
+            let found = Journal::open(journal.into_storage().crashed(0))
                 .unwrap_or_else(|e| panic!("{e}"))
                 .1;
-            assert_eq!((found.committed, found.note), (Some((5, text(5))), None));
+            assert_eq!((found.committed, found.damage), (Some((5, text(5))), None));
         }
     }
 }
@@ -259,11 +272,11 @@
     life()
         .into_iter()
         .for_each(|r| journal.write(r).expect("well"));
-    let bytes = journal.into_disk().lasting.expect("a log");
+    let bytes = journal.into_storage().lasting.expect("a log");
     for cut in 0..bytes.len() {
-        let found = read(&bytes[..cut]).expect("this format");
+        let found = recover(&bytes[..cut]).expect("this format");
         assert!(
-            found.sound <= cut && (found.sound == cut) == found.note.is_none(),
+            found.valid_bytes <= cut && (found.valid_bytes == cut) == found.damage.is_none(),
             "{cut}: {found:?}"
         );
         if let Some((number, held)) = found.committed {
@@ -276,10 +289,10 @@
     for at in 20..bytes.len() {
         let mut spoilt = bytes.clone();
         spoilt[at] ^= 0x20;
-        let found = read(&spoilt).expect("this format");
+        let found = recover(&spoilt).expect("this format");
         assert!(
             found
-                .note
+                .damage
                 .is_some_and(|n| n.contains("behind the last sound record")),
             "{at}"
         );
@@ -288,16 +301,16 @@
         }));
     }
     assert_eq!(
-        read(b"heathroad-routing 2\nwhatever"),
-        Err(Unusable::Newer(2))
+        recover(b"heathroad-routing 2\nwhatever"),
+        Err(FormatError::Newer(2))
     );
-    assert_eq!(read(b"something else\n"), Err(Unusable::Foreign));
+    assert_eq!(recover(b"something else\n"), Err(FormatError::Foreign));
     let newer = Memory {
         present: Some(b"heathroad-routing 9\n".to_vec()),
         ..Memory::default()
     };
     match Journal::open(newer) {
-        Err(OpenError::Log(e)) => {
+        Err(OpenError::Format(e)) => {
             assert_eq!(e.to_string(), "the log is of format 9; expected 1 or older")
         }
         _ => panic!("it is not to be touched"),
@@ -323,7 +336,7 @@
             })
             .expect("well");
     }
-    let disk = journal.into_disk();
+    let disk = journal.into_storage();
     assert!(disk.lasting.as_ref().is_some_and(|b| b.len() < 1_200_000));
     let found = Journal::open(disk.crashed(0))
         .unwrap_or_else(|e| panic!("{e}"))
--- a/crates/heathroad-routing/tests/listeners.rs
+++ b/crates/heathroad-routing/tests/listeners.rs
@@ -1,8 +1,8 @@
 //! What a file says of JSON-RPC: read, and every mistake told with its line.
 
 use heathroad_jsonrpc::Framing;
+use heathroad_routing::config::{Listener, TenantSource};
 use heathroad_routing::diff;
-use heathroad_routing::file::{Listener, TenantFrom};
 use heathroad_routing::generation::Generation;
 use std::rc::Rc;
 
@@ -53,33 +53,46 @@
 "#;
 
 fn read(text: &str) -> Result<Rc<Generation>, String> {
-    Generation::read(1, "f", text).map_err(|e| e.to_string())
+    Generation::parse(1, "f", text).map_err(|e| e.to_string())
 }
 
 #[test]
 fn a_good_file_says_where_calls_come_in_and_go() {
     let g = read(GOOD).unwrap_or_else(|e| panic!("{e}"));
-    let rpc = g.config.pools[0].rpc.expect("it speaks JSON-RPC");
+    let rpc = g.config.pools[0].jsonrpc.expect("it speaks JSON-RPC");
     assert_eq!(
-        (rpc.port, rpc.framing, rpc.calls, rpc.declined),
+        (
+            rpc.port,
+            rpc.framing,
+            rpc.max_concurrent_calls,
+            rpc.rejection_code
+        ),
         (Some(9100), Framing::Headers, 8, Some(-32050))
     );
     let Listener {
-        in_order,
+        ordered_responses,
         framing,
-        calls,
-        batch,
-        tenant,
-        unknown,
+        max_concurrent_calls,
+        max_batch_size,
+        tenant_source,
+        default_method,
         methods,
         ..
     } = &g.config.listeners[0];
     assert_eq!(
-        (*in_order, *framing, *calls, *batch),
+        (
+            *ordered_responses,
+            *framing,
+            *max_concurrent_calls,
+            *max_batch_size
+        ),
         (true, Framing::Lines, 64, 10_000)
     );
-    assert!(matches!(tenant, TenantFrom::Params(_)));
-    assert_eq!(unknown.as_ref().map(|m| m.class.as_str()), Some("payout"));
+    assert!(matches!(tenant_source, TenantSource::Params(_)));
+    assert_eq!(
+        default_method.as_ref().map(|m| m.class.as_str()),
+        Some("payout")
+    );
     assert!(methods["claims.submit"].key.is_some());
 }
 
@@ -225,7 +238,7 @@
         .replace("order = \"asked\"\n", "")
         .replace("calls = 8", "calls = 4");
     let [a, b] = [GOOD, &other].map(|t| read(t).unwrap_or_else(|e| panic!("{e}")));
-    let words = diff::words(&a, &b).join("\n");
+    let words = diff::describe_changes(&a, &b).join("\n");
     for want in [
         "listener batches changes; connections to it end",
         "listener batches, method claims.submit: class payout instead of claim-submit",
@@ -233,7 +246,7 @@
     ] {
         assert!(words.contains(want), "{words}");
     }
-    assert!(diff::words(&a, &a).is_empty());
+    assert!(diff::describe_changes(&a, &a).is_empty());
 }
 
 #[test]
@@ -246,7 +259,7 @@
         )
     };
     let said = |text: &str| {
-        heathroad_routing::file::read("f", text)
+        heathroad_routing::config::parse("f", text)
             .map_err(|e| e.to_string())
             .err()
     };
@@ -266,10 +279,13 @@
         None
     );
     assert_eq!(said(&text("10.0.0.1:9000", "", "0.0.0.0:9000")), None);
-    let config = heathroad_routing::file::read("f", &text("127.0.0.1:9000", "", "127.0.0.1:9001"))
-        .expect("good");
+    let config =
+        heathroad_routing::config::parse("f", &text("127.0.0.1:9000", "", "127.0.0.1:9001"))
+            .expect("good");
     assert_eq!(
-        config.rounds(([127, 0, 0, 1], 9000).into()).count(),
+        config
+            .pools_looping_to(([127, 0, 0, 1], 9000).into())
+            .count(),
         0,
         "its backends are called over JSON-RPC"
     );
--- a/crates/heathroad-routing/tests/harm.rs
+++ b/crates/heathroad-routing/tests/regression.rs
@@ -1,22 +1,22 @@
-//! Harm: five kinds of harmful changes are found, by seeds; harmless ones never are, whatever
+//! Regression: five kinds of harmful changes are found, by seeds; harmless ones never are, whatever
 //! chance and trouble elsewhere do.
 
-use heathroad_routing::harm::{Harm, Sample, Watch};
+use heathroad_routing::regression::{PoolSample, Regression, RegressionDetector};
 use std::collections::BTreeMap;
 
 const SECONDS: usize = 30;
 
 /// What a pool does in a second, by chance: so many requests, and the shares of them that end
 /// badly.
-fn second(rng: &mut fastrand::Rng, rate: f64, failed: f64, refused: f64, late: f64) -> Sample {
-    let mut s = Sample::default();
+fn second(rng: &mut fastrand::Rng, rate: f64, failed: f64, refused: f64, late: f64) -> PoolSample {
+    let mut s = PoolSample::default();
     for _ in 0..rate.round() as usize {
         s.requests += 1.0;
         let drawn = rng.f64();
         if drawn < failed {
             s.failed += 1.0;
         } else if drawn < failed + refused {
-            s.refused += 1.0;
+            s.rejected += 1.0;
         } else if drawn < failed + refused + late {
             s.late += 1.0;
         }
@@ -24,13 +24,13 @@
     s
 }
 
-fn sum(samples: impl Iterator<Item = Sample>) -> Sample {
-    samples.fold(Sample::default(), |a, b| Sample {
+fn sum(samples: impl Iterator<Item = PoolSample>) -> PoolSample {
+    samples.fold(PoolSample::default(), |a, b| PoolSample {
         requests: a.requests + b.requests,
         failed: a.failed + b.failed,
-        refused: a.refused + b.refused,
+        rejected: a.rejected + b.rejected,
         late: a.late + b.late,
-        cold: a.cold.max(b.cold),
+        warmup_budget_used: a.warmup_budget_used.max(b.warmup_budget_used),
     })
 }
 
@@ -43,7 +43,7 @@
     touched: &[&str],
     heirs: &[(&str, &str)],
     cold: f64,
-) -> Option<(usize, Harm)> {
+) -> Option<(usize, Regression)> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut before = BTreeMap::new();
     for (pool, [f, r, l], _) in pools
@@ -59,7 +59,7 @@
         .iter()
         .map(|(heir, from)| (heir.to_string(), vec![from.to_string()]))
         .collect();
-    let mut watch = Watch::new(
+    let mut detector = RegressionDetector::new(
         before,
         touched.iter().map(|t| t.to_string()).collect(),
         heirs,
@@ -68,11 +68,11 @@
         for (pool, _, [f, r, l]) in pools {
             let mut sample = second(&mut rng, rate, *f, *r, *l);
             if touched.contains(pool) {
-                sample.cold = cold * (s as f64 / 5.0).min(1.0);
+                sample.warmup_budget_used = cold * (s as f64 / 5.0).min(1.0);
             }
-            watch.saw(pool, &sample);
+            detector.record(pool, &sample);
         }
-        if let Some(harm) = watch.harm() {
+        if let Some(harm) = detector.detect() {
             return Some((s, harm));
         }
     }
@@ -82,7 +82,7 @@
 const WELL: [f64; 3] = [0.01, 0.01, 0.03];
 
 #[test]
-fn five_kinds_of_harm_are_found_soon() {
+fn five_kinds_of_regressions_are_found_soon() {
     for seed in 0..40 {
         for rate in [30.0, 200.0] {
             let one = |after| {
@@ -120,15 +120,15 @@
                 let (after, harm) =
                     harm.unwrap_or_else(|| panic!("seed {seed}, rate {rate}: {what} is not found"));
                 assert!(
-                    harm.what == what || harm.what == "not served in time",
+                    harm.indicator == what || harm.indicator == "not served in time",
                     "seed {seed}: {}",
-                    harm.words()
+                    harm
                 );
                 assert!(
                     after <= 8,
                     "seed {seed}, rate {rate}: {what} after {after} s"
                 );
-                assert!(harm.now > harm.expected && harm.words().contains(&harm.pool));
+                assert!(harm.now > harm.expected && harm.to_string().contains(&harm.pool));
             }
         }
     }
@@ -136,7 +136,7 @@
 
 /// 600 changes that harm nothing: none is called harmful.
 #[test]
-fn harmless_changes_are_not_undone() {
+fn harmless_changes_are_no_regressions() {
     for seed in 0..50 {
         let ill = [0.2, 0.1, 0.2];
         let never = [
@@ -227,7 +227,7 @@
             assert!(
                 harm.is_none(),
                 "seed {seed}, case {i}: {}",
-                harm.expect("some").1.words()
+                harm.expect("some").1
             );
         }
     }
--- a/crates/heathroad-routing/tests/table.rs
+++ b/crates/heathroad-routing/tests/table.rs
@@ -1,20 +1,21 @@
 //! Routes: the most specific match, against a plain search over every route; and clashes, against a
 //! search over every request of a small world.
 
-use heathroad_routing::condition::{Match, Request};
-use heathroad_routing::file::{Config, Route, read};
-use heathroad_routing::split::Share;
-use heathroad_routing::table::{Table, clashes};
+use heathroad_routing::condition::{RequestAttributes, RouteCondition};
+use heathroad_routing::config::parse;
+use heathroad_routing::route::Route;
+use heathroad_routing::table::{RouteTable, find_conflicts};
+use heathroad_routing::traffic_split::WeightedPool;
 
 const HOSTS: [&str; 5] = ["a.org", "x.a.org", "y.x.a.org", "b.org", "org"];
 const PATHS: [&str; 6] = ["/", "/p", "/p/q", "/p/q/r", "/s", "/s/q"];
 const WORDS: [&str; 3] = ["k", "l", "m"];
 
-fn route(name: &str, when: Match) -> Route {
+fn route(name: &str, condition: RouteCondition) -> Route {
     Route {
         name: name.into(),
-        when,
-        to: vec![Share {
+        condition,
+        destinations: vec![WeightedPool {
             pool: 0,
             weight: 1.0,
         }],
@@ -22,14 +23,8 @@
     }
 }
 
-fn table(routes: Vec<Route>) -> Table {
-    Table::new(&Config {
-        tenants: vec![],
-        pools: vec![],
-        routes,
-        listeners: vec![],
-    })
-    .expect("few shapes")
+fn table(routes: Vec<Route>) -> RouteTable {
+    RouteTable::new(routes, vec![]).expect("few shapes")
 }
 
 fn some(text: &str) -> Option<String> {
@@ -37,7 +32,7 @@
 }
 
 /// Every request of the small world.
-fn world(mut look: impl FnMut(&Request<'_>)) {
+fn world(mut look: impl FnMut(&RequestAttributes<'_>)) {
     for host in HOSTS {
         for path in PATHS {
             for class in WORDS {
@@ -47,7 +42,7 @@
                 {
                     let header = |name: &str| value.filter(|_| name == "h");
                     let (listener, method) = ("", "");
-                    look(&Request {
+                    look(&RequestAttributes {
                         listener,
                         host,
                         path,
@@ -62,23 +57,23 @@
     }
 }
 
-fn random_match(rng: &mut fastrand::Rng) -> Match {
+fn random_match(rng: &mut fastrand::Rng) -> RouteCondition {
     let mut maybe = |list: &[&str]| {
         rng.bool()
             .then(|| list[rng.usize(..list.len())].to_string())
     };
-    Match {
+    RouteCondition {
         host: maybe(&["a.org", "x.a.org", "*.a.org", "*.org", "*.x.a.org"]),
         path: maybe(&["/p", "/p/*", "/p/q", "/p/q/*", "/s/*", "/*"]),
         class: maybe(&WORDS),
         tenant: maybe(&["k", "l"]),
         header: maybe(&["1", "2"]).map(|v| ("h".to_string(), v)),
-        ..Match::default()
+        ..RouteCondition::default()
     }
 }
 
 /// Whether everything that one matches the other matches too, over the small world.
-fn within(one: &Match, other: &Match) -> bool {
+fn within(one: &RouteCondition, other: &RouteCondition) -> bool {
     let mut all = true;
     world(|r| all &= !one.matches(r) || other.matches(r));
     all
@@ -87,7 +82,7 @@
 /// Over 3,000 random tables: where no clash is found, each request takes the one route that is
 /// within all others that match it; where two such could win, a clash is found.
 #[test]
-fn the_most_specific_route_wins_or_a_clash_is_told() {
+fn the_most_specific_route_wins_or_a_conflict_is_reported() {
     let (mut sound, mut clashing) = (0, 0);
     for seed in 0..3_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -95,24 +90,31 @@
         let routes: Vec<Route> = (0..n)
             .map(|i| route(&i.to_string(), random_match(&mut rng)))
             .collect();
-        let found = clashes(&routes);
+        let found = find_conflicts(&routes);
         let mut ambiguous = false;
         let compiled = table(routes.clone());
         let inside: Vec<Vec<bool>> = routes
             .iter()
-            .map(|x| routes.iter().map(|y| within(&x.when, &y.when)).collect())
+            .map(|x| {
+                routes
+                    .iter()
+                    .map(|y| within(&x.condition, &y.condition))
+                    .collect()
+            })
             .collect();
         world(|r| {
-            let matching: Vec<usize> = (0..n).filter(|i| routes[*i].when.matches(r)).collect();
+            let matching: Vec<usize> = (0..n).filter(|i| routes[*i].condition.matches(r)).collect();
             let best: Vec<usize> = matching
                 .iter()
                 .copied()
                 .filter(|x| matching.iter().all(|y| inside[*x][*y]))
                 .collect();
             match best[..] {
-                [] if matching.is_empty() => assert!(compiled.route(r).is_none(), "seed {seed}"),
+                [] if matching.is_empty() => {
+                    assert!(compiled.find_route(r).is_none(), "seed {seed}")
+                }
                 [only] if found.is_empty() => {
-                    let taken = compiled.route(r).expect("a match");
+                    let taken = compiled.find_route(r).expect("a match");
                     assert_eq!(
                         taken.name, routes[only].name,
                         "seed {seed}: {} {}",
@@ -135,24 +137,25 @@
 }
 
 #[test]
-fn each_condition_is_looked_at() {
-    let one = |when: Match, host: &str, path: &str, class: &str, value: Option<&'static str>| {
-        let header = |name: &str| value.filter(|_| name == "x-claims");
-        let t = table(vec![route("r", when)]);
-        t.route(&Request {
-            listener: "in",
-            host,
-            path,
-            method: "m",
-            class,
-            tenant: "t",
-            header: &header,
-        })
-        .is_some()
-    };
-    let host = |h: &str| Match {
+fn each_condition_is_compared() {
+    let one =
+        |when: RouteCondition, host: &str, path: &str, class: &str, value: Option<&'static str>| {
+            let header = |name: &str| value.filter(|_| name == "x-claims");
+            let t = table(vec![route("r", when)]);
+            t.find_route(&RequestAttributes {
+                listener: "in",
+                host,
+                path,
+                method: "m",
+                class,
+                tenant: "t",
+                header: &header,
+            })
+            .is_some()
+        };
+    let host = |h: &str| RouteCondition {
         host: some(h),
-        ..Match::default()
+        ..RouteCondition::default()
     };
     assert!(
         one(host("a.org"), "a.org", "/", "c", None)
@@ -166,29 +169,29 @@
         !one(host("*.a.org"), "a.org", "/", "c", None)
             && !one(host("*.a.org"), "xa.org", "/", "c", None)
     );
-    let path = |p: &str| Match {
+    let path = |p: &str| RouteCondition {
         path: some(p),
-        ..Match::default()
+        ..RouteCondition::default()
     };
     assert!(one(path("/p/*"), "", "/p", "c", None) && one(path("/p/*"), "", "/p/q/r", "c", None));
     assert!(!one(path("/p/*"), "", "/pq", "c", None) && !one(path("/p"), "", "/p/q", "c", None));
-    let class = Match {
+    let class = RouteCondition {
         class: some("c"),
-        ..Match::default()
+        ..RouteCondition::default()
     };
     assert!(one(class.clone(), "", "/", "c", None) && !one(class, "", "/", "d", None));
-    let header = Match {
+    let header = RouteCondition {
         header: Some(("x-claims".into(), "new".into())),
-        ..Match::default()
+        ..RouteCondition::default()
     };
     assert!(one(header.clone(), "", "/", "c", Some("new")));
     assert!(!one(header.clone(), "", "/", "c", Some("old")) && !one(header, "", "/", "c", None));
     for (field, fits) in [("in", true), ("out", false)] {
         assert_eq!(
             one(
-                Match {
+                RouteCondition {
                     listener: some(field),
-                    ..Match::default()
+                    ..RouteCondition::default()
                 },
                 "",
                 "/",
@@ -199,10 +202,10 @@
         );
     }
     assert!(one(
-        Match {
+        RouteCondition {
             method: some("m"),
             tenant: some("t"),
-            ..Match::default()
+            ..RouteCondition::default()
         },
         "",
         "/",
@@ -210,10 +213,10 @@
         None
     ));
     assert!(!one(
-        Match {
+        RouteCondition {
             method: some("n"),
             tenant: some("t"),
-            ..Match::default()
+            ..RouteCondition::default()
         },
         "",
         "/",
@@ -255,9 +258,9 @@
         };
         let before = memory();
         let begun = std::time::Instant::now();
-        let config = read("measured", &text).expect("good");
+        let config = parse("measured", &text).expect("good");
         let checked = begun.elapsed();
-        let t = Table::new(&config).expect("few shapes");
+        let t = RouteTable::new(config.routes, vec!["a".into()]).expect("few shapes");
         let held = memory() - before;
         let asked: Vec<(String, String)> = (0..n)
             .map(|i| (format!("h{i}.org"), format!("/s{i}/x")))
@@ -268,7 +271,7 @@
         for i in 0..looks {
             let (host, path) = &asked[i % n];
             let header = |_: &str| None;
-            let r = Request {
+            let r = RequestAttributes {
                 listener: "",
                 host,
                 path,
@@ -277,7 +280,7 @@
                 tenant: "t",
                 header: &header,
             };
-            found += usize::from(t.route(&r).is_some());
+            found += usize::from(t.find_route(&r).is_some());
         }
         assert_eq!(found, looks);
         let took = begun.elapsed().as_nanos() as f64 / looks as f64;
--- a/crates/heathroad-routing/tests/transactions.rs
+++ b/crates/heathroad-routing/tests/transactions.rs
@@ -1,25 +1,31 @@
 //! Changes: each step by itself, and thousands of random histories of changes, drains, deaths and
 //! kills, in which the same few things must always hold.
 
-use heathroad_routing::file::Source;
+use heathroad_routing::backend_state::{Availability, BackendStates};
+use heathroad_routing::config::BackendSource;
 use heathroad_routing::generation::Generation;
-use heathroad_routing::harm::Sample;
-use heathroad_routing::journal::{Record, Recovered};
-use heathroad_routing::nodes::{Nodes, Standing};
-use heathroad_routing::transaction::{Changer, Event, Said, Step, Terms};
+use heathroad_routing::journal::{OpenTransaction, Record, RecoveredState};
+use heathroad_routing::regression::PoolSample;
+use heathroad_routing::transaction::{
+    Action, Event, TransactionConfig, TransactionManager, TransactionReport,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-fn terms() -> Terms {
-    Terms {
-        stage: 1_000,
+fn config() -> TransactionConfig {
+    TransactionConfig {
+        staging_timeout: 1_000,
         probation: 5_000,
-        most_alive: 3,
-        judged: false,
+        max_generations_in_use: 3,
+        verify: false,
     }
 }
 
+fn open(number: u64, applied: bool) -> Option<OpenTransaction> {
+    Some(OpenTransaction { number, applied })
+}
+
 /// Pools by name, with the ports of their members.
 type Pools<'a> = &'a [(&'a str, &'a [u16])];
 
@@ -45,48 +51,54 @@
 }
 
 fn generation(number: u64, pools: &[(&str, &[u16])]) -> Rc<Generation> {
-    Generation::read(number, "test", &text(pools)).unwrap_or_else(|e| panic!("{e}"))
+    Generation::parse(number, "test", &text(pools)).unwrap_or_else(|e| panic!("{e}"))
 }
 
 struct Scene {
-    changer: Changer,
-    steps: Vec<Step>,
+    manager: TransactionManager,
+    actions: Vec<Action>,
 }
 
 impl Scene {
     fn new(pools: &[(&str, &[u16])]) -> Scene {
         Scene {
-            changer: Changer::new(terms(), generation(1, pools), 1),
-            steps: Vec::new(),
+            manager: TransactionManager::new(config(), generation(1, pools), 1),
+            actions: Vec::new(),
         }
     }
 
     /// What is said and done, in short.
     fn at(&mut self, now: u64, event: Event) -> Vec<String> {
-        self.steps.clear();
-        self.changer.handle(now, event, &mut self.steps);
-        self.steps
+        self.actions.clear();
+        self.manager.handle(now, event, &mut self.actions);
+        self.actions
             .iter()
             .map(|s| match s {
-                Step::Write(Record::Opened { number, .. }) => format!("open {number}"),
-                Step::Write(Record::Applied { number }) => format!("write applied {number}"),
-                Step::Write(Record::Committed { number, .. }) => format!("commit {number}"),
-                Step::Write(Record::Closed { number, .. }) => format!("close {number}"),
-                Step::Stage(g, pools) => format!("stage {} {}", g.number, pools.join(" ")),
-                Step::Judge(g) => format!("judge {}", g.number),
-                Step::Apply(g) => format!("apply {}", g.number),
-                Step::Retire(pools) => format!("retire {}", pools.join(" ")),
-                Step::Say(said) => format!("{said:?}"),
+                Action::Persist(Record::Opened { number, .. }) => format!("open {number}"),
+                Action::Persist(Record::Applied { number }) => format!("write applied {number}"),
+                Action::Persist(Record::Committed { number, .. }) => format!("commit {number}"),
+                Action::Persist(Record::Closed { number, .. }) => format!("close {number}"),
+                Action::Stage {
+                    generation: g,
+                    pools,
+                } => format!("stage {} {}", g.number, pools.join(" ")),
+                Action::Verify(g) => format!("verify {}", g.number),
+                Action::Apply(g) => format!("apply {}", g.number),
+                Action::Retire(pools) => format!("retire {}", pools.join(" ")),
+                Action::Report(report) => format!("{report:?}"),
             })
             .collect()
     }
 
     /// A pool of the change under way is ready.
     fn ready(&mut self, now: u64, pool: &str) -> Vec<String> {
-        let number = self.changer.open().map_or(0, |(n, _)| n);
+        let number = self
+            .manager
+            .open_transaction()
+            .map_or(0, |open| open.number);
         self.at(
             now,
-            Event::Ready {
+            Event::PoolReady {
                 number,
                 pool: pool.into(),
             },
@@ -102,36 +114,46 @@
 fn a_change_is_staged_applied_and_committed() {
     let mut s = Scene::new(&[("a", &[1])]);
     let two: &[(&str, &[u16])] = &[("a", &[1]), ("b", &[2])];
-    assert_eq!(s.propose(0, two), ["open 2", "Staging(2)", "stage 2 b"]);
     assert_eq!(
-        s.changer.current().number,
+        s.propose(0, two),
+        ["open 2", "Staged { number: 2 }", "stage 2 b"]
+    );
+    assert_eq!(
+        s.manager.current().number,
         1,
         "nothing is in force before all is ready"
     );
-    assert_eq!(s.propose(1, &[("z", &[9])]), ["Busy(2)"], "one at a time");
+    assert_eq!(
+        s.propose(1, &[("z", &[9])]),
+        ["Busy { number: 2 }"],
+        "one at a time"
+    );
     assert_eq!(s.ready(2, "a"), [""; 0], "not what is waited for");
     assert_eq!(
         s.ready(10, "b"),
-        ["write applied 2", "apply 2", "Applied(2)"]
+        ["write applied 2", "apply 2", "Applied { number: 2 }"]
     );
-    assert_eq!(s.changer.open(), Some((2, true)));
+    assert_eq!(s.manager.open_transaction(), open(2, true));
     assert_eq!(s.at(5_009, Event::Tick), [""; 0]);
-    assert_eq!(s.at(5_010, Event::Tick), ["commit 2", "Committed(2)"]);
+    assert_eq!(
+        s.at(5_010, Event::Tick),
+        ["commit 2", "Committed { number: 2 }"]
+    );
     // The same again: nothing happens.
-    assert_eq!(s.propose(6_000, two), ["Same(2)"]);
+    assert_eq!(s.propose(6_000, two), ["Unchanged { number: 2 }"]);
     // A pool that goes is retired when that stands, and not before.
     assert_eq!(
         s.propose(6_000, &[("b", &[2])]).last().expect("steps"),
-        "Applied(3)"
+        "Applied { number: 3 }"
     );
     assert_eq!(
         s.at(11_000, Event::Tick),
-        ["commit 3", "Committed(3)", "retire a"]
+        ["commit 3", "Committed { number: 3 }", "retire a"]
     );
 }
 
 #[test]
-fn what_is_not_ready_in_time_is_given_up() {
+fn what_is_not_ready_in_time_is_aborted() {
     let mut s = Scene::new(&[("a", &[1])]);
     s.propose(0, &[("b", &[2])]);
     assert_eq!(s.at(999, Event::Tick), [""; 0]);
@@ -140,11 +162,14 @@
         steps,
         [
             "close 2",
-            "GivenUp(2, \"not ready in time: b\")",
+            "Aborted { number: 2, reason: \"not ready in time: b\" }",
             "retire b"
         ]
     );
-    assert_eq!((s.changer.current().number, s.changer.open()), (1, None));
+    assert_eq!(
+        (s.manager.current().number, s.manager.open_transaction()),
+        (1, None)
+    );
     assert_eq!(
         s.propose(1_001, &[("b", &[2])])[0],
         "open 3",
@@ -152,50 +177,63 @@
     );
 }
 
-/// What is judged is judged last, applied only if it may be, and not at all once its time is over.
+/// A change that is verified is verified last, applied only if it may be, and not at all once its time is over.
 /// The way back is open.
 #[test]
-fn a_change_that_is_judged_waits_for_its_verdict() {
-    let judged = |number, why: Option<&str>| Event::Judged {
+fn a_change_that_is_verified_waits_for_its_verdict() {
+    let verified = |number, rejection: Option<&str>| Event::Verified {
         number,
-        why: why.map(String::from),
+        rejection: rejection.map(String::from),
     };
     let mut s = Scene::new(&[("a", &[1])]);
-    s.changer = Changer::new(
-        Terms {
-            judged: true,
-            ..terms()
+    s.manager = TransactionManager::new(
+        TransactionConfig {
+            verify: true,
+            ..config()
         },
         generation(1, &[("a", &[1])]),
         1,
     );
     let two: &[(&str, &[u16])] = &[("a", &[1]), ("b", &[2])];
     s.propose(0, two);
-    assert_eq!(s.at(1, judged(2, None)), [""; 0], "nobody has asked");
-    assert_eq!(s.ready(2, "b"), ["judge 2"]);
+    assert_eq!(s.at(1, verified(2, None)), [""; 0], "nobody has asked");
+    assert_eq!(s.ready(2, "b"), ["verify 2"]);
     assert_eq!(s.ready(3, "b"), [""; 0], "once");
-    assert_eq!(s.at(4, judged(1, None)), [""; 0], "of another change");
-    let down = ["close 2", "GivenUp(2, \"no\")", "retire b"];
-    assert_eq!(s.at(5, judged(2, Some("no"))), down);
+    assert_eq!(s.at(4, verified(1, None)), [""; 0], "of another change");
+    let down = [
+        "close 2",
+        "Aborted { number: 2, reason: \"no\" }",
+        "retire b",
+    ];
+    assert_eq!(s.at(5, verified(2, Some("no"))), down);
     s.propose(10, two);
     s.ready(11, "b");
     assert_eq!(
-        s.at(12, judged(3, None))[..2],
+        s.at(12, verified(3, None))[..2],
         ["write applied 3", "apply 3"]
     );
-    assert_eq!(s.at(13, judged(3, Some("late"))), [""; 0], "it is in force");
+    assert_eq!(
+        s.at(13, verified(3, Some("late"))),
+        [""; 0],
+        "it is in force"
+    );
     s.at(9_000, Event::Tick);
     // A committed change is undone without a verdict.
-    let undo = s.at(9_001, Event::Undo("asked".into()));
+    let undo = s.at(
+        9_001,
+        Event::RollBack {
+            reason: "asked".into(),
+        },
+    );
     assert!(undo.contains(&"apply 4".to_string()), "{undo:?}");
     s.at(20_000, Event::Tick);
     s.propose(20_001, two);
     s.ready(20_002, "b");
     assert_eq!(
         s.at(21_001, Event::Tick)[1],
-        "GivenUp(5, \"not judged in time\")"
+        "Aborted { number: 5, reason: \"not judged in time\" }"
     );
-    assert_eq!(s.at(21_002, judged(5, None)), [""; 0]);
+    assert_eq!(s.at(21_002, verified(5, None)), [""; 0]);
 }
 
 /// A pool of the same name, worded otherwise, was staged by a change that was given up: its
@@ -204,12 +242,17 @@
 fn what_an_earlier_change_staged_makes_no_later_one_ready() {
     let mut s = Scene::new(&[("a", &[1])]);
     s.propose(0, &[("b", &[2])]);
-    s.at(1, Event::Undo("asked".into()));
+    s.at(
+        1,
+        Event::RollBack {
+            reason: "asked".into(),
+        },
+    );
     s.propose(2, &[("b", &[3])]);
     assert_eq!(
         s.at(
             3,
-            Event::Ready {
+            Event::PoolReady {
                 number: 2,
                 pool: "b".into()
             }
@@ -219,7 +262,7 @@
     assert_eq!(
         s.at(
             4,
-            Event::Ready {
+            Event::PoolReady {
                 number: 3,
                 pool: "b".into()
             }
@@ -229,55 +272,102 @@
 }
 
 #[test]
-fn harm_undoes_a_change_by_another() {
+fn a_regression_rolls_a_change_back_by_another() {
     let mut s = Scene::new(&[("a", &[1]), ("b", &[2])]);
-    let well = Sample {
+    let well = PoolSample {
         requests: 500.0,
         failed: 2.0,
-        ..Sample::default()
+        ..PoolSample::default()
     };
     for pool in ["a", "b"] {
-        assert_eq!(s.at(0, Event::Saw(pool.into(), well)), [""; 0]);
+        assert_eq!(
+            s.at(
+                0,
+                Event::PoolSampled {
+                    pool: pool.into(),
+                    sample: well
+                }
+            ),
+            [""; 0]
+        );
     }
     s.propose(1, &[("a", &[1]), ("b", &[3])]);
     s.ready(2, "b");
-    assert_eq!(s.at(3, Event::Saw("a".into(), well)), [""; 0]);
-    let ill = Sample {
+    assert_eq!(
+        s.at(
+            3,
+            Event::PoolSampled {
+                pool: "a".into(),
+                sample: well
+            }
+        ),
+        [""; 0]
+    );
+    let ill = PoolSample {
         requests: 100.0,
         failed: 60.0,
-        ..Sample::default()
+        ..PoolSample::default()
     };
-    let steps = s.at(4, Event::Saw("b".into(), ill));
+    let steps = s.at(
+        4,
+        Event::PoolSampled {
+            pool: "b".into(),
+            sample: ill,
+        },
+    );
     assert_eq!(steps[..2], ["commit 3", "apply 3"]);
     assert!(
-        steps[2]
-            .starts_with("Undone { number: 2, by: 3, why: \"pool b: failed 0.600, before 0.004"),
+        steps[2].starts_with(
+            "RolledBack { number: 2, restored_as: 3, reason: \"pool b: failed 0.600, before 0.004"
+        ),
         "{}",
         steps[2]
     );
-    assert_eq!(s.changer.current().text, text(&[("a", &[1]), ("b", &[2])]));
-    assert_eq!(s.changer.open(), None);
+    assert_eq!(s.manager.current().text, text(&[("a", &[1]), ("b", &[2])]));
+    assert_eq!(s.manager.open_transaction(), None);
 }
 
 #[test]
-fn undoing_on_demand_goes_back_to_what_stood_before() {
+fn a_rollback_on_demand_goes_back_to_the_generation_before() {
     let mut s = Scene::new(&[("a", &[1])]);
-    assert_eq!(s.at(0, Event::Undo("asked".into())), ["NothingToUndo"]);
+    assert_eq!(
+        s.at(
+            0,
+            Event::RollBack {
+                reason: "asked".into(),
+            }
+        ),
+        ["NothingToRollBack"]
+    );
     // While it is staged, on probation, and once it stands: then it is a change like any other.
     s.propose(0, &[("b", &[2])]);
     assert_eq!(
-        s.at(1, Event::Undo("asked".into())),
-        ["close 2", "GivenUp(2, \"asked\")", "retire b"]
+        s.at(
+            1,
+            Event::RollBack {
+                reason: "asked".into(),
+            }
+        ),
+        [
+            "close 2",
+            "Aborted { number: 2, reason: \"asked\" }",
+            "retire b"
+        ]
     );
     s.propose(2, &[("b", &[2])]);
     s.ready(3, "b");
-    let steps = s.at(4, Event::Undo("asked".into()));
+    let steps = s.at(
+        4,
+        Event::RollBack {
+            reason: "asked".into(),
+        },
+    );
     assert_eq!(
         steps,
         [
             "commit 4",
             "apply 4",
-            "Undone { number: 3, by: 4, why: \"asked\" }",
+            "RolledBack { number: 3, restored_as: 4, reason: \"asked\" }",
             "retire b"
         ]
     );
@@ -285,8 +375,13 @@
     s.ready(6, "b");
     s.at(6_000, Event::Tick);
     assert_eq!(
-        s.at(6_001, Event::Undo("asked".into())),
-        ["open 6", "Staging(6)", "stage 6 a"]
+        s.at(
+            6_001,
+            Event::RollBack {
+                reason: "asked".into(),
+            }
+        ),
+        ["open 6", "Staged { number: 6 }", "stage 6 a"]
     );
     assert_eq!(s.ready(6_002, "a")[1], "apply 6");
 }
@@ -295,12 +390,12 @@
 fn a_daemon_that_stops_begins_and_commits_nothing() {
     let mut s = Scene::new(&[("a", &[1])]);
     s.propose(0, &[("b", &[2])]);
-    assert_eq!(s.at(1, Event::Stop)[..1], ["close 2"]);
-    assert_eq!(s.propose(2, &[("c", &[3])]), ["Stopping"]);
+    assert_eq!(s.at(1, Event::Shutdown)[..1], ["close 2"]);
+    assert_eq!(s.propose(2, &[("c", &[3])]), ["ShuttingDown"]);
     let mut s = Scene::new(&[("a", &[1])]);
     s.propose(0, &[("b", &[2])]);
     s.ready(1, "b");
-    assert_eq!(s.at(2, Event::Stop), [""; 0]);
+    assert_eq!(s.at(2, Event::Shutdown), [""; 0]);
     assert_eq!(
         s.at(60_000, Event::Tick),
         [""; 0],
@@ -310,34 +405,38 @@
 
 /// A request that lasts pins its generation; too many of those, and a change waits.
 #[test]
-fn generations_that_requests_pin_are_bounded_and_told() {
+fn generations_that_requests_use_are_bounded_and_counted() {
     let mut s = Scene::new(&[("a", &[1])]);
     let mut pinned = Vec::new();
     for n in 0..3u16 {
-        pinned.push(s.changer.current().clone());
+        pinned.push(s.manager.current().clone());
         let now = u64::from(n) * 10_000;
         s.propose(now, &[("a", &[n + 2])]);
         s.ready(now + 1, "a");
         assert_eq!(
             s.at(now + 9_000, Event::Tick)[1],
-            format!("Committed({})", n + 2)
+            format!("Committed {{ number: {} }}", n + 2)
         );
-        assert_eq!(s.changer.alive(), usize::from(n) + 1);
+        assert_eq!(s.manager.count_generations_in_use(), usize::from(n) + 1);
     }
-    assert_eq!(s.propose(40_000, &[("a", &[9])]), ["Crowded(3)"]);
+    assert_eq!(
+        s.propose(40_000, &[("a", &[9])]),
+        ["TooManyGenerationsInUse { count: 3 }"]
+    );
     pinned.pop();
-    assert_eq!(s.changer.alive(), 2);
+    assert_eq!(s.manager.count_generations_in_use(), 2);
     assert_eq!(s.propose(40_001, &[("a", &[9])])[0], "open 5");
 }
 
 /// What can't be written down is not done: an open or an apply is given up or undone, a commit is
 /// undone, so that a start and this life agree on what stands.
 #[test]
-fn a_record_that_fails_undoes_its_step() {
+fn a_record_that_is_not_persisted_undoes_its_step() {
     let fail = |s: &mut Scene, record: Record| {
-        s.steps.clear();
-        s.changer.failed(&record, "no space", &mut s.steps);
-        s.changer.current().text.clone()
+        s.actions.clear();
+        s.manager
+            .handle_persist_failure(&record, "no space", &mut s.actions);
+        s.manager.current().text.clone()
     };
     let (old, new): (Pools<'_>, Pools<'_>) = (&[("a", &[1])], &[("a", &[2])]);
     let opened = || Record::Opened {
@@ -347,7 +446,7 @@
     let mut s = Scene::new(old);
     s.propose(0, new);
     assert_eq!(fail(&mut s, opened()), text(old));
-    assert_eq!(s.changer.open(), None);
+    assert_eq!(s.manager.open_transaction(), None);
     let mut s = Scene::new(old);
     s.propose(0, new);
     s.ready(1, "a");
@@ -356,7 +455,7 @@
     s.propose(0, new);
     s.ready(1, "a");
     s.at(9_000, Event::Tick);
-    assert_eq!(s.changer.current().text, text(new));
+    assert_eq!(s.manager.current().text, text(new));
     assert_eq!(
         fail(
             &mut s,
@@ -371,7 +470,12 @@
     let mut s = Scene::new(old);
     s.propose(0, new);
     s.ready(1, "a");
-    s.at(2, Event::Undo("asked".into()));
+    s.at(
+        2,
+        Event::RollBack {
+            reason: "asked".into(),
+        },
+    );
     assert_eq!(
         fail(
             &mut s,
@@ -382,24 +486,24 @@
         ),
         text(old)
     );
-    assert!(s.steps.is_empty());
+    assert!(s.actions.is_empty());
 }
 
-/// A daemon in a random history: the machine, its log as a start would find it, nodes, and requests
+/// A daemon in a random history: the machine, its log as a start would find it, backends, and requests
 /// that are bound.
 struct World {
-    changer: Changer,
-    log: Recovered,
-    nodes: Nodes,
-    /// Nodes that were told to drain or gone, by their process.
+    manager: TransactionManager,
+    log: RecoveredState,
+    backends: BackendStates,
+    /// BackendStates that were told to drain or gone, by their process.
     withdrawn: BTreeSet<(SocketAddr, u64)>,
     born: BTreeMap<SocketAddr, u64>,
     ready: BTreeSet<String>,
     /// Requests: the generation they were taken under, and its number and text then.
     requests: Vec<(Rc<Generation>, u64, String)>,
     applied: Vec<u64>,
-    /// Changes are judged; the one that is asked about, and those that may be applied.
-    judged: bool,
+    /// Changes are verified; the one whose verdict is pending, and those that may be applied.
+    verified: bool,
     asked: Option<u64>,
     may: BTreeSet<u64>,
     now: u64,
@@ -411,19 +515,26 @@
 }
 
 impl World {
-    fn start(log: Recovered, judged: bool) -> World {
+    fn start(log: RecoveredState, verified: bool) -> World {
         let (number, text) = log.committed.clone().expect("something was committed");
-        let current = Generation::read(number, "log", &text).unwrap_or_else(|e| panic!("{e}"));
+        let current = Generation::parse(number, "log", &text).unwrap_or_else(|e| panic!("{e}"));
         let mut world = World {
-            changer: Changer::new(Terms { judged, ..terms() }, current.clone(), log.highest),
+            manager: TransactionManager::new(
+                TransactionConfig {
+                    verify: verified,
+                    ..config()
+                },
+                current.clone(),
+                log.highest_number,
+            ),
             log,
-            nodes: Nodes::default(),
+            backends: BackendStates::default(),
             withdrawn: BTreeSet::new(),
             born: BTreeMap::new(),
             ready: BTreeSet::new(),
             requests: Vec::new(),
             applied: vec![number],
-            judged,
+            verified,
             asked: None,
             may: BTreeSet::new(),
             now: 0,
@@ -435,11 +546,11 @@
 
     fn name(&mut self, g: &Generation) {
         for pool in &g.config.pools {
-            let Source::List(members) = &pool.source else {
+            let BackendSource::List(members) = &pool.source else {
                 continue;
             };
-            self.nodes
-                .named(&pool.name, &members.iter().map(|m| m.address).collect());
+            self.backends
+                .set_pool_backends(&pool.name, &members.iter().map(|m| m.address).collect());
             self.ready.insert(pool.name.clone());
         }
     }
@@ -447,77 +558,86 @@
     fn write(&mut self, record: Record) {
         match record {
             Record::Committed { number, text } => {
-                self.log.highest = self.log.highest.max(number);
-                (self.log.committed, self.log.open) = (Some((number, text)), None);
+                self.log.highest_number = self.log.highest_number.max(number);
+                (self.log.committed, self.log.open_transaction) = (Some((number, text)), None);
             }
             Record::Opened { number, .. } => {
-                self.log.highest = self.log.highest.max(number);
-                self.log.open = Some((number, false));
+                self.log.highest_number = self.log.highest_number.max(number);
+                self.log.open_transaction = open(number, false);
             }
-            Record::Applied { number } => self.log.open = Some((number, true)),
-            Record::Closed { .. } => self.log.open = None,
+            Record::Applied { number } => self.log.open_transaction = open(number, true),
+            Record::Closed { .. } => self.log.open_transaction = None,
         }
     }
 
     /// Takes an event; some steps may not be reached, if the daemon is killed between them.
     fn tell(&mut self, event: Event, killed_after: Option<usize>) -> bool {
         let mut steps = Vec::new();
-        if let Event::Judged { number, why: None } = &event {
+        if let Event::Verified {
+            number,
+            rejection: None,
+        } = &event
+        {
             self.may.insert(*number);
         }
-        let undoing = matches!(event, Event::Undo(_));
-        self.changer.handle(self.now, event, &mut steps);
+        let undoing = matches!(event, Event::RollBack { .. });
+        self.manager.handle(self.now, event, &mut steps);
         for (i, step) in steps.into_iter().enumerate() {
             if killed_after == Some(i) {
                 return false;
             }
             match step {
-                Step::Write(record) => self.write(record),
-                Step::Stage(g, pools) => {
+                Action::Persist(record) => self.write(record),
+                Action::Stage {
+                    generation: g,
+                    pools,
+                } => {
                     assert!(pools.iter().all(|p| g.pool(p).is_some()));
                     assert_eq!(
-                        self.log.open,
-                        Some((g.number, false)),
+                        self.log.open_transaction,
+                        open(g.number, false),
                         "it was written down first"
                     );
                 }
-                Step::Apply(g) => {
+                Action::Apply(g) => {
                     assert!(
                         self.applied.last().is_none_or(|n| *n < g.number),
                         "numbers grow"
                     );
-                    let durable = self.log.open == Some((g.number, true))
+                    let durable = self.log.open_transaction == open(g.number, true)
                         || self
                             .log
                             .committed
                             .as_ref()
                             .is_some_and(|(n, _)| *n == g.number);
                     assert!(durable, "it was written down first");
-                    let change = self.log.open == Some((g.number, true));
+                    let change = self.log.open_transaction == open(g.number, true);
                     assert!(
-                        !self.judged || !change || self.may.contains(&g.number),
-                        "it was judged first"
+                        !self.verified || !change || self.may.contains(&g.number),
+                        "it was verified first"
                     );
                     self.applied.push(g.number);
                     self.name(&g);
                 }
-                Step::Retire(pools) => {
-                    let current = self.changer.current();
+                Action::Retire(pools) => {
+                    let current = self.manager.current();
                     assert!(
                         pools.iter().all(|p| current.pool(p).is_none()),
                         "none that is in force"
                     );
                     pools
                         .iter()
-                        .for_each(|p| self.nodes.named(p, &BTreeSet::new()));
+                        .for_each(|p| self.backends.set_pool_backends(p, &BTreeSet::new()));
                 }
-                Step::Judge(g) => {
-                    assert!(self.judged && self.log.open == Some((g.number, false)));
+                Action::Verify(g) => {
+                    assert!(self.verified && self.log.open_transaction == open(g.number, false));
                     self.asked = Some(g.number);
                 }
                 // Nothing that is expected stands in the way back.
-                Step::Say(Said::Staging(number)) if undoing => drop(self.may.insert(number)),
-                Step::Say(_) => {}
+                Action::Report(TransactionReport::Staged { number }) if undoing => {
+                    self.may.insert(number);
+                }
+                Action::Report(_) => {}
             }
         }
         true
@@ -525,7 +645,7 @@
 
     /// A request is taken, and sent to some node of its pool that may be sent to.
     fn request(&mut self, rng: &mut fastrand::Rng) {
-        let g = self.changer.current().clone();
+        let g = self.manager.current().clone();
         let (number, text) = (g.number, g.text.clone());
         self.requests.push((g, number, text));
         self.send(rng, self.requests.len() - 1);
@@ -537,14 +657,14 @@
         assert!(g.number == *number && g.text == *held);
         let share = g
             .table
-            .share(&g.config.routes[0], rng.u64(..))
+            .select_pool(&g.config.routes[0], rng.u64(..))
             .expect("some weight");
-        let Source::List(members) = &g.config.pools[share].source else {
+        let BackendSource::List(members) = &g.config.pools[share].source else {
             panic!("a list")
         };
         let may = members
             .iter()
-            .find(|m| self.nodes.standing(m.address) == Standing::Takes);
+            .find(|m| self.backends.availability(m.address) == Availability::Available);
         if let Some(m) = may {
             let born = self.born.get(&m.address).copied().unwrap_or(0);
             assert!(
@@ -580,10 +700,10 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let first = (1, random_text(&mut rng));
         let mut world = World::start(
-            Recovered {
+            RecoveredState {
                 committed: Some(first),
-                highest: 1,
-                ..Recovered::default()
+                highest_number: 1,
+                ..RecoveredState::default()
             },
             seed % 2 == 0,
         );
@@ -594,36 +714,44 @@
                 0..=2 => {
                     let text = random_text(&mut rng);
                     Event::Propose(
-                        Generation::read(0, "f", &text).unwrap_or_else(|e| panic!("{e}")),
+                        Generation::parse(0, "f", &text).unwrap_or_else(|e| panic!("{e}")),
                     )
                 }
                 3 | 4 => {
-                    let number = world.changer.open().map_or(0, |(n, _)| n);
-                    Event::Ready {
+                    let number = world
+                        .manager
+                        .open_transaction()
+                        .map_or(0, |open| open.number);
+                    Event::PoolReady {
                         number,
                         pool: ["a", "b", "c"][rng.usize(..3)].to_string(),
                     }
                 }
                 5 => {
                     let failed = if rng.bool() { 90.0 } else { 0.0 };
-                    let sample = Sample {
+                    let sample = PoolSample {
                         requests: 100.0,
                         failed,
-                        ..Sample::default()
+                        ..PoolSample::default()
                     };
-                    Event::Saw(["a", "b", "c"][rng.usize(..3)].to_string(), sample)
+                    Event::PoolSampled {
+                        pool: ["a", "b", "c"][rng.usize(..3)].to_string(),
+                        sample,
+                    }
                 }
-                6 => Event::Undo("asked".into()),
+                6 => Event::RollBack {
+                    reason: "asked".into(),
+                },
                 7 => {
                     // A drain, a death, or another process at the address.
                     let at = address(1 + rng.u16(..6));
                     let born = world.born.entry(at).or_default();
                     if rng.bool() {
                         world.withdrawn.insert((at, *born));
-                        world.nodes.told(at, *born, false);
+                        world.backends.record_announcement(at, *born, false);
                     } else {
                         *born += 1;
-                        world.nodes.told(at, *born, true);
+                        world.backends.record_announcement(at, *born, true);
                     }
                     continue;
                 }
@@ -644,44 +772,49 @@
                 // The answer to what was asked, late or not at all, or to what nobody asks any
                 // more.
                 _ => {
-                    let why = (rng.u8(..4) == 0).then(|| "it breaks what is expected".to_string());
-                    downs += usize::from(why.is_some());
-                    Event::Judged {
+                    let rejection =
+                        (rng.u8(..4) == 0).then(|| "it breaks what is expected".to_string());
+                    downs += usize::from(rejection.is_some());
+                    Event::Verified {
                         number: world.asked.unwrap_or(1),
-                        why,
+                        rejection,
                     }
                 }
             };
-            let before = (world.log.committed.clone(), world.changer.open());
+            let before = (
+                world.log.committed.clone(),
+                world.manager.open_transaction(),
+            );
             let alive = world.tell(event, killed);
             let committed = world.log.committed.clone().expect("since the start");
             commits += usize::from(Some(&committed) != before.0.as_ref());
             undone += usize::from(
                 before
                     .1
-                    .is_some_and(|(n, applied)| applied && world.applied.last() > Some(&n)),
+                    .is_some_and(|open| open.applied && world.applied.last() > Some(&open.number)),
             );
             assert!(
-                world.changer.alive() <= terms().most_alive + 2,
+                world.manager.count_generations_in_use() <= config().max_generations_in_use + 2,
                 "seed {seed}"
             );
             if !alive || killed.is_some() && rng.bool() {
                 // Killed: a start finds the log and nothing else.
                 kills += 1;
-                let highest = world.log.highest;
+                let highest = world.log.highest_number;
                 sends += world.sent;
                 world = World::start(world.log.clone(), seed % 2 == 0);
-                assert_eq!(world.changer.current().number, committed.0, "seed {seed}");
+                assert_eq!(world.manager.current().number, committed.0, "seed {seed}");
                 assert_eq!(
-                    world.changer.current().text,
+                    world.manager.current().text,
                     committed.1,
                     "seed {seed}: never one on probation"
                 );
                 assert!(
-                    world.changer.open().is_none() && world.log.highest == highest,
+                    world.manager.open_transaction().is_none()
+                        && world.log.highest_number == highest,
                     "seed {seed}"
                 );
-                world.log.open = None;
+                world.log.open_transaction = None;
             }
         }
         sends += world.sent;
--- a/crates/heathroad-routing/tests/cold.rs
+++ b/crates/heathroad-routing/tests/warmup_budget.rs
@@ -1,12 +1,12 @@
 //! Pools that come and go and share a freshly started node: all together they keep to one cold
-//! budget, decided by the real module of each and shared out by `nodes::sharers`.
+//! budget, decided by the real module of each and shared out by `count_sharing_pools`.
 
 use heathroad_balancer::Balancer;
 use heathroad_balancer::api::{
     Action, Arrival, BackendId, Caps, Class, Effect, Entry, Event, Goal, ListKind, Outcome,
     Resolved, Rules, Settings,
 };
-use heathroad_routing::nodes::sharers;
+use heathroad_routing::backend_state::count_sharing_pools;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
@@ -154,7 +154,7 @@
 /// leaving. Over each second the node is sent less than its warmth allows beside what the busiest
 /// warm node carries.
 #[test]
-fn pools_that_share_a_fresh_node_keep_to_one_cold_budget() {
+fn pools_that_share_a_fresh_backend_keep_to_one_warmup_budget() {
     let (mut cold_sends, mut looks) = (0, 0);
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -180,7 +180,7 @@
                 .filter(|n| here(*n))
                 .map(|n| pools[n].nodes.clone())
                 .collect();
-            let mut parts = sharers(&named).into_iter();
+            let mut parts = count_sharing_pools(&named).into_iter();
             for (n, pool) in pools.iter_mut().enumerate().filter(|(n, _)| here(*n)) {
                 pool.balancer
                     .share_cold(parts.next().unwrap_or_else(|| panic!("pool {n} is named")));
--- a/crates/heathroad-verifier/examples/verifier-bench.rs
+++ b/crates/heathroad-verifier/examples/verifier-bench.rs
@@ -2,8 +2,8 @@
 //! -p heathroad-verifier`.
 
 use heathroad_routing::generation::Generation;
-use heathroad_verifier::file::read;
-use heathroad_verifier::judge::{Here, judge};
+use heathroad_verifier::expectations::parse;
+use heathroad_verifier::{Environment, verify};
 use std::error::Error;
 use std::io::Write;
 use std::time::{Duration, Instant};
@@ -83,19 +83,19 @@
     ] {
         let (routes, expected) = (routes(r), expectations(e));
         let begun = Instant::now();
-        let generation = Generation::read(1, "routes", &routes)?;
-        let expected = read("expect", &expected)?;
+        let generation = Generation::parse(1, "routes", &routes)?;
+        let expected = parse("expect", &expected)?;
         let reading = begun.elapsed();
         let mut took: Vec<Duration> = Vec::new();
         let mut cases = 0;
         for _ in 0..RUNS {
             let begun = Instant::now();
-            let report = judge(&generation, &expected, &Here::default())?;
+            let report = verify(&generation, &expected, &Environment::default())?;
             took.push(begun.elapsed());
             if !report.holds() {
                 return Err(report.failures().join("\n").into());
             }
-            cases = report.verdicts.iter().map(|v| v.cases).sum();
+            cases = report.verdicts.iter().map(|v| v.case_count).sum();
         }
         took.sort();
         let ms = |d: Duration| d.as_secs_f64() * 1e3;
--- a/crates/heathroad-verifier/tests/common/mod.rs
+++ b/crates/heathroad-verifier/tests/common/mod.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code)] // each test file uses its part
 
 use heathroad_routing::generation::Generation;
-use heathroad_verifier::file::{Expectations, read};
-use heathroad_verifier::judge::{Here, Report, judge};
+use heathroad_verifier::expectations::{Expectations, parse};
+use heathroad_verifier::{Environment, Report, verify};
 use std::rc::Rc;
 
 pub const ROUTES: &str = r#"
@@ -200,23 +200,23 @@
 "#;
 
 pub fn generation(text: &str) -> Rc<Generation> {
-    Generation::read(1, "routes.toml", text).unwrap_or_else(|e| panic!("{e}"))
+    Generation::parse(1, "routes.toml", text).unwrap_or_else(|e| panic!("{e}"))
 }
 
 pub fn expectations(text: &str) -> Expectations {
-    read("expect.toml", text).unwrap_or_else(|e| panic!("{e}"))
+    parse("expect.toml", text).unwrap_or_else(|e| panic!("{e}"))
 }
 
-pub fn here(e: &Expectations) -> Here {
-    Here {
-        attempts: Some(3),
-        open: Some(400),
+pub fn environment(e: &Expectations) -> Environment {
+    Environment {
+        max_attempts: Some(3),
+        max_open_requests: Some(400),
         nodes: e.nodes.clone(),
-        ..Here::default()
+        ..Environment::default()
     }
 }
 
 pub fn report(routes: &str, expected: &str) -> Report {
     let e = expectations(expected);
-    judge(&generation(routes), &e, &here(&e)).expect("can be judged")
+    verify(&generation(routes), &e, &environment(&e)).expect("can be judged")
 }
--- a/crates/heathroad-verifier/tests/plan.rs
+++ b/crates/heathroad-verifier/tests/drain_plan.rs
@@ -3,10 +3,10 @@
 
 mod common;
 
-use common::{EXPECTED, ROUTES, expectations, generation, here};
-use heathroad_verifier::judge::{Here, judge};
+use common::{EXPECTED, ROUTES, environment, expectations, generation};
+use heathroad_verifier::drain_plan::{DrainPlan, plan_drains};
 use heathroad_verifier::nodes::Node;
-use heathroad_verifier::plan::{Plan, drains};
+use heathroad_verifier::{Environment, verify};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
     ([127, 0, 0, 1], port).into()
 }
 
-fn ports(plan: &Plan) -> Vec<Vec<u16>> {
+fn ports(plan: &DrainPlan) -> Vec<Vec<u16>> {
     plan.batches
         .iter()
         .map(|b| b.iter().map(SocketAddr::port).collect())
@@ -39,14 +39,19 @@
         .replace("losing = { sites = 1 }", "");
     let e = expectations(&cut.replace("states = [\"node 9001 drains\"]", ""));
     let all: BTreeSet<SocketAddr> = (9001..=9004).map(address).collect();
-    let plan = drains(&generation(ROUTES), &e, &here(&e), &all, 10).expect("can be planned");
+    let plan =
+        plan_drains(&generation(ROUTES), &e, &environment(&e), &all, 10).expect("can be planned");
     assert_eq!(ports(&plan), [[9001, 9002], [9003, 9004]]);
     assert!(plan.stuck.is_empty());
     // One of the two alone can't go.
     let one = BTreeSet::from([address(9001)]);
-    let plan = drains(&generation(ROUTES), &e, &here(&e), &one, 10).expect("can be planned");
+    let plan =
+        plan_drains(&generation(ROUTES), &e, &environment(&e), &one, 10).expect("can be planned");
     assert_eq!((plan.batches.len(), plan.stuck.len()), (0, 1));
-    assert_eq!(plan.stuck[0].1, "submits run again only in their block");
+    assert_eq!(
+        plan.stuck[0].expectation,
+        "submits run again only in their block"
+    );
 }
 
 #[test]
@@ -54,8 +59,9 @@
     let e = expectations(EXPECTED);
     let routes = ROUTES.replace("worth = 3", "worth = 1");
     let nodes = BTreeSet::from([address(9005)]);
-    let error =
-        drains(&generation(&routes), &e, &here(&e), &nodes, 1).expect_err("worth is too small");
+    let error = plan_drains(&generation(&routes), &e, &environment(&e), &nodes, 1)
+        .expect_err("worth is too small")
+        .to_string();
     assert!(
         error.starts_with("before anything drains:\nexpect.toml:"),
         "{error}"
@@ -106,11 +112,11 @@
         }
         let (generation, e) = (generation(&routes), expectations(&expected));
         let holds = |batch: &BTreeSet<SocketAddr>| {
-            let here = Here {
+            let environment = Environment {
                 nodes: drained(batch),
-                ..Here::default()
+                ..Environment::default()
             };
-            judge(&generation, &e, &here)
+            verify(&generation, &e, &environment)
                 .expect("can be judged")
                 .holds()
         };
@@ -119,8 +125,8 @@
         }
         let all: BTreeSet<SocketAddr> = (9000..9000 + n).map(address).collect();
         let at_once = 1 + rng.usize(..4);
-        let plan =
-            drains(&generation, &e, &Here::default(), &all, at_once).expect("can be planned");
+        let plan = plan_drains(&generation, &e, &Environment::default(), &all, at_once)
+            .expect("can be planned");
         let can: Vec<SocketAddr> = all
             .iter()
             .copied()
@@ -142,7 +148,7 @@
         }
         let fewest = fewest(&can, at_once, &holds);
         assert!(plan.batches.len() >= fewest, "seed {seed}");
-        if plan.proven {
+        if plan.is_minimal {
             assert_eq!(plan.batches.len(), fewest, "seed {seed}: fewer would do");
             proven += 1;
         }
--- a/crates/heathroad-verifier/tests/file.rs
+++ b/crates/heathroad-verifier/tests/expectations.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use heathroad_verifier::file::read;
+use heathroad_verifier::expectations::parse;
 
 #[test]
 fn what_is_wrong_is_told_at_once_with_lines() {
@@ -10,7 +10,9 @@
         states = [\"t\"]\nlosing = { nodes = 1, sites = 1 }\nonly = { pool = [\"x\"] }\nagain = \"seldom\"\n\
         nodes = { at_least = 3, at_most = 2 }\nopen = {}\nserved = \"yes\"\n[[expect]]\nname = \"a\"\n\
         never = { blocks = [70000] }\npath = \"x\"\n[[expect]]\nname = \"b\"\n";
-    let faults = read("e.toml", text).expect_err("much is wrong").to_string();
+    let faults = parse("e.toml", text)
+        .expect_err("much is wrong")
+        .to_string();
     for line in [
         "e.toml:1: node[0].address: is missing; expected an address and port",
         "e.toml:5: state[0].drains: holds a text; expected addresses and ports",
@@ -29,7 +31,7 @@
     ] {
         assert!(faults.contains(line), "{line}\n--\n{faults}");
     }
-    let none = read("e.toml", "")
+    let none = parse("e.toml", "")
         .expect_err("nothing is expected")
         .to_string();
     assert_eq!(
@@ -55,9 +57,10 @@
             }
         }
         let text = String::from_utf8_lossy(&bytes).into_owned();
-        if let Ok(e) = read("e.toml", &text) {
-            let here = common::here(&e);
-            let judged = heathroad_verifier::judge(&common::generation(common::ROUTES), &e, &here);
+        if let Ok(e) = parse("e.toml", &text) {
+            let environment = common::environment(&e);
+            let judged =
+                heathroad_verifier::verify(&common::generation(common::ROUTES), &e, &environment);
             assert!(judged.is_ok(), "seed {seed}");
         }
     }
--- a/crates/heathroad-verifier/tests/nodes.rs
+++ b/crates/heathroad-verifier/tests/failure_scenarios.rs
@@ -1,8 +1,8 @@
 //! What is left when the worst is lost, against every way to lose it.
 
-use heathroad_routing::file::Group;
+use heathroad_routing::config::DeduplicationScope;
 use heathroad_verifier::Node;
-use heathroad_verifier::nodes::{Kind, Loss, left, mates};
+use heathroad_verifier::failure_scenarios::{FailureDomain, Loss, fewest_peers, worst_loss};
 use std::collections::BTreeSet;
 
 fn nodes(rng: &mut fastrand::Rng) -> Vec<Node> {
@@ -16,17 +16,17 @@
                 site: (block % 2).to_string(),
                 class: String::new(),
                 block,
-                takes: true,
+                is_available: true,
             }
         })
         .collect()
 }
 
-fn of(kind: Kind, n: &Node) -> String {
-    match kind {
-        Kind::Node => n.address.to_string(),
-        Kind::Site => n.site.clone(),
-        Kind::Block => n.block.to_string(),
+fn of(domain: FailureDomain, n: &Node) -> String {
+    match domain {
+        FailureDomain::Node => n.address.to_string(),
+        FailureDomain::Site => n.site.clone(),
+        FailureDomain::Block => n.block.to_string(),
     }
 }
 
@@ -34,7 +34,7 @@
 fn ways(nodes: &[Node], loss: Loss) -> Vec<Vec<&Node>> {
     let parts: Vec<String> = nodes
         .iter()
-        .map(|n| of(loss.kind, n))
+        .map(|n| of(loss.domain, n))
         .collect::<BTreeSet<_>>()
         .into_iter()
         .collect();
@@ -44,7 +44,7 @@
             let stays = |n: &&Node| {
                 let part = parts
                     .iter()
-                    .position(|p| *p == of(loss.kind, n))
+                    .position(|p| *p == of(loss.domain, n))
                     .expect("its part");
                 mask & (1 << part) == 0
             };
@@ -53,11 +53,11 @@
         .collect()
 }
 
-fn fewest_mates(nodes: &[&Node], group: Group) -> Option<usize> {
+fn fewest_peers_by_search(nodes: &[&Node], group: DeduplicationScope) -> Option<usize> {
     let together = |a: &Node, b: &Node| match group {
-        Group::All => true,
-        Group::Site => a.site == b.site,
-        Group::Block => a.block == b.block,
+        DeduplicationScope::All => true,
+        DeduplicationScope::Site => a.site == b.site,
+        DeduplicationScope::Block => a.block == b.block,
     };
     nodes
         .iter()
@@ -66,40 +66,50 @@
 }
 
 #[test]
-fn the_worst_is_as_bad_as_every_way_to_lose() {
+fn the_worst_loss_is_the_worst_of_all_losses() {
     for seed in 0..3_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let nodes = nodes(&mut rng);
         let all: Vec<&Node> = nodes.iter().collect();
-        let kind = [Kind::Node, Kind::Site, Kind::Block][rng.usize(..3)];
+        let domain = [
+            FailureDomain::Node,
+            FailureDomain::Site,
+            FailureDomain::Block,
+        ][rng.usize(..3)];
         let loss = Loss {
-            kind,
+            domain,
             count: 1 + rng.usize(..3),
         };
-        let (fewest, lost) = left(&all, Some(loss));
+        let found = worst_loss(&all, Some(loss));
         let worst = ways(&nodes, loss)
             .iter()
             .map(Vec::len)
             .min()
             .expect("one way at the least");
-        assert_eq!(fewest, worst, "seed {seed}: {loss:?} of {nodes:?}");
-        assert!(lost.len() <= loss.count && left(&all, None) == (all.len(), vec![]));
-        for group in [Group::All, Group::Site, Group::Block] {
+        assert_eq!(found.remaining, worst, "seed {seed}: {loss:?} of {nodes:?}");
+        assert!(found.lost.len() <= loss.count);
+        let nothing = worst_loss(&all, None);
+        assert!(nothing.remaining == all.len() && nothing.lost.is_empty());
+        for group in [
+            DeduplicationScope::All,
+            DeduplicationScope::Site,
+            DeduplicationScope::Block,
+        ] {
             let worst = ways(&nodes, loss)
                 .iter()
-                .filter_map(|w| fewest_mates(w, group))
+                .filter_map(|w| fewest_peers_by_search(w, group))
                 .min();
-            let found = mates(&all, group, Some(loss)).map(|(n, _)| n);
+            let found = fewest_peers(&all, group, Some(loss)).map(|worst| worst.remaining);
             assert_eq!(
                 found, worst,
                 "seed {seed}: {loss:?}, {group:?} of {nodes:?}"
             );
             assert_eq!(
-                mates(&all, group, None).map(|(n, _)| n),
-                fewest_mates(&all, group),
+                fewest_peers(&all, group, None).map(|worst| worst.remaining),
+                fewest_peers_by_search(&all, group),
                 "seed {seed}"
             );
         }
     }
-    assert_eq!(mates(&[], Group::All, None), None);
+    assert_eq!(fewest_peers(&[], DeduplicationScope::All, None), None);
 }
--- a/crates/heathroad-verifier/tests/golden_expectations_keys.rs
+++ b/crates/heathroad-verifier/tests/golden_expectations_keys.rs
@@ -1,19 +1,19 @@
-//! The keys of the file of expectations: each is read, and whatever is no key is refused with the
-//! list of those that are. The golden answer comes from commit 1355c4b.
+//! The keys of the file of expectations: each is read, and whatever is no key is refused with the list of those that are.
+//! The golden answer comes from commit 1355c4b.
 
-use heathroad_routing::file::Group;
-use heathroad_verifier::file::{Again, Bound, Demand, Figure, read};
-use heathroad_verifier::nodes::{Kind, Loss};
+use heathroad_routing::config::DeduplicationScope;
+use heathroad_verifier::expectations::{Bounds, Quantity, Requirement, RetryLimit, parse};
+use heathroad_verifier::failure_scenarios::{FailureDomain, Loss};
 
 #[test]
 fn every_key_is_read() {
-    let all = read("f", include_str!("golden/all_keys.toml")).unwrap_or_else(|e| panic!("{e}"));
+    let all = parse("f", include_str!("golden/all_keys.toml")).unwrap_or_else(|e| panic!("{e}"));
     let node = &all.nodes[0];
     assert_eq!(
         (
             node.address.port(),
             node.registry.map(|r| r.port()),
-            node.takes
+            node.is_available
         ),
         (9001, Some(8500), true)
     );
@@ -21,19 +21,22 @@
         (node.site.as_str(), node.class.as_str(), node.block),
         ("kano-dc", "m2", 1)
     );
-    assert_eq!((all.nodes[1].registry, all.nodes[1].takes), (None, false));
-    let state = &all.states[0];
+    assert_eq!(
+        (all.nodes[1].registry, all.nodes[1].is_available),
+        (None, false)
+    );
+    let state = &all.scenarios[0];
     assert_eq!((state.name.as_str(), state.nodes.len()), ("one out", 2));
     assert!(state.sites.contains("jos") && state.blocks.contains(&7));
 
     let [places, figures, block] = all.list.as_slice() else {
         panic!("three expectations")
     };
-    assert!(places.may_be_empty && places.states == [0]);
+    assert!(places.may_be_empty && places.scenarios == [0]);
     assert_eq!(
         places.loss,
         Some(Loss {
-            kind: Kind::Node,
+            domain: FailureDomain::Node,
             count: 1
         })
     );
@@ -52,7 +55,12 @@
         .collect();
     assert_eq!(texts, ["main", "a.org", "/x/*", "m", "look", "zaria-foods"]);
     assert_eq!(scope.header, Some(("x-canary".into(), "1".into())));
-    let [Demand::Only(only), Demand::Never(never), rest @ ..] = places.demands.as_slice() else {
+    let [
+        Requirement::Only(only),
+        Requirement::Never(never),
+        rest @ ..,
+    ] = places.requirements.as_slice()
+    else {
         panic!("places")
     };
     for (places, port) in [(only, 9001), (never, 9002)] {
@@ -64,77 +72,80 @@
             ),
             (1, port, 1)
         );
-        assert_eq!((places.blocks.len(), places.kinds.len()), (1, 1));
+        assert_eq!((places.blocks.len(), places.machine_classes.len()), (1, 1));
     }
     assert_eq!(
         rest,
         [
-            Demand::Served(true),
-            Demand::Again(Again::Never),
-            Demand::Group(Group::All)
+            Requirement::Served(true),
+            Requirement::Retries(RetryLimit::Never),
+            Requirement::Deduplicated(DeduplicationScope::All)
         ]
     );
 
     assert_eq!(
         figures.loss,
         Some(Loss {
-            kind: Kind::Site,
+            domain: FailureDomain::Site,
             count: 2
         })
     );
-    let from = |at_least| Bound {
+    let from = |at_least| Bounds {
         at_least,
         at_most: f64::MAX,
     };
     let expected = [
-        Demand::Again(Again::Keyed),
-        Demand::Group(Group::Site),
-        Demand::Figure(Figure::Nodes, from(1.0)),
-        Demand::Figure(
-            Figure::Mates,
-            Bound {
+        Requirement::Retries(RetryLimit::Keyed),
+        Requirement::Deduplicated(DeduplicationScope::Site),
+        Requirement::Quantity(Quantity::Nodes, from(1.0)),
+        Requirement::Quantity(
+            Quantity::Peers,
+            Bounds {
                 at_least: 0.0,
                 at_most: 2.0,
             },
         ),
-        Demand::Figure(
-            Figure::Attempts,
-            Bound {
+        Requirement::Quantity(
+            Quantity::Attempts,
+            Bounds {
                 at_least: 1.0,
                 at_most: 3.0,
             },
         ),
-        Demand::Figure(Figure::Open, from(4.0)),
-        Demand::Figure(Figure::Aim, from(5.0)),
-        Demand::Figure(Figure::Deadline, from(6.0)),
-        Demand::Figure(Figure::Worth, from(7.0)),
-        Demand::Figure(Figure::Window, from(8.0)),
-        Demand::Share {
+        Requirement::Quantity(Quantity::OpenRequests, from(4.0)),
+        Requirement::Quantity(Quantity::LatencyObjective, from(5.0)),
+        Requirement::Quantity(Quantity::Deadline, from(6.0)),
+        Requirement::Quantity(Quantity::PriorityWeight, from(7.0)),
+        Requirement::Quantity(Quantity::DeduplicationWindow, from(8.0)),
+        Requirement::PoolPart {
             pool: "p".into(),
-            within: Bound {
+            bounds: Bounds {
                 at_least: 0.1,
                 at_most: 0.9,
             },
         },
     ];
-    assert_eq!(figures.demands, expected);
+    assert_eq!(figures.requirements, expected);
     assert_eq!(
         block.loss,
         Some(Loss {
-            kind: Kind::Block,
+            domain: FailureDomain::Block,
             count: 3
         })
     );
     assert_eq!(
-        block.demands,
-        [Demand::Served(false), Demand::Group(Group::Block)]
+        block.requirements,
+        [
+            Requirement::Served(false),
+            Requirement::Deduplicated(DeduplicationScope::Block)
+        ]
     );
 }
 
 /// Each line of the answer names a section's keys, so that a key that is renamed shows.
 #[test]
 fn unknown_keys_are_refused_with_all_known_ones() {
-    let actual = read("f", include_str!("golden/unknown_keys.toml"))
+    let actual = parse("f", include_str!("golden/unknown_keys.toml"))
         .expect_err("it has stray keys")
         .to_string();
     assert!(
--- a/crates/heathroad-verifier/tests/reach.rs
+++ b/crates/heathroad-verifier/tests/reachability.rs
@@ -1,9 +1,9 @@
 //! What is reasoned out, against the table that routes, asked for every request of a small world.
 
-use heathroad_routing::condition::{Match, Request};
+use heathroad_routing::condition::{RequestAttributes, RouteCondition};
 use heathroad_routing::generation::Generation;
-use heathroad_verifier::reach::Routes;
-use heathroad_verifier::space::Space;
+use heathroad_verifier::reachability::RouteRegions;
+use heathroad_verifier::request_space::RequestSpace;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -87,7 +87,7 @@
 }
 
 /// Every request of the small world.
-fn world(mut look: impl FnMut(&Request<'_>)) {
+fn world(mut look: impl FnMut(&RequestAttributes<'_>)) {
     for host in HOSTS {
         for path in PATHS {
             for class in CLASSES {
@@ -100,7 +100,7 @@
                             _ => None,
                         };
                         let (listener, method) = ("main", "");
-                        look(&Request {
+                        look(&RequestAttributes {
                             listener,
                             host,
                             path,
@@ -127,7 +127,7 @@
             &TENANTS[2..3]
         };
         for tenant in tenants.iter().copied() {
-            look(&Request {
+            look(&RequestAttributes {
                 listener,
                 host: "",
                 path: "",
@@ -150,31 +150,39 @@
     while good < 2_000 {
         seed += 1;
         let mut rng = fastrand::Rng::with_seed(seed);
-        let Ok(generation) = Generation::read(1, "t", &configuration(&mut rng)) else {
+        let Ok(generation) = Generation::parse(1, "t", &configuration(&mut rng)) else {
             continue;
         };
         good += 1;
         let scope = scope(&mut rng);
-        let space = Space::new(&generation.config, &[&scope], None).expect("few worlds");
-        let routes = Routes::new(&generation, &space);
+        let space = RequestSpace::new(&generation.config, &[&scope], None).expect("few worlds");
+        let routes = RouteRegions::new(&generation, &space);
         let mut reasoned = BTreeSet::new();
         if let Some(region) = space.region(&scope) {
-            for region in space.worlds().iter().filter_map(|w| w.meet(&region)) {
+            for region in space
+                .entry_points()
+                .iter()
+                .filter_map(|w| w.intersection(&region))
+            {
                 for (place, class) in space.classes(&region) {
                     for taken in routes
-                        .taken(&space.of_class(&region, place))
+                        .divide(&space.with_class(&region, place))
                         .expect("can be counted")
                     {
                         reasoned.insert((class.to_string(), taken.route));
-                        let smallest = taken.smallest(&space).expect("can be counted");
-                        let told = space.request(&smallest, |r| {
-                            assert!(scope.matches(r), "seed {seed}: {}", space.words(&smallest));
-                            generation.table.route(r).map(|r| r.name.clone())
+                        let smallest = taken.smallest_request(&space).expect("can be counted");
+                        let told = space.with_first_request(&smallest, |r| {
+                            assert!(
+                                scope.matches(r),
+                                "seed {seed}: {}",
+                                space.describe(&smallest)
+                            );
+                            generation.table.find_route(r).map(|r| r.name.clone())
                         });
                         let name = taken
                             .route
                             .map(|r| generation.config.routes[r].name.clone());
-                        assert_eq!(told, name, "seed {seed}: {}", space.words(&smallest));
+                        assert_eq!(told, name, "seed {seed}: {}", space.describe(&smallest));
                     }
                 }
             }
@@ -182,7 +190,7 @@
         let mut routed = BTreeSet::new();
         world(|r| {
             if scope.matches(r) {
-                let route = generation.table.route(r);
+                let route = generation.table.find_route(r);
                 let place = route.and_then(|r| {
                     generation
                         .config
@@ -197,7 +205,7 @@
             reasoned,
             routed,
             "seed {seed}: {}\n{}",
-            scope.words(),
+            scope.describe(),
             generation.text
         );
         taken_in_all += routed.len();
@@ -211,10 +219,10 @@
     );
 }
 
-fn scope(rng: &mut fastrand::Rng) -> Match {
+fn scope(rng: &mut fastrand::Rng) -> RouteCondition {
     let mut maybe =
         |list: &[&str]| (rng.u8(..4) == 0).then(|| list[rng.usize(..list.len())].to_string());
-    Match {
+    RouteCondition {
         host: maybe(&["a.org", "q.a.org", "*.a.org", "*.org"]),
         path: maybe(&["/p", "/p/*", "/p/q/*", "/z"]),
         class: maybe(&CLASSES),
@@ -225,8 +233,8 @@
     }
 }
 
-fn read(text: &str) -> Rc<Generation> {
-    Generation::read(1, "t", text).unwrap_or_else(|e| panic!("{e}"))
+fn parse(text: &str) -> Rc<Generation> {
+    Generation::parse(1, "t", text).unwrap_or_else(|e| panic!("{e}"))
 }
 
 /// A route that narrower ones hide takes nothing; where one kind of request is left to it, that is
@@ -240,12 +248,12 @@
          [[route]]\nname = \"l\"\nclass = \"l\"\npool = \"one\"\n"
     );
     let takes = |text: &str| {
-        let generation = read(text);
-        let space = Space::new(&generation.config, &[], None).expect("few");
-        let routes = Routes::new(&generation, &space);
+        let generation = parse(text);
+        let space = RequestSpace::new(&generation.config, &[], None).expect("few");
+        let routes = RouteRegions::new(&generation, &space);
         let mut all = BTreeSet::new();
-        for world in space.worlds() {
-            for t in routes.taken(world).expect("few") {
+        for world in space.entry_points() {
+            for t in routes.divide(world).expect("few") {
                 all.insert(t.route.map(|r| generation.config.routes[r].name.clone()));
             }
         }
@@ -276,17 +284,20 @@
             n % 10
         );
     }
-    let generation = read(&text);
-    let space = Space::new(&generation.config, &[], None).expect("few");
-    let routes = Routes::new(&generation, &space);
-    let world = &space.worlds()[0];
+    let generation = parse(&text);
+    let space = RequestSpace::new(&generation.config, &[], None).expect("few");
+    let routes = RouteRegions::new(&generation, &space);
+    let world = &space.entry_points()[0];
     assert_eq!(
-        routes.taken(world).expect("few").len(),
+        routes.divide(world).expect("few").len(),
         1_001,
         "each, and requests of other tenants"
     );
     assert_eq!(
-        routes.taken(&space.of_class(world, 3)).expect("few").len(),
+        routes
+            .divide(&space.with_class(world, 3))
+            .expect("few")
+            .len(),
         101
     );
 }
--- a/crates/heathroad-verifier/tests/judged.rs
+++ b/crates/heathroad-verifier/tests/verify.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use common::{EXPECTED, ROUTES, expectations, generation, here, report};
-use heathroad_verifier::judge::{Here, judge};
+use common::{EXPECTED, ROUTES, environment, expectations, generation, report};
+use heathroad_verifier::{Environment, verify};
 
 #[test]
 fn a_good_configuration_passes_and_says_what_was_looked_at() {
@@ -16,7 +16,7 @@
             .iter()
             .find(|v| v.name == name)
             .expect("a verdict")
-            .cases
+            .case_count
     };
     // Over HTTP five classes, rates to two pools; over JSON-RPC two methods.
     assert_eq!(cases("all are served"), 5 + 1 + 2);
@@ -276,11 +276,11 @@
 #[test]
 fn a_drain_that_is_known_counts() {
     let e = expectations(EXPECTED);
-    let (generation, mut here) = (generation(ROUTES), here(&e));
-    here.nodes.push(heathroad_verifier::Node::withdrawn(
+    let (generation, mut environment) = (generation(ROUTES), environment(&e));
+    environment.nodes.push(heathroad_verifier::Node::withdrawn(
         "127.0.0.1:9003".parse().expect("an address"),
     ));
-    let report = judge(&generation, &e, &here).expect("can be judged");
+    let report = verify(&generation, &e, &environment).expect("can be judged");
     let failures = report.failures();
     // The list says where it stands; what is known of it elsewhere is that it takes nothing.
     assert!(
@@ -305,7 +305,7 @@
     let text = EXPECTED.replace("[[node]]", "[[gone]]");
     let cut = text.find("[[state]]").expect("states");
     let e = expectations(&text[cut..]);
-    let report = judge(&generation(ROUTES), &e, &Here::default()).expect("can be judged");
+    let report = verify(&generation(ROUTES), &e, &Environment::default()).expect("can be judged");
     let failures = report.failures();
     let words = [
         "not known here; expected them to be told (`--settings FILE`)",
@@ -324,18 +324,26 @@
     // By the labels alone what the registry will tell is all of one site.
     let site = "[[expect]]\nname = \"home\"\nclass = \"claim-status\"\nonly = { sites = [\"kano-dc\"] }\nnever = { sites = [\"jos-dc\"] }";
     assert!(
-        judge(&generation(ROUTES), &expectations(site), &Here::default())
-            .expect("judged")
-            .holds()
+        verify(
+            &generation(ROUTES),
+            &expectations(site),
+            &Environment::default()
+        )
+        .expect("judged")
+        .holds()
     );
     let other = site.replace(
         "only = { sites = [\"kano-dc\"] }",
         "only = { sites = [\"jos-dc\"] }",
     );
     assert!(
-        !judge(&generation(ROUTES), &expectations(&other), &Here::default())
-            .expect("judged")
-            .holds()
+        !verify(
+            &generation(ROUTES),
+            &expectations(&other),
+            &Environment::default()
+        )
+        .expect("judged")
+        .holds()
     );
 }
 
@@ -363,7 +371,7 @@
         .join("[[route]]");
     let routes = &routes[..routes.find("[[listener]]").unwrap_or(routes.len())];
     let (generation, e) = (generation(routes), expectations(text));
-    let open = judge(&generation, &e, &Here::default())
+    let open = verify(&generation, &e, &Environment::default())
         .expect("judged")
         .failures();
     assert!(
@@ -371,16 +379,16 @@
         "{open:?}"
     );
     let two = vec!["kano-textiles".to_string(), "zaria-foods".to_string()];
-    let closed = Here {
+    let closed = Environment {
         tenants: Some(two.clone()),
-        ..Here::default()
+        ..Environment::default()
     };
-    assert!(judge(&generation, &e, &closed).expect("judged").holds());
-    let three = Here {
+    assert!(verify(&generation, &e, &closed).expect("judged").holds());
+    let three = Environment {
         tenants: Some([two, vec!["sahel-agro".into()]].concat()),
-        ..Here::default()
+        ..Environment::default()
     };
-    let open = judge(&generation, &e, &three).expect("judged").failures();
+    let open = verify(&generation, &e, &three).expect("judged").failures();
     assert!(
         open[0].contains("tenant sahel-agro: no route takes it"),
         "{open:?}"
--- a/crates/heathroad/src/admin/mod.rs
+++ b/crates/heathroad/src/admin/mod.rs
@@ -5,10 +5,9 @@
 use crate::membership::Peers;
 use crate::membership::audit::{self, Ask};
 use crate::router::Router;
-use crate::router::transactions::words;
 use crate::runtime_accounting::{sleep, spawn_local, timeout};
 use bytes::Bytes;
-use heathroad_routing::transaction::{Event, Said};
+use heathroad_routing::transaction::{Event, TransactionReport};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{ALLOW, CONTENT_TYPE, HeaderValue};
 use hyper::server::conn::http1;
@@ -162,21 +161,22 @@
             "application/json",
             router.counts_json(descriptors),
         ),
-        (_, Router::One(_)) => said(
+        (_, Router::SinglePool(_)) => said(
             StatusCode::NOT_FOUND,
             TEXT,
             "no routes: the daemon serves the one pool of its settings".into(),
         ),
-        ("/config/status", Router::Many(many)) => said(
+        ("/config/status", Router::Routed(many)) => said(
             StatusCode::OK,
             "application/json",
             many.status().to_string(),
         ),
-        ("/config/nodes", Router::Many(many)) => match serde_json::to_string(&many.known_nodes()) {
+        ("/config/nodes", Router::Routed(many)) => match serde_json::to_string(&many.known_nodes())
+        {
             Ok(nodes) => said(StatusCode::OK, "application/json", nodes),
             Err(e) => said(StatusCode::INTERNAL_SERVER_ERROR, TEXT, e.to_string()),
         },
-        ("/config/expect", Router::Many(many)) => match many.expect().await {
+        ("/config/expect", Router::Routed(many)) => match many.verify_current().await {
             Ok(Some(report)) => {
                 let (holds, verdicts) = (report.holds(), report.verdicts);
                 let told =
@@ -188,10 +188,12 @@
                 TEXT,
                 "nothing is expected: the file names no `expectations`".into(),
             ),
-            Err(wrong) => said(StatusCode::UNPROCESSABLE_ENTITY, TEXT, wrong),
+            Err(wrong) => said(StatusCode::UNPROCESSABLE_ENTITY, TEXT, wrong.to_string()),
         },
-        ("/config/undo", Router::Many(many)) => told(&many.handle(Event::Undo("asked for".into()))),
-        (_, Router::Many(many)) => {
+        ("/config/undo", Router::Routed(many)) => told(&many.handle(Event::RollBack {
+            reason: "asked for".into(),
+        })),
+        (_, Router::Routed(many)) => {
             let within = head
                 .uri
                 .query()
@@ -213,7 +215,7 @@
             };
             match many.propose("apply", &text, within).await {
                 Ok(list) => told(&list),
-                Err(wrong) => said(StatusCode::UNPROCESSABLE_ENTITY, TEXT, wrong),
+                Err(wrong) => said(StatusCode::UNPROCESSABLE_ENTITY, TEXT, wrong.to_string()),
             }
         }
     }
@@ -222,18 +224,8 @@
 const TEXT: &str = "text/plain; charset=utf-8";
 
 /// What was said of a change: 409 where it was turned down.
-fn told(list: &[Said]) -> Reply {
-    let down = |s: &Said| {
-        matches!(
-            s,
-            Said::Busy(_)
-                | Said::Crowded(_)
-                | Said::Stopping
-                | Said::NothingToUndo
-                | Said::GivenUp(..)
-        )
-    };
-    let status = if list.iter().any(down) {
+fn told(list: &[TransactionReport]) -> Reply {
+    let status = if list.iter().any(TransactionReport::is_rejection) {
         StatusCode::CONFLICT
     } else {
         StatusCode::OK
@@ -241,7 +233,10 @@
     said(
         status,
         TEXT,
-        list.iter().map(words).collect::<Vec<_>>().join("\n"),
+        list.iter()
+            .map(ToString::to_string)
+            .collect::<Vec<_>>()
+            .join("\n"),
     )
 }
 
--- a/crates/heathroad/src/cli/commands.rs
+++ b/crates/heathroad/src/cli/commands.rs
@@ -1,6 +1,7 @@
 //! What the program does beside running: looks at files, and calls to a running daemon.
 
 use super::arguments::{Cli, Command};
+use super::verify::{CommandError, read_routes};
 use super::{admin_client, lease, membership, verify};
 use crate::configuration::{self as config, routes};
 use clap::Parser;
@@ -20,14 +21,16 @@
     let (done, code) = match Cli::parse().command {
         None => (start(), ExitCode::FAILURE),
         Some(Command::Check { file }) => (check(&file), ExitCode::from(BAD_INPUT)),
-        Some(Command::Expect { with }) => (told(verify::expect(&with)), ExitCode::from(BAD_INPUT)),
+        Some(Command::Expect { with }) => {
+            (told(verify::run_expect(&with)), ExitCode::from(BAD_INPUT))
+        }
         Some(Command::Drains {
             with,
             node,
             site,
             at_once,
         }) => (
-            told(verify::plan(&with, &node, &site, at_once)),
+            told(verify::run_drains(&with, &node, &site, at_once)),
             ExitCode::from(BAD_INPUT),
         ),
         Some(Command::Fleet(ask)) => (
@@ -67,7 +70,7 @@
 
 fn check(file: &Path) -> Result<(), String> {
     if file.extension().is_some_and(|e| e == "toml") {
-        let routes = routes::read(file)?;
+        let routes = read_routes(file)?;
         let (pools, count) = (routes.config.pools.len(), routes.config.routes.len());
         return say(&format!(
             "{}: good: {pools} pools, {count} routes, digest {}",
@@ -77,7 +80,7 @@
     }
     let config = config::check(file)?;
     if let Some(file) = &config.routes {
-        routes::rounds(&*routes::read(file)?, config.listen)?;
+        routes::check_self_loop(&*read_routes(file)?, config.listen).map_err(|e| e.to_string())?;
     }
     let site = &config.facts.site;
     say(&format!(
@@ -91,8 +94,8 @@
 }
 
 fn diff(from: &Path, to: &Path) -> Result<(), String> {
-    let (from, to) = (routes::read(from)?, routes::read(to)?);
-    let words = heathroad_routing::diff::words(&from, &to);
+    let (from, to) = (read_routes(from)?, read_routes(to)?);
+    let words = heathroad_routing::diff::describe_changes(&from, &to);
     say(if words.is_empty() {
         "no request moves, no pool changes".to_string()
     } else {
@@ -102,11 +105,11 @@
 }
 
 /// What is found broken is an answer like any other, with an exit code of its own.
-fn told(found: Result<String, verify::Trouble>) -> Result<(), String> {
+fn told(found: Result<String, CommandError>) -> Result<(), String> {
     match found {
         Ok(text) => say(&text),
-        Err(verify::Trouble::Other(e)) => Err(e),
-        Err(verify::Trouble::Broken(text)) => {
+        Err(CommandError::Other(e)) => Err(e),
+        Err(CommandError::Negative(text)) => {
             say(&text)?;
             Err("what is expected does not hold".to_string())
         }
--- a/crates/heathroad/src/configuration/mod.rs
+++ b/crates/heathroad/src/configuration/mod.rs
@@ -6,7 +6,7 @@
 pub mod state_folder;
 pub mod verification_gate;
 
-use crate::discovery::endpoint_list::Page;
+use crate::discovery::endpoint_list::EndpointList;
 use crate::retry_budget;
 use heathroad_balancer::settings::{self, Facts};
 use heathroad_membership::version::Digest;
@@ -45,7 +45,7 @@
     /// Tells proxies with unlike settings apart, but for what is meant to differ between copies.
     pub digest: Digest,
     /// The list of backends as this proxy last had it.
-    pub known: Option<Page>,
+    pub known: Option<EndpointList>,
     /// The settings.
     pub facts: Facts,
 }
@@ -67,7 +67,7 @@
     probation_ms: u64,
     seed: String,
     limits: Limits,
-    known: Option<Page>,
+    known: Option<EndpointList>,
     settings: serde_json::Value,
 }
 
--- a/crates/heathroad/src/configuration/routes.rs
+++ b/crates/heathroad/src/configuration/routes.rs
@@ -1,29 +1,67 @@
-//! Files of routes and pools, read and checked.
+//! The file of routes and pools, read and checked.
 
+use heathroad_routing::config::error::ConfigErrors;
 use heathroad_routing::generation::Generation;
+use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::rc::Rc;
 
-/// Reads and checks a file; an error has a line for everything that is wrong.
-pub fn read(path: &Path) -> Result<Rc<Generation>, String> {
-    numbered(path, 0)
+/// Why a file of routes can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum RoutesError {
+    /// The file can't be read.
+    #[error("{file}: {source}")]
+    Read {
+        /// The name of the file.
+        file: String,
+        /// The error of the operating system.
+        source: io::Error,
+    },
+    /// The text has errors.
+    #[error(transparent)]
+    Config(#[from] ConfigErrors),
 }
 
-/// The same under a number.
-pub fn numbered(path: &Path, number: u64) -> Result<Rc<Generation>, String> {
-    let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
-    Generation::read(number, &name, &text).map_err(|e| e.to_string())
+/// A pool whose backend is the daemon itself, so that requests would loop.
+#[derive(Debug, thiserror::Error)]
+#[error(
+    "routes: pool {pool:?}: one of its backends is this daemon itself, at {listen_address}; expected servers"
+)]
+pub struct SelfLoop {
+    /// The name of the pool.
+    pub pool: String,
+    /// The address that the daemon listens on.
+    pub listen_address: SocketAddr,
 }
 
-/// A pool whose backends are the daemon itself sends requests round and round.
-pub fn rounds(generation: &Generation, listens: SocketAddr) -> Result<(), String> {
-    match generation.config.rounds(listens).next() {
+/// Reads and checks a file, as a generation with a number.
+///
+/// # Errors
+///
+/// Fails if the file can't be read, or with all errors of its text.
+pub fn read(path: &Path, number: u64) -> Result<Rc<Generation>, RoutesError> {
+    let file = path.display().to_string();
+    match std::fs::read_to_string(path) {
+        Ok(text) => Ok(Generation::parse(number, &file, &text)?),
+        Err(source) => Err(RoutesError::Read { file, source }),
+    }
+}
+
+/// Checks that no pool sends requests back to the daemon.
+///
+/// # Errors
+///
+/// Fails with the first pool that does.
+pub fn check_self_loop(
+    generation: &Generation,
+    listen_address: SocketAddr,
+) -> Result<(), SelfLoop> {
+    match generation.config.pools_looping_to(listen_address).next() {
         None => Ok(()),
-        Some(pool) => Err(format!(
-            "routes: pool {:?}: one of its backends is this daemon itself, at {listens}; expected servers",
-            pool.name
-        )),
+        Some(pool) => Err(SelfLoop {
+            pool: pool.name.clone(),
+            listen_address,
+        }),
     }
 }
--- a/crates/heathroad/src/configuration/state_folder.rs
+++ b/crates/heathroad/src/configuration/state_folder.rs
@@ -1,38 +1,43 @@
-//! The state folder: the log of the configuration, on a real disk.
+//! The state folder, which holds the journal of configuration changes on disk.
 
-use heathroad_routing::journal::Disk;
+use heathroad_routing::journal::JournalStorage;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder that holds the log.
-pub struct Folder {
-    folder: PathBuf,
+/// The name of the journal's file.
+const JOURNAL_FILE: &str = "routing.log";
+/// The name of the file that a new journal is written to before it replaces the old one.
+const REPLACEMENT_FILE: &str = "routing.log.new";
+
+/// A folder that holds the journal.
+pub struct StateFolder {
+    path: PathBuf,
 }
 
-impl Folder {
-    /// The log in a folder, which must be there.
-    pub fn new(folder: &Path) -> Folder {
-        Folder {
-            folder: folder.to_path_buf(),
+impl StateFolder {
+    /// Uses a folder, which must exist.
+    pub fn new(path: &Path) -> StateFolder {
+        StateFolder {
+            path: path.to_path_buf(),
         }
     }
 
-    fn log(&self) -> PathBuf {
-        self.folder.join("routing.log")
+    fn journal_path(&self) -> PathBuf {
+        self.path.join(JOURNAL_FILE)
     }
 
-    /// A name in a folder lasts once the folder is synced.
+    /// Makes the names in the folder durable.
     fn sync_folder(&self) -> io::Result<()> {
-        File::open(&self.folder)?.sync_all()
+        File::open(&self.path)?.sync_all()
     }
 }
 
-impl Disk for Folder {
+impl JournalStorage for StateFolder {
     type Error = io::Error;
 
     fn load(&mut self) -> io::Result<Option<Vec<u8>>> {
-        match std::fs::read(self.log()) {
+        match std::fs::read(self.journal_path()) {
             Ok(bytes) => Ok(Some(bytes)),
             Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
             Err(e) => Err(e),
@@ -42,27 +47,27 @@
     fn truncate(&mut self, length: usize) -> io::Result<()> {
         OpenOptions::new()
             .write(true)
-            .open(self.log())?
+            .open(self.journal_path())?
             .set_len(length as u64)
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         OpenOptions::new()
             .append(true)
-            .open(self.log())?
+            .open(self.journal_path())?
             .write_all(bytes)
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        File::open(self.log())?.sync_all()
+        File::open(self.journal_path())?.sync_all()
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let beside = self.folder.join("routing.log.new");
-        let mut file = File::create(&beside)?;
+        let replacement = self.path.join(REPLACEMENT_FILE);
+        let mut file = File::create(&replacement)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        std::fs::rename(&beside, self.log())?;
+        std::fs::rename(&replacement, self.journal_path())?;
         self.sync_folder()
     }
 }
--- a/crates/heathroad/src/configuration/verification_gate.rs
+++ b/crates/heathroad/src/configuration/verification_gate.rs
@@ -1,69 +1,112 @@
-//! The gate of changes: what is expected of a configuration, in a file beside the routes. It is
-//! judged on a thread of its own, so that no request waits for a verdict.
+//! The gate that a configuration change must pass: the expectations of a file beside the routes.
+//!
+//! Verification runs on a thread of its own, so that no request waits for a verdict.
 
 use heathroad_balancer::settings::Facts;
+use heathroad_routing::config::error::ConfigErrors;
 use heathroad_routing::generation::Generation;
-use heathroad_verifier::{Expectations, Here, Node, Report};
+use heathroad_verifier::{Environment, Expectations, Node, Report, VerifyError, verify};
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
-use tokio::task::spawn_blocking;
+use tokio::task::{JoinError, spawn_blocking};
 
-/// Where expectations are.
-pub struct Gate {
+/// Why expectations can't be read or verified.
+#[derive(Debug, thiserror::Error)]
+pub enum GateError {
+    /// The file can't be read.
+    #[error("{file}: {source}")]
+    Read {
+        /// The name of the file.
+        file: String,
+        /// The error of the operating system.
+        source: io::Error,
+    },
+    /// The text of the expectations, or of the routes, has errors.
+    #[error(transparent)]
+    Config(#[from] ConfigErrors),
+    /// The expectations can't be verified.
+    #[error(transparent)]
+    Verify(#[from] VerifyError),
+    /// The thread that verifies has failed.
+    #[error("expectations: {0}")]
+    Thread(#[from] JoinError),
+}
+
+/// The file of expectations, which is read whenever a change is proposed.
+pub struct VerificationGate {
     file: PathBuf,
 }
 
-/// Expectations as they were when a change was proposed, checked.
+/// The expectations as they were when a change was proposed.
 #[derive(Clone)]
-pub struct Expected(Arc<Expectations>);
+pub struct LoadedExpectations(Arc<Expectations>);
 
-/// Reads and checks a file of expectations; an error has a line for everything that is wrong.
-pub fn read(path: &Path) -> Result<Expectations, String> {
-    let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
-    heathroad_verifier::file::read(&name, &text).map_err(|e| e.to_string())
+/// Reads and checks a file of expectations.
+///
+/// # Errors
+///
+/// Fails if the file can't be read, or with all errors of its text.
+pub fn read(path: &Path) -> Result<Expectations, GateError> {
+    let file = path.display().to_string();
+    match std::fs::read_to_string(path) {
+        Ok(text) => Ok(heathroad_verifier::expectations::parse(&file, &text)?),
+        Err(source) => Err(GateError::Read { file, source }),
+    }
 }
 
-/// What is known of a place with some settings, for expectations.
-pub fn here(facts: &Facts, registry: SocketAddr, nodes: Vec<Node>) -> Here {
+/// Returns what verification has to know of a daemon with some settings.
+pub fn environment(facts: &Facts, registry: SocketAddr, nodes: Vec<Node>) -> Environment {
     let (settings, site) = (&facts.settings, &facts.site);
-    Here {
+    Environment {
         tenants: (!site.tenants.is_empty()).then(|| site.tenants.clone()),
-        attempts: Some(settings.caps.try_limit),
-        open: Some(u32::try_from(site.open_cap).unwrap_or(u32::MAX)),
-        registry: Some(registry),
+        max_attempts: Some(settings.caps.try_limit),
+        max_open_requests: Some(u32::try_from(site.open_cap).unwrap_or(u32::MAX)),
+        default_registry: Some(registry),
         nodes,
     }
 }
 
-impl Gate {
-    /// With the file as it is whenever a change is proposed.
-    pub fn new(file: &Path) -> Gate {
-        Gate {
+impl VerificationGate {
+    /// Creates a gate with a file of expectations.
+    pub fn new(file: &Path) -> VerificationGate {
+        VerificationGate {
             file: file.to_path_buf(),
         }
     }
 
-    /// The file.
+    /// Returns the path of the file.
     pub fn file(&self) -> &Path {
         &self.file
     }
 
-    /// What the file says now.
-    pub fn expected(&self) -> Result<Expected, String> {
-        Ok(Expected(Arc::new(read(&self.file)?)))
+    /// Reads the file as it is now.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the file can't be read, or with all errors of its text.
+    pub fn load(&self) -> Result<LoadedExpectations, GateError> {
+        Ok(LoadedExpectations(Arc::new(read(&self.file)?)))
     }
 }
 
-impl Expected {
-    /// Holds a checked text against them.
-    pub async fn judge(&self, text: String, here: Here) -> Result<Report, String> {
-        let expected = self.0.clone();
-        let judged = spawn_blocking(move || {
-            let generation = Generation::read(0, "routes", &text).map_err(|e| e.to_string())?;
-            heathroad_verifier::judge(&generation, &expected, &here)
+impl LoadedExpectations {
+    /// Verifies a configuration text on a thread of its own.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the text can't be verified at all.
+    pub async fn verify(
+        &self,
+        text: String,
+        environment: Environment,
+    ) -> Result<Report, GateError> {
+        let expectations = self.0.clone();
+        let verification = spawn_blocking(move || {
+            let generation = Generation::parse(0, "routes", &text)?;
+            Ok::<_, GateError>(verify(&generation, &expectations, &environment)?)
         });
-        judged.await.map_err(|e| format!("expectations: {e}"))?
+        verification.await?
     }
 }
--- a/crates/heathroad/src/discovery/endpoint_list.rs
+++ b/crates/heathroad/src/discovery/endpoint_list.rs
@@ -1,75 +1,105 @@
-//! The list of backends as discovery words it. What is read here has not been decided upon: the
-//! engine does that.
+//! The endpoint list in the form in which discovery sends it. The engine decides on its content.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// A list, or changes to one.
+/// An endpoint list, or a change of it.
 #[derive(Deserialize)]
-pub struct Page {
-    /// Its version.
-    pub seq: u64,
-    /// Whether it is the whole list.
-    pub whole: bool,
-    /// Its entries as they came.
-    pub hosts: Vec<serde_json::Value>,
+pub struct EndpointList {
+    /// The version of the list.
+    #[serde(rename = "seq")]
+    pub version: u64,
+    /// Whether this is the whole list, and not a change of it.
+    #[serde(rename = "whole")]
+    pub is_complete: bool,
+    /// The entries, which are parsed one by one.
+    #[serde(rename = "hosts")]
+    pub entries: Vec<serde_json::Value>,
 }
 
-/// An entry of a list.
+/// A backend process of an endpoint list.
 #[derive(Deserialize, Clone)]
-pub struct Host {
-    /// The backend's name.
-    pub host: String,
-    /// Its address; one that is gone needs none.
-    pub dial: Option<SocketAddr>,
-    /// Its zone.
+pub struct Endpoint {
+    /// The name of the backend.
+    #[serde(rename = "host")]
+    pub name: String,
+    /// The address. An endpoint that takes no requests needs none.
+    #[serde(rename = "dial")]
+    pub address: Option<SocketAddr>,
+    /// The site.
     #[serde(default)]
     pub site: String,
-    /// Its kind.
+    /// The kind of machine.
     #[serde(default)]
     pub class: String,
-    /// Its cell.
+    /// The block: a small group of backends that share deduplication.
     #[serde(default)]
     pub block: u16,
-    /// Whether it takes new work.
-    pub health: Health,
-    /// Its size beside the others'.
-    #[serde(default)]
-    pub share: f64,
-    /// When it started, Unix time in milliseconds; 0 for long ago.
-    #[serde(default)]
-    pub born_ms: f64,
+    /// Whether the endpoint takes new requests.
+    pub health: EndpointHealth,
+    /// The capacity relative to that of the other endpoints.
+    #[serde(default, rename = "share")]
+    pub weight: f64,
+    /// The start of the process in milliseconds of Unix time, or 0 if it is unknown.
+    #[serde(default, rename = "born_ms")]
+    pub started_ms: f64,
 }
 
-/// Whether a backend takes new work.
+/// Whether an endpoint takes new requests.
 #[derive(Deserialize, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
-pub enum Health {
-    /// Takes work.
+pub enum EndpointHealth {
+    /// It takes new requests.
     Serving,
-    /// Finishes its work.
+    /// It finishes the requests that it has.
     Draining,
-    /// Gone.
+    /// It is gone.
     Deleted,
 }
 
-impl Page {
-    /// Its entries; those that can't be read are logged in one line and passed over.
-    pub fn entries(self) -> Vec<Host> {
-        let (mut good, mut bad, mut example) = (Vec::new(), 0, String::new());
-        for value in self.hosts {
-            match Host::deserialize(&value) {
-                // What takes nothing new needs no address.
-                Ok(host) if host.health != Health::Serving || host.dial.is_some() => {
-                    good.push(host)
+/// Why an entry of a list is skipped.
+#[derive(Debug, thiserror::Error)]
+enum EntryError {
+    #[error("{name}: no address")]
+    NoAddress { name: String },
+    #[error("{entry}: {source}")]
+    Malformed {
+        entry: String,
+        source: serde_json::Error,
+    },
+}
+
+impl EndpointList {
+    /// Parses the entries. Those that are not valid are skipped and logged in one line.
+    pub fn into_endpoints(self) -> Vec<Endpoint> {
+        let mut endpoints = Vec::new();
+        let mut skipped = 0;
+        let mut example = None;
+        for entry in &self.entries {
+            match parse_entry(entry) {
+                Ok(endpoint) => endpoints.push(endpoint),
+                Err(error) => {
+                    skipped += 1;
+                    example = Some(error);
                 }
-                Ok(host) => (bad, example) = (bad + 1, format!("{}: no address", host.host)),
-                Err(e) => (bad, example) = (bad + 1, format!("{value}: {e}")),
             }
         }
-        if bad > 0 {
-            tracing::warn!("discovery: {bad} entries passed over, such as {example}");
+        if let Some(example) = example {
+            tracing::warn!("discovery: {skipped} entries passed over, such as {example}");
         }
-        good
+        endpoints
+    }
+}
+
+fn parse_entry(entry: &serde_json::Value) -> Result<Endpoint, EntryError> {
+    let endpoint = Endpoint::deserialize(entry).map_err(|source| EntryError::Malformed {
+        entry: entry.to_string(),
+        source,
+    })?;
+    if endpoint.health == EndpointHealth::Serving && endpoint.address.is_none() {
+        return Err(EntryError::NoAddress {
+            name: endpoint.name,
+        });
     }
+    Ok(endpoint)
 }
--- a/crates/heathroad/src/engine/mod.rs
+++ b/crates/heathroad/src/engine/mod.rs
@@ -5,7 +5,7 @@
 mod pending_response;
 
 use crate::backend::{Attempt, Call, End, Line, Pool, Target};
-use crate::discovery::endpoint_list::{Health, Host};
+use crate::discovery::endpoint_list::{Endpoint, EndpointHealth};
 use crate::membership::activity_log::{self, Acts};
 use crate::metrics::{Counts, Final, Moment, Notice, Special};
 use crate::retry_budget::{OnBooks, Purse};
@@ -529,13 +529,16 @@
     }
 
     /// A list of backends, or changes to it.
-    pub fn list(self: &Rc<Self>, kind: ListKind, hosts: Vec<Host>) {
+    pub fn list(self: &Rc<Self>, kind: ListKind, endpoints: Vec<Endpoint>) {
         let entries = {
             let s = &mut *self.state.borrow_mut();
             if kind != ListKind::Delta {
                 s.backends.values_mut().for_each(|k| k.listed = false);
             }
-            let entries = hosts.into_iter().filter_map(|h| self.entry(s, h)).collect();
+            let entries = endpoints
+                .into_iter()
+                .filter_map(|e| self.entry(s, e))
+                .collect();
             let gone = s.backends.values().filter(|k| !k.listed);
             gone.for_each(|k| k.withdraw(&self.pool, &self.counts, Notice::Gone));
             entries
@@ -592,19 +595,25 @@
         });
     }
 
-    fn entry(&self, s: &mut State, h: Host) -> Option<Entry> {
-        let (backend, known) = s.known(&h.host);
-        known.listed = h.health != Health::Deleted;
-        let Some(zone) = self.facts.site.zones.iter().position(|z| *z == h.site) else {
+    fn entry(&self, s: &mut State, endpoint: Endpoint) -> Option<Entry> {
+        let (backend, known) = s.known(&endpoint.name);
+        known.listed = endpoint.health != EndpointHealth::Deleted;
+        let Some(zone) = self
+            .facts
+            .site
+            .zones
+            .iter()
+            .position(|z| *z == endpoint.site)
+        else {
             // A copy can't send there, so that it takes nothing new from here, wherever it was
             // before.
             known.listed = false;
             known.withdraw(&self.pool, &self.counts, Notice::Gone);
-            if h.health == Health::Serving {
+            if endpoint.health == EndpointHealth::Serving {
                 tracing::warn!(
                     "discovery: {}: zone {:?} is unknown, passed over",
-                    h.host,
-                    h.site
+                    endpoint.name,
+                    endpoint.site
                 );
             }
             return Some(Entry {
@@ -613,31 +622,35 @@
                 ..Entry::default()
             });
         };
-        let phase = match h.health {
-            Health::Serving => Phase::Ready,
-            Health::Draining => Phase::Draining,
-            Health::Deleted => Phase::Gone,
+        let phase = match endpoint.health {
+            EndpointHealth::Serving => Phase::Ready,
+            EndpointHealth::Draining => Phase::Draining,
+            EndpointHealth::Deleted => Phase::Gone,
         };
-        match (phase, h.dial) {
+        match (phase, endpoint.address) {
             (Phase::Ready, Some(dial)) => {
                 // A new process knows nothing of the old one's connections. Where its machine fell
                 // silent they look open still, and a request on one would end as a reset, which may
                 // have run.
-                let born_ms = h.born_ms;
+                let born_ms = endpoint.started_ms;
                 let same = |t: &Rc<Target>| {
                     t.dial == dial && t.born_ms == born_ms && t.drained.get().is_none()
                 };
                 if !known.target.as_ref().is_some_and(same) {
                     known.withdraw(&self.pool, &self.counts, Notice::Replaced);
-                    tracing::debug!(backend = h.host, address = %dial, born_ms, "backend ready");
-                    known.target = Some(self.pool.target(&h.host, dial, born_ms));
+                    tracing::debug!(backend = endpoint.name, address = %dial, born_ms, "backend ready");
+                    known.target = Some(self.pool.target(&endpoint.name, dial, born_ms));
                 }
             }
             (Phase::Gone, _) => known.withdraw(&self.pool, &self.counts, Notice::Gone),
             _ => known.withdraw(&self.pool, &self.counts, Notice::Draining),
         }
-        let (zone, started_at, weight, cell) =
-            (zone as u16, h.born_ms.max(0.0), h.share.max(0.0), h.block);
+        let (zone, started_at, weight, cell) = (
+            zone as u16,
+            endpoint.started_ms.max(0.0),
+            endpoint.weight.max(0.0),
+            endpoint.block,
+        );
         known.place = Place { zone, cell };
         Some(Entry {
             backend,
--- a/crates/heathroad/src/frontend/crossings.rs
+++ b/crates/heathroad/src/frontend/crossings.rs
@@ -56,7 +56,7 @@
         watching,
     );
     let engine = engine.expect("good settings");
-    let router = Rc::new(Router::One(engine.clone()));
+    let router = Rc::new(Router::SinglePool(engine.clone()));
     let (connections, bodies) = (100, 1 << 20);
     let front = Front {
         router,
@@ -372,7 +372,7 @@
             let many =
                 crate::router::startup::start(&routes, &config, &Rc::new(Pool::new(limits)), None);
             let many = many.expect("good routes");
-            let addr = many.doors()[0].1.local_addr().expect("bound");
+            let addr = many.listeners()[0].1.local_addr().expect("bound");
             let room = Rc::<Room>::default();
             let (connections, bodies) = (100, 1 << 20);
             let front = jsonrpc::Front {
