--- a/crates/heathroad/src/frontend/http.rs
+++ b/crates/heathroad/src/frontend/http.rs
@@ -10,7 +10,7 @@
 use crate::membership::activity_log;
 use crate::metrics::Final;
 use crate::retry_budget::{self, Books, SPENT};
-use crate::router::{Ask, Bound, Router};
+use crate::router::{BoundRequest, Router, RoutingRequest};
 use crate::runtime_accounting::{sleep, spawn_in, timeout_at};
 use crate::safety::Waiting;
 use crate::stall_detector;
@@ -20,7 +20,7 @@
 use heathroad_balancer::api::Effect;
 use heathroad_balancer::settings::Facts;
 use heathroad_retry_budget::path::Mark;
-use heathroad_routing::split::hash;
+use heathroad_routing::traffic_split::stable_hash;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming as Inflow};
 use hyper::header::{
@@ -326,7 +326,7 @@
         seat: &Rc<Seat>,
         received: Instant,
         inner: bool,
-    ) -> Result<(Incoming, Held, Bound), Box<Reply>> {
+    ) -> Result<(Incoming, Held, BoundRequest), Box<Reply>> {
         let (head, body) = request.into_parts();
         let wrong = |status| Box::new(closing(status));
         if head.headers.len() > MAX_HEADERS {
@@ -365,7 +365,7 @@
             .query()
             .and_then(|q| q.split('&').find_map(|p| p.strip_prefix("k=")));
         let about = about.filter(|k| !k.is_empty());
-        let ask = Ask {
+        let ask = RoutingRequest {
             listener: "main",
             method: "",
             host: head
@@ -439,7 +439,7 @@
         let (class, tenant) = (bound.class, tenant as u16);
         let enter = |books: &Rc<Books>| {
             let mark = Mark {
-                key: about.map_or(0, |k| hash(k.as_bytes())),
+                key: about.map_or(0, |k| stable_hash(k.as_bytes())),
                 class,
                 tenant,
             };
--- a/crates/heathroad/src/frontend/jsonrpc.rs
+++ b/crates/heathroad/src/frontend/jsonrpc.rs
@@ -11,8 +11,8 @@
 use crate::engine::{self, Answer, Incoming, away};
 use crate::metrics::Final;
 use crate::retry_budget::{self, Books};
-use crate::router::routed_pools::Many;
-use crate::router::{Ask, Bound};
+use crate::router::routed_pools::RoutedPools;
+use crate::router::{BoundRequest, RoutingRequest};
 use crate::runtime_accounting::{self, sleep, sleep_until, spawn_in, timeout};
 use crate::stall_detector;
 use crate::stream::peek;
@@ -27,8 +27,8 @@
 use heathroad_jsonrpc::pointer::{self, Missing, Pointer};
 use heathroad_jsonrpc::{Broken, Decoder, Framing, Limits, write};
 use heathroad_retry_budget::path::Mark;
-use heathroad_routing::file::{Listener, TenantFrom};
-use heathroad_routing::split::hash;
+use heathroad_routing::config::{Listener, TenantSource};
+use heathroad_routing::traffic_split::stable_hash;
 use hyper::header::HeaderMap;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -80,7 +80,7 @@
 /// What is needed to take calls.
 pub struct Front {
     /// Says where they go, and where they come in.
-    pub many: Rc<Many>,
+    pub many: Rc<RoutedPools>,
     /// The settings.
     pub facts: Facts,
     /// Most connections at once, with those over HTTP.
@@ -97,12 +97,12 @@
     /// Serves the listeners of whichever generation is in force, until `stop` is set and the last
     /// call is answered.
     pub async fn serve(self: Rc<Self>, mut stop: watch::Receiver<bool>) {
-        let (mut changed, ending) = (self.many.doors_changed(), stop.clone());
+        let (mut changed, ending) = (self.many.listener_changes(), stop.clone());
         let mut running: BTreeMap<String, (Listener, watch::Sender<bool>)> = BTreeMap::new();
         let mut open = JoinSet::new();
         loop {
             changed.borrow_and_update();
-            let wanted = self.many.doors();
+            let wanted = self.many.listeners();
             running.retain(|name, (listener, stop)| {
                 let stays = wanted
                     .iter()
@@ -140,14 +140,14 @@
         (
             l.address,
             l.framing,
-            l.in_order,
-            l.connections,
-            l.calls,
-            l.text,
-            l.batch,
+            l.ordered_responses,
+            l.max_connections,
+            l.max_concurrent_calls,
+            l.max_message_bytes,
+            l.max_batch_size,
         )
     };
-    of(a) == of(b) && a.idle_ms == b.idle_ms
+    of(a) == of(b) && a.idle_timeout_ms == b.idle_timeout_ms
 }
 
 /// A listener that is served.
@@ -230,7 +230,7 @@
         stream: TcpStream,
         stop: &watch::Receiver<bool>,
     ) {
-        let full = self.seats.borrow().len() >= self.is.connections as usize
+        let full = self.seats.borrow().len() >= self.is.max_connections as usize
             || self.front.room.present() >= self.front.connections;
         if full && !self.shed() {
             spawn_in(open, self.clone().turn_away(stream));
@@ -321,7 +321,7 @@
 struct Member {
     id: Option<Bytes>,
     incoming: Incoming,
-    bound: Bound,
+    bound: BoundRequest,
 }
 
 /// What becomes of a call.
@@ -382,7 +382,7 @@
     /// Whether a further text may be read: as many calls wait at the most as a batch has, and as
     /// many texts.
     fn takes(&self, is: &Listener) -> bool {
-        self.waiting < is.batch && self.groups.len() < 2 * is.calls as usize
+        self.waiting < is.max_batch_size && self.groups.len() < 2 * is.max_concurrent_calls as usize
     }
 
     /// When the first of the calls that wait is to be refused.
@@ -508,9 +508,9 @@
         let (front, is) = (&self.door.front, &self.door.is);
         let (mut reader, mut writer) = stream.split();
         let limits = Limits {
-            text: is.text,
+            text: is.max_message_bytes,
             depth: MAX_DEPTH,
-            batch: is.batch,
+            batch: is.max_batch_size,
         };
         let (mut decoder, mut work) = (Decoder::new(is.framing, limits), Work::default());
         let (mut calls, mut out): (JoinSet<Done>, _) = (JoinSet::new(), BytesMut::new());
@@ -519,7 +519,10 @@
         let (mut moved, mut begun) = (Instant::now(), None);
         // As many calls are in work as may be: what comes next waits unread until then.
         let mut full: Option<Instant> = None;
-        let (idle, mut pace) = (millis(is.idle_ms), Pace::new(is.calls as usize));
+        let (idle, mut pace) = (
+            millis(is.idle_timeout_ms),
+            Pace::new(is.max_concurrent_calls as usize),
+        );
         // When what was read last had come, at the earliest.
         let mut arrived = stall_detector::arrival(Instant::now());
         // By a stop, one who has just come and said nothing yet is waited for until then.
@@ -529,7 +532,7 @@
                 work.done(self.turn_away(group, member), front.bodies);
             }
             while out.len() < MAX_OUT {
-                let room = calls.len() < is.calls as usize;
+                let room = calls.len() < is.max_concurrent_calls as usize;
                 full = if room {
                     None
                 } else {
@@ -559,7 +562,7 @@
                     }
                 }
             }
-            work.flush(is.in_order, is.framing, &mut out);
+            work.flush(is.ordered_responses, is.framing, &mut out);
             let quiet = calls.is_empty() && work.groups.is_empty();
             // At a stop, what lies here is read before the connection ends.
             let leaves = quiet
@@ -646,7 +649,7 @@
     /// Takes a text that was `received` then: its calls are bound, and wait for their turn. Where
     /// there is no room for them they are refused.
     async fn take(&self, text: &Bytes, received: Instant, crowded: bool, work: &mut Work) {
-        let (batch, read) = match message::read(text, self.door.is.batch) {
+        let (batch, read) = match message::read(text, self.door.is.max_batch_size) {
             Ok(Message::One(call)) => (false, vec![Read::Call(call)]),
             Ok(Message::Batch(list)) => (true, list.into_iter().map(Read::Text).collect()),
             Err(wrong) => (false, vec![Read::Call(Err(wrong))]),
@@ -774,20 +777,21 @@
     }
 
     /// Finds out what a call is and where it goes.
-    fn prepare(&self, call: Call, received: Instant) -> Result<(Incoming, Bound), Wrong> {
+    fn prepare(&self, call: Call, received: Instant) -> Result<(Incoming, BoundRequest), Wrong> {
         let wrong = |code, expected| Wrong {
             code,
             expected,
             id: NULL,
         };
         let front = &self.door.front;
-        let generation = front.many.in_force();
+        let generation = front.many.current_generation();
         let listener = generation
             .config
             .listeners
             .iter()
             .find(|l| l.name == self.door.is.name);
-        let method = listener.and_then(|l| l.methods.get(&call.method).or(l.unknown.as_ref()));
+        let method =
+            listener.and_then(|l| l.methods.get(&call.method).or(l.default_method.as_ref()));
         let (listener, method) = listener
             .zip(method)
             .ok_or(wrong(METHOD_NOT_FOUND, "a method of this listener"))?;
@@ -805,16 +809,16 @@
                 ),
             })
         };
-        let tenant = match &listener.tenant {
-            TenantFrom::Nothing => None,
-            TenantFrom::Fixed(name) => Some(name.clone()),
-            TenantFrom::Connection(by) => {
+        let tenant = match &listener.tenant_source {
+            TenantSource::None => None,
+            TenantSource::Fixed(name) => Some(name.clone()),
+            TenantSource::ClientAddress(by) => {
                 let name = by
                     .get(&self.peer)
                     .ok_or(wrong(INVALID_REQUEST, "an address with a tenant"))?;
                 Some(name.clone())
             }
-            TenantFrom::Params(pointer) => {
+            TenantSource::Params(pointer) => {
                 let value = find(pointer, "a tenant where the listener looks for it")?;
                 Some(pointer::text(value).ok_or(wrong(INVALID_PARAMS, "a tenant that is a text"))?)
             }
@@ -835,7 +839,7 @@
             ),
             None => None,
         };
-        let bound = front.many.bind(&Ask {
+        let bound = front.many.bind(&RoutingRequest {
             listener: &listener.name,
             method: &call.method,
             host: "",
@@ -861,7 +865,7 @@
         let enter = |books: &Rc<Books>| {
             let told = retry_budget::told_in(&call.carried, books.inner(self.peer));
             let mark = Mark {
-                key: key.as_deref().map_or(0, |k| hash(k.as_bytes())),
+                key: key.as_deref().map_or(0, |k| stable_hash(k.as_bytes())),
                 class,
                 tenant,
             };
--- a/crates/heathroad/src/lib.rs
+++ b/crates/heathroad/src/lib.rs
@@ -45,7 +45,7 @@
 use crate::runtime_accounting::{sleep, spawn_local, timeout};
 use backend::Pool;
 use configuration::Config;
-use discovery::News;
+use discovery::DiscoveryEvent;
 use engine::Engine;
 use frontend::http::Front;
 use frontend::{connections, jsonrpc};
@@ -56,7 +56,7 @@
 use membership::activity_log::Acts;
 use metrics::{Counts, Meter};
 use retry_budget::Books;
-use router::routed_pools::Many;
+use router::routed_pools::RoutedPools;
 use router::{Router, stale_routes, startup};
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::io::Write;
@@ -119,7 +119,7 @@
         acts: Option<Rc<Acts>>,
     },
     /// Pools by routes follow their own.
-    Routes(Rc<Many>),
+    Routes(Rc<RoutedPools>),
 }
 
 fn one_pool(config: &mut Config, pool: &Rc<Pool>, acts: Option<Rc<Acts>>) -> Result<Lists, String> {
@@ -138,7 +138,7 @@
     let known = config
         .known
         .take()
-        .map(|page| page.entries())
+        .map(|page| page.into_endpoints())
         .unwrap_or_default();
     engine.list(ListKind::Cached, known);
     let following = follow(&engine, config.discovery, must_ask, &wanted, acts.clone());
@@ -167,14 +167,23 @@
 ) -> JoinHandle<()> {
     let (engine, grace) = (engine.clone(), millis(engine.facts().site.drain_grace));
     let hear = move |news| match news {
-        News::List(kind, hosts, seq) => {
-            tracing::debug!(?kind, hosts = hosts.len(), seq, "list of backends");
+        DiscoveryEvent::Endpoints {
+            kind,
+            endpoints,
+            version,
+        } => {
+            tracing::debug!(
+                ?kind,
+                endpoints = endpoints.len(),
+                version,
+                "list of backends"
+            );
             if let Some(acts) = &acts {
-                acts.heard(address, seq);
+                acts.heard(address, version);
             }
-            engine.list(kind, hosts);
+            engine.list(kind, endpoints);
         }
-        News::Failed => engine.list_failed(),
+        DiscoveryEvent::PollFailed => engine.list_failed(),
     };
     spawn_local(discovery::follow(
         hear,
@@ -208,7 +217,7 @@
                 }
             }
             Lists::Routes(many) => {
-                many.move_registry(address);
+                many.set_default_registry(address);
                 if let Some(file) = &config.routes {
                     spawn_local(startup::reload(file.clone(), many.clone()));
                 }
@@ -264,11 +273,13 @@
     let (facts, descriptors) = (config.facts.clone(), config.sockets);
     let mut source = match &config.routes {
         None => one_pool(&mut config, &pool, acts.clone())?,
-        Some(file) => Lists::Routes(startup::start(file, &config, &pool, acts.clone())?),
+        Some(file) => Lists::Routes(
+            startup::start(file, &config, &pool, acts.clone()).map_err(|e| e.to_string())?,
+        ),
     };
     let router = Rc::new(match &source {
-        Lists::One { engine, .. } => Router::One(engine.clone()),
-        Lists::Routes(many) => Router::Many(many.clone()),
+        Lists::One { engine, .. } => Router::SinglePool(engine.clone()),
+        Lists::Routes(many) => Router::Routed(many.clone()),
     });
     let (mut peers, mut duties) = (None, None);
     if let Some((mut fleet, acts)) = config.fleet.take().zip(acts) {
@@ -280,8 +291,8 @@
         }
         peers = Some(among);
     }
-    if let (Some(peers), Router::Many(many)) = (&peers, &*router) {
-        spawn_local(stale_routes::follow(
+    if let (Some(peers), Router::Routed(many)) = (&peers, &*router) {
+        spawn_local(stale_routes::keep_up_to_date(
             Rc::downgrade(many),
             peers.clone(),
             config.seed,
@@ -316,8 +327,8 @@
     let (stop, stopped) = watch::channel(false);
     let (connections, bodies, room) = (usable - usable / 2, config.memory / BODIES, Rc::default());
     let calling = match &*router {
-        Router::One(_) => None,
-        Router::Many(many) => {
+        Router::SinglePool(_) => None,
+        Router::Routed(many) => {
             let (many, facts, room) = (many.clone(), facts.clone(), Rc::clone(&room));
             let books = books.clone();
             let front = jsonrpc::Front {
@@ -356,8 +367,8 @@
         "stopping, {} requests open",
         engines.iter().map(|e| e.owed()).sum::<usize>()
     );
-    if let Router::Many(many) = &*router {
-        many.handle(Event::Stop);
+    if let Router::Routed(many) = &*router {
+        many.handle(Event::Shutdown);
     }
     // The signal may have come while the process was held up.
     let asked = stall_detector::arrival(Instant::now());
--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -1,12 +1,20 @@
-//! Which pool a request goes to. Without routes there is one pool, that of the settings. With them,
-//! each pool has an engine of its own, and a request binds to the generation in force when it is
-//! taken: it keeps that, and the pool that it was given, to its final answer.
-
+//! The router, which binds each request to a pool.
+//!
+//! Without routes there is one pool, that of the settings. With routes each pool has an engine of
+//! its own, and a request binds to the generation in force when it arrives: it keeps that generation
+//! and its pool to its final response.
+
+mod error;
+mod listeners;
+mod pool_run;
+mod proposal;
 mod registry;
 pub mod routed_pools;
 pub mod stale_routes;
 pub mod startup;
-pub mod transactions;
+mod transactions;
+
+pub use error::{ProposalError, RouterError};
 
 use crate::backend::jsonrpc::Way;
 use crate::engine::Engine;
@@ -16,140 +24,143 @@
 use heathroad_routing::generation::Generation;
 use hyper::StatusCode;
 use hyper::header::HeaderMap;
-use routed_pools::{Many, PoolRun};
+use pool_run::PoolRun;
+use routed_pools::RoutedPools;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a request is asked by.
-pub struct Ask<'a> {
-    /// The listener that took it.
+/// The attributes of a request that decide its pool.
+pub struct RoutingRequest<'a> {
+    /// The name of the listener that accepted the request.
     pub listener: &'a str,
-    /// Its method's name, for a remote call.
+    /// The method name of a JSON-RPC call.
     pub method: &'a str,
-    /// Its host, as the caller gave it.
+    /// The host as the client sent it.
     pub host: &'a str,
-    /// Its path, without a query.
+    /// The path without a query.
     pub path: &'a str,
-    /// The name of its class.
+    /// The name of the request class.
     pub class: &'a str,
-    /// The name of its tenant.
+    /// The name of the tenant.
     pub tenant: &'a str,
-    /// Its headers.
+    /// The headers.
     pub headers: &'a HeaderMap,
-    /// What keeps together what belongs together.
+    /// The key of a traffic split: requests with the same key go to the same pool.
     pub key: &'a [u8],
 }
 
-/// What a request is bound to, to its final answer.
-pub struct Bound {
-    /// Decides it.
+/// What a request is bound to, to its final response.
+pub struct BoundRequest {
+    /// The engine that decides on the request.
     pub engine: Rc<Engine>,
-    /// Place of its class there.
+    /// The index of the request class in the engine's settings.
     pub class: u16,
-    /// Whether it may run again.
+    /// Whether the request may run more than once.
     pub effect: Effect,
-    /// Longest time that its class may take, where its pool says so.
+    /// The maximum duration of a request of the class, where the pool limits it.
     pub deadline: Option<Duration>,
-    /// How the pool's backends are called remotely, where they can be.
+    /// How the backends of the pool speak JSON-RPC, where they do.
     pub way: Option<Way>,
-    /// The page of the record that it is written on, where one is kept.
+    /// The activity record of the request, where records are kept.
     pub acts: Option<activity_log::Bound>,
-    /// Keeps the generation and the pool that it was taken under.
-    _held: Option<(Rc<Generation>, Rc<PoolRun>)>,
+    /// Keeps the generation and the pool that the request is bound to.
+    _route: Option<(Rc<Generation>, Rc<PoolRun>)>,
 }
 
-/// Where requests go.
+/// The pools that requests go to.
 pub enum Router {
-    /// To the one pool of the settings.
-    One(Rc<Engine>),
-    /// By routes.
-    Many(Rc<Many>),
+    /// The one pool of the settings.
+    SinglePool(Rc<Engine>),
+    /// The pools of a configuration with routes.
+    Routed(Rc<RoutedPools>),
 }
 
-fn bound(engine: &Rc<Engine>, class: &str) -> Option<Bound> {
+/// Binds a request of a class to an engine that serves the class.
+fn bind_to_engine(engine: &Rc<Engine>, class: &str) -> Option<BoundRequest> {
     let facts = engine.facts();
-    let place = facts.site.classes.iter().position(|c| c == class)?;
-    let effect = facts.settings.classes[place].effect;
-    Some(Bound {
+    let index = facts.site.classes.iter().position(|c| c == class)?;
+    Some(BoundRequest {
         engine: engine.clone(),
-        class: place as u16,
-        effect,
+        class: index as u16,
+        effect: facts.settings.classes[index].effect,
         deadline: None,
         way: None,
         acts: engine.acts(),
-        _held: None,
+        _route: None,
     })
 }
 
 impl Router {
-    /// Whether requests can be decided.
+    /// Whether requests are accepted: some pool has backends, and this proxy is not fenced.
     pub fn ready(&self) -> bool {
-        let fenced = match self {
-            Router::One(engine) => engine.fenced(),
-            Router::Many(many) => many.base.acts.as_ref().is_some_and(|a| a.fenced()),
+        let is_fenced = match self {
+            Router::SinglePool(engine) => engine.fenced(),
+            Router::Routed(pools) => pools.is_fenced(),
         };
-        !fenced && self.has_backends()
-    }
-
-    fn has_backends(&self) -> bool {
-        match self {
-            Router::One(engine) => engine.ready(),
-            Router::Many(many) => many.current.borrow().runs.iter().any(|r| r.engine.ready()),
-        }
+        let has_backends = match self {
+            Router::SinglePool(engine) => engine.ready(),
+            Router::Routed(pools) => pools.has_backends(),
+        };
+        has_backends && !is_fenced
     }
 
     /// Whether any pool in force serves a class.
     pub fn serves(&self, class: &str) -> bool {
         match self {
-            Router::One(engine) => engine.facts().site.classes.iter().any(|c| c == class),
-            Router::Many(many) => many.current.borrow().classes.contains(class),
+            Router::SinglePool(engine) => engine.facts().site.classes.iter().any(|c| c == class),
+            Router::Routed(pools) => pools.serves(class),
         }
     }
 
-    /// Binds a request; the status that turns it down, where nothing serves its class or no route
-    /// takes it.
-    pub fn bind(&self, ask: &Ask<'_>) -> Result<Bound, StatusCode> {
-        let found = match self {
-            Router::One(engine) => bound(engine, ask.class),
-            Router::Many(many) => many.bind(ask),
+    /// Binds a request to a pool.
+    ///
+    /// # Errors
+    ///
+    /// Returns the status of the rejection if no route matches or no pool serves the class.
+    pub fn bind(&self, request: &RoutingRequest<'_>) -> Result<BoundRequest, StatusCode> {
+        let bound = match self {
+            Router::SinglePool(engine) => bind_to_engine(engine, request.class),
+            Router::Routed(pools) => pools.bind(request),
         };
-        found.ok_or(StatusCode::NOT_FOUND)
+        bound.ok_or(StatusCode::NOT_FOUND)
     }
 
-    /// Every engine that may have something to do.
+    /// Returns all engines that may have requests.
     pub fn engines(&self) -> Vec<Rc<Engine>> {
         match self {
-            Router::One(engine) => vec![engine.clone()],
-            Router::Many(many) => many.engines(),
+            Router::SinglePool(engine) => vec![engine.clone()],
+            Router::Routed(pools) => pools.engines(),
         }
     }
 
-    fn counted<T>(&self, tell: impl FnOnce(&Meter, &[Moment<'_>]) -> T) -> T {
-        let engines = self.engines();
-        let moments: Vec<Moment<'_>> = engines.iter().map(|e| e.moment()).collect();
-        tell(&self.meter(), &moments)
-    }
-
-    /// What is counted over all pools.
+    /// Returns the counters over all pools.
     pub fn meter(&self) -> Rc<Meter> {
         match self {
-            Router::One(engine) => engine.counts().meter().clone(),
-            Router::Many(many) => many.meter.clone(),
+            Router::SinglePool(engine) => engine.counts().meter().clone(),
+            Router::Routed(pools) => pools.meter().clone(),
         }
     }
 
-    /// All counts as Prometheus text.
-    pub fn counts_text(&self, descriptors: usize) -> String {
-        self.counted(|meter, pools| meter.text(pools, [descriptors_held(), descriptors]))
+    /// Returns all counters as Prometheus text. `max_descriptors` is the limit of the process.
+    pub fn counts_text(&self, max_descriptors: usize) -> String {
+        let descriptors = [count_open_descriptors(), max_descriptors];
+        self.with_moments(|meter, moments| meter.text(moments, descriptors))
     }
 
-    /// All counts as one line of JSON.
-    pub fn counts_json(&self, descriptors: usize) -> String {
-        self.counted(|meter, pools| meter.json(pools, [descriptors_held(), descriptors]))
+    /// Returns all counters as one line of JSON. `max_descriptors` is the limit of the process.
+    pub fn counts_json(&self, max_descriptors: usize) -> String {
+        let descriptors = [count_open_descriptors(), max_descriptors];
+        self.with_moments(|meter, moments| meter.json(moments, descriptors))
+    }
+
+    fn with_moments<T>(&self, report: impl FnOnce(&Meter, &[Moment<'_>]) -> T) -> T {
+        let engines = self.engines();
+        let moments: Vec<Moment<'_>> = engines.iter().map(|e| e.moment()).collect();
+        report(&self.meter(), &moments)
     }
 }
 
-fn descriptors_held() -> usize {
-    // The folder's own descriptor is one of them.
-    std::fs::read_dir("/proc/self/fd").map_or(0, |d| d.count().saturating_sub(1))
+fn count_open_descriptors() -> usize {
+    // One of them is that of the folder itself.
+    std::fs::read_dir("/proc/self/fd").map_or(0, |entries| entries.count().saturating_sub(1))
 }
--- /dev/null
+++ b/crates/heathroad/src/router/pool_run.rs
@@ -0,0 +1,191 @@
+//! Running pools: a definition of a pool with an engine of its own.
+//!
+//! A pool that a change defines otherwise gets a new run, so that no request sees a mixture of both.
+//! A pool that no change touches goes on with all that its engine has learned.
+
+use super::RouterError;
+use super::registry::is_selected;
+use super::routed_pools::RoutedPools;
+use crate::backend::jsonrpc::Way;
+use crate::engine::Engine;
+use crate::metrics::Counts;
+use heathroad_balancer::api::{self, Effect, ListKind};
+use heathroad_balancer::settings::Facts;
+use heathroad_routing::config::{
+    BackendSource, Class, DeduplicationScope, Idempotency, JsonRpcSettings, Pool,
+};
+use heathroad_routing::traffic_split::stable_hash;
+use std::cell::Cell;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::sync::watch;
+
+/// A running pool.
+pub struct PoolRun {
+    /// The name of the pool and a hash of its definition.
+    pub(super) key: String,
+    pub(super) pool: Pool,
+    pub(super) engine: Rc<Engine>,
+    /// The counters of the engine when the last sample was taken.
+    pub(super) sampled_counts: Cell<[u64; 5]>,
+}
+
+impl Drop for PoolRun {
+    fn drop(&mut self) {
+        self.engine.close();
+    }
+}
+
+impl PoolRun {
+    /// Returns the registry that the pool takes its backends from, if it does.
+    pub(super) fn registry(&self, default_registry: SocketAddr) -> Option<SocketAddr> {
+        match &self.pool.source {
+            BackendSource::Registry { address, .. } => Some(address.unwrap_or(default_registry)),
+            BackendSource::List(_) => None,
+        }
+    }
+}
+
+impl RoutedPools {
+    /// Returns the run of a pool, and starts it if there is none.
+    pub(super) fn ensure_run(self: &Rc<Self>, pool: &Pool) -> Result<Rc<PoolRun>, RouterError> {
+        let key = run_key(pool);
+        if let Some(run) = self.kept_runs.borrow().get(&key) {
+            return Ok(run.clone());
+        }
+        let engine = self.start_engine(pool, &key)?;
+        self.carry_limit_over(&engine, pool);
+        let run = Rc::new(PoolRun {
+            key: key.clone(),
+            pool: pool.clone(),
+            engine,
+            sampled_counts: Cell::default(),
+        });
+        let weak = Rc::downgrade(&run);
+        self.all_runs.borrow_mut().push((key.clone(), weak));
+        self.kept_runs.borrow_mut().insert(key, run.clone());
+        self.announce_backends(&run);
+        Ok(run)
+    }
+
+    fn start_engine(&self, pool: &Pool, key: &str) -> Result<Rc<Engine>, RouterError> {
+        let facts = pool_settings(&self.config.facts, pool);
+        let counts = Counts::new(&self.meter, &pool.name, &facts.site);
+        // The router itself decides which registries to watch.
+        let (watching, _) = watch::channel(false);
+        let engine = Engine::new(
+            facts,
+            self.config.seed ^ stable_hash(key.as_bytes()),
+            self.config.connections.clone(),
+            counts,
+            self.config.acts.clone(),
+            watching,
+        );
+        let engine = engine.map_err(|source| RouterError::Pool {
+            pool: pool.name.clone(),
+            source,
+        })?;
+        self.engines.borrow_mut().push(Rc::downgrade(&engine));
+        Ok(engine)
+    }
+
+    /// Starts the engine of a pool that is defined otherwise at the concurrency limit of its
+    /// predecessor, scaled by the part of the backends that it keeps: the limit belongs to the
+    /// backends and not to the definition.
+    fn carry_limit_over(&self, engine: &Rc<Engine>, pool: &Pool) {
+        let active = self.active.borrow().clone();
+        let predecessor = active.runs.iter().find(|run| run.pool.name == pool.name);
+        let Some(predecessor) = predecessor else {
+            return;
+        };
+        let targets = predecessor.engine.targets();
+        let kept = match (&pool.source, &predecessor.pool.source) {
+            (BackendSource::List(backends), _) => targets
+                .iter()
+                .filter(|target| backends.iter().any(|b| b.address == target.dial))
+                .count(),
+            (now, before) if now == before => targets.len(),
+            _ => 0,
+        };
+        let limit = predecessor.engine.moment().load.limit;
+        engine.begin_at(limit * kept as f64 / targets.len().max(1) as f64);
+    }
+
+    /// Tells the engine of a new run its backends, as far as they are known.
+    fn announce_backends(self: &Rc<Self>, run: &PoolRun) {
+        match &run.pool.source {
+            BackendSource::List(backends) => {
+                let addresses: BTreeSet<SocketAddr> = backends.iter().map(|b| b.address).collect();
+                let mut states = self.backend_states.borrow_mut();
+                states.set_pool_backends(&run.key, &addresses);
+                drop(states);
+                self.announce_listed_backends(run);
+            }
+            BackendSource::Registry { address, select } => {
+                let registry = address.unwrap_or(self.default_registry.get());
+                match self.known_endpoints(registry) {
+                    Some(endpoints) => {
+                        let selected = endpoints.into_iter().filter(|e| is_selected(e, select));
+                        run.engine.list(ListKind::Full, selected.collect());
+                    }
+                    None => self.watch_registry(registry),
+                }
+            }
+        }
+    }
+}
+
+/// Returns the key of a run: the name of the pool and a hash of its definition.
+fn run_key(pool: &Pool) -> String {
+    // A pool is plain data, so that it always has a JSON form.
+    let definition = serde_json::to_string(pool).unwrap_or_default();
+    format!("{}/{:016x}", pool.name, stable_hash(definition.as_bytes()))
+}
+
+/// Returns how the backends of a pool speak JSON-RPC.
+pub(super) fn jsonrpc_transport(settings: &JsonRpcSettings) -> Way {
+    Way {
+        port: settings.port,
+        framing: settings.framing,
+        calls: settings.max_concurrent_calls as usize,
+        declined: settings.rejection_code,
+        budget: settings.carries_budget,
+    }
+}
+
+/// Returns the settings of a pool: those of the daemon, with the classes of the pool.
+fn pool_settings(daemon: &Facts, pool: &Pool) -> Facts {
+    let mut facts = daemon.clone();
+    facts.settings.classes = pool.classes.iter().map(class_settings).collect();
+    facts.site.classes = pool.classes.iter().map(|c| c.name.clone()).collect();
+    facts.settings.must_ask = false;
+    if let Some(max_open_requests) = pool.max_open_requests {
+        facts.site.open_cap = facts.site.open_cap.min(max_open_requests as usize);
+    }
+    facts
+}
+
+fn class_settings(class: &Class) -> api::Class {
+    api::Class {
+        aim: class.latency_objective_ms,
+        points: class.priority_weight,
+        effect: class_effect(class.idempotency),
+        in_order: false,
+    }
+}
+
+fn class_effect(idempotency: Idempotency) -> Effect {
+    match idempotency {
+        Idempotency::Idempotent => Effect::Retryable,
+        Idempotency::NonIdempotent => Effect::Fragile,
+        Idempotency::Keyed { scope, window_ms } => Effect::Dedup {
+            window: window_ms,
+            group: match scope {
+                DeduplicationScope::All => api::Group::All,
+                DeduplicationScope::Site => api::Group::Zone,
+                DeduplicationScope::Block => api::Group::Cell,
+            },
+        },
+    }
+}
--- a/crates/heathroad/src/router/registry.rs
+++ b/crates/heathroad/src/router/registry.rs
@@ -1,263 +1,356 @@
-//! Where pools by routes hear of their nodes: lists in the configuration, and registries.
+//! Backends of routed pools: the lists of the configuration, and the endpoint lists of registries.
 
-use super::routed_pools::{Many, PoolRun, Registry};
-use crate::discovery::endpoint_list::{Health, Host};
-use crate::discovery::{self, News};
+use super::pool_run::PoolRun;
+use super::routed_pools::RoutedPools;
+use crate::discovery::endpoint_list::{Endpoint, EndpointHealth};
+use crate::discovery::{self, DiscoveryEvent};
 use crate::runtime_accounting::spawn_local;
 use crate::time::millis;
 use heathroad_balancer::api::ListKind;
-use heathroad_routing::file::{self, Source};
-use heathroad_routing::nodes::{self, Standing};
+use heathroad_routing::backend_state::{Availability, BackendStates, count_sharing_pools};
+use heathroad_routing::config::{BackendSource, ListedBackend};
 use heathroad_verifier::Node;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::watch;
+use tokio::task::AbortHandle;
 
-impl Many {
-    /// Tells a listed pool's engine its backends, with what is known of them from elsewhere.
-    pub(super) fn list(&self, run: &PoolRun) {
-        let Source::List(members) = &run.pool.source else {
+/// A registry that pools take their backends from.
+pub(super) struct RegistryWatch {
+    /// The endpoints of the list, by name.
+    endpoints: BTreeMap<String, Endpoint>,
+    task: AbortHandle,
+}
+
+/// An endpoint whose labels an update changes.
+struct RelabeledEndpoint {
+    before: Endpoint,
+    after: Endpoint,
+}
+
+/// What an update of an endpoint list changes.
+#[derive(Default)]
+struct UpdateEffects {
+    /// The backends whose state was announced.
+    announced: BTreeSet<SocketAddr>,
+    relabeled: Vec<RelabeledEndpoint>,
+}
+
+impl UpdateEffects {
+    fn announce(
+        &mut self,
+        states: &mut BackendStates,
+        endpoint: &Endpoint,
+        address: Option<SocketAddr>,
+    ) {
+        let accepts_requests = endpoint.health == EndpointHealth::Serving;
+        self.announce_as(states, endpoint, address, accepts_requests);
+    }
+
+    fn announce_removed(&mut self, states: &mut BackendStates, endpoint: &Endpoint) {
+        self.announce_as(states, endpoint, endpoint.address, false);
+    }
+
+    fn announce_as(
+        &mut self,
+        states: &mut BackendStates,
+        endpoint: &Endpoint,
+        address: Option<SocketAddr>,
+        accepts_requests: bool,
+    ) {
+        let Some(address) = address else { return };
+        let process_start = endpoint.started_ms.max(0.0) as u64;
+        states.record_announcement(address, process_start, accepts_requests);
+        if accepts_requests {
+            states.restore(address, process_start);
+        }
+        self.announced.insert(address);
+    }
+}
+
+impl RegistryWatch {
+    /// Takes an update of the endpoint list over.
+    fn update(
+        &mut self,
+        kind: ListKind,
+        endpoints: &[Endpoint],
+        states: &mut BackendStates,
+    ) -> UpdateEffects {
+        let mut effects = UpdateEffects::default();
+        if kind != ListKind::Delta {
+            self.remove_unnamed(endpoints, states, &mut effects);
+        }
+        for endpoint in endpoints {
+            let known = self.endpoints.get(&endpoint.name);
+            if let Some(known) = known.filter(|known| labels(known) != labels(endpoint)) {
+                effects.relabeled.push(RelabeledEndpoint {
+                    before: known.clone(),
+                    after: endpoint.clone(),
+                });
+            }
+            // A change need not repeat the address.
+            let known_address = known
+                .filter(|_| kind == ListKind::Delta)
+                .and_then(|k| k.address);
+            effects.announce(states, endpoint, endpoint.address.or(known_address));
+            if endpoint.health == EndpointHealth::Deleted {
+                self.endpoints.remove(&endpoint.name);
+            } else {
+                self.endpoints
+                    .insert(endpoint.name.clone(), endpoint.clone());
+            }
+        }
+        effects
+    }
+
+    fn remove_unnamed(
+        &mut self,
+        endpoints: &[Endpoint],
+        states: &mut BackendStates,
+        effects: &mut UpdateEffects,
+    ) {
+        let names: BTreeSet<&String> = endpoints.iter().map(|endpoint| &endpoint.name).collect();
+        self.endpoints.retain(|name, endpoint| {
+            let is_named = names.contains(name);
+            if !is_named {
+                effects.announce_removed(states, endpoint);
+            }
+            is_named
+        });
+    }
+}
+
+impl RoutedPools {
+    /// Tells the engine of a pool its listed backends, as available as they are known to be.
+    pub(super) fn announce_listed_backends(&self, run: &PoolRun) {
+        let BackendSource::List(backends) = &run.pool.source else {
             return;
         };
-        let zone = usize::from(self.base.facts.settings.zone);
-        let own = self
-            .base
-            .facts
-            .site
-            .zones
-            .get(zone)
-            .cloned()
-            .unwrap_or_default();
-        let nodes = self.nodes.borrow();
-        let host = |m: &file::Member| Host {
-            host: m.address.to_string(),
-            dial: Some(m.address),
-            site: if m.site.is_empty() {
-                own.clone()
-            } else {
-                m.site.clone()
+        let facts = &self.config.facts;
+        let own_site = facts.site.zones.get(usize::from(facts.settings.zone));
+        let own_site = own_site.cloned().unwrap_or_default();
+        let states = self.backend_states.borrow();
+        let endpoint = |backend: &ListedBackend| Endpoint {
+            name: backend.address.to_string(),
+            address: Some(backend.address),
+            site: match backend.site.as_str() {
+                "" => own_site.clone(),
+                site => site.to_string(),
             },
             class: String::new(),
-            block: m.block,
-            health: match nodes.standing(m.address) {
-                Standing::Takes => Health::Serving,
-                Standing::Withdrawn => Health::Draining,
+            block: backend.block,
+            health: match states.availability(backend.address) {
+                Availability::Available => EndpointHealth::Serving,
+                Availability::Withdrawn => EndpointHealth::Draining,
             },
-            share: m.weight,
-            born_ms: 0.0,
+            weight: backend.weight,
+            started_ms: 0.0,
         };
         run.engine
-            .list(ListKind::Full, members.iter().map(host).collect());
+            .list(ListKind::Full, backends.iter().map(endpoint).collect());
+    }
+
+    /// Returns the endpoints of a registry that is watched.
+    pub(super) fn known_endpoints(&self, registry: SocketAddr) -> Option<Vec<Endpoint>> {
+        let registries = self.registries.borrow();
+        let watch = registries.get(&registry)?;
+        Some(watch.endpoints.values().cloned().collect())
     }
 
-    pub(super) fn follow(self: &Rc<Self>, address: SocketAddr) {
-        let many = Rc::downgrade(self);
-        let hear = move |news| {
-            if let Some(many) = many.upgrade() {
-                many.hear(address, news);
+    /// Begins to watch a registry.
+    pub(super) fn watch_registry(self: &Rc<Self>, address: SocketAddr) {
+        let pools = Rc::downgrade(self);
+        let on_event = move |event| {
+            if let Some(pools) = pools.upgrade() {
+                pools.handle_registry_event(address, event);
             }
         };
-        // These are lists that are pushed: there is nothing to be wanted.
+        // The registry pushes its list, so that no poll is ever requested.
         let (_, wanted) = watch::channel(true);
-        let grace = millis(self.base.facts.site.drain_grace);
-        let following =
-            spawn_local(discovery::follow(hear, address, false, grace, wanted)).abort_handle();
-        self.registries.borrow_mut().insert(
-            address,
-            Registry {
-                hosts: BTreeMap::new(),
-                following,
-            },
-        );
+        let grace = millis(self.config.facts.site.drain_grace);
+        let task = spawn_local(discovery::follow(on_event, address, false, grace, wanted));
+        let watch = RegistryWatch {
+            endpoints: BTreeMap::new(),
+            task: task.abort_handle(),
+        };
+        self.registries.borrow_mut().insert(address, watch);
     }
 
-    pub(super) fn hear(self: &Rc<Self>, from: SocketAddr, news: News) {
-        let News::List(kind, hosts, seq) = news else {
+    fn handle_registry_event(self: &Rc<Self>, registry: SocketAddr, event: DiscoveryEvent) {
+        let DiscoveryEvent::Endpoints {
+            kind,
+            endpoints,
+            version,
+        } = event
+        else {
             return;
         };
-        if let Some(acts) = &self.base.acts {
-            acts.heard(from, seq);
+        if let Some(acts) = &self.config.acts {
+            acts.heard(registry, version);
         }
-        self.retell(from, kind, hosts);
+        self.update_endpoints(registry, kind, &endpoints);
     }
 
-    /// Tells pools what a registry has told.
-    fn retell(self: &Rc<Self>, from: SocketAddr, kind: ListKind, hosts: Vec<Host>) {
-        self.news.set(self.news.get() + 1);
-        let mut changed = BTreeSet::new();
-        // Hosts whose labels change, as they were told before and now.
-        let mut moved: Vec<(Host, &Host)> = Vec::new();
-        {
+    /// Passes an endpoint list of a registry, or a change of it, on to the pools.
+    fn update_endpoints(
+        self: &Rc<Self>,
+        registry: SocketAddr,
+        kind: ListKind,
+        endpoints: &[Endpoint],
+    ) {
+        self.endpoint_updates.set(self.endpoint_updates.get() + 1);
+        let effects = {
             let mut registries = self.registries.borrow_mut();
-            let Some(registry) = registries.get_mut(&from) else {
+            let Some(watch) = registries.get_mut(&registry) else {
                 return;
             };
-            let mut nodes = self.nodes.borrow_mut();
-            let mut tell = |host: &Host, takes: bool, dial: Option<SocketAddr>| {
-                let Some(dial) = dial else { return };
-                let born = host.born_ms.max(0.0) as u64;
-                nodes.told(dial, born, takes);
-                if takes {
-                    nodes.restored(dial, born);
-                }
-                changed.insert(dial);
-            };
-            if kind != ListKind::Delta {
-                let named: BTreeSet<&String> = hosts.iter().map(|h| &h.host).collect();
-                registry.hosts.retain(|name, host| {
-                    let stays = named.contains(name);
-                    if !stays {
-                        tell(host, false, host.dial);
-                    }
-                    stays
-                });
-            }
-            for h in &hosts {
-                let known = registry.hosts.get(&h.host);
-                if let Some(before) = known.filter(|k| labels(k) != labels(h)) {
-                    moved.push((before.clone(), h));
-                }
-                let dial = if kind == ListKind::Delta {
-                    h.dial.or(known.and_then(|b| b.dial))
-                } else {
-                    h.dial
-                };
-                tell(h, h.health == Health::Serving, dial);
-                match h.health {
-                    Health::Deleted => drop(registry.hosts.remove(&h.host)),
-                    _ => drop(registry.hosts.insert(h.host.clone(), h.clone())),
-                }
-            }
-        }
-        // A host whose labels changed leaves one pool for another: first it leaves, since a process
-        // that a pool withdraws is withdrawn for all who send to it, and then the other pool begins
-        // with it anew.
-        let runs = self.present();
-        for run in &runs {
-            let Source::Registry { address, select } = &run.pool.source else {
-                continue;
-            };
-            let leaves = |(old, new): &(Host, &Host)| {
-                let gone = || Host {
-                    health: Health::Deleted,
-                    ..(*new).clone()
-                };
-                (chosen(old, select) && !chosen(new, select)).then(gone)
-            };
-            if address.unwrap_or(self.registry.get()) == from {
-                let left: Vec<Host> = moved.iter().filter_map(leaves).collect();
-                if !left.is_empty() {
-                    run.engine.list(ListKind::Delta, left);
-                }
-            }
+            watch.update(kind, endpoints, &mut self.backend_states.borrow_mut())
+        };
+        let runs = self.present_runs();
+        let is_watching =
+            |run: &PoolRun| run.registry(self.default_registry.get()) == Some(registry);
+        // A relabeled endpoint first leaves its old pool, which withdraws its process for all pools,
+        // and only then joins the new one.
+        for run in runs.iter().filter(|run| is_watching(run)) {
+            remove_relabeled(run, &effects.relabeled);
         }
         for run in &runs {
             match &run.pool.source {
-                Source::Registry { address, select }
-                    if address.unwrap_or(self.registry.get()) == from =>
-                {
-                    let known = |h: &Host| {
-                        let health = if chosen(h, select) {
-                            h.health
-                        } else {
-                            Health::Deleted
-                        };
-                        Host {
-                            health,
-                            ..h.clone()
-                        }
-                    };
-                    run.engine.list(kind, hosts.iter().map(known).collect());
+                BackendSource::Registry { select, .. } if is_watching(run) => {
+                    let list = endpoints.iter().map(|e| deselected(e, select));
+                    run.engine.list(kind, list.collect());
                 }
-                // A node that is told of by a registry is the same node where a list names it.
-                Source::List(members) if members.iter().any(|m| changed.contains(&m.address)) => {
-                    self.list(run)
+                // A backend that a registry announces is the same one where a list names it.
+                BackendSource::List(backends)
+                    if backends
+                        .iter()
+                        .any(|b| effects.announced.contains(&b.address)) =>
+                {
+                    self.announce_listed_backends(run);
                 }
                 _ => {}
             }
         }
     }
 
-    /// A node that several runs send to is one node: together they keep to its cold budget.
-    pub(super) fn share_cold(&self) {
-        let runs = self.present();
-        let dials: Vec<BTreeSet<SocketAddr>> = runs
-            .iter()
-            .map(|r| r.engine.targets().iter().map(|t| t.dial).collect())
-            .collect();
-        for (run, sharers) in runs.iter().zip(nodes::sharers(&dials)) {
-            run.engine.share_cold(sharers);
+    /// Divides the warm-up budget of a backend among all runs that send to it.
+    pub(super) fn share_warmup_budgets(&self) {
+        let runs = self.present_runs();
+        let addresses = |run: &Rc<PoolRun>| -> BTreeSet<SocketAddr> {
+            run.engine
+                .targets()
+                .iter()
+                .map(|target| target.dial)
+                .collect()
+        };
+        let pools: Vec<BTreeSet<SocketAddr>> = runs.iter().map(addresses).collect();
+        for (run, sharing_pools) in runs.iter().zip(count_sharing_pools(&pools)) {
+            run.engine.share_cold(sharing_pools);
         }
     }
 
-    /// Every run that is kept, or still has requests.
-    pub(super) fn present(&self) -> Vec<Rc<PoolRun>> {
-        self.alive
-            .borrow()
-            .iter()
-            .filter_map(|(_, run)| run.upgrade())
-            .collect()
-    }
-
-    /// The default registry has moved: the whole list is asked for there.
-    pub fn move_registry(self: &Rc<Self>, to: SocketAddr) {
-        let from = self.registry.replace(to);
-        if from == to || !self.registries.borrow().contains_key(&from) {
+    /// Changes the address of the default registry. The whole list is requested there.
+    pub fn set_default_registry(self: &Rc<Self>, address: SocketAddr) {
+        let previous = self.default_registry.replace(address);
+        if previous == address || !self.registries.borrow().contains_key(&previous) {
             return;
         }
-        let known = self
-            .registries
-            .borrow()
-            .get(&to)
-            .map(|r| r.hosts.values().cloned().collect());
-        match known {
-            // Some pool follows it already.
-            Some(hosts) => self.retell(to, ListKind::Full, hosts),
-            None => self.follow(to),
+        match self.known_endpoints(address) {
+            // Some pool watches it already.
+            Some(endpoints) => self.update_endpoints(address, ListKind::Full, &endpoints),
+            None => self.watch_registry(address),
         }
-        self.tidy();
+        self.release_unused();
+    }
+
+    /// Ends the watches of registries that no pool takes its backends from.
+    pub(super) fn release_unused_registries(&self) {
+        let default_registry = self.default_registry.get();
+        let runs = self.present_runs();
+        let used: BTreeSet<SocketAddr> = runs
+            .iter()
+            .filter_map(|run| run.registry(default_registry))
+            .collect();
+        self.registries.borrow_mut().retain(|address, watch| {
+            let is_used = used.contains(address);
+            if !is_used {
+                watch.task.abort();
+                if let Some(acts) = &self.config.acts {
+                    acts.left(*address);
+                }
+            }
+            is_used
+        });
     }
 
-    /// The nodes that registries tell, and those of lists that are known to be withdrawn.
+    /// Returns the nodes that registries announce, and the withdrawn ones that only lists name.
     pub fn known_nodes(&self) -> Vec<Node> {
-        let out: BTreeSet<SocketAddr> = self.nodes.borrow().withdrawn().collect();
-        let mut known = Vec::new();
-        for (registry, told) in &*self.registries.borrow() {
-            let node = |h: &Host| {
-                let address = h.dial?;
-                let takes = h.health == Health::Serving && !out.contains(&address);
-                let (registry, site, class) = (Some(*registry), h.site.clone(), h.class.clone());
+        let withdrawn: BTreeSet<SocketAddr> = self.backend_states.borrow().withdrawn().collect();
+        let mut nodes = Vec::new();
+        for (registry, watch) in &*self.registries.borrow() {
+            let node = |endpoint: &Endpoint| {
+                let address = endpoint.address?;
                 Some(Node {
                     address,
-                    registry,
-                    site,
-                    class,
-                    block: h.block,
-                    takes,
+                    registry: Some(*registry),
+                    site: endpoint.site.clone(),
+                    class: endpoint.class.clone(),
+                    block: endpoint.block,
+                    is_available: endpoint.health == EndpointHealth::Serving
+                        && !withdrawn.contains(&address),
                 })
             };
-            known.extend(told.hosts.values().filter_map(node));
+            nodes.extend(watch.endpoints.values().filter_map(node));
         }
-        let told: BTreeSet<SocketAddr> = known.iter().map(|n| n.address).collect();
-        let gone = out
-            .difference(&told)
-            .map(|address| Node::withdrawn(*address));
-        known.extend(gone);
-        known
+        let announced: BTreeSet<SocketAddr> = nodes.iter().map(|node| node.address).collect();
+        let only_listed = withdrawn.difference(&announced);
+        nodes.extend(only_listed.map(|address| Node::withdrawn(*address)));
+        nodes
+    }
+}
+
+/// Removes the endpoints from a run that its pool does not select any more.
+fn remove_relabeled(run: &PoolRun, relabeled: &[RelabeledEndpoint]) {
+    let BackendSource::Registry { select, .. } = &run.pool.source else {
+        return;
+    };
+    let leaving = relabeled.iter().filter(|endpoint| {
+        is_selected(&endpoint.before, select) && !is_selected(&endpoint.after, select)
+    });
+    let removed: Vec<Endpoint> = leaving
+        .map(|endpoint| Endpoint {
+            health: EndpointHealth::Deleted,
+            ..endpoint.after.clone()
+        })
+        .collect();
+    if !removed.is_empty() {
+        run.engine.list(ListKind::Delta, removed);
+    }
+}
+
+/// Returns an endpoint as a pool sees it: deleted if the pool does not select it.
+fn deselected(endpoint: &Endpoint, select: &BTreeMap<String, String>) -> Endpoint {
+    let health = match is_selected(endpoint, select) {
+        true => endpoint.health,
+        false => EndpointHealth::Deleted,
+    };
+    Endpoint {
+        health,
+        ..endpoint.clone()
     }
 }
 
-/// What pools can choose a registry's host by.
-fn labels(host: &Host) -> (&str, &str, u16) {
-    (&host.site, &host.class, host.block)
+/// Returns the labels by which a pool can select an endpoint.
+fn labels(endpoint: &Endpoint) -> (&str, &str, u16) {
+    (&endpoint.site, &endpoint.class, endpoint.block)
 }
 
-/// Whether a registry's host bears the labels that a pool asks for.
-pub(super) fn chosen(host: &Host, select: &BTreeMap<String, String>) -> bool {
-    select.iter().all(|(label, want)| match label.as_str() {
-        "site" => host.site == *want,
-        "class" => host.class == *want,
-        _ => host.block.to_string() == *want,
+/// Whether an endpoint has the labels that a pool selects.
+pub(super) fn is_selected(endpoint: &Endpoint, select: &BTreeMap<String, String>) -> bool {
+    select.iter().all(|(label, wanted)| match label.as_str() {
+        "site" => endpoint.site == *wanted,
+        "class" => endpoint.class == *wanted,
+        _ => endpoint.block.to_string() == *wanted,
     })
 }
--- a/crates/heathroad/src/router/routed_pools.rs
+++ b/crates/heathroad/src/router/routed_pools.rs
@@ -1,25 +1,23 @@
-//! Pools by routes: what runs, and what new requests bind to.
+//! The pools of a configuration with routes: which of them run, and which new requests bind to.
 
-use super::registry::chosen;
-use super::{Ask, Bound, bound};
+use super::pool_run::{PoolRun, jsonrpc_transport};
+use super::registry::RegistryWatch;
+use super::{BoundRequest, RouterError, RoutingRequest, bind_to_engine};
 use crate::backend::Pool as Connections;
-use crate::backend::jsonrpc::Way;
-use crate::configuration::state_folder::Folder;
-use crate::configuration::verification_gate::{Expected, Gate};
-use crate::discovery::endpoint_list::Host;
+use crate::configuration::state_folder::StateFolder;
+use crate::configuration::verification_gate::{LoadedExpectations, VerificationGate};
 use crate::engine::Engine;
 use crate::membership::activity_log::Acts;
-use crate::metrics::{Counts, Meter};
+use crate::metrics::Meter;
 use crate::runtime_accounting::{sleep, spawn_local};
-use heathroad_balancer::api::{self, Effect, ListKind};
+use crate::time::millis;
 use heathroad_balancer::settings::Facts;
-use heathroad_routing::condition::Request;
-use heathroad_routing::file::{self, Group, Listener, Pool, Source};
+use heathroad_routing::backend_state::BackendStates;
+use heathroad_routing::condition::RequestAttributes;
 use heathroad_routing::generation::Generation;
 use heathroad_routing::journal::Journal;
-use heathroad_routing::nodes::Nodes;
-use heathroad_routing::split::hash;
-use heathroad_routing::transaction::{Changer, Terms};
+use heathroad_routing::traffic_split::stable_hash;
+use heathroad_routing::transaction::{TransactionConfig, TransactionManager};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -27,443 +25,254 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
-use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// How often pools' figures are taken and time is told to the machine that changes the
-/// configuration: by parts of the probation, within these.
-const TICK: [Duration; 2] = [Duration::from_millis(5), Duration::from_secs(1)];
-/// Parts of a probation.
-const PARTS: u64 = 4;
+/// A probation is divided into so many samples of each pool, as far as the interval allows.
+const SAMPLES_PER_PROBATION: u64 = 4;
+/// The shortest interval between two samples.
+const MIN_SAMPLE_INTERVAL: Duration = Duration::from_millis(5);
+/// The longest interval between two samples.
+const MAX_SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A pool that runs: one definition of it, with an engine of its own. A pool that a change words
-/// otherwise is another run, so that no request sees a mixture; one that no change touches goes on
-/// with all that it has learned.
-pub struct PoolRun {
-    pub(super) key: String,
-    pub(super) pool: Pool,
-    pub(super) engine: Rc<Engine>,
-    /// What it had counted when it was last looked at.
-    pub(super) seen: Cell<[u64; 5]>,
-}
-
-impl Drop for PoolRun {
-    fn drop(&mut self) {
-        self.engine.close();
-    }
+/// What all pools have in common.
+pub struct RoutedPoolsConfig {
+    /// The settings of the daemon. Each pool has its own classes.
+    pub facts: Facts,
+    /// The seed of the engines' random numbers.
+    pub seed: u64,
+    /// The connections to all backends.
+    pub connections: Rc<Connections>,
+    /// The registry of pools that name none.
+    pub default_registry: SocketAddr,
+    /// The limits of transactions.
+    pub transactions: TransactionConfig,
+    /// The expectations that a change must meet, if there are any.
+    pub gate: Option<VerificationGate>,
+    /// The address that the daemon listens on for HTTP.
+    pub listen_address: SocketAddr,
+    /// The activity log of this proxy, where one is kept.
+    pub acts: Option<Rc<Acts>>,
 }
 
-/// What new requests bind to.
-pub(super) struct Active {
+/// The generation and the pools that new requests bind to.
+pub(super) struct ActivePools {
     pub(super) generation: Rc<Generation>,
-    /// By the place of the pool.
+    /// The run of each pool, by its index in the configuration.
     pub(super) runs: Vec<Rc<PoolRun>>,
-    /// Every class that one of them serves: each request is asked for its own.
+    /// All classes that some pool serves.
     pub(super) classes: HashSet<String>,
 }
 
-/// A registry that pools take their backends from.
-pub(super) struct Registry {
-    pub(super) hosts: BTreeMap<String, Host>,
-    pub(super) following: AbortHandle,
+/// A change that an operator requires of the whole cluster once it is committed.
+pub(super) struct RequiredChange {
+    pub(super) digest: String,
+    pub(super) within_ms: u64,
 }
 
-/// What every pool starts from.
-pub struct Base {
-    /// The settings; a pool has its own classes.
-    pub facts: Facts,
-    /// Seed of the modules' random numbers.
-    pub seed: u64,
-    /// Connections to all backends.
-    pub connections: Rc<Connections>,
-    /// The registry of pools that name none.
-    pub registry: SocketAddr,
-    /// Bounds of changes.
-    pub terms: Terms,
-    /// What is expected of the configuration, if anything.
-    pub gate: Option<Gate>,
-    /// Where the daemon listens for HTTP, as it was told.
-    pub listens: SocketAddr,
-    /// What this proxy acts on, where a record is kept.
-    pub acts: Option<Rc<Acts>>,
-}
-
-/// Pools by routes, changed by transactions.
-pub struct Many {
-    pub(super) base: Base,
-    pub(super) registry: Cell<SocketAddr>,
+/// The pools of a configuration with routes, which transactions change.
+pub struct RoutedPools {
+    pub(super) config: RoutedPoolsConfig,
+    pub(super) default_registry: Cell<SocketAddr>,
     pub(super) meter: Rc<Meter>,
-    pub(super) current: RefCell<Rc<Active>>,
-    /// Those that a generation in force, staged or to be gone back to names.
-    pub(super) runs: RefCell<BTreeMap<String, Rc<PoolRun>>>,
-    /// All that requests may still be bound to, those above among them: they too must hear of
-    /// drains.
-    pub(super) alive: RefCell<Vec<(String, Weak<PoolRun>)>>,
-    /// Their engines, which may outlive them by what is still out.
-    pub(super) all: RefCell<Vec<Weak<Engine>>>,
-    pub(super) registries: RefCell<BTreeMap<SocketAddr, Registry>>,
-    /// Listeners by name and address, as the configuration has it.
-    pub(super) doors: RefCell<BTreeMap<(String, SocketAddr), Rc<TcpListener>>>,
-    pub(super) doors_changed: watch::Sender<()>,
-    pub(super) nodes: RefCell<Nodes>,
-    pub(super) changer: RefCell<Changer>,
-    pub(super) journal: RefCell<Option<Journal<Folder>>>,
-    /// What is expected of the change under way.
-    pub(super) expected: RefCell<Option<Expected>>,
-    /// The digest of a change that is required once it is committed, and within how many
-    /// milliseconds.
-    pub(super) within: RefCell<Option<(String, u64)>>,
-    /// Grows with all that is heard of nodes.
-    pub(super) news: Cell<u64>,
-    pub(super) told: RefCell<VecDeque<String>>,
+    pub(super) active: RefCell<Rc<ActivePools>>,
+    /// The runs that a generation names which is in force, staged, or kept for a rollback.
+    pub(super) kept_runs: RefCell<BTreeMap<String, Rc<PoolRun>>>,
+    /// All runs that requests may be bound to. They too must learn of drains.
+    pub(super) all_runs: RefCell<Vec<(String, Weak<PoolRun>)>>,
+    /// The engines of all runs. Attempts in flight may keep an engine longer than its run.
+    pub(super) engines: RefCell<Vec<Weak<Engine>>>,
+    pub(super) registries: RefCell<BTreeMap<SocketAddr, RegistryWatch>>,
+    /// The sockets of JSON-RPC listeners, by the name and address in the configuration.
+    pub(super) sockets: RefCell<BTreeMap<(String, SocketAddr), Rc<TcpListener>>>,
+    pub(super) listeners_changed: watch::Sender<()>,
+    pub(super) backend_states: RefCell<BackendStates>,
+    pub(super) transactions: RefCell<TransactionManager>,
+    pub(super) journal: RefCell<Option<Journal<StateFolder>>>,
+    /// The expectations that the change under way must meet.
+    pub(super) expectations: RefCell<Option<LoadedExpectations>>,
+    pub(super) required_change: RefCell<Option<RequiredChange>>,
+    /// The number of endpoint list updates. A verdict on older ones is stale.
+    pub(super) endpoint_updates: Cell<u64>,
+    /// The latest messages about changes, for operators.
+    pub(super) messages: RefCell<VecDeque<String>>,
     pub(super) started: Instant,
 }
 
-/// A run's name: the pool's, and its definition.
-fn key(pool: &Pool) -> String {
-    // A pool is plain data: it always makes JSON.
-    let words = serde_json::to_string(pool).unwrap_or_default();
-    format!("{}/{:016x}", pool.name, hash(words.as_bytes()))
-}
-
-impl Many {
-    /// Begins with a committed generation.
-    pub fn new(
-        base: Base,
-        first: Rc<Generation>,
-        highest: u64,
-        journal: Option<Journal<Folder>>,
-    ) -> Result<Rc<Many>, String> {
-        let changer = Changer::new(base.terms.clone(), first.clone(), highest);
-        let active = Rc::new(Active {
+impl RoutedPools {
+    /// Starts the pools of a committed generation. `highest_number` is the highest number of a
+    /// generation that was ever assigned.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a listener can't be opened or the settings of a pool are not valid.
+    pub fn start(
+        config: RoutedPoolsConfig,
+        first: &Rc<Generation>,
+        highest_number: u64,
+        journal: Option<Journal<StateFolder>>,
+    ) -> Result<Rc<RoutedPools>, RouterError> {
+        let limits = config.transactions.clone();
+        let transactions = TransactionManager::new(limits, first.clone(), highest_number);
+        let active = Rc::new(ActivePools {
             generation: first.clone(),
             runs: Vec::new(),
             classes: HashSet::new(),
         });
-        let many = Rc::new(Many {
-            registry: Cell::new(base.registry),
-            base,
+        let pools = Rc::new(RoutedPools {
+            default_registry: Cell::new(config.default_registry),
+            config,
             meter: Rc::new(Meter::new()),
-            current: RefCell::new(active),
-            runs: RefCell::default(),
-            alive: RefCell::default(),
-            all: RefCell::default(),
+            active: RefCell::new(active),
+            kept_runs: RefCell::default(),
+            all_runs: RefCell::default(),
+            engines: RefCell::default(),
             registries: RefCell::default(),
-            doors: RefCell::default(),
-            doors_changed: watch::Sender::new(()),
-            nodes: RefCell::default(),
-            changer: RefCell::new(changer),
+            sockets: RefCell::default(),
+            listeners_changed: watch::Sender::new(()),
+            backend_states: RefCell::default(),
+            transactions: RefCell::new(transactions),
             journal: RefCell::new(journal),
-            expected: RefCell::default(),
-            within: RefCell::default(),
-            news: Cell::default(),
-            told: RefCell::default(),
+            expectations: RefCell::default(),
+            required_change: RefCell::default(),
+            endpoint_updates: Cell::default(),
+            messages: RefCell::default(),
             started: Instant::now(),
         });
-        many.open_doors(&first)?;
-        many.activate(&first)?;
-        if let Some(acts) = &many.base.acts {
+        pools.open_listeners(first)?;
+        pools.activate(first)?;
+        if let Some(acts) = &pools.config.acts {
             acts.commit(first.number, &first.text, None);
         }
-        let ticking = Rc::downgrade(&many);
-        let tick = Duration::from_millis(many.base.terms.probation / PARTS).clamp(TICK[0], TICK[1]);
+        pools.spawn_sampling();
+        Ok(pools)
+    }
+
+    /// Samples all pools and advances the transaction at regular intervals.
+    fn spawn_sampling(self: &Rc<Self>) {
+        let probation = self.config.transactions.probation;
+        let interval = Duration::from_millis(probation / SAMPLES_PER_PROBATION);
+        let interval = interval.clamp(MIN_SAMPLE_INTERVAL, MAX_SAMPLE_INTERVAL);
+        let pools = Rc::downgrade(self);
         spawn_local(async move {
             loop {
-                sleep(tick).await;
-                let Some(many) = ticking.upgrade() else {
-                    return;
-                };
-                many.tick();
+                sleep(interval).await;
+                let Some(pools) = pools.upgrade() else { return };
+                pools.sample();
             }
         });
-        Ok(many)
     }
 
-    /// Binds a request, where some route takes it to a pool that serves its class.
-    pub fn bind(&self, ask: &Ask<'_>) -> Option<Bound> {
-        let active = self.current.borrow().clone();
-        let host = ask
+    /// Binds a request, if some route takes it to a pool that serves its class.
+    pub fn bind(&self, request: &RoutingRequest<'_>) -> Option<BoundRequest> {
+        let active = self.active.borrow().clone();
+        let host_name = request
             .host
             .rsplit_once(':')
-            .map_or(ask.host, |(name, _)| name)
-            .to_ascii_lowercase();
-        let header = |name: &str| ask.headers.get(name).and_then(|v| v.to_str().ok());
-        let request = Request {
-            listener: ask.listener,
+            .map_or(request.host, |(name, _)| name);
+        let host = host_name.to_ascii_lowercase();
+        let header = |name: &str| request.headers.get(name).and_then(|v| v.to_str().ok());
+        let table = &active.generation.table;
+        let route = table.find_route(&RequestAttributes {
+            listener: request.listener,
             host: &host,
-            path: ask.path,
-            method: ask.method,
-            class: ask.class,
-            tenant: ask.tenant,
+            path: request.path,
+            method: request.method,
+            class: request.class,
+            tenant: request.tenant,
             header: &header,
-        };
-        let table = &active.generation.table;
-        let run = &active.runs[table.share(table.route(&request)?, hash(ask.key))?];
-        let deadline = run
-            .pool
-            .classes
-            .iter()
-            .find(|c| c.name == ask.class)?
-            .deadline_ms;
-        let held = Some((active.generation.clone(), run.clone()));
-        let deadline = Some(crate::time::millis(deadline));
-        let way = run.pool.rpc.as_ref().map(way);
-        bound(&run.engine, ask.class).map(|b| Bound {
-            deadline,
-            way,
-            _held: held,
-            ..b
+        })?;
+        let run = &active.runs[table.select_pool(route, stable_hash(request.key))?];
+        let class = run.pool.classes.iter().find(|c| c.name == request.class)?;
+        let bound = bind_to_engine(&run.engine, request.class)?;
+        Some(BoundRequest {
+            deadline: Some(millis(class.deadline_ms)),
+            way: run.pool.jsonrpc.as_ref().map(jsonrpc_transport),
+            _route: Some((active.generation.clone(), run.clone())),
+            ..bound
         })
     }
 
-    /// What is counted over all pools.
+    /// Returns the counters over all pools.
     pub fn meter(&self) -> &Rc<Meter> {
         &self.meter
     }
 
-    /// The generation that requests bind to.
-    pub fn in_force(&self) -> Rc<Generation> {
-        self.current.borrow().generation.clone()
+    /// Returns the generation that new requests bind to.
+    pub fn current_generation(&self) -> Rc<Generation> {
+        self.active.borrow().generation.clone()
     }
 
-    /// Where remote calls come in, by the generation in force.
-    pub fn doors(&self) -> Vec<(Listener, Rc<TcpListener>)> {
-        let (generation, doors) = (self.in_force(), self.doors.borrow());
-        let door =
-            |l: &Listener| Some((l.clone(), doors.get(&(l.name.clone(), l.address))?.clone()));
-        generation
-            .config
-            .listeners
-            .iter()
-            .filter_map(door)
-            .collect()
+    /// Whether this proxy is fenced: it acts on an older generation than the cluster requires.
+    pub(super) fn is_fenced(&self) -> bool {
+        self.config.acts.as_ref().is_some_and(|acts| acts.fenced())
     }
 
-    /// Tells that they may have changed.
-    pub fn doors_changed(&self) -> watch::Receiver<()> {
-        self.doors_changed.subscribe()
+    pub(super) fn has_backends(&self) -> bool {
+        self.active
+            .borrow()
+            .runs
+            .iter()
+            .any(|run| run.engine.ready())
     }
 
-    /// Opens the listeners of a generation that are not open yet.
-    pub(super) fn open_doors(&self, generation: &Generation) -> Result<(), String> {
-        for l in &generation.config.listeners {
-            let key = (l.name.clone(), l.address);
-            if self.doors.borrow().contains_key(&key) {
-                continue;
-            }
-            let open = || {
-                let socket = std::net::TcpListener::bind(l.address)?;
-                socket.set_nonblocking(true)?;
-                let at = socket.local_addr()?;
-                Ok::<_, std::io::Error>((TcpListener::from_std(socket)?, at))
-            };
-            let (socket, at) =
-                open().map_err(|e| format!("listener {}: {}: {e}", l.name, l.address))?;
-            tracing::info!(listener = l.name, address = %at, "listener {} on {at}", l.name);
-            self.doors.borrow_mut().insert(key, Rc::new(socket));
-        }
-        Ok(())
+    pub(super) fn serves(&self, class: &str) -> bool {
+        self.active.borrow().classes.contains(class)
     }
 
     pub(super) fn engines(&self) -> Vec<Rc<Engine>> {
-        let mut all = self.all.borrow_mut();
-        all.retain(|e| e.strong_count() > 0);
-        all.iter().filter_map(Weak::upgrade).collect()
-    }
-
-    /// The run of a pool, begun if there is none.
-    pub(super) fn run(self: &Rc<Self>, pool: &Pool) -> Result<Rc<PoolRun>, String> {
-        let key = key(pool);
-        if let Some(run) = self.runs.borrow().get(&key) {
-            return Ok(run.clone());
-        }
-        let facts = facts(&self.base.facts, pool);
-        let counts = Counts::new(&self.meter, &pool.name, &facts.site);
-        // What a registry is asked for is decided here, not by a pool's module.
-        let (watching, _) = watch::channel(false);
-        let seed = self.base.seed ^ hash(key.as_bytes());
-        let engine = Engine::new(
-            facts,
-            seed,
-            self.base.connections.clone(),
-            counts,
-            self.base.acts.clone(),
-            watching,
-        );
-        let engine = engine.map_err(|e| format!("pool {}: {e}", pool.name))?;
-        self.all.borrow_mut().push(Rc::downgrade(&engine));
-        self.hand_over(&engine, pool);
-        let run = Rc::new(PoolRun {
-            key: key.clone(),
-            pool: pool.clone(),
-            engine,
-            seen: Cell::default(),
-        });
-        self.alive
-            .borrow_mut()
-            .push((key.clone(), Rc::downgrade(&run)));
-        self.runs.borrow_mut().insert(key, run.clone());
-        match &run.pool.source {
-            Source::List(members) => {
-                let addresses: BTreeSet<SocketAddr> = members.iter().map(|m| m.address).collect();
-                self.nodes.borrow_mut().named(&run.key, &addresses);
-                self.list(&run);
-            }
-            Source::Registry { address, select } => {
-                let from = address.unwrap_or(self.registry.get());
-                let known = self.registries.borrow().get(&from).map(|r| r.hosts.clone());
-                match known {
-                    Some(hosts) => {
-                        let chosen = hosts.into_values().filter(|h| chosen(h, select)).collect();
-                        run.engine.list(ListKind::Full, chosen);
-                    }
-                    None => self.follow(from),
-                }
-            }
-        }
-        Ok(run)
+        let mut engines = self.engines.borrow_mut();
+        engines.retain(|engine| engine.strong_count() > 0);
+        engines.iter().filter_map(Weak::upgrade).collect()
     }
 
-    /// What was learned belongs to nodes and not to the words of a pool: one that is worded
-    /// otherwise begins with the part of its predecessor's limit that the nodes bear which it
-    /// keeps.
-    pub(super) fn hand_over(&self, engine: &Rc<Engine>, pool: &Pool) {
-        let current = self.current.borrow().clone();
-        let Some(before) = current.runs.iter().find(|r| r.pool.name == pool.name) else {
-            return;
-        };
-        let nodes = before.engine.targets();
-        let kept = match (&pool.source, &before.pool.source) {
-            (Source::List(members), _) => nodes
-                .iter()
-                .filter(|t| members.iter().any(|m| m.address == t.dial))
-                .count(),
-            (now, then) if now == then => nodes.len(),
-            _ => 0,
-        };
-        engine
-            .begin_at(before.engine.moment().load.limit * kept as f64 / nodes.len().max(1) as f64);
+    /// Returns all runs that are kept or still have requests.
+    pub(super) fn present_runs(&self) -> Vec<Rc<PoolRun>> {
+        let runs = self.all_runs.borrow();
+        runs.iter().filter_map(|(_, run)| run.upgrade()).collect()
     }
 
-    /// From now on requests bind to a generation.
-    pub(super) fn activate(self: &Rc<Self>, generation: &Rc<Generation>) -> Result<(), String> {
-        let runs = generation
-            .config
-            .pools
-            .iter()
-            .map(|p| self.run(p))
+    /// Binds new requests to a generation from now on.
+    pub(super) fn activate(
+        self: &Rc<Self>,
+        generation: &Rc<Generation>,
+    ) -> Result<(), RouterError> {
+        let pools = generation.config.pools.iter();
+        let runs = pools
+            .map(|pool| self.ensure_run(pool))
             .collect::<Result<Vec<_>, _>>()?;
-        let classes = runs
-            .iter()
-            .flat_map(|r| &r.pool.classes)
-            .map(|c| c.name.clone())
-            .collect();
-        self.current.replace(Rc::new(Active {
+        let classes = runs.iter().flat_map(|run| &run.pool.classes);
+        let classes = classes.map(|class| class.name.clone()).collect();
+        self.active.replace(Rc::new(ActivePools {
             generation: generation.clone(),
             runs,
             classes,
         }));
-        if let Some(acts) = &self.base.acts {
+        if let Some(acts) = &self.config.acts {
             acts.in_force(generation.number, &generation.text);
         }
-        self.share_cold();
-        self.doors_changed.send_replace(());
+        self.share_warmup_budgets();
+        self.listeners_changed.send_replace(());
         Ok(())
     }
 
-    /// Lets go what no generation in force names, and the registries that nobody asks.
-    pub(super) fn tidy(&self) {
-        if self.changer.borrow().open().is_none() {
-            let keep: BTreeSet<String> = self
-                .current
-                .borrow()
-                .runs
-                .iter()
-                .map(|r| r.key.clone())
-                .collect();
-            self.runs.borrow_mut().retain(|key, _| keep.contains(key));
-            let generation = self.in_force();
-            let named = |(name, address): &(String, SocketAddr)| {
-                generation
-                    .config
-                    .listeners
-                    .iter()
-                    .any(|l| l.name == *name && l.address == *address)
-            };
-            self.doors.borrow_mut().retain(|key, _| named(key));
+    /// Releases the runs, listeners and registries that no generation in force needs.
+    pub(super) fn release_unused(&self) {
+        if self.transactions.borrow().open_transaction().is_none() {
+            let active = self.active.borrow().clone();
+            let keys: BTreeSet<&str> = active.runs.iter().map(|run| run.key.as_str()).collect();
+            let mut kept_runs = self.kept_runs.borrow_mut();
+            kept_runs.retain(|key, _| keys.contains(key.as_str()));
+            drop(kept_runs);
+            self.close_unnamed_listeners();
         }
-        self.alive.borrow_mut().retain(|(key, run)| {
-            let stays = run.strong_count() > 0;
-            if !stays {
-                self.nodes.borrow_mut().named(key, &BTreeSet::new());
-            }
-            stays
-        });
-        let asked: BTreeSet<SocketAddr> = self
-            .present()
-            .iter()
-            .filter_map(|r| match &r.pool.source {
-                Source::Registry { address, .. } => Some(address.unwrap_or(self.registry.get())),
-                Source::List(_) => None,
-            })
-            .collect();
-        self.registries.borrow_mut().retain(|address, registry| {
-            let stays = asked.contains(address);
-            if !stays {
-                registry.following.abort();
-                if let Some(acts) = &self.base.acts {
-                    acts.left(*address);
-                }
+        self.all_runs.borrow_mut().retain(|(key, run)| {
+            let is_present = run.strong_count() > 0;
+            if !is_present {
+                let mut states = self.backend_states.borrow_mut();
+                states.set_pool_backends(key, &BTreeSet::new());
             }
-            stays
+            is_present
         });
+        self.release_unused_registries();
     }
 }
-
-/// How a pool's backends are called remotely.
-pub(super) fn way(rpc: &file::Rpc) -> Way {
-    let file::Rpc {
-        port,
-        framing,
-        calls,
-        declined,
-        budget,
-    } = *rpc;
-    Way {
-        port,
-        framing,
-        calls: calls as usize,
-        declined,
-        budget,
-    }
-}
-
-/// The settings of a pool: the daemon's own, with the pool's classes.
-fn facts(base: &Facts, pool: &Pool) -> Facts {
-    let mut facts = base.clone();
-    let effect = |e: file::Effect| match e {
-        file::Effect::Safe => Effect::Retryable,
-        file::Effect::Unsafe => Effect::Fragile,
-        file::Effect::Keyed { group, window_ms } => Effect::Dedup {
-            window: window_ms,
-            group: match group {
-                Group::All => api::Group::All,
-                Group::Site => api::Group::Zone,
-                Group::Block => api::Group::Cell,
-            },
-        },
-    };
-    let class = |c: &file::Class| api::Class {
-        aim: c.aim_ms,
-        points: c.worth,
-        effect: effect(c.effect),
-        in_order: false,
-    };
-    facts.settings.classes = pool.classes.iter().map(class).collect();
-    facts.site.classes = pool.classes.iter().map(|c| c.name.clone()).collect();
-    facts.settings.must_ask = false;
-    if let Some(open) = pool.open {
-        facts.site.open_cap = facts.site.open_cap.min(open as usize);
-    }
-    facts
-}
--- a/crates/heathroad/src/router/stale_routes.rs
+++ b/crates/heathroad/src/router/stale_routes.rs
@@ -1,77 +1,86 @@
-//! A proxy behind its fleet is brought up: it pulls the text that is wanted from a fellow that acts
-//! on it, and takes it through the same check, expectations, staging and probation as a change by
-//! hand. What it turns down it does not try again, and says why.
+//! Brings a proxy with stale routes up to date with its cluster.
+//!
+//! The proxy fetches the wanted text from a member that acts on it, and proposes it with the same
+//! checks, expectations, staging and probation as a change by an operator. A text that it rejects is
+//! not tried again, and the reason is announced.
 
-use super::routed_pools::Many;
-use super::transactions::words;
+use super::proposal::is_staged;
+use super::routed_pools::RoutedPools;
 use crate::membership::Peers;
 use crate::runtime_accounting::{sleep, timeout};
 use heathroad_membership::version::Digest;
 use heathroad_membership::want::{Want, Wanted};
-use heathroad_routing::transaction::Said;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// Pause before a wanted text is pulled, and between two tries: drawn between these, so that not
-/// all ask at once.
-const PAUSE: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(1500)];
-/// How often a change under way is looked at.
-const LOOK: Duration = Duration::from_millis(100);
-/// What is wanted is looked at again after this, though nothing was heard.
-const AGAIN: Duration = Duration::from_secs(5);
+/// The shortest pause before a wanted text is fetched, and between two attempts.
+const MIN_FETCH_PAUSE: Duration = Duration::from_millis(100);
+/// The longest such pause. Pauses are random, so that not all members fetch at once.
+const MAX_FETCH_PAUSE: Duration = Duration::from_millis(1500);
+/// The interval at which a transaction under way is polled.
+const TRANSACTION_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The wanted version is checked again after this time even if no change of it was announced.
+const RECHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Brings this proxy up whenever it is behind, for ever.
-pub async fn follow(many: Weak<Many>, peers: Rc<Peers>, seed: u64) {
-    let (mut wanted, mut rng) = (peers.wanted(), fastrand::Rng::with_seed(seed));
+/// Brings this proxy up to date whenever its routes are stale, until the pools are gone.
+pub async fn keep_up_to_date(pools: Weak<RoutedPools>, peers: Rc<Peers>, seed: u64) {
+    let mut wanted = peers.wanted();
+    let mut rng = fastrand::Rng::with_seed(seed);
     loop {
-        // Its sender is the peers', which are held here.
-        let _ = timeout(AGAIN, wanted.changed()).await;
+        // The sender belongs to `peers`, which this task keeps alive.
+        let _ = timeout(RECHECK_INTERVAL, wanted.changed()).await;
         loop {
-            let pause = PAUSE[0] + (PAUSE[1] - PAUSE[0]).mul_f64(rng.f64());
-            sleep(pause).await;
-            let Some(many) = many.upgrade() else { return };
-            let Some(want) = behind(&many, &peers, *wanted.borrow_and_update()) else {
-                break;
-            };
-            if many.changer.borrow().open().is_some() {
+            sleep(random_pause(&mut rng)).await;
+            let Some(pools) = pools.upgrade() else { return };
+            let newer = newer_version(&pools, &peers, *wanted.borrow_and_update());
+            let Some(want) = newer else { break };
+            if pools.transactions.borrow().open_transaction().is_some() {
                 continue;
             }
             if let Some(text) = peers.pull(want.digest).await {
-                bring_up(&many, &peers, want, &text).await;
+                update(&pools, &peers, want, &text).await;
             }
         }
     }
 }
 
-/// What is wanted, where this proxy acts on an older one and has not turned it down.
-fn behind(many: &Many, peers: &Peers, wanted: Wanted) -> Option<Want> {
+fn random_pause(rng: &mut fastrand::Rng) -> Duration {
+    MIN_FETCH_PAUSE + (MAX_FETCH_PAUSE - MIN_FETCH_PAUSE).mul_f64(rng.f64())
+}
+
+/// Returns the version that the cluster wants, if it is newer than the one in force and this proxy
+/// has not rejected it.
+fn newer_version(pools: &RoutedPools, peers: &Peers, wanted: Wanted) -> Option<Want> {
     let Wanted::One(want) = wanted else {
         return None;
     };
-    let (acts, current) = (peers.acts(), many.in_force());
-    let same = Digest::of(current.text.as_bytes()) == want.digest;
-    (want.number > current.number && !same && !acts.turned_down(want.digest)).then_some(want)
+    let current = pools.current_generation();
+    let is_same = Digest::of(current.text.as_bytes()) == want.digest;
+    let is_newer = want.number > current.number && !is_same;
+    (is_newer && !peers.acts().turned_down(want.digest)).then_some(want)
 }
 
-async fn bring_up(many: &Rc<Many>, peers: &Peers, want: Want, text: &str) {
-    let turn_down = |why: String| peers.acts().turn_down(want.number, want.digest, why);
+async fn update(pools: &Rc<RoutedPools>, peers: &Peers, want: Want, text: &str) {
+    let reject = |reason: String| peers.acts().turn_down(want.number, want.digest, reason);
     let file = format!("generation {} of the fleet", want.number);
-    let said = match many.take(&file, text, want.number).await {
-        Ok(said) => said,
-        Err(why) => {
-            many.tell(format!("{file} is turned down: {why}"));
-            return turn_down(why);
+    let reports = match pools.propose_numbered(&file, text, want.number).await {
+        Ok(reports) => reports,
+        Err(error) => {
+            pools.add_message(format!("{file} is turned down: {error}"));
+            return reject(error.to_string());
         }
     };
-    if !said.iter().any(|s| matches!(s, Said::Staging(_))) {
-        // Busy, or crowded: it is tried again.
+    if !is_staged(&reports) {
+        // Another transaction or too many older generations are in the way for now.
         return;
     }
-    while many.changer.borrow().open().is_some() {
-        sleep(LOOK).await;
+    while pools.transactions.borrow().open_transaction().is_some() {
+        sleep(TRANSACTION_POLL_INTERVAL).await;
     }
-    if Digest::of(many.in_force().text.as_bytes()) != want.digest {
-        let last = many.told.borrow().back().cloned();
-        turn_down(last.unwrap_or_else(|| said.iter().map(words).collect()));
+    let current = pools.current_generation();
+    if Digest::of(current.text.as_bytes()) != want.digest {
+        let last_message = pools.messages.borrow().back().cloned();
+        let reports = || reports.iter().map(ToString::to_string).collect();
+        reject(last_message.unwrap_or_else(reports));
     }
 }
--- a/crates/heathroad/src/router/startup.rs
+++ b/crates/heathroad/src/router/startup.rs
@@ -1,124 +1,175 @@
-//! Pools by routes at a start and at a reload: what was committed goes before the file.
+//! Start and reload of routed pools. The last committed generation takes precedence over the file.
 
-use super::routed_pools::{Base, Many};
+use super::RouterError;
+use super::routed_pools::{RoutedPools, RoutedPoolsConfig};
 use crate::backend::Pool;
 use crate::configuration::Config;
-use crate::configuration::routes::{numbered, rounds};
-use crate::configuration::state_folder::Folder;
-use crate::configuration::verification_gate::{self, Gate};
+use crate::configuration::routes::{self, check_self_loop};
+use crate::configuration::state_folder::StateFolder;
+use crate::configuration::verification_gate::{self, GateError, VerificationGate};
 use crate::membership::activity_log::Acts;
 use heathroad_routing::generation::Generation;
-use heathroad_routing::journal::{Journal, OpenError, Record};
-use heathroad_routing::transaction::Terms;
+use heathroad_routing::journal::{Journal, OpenError, OpenTransaction, Record, RecoveredState};
+use heathroad_routing::transaction::TransactionConfig;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Begins with the last committed generation, where one is kept; else with the file.
+/// The number of the first generation of a proxy without history.
+const FIRST_NUMBER: u64 = 1;
+
+/// The journal of a state folder, and what it records.
+struct OpenedState {
+    /// `None` if the folder holds something that is not a journal: changes are then not recorded.
+    journal: Option<Journal<StateFolder>>,
+    committed: Option<Rc<Generation>>,
+    highest_number: u64,
+}
+
+/// Starts the pools of the last committed generation, or of the file if there is none.
+///
+/// # Errors
+///
+/// Fails if the state folder or the file can't be used, or if the file does not meet its
+/// expectations.
 pub fn start(
     file: &Path,
     config: &Config,
     connections: &Rc<Pool>,
     acts: Option<Rc<Acts>>,
-) -> Result<Rc<Many>, String> {
-    let (mut journal, mut highest, mut first) = (None, 1, None);
-    if let Some(folder) = &config.state {
-        let place = folder.display();
-        match Journal::open(Folder::new(folder)) {
-            Ok((opened, found)) => {
-                if let Some(note) = found.note {
-                    tracing::warn!("state: {place}: {note}; they are cut off");
-                }
-                if let Some((number, applied)) = found.open {
-                    let was = if applied { "on probation" } else { "staged" };
-                    tracing::warn!(
-                        "state: {place}: generation {number} was {was} and is not started"
-                    );
-                }
-                if let Some((number, text)) = found.committed {
-                    let kept = Generation::read(number, &format!("{place}"), &text);
-                    let kept = kept.map_err(|e| format!("state: generation {number}: {e}"))?;
-                    tracing::info!(
-                        "state: {place}: starting on generation {number}, digest {}",
-                        kept.digest
-                    );
-                    first = Some(kept);
-                }
-                (journal, highest) = (Some(opened), found.highest.max(1));
-            }
-            Err(OpenError::Log(e)) => {
-                tracing::info!(
-                    "state: {place}: {e}; it is left as it is, and changes will not be kept"
-                );
-            }
-            Err(OpenError::Disk(e)) => return Err(format!("state: {place}: {e}")),
-        }
-    }
-    let gate = config.expectations.as_deref().map(Gate::new);
-    let first = match first {
-        Some(kept) => {
-            if std::fs::read_to_string(file).is_ok_and(|text| text != kept.text) {
-                tracing::info!(
-                    "routes: {} differs from what is committed; apply it to change that",
-                    file.display()
-                );
-            }
-            kept
-        }
-        None => {
-            let read = numbered(file, highest)?;
-            rounds(&read, config.listen)?;
-            if let Some(gate) = &gate {
-                expected(gate, &read, config)?;
-            }
-            if let Some(journal) = &mut journal {
-                let record = Record::Committed {
-                    number: read.number,
-                    text: read.text.clone(),
-                };
-                journal.write(record).map_err(|e| format!("state: {e}"))?;
-            }
-            read
+) -> Result<Rc<RoutedPools>, RouterError> {
+    let mut state = open_state(config)?;
+    let gate = config.expectations.as_deref().map(VerificationGate::new);
+    let first = match state.committed.take() {
+        Some(committed) => {
+            log_difference(file, &committed);
+            committed
         }
+        None => read_first(file, config, gate.as_ref(), &mut state)?,
     };
     let probation = u64::try_from(config.probation.as_millis()).unwrap_or(u64::MAX);
-    let base = Base {
+    let pools_config = RoutedPoolsConfig {
         facts: config.facts.clone(),
         seed: config.seed,
         connections: connections.clone(),
-        registry: config.discovery,
-        terms: Terms {
+        default_registry: config.discovery,
+        transactions: TransactionConfig {
             probation,
-            judged: gate.is_some(),
-            ..Terms::default()
+            verify: gate.is_some(),
+            ..TransactionConfig::default()
         },
         gate,
-        listens: config.listen,
+        listen_address: config.listen,
         acts,
     };
-    Many::new(base, first, highest, journal)
+    RoutedPools::start(pools_config, &first, state.highest_number, state.journal)
+}
+
+fn open_state(config: &Config) -> Result<OpenedState, RouterError> {
+    let mut state = OpenedState {
+        journal: None,
+        committed: None,
+        highest_number: FIRST_NUMBER,
+    };
+    let Some(path) = &config.state else {
+        return Ok(state);
+    };
+    let folder = path.display().to_string();
+    match Journal::open(StateFolder::new(path)) {
+        Ok((journal, recovered)) => {
+            log_recovery(&folder, &recovered);
+            state.journal = Some(journal);
+            state.highest_number = recovered.highest_number.max(FIRST_NUMBER);
+            state.committed = parse_committed(&folder, recovered.committed)?;
+        }
+        Err(OpenError::Format(error)) => tracing::info!(
+            "state: {folder}: {error}; it is left as it is, and changes will not be kept"
+        ),
+        Err(OpenError::Storage(source)) => {
+            return Err(RouterError::ReadState { folder, source });
+        }
+    }
+    Ok(state)
 }
 
-/// What is known to be broken of what is expected before a registry has told any node; no start is
-/// made on that. (What was committed has passed, and stays whatever has become of its nodes.)
-fn expected(gate: &Gate, first: &Generation, config: &Config) -> Result<(), String> {
-    let here = verification_gate::here(&config.facts, config.discovery, Vec::new());
-    let broken =
-        heathroad_verifier::judge(first, &verification_gate::read(gate.file())?, &here)?.known();
-    if broken.is_empty() {
-        Ok(())
-    } else {
-        Err(broken.join("\n"))
+fn log_recovery(folder: &str, recovered: &RecoveredState) {
+    if let Some(damage) = &recovered.damage {
+        tracing::warn!("state: {folder}: {damage}; they are cut off");
+    }
+    if let Some(OpenTransaction { number, applied }) = recovered.open_transaction {
+        let phase = if applied { "on probation" } else { "staged" };
+        tracing::warn!("state: {folder}: generation {number} was {phase} and is not started");
     }
 }
 
-/// Proposes a file that may have changed; what is wrong with it is logged, and changes nothing.
-pub async fn reload(file: PathBuf, many: Rc<Many>) {
+fn parse_committed(
+    folder: &str,
+    committed: Option<(u64, String)>,
+) -> Result<Option<Rc<Generation>>, RouterError> {
+    let Some((number, text)) = committed else {
+        return Ok(None);
+    };
+    let generation = Generation::parse(number, folder, &text)
+        .map_err(|source| RouterError::Committed { number, source })?;
+    let digest = &generation.digest;
+    tracing::info!("state: {folder}: starting on generation {number}, digest {digest}");
+    Ok(Some(generation))
+}
+
+fn log_difference(file: &Path, committed: &Generation) {
+    if std::fs::read_to_string(file).is_ok_and(|text| text != committed.text) {
+        let file = file.display();
+        tracing::info!("routes: {file} differs from what is committed; apply it to change that");
+    }
+}
+
+/// Reads the file of routes, checks it and records it as committed.
+fn read_first(
+    file: &Path,
+    config: &Config,
+    gate: Option<&VerificationGate>,
+    state: &mut OpenedState,
+) -> Result<Rc<Generation>, RouterError> {
+    let first = routes::read(file, state.highest_number)?;
+    check_self_loop(&first, config.listen)?;
+    if let Some(gate) = gate {
+        check_expectations(gate, &first, config)?;
+    }
+    if let Some(journal) = &mut state.journal {
+        let (number, text) = (first.number, first.text.clone());
+        let committed = Record::Committed { number, text };
+        journal.write(committed).map_err(RouterError::WriteState)?;
+    }
+    Ok(first)
+}
+
+/// Checks what can be verified of the first generation before a registry has announced any node. A
+/// committed generation was verified before, and stays whatever has become of its nodes.
+fn check_expectations(
+    gate: &VerificationGate,
+    first: &Generation,
+    config: &Config,
+) -> Result<(), RouterError> {
+    let expectations = verification_gate::read(gate.file())?;
+    let environment = verification_gate::environment(&config.facts, config.discovery, Vec::new());
+    let report = heathroad_verifier::verify(first, &expectations, &environment);
+    let failures = report.map_err(GateError::from)?.certain_failures();
+    if !failures.is_empty() {
+        return Err(RouterError::ExpectationsFail { failures });
+    }
+    Ok(())
+}
+
+/// Proposes a file that may have changed. Errors are logged and change nothing.
+pub async fn reload(file: PathBuf, pools: Rc<RoutedPools>) {
     let name = file.display().to_string();
-    let proposed = match std::fs::read_to_string(&file).map_err(|e| format!("{name}: {e}")) {
-        Ok(text) => many.propose(&name, &text, None).await,
-        Err(e) => Err(e),
+    let text = match std::fs::read_to_string(&file) {
+        Ok(text) => text,
+        Err(error) => {
+            tracing::warn!("configuration kept: {name}: {error}");
+            return;
+        }
     };
-    if let Err(e) = proposed {
-        tracing::warn!("configuration kept: {e}");
+    if let Err(error) = pools.propose(&name, &text, None).await {
+        tracing::warn!("configuration kept: {error}");
     }
 }
--- a/crates/heathroad/src/router/transactions.rs
+++ b/crates/heathroad/src/router/transactions.rs
@@ -1,345 +1,301 @@
-//! Changing the configuration: carries out what `heathroad_routing::transaction` decides.
+//! Carries out what the transaction manager decides.
 
-use super::routed_pools::{Many, way};
+use super::RouterError;
+use super::routed_pools::RoutedPools;
 use crate::backend::Pool as Connections;
 use crate::backend::jsonrpc::Way;
-use crate::configuration::verification_gate::{self, Gate};
+use crate::configuration::verification_gate;
 use crate::engine::Engine;
+use crate::router::pool_run::{PoolRun, jsonrpc_transport};
 use crate::runtime_accounting::{sleep, spawn_local, timeout};
 use heathroad_membership::record::Act;
 use heathroad_routing::generation::Generation;
-use heathroad_routing::harm::Sample;
-use heathroad_routing::journal::Record;
-use heathroad_routing::transaction::{Event, Said, Step};
-use heathroad_verifier::{Here, Report};
+use heathroad_routing::journal::{OpenTransaction, Record};
+use heathroad_routing::regression::PoolSample;
+use heathroad_routing::transaction::{Action, Event, TransactionReport};
+use heathroad_verifier::{Environment, Report};
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often a staged pool is looked at.
-const LOOK: Duration = Duration::from_millis(50);
-/// What was told of changes, kept to be asked for.
-const TOLD: usize = 50;
+/// The interval between attempts to connect to the backends of a staged pool.
+const WARMUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// The number of messages about changes that are kept for operators.
+const MAX_MESSAGES: usize = 50;
 
-impl Many {
-    pub(super) fn now(&self) -> u64 {
+impl RoutedPools {
+    fn elapsed_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    pub(super) fn write(&self, record: Record) -> Result<(), String> {
-        match &mut *self.journal.borrow_mut() {
-            Some(journal) => journal.write(record).map_err(|e| format!("state: {e}")),
-            None => Ok(()),
-        }
-    }
-
-    /// Takes an event, carries out what is decided, and gives what is to be told.
-    pub fn handle(self: &Rc<Self>, event: Event) -> Vec<Said> {
-        let mut steps = Vec::new();
-        self.changer
+    /// Handles an event, carries out the actions that it leads to, and returns the reports.
+    pub fn handle(self: &Rc<Self>, event: Event) -> Vec<TransactionReport> {
+        let mut decided = Vec::new();
+        let now = self.elapsed_ms();
+        self.transactions
             .borrow_mut()
-            .handle(self.now(), event, &mut steps);
-        let (mut steps, mut said) = (VecDeque::from(steps), Vec::new());
-        while let Some(step) = steps.pop_front() {
-            match step {
-                Step::Write(record) => {
-                    if let Err(e) = self.write(record.clone()) {
-                        // What was to follow rests on this.
-                        steps.clear();
-                        let mut others = Vec::new();
-                        self.changer.borrow_mut().failed(&record, &e, &mut others);
-                        steps.extend(others);
+            .handle(now, event, &mut decided);
+        let mut actions = VecDeque::from(decided);
+        let mut reports = Vec::new();
+        while let Some(action) = actions.pop_front() {
+            match action {
+                Action::Persist(record) => {
+                    if let Err(error) = self.persist(record.clone()) {
+                        actions = self.actions_after_failure(&record, &error);
                     }
                 }
-                Step::Stage(generation, pools) => match self.open_doors(&generation) {
+                Action::Stage { generation, pools } => match self.open_listeners(&generation) {
                     Ok(()) => self.stage(&generation, &pools),
-                    Err(e) => {
-                        steps.clear();
-                        let mut others = Vec::new();
+                    Err(error) => {
                         let record = Record::Opened {
                             number: generation.number,
                             text: String::new(),
                         };
-                        self.changer.borrow_mut().failed(&record, &e, &mut others);
-                        steps.extend(others);
+                        actions = self.actions_after_failure(&record, &error);
                     }
                 },
-                Step::Judge(generation) => self.judge(&generation),
-                Step::Apply(generation) => {
-                    if let Err(e) = self.activate(&generation) {
-                        self.tell(format!("generation {}: {e}", generation.number));
-                    }
-                }
-                Step::Retire(_) => {}
-                Step::Say(told) => {
-                    if let Some(acts) = &self.base.acts {
-                        match told {
-                            Said::Applied(_) => acts.act(Act::Applied),
-                            Said::Committed(number) => self.committed(number),
-                            Said::Undone { .. } => acts.act(Act::Undone),
-                            _ => {}
-                        }
-                    }
-                    self.tell(words(&told));
-                    said.push(told);
+                Action::Verify(generation) => self.spawn_verification(&generation),
+                Action::Apply(generation) => self.activate_or_report(&generation),
+                // A run ends by itself with its last request.
+                Action::Retire(_) => {}
+                Action::Report(report) => {
+                    self.publish(&report);
+                    reports.push(report);
                 }
             }
         }
-        let current = self.changer.borrow().current().clone();
-        if !Rc::ptr_eq(&self.current.borrow().generation, &current)
-            && let Err(e) = self.activate(&current)
-        {
-            self.tell(format!("generation {}: {e}", current.number));
+        self.align_active_pools();
+        self.release_unused();
+        reports
+    }
+
+    fn persist(&self, record: Record) -> Result<(), RouterError> {
+        match &mut *self.journal.borrow_mut() {
+            Some(journal) => journal.write(record).map_err(RouterError::WriteState),
+            None => Ok(()),
         }
-        self.tidy();
-        said
     }
 
-    pub(super) fn tell(&self, line: String) {
-        tracing::info!("routes: {line}");
-        let mut told = self.told.borrow_mut();
-        if told.len() == TOLD {
-            told.pop_front();
+    /// Returns the actions that replace the remaining ones after a record was not persisted.
+    fn actions_after_failure(&self, record: &Record, error: &RouterError) -> VecDeque<Action> {
+        let mut actions = Vec::new();
+        let mut transactions = self.transactions.borrow_mut();
+        transactions.handle_persist_failure(record, &error.to_string(), &mut actions);
+        VecDeque::from(actions)
+    }
+
+    fn activate_or_report(self: &Rc<Self>, generation: &Rc<Generation>) {
+        if let Err(error) = self.activate(generation) {
+            self.add_message(format!("generation {}: {error}", generation.number));
         }
-        told.push_back(line);
     }
 
-    /// Begins the new pools, and tells when each has backends and warm connections.
-    pub(super) fn stage(self: &Rc<Self>, generation: &Generation, pools: &[String]) {
-        for pool in pools.iter().filter_map(|name| generation.pool(name)) {
-            let run = match self.run(pool) {
-                Ok(run) => run,
-                // It is never ready, and the change is given up in time with its name.
-                Err(e) => {
-                    self.tell(e);
-                    continue;
-                }
-            };
-            let (many, limit) = (
-                Rc::downgrade(self),
-                Duration::from_millis(self.base.terms.stage),
-            );
-            let (connections, name) = (self.base.connections.clone(), pool.name.clone());
-            let number = generation.number;
-            spawn_local(async move {
-                let way = run.pool.rpc.as_ref().map(way);
-                let ready = timeout(limit, warm(&connections, &run.engine, way)).await;
-                drop(run);
-                if let (Ok(()), Some(many)) = (ready, many.upgrade()) {
-                    many.handle(Event::Ready { number, pool: name });
-                }
-            });
+    /// Binds new requests to the manager's current generation, if they do not already.
+    fn align_active_pools(self: &Rc<Self>) {
+        let current = self.transactions.borrow().current().clone();
+        if !Rc::ptr_eq(&self.current_generation(), &current) {
+            self.activate_or_report(&current);
         }
     }
 
-    pub(super) fn tick(self: &Rc<Self>) {
-        let runs = self.current.borrow().runs.clone();
-        for run in runs {
-            let mut now = run.engine.counts().so_far();
-            // Those whom a fence refused say nothing of a change.
-            now[1] = now[1].saturating_sub(run.engine.shut_out());
-            let before = run.seen.replace(now);
-            let [served, refused, failed, timed_out, late] =
-                [0, 1, 2, 3, 4].map(|i| now[i].saturating_sub(before[i]) as f64);
-            let failed = failed + timed_out;
-            let requests = served + refused + failed;
-            if requests > 0.0 {
-                // How near its budget a cold backend is no proxy can see; the module keeps well
-                // below it.
-                let sample = Sample {
-                    requests,
-                    failed,
-                    refused,
-                    late,
-                    cold: 0.0,
-                };
-                self.handle(Event::Saw(run.pool.name.clone(), sample));
+    /// Records a report in the activity log and in the messages for operators.
+    fn publish(&self, report: &TransactionReport) {
+        if let Some(acts) = &self.config.acts {
+            match report {
+                TransactionReport::Applied { .. } => acts.act(Act::Applied),
+                TransactionReport::Committed { number } => self.announce_commit(*number),
+                TransactionReport::RolledBack { .. } => acts.act(Act::Undone),
+                _ => {}
             }
         }
-        self.handle(Event::Tick);
-        self.share_cold();
+        self.add_message(report.to_string());
     }
 
-    /// The fleet is to hear of what was committed.
-    fn committed(&self, number: u64) {
-        let current = self.changer.borrow().current().clone();
-        let within = self
-            .within
-            .take()
-            .filter(|(text, _)| *text == current.digest)
-            .map(|(_, within)| within);
-        if let Some(acts) = self.base.acts.as_ref().filter(|_| current.number == number) {
-            acts.commit(number, &current.text, within);
+    pub(super) fn add_message(&self, message: String) {
+        tracing::info!("routes: {message}");
+        let mut messages = self.messages.borrow_mut();
+        if messages.len() == MAX_MESSAGES {
+            messages.pop_front();
         }
+        messages.push_back(message);
     }
 
-    /// Proposes a text as a change; what is wrong with it, or what is said of it. Once committed,
-    /// it may be required of the whole fleet within so many milliseconds.
-    pub async fn propose(
-        self: &Rc<Self>,
-        file: &str,
-        text: &str,
-        within: Option<u64>,
-    ) -> Result<Vec<Said>, String> {
-        if let Some(within) = within {
-            let none = "a change is required of a fleet, and this daemon's file names none";
-            let acts = self.base.acts.as_ref().ok_or(none)?;
-            let least = acts.least_required();
-            if acts.fenced() {
-                let why = "this proxy is fenced, or sees no more than half of the fleet: it can require nothing of others";
-                return Err(why.into());
-            }
-            if within < least {
-                return Err(format!(
-                    "required within {within} ms; expected {least} at least, after which proxies know of it or \
-                    fence themselves"
-                ));
-            }
-        }
-        let said = self.take(file, text, 0).await?;
-        let staged = said.iter().any(|s| matches!(s, Said::Staging(_)));
-        if let Some(within) = within.filter(|_| staged) {
-            let digest = Generation::read(0, file, text)
-                .map(|g| g.digest.clone())
-                .unwrap_or_default();
-            self.within.replace(Some((digest, within)));
+    /// Announces a committed generation to the cluster.
+    fn announce_commit(&self, number: u64) {
+        let current = self.transactions.borrow().current().clone();
+        let required = self.required_change.take();
+        let required = required.filter(|change| change.digest == current.digest);
+        let acts = self.config.acts.as_ref();
+        if let Some(acts) = acts.filter(|_| current.number == number) {
+            acts.commit(
+                number,
+                &current.text,
+                required.map(|change| change.within_ms),
+            );
         }
-        Ok(said)
     }
 
-    /// Takes a text under the number that the fleet knows it by, or, at 0, under one of its own.
-    pub async fn take(
-        self: &Rc<Self>,
-        file: &str,
-        text: &str,
-        number: u64,
-    ) -> Result<Vec<Said>, String> {
-        let generation = Generation::read(number, file, text).map_err(|e| e.to_string())?;
-        crate::configuration::routes::rounds(&generation, self.base.listens)?;
-        let expected = self.base.gate.as_ref().map(Gate::expected).transpose()?;
-        if let Some(expected) = &expected {
-            // Nodes that no registry has told yet, since no pool asks it, are waited for: the last
-            // word is at the end.
-            let broken = expected.judge(text.to_string(), self.here()).await?.known();
-            if !broken.is_empty() {
-                return Err(broken.join("\n"));
+    /// Starts the new pools of a generation, and reports each as ready once it has backends and a
+    /// warm connection.
+    fn stage(self: &Rc<Self>, generation: &Generation, pool_names: &[String]) {
+        for pool in pool_names.iter().filter_map(|name| generation.pool(name)) {
+            match self.ensure_run(pool) {
+                Ok(run) => self.spawn_warmup(run, generation.number),
+                // The pool is never ready, so that the change is aborted in time with its name.
+                Err(error) => self.add_message(error.to_string()),
             }
         }
-        let opened = self.open_doors(&generation);
-        if opened.is_err() {
-            self.tidy();
-        }
-        opened?;
-        // The change under way keeps its own, if this one is turned down for it.
-        let open = self.changer.borrow().open().is_some();
-        if !open {
-            self.expected.replace(expected);
-        }
-        if let Some(acts) = &self.base.acts {
-            // One number is to mean one text in the whole fleet.
-            let given = if number > 0 {
-                number - 1
-            } else {
-                acts.highest()
-            };
-            self.changer.borrow_mut().given(given);
+    }
+
+    fn spawn_warmup(self: &Rc<Self>, run: Rc<PoolRun>, number: u64) {
+        let pools = Rc::downgrade(self);
+        let limit = Duration::from_millis(self.config.transactions.staging_timeout);
+        let connections = self.config.connections.clone();
+        spawn_local(async move {
+            let pool = run.pool.name.clone();
+            let transport = run.pool.jsonrpc.as_ref().map(jsonrpc_transport);
+            let warm = timeout(limit, warm_up(&connections, &run.engine, transport)).await;
+            drop(run);
+            if let (Ok(()), Some(pools)) = (warm, pools.upgrade()) {
+                pools.handle(Event::PoolReady { number, pool });
+            }
+        });
+    }
+
+    /// Samples all pools in force, and lets the manager check its deadlines.
+    pub(super) fn sample(self: &Rc<Self>) {
+        let runs = self.active.borrow().runs.clone();
+        for run in runs {
+            if let Some(sample) = take_sample(&run) {
+                let pool = run.pool.name.clone();
+                self.handle(Event::PoolSampled { pool, sample });
+            }
         }
-        Ok(self.handle(Event::Propose(generation)))
+        self.handle(Event::Tick);
+        self.share_warmup_budgets();
     }
 
-    /// Judges a change that is ready, as things stand when it is applied: what was judged while
-    /// nodes changed is judged again.
-    pub(super) fn judge(self: &Rc<Self>, generation: &Generation) {
-        let (many, number, text) = (
-            Rc::downgrade(self),
-            generation.number,
-            generation.text.clone(),
-        );
+    /// Verifies a staged change that is ready, as things stand when it is applied. If endpoints
+    /// change meanwhile, it is verified again; if they change all the time, it is aborted in time.
+    fn spawn_verification(self: &Rc<Self>, generation: &Generation) {
+        let (pools, number) = (Rc::downgrade(self), generation.number);
+        let text = generation.text.clone();
         spawn_local(async move {
             loop {
-                let Some(strong) = many.upgrade() else { return };
-                let (seen, expected) = (strong.news.get(), strong.expected.borrow().clone());
-                let here = strong.here();
+                let Some(strong) = pools.upgrade() else {
+                    return;
+                };
+                let verified_updates = strong.endpoint_updates.get();
+                let expectations = strong.expectations.borrow().clone();
+                let environment = strong.environment();
                 drop(strong);
-                let why = match expected {
-                    Some(expected) => match expected.judge(text.clone(), here).await {
-                        Ok(report) => Some(report.failures().join("; ")).filter(|f| !f.is_empty()),
-                        Err(e) => Some(e),
-                    },
+                let rejection = match expectations {
+                    Some(expectations) => {
+                        let report = expectations.verify(text.clone(), environment).await;
+                        report.map_or_else(|e| Some(e.to_string()), |r| describe_failures(&r))
+                    }
                     None => None,
                 };
-                let Some(strong) = many.upgrade() else { return };
-                if strong.changer.borrow().open() != Some((number, false)) {
+                let Some(strong) = pools.upgrade() else {
+                    return;
+                };
+                let staged = OpenTransaction {
+                    number,
+                    applied: false,
+                };
+                if strong.transactions.borrow().open_transaction() != Some(staged) {
                     return;
                 }
-                if strong.news.get() == seen {
-                    strong.handle(Event::Judged { number, why });
+                if strong.endpoint_updates.get() == verified_updates {
+                    strong.handle(Event::Verified { number, rejection });
                     return;
                 }
-                // Nodes have changed meanwhile; where they do all the time, the change is given up
-                // when its time is over.
             }
         });
     }
 
-    /// Holds the configuration in force against what is expected now.
-    pub async fn expect(&self) -> Result<Option<Report>, String> {
-        let Some(gate) = &self.base.gate else {
+    /// Verifies the generation in force against the expectations as they are now. Returns `None`
+    /// if there are none.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the expectations can't be read or verified.
+    pub async fn verify_current(&self) -> Result<Option<Report>, RouterError> {
+        let Some(gate) = &self.config.gate else {
             return Ok(None);
         };
-        let text = self.in_force().text.clone();
-        gate.expected()?.judge(text, self.here()).await.map(Some)
+        let text = self.current_generation().text.clone();
+        let report = gate.load()?.verify(text, self.environment()).await?;
+        Ok(Some(report))
     }
 
-    /// What is known of this place, for expectations.
-    pub(super) fn here(&self) -> Here {
-        verification_gate::here(&self.base.facts, self.registry.get(), self.known_nodes())
+    /// Returns what verification has to know of this daemon.
+    pub(super) fn environment(&self) -> Environment {
+        let registry = self.default_registry.get();
+        verification_gate::environment(&self.config.facts, registry, self.known_nodes())
     }
 
-    /// What is in force, and what was told of changes lately.
+    /// Returns the generation in force, the transaction under way and the latest messages.
     pub fn status(&self) -> Value {
-        let mut changer = self.changer.borrow_mut();
-        let alive = changer.alive();
-        let open = changer.open().map(|(number, applied)| {
-            json!({"number": number, "phase": if applied { "probation" } else { "staging" }})
+        let mut transactions = self.transactions.borrow_mut();
+        let generations_in_use = transactions.count_generations_in_use();
+        let open = transactions.open_transaction().map(|transaction| {
+            let phase = match transaction.applied {
+                true => "probation",
+                false => "staging",
+            };
+            json!({"number": transaction.number, "phase": phase})
         });
-        let current = self.current.borrow();
-        json!({"generation": current.generation.number, "digest": current.generation.digest, "open": open,
-            "expectations": self.base.gate.as_ref().map(|g| g.file().display().to_string()),
-            "older_generations_in_use": alive, "told": *self.told.borrow()})
+        let current = self.current_generation();
+        let gate = self.config.gate.as_ref();
+        json!({
+            "generation": current.number,
+            "digest": current.digest,
+            "open": open,
+            "expectations": gate.map(|gate| gate.file().display().to_string()),
+            "older_generations_in_use": generations_in_use,
+            "told": *self.messages.borrow(),
+        })
     }
 }
 
-/// Waits until a pool has backends, and a connection to one at the least.
-async fn warm(connections: &Rc<Connections>, engine: &Rc<Engine>, way: Option<Way>) {
+/// Returns the outcomes of a pool's requests since the last sample, if there were any.
+fn take_sample(run: &PoolRun) -> Option<PoolSample> {
+    let mut counts = run.engine.counts().so_far();
+    // Requests that were rejected while this proxy was fenced say nothing of a change.
+    counts[1] = counts[1].saturating_sub(run.engine.shut_out());
+    let previous = run.sampled_counts.replace(counts);
+    let [served, rejected, failed, timed_out, late] =
+        [0, 1, 2, 3, 4].map(|i| counts[i].saturating_sub(previous[i]) as f64);
+    let failed = failed + timed_out;
+    let requests = served + rejected + failed;
+    (requests > 0.0).then_some(PoolSample {
+        requests,
+        failed,
+        rejected,
+        late,
+        // No proxy can see how much of its warm-up budget a backend has used.
+        warmup_budget_used: 0.0,
+    })
+}
+
+/// Joins the failures of a verification, or returns `None` if there are none.
+fn describe_failures(report: &Report) -> Option<String> {
+    Some(report.failures().join("; ")).filter(|failures| !failures.is_empty())
+}
+
+/// Waits until an engine has backends, and a connection to at least one of them.
+async fn warm_up(connections: &Rc<Connections>, engine: &Rc<Engine>, transport: Option<Way>) {
     loop {
-        let targets = engine.targets();
-        let mut warm = 0;
-        for target in &targets {
-            warm += usize::from(connections.warm(target, way).await);
+        let mut warm_connections = 0;
+        for target in &engine.targets() {
+            let is_warm = connections.warm(target, transport).await;
+            warm_connections += usize::from(is_warm);
         }
-        if warm > 0 {
+        if warm_connections > 0 {
             return;
         }
-        sleep(LOOK).await;
-    }
-}
-
-/// In words, for people.
-pub fn words(said: &Said) -> String {
-    match said {
-        Said::Same(n) => format!("nothing changes: the same as generation {n}, which is in force"),
-        Said::Busy(n) => format!("turned down: generation {n} is under way, wait for it"),
-        Said::Crowded(n) => {
-            format!("turned down: requests are still bound to {n} older generations")
-        }
-        Said::Stopping => "turned down: the daemon stops".into(),
-        Said::Staging(n) => format!("generation {n} is staged"),
-        Said::Applied(n) => format!("generation {n} is in force, on probation"),
-        Said::Committed(n) => format!("generation {n} is committed"),
-        Said::GivenUp(n, why) => format!("generation {n} is given up: {why}"),
-        Said::Undone { number, by, why } => format!("generation {number} is undone by {by}: {why}"),
-        Said::NothingToUndo => "there is nothing to undo".into(),
+        sleep(WARMUP_POLL_INTERVAL).await;
     }
 }
--- a/crates/heathroad/tests/unit/engine.rs
+++ b/crates/heathroad/tests/unit/engine.rs
@@ -15,18 +15,18 @@
     heathroad_balancer::settings::parse(text.as_bytes()).expect("good settings")
 }
 
-fn host(name: &str, health: Health) -> Host {
+fn host(name: &str, health: EndpointHealth) -> Endpoint {
     let dial = Some("127.0.0.1:9".parse().expect("an address"));
     let (host, site) = (name.to_string(), "a".to_string());
-    Host {
-        host,
-        dial,
+    Endpoint {
+        name: host,
+        address: dial,
         site,
         class: String::new(),
         block: 0,
         health,
-        share: 1.0,
-        born_ms: 0.0,
+        weight: 1.0,
+        started_ms: 0.0,
     }
 }
 
@@ -58,10 +58,13 @@
             for n in 0..100 {
                 let (old, new) = (format!("s-{n}"), format!("s-{}", n + 1));
                 if n % 2 == 0 {
-                    let hosts = vec![host(&old, Health::Deleted), host(&new, Health::Serving)];
+                    let hosts = vec![
+                        host(&old, EndpointHealth::Deleted),
+                        host(&new, EndpointHealth::Serving),
+                    ];
                     engine.list(ListKind::Delta, hosts);
                 } else {
-                    engine.list(ListKind::Full, vec![host(&new, Health::Serving)]);
+                    engine.list(ListKind::Full, vec![host(&new, EndpointHealth::Serving)]);
                 }
                 let s = engine.state.borrow();
                 assert_eq!((s.ids.len(), s.backends.len()), (1, 1), "after {n}");
@@ -99,7 +102,7 @@
                 acts: None,
             };
             engine.state.borrow_mut().requests.insert(7, open);
-            engine.list(ListKind::Full, vec![host("s-101", Health::Serving)]);
+            engine.list(ListKind::Full, vec![host("s-101", EndpointHealth::Serving)]);
             assert_eq!(engine.state.borrow().backends.len(), 2);
             engine.state.borrow_mut().requests.clear();
             engine.forget_gone();
@@ -144,9 +147,9 @@
     let dial = Some(listener.local_addr().expect("bound"));
     engine.list(
         ListKind::Full,
-        vec![Host {
-            dial,
-            ..host("a", Health::Serving)
+        vec![Endpoint {
+            address: dial,
+            ..host("a", EndpointHealth::Serving)
         }],
     );
     (engine, listener)
--- a/crates/heathroad/tests/unit/frontend_http.rs
+++ b/crates/heathroad/tests/unit/frontend_http.rs
@@ -36,7 +36,7 @@
         None,
         watching,
     );
-    let router = Rc::new(Router::One(engine.expect("good settings")));
+    let router = Rc::new(Router::SinglePool(engine.expect("good settings")));
     let (connections, bodies, room) = (2 * CALLERS, 1 << 20, Rc::<Room>::default());
     let front = Front {
         router,
