--- a/crates/heathroad/src/configuration/verification_gate.rs
+++ b/crates/heathroad/src/configuration/verification_gate.rs
@@ -2,7 +2,7 @@
 //!
 //! Verification runs on a thread of its own, so that no request waits for a verdict.
 
-use heathroad_balancer::settings::Facts;
+use heathroad_balancer::settings::InstanceSettings;
 use heathroad_routing::config::error::ConfigErrors;
 use heathroad_routing::generation::Generation;
 use heathroad_verifier::{Environment, Expectations, Node, Report, VerifyError, verify};
@@ -57,12 +57,16 @@
 }
 
 /// Returns what verification has to know of a daemon with some settings.
-pub fn environment(facts: &Facts, registry: SocketAddr, nodes: Vec<Node>) -> Environment {
-    let (settings, site) = (&facts.settings, &facts.site);
+pub fn environment(
+    facts: &InstanceSettings,
+    registry: SocketAddr,
+    nodes: Vec<Node>,
+) -> Environment {
+    let (settings, site) = (&facts.balancer, &facts.site);
     Environment {
         tenants: (!site.tenants.is_empty()).then(|| site.tenants.clone()),
-        max_attempts: Some(settings.caps.try_limit),
-        max_open_requests: Some(u32::try_from(site.open_cap).unwrap_or(u32::MAX)),
+        max_attempts: Some(settings.limits.max_attempts),
+        max_open_requests: Some(u32::try_from(site.max_open_requests).unwrap_or(u32::MAX)),
         default_registry: Some(registry),
         nodes,
     }
--- a/crates/heathroad/src/discovery/endpoint_list.rs
+++ b/crates/heathroad/src/discovery/endpoint_list.rs
@@ -19,7 +19,7 @@
 
 /// A backend process of an endpoint list.
 #[derive(Deserialize, Clone)]
-pub struct Endpoint {
+pub struct Instance {
     /// The name of the backend.
     #[serde(rename = "host")]
     pub name: String,
@@ -36,7 +36,7 @@
     #[serde(default)]
     pub block: u16,
     /// Whether the endpoint takes new requests.
-    pub health: EndpointHealth,
+    pub health: InstanceHealth,
     /// The capacity relative to that of the other endpoints.
     #[serde(default, rename = "share")]
     pub weight: f64,
@@ -48,7 +48,7 @@
 /// Whether an endpoint takes new requests.
 #[derive(Deserialize, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
-pub enum EndpointHealth {
+pub enum InstanceHealth {
     /// It takes new requests.
     Serving,
     /// It finishes the requests that it has.
@@ -71,7 +71,7 @@
 
 impl EndpointList {
     /// Parses the entries. Those that are not valid are skipped and logged in one line.
-    pub fn into_endpoints(self) -> Vec<Endpoint> {
+    pub fn into_endpoints(self) -> Vec<Instance> {
         let mut endpoints = Vec::new();
         let mut skipped = 0;
         let mut example = None;
@@ -91,12 +91,12 @@
     }
 }
 
-fn parse_entry(entry: &serde_json::Value) -> Result<Endpoint, EntryError> {
-    let endpoint = Endpoint::deserialize(entry).map_err(|source| EntryError::Malformed {
+fn parse_entry(entry: &serde_json::Value) -> Result<Instance, EntryError> {
+    let endpoint = Instance::deserialize(entry).map_err(|source| EntryError::Malformed {
         entry: entry.to_string(),
         source,
     })?;
-    if endpoint.health == EndpointHealth::Serving && endpoint.address.is_none() {
+    if endpoint.health == InstanceHealth::Serving && endpoint.address.is_none() {
         return Err(EntryError::NoAddress {
             name: endpoint.name,
         });
--- a/crates/heathroad/src/discovery/mod.rs
+++ b/crates/heathroad/src/discovery/mod.rs
@@ -8,8 +8,8 @@
 
 use crate::runtime_accounting::sleep;
 use client::{Query, fetch_hedged};
-use endpoint_list::{Endpoint, EndpointList};
-use heathroad_balancer::api::ListKind;
+use endpoint_list::{EndpointList, Instance};
+use heathroad_balancer::api::UpdateKind;
 use std::net::SocketAddr;
 use std::time::Duration;
 use timing::WatchTiming;
@@ -24,9 +24,9 @@
     /// The whole list, or a change of it.
     Endpoints {
         /// Whether this is the whole list.
-        kind: ListKind,
+        kind: UpdateKind,
         /// The endpoints.
-        endpoints: Vec<Endpoint>,
+        endpoints: Vec<Instance>,
         /// The version of the list.
         version: u64,
     },
@@ -146,9 +146,9 @@
         self.is_failing = false;
         if list.is_complete || !list.entries.is_empty() {
             let kind = if list.is_complete {
-                ListKind::Full
+                UpdateKind::Snapshot
             } else {
-                ListKind::Delta
+                UpdateKind::Delta
             };
             on_event(DiscoveryEvent::Endpoints {
                 kind,
--- a/crates/heathroad/src/discovery/tests.rs
+++ b/crates/heathroad/src/discovery/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::runtime_accounting::timeout;
-use endpoint_list::EndpointHealth;
+use endpoint_list::InstanceHealth;
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -110,21 +110,25 @@
             .expect("the last page is heard");
             following.abort();
             // A whole list of a lower version is one of a registry that has begun anew.
-            let all = [ListKind::Full, ListKind::Delta, ListKind::Full];
+            let all = [
+                UpdateKind::Snapshot,
+                UpdateKind::Delta,
+                UpdateKind::Snapshot,
+            ];
             let healths = [
-                EndpointHealth::Serving,
-                EndpointHealth::Draining,
-                EndpointHealth::Serving,
+                InstanceHealth::Serving,
+                InstanceHealth::Draining,
+                InstanceHealth::Serving,
             ];
             let heard: Vec<_> = heard
                 .borrow()
                 .iter()
-                .map(|(k, h)| (*k, *h == EndpointHealth::Serving))
+                .map(|(k, h)| (*k, *h == InstanceHealth::Serving))
                 .collect();
             assert_eq!(
                 heard,
                 all.into_iter()
-                    .zip(healths.map(|h| h == EndpointHealth::Serving))
+                    .zip(healths.map(|h| h == InstanceHealth::Serving))
                     .collect::<Vec<_>>()
             );
         })
--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -20,7 +20,7 @@
 use crate::engine::Engine;
 use crate::membership::activity_log;
 use crate::metrics::{Meter, Moment};
-use heathroad_balancer::api::Effect;
+use heathroad_balancer::api::Idempotency;
 use heathroad_routing::generation::Generation;
 use hyper::StatusCode;
 use hyper::header::HeaderMap;
@@ -56,7 +56,7 @@
     /// The index of the request class in the engine's settings.
     pub class: u16,
     /// Whether the request may run more than once.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// The maximum duration of a request of the class, where the pool limits it.
     pub deadline: Option<Duration>,
     /// How the backends of the pool speak JSON-RPC, where they do.
@@ -82,7 +82,7 @@
     Some(BoundRequest {
         engine: engine.clone(),
         class: index as u16,
-        effect: facts.settings.classes[index].effect,
+        effect: facts.balancer.classes[index].idempotency,
         deadline: None,
         way: None,
         acts: engine.acts(),
--- a/crates/heathroad/src/router/pool_run.rs
+++ b/crates/heathroad/src/router/pool_run.rs
@@ -9,8 +9,8 @@
 use crate::backend::jsonrpc::Way;
 use crate::engine::Engine;
 use crate::metrics::Counts;
-use heathroad_balancer::api::{self, Effect, ListKind};
-use heathroad_balancer::settings::Facts;
+use heathroad_balancer::api::{self, UpdateKind};
+use heathroad_balancer::settings::InstanceSettings;
 use heathroad_routing::config::{
     BackendSource, Class, DeduplicationScope, Idempotency, JsonRpcSettings, Pool,
 };
@@ -127,7 +127,7 @@
                 match self.known_endpoints(registry) {
                     Some(endpoints) => {
                         let selected = endpoints.into_iter().filter(|e| is_selected(e, select));
-                        run.engine.list(ListKind::Full, selected.collect());
+                        run.engine.list(UpdateKind::Snapshot, selected.collect());
                     }
                     None => self.watch_registry(registry),
                 }
@@ -155,36 +155,36 @@
 }
 
 /// Returns the settings of a pool: those of the daemon, with the classes of the pool.
-fn pool_settings(daemon: &Facts, pool: &Pool) -> Facts {
+fn pool_settings(daemon: &InstanceSettings, pool: &Pool) -> InstanceSettings {
     let mut facts = daemon.clone();
-    facts.settings.classes = pool.classes.iter().map(class_settings).collect();
+    facts.balancer.classes = pool.classes.iter().map(class_settings).collect();
     facts.site.classes = pool.classes.iter().map(|c| c.name.clone()).collect();
-    facts.settings.must_ask = false;
+    facts.balancer.polls_endpoints = false;
     if let Some(max_open_requests) = pool.max_open_requests {
-        facts.site.open_cap = facts.site.open_cap.min(max_open_requests as usize);
+        facts.site.max_open_requests = facts.site.max_open_requests.min(max_open_requests as usize);
     }
     facts
 }
 
 fn class_settings(class: &Class) -> api::Class {
     api::Class {
-        aim: class.latency_objective_ms,
-        points: class.priority_weight,
-        effect: class_effect(class.idempotency),
-        in_order: false,
+        latency_objective: class.latency_objective_ms,
+        priority_weight: class.priority_weight,
+        idempotency: class_idempotency(class.idempotency),
+        ordered_by_key: false,
     }
 }
 
-fn class_effect(idempotency: Idempotency) -> Effect {
+fn class_idempotency(idempotency: Idempotency) -> api::Idempotency {
     match idempotency {
-        Idempotency::Idempotent => Effect::Retryable,
-        Idempotency::NonIdempotent => Effect::Fragile,
-        Idempotency::Keyed { scope, window_ms } => Effect::Dedup {
+        Idempotency::Idempotent => api::Idempotency::Idempotent,
+        Idempotency::NonIdempotent => api::Idempotency::NonIdempotent,
+        Idempotency::Keyed { scope, window_ms } => api::Idempotency::Deduplicated {
             window: window_ms,
-            group: match scope {
-                DeduplicationScope::All => api::Group::All,
-                DeduplicationScope::Site => api::Group::Zone,
-                DeduplicationScope::Block => api::Group::Cell,
+            scope: match scope {
+                DeduplicationScope::All => api::DeduplicationScope::All,
+                DeduplicationScope::Site => api::DeduplicationScope::Zone,
+                DeduplicationScope::Block => api::DeduplicationScope::Cell,
             },
         },
     }
--- a/crates/heathroad/src/router/registry.rs
+++ b/crates/heathroad/src/router/registry.rs
@@ -2,11 +2,11 @@
 
 use super::pool_run::PoolRun;
 use super::routed_pools::RoutedPools;
-use crate::discovery::endpoint_list::{Endpoint, EndpointHealth};
+use crate::discovery::endpoint_list::{Instance, InstanceHealth};
 use crate::discovery::{self, DiscoveryEvent};
 use crate::runtime_accounting::spawn_local;
 use crate::time::millis;
-use heathroad_balancer::api::ListKind;
+use heathroad_balancer::api::UpdateKind;
 use heathroad_routing::backend_state::{Availability, BackendStates, count_sharing_pools};
 use heathroad_routing::config::{BackendSource, ListedBackend};
 use heathroad_verifier::Node;
@@ -19,14 +19,14 @@
 /// A registry that pools take their backends from.
 pub(super) struct RegistryWatch {
     /// The endpoints of the list, by name.
-    endpoints: BTreeMap<String, Endpoint>,
+    endpoints: BTreeMap<String, Instance>,
     task: AbortHandle,
 }
 
 /// An endpoint whose labels an update changes.
-struct RelabeledEndpoint {
-    before: Endpoint,
-    after: Endpoint,
+struct RelabeledInstance {
+    before: Instance,
+    after: Instance,
 }
 
 /// What an update of an endpoint list changes.
@@ -34,28 +34,28 @@
 struct UpdateEffects {
     /// The backends whose state was announced.
     announced: BTreeSet<SocketAddr>,
-    relabeled: Vec<RelabeledEndpoint>,
+    relabeled: Vec<RelabeledInstance>,
 }
 
 impl UpdateEffects {
     fn announce(
         &mut self,
         states: &mut BackendStates,
-        endpoint: &Endpoint,
+        endpoint: &Instance,
         address: Option<SocketAddr>,
     ) {
-        let accepts_requests = endpoint.health == EndpointHealth::Serving;
+        let accepts_requests = endpoint.health == InstanceHealth::Serving;
         self.announce_as(states, endpoint, address, accepts_requests);
     }
 
-    fn announce_removed(&mut self, states: &mut BackendStates, endpoint: &Endpoint) {
+    fn announce_removed(&mut self, states: &mut BackendStates, endpoint: &Instance) {
         self.announce_as(states, endpoint, endpoint.address, false);
     }
 
     fn announce_as(
         &mut self,
         states: &mut BackendStates,
-        endpoint: &Endpoint,
+        endpoint: &Instance,
         address: Option<SocketAddr>,
         accepts_requests: bool,
     ) {
@@ -73,28 +73,28 @@
     /// Takes an update of the endpoint list over.
     fn update(
         &mut self,
-        kind: ListKind,
-        endpoints: &[Endpoint],
+        kind: UpdateKind,
+        endpoints: &[Instance],
         states: &mut BackendStates,
     ) -> UpdateEffects {
         let mut effects = UpdateEffects::default();
-        if kind != ListKind::Delta {
+        if kind != UpdateKind::Delta {
             self.remove_unnamed(endpoints, states, &mut effects);
         }
         for endpoint in endpoints {
             let known = self.endpoints.get(&endpoint.name);
             if let Some(known) = known.filter(|known| labels(known) != labels(endpoint)) {
-                effects.relabeled.push(RelabeledEndpoint {
+                effects.relabeled.push(RelabeledInstance {
                     before: known.clone(),
                     after: endpoint.clone(),
                 });
             }
             // A change need not repeat the address.
             let known_address = known
-                .filter(|_| kind == ListKind::Delta)
+                .filter(|_| kind == UpdateKind::Delta)
                 .and_then(|k| k.address);
             effects.announce(states, endpoint, endpoint.address.or(known_address));
-            if endpoint.health == EndpointHealth::Deleted {
+            if endpoint.health == InstanceHealth::Deleted {
                 self.endpoints.remove(&endpoint.name);
             } else {
                 self.endpoints
@@ -106,7 +106,7 @@
 
     fn remove_unnamed(
         &mut self,
-        endpoints: &[Endpoint],
+        endpoints: &[Instance],
         states: &mut BackendStates,
         effects: &mut UpdateEffects,
     ) {
@@ -128,10 +128,10 @@
             return;
         };
         let facts = &self.config.facts;
-        let own_site = facts.site.zones.get(usize::from(facts.settings.zone));
+        let own_site = facts.site.zones.get(usize::from(facts.balancer.zone));
         let own_site = own_site.cloned().unwrap_or_default();
         let states = self.backend_states.borrow();
-        let endpoint = |backend: &ListedBackend| Endpoint {
+        let endpoint = |backend: &ListedBackend| Instance {
             name: backend.address.to_string(),
             address: Some(backend.address),
             site: match backend.site.as_str() {
@@ -141,18 +141,20 @@
             class: String::new(),
             block: backend.block,
             health: match states.availability(backend.address) {
-                Availability::Available => EndpointHealth::Serving,
-                Availability::Withdrawn => EndpointHealth::Draining,
+                Availability::Available => InstanceHealth::Serving,
+                Availability::Withdrawn => InstanceHealth::Draining,
             },
             weight: backend.weight,
             started_ms: 0.0,
         };
-        run.engine
-            .list(ListKind::Full, backends.iter().map(endpoint).collect());
+        run.engine.list(
+            UpdateKind::Snapshot,
+            backends.iter().map(endpoint).collect(),
+        );
     }
 
     /// Returns the endpoints of a registry that is watched.
-    pub(super) fn known_endpoints(&self, registry: SocketAddr) -> Option<Vec<Endpoint>> {
+    pub(super) fn known_endpoints(&self, registry: SocketAddr) -> Option<Vec<Instance>> {
         let registries = self.registries.borrow();
         let watch = registries.get(&registry)?;
         Some(watch.endpoints.values().cloned().collect())
@@ -196,8 +198,8 @@
     fn update_endpoints(
         self: &Rc<Self>,
         registry: SocketAddr,
-        kind: ListKind,
-        endpoints: &[Endpoint],
+        kind: UpdateKind,
+        endpoints: &[Instance],
     ) {
         self.endpoint_updates.set(self.endpoint_updates.get() + 1);
         let effects = {
@@ -258,7 +260,7 @@
         }
         match self.known_endpoints(address) {
             // Some pool watches it already.
-            Some(endpoints) => self.update_endpoints(address, ListKind::Full, &endpoints),
+            Some(endpoints) => self.update_endpoints(address, UpdateKind::Snapshot, &endpoints),
             None => self.watch_registry(address),
         }
         self.release_unused();
@@ -289,7 +291,7 @@
         let withdrawn: BTreeSet<SocketAddr> = self.backend_states.borrow().withdrawn().collect();
         let mut nodes = Vec::new();
         for (registry, watch) in &*self.registries.borrow() {
-            let node = |endpoint: &Endpoint| {
+            let node = |endpoint: &Instance| {
                 let address = endpoint.address?;
                 Some(Node {
                     address,
@@ -297,7 +299,7 @@
                     site: endpoint.site.clone(),
                     class: endpoint.class.clone(),
                     block: endpoint.block,
-                    is_available: endpoint.health == EndpointHealth::Serving
+                    is_available: endpoint.health == InstanceHealth::Serving
                         && !withdrawn.contains(&address),
                 })
             };
@@ -311,43 +313,43 @@
 }
 
 /// Removes the endpoints from a run that its pool does not select any more.
-fn remove_relabeled(run: &PoolRun, relabeled: &[RelabeledEndpoint]) {
+fn remove_relabeled(run: &PoolRun, relabeled: &[RelabeledInstance]) {
     let BackendSource::Registry { select, .. } = &run.pool.source else {
         return;
     };
     let leaving = relabeled.iter().filter(|endpoint| {
         is_selected(&endpoint.before, select) && !is_selected(&endpoint.after, select)
     });
-    let removed: Vec<Endpoint> = leaving
-        .map(|endpoint| Endpoint {
-            health: EndpointHealth::Deleted,
+    let removed: Vec<Instance> = leaving
+        .map(|endpoint| Instance {
+            health: InstanceHealth::Deleted,
             ..endpoint.after.clone()
         })
         .collect();
     if !removed.is_empty() {
-        run.engine.list(ListKind::Delta, removed);
+        run.engine.list(UpdateKind::Delta, removed);
     }
 }
 
 /// Returns an endpoint as a pool sees it: deleted if the pool does not select it.
-fn deselected(endpoint: &Endpoint, select: &BTreeMap<String, String>) -> Endpoint {
+fn deselected(endpoint: &Instance, select: &BTreeMap<String, String>) -> Instance {
     let health = match is_selected(endpoint, select) {
         true => endpoint.health,
-        false => EndpointHealth::Deleted,
+        false => InstanceHealth::Deleted,
     };
-    Endpoint {
+    Instance {
         health,
         ..endpoint.clone()
     }
 }
 
 /// Returns the labels by which a pool can select an endpoint.
-fn labels(endpoint: &Endpoint) -> (&str, &str, u16) {
+fn labels(endpoint: &Instance) -> (&str, &str, u16) {
     (&endpoint.site, &endpoint.class, endpoint.block)
 }
 
 /// Whether an endpoint has the labels that a pool selects.
-pub(super) fn is_selected(endpoint: &Endpoint, select: &BTreeMap<String, String>) -> bool {
+pub(super) fn is_selected(endpoint: &Instance, select: &BTreeMap<String, String>) -> bool {
     select.iter().all(|(label, wanted)| match label.as_str() {
         "site" => endpoint.site == *wanted,
         "class" => endpoint.class == *wanted,
--- a/crates/heathroad/src/router/routed_pools.rs
+++ b/crates/heathroad/src/router/routed_pools.rs
@@ -11,7 +11,7 @@
 use crate::metrics::Meter;
 use crate::runtime_accounting::{sleep, spawn_local};
 use crate::time::millis;
-use heathroad_balancer::settings::Facts;
+use heathroad_balancer::settings::InstanceSettings;
 use heathroad_routing::backend_state::BackendStates;
 use heathroad_routing::condition::RequestAttributes;
 use heathroad_routing::generation::Generation;
@@ -37,7 +37,7 @@
 /// What all pools have in common.
 pub struct RoutedPoolsConfig {
     /// The settings of the daemon. Each pool has its own classes.
-    pub facts: Facts,
+    pub facts: InstanceSettings,
     /// The seed of the engines' random numbers.
     pub seed: u64,
     /// The connections to all backends.
