--- a/crates/heathroad/src/discovery/endpoint_list.rs
+++ b/crates/heathroad/src/discovery/endpoint_list.rs
@@ -71,7 +71,7 @@
 
 impl EndpointList {
     /// Parses the entries. Those that are not valid are skipped and logged in one line.
-    pub fn into_endpoints(self) -> Vec<Instance> {
+    pub fn into_instances(self) -> Vec<Instance> {
         let mut endpoints = Vec::new();
         let mut skipped = 0;
         let mut example = None;
--- a/crates/heathroad/src/discovery/mod.rs
+++ b/crates/heathroad/src/discovery/mod.rs
@@ -10,6 +10,7 @@
 use client::{Query, fetch_hedged};
 use endpoint_list::{EndpointList, Instance};
 use heathroad_balancer::api::UpdateKind;
+use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 use timing::WatchTiming;
@@ -22,18 +23,28 @@
 /// An event of an endpoint list.
 pub enum DiscoveryEvent {
     /// The whole list, or a change of it.
-    Endpoints {
-        /// Whether this is the whole list.
-        kind: UpdateKind,
-        /// The endpoints.
-        endpoints: Vec<Instance>,
-        /// The version of the list.
-        version: u64,
-    },
+    Update(EndpointUpdate),
     /// A poll on demand failed.
     PollFailed,
 }
 
+/// A whole endpoint list, or a change of it.
+pub struct EndpointUpdate {
+    /// Whether this is the whole list.
+    pub kind: UpdateKind,
+    /// The instances of the list.
+    pub instances: Vec<Instance>,
+    /// The version of the list.
+    pub version: u64,
+}
+
+impl fmt::Display for EndpointUpdate {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let (kind, count, version) = (self.kind, self.instances.len(), self.version);
+        write!(f, "{kind:?} of {count} instances, version {version}")
+    }
+}
+
 /// Follows an endpoint list forever and passes its events on.
 ///
 /// If `on_demand`, the list is polled only while `wanted` says so, and failures are passed on.
@@ -150,11 +161,11 @@
             } else {
                 UpdateKind::Delta
             };
-            on_event(DiscoveryEvent::Endpoints {
+            on_event(DiscoveryEvent::Update(EndpointUpdate {
                 kind,
-                endpoints: list.into_endpoints(),
+                instances: list.into_instances(),
                 version,
-            });
+            }));
         } else if sent.elapsed() < EMPTY_RESPONSE_PAUSE {
             sleep(EMPTY_RESPONSE_PAUSE).await;
         }
--- a/crates/heathroad/src/discovery/tests.rs
+++ b/crates/heathroad/src/discovery/tests.rs
@@ -82,13 +82,12 @@
     let heard = Rc::new(RefCell::new(Vec::new()));
     let hears = heard.clone();
     let hear = move |event| {
-        let DiscoveryEvent::Endpoints {
-            kind, endpoints, ..
-        } = event
-        else {
+        let DiscoveryEvent::Update(update) = event else {
             panic!("no request fails")
         };
-        hears.borrow_mut().push((kind, endpoints[0].health));
+        hears
+            .borrow_mut()
+            .push((update.kind, update.instances[0].health));
     };
     LocalSet::new()
         .run_until(async move {
--- a/crates/heathroad/src/engine/mod.rs
+++ b/crates/heathroad/src/engine/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::backend::{Attempt, Call, End, Line, Pool, Target};
 use crate::discovery::endpoint_list::{Instance, InstanceHealth};
-use crate::membership::activity_log::{self, Acts};
+use crate::membership::activity_log::{self, ActivityLog};
 use crate::metrics::{Counts, Final, Moment, Notice, Special};
 use crate::retry_budget::{OnBooks, Purse};
 use crate::runtime_accounting::{sleep, sleep_until, spawn_local};
@@ -20,7 +20,7 @@
     RequestArrival, RequestId, SettingsError, UpdateKind,
 };
 use heathroad_balancer::settings::InstanceSettings;
-use heathroad_membership::record::Act;
+use heathroad_membership::activity_record::Activity;
 use heathroad_retry_budget::account::Loan;
 use heathroad_retry_budget::wire::Spent;
 use pending_response::{Running, Wait};
@@ -102,23 +102,23 @@
     /// What it may spend, where budgets are kept.
     pub budget: Option<OnBooks>,
     /// The page of the record that it was bound under, where one is kept.
-    pub acts: Option<activity_log::Bound>,
+    pub acts: Option<activity_log::RequestActivity>,
 }
 
 impl Incoming {
-    fn act(&self, act: Act) {
+    fn act(&self, act: Activity) {
         if let Some(acts) = &self.acts {
-            acts.act(act);
+            acts.record(act);
         }
     }
 }
 
 /// What an end is on the record.
-fn act(end: Final) -> Act {
+fn act(end: Final) -> Activity {
     match end {
-        Final::Served => Act::Served,
-        Final::Refused => Act::Refused,
-        Final::Failed | Final::TimedOut | Final::Left => Act::Failed,
+        Final::Served => Activity::RequestServed,
+        Final::Refused => Activity::RequestRejected,
+        Final::Failed | Final::TimedOut | Final::Left => Activity::RequestFailed,
     }
 }
 
@@ -198,7 +198,7 @@
     /// What it may spend, until its last attempt has ended.
     budget: Option<OnBooks>,
     /// The page that its attempts are written on.
-    acts: Option<activity_log::Bound>,
+    acts: Option<activity_log::RequestActivity>,
 }
 
 impl Open {
@@ -276,7 +276,7 @@
     facts: InstanceSettings,
     counts: Counts,
     /// What this proxy acts on, where a record is kept.
-    acts: Option<Rc<Acts>>,
+    acts: Option<Rc<ActivityLog>>,
     watching: watch::Sender<bool>,
     /// From when on nothing is awaited any more; set by a planned stop.
     last: Cell<Option<Instant>>,
@@ -293,7 +293,7 @@
         seed: u64,
         pool: Rc<Pool>,
         counts: Counts,
-        acts: Option<Rc<Acts>>,
+        acts: Option<Rc<ActivityLog>>,
         watching: watch::Sender<bool>,
     ) -> Result<Rc<Self>, SettingsError> {
         facts.balancer.limits.late_completions = true;
@@ -349,7 +349,7 @@
     /// Dropped before that, the client has hung up.
     pub async fn decide(self: &Rc<Self>, incoming: Incoming, client: Option<Waiting>) -> Told {
         if self.fenced() {
-            incoming.act(Act::Fenced);
+            incoming.act(Activity::RequestFenced);
             self.shut_out.set(self.shut_out.get() + 1);
             self.counts
                 .answered(incoming.class, incoming.tenant, Final::Refused);
@@ -360,7 +360,7 @@
                 None,
             );
         }
-        incoming.act(Act::Bound);
+        incoming.act(Activity::RequestBound);
         let budget = &incoming.budget;
         let patience = budget
             .as_ref()
@@ -384,7 +384,7 @@
             tracing::debug!(id = %incoming.call.label(), reason = "deadline passed before it was decided", "request timed out");
             self.counts
                 .answered(incoming.class, incoming.tenant, Final::TimedOut);
-            incoming.act(Act::Failed);
+            incoming.act(Activity::RequestFailed);
             return (Answer::TimedOut, None);
         }
         let wait = Rc::<Wait<Told>>::default();
@@ -395,7 +395,7 @@
                 tracing::debug!(id = %incoming.call.label(), reason = "open requests at their limit", "request refused");
                 self.counts
                     .answered(incoming.class, incoming.tenant, Final::Refused);
-                incoming.act(Act::Refused);
+                incoming.act(Activity::RequestRejected);
                 return (Answer::Refused { retry_after: None }, None);
             }
             let id = s.next;
@@ -463,7 +463,7 @@
     /// caller.
     pub fn undecided(&self, incoming: &Incoming, end: Final) {
         self.counts.answered(incoming.class, incoming.tenant, end);
-        incoming.act(Act::Bound);
+        incoming.act(Activity::RequestBound);
         incoming.act(act(end));
     }
 
@@ -475,12 +475,12 @@
     /// Whether this proxy binds no request, since others are required than it acts on, or it can't
     /// know.
     pub fn fenced(&self) -> bool {
-        self.acts.as_ref().is_some_and(|a| a.fenced())
+        self.acts.as_ref().is_some_and(|a| a.is_fenced())
     }
 
     /// What is in force now, to bind a request to, where a record is kept.
-    pub fn acts(&self) -> Option<activity_log::Bound> {
-        self.acts.as_ref().map(Acts::bind)
+    pub fn acts(&self) -> Option<activity_log::RequestActivity> {
+        self.acts.as_ref().map(ActivityLog::begin_request)
     }
 
     /// What is counted beside the requests that are decided here.
@@ -532,16 +532,13 @@
     }
 
     /// A list of backends, or changes to it.
-    pub fn list(self: &Rc<Self>, kind: UpdateKind, instances: Vec<Instance>) {
+    pub fn list(self: &Rc<Self>, kind: UpdateKind, list: Vec<Instance>) {
         let entries = {
             let s = &mut *self.state.borrow_mut();
             if kind != UpdateKind::Delta {
                 s.backends.values_mut().for_each(|k| k.listed = false);
             }
-            let entries = instances
-                .into_iter()
-                .filter_map(|e| self.entry(s, e))
-                .collect();
+            let entries = list.into_iter().filter_map(|i| self.entry(s, i)).collect();
             let gone = s.backends.values().filter(|k| !k.listed);
             gone.for_each(|k| k.withdraw(&self.pool, &self.counts, Notice::Gone));
             entries
@@ -601,25 +598,19 @@
         });
     }
 
-    fn entry(&self, s: &mut State, instance: Instance) -> Option<Endpoint> {
-        let (backend, known) = s.known(&instance.name);
-        known.listed = instance.health != InstanceHealth::Deleted;
-        let Some(zone) = self
-            .facts
-            .site
-            .zones
-            .iter()
-            .position(|z| *z == instance.site)
-        else {
+    fn entry(&self, s: &mut State, found: Instance) -> Option<Endpoint> {
+        let (backend, known) = s.known(&found.name);
+        known.listed = found.health != InstanceHealth::Deleted;
+        let Some(zone) = self.facts.site.zones.iter().position(|z| *z == found.site) else {
             // A copy can't send there, so that it takes nothing new from here, wherever it was
             // before.
             known.listed = false;
             known.withdraw(&self.pool, &self.counts, Notice::Gone);
-            if instance.health == InstanceHealth::Serving {
+            if found.health == InstanceHealth::Serving {
                 tracing::warn!(
                     "discovery: {}: zone {:?} is unknown, passed over",
-                    instance.name,
-                    instance.site
+                    found.name,
+                    found.site
                 );
             }
             return Some(Endpoint {
@@ -628,35 +619,31 @@
                 ..Endpoint::default()
             });
         };
-        let phase = match instance.health {
+        let phase = match found.health {
             InstanceHealth::Serving => EndpointState::Ready,
             InstanceHealth::Draining => EndpointState::Draining,
             InstanceHealth::Deleted => EndpointState::Removed,
         };
-        match (phase, instance.address) {
+        match (phase, found.address) {
             (EndpointState::Ready, Some(dial)) => {
                 // A new process knows nothing of the old one's connections. Where its machine fell
                 // silent they look open still, and a request on one would end as a reset, which may
                 // have run.
-                let born_ms = instance.started_ms;
+                let born_ms = found.started_ms;
                 let same = |t: &Rc<Target>| {
                     t.dial == dial && t.born_ms == born_ms && t.drained.get().is_none()
                 };
                 if !known.target.as_ref().is_some_and(same) {
                     known.withdraw(&self.pool, &self.counts, Notice::Replaced);
-                    tracing::debug!(backend = instance.name, address = %dial, born_ms, "backend ready");
-                    known.target = Some(self.pool.target(&instance.name, dial, born_ms));
+                    tracing::debug!(backend = found.name, address = %dial, born_ms, "backend ready");
+                    known.target = Some(self.pool.target(&found.name, dial, born_ms));
                 }
             }
             (EndpointState::Removed, _) => known.withdraw(&self.pool, &self.counts, Notice::Gone),
             _ => known.withdraw(&self.pool, &self.counts, Notice::Draining),
         }
-        let (zone, started_at, weight, cell) = (
-            zone as u16,
-            instance.started_ms.max(0.0),
-            instance.weight.max(0.0),
-            instance.block,
-        );
+        let (zone, cell) = (zone as u16, found.block);
+        let (started_at, weight) = (found.started_ms.max(0.0), found.weight.max(0.0));
         known.place = Place { zone, cell };
         Some(Endpoint {
             backend,
@@ -781,7 +768,10 @@
             duplicate,
             now,
         )?;
-        let granted = open.acts.as_ref().is_none_or(activity_log::Bound::may)
+        let granted = open
+            .acts
+            .as_ref()
+            .is_none_or(activity_log::RequestActivity::permits_attempt)
             && (number == 0 || open.budget.as_ref().is_none_or(OnBooks::again));
         if granted {
             Ok((target, known.place, write_by))
@@ -850,7 +840,7 @@
             self.counts.sent_cold();
         }
         if let Some(acts) = &open.acts {
-            acts.act(Act::Sent);
+            acts.record(Activity::AttemptSent);
         }
         let line = Rc::new(Line::new(open.client.clone(), write_by));
         let lent = open
@@ -1035,7 +1025,7 @@
     request: RequestId,
     class: u16,
     tenant: u16,
-    acts: Option<activity_log::Bound>,
+    acts: Option<activity_log::RequestActivity>,
     /// What it was given; that it left, until then.
     answer: Final,
 }
@@ -1054,7 +1044,7 @@
             .counts
             .answered(self.class, self.tenant, self.answer);
         if let Some(acts) = &self.acts {
-            acts.act(act(self.answer));
+            acts.record(act(self.answer));
         }
         let left = {
             let s = &mut *self.engine.state.borrow_mut();
--- a/crates/heathroad/src/frontend/jsonrpc.rs
+++ b/crates/heathroad/src/frontend/jsonrpc.rs
@@ -519,10 +519,8 @@
         let (mut moved, mut begun) = (Instant::now(), None);
         // As many calls are in work as may be: what comes next waits unread until then.
         let mut full: Option<Instant> = None;
-        let (idle, mut pace) = (
-            millis(is.idle_timeout_ms),
-            Pace::new(is.max_concurrent_calls as usize),
-        );
+        let idle = millis(is.idle_timeout_ms);
+        let mut pace = Pace::new(is.max_concurrent_calls as usize);
         // When what was read last had come, at the earliest.
         let mut arrived = stall_detector::arrival(Instant::now());
         // By a stop, one who has just come and said nothing yet is waited for until then.
@@ -785,11 +783,8 @@
         };
         let front = &self.door.front;
         let generation = front.many.current_generation();
-        let listener = generation
-            .config
-            .listeners
-            .iter()
-            .find(|l| l.name == self.door.is.name);
+        let mut listeners = generation.config.listeners.iter();
+        let listener = listeners.find(|l| l.name == self.door.is.name);
         let method =
             listener.and_then(|l| l.methods.get(&call.method).or(l.default_method.as_ref()));
         let (listener, method) = listener
--- a/crates/heathroad/src/router/error.rs
+++ b/crates/heathroad/src/router/error.rs
@@ -65,6 +65,13 @@
     },
 }
 
+impl From<RouterError> for String {
+    /// Returns the text of the error, as the start of the daemon reports it.
+    fn from(error: RouterError) -> Self {
+        error.to_string()
+    }
+}
+
 /// Why a proposed configuration is rejected before it is staged.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -62,7 +62,7 @@
     /// How the backends of the pool speak JSON-RPC, where they do.
     pub way: Option<Way>,
     /// The activity record of the request, where records are kept.
-    pub acts: Option<activity_log::Bound>,
+    pub acts: Option<activity_log::RequestActivity>,
     /// Keeps the generation and the pool that the request is bound to.
     _route: Option<(Rc<Generation>, Rc<PoolRun>)>,
 }
--- a/crates/heathroad/src/router/proposal.rs
+++ b/crates/heathroad/src/router/proposal.rs
@@ -36,8 +36,8 @@
     /// Checks whether this proxy can require a change of the whole cluster.
     fn check_requirement(&self, within_ms: u64) -> Result<(), ProposalError> {
         let acts = self.config.acts.as_ref().ok_or(ProposalError::NoCluster)?;
-        let min_ms = acts.least_required();
-        if acts.fenced() {
+        let min_ms = acts.min_required_within_ms();
+        if acts.is_fenced() {
             return Err(ProposalError::Fenced);
         }
         if within_ms < min_ms {
@@ -104,7 +104,7 @@
             let assigned = if number > 0 {
                 number - 1
             } else {
-                acts.highest()
+                acts.highest_known_generation()
             };
             self.transactions
                 .borrow_mut()
--- a/crates/heathroad/src/router/registry.rs
+++ b/crates/heathroad/src/router/registry.rs
@@ -180,18 +180,13 @@
     }
 
     fn handle_registry_event(self: &Rc<Self>, registry: SocketAddr, event: DiscoveryEvent) {
-        let DiscoveryEvent::Endpoints {
-            kind,
-            endpoints,
-            version,
-        } = event
-        else {
+        let DiscoveryEvent::Update(update) = event else {
             return;
         };
         if let Some(acts) = &self.config.acts {
-            acts.heard(registry, version);
+            acts.endpoint_list_received(registry, update.version);
         }
-        self.update_endpoints(registry, kind, &endpoints);
+        self.update_endpoints(registry, update.kind, &update.instances);
     }
 
     /// Passes an endpoint list of a registry, or a change of it, on to the pools.
@@ -279,7 +274,7 @@
             if !is_used {
                 watch.task.abort();
                 if let Some(acts) = &self.config.acts {
-                    acts.left(*address);
+                    acts.endpoint_source_removed(*address);
                 }
             }
             is_used
--- a/crates/heathroad/src/router/routed_pools.rs
+++ b/crates/heathroad/src/router/routed_pools.rs
@@ -7,7 +7,7 @@
 use crate::configuration::state_folder::StateFolder;
 use crate::configuration::verification_gate::{LoadedExpectations, VerificationGate};
 use crate::engine::Engine;
-use crate::membership::activity_log::Acts;
+use crate::membership::activity_log::ActivityLog;
 use crate::metrics::Meter;
 use crate::runtime_accounting::{sleep, spawn_local};
 use crate::time::millis;
@@ -51,7 +51,7 @@
     /// The address that the daemon listens on for HTTP.
     pub listen_address: SocketAddr,
     /// The activity log of this proxy, where one is kept.
-    pub acts: Option<Rc<Acts>>,
+    pub acts: Option<Rc<ActivityLog>>,
 }
 
 /// The generation and the pools that new requests bind to.
@@ -141,7 +141,7 @@
         pools.open_listeners(first)?;
         pools.activate(first)?;
         if let Some(acts) = &pools.config.acts {
-            acts.commit(first.number, &first.text, None);
+            acts.announce_commit(first.number, &first.text, None);
         }
         pools.spawn_sampling();
         Ok(pools)
@@ -204,7 +204,10 @@
 
     /// Whether this proxy is fenced: it acts on an older generation than the cluster requires.
     pub(super) fn is_fenced(&self) -> bool {
-        self.config.acts.as_ref().is_some_and(|acts| acts.fenced())
+        self.config
+            .acts
+            .as_ref()
+            .is_some_and(|acts| acts.is_fenced())
     }
 
     pub(super) fn has_backends(&self) -> bool {
@@ -248,7 +251,7 @@
             classes,
         }));
         if let Some(acts) = &self.config.acts {
-            acts.in_force(generation.number, &generation.text);
+            acts.set_routes(generation.number, &generation.text);
         }
         self.share_warmup_budgets();
         self.listeners_changed.send_replace(());
--- a/crates/heathroad/src/router/stale_routes.rs
+++ b/crates/heathroad/src/router/stale_routes.rs
@@ -6,10 +6,10 @@
 
 use super::proposal::is_staged;
 use super::routed_pools::RoutedPools;
-use crate::membership::Peers;
+use crate::membership::MembershipService;
 use crate::runtime_accounting::{sleep, timeout};
+use heathroad_membership::desired_version::{Desired, DesiredVersion};
 use heathroad_membership::version::Digest;
-use heathroad_membership::want::{Want, Wanted};
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
@@ -23,8 +23,8 @@
 const RECHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Brings this proxy up to date whenever its routes are stale, until the pools are gone.
-pub async fn keep_up_to_date(pools: Weak<RoutedPools>, peers: Rc<Peers>, seed: u64) {
-    let mut wanted = peers.wanted();
+pub async fn keep_up_to_date(pools: Weak<RoutedPools>, peers: Rc<MembershipService>, seed: u64) {
+    let mut wanted = peers.watch_desired();
     let mut rng = fastrand::Rng::with_seed(seed);
     loop {
         // The sender belongs to `peers`, which this task keeps alive.
@@ -37,7 +37,7 @@
             if pools.transactions.borrow().open_transaction().is_some() {
                 continue;
             }
-            if let Some(text) = peers.pull(want.digest).await {
+            if let Some(text) = peers.fetch_routes(want.digest).await {
                 update(&pools, &peers, want, &text).await;
             }
         }
@@ -50,20 +50,33 @@
 
 /// Returns the version that the cluster wants, if it is newer than the one in force and this proxy
 /// has not rejected it.
-fn newer_version(pools: &RoutedPools, peers: &Peers, wanted: Wanted) -> Option<Want> {
-    let Wanted::One(want) = wanted else {
+fn newer_version(
+    pools: &RoutedPools,
+    peers: &MembershipService,
+    wanted: Desired,
+) -> Option<DesiredVersion> {
+    let Desired::Version(want) = wanted else {
         return None;
     };
     let current = pools.current_generation();
     let is_same = Digest::of(current.text.as_bytes()) == want.digest;
-    let is_newer = want.number > current.number && !is_same;
-    (is_newer && !peers.acts().turned_down(want.digest)).then_some(want)
+    let is_newer = want.generation > current.number && !is_same;
+    (is_newer && !peers.activity_log().was_rejected(want.digest)).then_some(want)
 }
 
-async fn update(pools: &Rc<RoutedPools>, peers: &Peers, want: Want, text: &str) {
-    let reject = |reason: String| peers.acts().turn_down(want.number, want.digest, reason);
-    let file = format!("generation {} of the fleet", want.number);
-    let reports = match pools.propose_numbered(&file, text, want.number).await {
+async fn update(
+    pools: &Rc<RoutedPools>,
+    peers: &MembershipService,
+    want: DesiredVersion,
+    text: &str,
+) {
+    let reject = |reason: String| {
+        peers
+            .activity_log()
+            .record_rejection(want.generation, want.digest, reason)
+    };
+    let file = format!("generation {} of the fleet", want.generation);
+    let reports = match pools.propose_numbered(&file, text, want.generation).await {
         Ok(reports) => reports,
         Err(error) => {
             pools.add_message(format!("{file} is turned down: {error}"));
--- a/crates/heathroad/src/router/startup.rs
+++ b/crates/heathroad/src/router/startup.rs
@@ -7,7 +7,7 @@
 use crate::configuration::routes::{self, check_self_loop};
 use crate::configuration::state_folder::StateFolder;
 use crate::configuration::verification_gate::{self, GateError, VerificationGate};
-use crate::membership::activity_log::Acts;
+use crate::membership::activity_log::ActivityLog;
 use heathroad_routing::generation::Generation;
 use heathroad_routing::journal::{Journal, OpenError, OpenTransaction, Record, RecoveredState};
 use heathroad_routing::transaction::TransactionConfig;
@@ -35,7 +35,7 @@
     file: &Path,
     config: &Config,
     connections: &Rc<Pool>,
-    acts: Option<Rc<Acts>>,
+    acts: Option<Rc<ActivityLog>>,
 ) -> Result<Rc<RoutedPools>, RouterError> {
     let mut state = open_state(config)?;
     let gate = config.expectations.as_deref().map(VerificationGate::new);
--- a/crates/heathroad/src/router/transactions.rs
+++ b/crates/heathroad/src/router/transactions.rs
@@ -8,7 +8,7 @@
 use crate::engine::Engine;
 use crate::router::pool_run::{PoolRun, jsonrpc_transport};
 use crate::runtime_accounting::{sleep, spawn_local, timeout};
-use heathroad_membership::record::Act;
+use heathroad_membership::activity_record::Activity;
 use heathroad_routing::generation::Generation;
 use heathroad_routing::journal::{OpenTransaction, Record};
 use heathroad_routing::regression::PoolSample;
@@ -103,9 +103,9 @@
     fn publish(&self, report: &TransactionReport) {
         if let Some(acts) = &self.config.acts {
             match report {
-                TransactionReport::Applied { .. } => acts.act(Act::Applied),
+                TransactionReport::Applied { .. } => acts.record(Activity::ChangeApplied),
                 TransactionReport::Committed { number } => self.announce_commit(*number),
-                TransactionReport::RolledBack { .. } => acts.act(Act::Undone),
+                TransactionReport::RolledBack { .. } => acts.record(Activity::ChangeRolledBack),
                 _ => {}
             }
         }
@@ -128,7 +128,7 @@
         let required = required.filter(|change| change.digest == current.digest);
         let acts = self.config.acts.as_ref();
         if let Some(acts) = acts.filter(|_| current.number == number) {
-            acts.commit(
+            acts.announce_commit(
                 number,
                 &current.text,
                 required.map(|change| change.within_ms),
