--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -16,7 +16,7 @@
 
 pub use error::{ProposalError, RouterError};
 
-use crate::backend::jsonrpc::Way;
+use crate::backend::jsonrpc::Transport;
 use crate::engine::Engine;
 use crate::membership::activity_log;
 use crate::metrics::{Meter, Moment};
@@ -60,7 +60,7 @@
     /// The maximum duration of a request of the class, where the pool limits it.
     pub deadline: Option<Duration>,
     /// How the backends of the pool speak JSON-RPC, where they do.
-    pub way: Option<Way>,
+    pub way: Option<Transport>,
     /// The activity record of the request, where records are kept.
     pub acts: Option<activity_log::RequestActivity>,
     /// Keeps the generation and the pool that the request is bound to.
@@ -85,7 +85,7 @@
         effect: facts.balancer.classes[index].idempotency,
         deadline: None,
         way: None,
-        acts: engine.acts(),
+        acts: engine.bind_activity(),
         _route: None,
     })
 }
@@ -94,11 +94,11 @@
     /// Whether requests are accepted: some pool has backends, and this proxy is not fenced.
     pub fn ready(&self) -> bool {
         let is_fenced = match self {
-            Router::SinglePool(engine) => engine.fenced(),
+            Router::SinglePool(engine) => engine.is_fenced(),
             Router::Routed(pools) => pools.is_fenced(),
         };
         let has_backends = match self {
-            Router::SinglePool(engine) => engine.ready(),
+            Router::SinglePool(engine) => engine.is_ready(),
             Router::Routed(pools) => pools.has_backends(),
         };
         has_backends && !is_fenced
--- a/crates/heathroad/src/router/pool_run.rs
+++ b/crates/heathroad/src/router/pool_run.rs
@@ -6,7 +6,7 @@
 use super::RouterError;
 use super::registry::is_selected;
 use super::routed_pools::RoutedPools;
-use crate::backend::jsonrpc::Way;
+use crate::backend::jsonrpc::Transport;
 use crate::engine::Engine;
 use crate::metrics::Counts;
 use heathroad_balancer::api::{self, UpdateKind};
@@ -99,17 +99,17 @@
         let Some(predecessor) = predecessor else {
             return;
         };
-        let targets = predecessor.engine.targets();
+        let targets = predecessor.engine.available_targets();
         let kept = match (&pool.source, &predecessor.pool.source) {
             (BackendSource::List(backends), _) => targets
                 .iter()
-                .filter(|target| backends.iter().any(|b| b.address == target.dial))
+                .filter(|target| backends.iter().any(|b| b.address == target.address))
                 .count(),
             (now, before) if now == before => targets.len(),
             _ => 0,
         };
         let limit = predecessor.engine.moment().load.limit;
-        engine.begin_at(limit * kept as f64 / targets.len().max(1) as f64);
+        engine.set_initial_limit(limit * kept as f64 / targets.len().max(1) as f64);
     }
 
     /// Tells the engine of a new run its backends, as far as they are known.
@@ -127,7 +127,8 @@
                 match self.known_endpoints(registry) {
                     Some(endpoints) => {
                         let selected = endpoints.into_iter().filter(|e| is_selected(e, select));
-                        run.engine.list(UpdateKind::Snapshot, selected.collect());
+                        run.engine
+                            .update_endpoints(UpdateKind::Snapshot, selected.collect());
                     }
                     None => self.watch_registry(registry),
                 }
@@ -144,13 +145,13 @@
 }
 
 /// Returns how the backends of a pool speak JSON-RPC.
-pub(super) fn jsonrpc_transport(settings: &JsonRpcSettings) -> Way {
-    Way {
+pub(super) fn jsonrpc_transport(settings: &JsonRpcSettings) -> Transport {
+    Transport {
         port: settings.port,
         framing: settings.framing,
-        calls: settings.max_concurrent_calls as usize,
-        declined: settings.rejection_code,
-        budget: settings.carries_budget,
+        max_calls: settings.max_concurrent_calls as usize,
+        declined_code: settings.rejection_code,
+        carries_budget: settings.carries_budget,
     }
 }
 
--- a/crates/heathroad/src/router/registry.rs
+++ b/crates/heathroad/src/router/registry.rs
@@ -147,7 +147,7 @@
             weight: backend.weight,
             started_ms: 0.0,
         };
-        run.engine.list(
+        run.engine.update_endpoints(
             UpdateKind::Snapshot,
             backends.iter().map(endpoint).collect(),
         );
@@ -216,7 +216,7 @@
             match &run.pool.source {
                 BackendSource::Registry { select, .. } if is_watching(run) => {
                     let list = endpoints.iter().map(|e| deselected(e, select));
-                    run.engine.list(kind, list.collect());
+                    run.engine.update_endpoints(kind, list.collect());
                 }
                 // A backend that a registry announces is the same one where a list names it.
                 BackendSource::List(backends)
@@ -236,14 +236,14 @@
         let runs = self.present_runs();
         let addresses = |run: &Rc<PoolRun>| -> BTreeSet<SocketAddr> {
             run.engine
-                .targets()
+                .available_targets()
                 .iter()
-                .map(|target| target.dial)
+                .map(|target| target.address)
                 .collect()
         };
         let pools: Vec<BTreeSet<SocketAddr>> = runs.iter().map(addresses).collect();
         for (run, sharing_pools) in runs.iter().zip(count_sharing_pools(&pools)) {
-            run.engine.share_cold(sharing_pools);
+            run.engine.share_warm_up(sharing_pools);
         }
     }
 
@@ -322,7 +322,7 @@
         })
         .collect();
     if !removed.is_empty() {
-        run.engine.list(UpdateKind::Delta, removed);
+        run.engine.update_endpoints(UpdateKind::Delta, removed);
     }
 }
 
--- a/crates/heathroad/src/router/routed_pools.rs
+++ b/crates/heathroad/src/router/routed_pools.rs
@@ -215,7 +215,7 @@
             .borrow()
             .runs
             .iter()
-            .any(|run| run.engine.ready())
+            .any(|run| run.engine.is_ready())
     }
 
     pub(super) fn serves(&self, class: &str) -> bool {
--- a/crates/heathroad/src/router/transactions.rs
+++ b/crates/heathroad/src/router/transactions.rs
@@ -3,7 +3,7 @@
 use super::RouterError;
 use super::routed_pools::RoutedPools;
 use crate::backend::Pool as Connections;
-use crate::backend::jsonrpc::Way;
+use crate::backend::jsonrpc::Transport;
 use crate::configuration::verification_gate;
 use crate::engine::Engine;
 use crate::router::pool_run::{PoolRun, jsonrpc_transport};
@@ -264,7 +264,7 @@
 fn take_sample(run: &PoolRun) -> Option<PoolSample> {
     let mut counts = run.engine.counts().so_far();
     // Requests that were rejected while this proxy was fenced say nothing of a change.
-    counts[1] = counts[1].saturating_sub(run.engine.shut_out());
+    counts[1] = counts[1].saturating_sub(run.engine.fenced_rejections());
     let previous = run.sampled_counts.replace(counts);
     let [served, rejected, failed, timed_out, late] =
         [0, 1, 2, 3, 4].map(|i| counts[i].saturating_sub(previous[i]) as f64);
@@ -286,11 +286,11 @@
 }
 
 /// Waits until an engine has backends, and a connection to at least one of them.
-async fn warm_up(connections: &Rc<Connections>, engine: &Rc<Engine>, transport: Option<Way>) {
+async fn warm_up(connections: &Rc<Connections>, engine: &Rc<Engine>, transport: Option<Transport>) {
     loop {
         let mut warm_connections = 0;
-        for target in &engine.targets() {
-            let is_warm = connections.warm(target, transport).await;
+        for target in &engine.available_targets() {
+            let is_warm = connections.ensure_connection(target, transport).await;
             warm_connections += usize::from(is_warm);
         }
         if warm_connections > 0 {
