--- a/crates/heathroad/src/engine/endpoints.rs
+++ b/crates/heathroad/src/engine/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::{Engine, hash_text};
 use crate::backend::{Pool, Target};
-use crate::discovery::endpoint_list::{Health, Host};
+use crate::discovery::endpoint_list::{Instance, InstanceHealth};
 use crate::metrics::{Counts, Notice};
 use crate::safety::Location;
 use crate::stall_detector;
@@ -52,19 +52,21 @@
     }
 
     /// Replaces its process unless that is the listed one.
-    fn set_ready_target(&mut self, host: &Host, pool: &Pool, counts: &Counts) {
-        let Some(address) = host.dial else { return };
+    fn set_ready_target(&mut self, instance: &Instance, pool: &Pool, counts: &Counts) {
+        let Some(address) = instance.address else {
+            return;
+        };
         // A new process knows nothing of the old one's connections. Where its machine fell silent
         // they look open still, and a request on one would end as a reset, which may have run.
-        let is_same = self
-            .available_target()
-            .is_some_and(|target| target.address == address && target.born_ms == host.born_ms);
+        let is_same = self.available_target().is_some_and(|target| {
+            target.address == address && target.born_ms == instance.started_ms
+        });
         if is_same {
             return;
         }
         self.withdraw(pool, counts, Notice::Replaced);
-        tracing::debug!(backend = host.host, %address, born_ms = host.born_ms, "backend ready");
-        self.target = Some(pool.target(&host.host, address, host.born_ms));
+        tracing::debug!(backend = instance.name, %address, born_ms = instance.started_ms, "backend ready");
+        self.target = Some(pool.target(&instance.name, address, instance.started_ms));
     }
 }
 
@@ -125,7 +127,7 @@
 
 impl Engine {
     /// Applies a list of backends, or changes to it.
-    pub fn update_endpoints(self: &Rc<Self>, kind: UpdateKind, hosts: Vec<Host>) {
+    pub fn update_endpoints(self: &Rc<Self>, kind: UpdateKind, list: Vec<Instance>) {
         let updated = {
             let endpoints = &mut self.state.borrow_mut().endpoints;
             if kind != UpdateKind::Delta {
@@ -134,9 +136,9 @@
                     .values_mut()
                     .for_each(|endpoint| endpoint.is_listed = false);
             }
-            let updated = hosts
+            let updated = list
                 .into_iter()
-                .map(|host| self.update_endpoint(endpoints, host))
+                .map(|instance| self.update_endpoint(endpoints, instance))
                 .collect();
             let unlisted = endpoints
                 .by_id
@@ -152,19 +154,19 @@
         self.forget_unlisted_endpoints();
     }
 
-    fn update_endpoint(&self, endpoints: &mut Endpoints, host: Host) -> Endpoint {
-        let (backend, endpoint) = endpoints.get_or_insert(&host.host);
-        endpoint.is_listed = host.health != Health::Deleted;
+    fn update_endpoint(&self, endpoints: &mut Endpoints, instance: Instance) -> Endpoint {
+        let (backend, endpoint) = endpoints.get_or_insert(&instance.name);
+        endpoint.is_listed = instance.health != InstanceHealth::Deleted;
         let zones = &self.settings.site.zones;
-        let Some(zone) = zones.iter().position(|zone| *zone == host.site) else {
+        let Some(zone) = zones.iter().position(|zone| *zone == instance.site) else {
             // The pool cannot send there, and takes it out wherever it was before.
             endpoint.is_listed = false;
             endpoint.withdraw(&self.pool, &self.counts, Notice::Gone);
-            if host.health == Health::Serving {
+            if instance.health == InstanceHealth::Serving {
                 tracing::warn!(
                     "discovery: {}: zone {:?} is unknown, passed over",
-                    host.host,
-                    host.site
+                    instance.name,
+                    instance.site
                 );
             }
             return Endpoint {
@@ -173,22 +175,22 @@
                 ..Endpoint::default()
             };
         };
-        let state = endpoint_state(host.health);
+        let state = endpoint_state(instance.health);
         match state {
-            EndpointState::Ready if host.dial.is_some() => {
-                endpoint.set_ready_target(&host, &self.pool, &self.counts);
+            EndpointState::Ready if instance.address.is_some() => {
+                endpoint.set_ready_target(&instance, &self.pool, &self.counts);
             }
             EndpointState::Removed => endpoint.withdraw(&self.pool, &self.counts, Notice::Gone),
             _ => endpoint.withdraw(&self.pool, &self.counts, Notice::Draining),
         }
-        let (zone, cell) = (zone as u16, host.block);
+        let (zone, cell) = (zone as u16, instance.block);
         endpoint.location = Location { zone, cell };
         Endpoint {
             backend,
             state,
             zone,
-            started_at: host.born_ms.max(0.0),
-            weight: host.share.max(0.0),
+            started_at: instance.started_ms.max(0.0),
+            weight: instance.weight.max(0.0),
             cell,
         }
     }
@@ -219,10 +221,10 @@
     }
 }
 
-fn endpoint_state(health: Health) -> EndpointState {
+fn endpoint_state(health: InstanceHealth) -> EndpointState {
     match health {
-        Health::Serving => EndpointState::Ready,
-        Health::Draining => EndpointState::Draining,
-        Health::Deleted => EndpointState::Removed,
+        InstanceHealth::Serving => EndpointState::Ready,
+        InstanceHealth::Draining => EndpointState::Draining,
+        InstanceHealth::Deleted => EndpointState::Removed,
     }
 }
--- a/crates/heathroad/src/frontend/http/request.rs
+++ b/crates/heathroad/src/frontend/http/request.rs
@@ -9,12 +9,12 @@
 use crate::frontend::reservations::RequestReservation;
 use crate::membership::activity_log;
 use crate::retry_budget::{RequestBudget, read_http_claim};
-use crate::router::{Ask, Bound};
+use crate::router::{BoundRequest, RoutingRequest};
 use crate::runtime_accounting::timeout_at;
 use bytes::{Bytes, BytesMut};
 use heathroad_balancer::api::Idempotency;
 use heathroad_retry_budget::loop_detection::RequestFingerprint;
-use heathroad_routing::split::hash;
+use heathroad_routing::traffic_split::stable_hash;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HOST, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING};
@@ -40,7 +40,7 @@
 const BAD_REQUEST: RequestError = RequestError::Malformed(StatusCode::BAD_REQUEST);
 
 /// A request that was read, its reservations, and what it is bound to.
-type ReadRequest = (IncomingRequest, RequestReservation, Bound);
+type ReadRequest = (IncomingRequest, RequestReservation, BoundRequest);
 
 /// The headers of the protocol that the proxy reads. Each must come once and not empty, or is
 /// absent.
@@ -111,7 +111,7 @@
         let activity = bound.acts.clone();
         let call = to_call(&head, &headers, activity.as_ref(), body)?;
         let fingerprint = RequestFingerprint {
-            key: key.map_or(0, |key| hash(key.as_bytes())),
+            key: key.map_or(0, |key| stable_hash(key.as_bytes())),
             class: bound.class,
             tenant,
         };
@@ -168,9 +168,9 @@
         class: &str,
         headers: &ProtocolHeaders<'_>,
         key: Option<&str>,
-    ) -> Result<Bound, RequestError> {
+    ) -> Result<BoundRequest, RequestError> {
         let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
-        let ask = Ask {
+        let ask = RoutingRequest {
             listener: MAIN_LISTENER,
             method: "",
             host: host.unwrap_or_default(),
--- a/crates/heathroad/src/frontend/jsonrpc/call.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/call.rs
@@ -8,7 +8,7 @@
 use crate::frontend::reservations::PendingRequestGuard;
 use crate::metrics::Final;
 use crate::retry_budget::{RequestBudget, read_jsonrpc_claim};
-use crate::router::Ask;
+use crate::router::RoutingRequest;
 use bytes::Bytes;
 use heathroad_balancer::api::Idempotency;
 use heathroad_jsonrpc::message::{
@@ -17,8 +17,8 @@
 use heathroad_jsonrpc::pointer::{self, Missing};
 use heathroad_jsonrpc::write;
 use heathroad_retry_budget::loop_detection::RequestFingerprint;
-use heathroad_routing::file::{Listener, Method, TenantFrom};
-use heathroad_routing::split::hash;
+use heathroad_routing::config::{Listener, Method, TenantSource};
+use heathroad_routing::traffic_split::stable_hash;
 use hyper::header::HeaderMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -79,14 +79,14 @@
 impl Client {
     /// Finds out what a call is and which pool it goes to.
     pub(super) fn bind_call(&self, call: Call, received_at: Instant) -> Result<BoundCall, Wrong> {
-        let generation = self.frontend().many.in_force();
+        let generation = self.frontend().many.current_generation();
         let listeners = &generation.config.listeners;
         let listener = listeners
             .iter()
             .find(|listener| listener.name == self.listener().name);
         let method = listener.and_then(|listener| {
             let named = listener.methods.get(&call.method);
-            named.or(listener.unknown.as_ref())
+            named.or(listener.default_method.as_ref())
         });
         let unknown_method = wrong(METHOD_NOT_FOUND, "a method of this listener");
         let (listener, method) = listener.zip(method).ok_or(unknown_method)?;
@@ -96,7 +96,7 @@
         let route_key = key
             .as_deref()
             .map_or(call.id.as_deref().unwrap_or_default(), str::as_bytes);
-        let bound = self.frontend().many.bind(&Ask {
+        let bound = self.frontend().many.bind(&RoutingRequest {
             listener: &listener.name,
             method: &call.method,
             host: "",
@@ -114,7 +114,7 @@
         }
         let timeout = bound.deadline.unwrap_or_default();
         let fingerprint = RequestFingerprint {
-            key: key.as_deref().map_or(0, |key| hash(key.as_bytes())),
+            key: key.as_deref().map_or(0, |key| stable_hash(key.as_bytes())),
             class: bound.class,
             tenant: tenant_index,
         };
@@ -139,15 +139,15 @@
 
     /// Returns the name of a call's tenant, where the listener has tenants.
     fn tenant_name(&self, call: &Call, listener: &Listener) -> Result<Option<String>, Wrong> {
-        match &listener.tenant {
-            TenantFrom::Nothing => Ok(None),
-            TenantFrom::Fixed(name) => Ok(Some(name.clone())),
-            TenantFrom::Connection(by_address) => {
+        match &listener.tenant_source {
+            TenantSource::None => Ok(None),
+            TenantSource::Fixed(name) => Ok(Some(name.clone())),
+            TenantSource::ClientAddress(by_address) => {
                 let unknown_address = wrong(INVALID_REQUEST, "an address with a tenant");
                 let name = by_address.get(&self.peer).ok_or(unknown_address)?;
                 Ok(Some(name.clone()))
             }
-            TenantFrom::Params(pointer) => {
+            TenantSource::Params(pointer) => {
                 let expected = "a tenant where the listener looks for it";
                 let value = pointer.find(params(call));
                 let value = value.map_err(|missing| missing_value(missing, expected))?;
--- a/crates/heathroad/src/frontend/jsonrpc/connection.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/connection.rs
@@ -15,7 +15,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use heathroad_jsonrpc::message::{NULL, PARSE_ERROR, Wrong};
 use heathroad_jsonrpc::{Decoder, Limits, write};
-use heathroad_routing::file::Listener;
+use heathroad_routing::config::Listener;
 use std::cell::Cell;
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -141,15 +141,15 @@
     fn new(client: Rc<Client>) -> Session {
         let (listener, now) = (client.listener(), Instant::now());
         let limits = Limits {
-            text: listener.text,
+            text: listener.max_message_bytes,
             depth: MAX_DEPTH,
-            batch: listener.batch,
+            batch: listener.max_batch_size,
         };
         Session {
             decoder: Decoder::new(listener.framing, limits),
             exchanges: Exchanges::default(),
             calls: JoinSet::new(),
-            concurrency: BatchConcurrency::new(listener.calls as usize),
+            concurrency: BatchConcurrency::new(listener.max_concurrent_calls as usize),
             output: BytesMut::new(),
             last_answer: None,
             is_input_over: false,
@@ -174,7 +174,7 @@
             self.reject_overdue_calls();
             self.begin_calls().await;
             let listener = self.client.listener();
-            let (in_order, framing) = (listener.in_order, listener.framing);
+            let (in_order, framing) = (listener.ordered_responses, listener.framing);
             self.exchanges
                 .write_finished(in_order, framing, &mut self.output);
             if self.is_finished(reader) {
@@ -236,7 +236,8 @@
     /// Begins waiting calls, and reads further texts, as far as there is capacity.
     async fn begin_calls(&mut self) {
         while self.output.len() < MAX_OUTPUT {
-            let has_capacity = self.calls.len() < self.client.listener().calls as usize;
+            let has_capacity =
+                self.calls.len() < self.client.listener().max_concurrent_calls as usize;
             self.unread_until = match has_capacity {
                 true => None,
                 false => self.unread_until.or(Some(Instant::now() + MAX_UNREAD_WAIT)),
@@ -345,7 +346,7 @@
         match self.text_begun_at {
             _ if !self.output.is_empty() => self.active_at + WRITE_TIMEOUT,
             Some(begun_at) => begun_at + MESSAGE_TIMEOUT,
-            None if is_idle => self.active_at + millis(self.client.listener().idle_ms),
+            None if is_idle => self.active_at + millis(self.client.listener().idle_timeout_ms),
             // Calls have deadlines of their own.
             None => now + WRITE_TIMEOUT,
         }
--- a/crates/heathroad/src/frontend/jsonrpc/exchange.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/exchange.rs
@@ -4,10 +4,10 @@
 use super::answer::{answer, too_large_to_keep};
 use crate::engine::IncomingRequest;
 use crate::frontend::reservations::BufferReservation;
-use crate::router::Bound;
+use crate::router::BoundRequest;
 use bytes::{Bytes, BytesMut};
 use heathroad_jsonrpc::{Framing, write};
-use heathroad_routing::file::Listener;
+use heathroad_routing::config::Listener;
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
@@ -22,7 +22,7 @@
     /// Its id; a notification has none.
     pub(super) id: Option<Bytes>,
     pub(super) incoming: IncomingRequest,
-    pub(super) bound: Bound,
+    pub(super) bound: BoundRequest,
 }
 
 /// What became of a call.
@@ -140,8 +140,8 @@
     /// Returns whether a further text may be read: as many calls wait at most as a batch has, and
     /// twice as many texts as calls run.
     pub(super) fn has_capacity(&self, listener: &Listener) -> bool {
-        let max_texts = TEXTS_PER_CALL * listener.calls as usize;
-        self.waiting < listener.batch && self.exchanges.len() < max_texts
+        let max_texts = TEXTS_PER_CALL * listener.max_concurrent_calls as usize;
+        self.waiting < listener.max_batch_size && self.exchanges.len() < max_texts
     }
 
     /// Returns when the first of the waiting calls is rejected.
--- a/crates/heathroad/src/frontend/jsonrpc/intake.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/intake.rs
@@ -53,7 +53,7 @@
     }
 
     fn parse(&self, text: &Bytes) -> (bool, Vec<Member>) {
-        match message::read(text, self.client.listener().batch) {
+        match message::read(text, self.client.listener().max_batch_size) {
             Ok(Message::One(call)) => (false, vec![Member::Parsed(call)]),
             Ok(Message::Batch(texts)) => (true, texts.into_iter().map(Member::Text).collect()),
             Err(wrong) => (false, vec![Member::Parsed(Err(wrong))]),
--- a/crates/heathroad/src/frontend/jsonrpc/listener.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/listener.rs
@@ -10,7 +10,7 @@
 use bytes::BytesMut;
 use heathroad_jsonrpc::message::NULL;
 use heathroad_jsonrpc::write;
-use heathroad_routing::file::Listener;
+use heathroad_routing::config::Listener;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -113,7 +113,7 @@
     ) {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
-        let is_full = self.connections.borrow().len() >= self.listener.connections as usize
+        let is_full = self.connections.borrow().len() >= self.listener.max_connections as usize
             || self.frontend.table.descriptors() >= self.frontend.max_connections;
         if is_full && !self.shed_one() {
             spawn_in(open, self.clone().reject(stream));
--- a/crates/heathroad/src/frontend/jsonrpc/mod.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/mod.rs
@@ -21,10 +21,10 @@
 
 use super::connections::ConnectionTable;
 use crate::retry_budget::RetryBudgets;
-use crate::router::routed_pools::Many;
+use crate::router::routed_pools::RoutedPools;
 use crate::runtime_accounting::spawn_in;
 use heathroad_balancer::settings::InstanceSettings;
-use heathroad_routing::file::Listener;
+use heathroad_routing::config::Listener;
 use listener::ListenerServer;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -34,7 +34,7 @@
 /// Serves clients over JSON-RPC.
 pub struct JsonRpcFrontend {
     /// Says where calls go, and which listeners take them.
-    pub many: Rc<Many>,
+    pub many: Rc<RoutedPools>,
     /// The settings.
     pub settings: InstanceSettings,
     /// Most connections at once, with those over HTTP.
@@ -54,7 +54,7 @@
     /// Serves the listeners of the generation in force, until `stop` is set and the last call is
     /// answered.
     pub async fn serve(self: Rc<Self>, mut stop: watch::Receiver<bool>) {
-        let mut changed = self.many.doors_changed();
+        let mut changed = self.many.listener_changes();
         let daemon_stop = stop.clone();
         let mut running = RunningListeners::new();
         let mut open = JoinSet::new();
@@ -80,7 +80,7 @@
         open: &mut JoinSet<()>,
         daemon_stop: &watch::Receiver<bool>,
     ) {
-        let configured = self.many.doors();
+        let configured = self.many.listeners();
         running.retain(|name, (listener, stop)| {
             let stays = configured
                 .iter()
@@ -109,12 +109,12 @@
         (
             l.address,
             l.framing,
-            l.in_order,
-            l.connections,
-            l.calls,
-            l.text,
-            l.batch,
+            l.ordered_responses,
+            l.max_connections,
+            l.max_concurrent_calls,
+            l.max_message_bytes,
+            l.max_batch_size,
         )
     };
-    bounds(listener) == bounds(other) && listener.idle_ms == other.idle_ms
+    bounds(listener) == bounds(other) && listener.idle_timeout_ms == other.idle_timeout_ms
 }
--- a/crates/heathroad/src/lib.rs
+++ b/crates/heathroad/src/lib.rs
@@ -44,7 +44,7 @@
 use crate::runtime_accounting::{sleep, spawn_local, timeout};
 use backend::Pool;
 use configuration::Config;
-use discovery::News;
+use discovery::DiscoveryEvent;
 use engine::Engine;
 use frontend::connections;
 use frontend::http::HttpFrontend;
@@ -56,7 +56,7 @@
 use membership::activity_log::ActivityLog;
 use metrics::{Counts, Meter};
 use retry_budget::RetryBudgets;
-use router::routed_pools::Many;
+use router::routed_pools::RoutedPools;
 use router::{Router, stale_routes, startup};
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::io::Write;
@@ -120,7 +120,7 @@
         acts: Option<Rc<ActivityLog>>,
     },
     /// Pools by routes follow their own.
-    Routes(Rc<Many>),
+    Routes(Rc<RoutedPools>),
 }
 
 fn one_pool(
@@ -143,7 +143,7 @@
     let known = config
         .known
         .take()
-        .map(discovery::endpoint_list::Page::entries)
+        .map(discovery::endpoint_list::EndpointList::into_instances)
         .unwrap_or_default();
     engine.update_endpoints(UpdateKind::Cached, known);
     let following = follow(&engine, config.discovery, must_ask, &wanted, acts.clone());
@@ -172,14 +172,14 @@
 ) -> JoinHandle<()> {
     let (engine, grace) = (engine.clone(), millis(engine.settings().site.drain_grace));
     let hear = move |news| match news {
-        News::List(kind, hosts, seq) => {
-            tracing::debug!(?kind, hosts = hosts.len(), seq, "list of backends");
+        DiscoveryEvent::Update(update) => {
+            tracing::debug!("discovery: {update}");
             if let Some(acts) = &acts {
-                acts.endpoint_list_received(address, seq);
+                acts.endpoint_list_received(address, update.version);
             }
-            engine.update_endpoints(kind, hosts);
+            engine.update_endpoints(update.kind, update.instances);
         }
-        News::Failed => engine.record_list_failure(),
+        DiscoveryEvent::PollFailed => engine.record_list_failure(),
     };
     spawn_local(discovery::follow(
         hear,
@@ -213,7 +213,7 @@
                 }
             }
             Lists::Routes(many) => {
-                many.move_registry(address);
+                many.set_default_registry(address);
                 if let Some(file) = &config.routes {
                     spawn_local(startup::reload(file.clone(), many.clone()));
                 }
@@ -272,8 +272,8 @@
         Some(file) => Lists::Routes(startup::start(file, &config, &pool, acts.clone())?),
     };
     let router = Rc::new(match &source {
-        Lists::One { engine, .. } => Router::One(engine.clone()),
-        Lists::Routes(many) => Router::Many(many.clone()),
+        Lists::One { engine, .. } => Router::SinglePool(engine.clone()),
+        Lists::Routes(many) => Router::Routed(many.clone()),
     });
     let (mut peers, mut duties) = (None, None);
     if let Some((mut fleet, acts)) = config.fleet.take().zip(acts) {
@@ -288,8 +288,8 @@
         }
         peers = Some(among);
     }
-    if let (Some(peers), Router::Many(many)) = (&peers, &*router) {
-        spawn_local(stale_routes::follow(
+    if let (Some(peers), Router::Routed(many)) = (&peers, &*router) {
+        spawn_local(stale_routes::keep_up_to_date(
             Rc::downgrade(many),
             peers.clone(),
             config.seed,
@@ -327,8 +327,8 @@
     let (max_connections, max_buffered_bytes, table) =
         (usable - usable / 2, config.memory / BODIES, Rc::default());
     let calling = match &*router {
-        Router::One(_) => None,
-        Router::Many(many) => {
+        Router::SinglePool(_) => None,
+        Router::Routed(many) => {
             let (many, settings, table) = (many.clone(), settings.clone(), Rc::clone(&table));
             let budgets = budgets.clone();
             let front = JsonRpcFrontend {
@@ -370,8 +370,8 @@
             .map(|engine| engine.pending_requests())
             .sum::<usize>()
     );
-    if let Router::Many(many) = &*router {
-        many.handle(Event::Stop);
+    if let Router::Routed(many) = &*router {
+        many.handle(Event::Shutdown);
     }
     // The signal may have come while the process was held up.
     let asked = stall_detector::earliest_arrival(Instant::now());
--- a/crates/heathroad/tests/unit/engine.rs
+++ b/crates/heathroad/tests/unit/engine.rs
@@ -4,7 +4,7 @@
 use super::response::ResponseState;
 use super::*;
 use crate::backend::{Call, Limits, http};
-use crate::discovery::endpoint_list::{Health, Host};
+use crate::discovery::endpoint_list::{Instance, InstanceHealth};
 use crate::runtime_accounting::spawn_local;
 use crate::safety::{ClientConnection, ClientHandle, Denial, Location, PastAttempt, violations};
 use bytes::Bytes;
@@ -23,18 +23,18 @@
     heathroad_balancer::settings::parse(text.as_bytes()).expect("good settings")
 }
 
-fn host(name: &str, health: Health) -> Host {
+fn host(name: &str, health: InstanceHealth) -> Instance {
     let dial = Some("127.0.0.1:9".parse().expect("an address"));
     let (host, site) = (name.to_string(), "a".to_string());
-    Host {
-        host,
-        dial,
+    Instance {
+        name: host,
+        address: dial,
         site,
         class: String::new(),
         block: 0,
         health,
-        share: 1.0,
-        born_ms: 0.0,
+        weight: 1.0,
+        started_ms: 0.0,
     }
 }
 
@@ -66,11 +66,16 @@
             for n in 0..100 {
                 let (old, new) = (format!("s-{n}"), format!("s-{}", n + 1));
                 if n % 2 == 0 {
-                    let hosts = vec![host(&old, Health::Deleted), host(&new, Health::Serving)];
+                    let hosts = vec![
+                        host(&old, InstanceHealth::Deleted),
+                        host(&new, InstanceHealth::Serving),
+                    ];
                     engine.update_endpoints(UpdateKind::Delta, hosts);
                 } else {
-                    engine
-                        .update_endpoints(UpdateKind::Snapshot, vec![host(&new, Health::Serving)]);
+                    engine.update_endpoints(
+                        UpdateKind::Snapshot,
+                        vec![host(&new, InstanceHealth::Serving)],
+                    );
                 }
                 let endpoints = &engine.state.borrow().endpoints;
                 assert_eq!(
@@ -112,7 +117,10 @@
                 activity: None,
             };
             engine.state.borrow_mut().requests.insert(7, open);
-            engine.update_endpoints(UpdateKind::Snapshot, vec![host("s-101", Health::Serving)]);
+            engine.update_endpoints(
+                UpdateKind::Snapshot,
+                vec![host("s-101", InstanceHealth::Serving)],
+            );
             assert_eq!(engine.state.borrow().endpoints.by_id.len(), 2);
             engine.state.borrow_mut().requests.clear();
             engine.forget_unlisted_endpoints();
@@ -159,9 +167,9 @@
     let dial = Some(listener.local_addr().expect("bound"));
     engine.update_endpoints(
         UpdateKind::Snapshot,
-        vec![Host {
-            dial,
-            ..host("a", Health::Serving)
+        vec![Instance {
+            address: dial,
+            ..host("a", InstanceHealth::Serving)
         }],
     );
     (engine, listener)
--- a/crates/heathroad/tests/unit/frontend_http.rs
+++ b/crates/heathroad/tests/unit/frontend_http.rs
@@ -35,7 +35,7 @@
         None,
         watching,
     );
-    let router = Rc::new(Router::One(engine.expect("good settings")));
+    let router = Rc::new(Router::SinglePool(engine.expect("good settings")));
     let (max_connections, max_buffered_bytes, table) =
         (2 * CALLERS, 1 << 20, Rc::<ConnectionTable>::default());
     let front = HttpFrontend {
