--- a/crates/heathroad/tests/unit/lease_store.rs
+++ b/crates/heathroad/tests/unit/lease_store.rs
@@ -2,7 +2,12 @@
 
 use super::*;
 use crate::lease::audit_collection::{AuditCollection, CollectedRecords};
+use heathroad_lease::LeaseId;
+use heathroad_lease::checkpoint::Checkpoint;
+use heathroad_lease::token::Token;
+use heathroad_lease::voter_state::DurableGrant;
 use heathroad_membership::version::Digest;
+use std::collections::BTreeMap;
 
 /// The names of the file and the table, then each key and its value.
 const GOLDEN: &str = include_str!("../golden/lease_store.txt");
@@ -97,3 +102,27 @@
     );
     std::fs::remove_dir_all(&folder).expect("it is removed");
 }
+
+/// A voter must not forget what it has granted.
+#[test]
+fn the_state_of_a_voter_that_has_granted_a_lease_is_read_back() {
+    let checkpoint = Checkpoint {
+        token: Token::new(2, 300, 5),
+        sequence: 77,
+        state: b"state".to_vec(),
+    };
+    let grant = DurableGrant {
+        token: Token::new(3, 179_000_000_123, 7),
+        incarnation: 9,
+        checkpoint,
+    };
+    let state = VoterState {
+        generation: 3,
+        leases: BTreeMap::from([(LeaseId::from_name("conductor"), grant)]),
+    };
+    let folder = create_folder("store-grants");
+    let store = LeaseStore::open(&folder).expect("it opens");
+    store.write_voter_state(&state).expect("it is written");
+    assert_eq!(store.read_voter_state().expect("it is read"), state);
+    std::fs::remove_dir_all(&folder).expect("it is removed");
+}
