--- a/crates/heathroad-lease/src/lib.rs
+++ b/crates/heathroad-lease/src/lib.rs
@@ -31,6 +31,8 @@
 use heathroad_membership::version::Digest;
 use serde::{Deserialize, Serialize};
 use std::fmt;
+use std::str::FromStr;
+use thiserror::Error;
 
 /// Identifies a lease: the first four bytes of the SHA-256 digest of its name.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -50,6 +52,25 @@
     }
 }
 
+/// The text is not a lease id.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[error("expected a lease id of 8 hexadecimal digits")]
+pub struct ParseLeaseIdError;
+
+impl FromStr for LeaseId {
+    type Err = ParseLeaseIdError;
+
+    fn from_str(text: &str) -> Result<LeaseId, ParseLeaseIdError> {
+        // `from_str_radix` alone would accept a sign.
+        let is_id = text.len() == 8 && text.bytes().all(|b| b.is_ascii_hexdigit());
+        if !is_id {
+            return Err(ParseLeaseIdError);
+        }
+        let number = u32::from_str_radix(text, 16).map_err(|_| ParseLeaseIdError)?;
+        Ok(LeaseId(number.to_be_bytes()))
+    }
+}
+
 impl fmt::Debug for LeaseId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
--- a/crates/heathroad-lease/src/voter_state.rs
+++ b/crates/heathroad-lease/src/voter_state.rs
@@ -26,6 +26,29 @@
     /// The highest generation of a voter set that the voter has heard of.
     pub generation: u8,
     /// The state of each lease.
-    #[serde(rename = "duties")]
+    #[serde(rename = "duties", with = "leases_by_text")]
     pub leases: BTreeMap<LeaseId, DurableGrant>,
 }
+
+/// The map of leases with its keys as text, since JSON has no other keys.
+mod leases_by_text {
+    use super::{DurableGrant, LeaseId};
+    use serde::{Deserialize, Deserializer, Serializer, de::Error};
+    use std::collections::BTreeMap;
+
+    pub(super) fn serialize<S: Serializer>(
+        leases: &BTreeMap<LeaseId, DurableGrant>,
+        serializer: S,
+    ) -> Result<S::Ok, S::Error> {
+        serializer.collect_map(leases.iter().map(|(id, grant)| (id.to_string(), grant)))
+    }
+
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(
+        deserializer: D,
+    ) -> Result<BTreeMap<LeaseId, DurableGrant>, D::Error> {
+        let leases = BTreeMap::<String, DurableGrant>::deserialize(deserializer)?;
+        let parse = |(id, grant): (String, DurableGrant)| Ok((id.parse()?, grant));
+        let leases: Result<_, crate::ParseLeaseIdError> = leases.into_iter().map(parse).collect();
+        leases.map_err(D::Error::custom)
+    }
+}
