--- a/crates/heathroad-routing/src/config/listener.rs
+++ b/crates/heathroad-routing/src/config/listener.rs
@@ -213,7 +213,7 @@
         return TenantSource::None;
     };
     let mut tenants_by_address = BTreeMap::new();
-    for (address, tenant) in table.iter() {
+    for (address, tenant) in table {
         match (address.get_ref().parse(), tenant.get_ref().as_str()) {
             (Ok(address), Some(name)) => {
                 report_unknown_tenant(section, tenant.span().start, key, name, tenants);
--- a/crates/heathroad-routing/src/config/parser/mod.rs
+++ b/crates/heathroad-routing/src/config/parser/mod.rs
@@ -208,7 +208,7 @@
         let known_keys = self.known_keys.borrow();
         let known: Vec<&str> = known_keys.iter().copied().collect();
         let expected = format!("one of {}", known.join(", "));
-        for (key, _) in self.table.iter() {
+        for (key, _) in self.table {
             if !known_keys.contains(key.get_ref().as_ref()) {
                 let (offset, field) = (key.span().start, self.field(key.get_ref()));
                 self.document
--- a/crates/heathroad-routing/tests/journal.rs
+++ b/crates/heathroad-routing/tests/journal.rs
@@ -311,7 +311,7 @@
     };
     match Journal::open(newer) {
         Err(OpenError::Format(e)) => {
-            assert_eq!(e.to_string(), "the log is of format 9; expected 1 or older")
+            assert_eq!(e.to_string(), "the log is of format 9; expected 1 or older");
         }
         _ => panic!("it is not to be touched"),
     }
--- a/crates/heathroad-routing/tests/regression.rs
+++ b/crates/heathroad-routing/tests/regression.rs
@@ -124,8 +124,7 @@
                     harm.unwrap_or_else(|| panic!("seed {seed}, rate {rate}: {what} is not found"));
                 assert!(
                     harm.indicator == what || harm.indicator == "not served in time",
-                    "seed {seed}: {}",
-                    harm
+                    "seed {seed}: {harm}"
                 );
                 assert!(
                     after <= 8,
--- a/crates/heathroad-routing/tests/table.rs
+++ b/crates/heathroad-routing/tests/table.rs
@@ -111,7 +111,7 @@
                 .collect();
             match best[..] {
                 [] if matching.is_empty() => {
-                    assert!(compiled.find_route(r).is_none(), "seed {seed}")
+                    assert!(compiled.find_route(r).is_none(), "seed {seed}");
                 }
                 [only] if found.is_empty() => {
                     let taken = compiled.find_route(r).expect("a match");
--- a/crates/heathroad/src/lease/service.rs
+++ b/crates/heathroad/src/lease/service.rs
@@ -52,7 +52,7 @@
 
 impl LeaseService {
     /// Starts the service, with the state that is in the state folder, where there is one.
-    pub async fn start(
+    pub fn start(
         settings: Settings,
         seed: u64,
         peers: Rc<MembershipService>,
--- a/crates/heathroad/src/lib.rs
+++ b/crates/heathroad/src/lib.rs
@@ -283,7 +283,7 @@
             .map_err(|error| error.to_string())?;
         if let Some(named) = named {
             let folder = config.state.as_deref();
-            let service = LeaseService::start(named, seed(), among.clone(), folder).await;
+            let service = LeaseService::start(named, seed(), among.clone(), folder);
             duties = Some(service.map_err(|e| e.to_string())?);
         }
         peers = Some(among);
--- a/crates/heathroad/src/router/stale_routes.rs
+++ b/crates/heathroad/src/router/stale_routes.rs
@@ -73,7 +73,7 @@
     let reject = |reason: String| {
         peers
             .activity_log()
-            .record_rejection(want.generation, want.digest, reason)
+            .record_rejection(want.generation, want.digest, reason);
     };
     let file = format!("generation {} of the fleet", want.generation);
     let reports = match pools.propose_numbered(&file, text, want.generation).await {
--- a/crates/heathroad/tests/unit/backend_races.rs
+++ b/crates/heathroad/tests/unit/backend_races.rs
@@ -76,7 +76,7 @@
     }
 }
 
-async fn small_listener(queue: u32) -> TcpListener {
+fn small_listener(queue: u32) -> TcpListener {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a size");
     socket
@@ -104,7 +104,7 @@
 /// Another attempt holds the only slot.
 #[tokio::test]
 async fn an_attempt_cancelled_while_it_waits_for_a_slot_takes_none() {
-    let listener = small_listener(16).await;
+    let listener = small_listener(16);
     let address = listener.local_addr().expect("bound");
     let pool = pool(1, true);
     LocalSet::new()
@@ -140,7 +140,7 @@
 #[tokio::test]
 async fn a_second_connect_ends_with_its_cancelled_attempt() {
     for cancel in [AttemptControl::abandon, AttemptControl::cancel] {
-        let listener = small_listener(1).await;
+        let listener = small_listener(1);
         let address = listener.local_addr().expect("bound");
         let pool = pool(4, true);
         LocalSet::new()
@@ -212,7 +212,7 @@
         ),
     ];
     for (bytes, outcome) in cases {
-        let listener = small_listener(16).await;
+        let listener = small_listener(16);
         let address = listener.local_addr().expect("bound");
         let pool = pool(4, true);
         LocalSet::new()
@@ -246,7 +246,7 @@
 #[tokio::test]
 async fn a_request_cancelled_half_way_is_not_written_on() {
     for cancel in [AttemptControl::abandon, AttemptControl::cancel] {
-        let listener = small_listener(16).await;
+        let listener = small_listener(16);
         let address = listener.local_addr().expect("bound");
         let pool = pool(4, true);
         LocalSet::new()
@@ -279,7 +279,7 @@
 /// a connection is not reused while another may be on its way; one that comes meanwhile ends it.
 #[tokio::test]
 async fn connections_settle_where_second_responses_come() {
-    let listener = small_listener(16).await;
+    let listener = small_listener(16);
     let address = listener.local_addr().expect("bound");
     let pool = pool(4, true);
     let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood";
@@ -323,7 +323,7 @@
     // More than the system takes for a node that reads nothing.
     const TEXT: usize = 16 << 20;
     for cancel in [AttemptControl::abandon, AttemptControl::cancel] {
-        let listener = small_listener(16).await;
+        let listener = small_listener(16);
         let address = listener.local_addr().expect("bound");
         let pool = pool(4, true);
         LocalSet::new()
