--- a/crates/heathroad-harness/src/cli.rs
+++ b/crates/heathroad-harness/src/cli.rs
@@ -271,7 +271,7 @@
         }
         stop.send_replace(true);
         // Held, so that the receivers' channel stays open.
-        std::future::pending::<()>().await
+        std::future::pending::<()>().await;
     });
 }
 
--- a/crates/heathroad-harness/src/stand_in/backend.rs
+++ b/crates/heathroad-harness/src/stand_in/backend.rs
@@ -324,7 +324,7 @@
     /// While its machine has vanished nothing goes on: the wait ends with the process.
     async fn present(&self) {
         if self.mode() == Mode::Silent {
-            std::future::pending().await
+            std::future::pending::<()>().await;
         }
     }
 
--- a/crates/heathroad-membership/src/protocol/piggyback.rs
+++ b/crates/heathroad-membership/src/protocol/piggyback.rs
@@ -1,5 +1,6 @@
 //! The piggyback channel: messages of other protocols in authenticated datagrams. A message names
-//! the incarnation of its sender, is for this incarnation of its recipient, and arrives at most once.
+//! the incarnation of its sender, is for this incarnation of its recipient, and arrives at most
+//! once.
 
 use crate::wire::Update;
 use crate::{Incarnation, MemberId};
--- a/crates/heathroad-membership/tests/activity_record.rs
+++ b/crates/heathroad-membership/tests/activity_record.rs
@@ -65,8 +65,8 @@
     assert!(!Rc::ptr_eq(&record.begin_interval(500, version(1)), &first));
 }
 
-/// Pages past the most that differ in their lists alone become one, which goes on taking the recorded
-/// of both.
+/// Pages past the most that differ in their lists alone become one, which goes on taking the
+/// recorded of both.
 #[test]
 fn a_full_record_merges_intervals_that_differ_in_lists_alone() {
     let mut record = ActivityRecord::new(0, 1, None);
@@ -103,8 +103,8 @@
     );
 }
 
-/// Where nothing can be joined the oldest is given up, and what it epochs is snapshot as lost; late recorded
-/// too.
+/// Where nothing can be joined the oldest is given up, and what it epochs is snapshot as lost; late
+/// recorded too.
 #[test]
 fn a_full_record_reports_what_it_discarded() {
     let mut record = ActivityRecord::new(0, 1, None);
@@ -166,8 +166,8 @@
 }
 
 proptest! {
-    /// Whatever versions come and whenever recorded are done, none is unaccounted for, and epochs lie in
-    /// order.
+    /// Whatever versions come and whenever recorded are done, none is unaccounted for, and epochs
+    /// lie in order.
     #[test]
     fn no_activity_is_unaccounted_for(steps in prop::collection::vec((0..6_u64, 0..40_u64, 0..8_usize), 1..900)) {
         let mut record = ActivityRecord::new(0, 1, None);
--- a/crates/heathroad-membership/tests/common/mod.rs
+++ b/crates/heathroad-membership/tests/common/mod.rs
@@ -35,8 +35,8 @@
     pub loss: f64,
     /// The share of datagrams that arrive twice.
     pub duplication: f64,
-    /// The longest delay in milliseconds. Each datagram has a random delay, so that they arrive out of
-    /// order.
+    /// The longest delay in milliseconds. Each datagram has a random delay, so that they arrive out
+    /// of order.
     pub delay: Millis,
     /// Links on which nothing arrives, from the first member to the second.
     pub blocked: HashSet<(MemberId, MemberId)>,
--- a/crates/heathroad-membership/tests/golden_record.rs
+++ b/crates/heathroad-membership/tests/golden_record.rs
@@ -29,7 +29,8 @@
     }
 }
 
-/// A record with everything that a record can hold: two lives, a epoch that was not closed, pages given up.
+/// A record with everything that a record can hold: two lives, a epoch that was not closed, pages
+/// given up.
 fn record() -> RecordSnapshot {
     let mut first = ActivityRecord::new(START, START, None);
     for generation in 1..=MAX_INTERVALS as u64 {
--- a/crates/heathroad-membership/tests/membership.rs
+++ b/crates/heathroad-membership/tests/membership.rs
@@ -245,8 +245,8 @@
         .expect("sooner than any suspicion");
 }
 
-/// Half of a fleet that comes back at once asks nobody in particular, and nobody transmits more than it
-/// may.
+/// Half of a fleet that comes back at once asks nobody in particular, and nobody transmits more
+/// than it may.
 #[test]
 fn half_of_a_fleet_restarts_at_once() {
     let mut world = settled(100, 10);
--- a/crates/heathroad-membership/tests/random_histories.rs
+++ b/crates/heathroad-membership/tests/random_histories.rs
@@ -1,6 +1,6 @@
-//! Random histories of small fleets: soon after the last fault all running members know that exactly
-//! the running ones are alive. `FLEET_HISTORIES` asks for more of
-//! them, from `FLEET_SEED` on.
+//! Random histories of small fleets: soon after the last fault all running members know that
+//! exactly the running ones are alive. `FLEET_HISTORIES` asks for more of them, from `FLEET_SEED`
+//! on.
 
 mod common;
 
--- a/crates/heathroad-routing/src/backend_state/mod.rs
+++ b/crates/heathroad-routing/src/backend_state/mod.rs
@@ -1,8 +1,8 @@
 //! The state of backends, by address.
 //!
-//! The state belongs to a backend and not to the pools or generations that name it. A backend in two
-//! pools is one backend for drains and warm-up, and no configuration change brings back a backend
-//! that drains or is gone.
+//! The state belongs to a backend and not to the pools or generations that name it. A backend in
+//! two pools is one backend for drains and warm-up, and no configuration change brings back a
+//! backend that drains or is gone.
 
 #[cfg(test)]
 mod tests;
--- a/crates/heathroad-routing/src/condition.rs
+++ b/crates/heathroad-routing/src/condition.rs
@@ -1,6 +1,6 @@
 //! The conditions of a route, and the attributes of a request that they compare.
 //!
-//! Conditions that look at the same attributes have the same [`ConditionShape`], so that one hash
+//! Conditions that look at the same attributes have the same `ConditionShape`, so that one hash
 //! look-up finds all routes of a shape that a request may match.
 
 use serde::Serialize;
--- a/crates/heathroad-routing/src/config/checks.rs
+++ b/crates/heathroad-routing/src/config/checks.rs
@@ -8,7 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Reports backends that a pool lists twice, and backends whose site or block differs between pools.
+/// Reports backends that a pool lists twice, and backends whose site or block differs between
+/// pools.
 pub(super) fn check_shared_backends(document: &Document<'_>, pools: &[LocatedPool]) {
     let mut first_seen: BTreeMap<SocketAddr, (&ListedBackend, &str)> = BTreeMap::new();
     for (index, LocatedPool { pool, offset }) in pools.iter().enumerate() {
@@ -62,8 +63,8 @@
     }
 }
 
-/// Reports routes with a listener or method that does not exist, and routes that take JSON-RPC calls
-/// to a pool that does not speak it.
+/// Reports routes with a listener or method that does not exist, and routes that take JSON-RPC
+/// calls to a pool that does not speak it.
 pub(super) fn check_route_listeners(
     document: &Document<'_>,
     routes: &[Route],
--- a/crates/heathroad-routing/src/regression.rs
+++ b/crates/heathroad-routing/src/regression.rs
@@ -1,7 +1,7 @@
 //! Detection of regressions that a change causes while it is on probation.
 //!
-//! Each pool that the change affects is compared with the time before the change, and with the pools
-//! that the change does not affect. What gets worse everywhere is not blamed on the change.
+//! Each pool that the change affects is compared with the time before the change, and with the
+//! pools that the change does not affect. What gets worse everywhere is not blamed on the change.
 
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/heathroad-routing/src/traffic_split/mod.rs
+++ b/crates/heathroad-routing/src/traffic_split/mod.rs
@@ -1,8 +1,8 @@
 //! Weighted traffic splits that are stable by key.
 //!
 //! The pool of a key is chosen by weighted rendezvous hashing (Thaler and Ravishankar 1998, with
-//! weights by the logarithmic method). When the weight of a pool grows, keys move only to that pool;
-//! when it shrinks, keys move only away from it.
+//! weights by the logarithmic method). When the weight of a pool grows, keys move only to that
+//! pool; when it shrinks, keys move only away from it.
 
 #[cfg(test)]
 mod tests;
--- a/crates/heathroad-routing/tests/golden_config_keys.rs
+++ b/crates/heathroad-routing/tests/golden_config_keys.rs
@@ -1,5 +1,5 @@
-//! The keys of the file of routes and pools: each is read, and whatever is no key is refused with the list of those that
-//! are. Both golden answers come from commit 1355c4b.
+//! The keys of the file of routes and pools: each is read, and whatever is no key is refused with
+//! the list of those that are. Both golden answers come from commit 1355c4b.
 
 use heathroad_routing::condition::RouteCondition;
 use heathroad_routing::config::{Config, TenantSource, parse};
--- a/crates/heathroad-routing/tests/golden_journal.rs
+++ b/crates/heathroad-routing/tests/golden_journal.rs
@@ -1,5 +1,5 @@
-//! The stored bytes of the routes' journal: a log of every kind of record, written by commit 1355c4b, is read and
-//! written again byte by byte.
+//! The stored bytes of the routes' journal: a log of every kind of record, written by commit
+//! 1355c4b, is read and written again byte by byte.
 
 use heathroad_routing::journal::{Journal, JournalStorage, OpenTransaction, Record, recover};
 use std::convert::Infallible;
--- a/crates/heathroad-routing/tests/transactions.rs
+++ b/crates/heathroad-routing/tests/transactions.rs
@@ -177,8 +177,8 @@
     );
 }
 
-/// A change that is verified is verified last, applied only if it may be, and not at all once its time is over.
-/// The way back is open.
+/// A change that is verified is verified last, applied only if it may be, and not at all once its
+/// time is over. The way back is open.
 #[test]
 fn a_change_that_is_verified_waits_for_its_verdict() {
     let verified = |number, rejection: Option<&str>| Event::Verified {
@@ -489,8 +489,8 @@
     assert!(s.actions.is_empty());
 }
 
-/// A daemon in a random history: the machine, its log as a start would find it, backends, and requests
-/// that are bound.
+/// A daemon in a random history: the machine, its log as a start would find it, backends, and
+/// requests that are bound.
 struct World {
     manager: TransactionManager,
     log: RecoveredState,
--- a/crates/heathroad-verifier/src/lib.rs
+++ b/crates/heathroad-verifier/src/lib.rs
@@ -4,8 +4,9 @@
 //!
 //! - [`expectations`] parses what must hold, for which requests, and in which
 //!   [`failure_scenarios`].
-//! - [`request_space`] divides all requests into finitely many kinds that no route and no expectation
-//!   distinguishes, and orders them so that the requests that fulfil a condition are a box.
+//! - [`request_space`] divides all requests into finitely many kinds that no route and no
+//!   expectation distinguishes, and orders them so that the requests that fulfil a condition are a
+//!   box.
 //! - [`reachability`] finds the routes that requests of a box take.
 //! - [`nodes`] tells which nodes a pool has.
 //! - [`verify`](mod@verify) returns a verdict on each expectation, with the smallest request and
--- a/crates/heathroad-verifier/src/reachability.rs
+++ b/crates/heathroad-verifier/src/reachability.rs
@@ -1,8 +1,8 @@
 //! Reachability: the routes that the requests of a region take.
 //!
 //! A route takes what it matches and no narrower route does. Routes are nested or disjoint, so that
-//! the next narrower ones are disjoint from each other, and counting decides: if the kinds that they
-//! match are as many as the region has, none is left for the route itself.
+//! the next narrower ones are disjoint from each other, and counting decides: if the kinds that
+//! they match are as many as the region has, none is left for the route itself.
 
 use crate::request_space::{Region, RequestSpace};
 use heathroad_routing::condition::RouteCondition;
--- a/crates/heathroad-verifier/src/request_space/hierarchy.rs
+++ b/crates/heathroad-verifier/src/request_space/hierarchy.rs
@@ -34,8 +34,8 @@
     labels.join(".")
 }
 
-/// Returns the interval of the names below a prefix in a sorted list. `include_prefix` tells whether
-/// the prefix itself is one of them.
+/// Returns the interval of the names below a prefix in a sorted list. `include_prefix` tells
+/// whether the prefix itself is one of them.
 pub(super) fn interval_below(
     sorted: &[Name],
     prefix: &[String],
--- a/crates/heathroad-verifier/src/request_space/mod.rs
+++ b/crates/heathroad-verifier/src/request_space/mod.rs
@@ -1,8 +1,8 @@
 //! The space of all possible requests, divided into kinds that no condition distinguishes.
 //!
-//! A kind is a point with a value in each dimension. Values are ordered so that what a condition asks
-//! for is an interval: names below one wildcard, or paths below one prefix, stand side by side. The
-//! requests that fulfil several conditions are therefore a box, a [`Region`].
+//! A kind is a point with a value in each dimension. Values are ordered so that what a condition
+//! asks for is an interval: names below one wildcard, or paths below one prefix, stand side by
+//! side. The requests that fulfil several conditions are therefore a box, a [`Region`].
 
 mod builder;
 mod hierarchy;
--- a/crates/heathroad-verifier/tests/golden_expectations_keys.rs
+++ b/crates/heathroad-verifier/tests/golden_expectations_keys.rs
@@ -1,5 +1,5 @@
-//! The keys of the file of expectations: each is read, and whatever is no key is refused with the list of those that are.
-//! The golden answer comes from commit 1355c4b.
+//! The keys of the file of expectations: each is read, and whatever is no key is refused with the
+//! list of those that are. The golden answer comes from commit 1355c4b.
 
 use heathroad_routing::config::DeduplicationScope;
 use heathroad_verifier::expectations::{Bounds, Quantity, Requirement, RetryLimit, parse};
--- a/crates/heathroad/src/cli/commands.rs
+++ b/crates/heathroad/src/cli/commands.rs
@@ -4,6 +4,7 @@
 use super::verify::{CommandError, read_routes};
 use super::{admin_client, lease, membership, query, verify};
 use crate::configuration::{self as config, routes};
+use crate::daemon::DaemonError;
 use clap::Parser;
 use hyper::Method;
 use std::io::Write;
@@ -17,9 +18,12 @@
 
 /// The program, by its command line: the daemon where that says nothing, else a look at files or a
 /// call to a daemon.
-pub fn main(start: impl FnOnce() -> Result<(), String>) -> ExitCode {
+pub fn main(run_daemon: impl FnOnce() -> Result<(), DaemonError>) -> ExitCode {
     let (done, code) = match Cli::parse().command {
-        None => (start(), ExitCode::FAILURE),
+        None => (
+            run_daemon().map_err(|error| error.to_string()),
+            ExitCode::FAILURE,
+        ),
         Some(Command::Check { file }) => (check(&file), ExitCode::from(BAD_INPUT)),
         Some(Command::Expect { with }) => {
             (told(verify::run_expect(&with)), ExitCode::from(BAD_INPUT))
@@ -78,11 +82,11 @@
             routes.digest
         ));
     }
-    let config = config::check(file)?;
+    let config = config::check(file).map_err(|error| error.to_string())?;
     if let Some(file) = &config.routes {
         routes::check_self_loop(&*read_routes(file)?, config.listen).map_err(|e| e.to_string())?;
     }
-    let site = &config.facts.site;
+    let site = &config.settings.site;
     say(&format!(
         "{}: good: {} classes, {} tenants, listens on {}, discovery at {}",
         file.display(),
--- a/crates/heathroad/src/cli/verify.rs
+++ b/crates/heathroad/src/cli/verify.rs
@@ -50,8 +50,8 @@
     let files = files.collect::<Result<Vec<_>, _>>()?;
     let mut environment = match &arguments.settings {
         Some(file) => {
-            let config = configuration::check(file)?;
-            verification_gate::environment(&config.facts, config.discovery, Vec::new())
+            let config = configuration::check(file).map_err(|error| error.to_string())?;
+            verification_gate::environment(&config.settings, config.discovery, Vec::new())
         }
         None => Environment::default(),
     };
--- a/crates/heathroad/src/configuration/mod.rs
+++ b/crates/heathroad/src/configuration/mod.rs
@@ -1,14 +1,20 @@
-//! What the proxy is told at its start: the environment and the configuration file, checked.
+//! The configuration of the daemon: the environment and the configuration file, read and validated.
+//!
+//! The parts that have files of their own are in the modules below; [`error`] says what can be
+//! wrong.
 
+pub mod error;
 pub mod lease;
 pub mod membership;
 pub mod routes;
 pub mod state_folder;
 pub mod verification_gate;
 
+pub use error::ConfigError;
+
 use crate::discovery::endpoint_list::EndpointList;
 use crate::retry_budget;
-use heathroad_balancer::settings::{self, InstanceSettings};
+use heathroad_balancer::settings::{self, InstanceSettings, SiteSettings};
 use heathroad_membership::version::Digest;
 use serde::Deserialize;
 use std::env;
@@ -16,42 +22,43 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// All that a start needs.
+/// The validated configuration.
 pub struct Config {
-    /// Where callers connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where discovery, or its agent, answers.
+    /// The address of discovery, or of its agent.
     pub discovery: SocketAddr,
-    /// Where operators ask for the counts, if anywhere.
+    /// The admin address, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The file of routes and pools, if there is one; else the settings' one pool serves.
+    /// The file of routes and pools, if there is one; else the one pool of the settings serves.
     pub routes: Option<PathBuf>,
-    /// What this proxy keeps to of budgets down a chain, if it does.
+    /// The settings of retry budgets down a chain, if they are on.
     pub budget: Option<retry_budget::Settings>,
-    /// What is expected of them: a change that breaks it is turned down.
+    /// The file of expectations: a change of routes that violates one is rejected.
     pub expectations: Option<PathBuf>,
-    /// The folder in which the committed configuration is kept, if there is one.
+    /// The state folder, if there is one.
     pub state: Option<PathBuf>,
-    /// How long a change of routes is watched before it is committed.
+    /// The time for which a change of routes is observed before it is committed.
     pub probation: Duration,
-    /// Seed of the module's random numbers.
+    /// The seed of the decision module's random numbers.
     pub seed: u64,
-    /// How many descriptors the process may hold.
+    /// The limit on file descriptors.
     pub sockets: usize,
-    /// How many bytes of memory it may use.
+    /// The limit on memory, in bytes.
     pub memory: usize,
-    /// This proxy's part in its fleet, if it has one.
-    pub fleet: Option<membership::Settings>,
-    /// Tells proxies with unlike settings apart, but for what is meant to differ between copies.
+    /// The membership of this proxy in a cluster, if it has one.
+    pub membership: Option<membership::Settings>,
+    /// The digest of the settings that all replicas have in common.
     pub digest: Digest,
-    /// The list of backends as this proxy last had it.
+    /// The last known endpoint list.
     pub known: Option<EndpointList>,
     /// The settings.
-    pub facts: InstanceSettings,
+    pub settings: InstanceSettings,
 }
 
+/// The configuration file, under its keys.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     listen: Option<String>,
     discovery: Option<String>,
     admin: Option<String>,
@@ -59,11 +66,12 @@
     routes: Option<PathBuf>,
     expectations: Option<PathBuf>,
     state: Option<PathBuf>,
-    fleet: Option<PathBuf>,
+    #[serde(rename = "fleet")]
+    membership: Option<PathBuf>,
     peer_listen: Option<String>,
     #[serde(default)]
     peers: Vec<String>,
-    #[serde(default = "usual_probation")]
+    #[serde(default = "default_probation_ms")]
     probation_ms: u64,
     seed: String,
     limits: Limits,
@@ -77,73 +85,112 @@
     memory_mb: usize,
 }
 
-fn usual_probation() -> u64 {
+fn default_probation_ms() -> u64 {
     30_000
 }
 
-/// A change is watched no longer than this, an hour.
+/// The longest observation of a change, in ms: an hour.
 const MAX_PROBATION_MS: u64 = 3_600_000;
-/// Fewer descriptors than this leave no room for work.
+/// The fewest file descriptors that leave capacity for requests.
 const MIN_SOCKETS: usize = 64;
-/// Less memory than this holds no work.
+/// The least memory that holds requests, in MB.
 const MIN_MEMORY_MB: usize = 8;
+/// The bytes of a megabyte of the limits.
+const MEGABYTE: usize = 1 << 20;
 
-/// The addresses that the environment names; they go before the file's.
+/// The addresses that the environment names; they take precedence over the file's.
 #[derive(Default)]
-struct Named {
+struct EnvironmentAddresses {
     listen: Option<String>,
     discovery: Option<String>,
     admin: Option<String>,
 }
 
-impl Named {
-    fn by_environment() -> Self {
-        let name = |name| env::var(name).ok();
-        Named {
-            listen: name("RELAY_LISTEN"),
-            discovery: name("RELAY_DISCOVERY"),
-            admin: name("RELAY_ADMIN"),
+impl EnvironmentAddresses {
+    fn read() -> Self {
+        EnvironmentAddresses {
+            listen: env::var("RELAY_LISTEN").ok(),
+            discovery: env::var("RELAY_DISCOVERY").ok(),
+            admin: env::var("RELAY_ADMIN").ok(),
         }
     }
 }
 
 /// Reads the environment and the file that it names.
-pub fn load() -> Result<Config, String> {
-    parse(&named_file()?, Named::by_environment())
+pub fn load() -> Result<Config, ConfigError> {
+    parse(&read_named_file()?, EnvironmentAddresses::read())
 }
 
-/// Reads the file again for what may change while the program runs: where discovery is, and the
-/// routes. Here the file goes before the environment, which still names the old address.
-pub fn reload() -> Result<Config, String> {
-    // It is checked as a whole: a file that no start would take is no reason to move.
-    let named = Named {
+/// Reads the file again for what may change while the program runs: the address of discovery, and
+/// the routes. Here the file takes precedence over the environment, which still names the old
+/// address. It is validated as a whole: a file that no start would accept is no reason to move.
+pub fn reload() -> Result<Config, ConfigError> {
+    let environment = EnvironmentAddresses {
         discovery: None,
-        ..Named::by_environment()
+        ..EnvironmentAddresses::read()
     };
-    parse(&named_file()?, named)
+    parse(&read_named_file()?, environment)
 }
 
 /// Reads any file as a start would.
-pub fn check(path: &Path) -> Result<Config, String> {
-    let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    parse(&text, Named::by_environment()).map_err(|e| format!("{}: {e}", path.display()))
+pub fn check(path: &Path) -> Result<Config, ConfigError> {
+    let text = std::fs::read(path).map_err(|source| ConfigError::Read {
+        path: path.to_path_buf(),
+        source,
+    })?;
+    parse(&text, EnvironmentAddresses::read()).map_err(|source| ConfigError::InFile {
+        path: path.to_path_buf(),
+        source: Box::new(source),
+    })
 }
 
-fn named_file() -> Result<Vec<u8>, String> {
-    let path = env::var("RELAY_CONFIG").map_err(|_| {
-        "RELAY_CONFIG is not set: it names the configuration file (see heathroad --help)"
-            .to_string()
-    })?;
-    std::fs::read(&path).map_err(|e| format!("RELAY_CONFIG: {path}: {e}"))
+fn read_named_file() -> Result<Vec<u8>, ConfigError> {
+    let path = env::var("RELAY_CONFIG").map_err(|_| ConfigError::NotNamed)?;
+    std::fs::read(&path).map_err(|source| ConfigError::ReadNamed { path, source })
 }
 
-fn parse(text: &[u8], named: Named) -> Result<Config, String> {
+fn parse(text: &[u8], environment: EnvironmentAddresses) -> Result<Config, ConfigError> {
     let json = &mut serde_json::Deserializer::from_slice(text);
-    let file: File = serde_path_to_error::deserialize(json).map_err(|e| format!("config: {e}"))?;
-    let digest = digest(&file.settings);
-    let mut facts = settings::read(file.settings).map_err(|e| format!("config: {e}"))?;
-    let site = &facts.site;
-    let wrong = [
+    let mut file: ConfigFile =
+        serde_path_to_error::deserialize(json).map_err(ConfigError::InvalidValue)?;
+    let settings = file.settings.take();
+    let digest = common_digest(&settings);
+    let mut settings = settings::read(settings)?;
+    validate(&file, &settings.site)?;
+    let budget = file.budget.map(retry_budget::File::check).transpose()?;
+    settings.balancer.priority_forwarded = budget.is_some();
+    let addresses = membership::Addresses {
+        listen: file.peer_listen.as_deref(),
+        peers: &file.peers,
+        own: settings.balancer.replica_index,
+    };
+    let membership = file.membership.as_deref();
+    let membership = membership.map(|path| membership::read(path, &addresses));
+    let admin = environment.admin.or(file.admin);
+    Ok(Config {
+        membership: membership.transpose()?,
+        digest,
+        budget,
+        listen: parse_address("listen", environment.listen.or(file.listen))?,
+        discovery: parse_address("discovery", environment.discovery.or(file.discovery))?,
+        admin: admin
+            .map(|text| parse_address("admin", Some(text)))
+            .transpose()?,
+        routes: file.routes,
+        expectations: file.expectations,
+        state: file.state,
+        probation: Duration::from_millis(file.probation_ms),
+        seed: u64::from_str_radix(&file.seed, 16).map_err(ConfigError::InvalidSeed)?,
+        sockets: file.limits.sockets,
+        memory: file.limits.memory_mb.saturating_mul(MEGABYTE),
+        known: file.known,
+        settings,
+    })
+}
+
+/// Rejects values that are out of range, and keys that are of no use without others.
+fn validate(file: &ConfigFile, site: &SiteSettings) -> Result<(), ConfigError> {
+    let checks = [
         (
             file.limits.sockets < MIN_SOCKETS,
             "limits.sockets: too few to work with",
@@ -157,13 +204,23 @@
             "probation_ms: is more than an hour",
         ),
         (
-            file.state.is_some() && file.routes.is_none() && file.fleet.is_none(),
+            file.state.is_some() && file.routes.is_none() && file.membership.is_none(),
             "state: is of use with `routes` or `fleet` only",
         ),
         (
             file.expectations.is_some() && file.routes.is_none(),
             "expectations: are of use with `routes` only",
         ),
+    ];
+    let failed = checks.iter().find(|(is_invalid, _)| *is_invalid);
+    match failed {
+        Some((_, reason)) => Err(ConfigError::Unusable(reason)),
+        None => validate_site(site),
+    }
+}
+
+fn validate_site(site: &SiteSettings) -> Result<(), ConfigError> {
+    let checks = [
         (
             site.classes.iter().any(String::is_empty),
             "settings: classes: one has no name",
@@ -193,52 +250,16 @@
             "settings: guarantees.stopSendingWithin: is missing or 0",
         ),
     ];
-    if let Some((_, what)) = wrong.iter().find(|(bad, _)| *bad) {
-        return Err(format!("config: {what}"));
+    let failed = checks.iter().find(|(is_invalid, _)| *is_invalid);
+    match failed {
+        Some((_, reason)) => Err(ConfigError::Unusable(reason)),
+        None => Ok(()),
     }
-    let budget = file
-        .budget
-        .map(retry_budget::File::check)
-        .transpose()
-        .map_err(|e| format!("config: {e}"))?;
-    facts.balancer.priority_forwarded = budget.is_some();
-    let own = facts.balancer.replica_index;
-    let addresses = membership::Addresses {
-        listen: file.peer_listen.as_deref(),
-        peers: &file.peers,
-        own,
-    };
-    let fleet = file
-        .fleet
-        .as_deref()
-        .map(|path| membership::read(path, &addresses))
-        .transpose()
-        .map_err(|error| error.to_string())?;
-    Ok(Config {
-        fleet,
-        digest,
-        budget,
-        listen: address("listen", named.listen.or(file.listen))?,
-        discovery: address("discovery", named.discovery.or(file.discovery))?,
-        admin: match named.admin.or(file.admin) {
-            Some(text) => Some(address("admin", Some(text))?),
-            None => None,
-        },
-        routes: file.routes,
-        expectations: file.expectations,
-        state: file.state,
-        probation: Duration::from_millis(file.probation_ms),
-        seed: u64::from_str_radix(&file.seed, 16).map_err(|e| format!("config: seed: {e}"))?,
-        sockets: file.limits.sockets,
-        memory: file.limits.memory_mb.saturating_mul(1 << 20),
-        known: file.known,
-        facts,
-    })
 }
 
-/// Copies of one configuration differ in their number and zone, which are left out. (The order of
-/// names is not kept by JSON.)
-fn digest(settings: &serde_json::Value) -> Digest {
+/// Returns the digest of what the settings of all replicas have in common: their index and zone are
+/// left out. (The order of names is not kept by JSON.)
+fn common_digest(settings: &serde_json::Value) -> Digest {
     let mut common = settings.clone();
     if let Some(settings) = common.as_object_mut() {
         settings.retain(|name, _| name != "slotNo" && name != "locality");
@@ -246,8 +267,8 @@
     Digest::of(common.to_string().as_bytes())
 }
 
-fn address(name: &str, text: Option<String>) -> Result<SocketAddr, String> {
-    let text = text.ok_or_else(|| format!("config: {name}: is missing"))?;
+fn parse_address(name: &'static str, text: Option<String>) -> Result<SocketAddr, ConfigError> {
+    let text = text.ok_or(ConfigError::MissingAddress { name })?;
     text.parse()
-        .map_err(|e| format!("config: {name}: {text}: {e}"))
+        .map_err(|source| ConfigError::InvalidAddress { name, text, source })
 }
--- /dev/null
+++ b/crates/heathroad/src/daemon/endpoint_source.rs
@@ -0,0 +1,149 @@
+//! Where pools get their endpoint lists from, and what a new configuration changes of that.
+
+use super::error::DaemonError;
+use crate::backend::Pool;
+use crate::configuration::Config;
+use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::{self, DiscoveryEvent};
+use crate::engine::Engine;
+use crate::membership::activity_log::ActivityLog;
+use crate::metrics::{MetricsRegistry, PoolMetrics};
+use crate::router::routed_pools::RoutedPools;
+use crate::router::{Router, startup};
+use crate::runtime_accounting::spawn_local;
+use crate::time::millis;
+use heathroad_balancer::api::UpdateKind;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::sync::watch;
+use tokio::task::JoinHandle;
+
+/// Where endpoint lists come from.
+pub(super) enum EndpointSource {
+    /// The one pool of the settings follows one registry.
+    SinglePool(FollowedRegistry),
+    /// The pools of routes follow their own registries.
+    Routed(Rc<RoutedPools>),
+}
+
+/// The one registry of a pool.
+pub(super) struct FollowedRegistry {
+    engine: Rc<Engine>,
+    address: SocketAddr,
+    /// Whether the decision module wants the registry to be watched.
+    watch_requested: watch::Receiver<bool>,
+    task: JoinHandle<()>,
+    activity_log: Option<Rc<ActivityLog>>,
+}
+
+impl EndpointSource {
+    /// Starts the pools of the configuration.
+    pub fn start(
+        config: &mut Config,
+        pool: &Rc<Pool>,
+        activity_log: Option<Rc<ActivityLog>>,
+    ) -> Result<Self, DaemonError> {
+        let Some(routes) = &config.routes else {
+            let registry = FollowedRegistry::start(config, pool, activity_log)?;
+            return Ok(EndpointSource::SinglePool(registry));
+        };
+        let pools = startup::start(routes, config, pool, activity_log)?;
+        Ok(EndpointSource::Routed(pools))
+    }
+
+    pub fn router(&self) -> Router {
+        match self {
+            EndpointSource::SinglePool(registry) => Router::SinglePool(registry.engine.clone()),
+            EndpointSource::Routed(pools) => Router::Routed(pools.clone()),
+        }
+    }
+
+    /// Follows the registry of a new configuration, and proposes its routes.
+    pub fn reload(&mut self, config: &Config) {
+        let address = config.discovery;
+        tracing::info!(discovery = %address, "configuration read again, discovery at {address}");
+        match self {
+            EndpointSource::SinglePool(registry) => registry.move_to(address),
+            EndpointSource::Routed(pools) => {
+                pools.set_default_registry(address);
+                if let Some(file) = &config.routes {
+                    spawn_local(startup::reload(file.clone(), pools.clone()));
+                }
+            }
+        }
+    }
+}
+
+impl FollowedRegistry {
+    fn start(
+        config: &mut Config,
+        pool: &Rc<Pool>,
+        activity_log: Option<Rc<ActivityLog>>,
+    ) -> Result<Self, DaemonError> {
+        let (watch_sender, watch_requested) = watch::channel(false);
+        let registry = Rc::new(MetricsRegistry::new());
+        let engine = Engine::new(
+            config.settings.clone(),
+            config.seed,
+            pool.clone(),
+            PoolMetrics::new(&registry, "", &config.settings.site),
+            activity_log.clone(),
+            watch_sender,
+        )?;
+        let cached = config.known.take().map(EndpointList::into_instances);
+        engine.update_endpoints(UpdateKind::Cached, cached.unwrap_or_default());
+        let address = config.discovery;
+        let task = follow(&engine, address, &watch_requested, activity_log.clone());
+        Ok(FollowedRegistry {
+            engine,
+            address,
+            watch_requested,
+            task,
+            activity_log,
+        })
+    }
+
+    /// Follows the registry at another address. The old watch ends at once, with its connection and
+    /// its version: the new address is asked for the whole list.
+    fn move_to(&mut self, address: SocketAddr) {
+        self.task.abort();
+        let activity_log = self.activity_log.clone();
+        self.task = follow(&self.engine, address, &self.watch_requested, activity_log);
+        let old = std::mem::replace(&mut self.address, address);
+        let moved = self.activity_log.as_ref().filter(|_| old != address);
+        if let Some(activity_log) = moved {
+            activity_log.endpoint_source_removed(old);
+        }
+    }
+}
+
+/// Hands the endpoint lists of a registry to an engine.
+fn follow(
+    engine: &Rc<Engine>,
+    address: SocketAddr,
+    watch_requested: &watch::Receiver<bool>,
+    activity_log: Option<Rc<ActivityLog>>,
+) -> JoinHandle<()> {
+    let settings = engine.settings();
+    let polls = settings.balancer.polls_endpoints;
+    let drain_grace = millis(settings.site.drain_grace);
+    let engine = engine.clone();
+    let handle = move |event| match event {
+        DiscoveryEvent::Update(update) => {
+            tracing::debug!("discovery: {update}");
+            if let Some(activity_log) = &activity_log {
+                activity_log.endpoint_list_received(address, update.version);
+            }
+            engine.update_endpoints(update.kind, update.instances);
+        }
+        DiscoveryEvent::PollFailed => engine.record_list_failure(),
+    };
+    let watch_requested = watch_requested.clone();
+    spawn_local(discovery::follow(
+        handle,
+        address,
+        polls,
+        drain_grace,
+        watch_requested,
+    ))
+}
--- /dev/null
+++ b/crates/heathroad/src/daemon/frontends.rs
@@ -0,0 +1,87 @@
+//! The frontends: HTTP, and JSON-RPC where routes have listeners for it. They share the connections
+//! and the memory that clients may have.
+
+use super::capacity::Capacity;
+use super::process_seed;
+use crate::configuration::Config;
+use crate::frontend::http::HttpFrontend;
+use crate::frontend::jsonrpc::JsonRpcFrontend;
+use crate::retry_budget::RetryBudgets;
+use crate::router::Router;
+use crate::runtime_accounting::spawn_local;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tokio::task::{JoinError, JoinHandle};
+
+/// The part of the memory that the bodies of open requests may fill: one in so many bytes. The rest
+/// is for buffers, responses and the program.
+const BODY_MEMORY_DIVISOR: usize = 4;
+
+/// The frontends as they run.
+pub(super) struct Frontends {
+    http: JoinHandle<()>,
+    jsonrpc: Option<JoinHandle<()>>,
+    stop: watch::Sender<bool>,
+}
+
+impl Frontends {
+    pub fn start(
+        config: &Config,
+        capacity: Capacity,
+        listener: TcpListener,
+        router: &Rc<Router>,
+    ) -> Self {
+        let budgets = config.budget.as_ref();
+        let budgets = budgets.map(|settings| RetryBudgets::new(settings, process_seed()));
+        if let Some(budgets) = &budgets {
+            router.meter().export_retry_budgets(budgets);
+        }
+        let (stop, stop_requested) = watch::channel(false);
+        let max_connections = capacity.client_connections;
+        let max_buffered_bytes = config.memory / BODY_MEMORY_DIVISOR;
+        let table = Rc::default();
+        let jsonrpc = match &**router {
+            Router::SinglePool(_) => None,
+            Router::Routed(pools) => {
+                let frontend = JsonRpcFrontend {
+                    many: pools.clone(),
+                    settings: config.settings.clone(),
+                    max_connections,
+                    max_buffered_bytes,
+                    table: Rc::clone(&table),
+                    budgets: budgets.clone(),
+                };
+                Some(spawn_local(Rc::new(frontend).serve(stop_requested.clone())))
+            }
+        };
+        let frontend = HttpFrontend {
+            router: router.clone(),
+            settings: config.settings.clone(),
+            max_connections,
+            max_buffered_bytes,
+            table,
+            budgets,
+        };
+        let http = spawn_local(Rc::new(frontend).serve(listener, stop_requested));
+        Frontends {
+            http,
+            jsonrpc,
+            stop,
+        }
+    }
+
+    /// Has the frontends accept no new connections, and end once theirs have ended.
+    pub fn stop_accepting(&self) {
+        self.stop.send_replace(true);
+    }
+
+    /// Waits until all connections have ended.
+    pub async fn join(self) -> Result<(), JoinError> {
+        if let Some(jsonrpc) = self.jsonrpc {
+            // Only the end of this task matters: what it owed was answered on its connections.
+            let _ = jsonrpc.await;
+        }
+        self.http.await
+    }
+}
--- a/crates/heathroad/src/discovery/tests.rs
+++ b/crates/heathroad/src/discovery/tests.rs
@@ -39,9 +39,10 @@
 }
 
 /// A change that a silent watch misses counts as announced 6 s after the watch fell silent, at its
-/// very beginning at worst, or 2 s after its long poll. On demand one hedged request fits in before.
-/// What an agent has counts as announced at once, and sends end within the drain grace: whenever the
-/// agent falls silent or recovers, a later request is answered by then, also if another one hangs.
+/// very beginning at worst, or 2 s after its long poll. On demand one hedged request fits in
+/// before. What an agent has counts as announced at once, and sends end within the drain grace:
+/// whenever the agent falls silent or recovers, a later request is answered by then, also if
+/// another one hangs.
 #[test]
 fn a_silent_watch_is_noticed_in_time() {
     let on_demand = WatchTiming::ON_DEMAND;
--- a/crates/heathroad/src/engine/endpoints.rs
+++ b/crates/heathroad/src/engine/endpoints.rs
@@ -3,7 +3,7 @@
 use super::{Engine, hash_text};
 use crate::backend::{Pool, Target};
 use crate::discovery::endpoint_list::{Instance, InstanceHealth};
-use crate::metrics::{Counts, Notice};
+use crate::metrics::{DrainReason, PoolMetrics};
 use crate::safety::Location;
 use crate::stall_detector;
 use heathroad_balancer::api::{BackendId, Endpoint, EndpointState, Event, UpdateKind};
@@ -38,7 +38,7 @@
     }
 
     /// Sends nothing new to its process from now on.
-    fn withdraw(&self, pool: &Pool, counts: &Counts, notice: Notice) {
+    fn withdraw(&self, pool: &Pool, counts: &PoolMetrics, notice: DrainReason) {
         let Some(target) = self.available_target() else {
             return;
         };
@@ -48,11 +48,11 @@
         // The notice may have lain unread while the process stalled.
         target.start_draining(stall_detector::earliest_arrival(Instant::now()));
         pool.close_idle_connections(target);
-        counts.drained(notice);
+        counts.record_drain(notice);
     }
 
     /// Replaces its process unless that is the listed one.
-    fn set_ready_target(&mut self, instance: &Instance, pool: &Pool, counts: &Counts) {
+    fn set_ready_target(&mut self, instance: &Instance, pool: &Pool, counts: &PoolMetrics) {
         let Some(address) = instance.address else {
             return;
         };
@@ -64,7 +64,7 @@
         if is_same {
             return;
         }
-        self.withdraw(pool, counts, Notice::Replaced);
+        self.withdraw(pool, counts, DrainReason::Replaced);
         tracing::debug!(backend = instance.name, %address, born_ms = instance.started_ms, "backend ready");
         self.target = Some(pool.target(&instance.name, address, instance.started_ms));
     }
@@ -144,7 +144,9 @@
                 .by_id
                 .values()
                 .filter(|endpoint| !endpoint.is_listed);
-            unlisted.for_each(|endpoint| endpoint.withdraw(&self.pool, &self.counts, Notice::Gone));
+            unlisted.for_each(|endpoint| {
+                endpoint.withdraw(&self.pool, &self.counts, DrainReason::Removed);
+            });
             updated
         };
         self.notify(Event::EndpointUpdate {
@@ -161,7 +163,7 @@
         let Some(zone) = zones.iter().position(|zone| *zone == instance.site) else {
             // The pool cannot send there, and takes it out wherever it was before.
             endpoint.is_listed = false;
-            endpoint.withdraw(&self.pool, &self.counts, Notice::Gone);
+            endpoint.withdraw(&self.pool, &self.counts, DrainReason::Removed);
             if instance.health == InstanceHealth::Serving {
                 tracing::warn!(
                     "discovery: {}: zone {:?} is unknown, passed over",
@@ -180,8 +182,10 @@
             EndpointState::Ready if instance.address.is_some() => {
                 endpoint.set_ready_target(&instance, &self.pool, &self.counts);
             }
-            EndpointState::Removed => endpoint.withdraw(&self.pool, &self.counts, Notice::Gone),
-            _ => endpoint.withdraw(&self.pool, &self.counts, Notice::Draining),
+            EndpointState::Removed => {
+                endpoint.withdraw(&self.pool, &self.counts, DrainReason::Removed);
+            }
+            _ => endpoint.withdraw(&self.pool, &self.counts, DrainReason::Draining),
         }
         let (zone, cell) = (zone as u16, instance.block);
         endpoint.location = Location { zone, cell };
--- a/crates/heathroad/src/engine/mod.rs
+++ b/crates/heathroad/src/engine/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::backend::{Pool, Target};
 use crate::membership::activity_log::{self, ActivityLog};
-use crate::metrics::{Counts, Moment};
+use crate::metrics::{PoolMetrics, PoolSnapshot};
 use crate::safety;
 use crate::time::{as_millis, millis};
 use clock::Clock;
@@ -53,7 +53,7 @@
     pool: Rc<Pool>,
     clock: Clock,
     settings: InstanceSettings,
-    counts: Counts,
+    counts: PoolMetrics,
     /// What this proxy acts on, where a record is kept.
     activity_log: Option<Rc<ActivityLog>>,
     /// Whether the decision module wants the list of backends to be watched.
@@ -72,7 +72,7 @@
         mut settings: InstanceSettings,
         seed: u64,
         pool: Rc<Pool>,
-        counts: Counts,
+        counts: PoolMetrics,
         activity_log: Option<Rc<ActivityLog>>,
         watch_requested: watch::Sender<bool>,
     ) -> Result<Rc<Self>, SettingsError> {
@@ -139,7 +139,7 @@
     }
 
     /// Returns the pool's counters.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &PoolMetrics {
         &self.counts
     }
 
@@ -149,11 +149,11 @@
     }
 
     /// Returns the pool's present load.
-    pub fn moment(&self) -> Moment<'_> {
-        Moment {
-            counts: &self.counts,
+    pub fn moment(&self) -> PoolSnapshot<'_> {
+        PoolSnapshot {
+            metrics: &self.counts,
             load: self.state.borrow().balancer.load(),
-            open: self.pending_requests(),
+            open_requests: self.pending_requests(),
         }
     }
 
--- a/crates/heathroad/src/engine/request.rs
+++ b/crates/heathroad/src/engine/request.rs
@@ -8,7 +8,7 @@
 use super::{Engine, State};
 use crate::backend::Call;
 use crate::membership::activity_log;
-use crate::metrics::Final;
+use crate::metrics::ResponseKind;
 use crate::retry_budget::RequestBudget;
 use crate::safety::{self, ClientHandle, PastAttempt, Violation, violations};
 use crate::time::{as_millis, millis};
@@ -197,9 +197,9 @@
     }
 
     /// Counts a request that ends before it is decided, and records it.
-    pub fn record_undecided(&self, incoming: &IncomingRequest, response: Final) {
+    pub fn record_undecided(&self, incoming: &IncomingRequest, response: ResponseKind) {
         self.counts
-            .answered(incoming.class, incoming.tenant, response);
+            .record_response(incoming.class, incoming.tenant, response);
         incoming.record(Activity::RequestBound);
         incoming.record(final_activity(response));
     }
@@ -208,7 +208,7 @@
         incoming.record(Activity::RequestFenced);
         self.fenced_rejections.set(self.fenced_rejections.get() + 1);
         self.counts
-            .answered(incoming.class, incoming.tenant, Final::Refused);
+            .record_response(incoming.class, incoming.tenant, ResponseKind::Rejected);
         let retry_after = retry_after(&self.settings);
         Response::Rejected { retry_after }.into()
     }
@@ -218,7 +218,7 @@
             id = %incoming.call.label(), reason = "deadline passed before the decision", "request timed out"
         );
         self.counts
-            .answered(incoming.class, incoming.tenant, Final::TimedOut);
+            .record_response(incoming.class, incoming.tenant, ResponseKind::TimedOut);
         incoming.record(Activity::RequestFailed);
         Response::TimedOut.into()
     }
@@ -228,7 +228,7 @@
             id = %incoming.call.label(), reason = "open requests at their limit", "request rejected"
         );
         self.counts
-            .answered(incoming.class, incoming.tenant, Final::Refused);
+            .record_response(incoming.class, incoming.tenant, ResponseKind::Rejected);
         incoming.record(Activity::RequestRejected);
         Response::Rejected { retry_after: None }.into()
     }
@@ -321,7 +321,7 @@
     tenant: u16,
     activity: Option<activity_log::RequestActivity>,
     /// How the request ends, by what is known now.
-    outcome: Final,
+    outcome: ResponseKind,
 }
 
 impl RequestGuard {
@@ -332,7 +332,7 @@
             class: incoming.class,
             tenant: incoming.tenant,
             activity: incoming.activity.clone(),
-            outcome: Final::Left,
+            outcome: ResponseKind::ClientLeft,
         }
     }
 
@@ -349,9 +349,9 @@
             let label = format!("number {}", self.request);
             violations::record_violation(Violation::LateResponse, &label);
         }
-        let is_served = self.outcome == Final::Served;
+        let is_served = self.outcome == ResponseKind::Served;
         if is_served && received_at.elapsed() > self.engine.latency_objective(self.class) {
-            self.engine.counts.after_aim();
+            self.engine.counts.record_served_late();
         }
     }
 }
@@ -361,7 +361,7 @@
         tracing::debug!(request = self.request, outcome = ?self.outcome, "request ended");
         self.engine
             .counts
-            .answered(self.class, self.tenant, self.outcome);
+            .record_response(self.class, self.tenant, self.outcome);
         if let Some(activity) = &self.activity {
             activity.record(final_activity(self.outcome));
         }
--- a/crates/heathroad/src/engine/response.rs
+++ b/crates/heathroad/src/engine/response.rs
@@ -1,7 +1,7 @@
 //! The final response to a request.
 
 use super::pending_response::PendingResponse;
-use crate::metrics::Final;
+use crate::metrics::ResponseKind;
 use crate::time::millis;
 use bytes::Bytes;
 use heathroad_balancer::settings::InstanceSettings;
@@ -31,12 +31,12 @@
 
 impl Response {
     /// Returns the kind under which the response is counted.
-    pub(super) fn kind(&self) -> Final {
+    pub(super) fn kind(&self) -> ResponseKind {
         match self {
-            Response::Served(_) => Final::Served,
-            Response::Rejected { .. } => Final::Refused,
-            Response::Failed => Final::Failed,
-            Response::TimedOut => Final::TimedOut,
+            Response::Served(_) => ResponseKind::Served,
+            Response::Rejected { .. } => ResponseKind::Rejected,
+            Response::Failed => ResponseKind::Failed,
+            Response::TimedOut => ResponseKind::TimedOut,
         }
     }
 }
@@ -74,10 +74,12 @@
 }
 
 /// Returns the activity that records a final response.
-pub(super) fn final_activity(response: Final) -> Activity {
+pub(super) fn final_activity(response: ResponseKind) -> Activity {
     match response {
-        Final::Served => Activity::RequestServed,
-        Final::Refused => Activity::RequestRejected,
-        Final::Failed | Final::TimedOut | Final::Left => Activity::RequestFailed,
+        ResponseKind::Served => Activity::RequestServed,
+        ResponseKind::Rejected => Activity::RequestRejected,
+        ResponseKind::Failed | ResponseKind::TimedOut | ResponseKind::ClientLeft => {
+            Activity::RequestFailed
+        }
     }
 }
--- a/crates/heathroad/src/frontend/http/connection.rs
+++ b/crates/heathroad/src/frontend/http/connection.rs
@@ -8,7 +8,7 @@
 };
 use crate::frontend::read_ahead::ConnectionIo;
 use crate::frontend::reservations::PendingRequestGuard;
-use crate::metrics::Final;
+use crate::metrics::ResponseKind;
 use crate::retry_budget::SPENT_HEADER;
 use crate::runtime_accounting::sleep;
 use crate::safety::ClientHandle;
@@ -171,20 +171,24 @@
                 let reply = error.into_reply(&self.settings);
                 let status = reply.status().as_u16();
                 tracing::debug!(connection = connection.number, status, "request unusable");
-                self.router.meter().unusable(status);
+                self.router.meter().record_unusable(status);
                 return reply;
             }
         };
         if self.is_over_capacity(connection, acceptance.is_crowded) {
             tracing::debug!(id = %incoming.call.label(), reason = "no capacity", "request rejected");
-            bound.engine.record_undecided(&incoming, Final::Refused);
+            bound
+                .engine
+                .record_undecided(&incoming, ResponseKind::Rejected);
             let retry_after = retry_after(&self.settings);
             return to_reply(engine::Response::Rejected { retry_after });
         }
         connection.stage.set(Stage::Pending);
         if has_left_unread(connection) {
             tracing::debug!(id = %incoming.call.label(), reason = "client left", "request dropped");
-            bound.engine.record_undecided(&incoming, Final::Left);
+            bound
+                .engine
+                .record_undecided(&incoming, ResponseKind::ClientLeft);
             return pending().await;
         }
         let _pending = PendingRequestGuard::new(&self.table);
--- a/crates/heathroad/src/frontend/jsonrpc/call.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/call.rs
@@ -6,7 +6,7 @@
 use crate::backend::{self, jsonrpc};
 use crate::engine::{self, FinalResponse, IncomingRequest, Response, retry_after};
 use crate::frontend::reservations::PendingRequestGuard;
-use crate::metrics::Final;
+use crate::metrics::ResponseKind;
 use crate::retry_budget::{RequestBudget, read_jsonrpc_claim};
 use crate::router::RoutingRequest;
 use bytes::Bytes;
@@ -223,10 +223,11 @@
             incoming,
             bound,
         } = call;
-        bound
-            .engine
-            .counts()
-            .answered(incoming.class, incoming.tenant, Final::Refused);
+        bound.engine.counts().record_response(
+            incoming.class,
+            incoming.tenant,
+            ResponseKind::Rejected,
+        );
         let member = answer::rejected(retry_after(&self.frontend().settings));
         FinishedCall {
             exchange,
@@ -244,7 +245,7 @@
             LOOP_DETECTED => 508,
             _ => 400,
         };
-        self.frontend().many.meter().unusable(status);
+        self.frontend().many.meter().record_unusable(status);
         answer::malformed(wrong)
     }
 }
--- a/crates/heathroad/src/lease/mod.rs
+++ b/crates/heathroad/src/lease/mod.rs
@@ -13,3 +13,4 @@
 mod worker;
 
 pub use service::LeaseService;
+pub use store::StoreError;
--- a/crates/heathroad/src/logging.rs
+++ b/crates/heathroad/src/logging.rs
@@ -18,25 +18,50 @@
 const MOST_DEBUG: u32 = 600_000;
 const MINUTE: Duration = Duration::from_secs(60);
 
+/// Why logging can't begin.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub enum LoggingError {
+    /// The level is none that there is.
+    #[error("RELAY_LOG_LEVEL: {value:?}: expected error, warn, info or debug")]
+    Level {
+        /// The level as it was given.
+        value: String,
+    },
+    /// Something else in the process logs already.
+    #[error("log: {0}")]
+    AlreadySet(#[from] tracing::subscriber::SetGlobalDefaultError),
+    /// The format is none that there is.
+    #[error("RELAY_LOG: {value:?}: expected text or json")]
+    Format {
+        /// The format as it was given.
+        value: String,
+    },
+}
+
 /// Lines from now on, in the form that `RELAY_LOG` names: `text`, the usual one, or `json`; and
 /// from the level on that `RELAY_LOG_LEVEL` names: `error`, `warn`, `info`, the usual one, or
 /// `debug`.
-pub fn begin() -> Result<(), String> {
+pub fn begin() -> Result<(), LoggingError> {
     let level = match std::env::var("RELAY_LOG_LEVEL").as_deref() {
         Err(_) | Ok("info") => Level::INFO,
         Ok("error") => Level::ERROR,
         Ok("warn") => Level::WARN,
         Ok("debug") => Level::DEBUG,
         Ok(other) => {
-            return Err(format!(
-                "RELAY_LOG_LEVEL: {other:?}: expected error, warn, info or debug"
-            ));
+            return Err(LoggingError::Level {
+                value: other.to_string(),
+            });
         }
     };
     let json = match std::env::var("RELAY_LOG").as_deref() {
         Err(_) | Ok("text") => false,
         Ok("json") => true,
-        Ok(other) => return Err(format!("RELAY_LOG: {other:?}: expected text or json")),
+        Ok(other) => {
+            return Err(LoggingError::Format {
+                value: other.to_string(),
+            });
+        }
     };
     let most = if level >= Level::DEBUG {
         MOST_DEBUG
@@ -60,7 +85,8 @@
         .with_max_level(level)
         .with_writer(std::io::stderr)
         .event_format(lines);
-    tracing::subscriber::set_global_default(subscriber.finish()).map_err(|e| format!("log: {e}"))
+    tracing::subscriber::set_global_default(subscriber.finish())?;
+    Ok(())
 }
 
 struct Minute {
--- a/crates/heathroad/src/membership/audit/mod.rs
+++ b/crates/heathroad/src/membership/audit/mod.rs
@@ -1,6 +1,6 @@
 //! The audit: which proxy ran which version, and when. A member's own record is reported as such.
-//! Of a member that is not reached, the audit reports what was last received of it, and that nothing
-//! is known beyond that.
+//! Of a member that is not reached, the audit reports what was last received of it, and that
+//! nothing is known beyond that.
 
 mod query;
 mod remote;
--- a/crates/heathroad/src/membership/mod.rs
+++ b/crates/heathroad/src/membership/mod.rs
@@ -1,5 +1,6 @@
 //! Membership of this proxy in its fleet: the socket and the clock around `heathroad_membership`,
-//! the activity record, and the audit. It is off unless the daemon's file names a file of the fleet.
+//! the activity record, and the audit. It is off unless the daemon's file names a file of the
+//! fleet.
 
 pub mod activity_log;
 pub mod audit;
@@ -12,4 +13,4 @@
 mod version_fence;
 
 pub use record_file::read as read_record;
-pub use service::MembershipService;
+pub use service::{MembershipService, StartError};
--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -1,8 +1,8 @@
 //! The router, which binds each request to a pool.
 //!
 //! Without routes there is one pool, that of the settings. With routes each pool has an engine of
-//! its own, and a request binds to the generation in force when it arrives: it keeps that generation
-//! and its pool to its final response.
+//! its own, and a request binds to the generation in force when it arrives: it keeps that
+//! generation and its pool to its final response.
 
 mod error;
 mod listeners;
@@ -19,7 +19,7 @@
 use crate::backend::jsonrpc::Transport;
 use crate::engine::Engine;
 use crate::membership::activity_log;
-use crate::metrics::{Meter, Moment};
+use crate::metrics::{Descriptors, MetricsRegistry, PoolSnapshot};
 use heathroad_balancer::api::Idempotency;
 use heathroad_routing::generation::Generation;
 use hyper::StatusCode;
@@ -134,28 +134,37 @@
     }
 
     /// Returns the counters over all pools.
-    pub fn meter(&self) -> Rc<Meter> {
+    pub fn meter(&self) -> Rc<MetricsRegistry> {
         match self {
-            Router::SinglePool(engine) => engine.counts().meter().clone(),
+            Router::SinglePool(engine) => engine.counts().registry().clone(),
             Router::Routed(pools) => pools.meter().clone(),
         }
     }
 
     /// Returns all counters as Prometheus text. `max_descriptors` is the limit of the process.
     pub fn counts_text(&self, max_descriptors: usize) -> String {
-        let descriptors = [count_open_descriptors(), max_descriptors];
-        self.with_moments(|meter, moments| meter.text(moments, descriptors))
+        let descriptors = Descriptors {
+            open: count_open_descriptors(),
+            max: max_descriptors,
+        };
+        self.with_moments(|meter, moments| meter.to_text(moments, descriptors))
     }
 
     /// Returns all counters as one line of JSON. `max_descriptors` is the limit of the process.
     pub fn counts_json(&self, max_descriptors: usize) -> String {
-        let descriptors = [count_open_descriptors(), max_descriptors];
-        self.with_moments(|meter, moments| meter.json(moments, descriptors))
+        let descriptors = Descriptors {
+            open: count_open_descriptors(),
+            max: max_descriptors,
+        };
+        self.with_moments(|meter, moments| meter.to_json(moments, descriptors))
     }
 
-    fn with_moments<T>(&self, report: impl FnOnce(&Meter, &[Moment<'_>]) -> T) -> T {
+    fn with_moments<T>(
+        &self,
+        report: impl FnOnce(&MetricsRegistry, &[PoolSnapshot<'_>]) -> T,
+    ) -> T {
         let engines = self.engines();
-        let moments: Vec<Moment<'_>> = engines.iter().map(|e| e.moment()).collect();
+        let moments: Vec<PoolSnapshot<'_>> = engines.iter().map(|e| e.moment()).collect();
         report(&self.meter(), &moments)
     }
 }
--- a/crates/heathroad/src/router/pool_run.rs
+++ b/crates/heathroad/src/router/pool_run.rs
@@ -1,14 +1,15 @@
 //! Running pools: a definition of a pool with an engine of its own.
 //!
-//! A pool that a change defines otherwise gets a new run, so that no request sees a mixture of both.
-//! A pool that no change touches goes on with all that its engine has learned.
+//! A pool that a change defines otherwise gets a new run, so that no request sees a mixture of
+//! both. A pool that no change touches goes on with all that its engine has learned.
 
 use super::RouterError;
 use super::registry::is_selected;
 use super::routed_pools::RoutedPools;
 use crate::backend::jsonrpc::Transport;
 use crate::engine::Engine;
-use crate::metrics::Counts;
+use crate::metrics::{PoolMetrics, ResponseTotals};
+
 use heathroad_balancer::api::{self, UpdateKind};
 use heathroad_balancer::settings::InstanceSettings;
 use heathroad_routing::config::{
@@ -28,7 +29,7 @@
     pub(super) pool: Pool,
     pub(super) engine: Rc<Engine>,
     /// The counters of the engine when the last sample was taken.
-    pub(super) sampled_counts: Cell<[u64; 5]>,
+    pub(super) sampled_totals: Cell<ResponseTotals>,
 }
 
 impl Drop for PoolRun {
@@ -60,7 +61,7 @@
             key: key.clone(),
             pool: pool.clone(),
             engine,
-            sampled_counts: Cell::default(),
+            sampled_totals: Cell::default(),
         });
         let weak = Rc::downgrade(&run);
         self.all_runs.borrow_mut().push((key.clone(), weak));
@@ -70,8 +71,8 @@
     }
 
     fn start_engine(&self, pool: &Pool, key: &str) -> Result<Rc<Engine>, RouterError> {
-        let facts = pool_settings(&self.config.facts, pool);
-        let counts = Counts::new(&self.meter, &pool.name, &facts.site);
+        let facts = pool_settings(&self.config.settings, pool);
+        let counts = PoolMetrics::new(&self.meter, &pool.name, &facts.site);
         // The router itself decides which registries to watch.
         let (watching, _) = watch::channel(false);
         let engine = Engine::new(
--- a/crates/heathroad/src/router/registry.rs
+++ b/crates/heathroad/src/router/registry.rs
@@ -127,7 +127,7 @@
         let BackendSource::List(backends) = &run.pool.source else {
             return;
         };
-        let facts = &self.config.facts;
+        let facts = &self.config.settings;
         let own_site = facts.site.zones.get(usize::from(facts.balancer.zone));
         let own_site = own_site.cloned().unwrap_or_default();
         let states = self.backend_states.borrow();
@@ -170,7 +170,7 @@
         };
         // The registry pushes its list, so that no poll is ever requested.
         let (_, wanted) = watch::channel(true);
-        let grace = millis(self.config.facts.site.drain_grace);
+        let grace = millis(self.config.settings.site.drain_grace);
         let task = spawn_local(discovery::follow(on_event, address, false, grace, wanted));
         let watch = RegistryWatch {
             endpoints: BTreeMap::new(),
@@ -207,8 +207,8 @@
         let runs = self.present_runs();
         let is_watching =
             |run: &PoolRun| run.registry(self.default_registry.get()) == Some(registry);
-        // A relabeled endpoint first leaves its old pool, which withdraws its process for all pools,
-        // and only then joins the new one.
+        // A relabeled endpoint first leaves its old pool, which withdraws its process for all
+        // pools, and only then joins the new one.
         for run in runs.iter().filter(|run| is_watching(run)) {
             remove_relabeled(run, &effects.relabeled);
         }
--- a/crates/heathroad/src/router/routed_pools.rs
+++ b/crates/heathroad/src/router/routed_pools.rs
@@ -8,7 +8,7 @@
 use crate::configuration::verification_gate::{LoadedExpectations, VerificationGate};
 use crate::engine::Engine;
 use crate::membership::activity_log::ActivityLog;
-use crate::metrics::Meter;
+use crate::metrics::MetricsRegistry;
 use crate::runtime_accounting::{sleep, spawn_local};
 use crate::time::millis;
 use heathroad_balancer::settings::InstanceSettings;
@@ -37,7 +37,7 @@
 /// What all pools have in common.
 pub struct RoutedPoolsConfig {
     /// The settings of the daemon. Each pool has its own classes.
-    pub facts: InstanceSettings,
+    pub settings: InstanceSettings,
     /// The seed of the engines' random numbers.
     pub seed: u64,
     /// The connections to all backends.
@@ -73,7 +73,7 @@
 pub struct RoutedPools {
     pub(super) config: RoutedPoolsConfig,
     pub(super) default_registry: Cell<SocketAddr>,
-    pub(super) meter: Rc<Meter>,
+    pub(super) meter: Rc<MetricsRegistry>,
     pub(super) active: RefCell<Rc<ActivePools>>,
     /// The runs that a generation names which is in force, staged, or kept for a rollback.
     pub(super) kept_runs: RefCell<BTreeMap<String, Rc<PoolRun>>>,
@@ -121,7 +121,7 @@
         let pools = Rc::new(RoutedPools {
             default_registry: Cell::new(config.default_registry),
             config,
-            meter: Rc::new(Meter::new()),
+            meter: Rc::new(MetricsRegistry::new()),
             active: RefCell::new(active),
             kept_runs: RefCell::default(),
             all_runs: RefCell::default(),
@@ -193,7 +193,7 @@
     }
 
     /// Returns the counters over all pools.
-    pub fn meter(&self) -> &Rc<Meter> {
+    pub fn meter(&self) -> &Rc<MetricsRegistry> {
         &self.meter
     }
 
--- a/crates/heathroad/src/router/stale_routes.rs
+++ b/crates/heathroad/src/router/stale_routes.rs
@@ -1,8 +1,8 @@
 //! Brings a proxy with stale routes up to date with its cluster.
 //!
 //! The proxy fetches the wanted text from a member that acts on it, and proposes it with the same
-//! checks, expectations, staging and probation as a change by an operator. A text that it rejects is
-//! not tried again, and the reason is announced.
+//! checks, expectations, staging and probation as a change by an operator. A text that it rejects
+//! is not tried again, and the reason is announced.
 
 use super::proposal::is_staged;
 use super::routed_pools::RoutedPools;
--- a/crates/heathroad/src/router/startup.rs
+++ b/crates/heathroad/src/router/startup.rs
@@ -48,7 +48,7 @@
     };
     let probation = u64::try_from(config.probation.as_millis()).unwrap_or(u64::MAX);
     let pools_config = RoutedPoolsConfig {
-        facts: config.facts.clone(),
+        settings: config.settings.clone(),
         seed: config.seed,
         connections: connections.clone(),
         default_registry: config.discovery,
@@ -150,7 +150,8 @@
     config: &Config,
 ) -> Result<(), RouterError> {
     let expectations = verification_gate::read(gate.file())?;
-    let environment = verification_gate::environment(&config.facts, config.discovery, Vec::new());
+    let environment =
+        verification_gate::environment(&config.settings, config.discovery, Vec::new());
     let report = heathroad_verifier::verify(first, &expectations, &environment);
     let failures = report.map_err(GateError::from)?.certain_failures();
     if !failures.is_empty() {
--- a/crates/heathroad/src/router/transactions.rs
+++ b/crates/heathroad/src/router/transactions.rs
@@ -233,7 +233,7 @@
     /// Returns what verification has to know of this daemon.
     pub(super) fn environment(&self) -> Environment {
         let registry = self.default_registry.get();
-        verification_gate::environment(&self.config.facts, registry, self.known_nodes())
+        verification_gate::environment(&self.config.settings, registry, self.known_nodes())
     }
 
     /// Returns the generation in force, the transaction under way and the latest messages.
@@ -262,13 +262,16 @@
 
 /// Returns the outcomes of a pool's requests since the last sample, if there were any.
 fn take_sample(run: &PoolRun) -> Option<PoolSample> {
-    let mut counts = run.engine.counts().so_far();
+    let mut totals = run.engine.counts().response_totals();
     // Requests that were rejected while this proxy was fenced say nothing of a change.
-    counts[1] = counts[1].saturating_sub(run.engine.fenced_rejections());
-    let previous = run.sampled_counts.replace(counts);
-    let [served, rejected, failed, timed_out, late] =
-        [0, 1, 2, 3, 4].map(|i| counts[i].saturating_sub(previous[i]) as f64);
-    let failed = failed + timed_out;
+    totals.rejected = totals
+        .rejected
+        .saturating_sub(run.engine.fenced_rejections());
+    let previous = run.sampled_totals.replace(totals);
+    let new = totals.since(previous);
+    let (served, rejected) = (new.served as f64, new.rejected as f64);
+    let failed = new.failed as f64 + new.timed_out as f64;
+    let late = new.served_late as f64;
     let requests = served + rejected + failed;
     (requests > 0.0).then_some(PoolSample {
         requests,
--- a/crates/heathroad/tests/golden_expect.rs
+++ b/crates/heathroad/tests/golden_expect.rs
@@ -1,5 +1,5 @@
-//! What `heathroad expect` and `heathroad drains` print, and a node as the daemon tells it: the golden answers come from
-//! commit 1355c4b.
+//! What `heathroad expect` and `heathroad drains` print, and a node as the daemon tells it: the
+//! golden answers come from commit 1355c4b.
 
 use heathroad_verifier::Node;
 use serde_json::json;
--- a/crates/heathroad/tests/unit/engine.rs
+++ b/crates/heathroad/tests/unit/engine.rs
@@ -53,7 +53,11 @@
     let tasks = LocalSet::new();
     tasks
         .run_until(async {
-            let counts = Counts::new(&Rc::new(crate::metrics::Meter::new()), "", &settings().site);
+            let counts = PoolMetrics::new(
+                &Rc::new(crate::metrics::MetricsRegistry::new()),
+                "",
+                &settings().site,
+            );
             let engine = Engine::new(
                 settings(),
                 1,
@@ -154,7 +158,11 @@
         may_duplicate: true,
     };
     let (watching, _) = watch::channel(false);
-    let counts = Counts::new(&Rc::new(crate::metrics::Meter::new()), "", &settings().site);
+    let counts = PoolMetrics::new(
+        &Rc::new(crate::metrics::MetricsRegistry::new()),
+        "",
+        &settings().site,
+    );
     let engine = Engine::new(
         settings(),
         1,
--- a/crates/heathroad/tests/unit/frontend_http.rs
+++ b/crates/heathroad/tests/unit/frontend_http.rs
@@ -4,7 +4,7 @@
 use crate::backend::{Limits, Pool};
 use crate::engine::Engine;
 use crate::engine::tests::settings;
-use crate::metrics::{Counts, Meter};
+use crate::metrics::{MetricsRegistry, PoolMetrics};
 use std::cell::Cell;
 use tokio::task::{LocalSet, spawn_local, yield_now};
 
@@ -25,7 +25,7 @@
         drain_grace: limit,
         may_duplicate,
     };
-    let counts = Counts::new(&Rc::new(Meter::new()), "", &settings().site);
+    let counts = PoolMetrics::new(&Rc::new(MetricsRegistry::new()), "", &settings().site);
     let (watching, _) = watch::channel(false);
     let engine = Engine::new(
         settings(),
--- a/crates/heathroad/tests/unit/frontend_races.rs
+++ b/crates/heathroad/tests/unit/frontend_races.rs
@@ -8,7 +8,7 @@
 use crate::backend::{Limits, Pool};
 use crate::engine::Engine;
 use crate::engine::tests::settings;
-use crate::metrics::{Counts, Meter};
+use crate::metrics::{MetricsRegistry, PoolMetrics};
 use crate::router::Router;
 use heathroad_balancer::api::UpdateKind;
 use serde_json::json;
@@ -45,7 +45,7 @@
         may_duplicate: true,
     };
     let table = Rc::<ConnectionTable>::default();
-    let counts = Counts::new(&Rc::new(Meter::new()), "", &settings().site);
+    let counts = PoolMetrics::new(&Rc::new(MetricsRegistry::new()), "", &settings().site);
     let (watching, _) = watch::channel(false);
     let engine = Engine::new(
         settings(),
@@ -219,7 +219,7 @@
                 caller.write_all(request(2 * round + 1).as_bytes()).expect("open");
                 answered += next(caller).await.1;
                 sheds.await.expect("no panic");
-                let counts = s.engine.counts().meter().text(&[], [0, 0]);
+                let counts = s.engine.counts().registry().to_text(&[], crate::metrics::Descriptors { open: 0, max: 0 });
                 assert!(!counts.contains("\"left\""), "round {round}: it was taken and dropped");
             }
             assert_ne!(answered, 0, "each was closed unread");
--- a/crates/heathroad/tests/unit/lease_store.rs
+++ b/crates/heathroad/tests/unit/lease_store.rs
@@ -22,7 +22,8 @@
 }
 
 /// Returns the state of a voter that has heard of a generation and granted nothing. The state of a
-/// voter that has granted a lease can't be stored: a key of the map is no text, and JSON has no other.
+/// voter that has granted a lease can't be stored: a key of the map is no text, and JSON has no
+/// other.
 fn voter_state() -> VoterState {
     VoterState {
         generation: 3,
--- a/crates/heathroad/tests/unit/metrics.rs
+++ b/crates/heathroad/tests/unit/metrics.rs
@@ -1,7 +1,10 @@
 //! A measurement of what counting costs.
 
 use super::*;
+use heathroad_balancer::api::Outcome;
+use heathroad_balancer::settings::SiteSettings;
 use std::hint::black_box;
+use std::rc::Rc;
 use std::time::Instant;
 
 /// A measurement and no test: what a request's counting takes. Run it in release with `--ignored
@@ -11,8 +14,8 @@
 fn what_counting_costs() {
     const REQUESTS: u32 = 10_000_000;
     let name = |n: usize| (0..n).map(|i| i.to_string()).collect();
-    let counts = Counts::new(
-        &Rc::new(Meter::new()),
+    let counts = PoolMetrics::new(
+        &Rc::new(MetricsRegistry::new()),
         "",
         &SiteSettings {
             classes: name(4),
@@ -22,11 +25,11 @@
     );
     let begun = Instant::now();
     for i in 0..REQUESTS {
-        counts.ended(black_box(Outcome::Success), None);
-        counts.answered(
+        counts.record_attempt_end(black_box(Outcome::Success), None);
+        counts.record_response(
             black_box((i % 4) as u16),
             black_box((i % 5) as u16),
-            Final::Served,
+            ResponseKind::Served,
         );
     }
     println!(
