--- a/crates/heathroad/src/cli/arguments.rs
+++ b/crates/heathroad/src/cli/arguments.rs
@@ -17,7 +17,7 @@
 
 /// Where a running daemon is asked.
 #[derive(clap::Args)]
-pub struct At {
+pub struct AdminAddress {
     /// Its admin address; else RELAY_ADMIN names it.
     #[arg(long)]
     pub admin: Option<std::net::SocketAddr>,
@@ -25,7 +25,7 @@
 
 /// What expectations are held against.
 #[derive(clap::Args)]
-pub struct With {
+pub struct VerificationInputs {
     /// The TOML file of routes and pools.
     pub routes: PathBuf,
     /// The TOML files of expectations.
@@ -38,7 +38,7 @@
     #[arg(long)]
     pub live: bool,
     #[command(flatten)]
-    pub at: At,
+    pub at: AdminAddress,
     /// Answer in JSON.
     #[arg(long)]
     pub json: bool,
@@ -63,29 +63,29 @@
         #[arg(long, value_name = "TIME")]
         required_within: Option<String>,
         #[command(flatten)]
-        at: At,
+        at: AdminAddress,
     },
     /// Say which configuration a running daemon has in force, and what became of the last changes.
     Status {
         #[command(flatten)]
-        at: At,
+        at: AdminAddress,
     },
     /// Undo the change that is under way, or the last one that was committed.
     Undo {
         #[command(flatten)]
-        at: At,
+        at: AdminAddress,
     },
     /// Say whether a file of routes and pools holds what is expected of it, without a daemon or
     /// traffic.
     Expect {
         #[command(flatten)]
-        with: With,
+        with: VerificationInputs,
     },
     /// Plan drains in batches so that all that is expected holds in each; without a choice, of all
     /// nodes.
     Drains {
         #[command(flatten)]
-        with: With,
+        with: VerificationInputs,
         /// A node to drain; may be said more than once.
         #[arg(long, value_name = "ADDRESS")]
         node: Vec<std::net::SocketAddr>,
@@ -98,7 +98,7 @@
     },
     /// Say what the proxies of a fleet know of each other, asked of any one of them.
     #[command(subcommand)]
-    Fleet(Fleet),
+    Fleet(MembershipCommand),
     /// Show who holds and who held which lease of a fleet, or resign one; asked of any one proxy.
     #[command(subcommand)]
     #[command(name = "duty")]
@@ -114,22 +114,22 @@
 
 /// What is asked of a fleet.
 #[derive(Subcommand)]
-pub enum Fleet {
+pub enum MembershipCommand {
     /// Say who is there, suspected or gone, and what each acts on.
     Members {
         #[command(flatten)]
-        how: How,
+        how: ReportOptions,
     },
     /// Say which versions are acted on, and by whom.
     Versions {
         #[command(flatten)]
-        how: How,
+        how: ReportOptions,
     },
     /// Say who acted on which version and when, by each member's own record, and where nothing can
     /// be known.
     Audit {
         #[command(flatten)]
-        how: How,
+        how: ReportOptions,
         /// Leave out what ended before: Unix time in milliseconds, or how long ago, such as 90s,
         /// 5m, 2h.
         #[arg(long)]
@@ -152,13 +152,13 @@
     /// Show who holds each lease now, by the reports of its voters.
     List {
         #[command(flatten)]
-        how: How,
+        how: ReportOptions,
     },
     /// Show who held each lease under which token and when, as recorded by its holder and as
     /// bounded by voters.
     History {
         #[command(flatten)]
-        how: How,
+        how: ReportOptions,
         /// Draw it into an SVG file: one lane a lease.
         #[arg(long, value_name = "FILE")]
         picture: Option<PathBuf>,
@@ -169,15 +169,15 @@
         /// The name of the lease.
         name: String,
         #[command(flatten)]
-        at: At,
+        at: AdminAddress,
     },
 }
 
 /// How a question is asked and answered.
 #[derive(clap::Args)]
-pub struct How {
+pub struct ReportOptions {
     #[command(flatten)]
-    pub at: At,
+    pub at: AdminAddress,
     /// Answer in JSON.
     #[arg(long)]
     pub json: bool,
--- a/crates/heathroad/src/cli/membership.rs
+++ b/crates/heathroad/src/cli/membership.rs
@@ -1,6 +1,6 @@
 //! The `fleet` command: what the proxies of a fleet know of each other, and the audit.
 
-use super::arguments::{Fleet, How};
+use super::arguments::{MembershipCommand, ReportOptions};
 use super::query::{
     self, ParseDurationError, describe_version, elements, format_duration, text_or_dash,
 };
@@ -14,11 +14,11 @@
 const MEMBERS_PATH: &str = "/fleet/members";
 
 /// Runs the command.
-pub fn ask(command: &Fleet) -> Result<String, String> {
+pub fn ask(command: &MembershipCommand) -> Result<String, String> {
     match command {
-        Fleet::Members { how } => query::run(how, MEMBERS_PATH, render_members),
-        Fleet::Versions { how } => query::run(how, MEMBERS_PATH, render_versions),
-        Fleet::Audit {
+        MembershipCommand::Members { how } => query::run(how, MEMBERS_PATH, render_members),
+        MembershipCommand::Versions { how } => query::run(how, MEMBERS_PATH, render_versions),
+        MembershipCommand::Audit {
             how,
             since,
             version,
@@ -31,7 +31,7 @@
     }
 }
 
-fn run_audit(how: &How, path: &str, chart: Option<&Path>) -> Result<String, String> {
+fn run_audit(how: &ReportOptions, path: &str, chart: Option<&Path>) -> Result<String, String> {
     let text = query::fetch(how, path)?;
     let answer = query::parse(&text)?;
     if let Some(file) = chart {
--- a/crates/heathroad/src/cli/query.rs
+++ b/crates/heathroad/src/cli/query.rs
@@ -1,7 +1,7 @@
 //! Queries to a running daemon, and the parts that their answers as text have in common.
 
 use super::admin_client;
-use super::arguments::How;
+use super::arguments::ReportOptions;
 use hyper::Method;
 use serde_json::Value;
 use thiserror::Error;
@@ -18,7 +18,7 @@
 }
 
 /// Asks a daemon, and returns its answer as JSON text.
-pub(super) fn fetch(how: &How, path: &str) -> Result<String, String> {
+pub(super) fn fetch(how: &ReportOptions, path: &str) -> Result<String, String> {
     admin_client::call(how.at.admin, Method::GET, path, String::new())
 }
 
@@ -28,7 +28,11 @@
 }
 
 /// Asks a daemon, and returns its answer as JSON or rendered as text.
-pub(super) fn run(how: &How, path: &str, render: fn(&Value) -> String) -> Result<String, String> {
+pub(super) fn run(
+    how: &ReportOptions,
+    path: &str,
+    render: fn(&Value) -> String,
+) -> Result<String, String> {
     let answer = fetch(how, path)?;
     if how.json {
         return Ok(answer);
--- a/crates/heathroad/src/cli/verify.rs
+++ b/crates/heathroad/src/cli/verify.rs
@@ -1,7 +1,7 @@
 //! The commands that verify a routing configuration: `expect` and `drains`.
 
 use super::admin_client;
-use super::arguments::With;
+use super::arguments::VerificationInputs;
 use crate::configuration::{self, routes, verification_gate};
 use heathroad_routing::generation::Generation;
 use heathroad_verifier::drain_plan::{DrainPlan, plan_drains};
@@ -41,7 +41,7 @@
     verification_gate::read(file).map_err(|error| error.to_string())
 }
 
-fn read_inputs(arguments: &With) -> Result<Inputs, String> {
+fn read_inputs(arguments: &VerificationInputs) -> Result<Inputs, String> {
     let generation = read_routes(&arguments.routes)?;
     let files = arguments
         .expectations
@@ -72,7 +72,7 @@
 }
 
 /// Requests the nodes of a running daemon.
-fn request_nodes(arguments: &With) -> Result<Vec<Node>, String> {
+fn request_nodes(arguments: &VerificationInputs) -> Result<Vec<Node>, String> {
     let address = arguments.at.admin;
     let response = admin_client::call(address, Method::GET, NODES_PATH, String::new())?;
     serde_json::from_str(&response).map_err(|error| format!("the daemon's nodes: {error}"))
@@ -90,7 +90,7 @@
 /// # Errors
 ///
 /// Fails if an expectation does, or if something can't be read or verified.
-pub fn run_expect(arguments: &With) -> Result<String, CommandError> {
+pub fn run_expect(arguments: &VerificationInputs) -> Result<String, CommandError> {
     let inputs = read_inputs(arguments).map_err(CommandError::Other)?;
     let files = inputs.files.iter();
     let reports = files.map(|file| verify(&inputs.generation, file, &inputs.environment));
@@ -139,7 +139,7 @@
 ///
 /// Fails if a node can't drain, or if something can't be read or verified.
 pub fn run_drains(
-    arguments: &With,
+    arguments: &VerificationInputs,
     nodes: &[SocketAddr],
     sites: &[String],
     max_batch_size: usize,
--- a/crates/heathroad/src/configuration/verification_gate.rs
+++ b/crates/heathroad/src/configuration/verification_gate.rs
@@ -58,11 +58,11 @@
 
 /// Returns what verification has to know of a daemon with some settings.
 pub fn environment(
-    facts: &InstanceSettings,
+    settings: &InstanceSettings,
     registry: SocketAddr,
     nodes: Vec<Node>,
 ) -> Environment {
-    let (settings, site) = (&facts.balancer, &facts.site);
+    let (settings, site) = (&settings.balancer, &settings.site);
     Environment {
         tenants: (!site.tenants.is_empty()).then(|| site.tenants.clone()),
         max_attempts: Some(settings.limits.max_attempts),
--- a/crates/heathroad/src/daemon/frontends.rs
+++ b/crates/heathroad/src/daemon/frontends.rs
@@ -45,7 +45,7 @@
             Router::SinglePool(_) => None,
             Router::Routed(pools) => {
                 let frontend = JsonRpcFrontend {
-                    many: pools.clone(),
+                    pools: pools.clone(),
                     settings: config.settings.clone(),
                     max_connections,
                     max_buffered_bytes,
--- a/crates/heathroad/src/engine/attempt.rs
+++ b/crates/heathroad/src/engine/attempt.rs
@@ -226,7 +226,7 @@
             },
             in_flight: None,
         });
-        self.counts.record_attempt_end(Outcome::NotSent, None);
+        self.metrics.record_attempt_end(Outcome::NotSent, None);
         let id = AttemptId {
             request,
             number,
@@ -239,11 +239,11 @@
 
     fn count_attempt(&self, open: &OpenRequest, target: &Target, started_at: Instant) {
         if !open.attempts.is_empty() {
-            self.counts.record_retry(open.last_outcome);
+            self.metrics.record_retry(open.last_outcome);
         }
         let age_ms = self.clock.to_ms(started_at) - target.born_ms;
         if target.born_ms > 0.0 && age_ms < self.settings.balancer.guarantees.slow_start_duration {
-            self.counts.record_slow_start_send();
+            self.metrics.record_slow_start_send();
         }
         if let Some(activity) = &open.activity {
             activity.record(Activity::AttemptSent);
@@ -316,14 +316,14 @@
             AttemptEnd::NotificationSent => Some(UnjudgedEnd::NotificationSent),
             _ => None,
         };
-        self.counts.record_attempt_end(result.outcome(), special);
+        self.metrics.record_attempt_end(result.outcome(), special);
     }
 
     /// Notifies the decision module of the result of an attempt that was given up before. Its
     /// request is over.
     fn record_late_result(self: &Rc<Self>, id: AttemptId, result: &AttemptEnd) {
         let outcome = result.outcome();
-        self.counts.record_late_completion(outcome);
+        self.metrics.record_late_completion(outcome);
         self.notify(Event::LateCompletion(AttemptResult {
             request: id.request,
             attempt: id.number as u8,
--- a/crates/heathroad/src/engine/endpoints.rs
+++ b/crates/heathroad/src/engine/endpoints.rs
@@ -38,7 +38,7 @@
     }
 
     /// Sends nothing new to its process from now on.
-    fn withdraw(&self, pool: &Pool, counts: &PoolMetrics, notice: DrainReason) {
+    fn withdraw(&self, pool: &Pool, metrics: &PoolMetrics, notice: DrainReason) {
         let Some(target) = self.available_target() else {
             return;
         };
@@ -48,11 +48,11 @@
         // The notice may have lain unread while the process stalled.
         target.start_draining(stall_detector::earliest_arrival(Instant::now()));
         pool.close_idle_connections(target);
-        counts.record_drain(notice);
+        metrics.record_drain(notice);
     }
 
     /// Replaces its process unless that is the listed one.
-    fn set_ready_target(&mut self, instance: &Instance, pool: &Pool, counts: &PoolMetrics) {
+    fn set_ready_target(&mut self, instance: &Instance, pool: &Pool, metrics: &PoolMetrics) {
         let Some(address) = instance.address else {
             return;
         };
@@ -64,7 +64,7 @@
         if is_same {
             return;
         }
-        self.withdraw(pool, counts, DrainReason::Replaced);
+        self.withdraw(pool, metrics, DrainReason::Replaced);
         tracing::debug!(backend = instance.name, %address, born_ms = instance.started_ms, "backend ready");
         self.target = Some(pool.target(&instance.name, address, instance.started_ms));
     }
@@ -145,7 +145,7 @@
                 .values()
                 .filter(|endpoint| !endpoint.is_listed);
             unlisted.for_each(|endpoint| {
-                endpoint.withdraw(&self.pool, &self.counts, DrainReason::Removed);
+                endpoint.withdraw(&self.pool, &self.metrics, DrainReason::Removed);
             });
             updated
         };
@@ -163,7 +163,7 @@
         let Some(zone) = zones.iter().position(|zone| *zone == instance.site) else {
             // The pool cannot send there, and takes it out wherever it was before.
             endpoint.is_listed = false;
-            endpoint.withdraw(&self.pool, &self.counts, DrainReason::Removed);
+            endpoint.withdraw(&self.pool, &self.metrics, DrainReason::Removed);
             if instance.health == InstanceHealth::Serving {
                 tracing::warn!(
                     "discovery: {}: zone {:?} is unknown, passed over",
@@ -180,12 +180,12 @@
         let state = endpoint_state(instance.health);
         match state {
             EndpointState::Ready if instance.address.is_some() => {
-                endpoint.set_ready_target(&instance, &self.pool, &self.counts);
+                endpoint.set_ready_target(&instance, &self.pool, &self.metrics);
             }
             EndpointState::Removed => {
-                endpoint.withdraw(&self.pool, &self.counts, DrainReason::Removed);
+                endpoint.withdraw(&self.pool, &self.metrics, DrainReason::Removed);
             }
-            _ => endpoint.withdraw(&self.pool, &self.counts, DrainReason::Draining),
+            _ => endpoint.withdraw(&self.pool, &self.metrics, DrainReason::Draining),
         }
         let (zone, cell) = (zone as u16, instance.block);
         endpoint.location = Location { zone, cell };
--- a/crates/heathroad/src/engine/mod.rs
+++ b/crates/heathroad/src/engine/mod.rs
@@ -53,7 +53,7 @@
     pool: Rc<Pool>,
     clock: Clock,
     settings: InstanceSettings,
-    counts: PoolMetrics,
+    metrics: PoolMetrics,
     /// What this proxy acts on, where a record is kept.
     activity_log: Option<Rc<ActivityLog>>,
     /// Whether the decision module wants the list of backends to be watched.
@@ -72,7 +72,7 @@
         mut settings: InstanceSettings,
         seed: u64,
         pool: Rc<Pool>,
-        counts: PoolMetrics,
+        metrics: PoolMetrics,
         activity_log: Option<Rc<ActivityLog>>,
         watch_requested: watch::Sender<bool>,
     ) -> Result<Rc<Self>, SettingsError> {
@@ -90,7 +90,7 @@
             pool,
             clock: Clock::new(),
             settings,
-            counts,
+            metrics,
             activity_log,
             watch_requested,
             stop_at: Cell::new(None),
@@ -139,8 +139,8 @@
     }
 
     /// Returns the pool's counters.
-    pub fn counts(&self) -> &PoolMetrics {
-        &self.counts
+    pub fn metrics(&self) -> &PoolMetrics {
+        &self.metrics
     }
 
     /// Returns the pool's settings.
@@ -151,7 +151,7 @@
     /// Returns the pool's present load.
     pub fn moment(&self) -> PoolSnapshot<'_> {
         PoolSnapshot {
-            metrics: &self.counts,
+            metrics: &self.metrics,
             load: self.state.borrow().balancer.load(),
             open_requests: self.pending_requests(),
         }
--- a/crates/heathroad/src/engine/request.rs
+++ b/crates/heathroad/src/engine/request.rs
@@ -198,7 +198,7 @@
 
     /// Counts a request that ends before it is decided, and records it.
     pub fn record_undecided(&self, incoming: &IncomingRequest, response: ResponseKind) {
-        self.counts
+        self.metrics
             .record_response(incoming.class, incoming.tenant, response);
         incoming.record(Activity::RequestBound);
         incoming.record(final_activity(response));
@@ -207,7 +207,7 @@
     fn reject_while_fenced(&self, incoming: &IncomingRequest) -> FinalResponse {
         incoming.record(Activity::RequestFenced);
         self.fenced_rejections.set(self.fenced_rejections.get() + 1);
-        self.counts
+        self.metrics
             .record_response(incoming.class, incoming.tenant, ResponseKind::Rejected);
         let retry_after = retry_after(&self.settings);
         Response::Rejected { retry_after }.into()
@@ -217,7 +217,7 @@
         tracing::debug!(
             id = %incoming.call.label(), reason = "deadline passed before the decision", "request timed out"
         );
-        self.counts
+        self.metrics
             .record_response(incoming.class, incoming.tenant, ResponseKind::TimedOut);
         incoming.record(Activity::RequestFailed);
         Response::TimedOut.into()
@@ -227,7 +227,7 @@
         tracing::debug!(
             id = %incoming.call.label(), reason = "open requests at their limit", "request rejected"
         );
-        self.counts
+        self.metrics
             .record_response(incoming.class, incoming.tenant, ResponseKind::Rejected);
         incoming.record(Activity::RequestRejected);
         Response::Rejected { retry_after: None }.into()
@@ -351,7 +351,7 @@
         }
         let is_served = self.outcome == ResponseKind::Served;
         if is_served && received_at.elapsed() > self.engine.latency_objective(self.class) {
-            self.engine.counts.record_served_late();
+            self.engine.metrics.record_served_late();
         }
     }
 }
@@ -360,7 +360,7 @@
     fn drop(&mut self) {
         tracing::debug!(request = self.request, outcome = ?self.outcome, "request ended");
         self.engine
-            .counts
+            .metrics
             .record_response(self.class, self.tenant, self.outcome);
         if let Some(activity) = &self.activity {
             activity.record(final_activity(self.outcome));
--- a/crates/heathroad/src/frontend/http/request.rs
+++ b/crates/heathroad/src/frontend/http/request.rs
@@ -94,7 +94,12 @@
             .deadline
             .map_or(timeout, |deadline| timeout.min(deadline));
         let has_key = headers.idempotency_key.is_some();
-        check_method(bound.effect, &head.method, has_key, !body.is_end_stream())?;
+        check_method(
+            bound.idempotency,
+            &head.method,
+            has_key,
+            !body.is_end_stream(),
+        )?;
         // Of two requests with one id only the first can be told from its retry.
         let reservation = RequestReservation::new(&self.table, headers.id);
         let mut reservation = reservation.ok_or(RequestError::DuplicateId)?;
@@ -108,7 +113,7 @@
                 .await
                 .unwrap_or(Err(timed_out))?
         };
-        let activity = bound.acts.clone();
+        let activity = bound.activity.clone();
         let call = to_call(&head, &headers, activity.as_ref(), body)?;
         let fingerprint = RequestFingerprint {
             key: key.map_or(0, |key| stable_hash(key.as_bytes())),
--- a/crates/heathroad/src/frontend/jsonrpc/call.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/call.rs
@@ -79,7 +79,7 @@
 impl Client {
     /// Finds out what a call is and which pool it goes to.
     pub(super) fn bind_call(&self, call: Call, received_at: Instant) -> Result<BoundCall, Wrong> {
-        let generation = self.frontend().many.current_generation();
+        let generation = self.frontend().pools.current_generation();
         let listeners = &generation.config.listeners;
         let listener = listeners
             .iter()
@@ -96,7 +96,7 @@
         let route_key = key
             .as_deref()
             .map_or(call.id.as_deref().unwrap_or_default(), str::as_bytes);
-        let bound = self.frontend().many.bind(&RoutingRequest {
+        let bound = self.frontend().pools.bind(&RoutingRequest {
             listener: &listener.name,
             method: &call.method,
             host: "",
@@ -108,8 +108,8 @@
         });
         let no_route = "a method that some route takes to where it is served";
         let bound = bound.ok_or(wrong(METHOD_NOT_FOUND, no_route))?;
-        let transport = bound.way.ok_or(wrong(METHOD_NOT_FOUND, no_route))?;
-        if matches!(bound.effect, Idempotency::Deduplicated { .. }) && key.is_none() {
+        let transport = bound.transport.ok_or(wrong(METHOD_NOT_FOUND, no_route))?;
+        if matches!(bound.idempotency, Idempotency::Deduplicated { .. }) && key.is_none() {
             return Err(wrong(INVALID_PARAMS, "a key"));
         }
         let timeout = bound.deadline.unwrap_or_default();
@@ -128,7 +128,7 @@
             received_at,
             timeout,
             budget,
-            activity: bound.acts.clone(),
+            activity: bound.activity.clone(),
         };
         Ok(BoundCall {
             id,
@@ -223,7 +223,7 @@
             incoming,
             bound,
         } = call;
-        bound.engine.counts().record_response(
+        bound.engine.metrics().record_response(
             incoming.class,
             incoming.tenant,
             ResponseKind::Rejected,
@@ -245,7 +245,7 @@
             LOOP_DETECTED => 508,
             _ => 400,
         };
-        self.frontend().many.meter().record_unusable(status);
+        self.frontend().pools.meter().record_unusable(status);
         answer::malformed(wrong)
     }
 }
--- a/crates/heathroad/src/frontend/jsonrpc/mod.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/mod.rs
@@ -34,7 +34,7 @@
 /// Serves clients over JSON-RPC.
 pub struct JsonRpcFrontend {
     /// Says where calls go, and which listeners take them.
-    pub many: Rc<RoutedPools>,
+    pub pools: Rc<RoutedPools>,
     /// The settings.
     pub settings: InstanceSettings,
     /// Most connections at once, with those over HTTP.
@@ -54,7 +54,7 @@
     /// Serves the listeners of the generation in force, until `stop` is set and the last call is
     /// answered.
     pub async fn serve(self: Rc<Self>, mut stop: watch::Receiver<bool>) {
-        let mut changed = self.many.listener_changes();
+        let mut changed = self.pools.listener_changes();
         let daemon_stop = stop.clone();
         let mut running = RunningListeners::new();
         let mut open = JoinSet::new();
@@ -80,7 +80,7 @@
         open: &mut JoinSet<()>,
         daemon_stop: &watch::Receiver<bool>,
     ) {
-        let configured = self.many.listeners();
+        let configured = self.pools.listeners();
         running.retain(|name, (listener, stop)| {
             let stays = configured
                 .iter()
--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -56,13 +56,13 @@
     /// The index of the request class in the engine's settings.
     pub class: u16,
     /// Whether the request may run more than once.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// The maximum duration of a request of the class, where the pool limits it.
     pub deadline: Option<Duration>,
     /// How the backends of the pool speak JSON-RPC, where they do.
-    pub way: Option<Transport>,
+    pub transport: Option<Transport>,
     /// The activity record of the request, where records are kept.
-    pub acts: Option<activity_log::RequestActivity>,
+    pub activity: Option<activity_log::RequestActivity>,
     /// Keeps the generation and the pool that the request is bound to.
     _route: Option<(Rc<Generation>, Rc<PoolRun>)>,
 }
@@ -77,15 +77,15 @@
 
 /// Binds a request of a class to an engine that serves the class.
 fn bind_to_engine(engine: &Rc<Engine>, class: &str) -> Option<BoundRequest> {
-    let facts = engine.settings();
-    let index = facts.site.classes.iter().position(|c| c == class)?;
+    let settings = engine.settings();
+    let index = settings.site.classes.iter().position(|c| c == class)?;
     Some(BoundRequest {
         engine: engine.clone(),
         class: index as u16,
-        effect: facts.balancer.classes[index].idempotency,
+        idempotency: settings.balancer.classes[index].idempotency,
         deadline: None,
-        way: None,
-        acts: engine.bind_activity(),
+        transport: None,
+        activity: engine.bind_activity(),
         _route: None,
     })
 }
@@ -136,7 +136,7 @@
     /// Returns the counters over all pools.
     pub fn meter(&self) -> Rc<MetricsRegistry> {
         match self {
-            Router::SinglePool(engine) => engine.counts().registry().clone(),
+            Router::SinglePool(engine) => engine.metrics().registry().clone(),
             Router::Routed(pools) => pools.meter().clone(),
         }
     }
--- a/crates/heathroad/src/router/pool_run.rs
+++ b/crates/heathroad/src/router/pool_run.rs
@@ -71,16 +71,16 @@
     }
 
     fn start_engine(&self, pool: &Pool, key: &str) -> Result<Rc<Engine>, RouterError> {
-        let facts = pool_settings(&self.config.settings, pool);
-        let counts = PoolMetrics::new(&self.meter, &pool.name, &facts.site);
+        let settings = pool_settings(&self.config.settings, pool);
+        let counts = PoolMetrics::new(&self.meter, &pool.name, &settings.site);
         // The router itself decides which registries to watch.
         let (watching, _) = watch::channel(false);
         let engine = Engine::new(
-            facts,
+            settings,
             self.config.seed ^ stable_hash(key.as_bytes()),
             self.config.connections.clone(),
             counts,
-            self.config.acts.clone(),
+            self.config.activity_log.clone(),
             watching,
         );
         let engine = engine.map_err(|source| RouterError::Pool {
@@ -158,14 +158,17 @@
 
 /// Returns the settings of a pool: those of the daemon, with the classes of the pool.
 fn pool_settings(daemon: &InstanceSettings, pool: &Pool) -> InstanceSettings {
-    let mut facts = daemon.clone();
-    facts.balancer.classes = pool.classes.iter().map(class_settings).collect();
-    facts.site.classes = pool.classes.iter().map(|c| c.name.clone()).collect();
-    facts.balancer.polls_endpoints = false;
+    let mut settings = daemon.clone();
+    settings.balancer.classes = pool.classes.iter().map(class_settings).collect();
+    settings.site.classes = pool.classes.iter().map(|c| c.name.clone()).collect();
+    settings.balancer.polls_endpoints = false;
     if let Some(max_open_requests) = pool.max_open_requests {
-        facts.site.max_open_requests = facts.site.max_open_requests.min(max_open_requests as usize);
+        settings.site.max_open_requests = settings
+            .site
+            .max_open_requests
+            .min(max_open_requests as usize);
     }
-    facts
+    settings
 }
 
 fn class_settings(class: &Class) -> api::Class {
--- a/crates/heathroad/src/router/proposal.rs
+++ b/crates/heathroad/src/router/proposal.rs
@@ -35,9 +35,13 @@
 
     /// Checks whether this proxy can require a change of the whole cluster.
     fn check_requirement(&self, within_ms: u64) -> Result<(), ProposalError> {
-        let acts = self.config.acts.as_ref().ok_or(ProposalError::NoCluster)?;
-        let min_ms = acts.min_required_within_ms();
-        if acts.is_fenced() {
+        let activity_log = self
+            .config
+            .activity_log
+            .as_ref()
+            .ok_or(ProposalError::NoCluster)?;
+        let min_ms = activity_log.min_required_within_ms();
+        if activity_log.is_fenced() {
             return Err(ProposalError::Fenced);
         }
         if within_ms < min_ms {
@@ -100,11 +104,11 @@
     /// Reserves the numbers that the cluster has assigned, since a number means one text in all of
     /// it.
     fn reserve_cluster_numbers(&self, number: u64) {
-        if let Some(acts) = &self.config.acts {
+        if let Some(activity_log) = &self.config.activity_log {
             let assigned = if number > 0 {
                 number - 1
             } else {
-                acts.highest_known_generation()
+                activity_log.highest_known_generation()
             };
             self.transactions
                 .borrow_mut()
--- a/crates/heathroad/src/router/registry.rs
+++ b/crates/heathroad/src/router/registry.rs
@@ -127,8 +127,8 @@
         let BackendSource::List(backends) = &run.pool.source else {
             return;
         };
-        let facts = &self.config.settings;
-        let own_site = facts.site.zones.get(usize::from(facts.balancer.zone));
+        let settings = &self.config.settings;
+        let own_site = settings.site.zones.get(usize::from(settings.balancer.zone));
         let own_site = own_site.cloned().unwrap_or_default();
         let states = self.backend_states.borrow();
         let endpoint = |backend: &ListedBackend| Instance {
@@ -183,8 +183,8 @@
         let DiscoveryEvent::Update(update) = event else {
             return;
         };
-        if let Some(acts) = &self.config.acts {
-            acts.endpoint_list_received(registry, update.version);
+        if let Some(activity_log) = &self.config.activity_log {
+            activity_log.endpoint_list_received(registry, update.version);
         }
         self.update_endpoints(registry, update.kind, &update.instances);
     }
@@ -273,8 +273,8 @@
             let is_used = used.contains(address);
             if !is_used {
                 watch.task.abort();
-                if let Some(acts) = &self.config.acts {
-                    acts.endpoint_source_removed(*address);
+                if let Some(activity_log) = &self.config.activity_log {
+                    activity_log.endpoint_source_removed(*address);
                 }
             }
             is_used
--- a/crates/heathroad/src/router/routed_pools.rs
+++ b/crates/heathroad/src/router/routed_pools.rs
@@ -51,7 +51,7 @@
     /// The address that the daemon listens on for HTTP.
     pub listen_address: SocketAddr,
     /// The activity log of this proxy, where one is kept.
-    pub acts: Option<Rc<ActivityLog>>,
+    pub activity_log: Option<Rc<ActivityLog>>,
 }
 
 /// The generation and the pools that new requests bind to.
@@ -140,8 +140,8 @@
         });
         pools.open_listeners(first)?;
         pools.activate(first)?;
-        if let Some(acts) = &pools.config.acts {
-            acts.announce_commit(first.number, &first.text, None);
+        if let Some(activity_log) = &pools.config.activity_log {
+            activity_log.announce_commit(first.number, &first.text, None);
         }
         pools.spawn_sampling();
         Ok(pools)
@@ -186,7 +186,7 @@
         let bound = bind_to_engine(&run.engine, request.class)?;
         Some(BoundRequest {
             deadline: Some(millis(class.deadline_ms)),
-            way: run.pool.jsonrpc.as_ref().map(jsonrpc_transport),
+            transport: run.pool.jsonrpc.as_ref().map(jsonrpc_transport),
             _route: Some((active.generation.clone(), run.clone())),
             ..bound
         })
@@ -202,12 +202,12 @@
         self.active.borrow().generation.clone()
     }
 
-    /// Whether this proxy is fenced: it acts on an older generation than the cluster requires.
+    /// Whether this proxy is fenced: it activity_log on an older generation than the cluster requires.
     pub(super) fn is_fenced(&self) -> bool {
         self.config
-            .acts
+            .activity_log
             .as_ref()
-            .is_some_and(|acts| acts.is_fenced())
+            .is_some_and(|activity_log| activity_log.is_fenced())
     }
 
     pub(super) fn has_backends(&self) -> bool {
@@ -250,8 +250,8 @@
             runs,
             classes,
         }));
-        if let Some(acts) = &self.config.acts {
-            acts.set_routes(generation.number, &generation.text);
+        if let Some(activity_log) = &self.config.activity_log {
+            activity_log.set_routes(generation.number, &generation.text);
         }
         self.share_warmup_budgets();
         self.listeners_changed.send_replace(());
--- a/crates/heathroad/src/router/stale_routes.rs
+++ b/crates/heathroad/src/router/stale_routes.rs
@@ -1,6 +1,6 @@
 //! Brings a proxy with stale routes up to date with its cluster.
 //!
-//! The proxy fetches the wanted text from a member that acts on it, and proposes it with the same
+//! The proxy fetches the wanted text from a member that activity_log on it, and proposes it with the same
 //! checks, expectations, staging and probation as a change by an operator. A text that it rejects
 //! is not tried again, and the reason is announced.
 
--- a/crates/heathroad/src/router/startup.rs
+++ b/crates/heathroad/src/router/startup.rs
@@ -35,7 +35,7 @@
     file: &Path,
     config: &Config,
     connections: &Rc<Pool>,
-    acts: Option<Rc<ActivityLog>>,
+    activity_log: Option<Rc<ActivityLog>>,
 ) -> Result<Rc<RoutedPools>, RouterError> {
     let mut state = open_state(config)?;
     let gate = config.expectations.as_deref().map(VerificationGate::new);
@@ -59,7 +59,7 @@
         },
         gate,
         listen_address: config.listen,
-        acts,
+        activity_log,
     };
     RoutedPools::start(pools_config, &first, state.highest_number, state.journal)
 }
--- a/crates/heathroad/src/router/transactions.rs
+++ b/crates/heathroad/src/router/transactions.rs
@@ -101,11 +101,13 @@
 
     /// Records a report in the activity log and in the messages for operators.
     fn publish(&self, report: &TransactionReport) {
-        if let Some(acts) = &self.config.acts {
+        if let Some(activity_log) = &self.config.activity_log {
             match report {
-                TransactionReport::Applied { .. } => acts.record(Activity::ChangeApplied),
+                TransactionReport::Applied { .. } => activity_log.record(Activity::ChangeApplied),
                 TransactionReport::Committed { number } => self.announce_commit(*number),
-                TransactionReport::RolledBack { .. } => acts.record(Activity::ChangeRolledBack),
+                TransactionReport::RolledBack { .. } => {
+                    activity_log.record(Activity::ChangeRolledBack);
+                }
                 _ => {}
             }
         }
@@ -126,9 +128,9 @@
         let current = self.transactions.borrow().current().clone();
         let required = self.required_change.take();
         let required = required.filter(|change| change.digest == current.digest);
-        let acts = self.config.acts.as_ref();
-        if let Some(acts) = acts.filter(|_| current.number == number) {
-            acts.announce_commit(
+        let activity_log = self.config.activity_log.as_ref();
+        if let Some(activity_log) = activity_log.filter(|_| current.number == number) {
+            activity_log.announce_commit(
                 number,
                 &current.text,
                 required.map(|change| change.within_ms),
@@ -262,7 +264,7 @@
 
 /// Returns the outcomes of a pool's requests since the last sample, if there were any.
 fn take_sample(run: &PoolRun) -> Option<PoolSample> {
-    let mut totals = run.engine.counts().response_totals();
+    let mut totals = run.engine.metrics().response_totals();
     // Requests that were rejected while this proxy was fenced say nothing of a change.
     totals.rejected = totals
         .rejected
--- a/crates/heathroad/tests/unit/frontend_races.rs
+++ b/crates/heathroad/tests/unit/frontend_races.rs
@@ -219,7 +219,7 @@
                 caller.write_all(request(2 * round + 1).as_bytes()).expect("open");
                 answered += next(caller).await.1;
                 sheds.await.expect("no panic");
-                let counts = s.engine.counts().registry().to_text(&[], crate::metrics::Descriptors { open: 0, max: 0 });
+                let counts = s.engine.metrics().registry().to_text(&[], crate::metrics::Descriptors { open: 0, max: 0 });
                 assert!(!counts.contains("\"left\""), "round {round}: it was taken and dropped");
             }
             assert_ne!(answered, 0, "each was closed unread");
@@ -373,7 +373,7 @@
             let table = Rc::<ConnectionTable>::default();
             let (max_connections, max_buffered_bytes) = (100, 1 << 20);
             let front = JsonRpcFrontend {
-                many,
+                pools: many,
                 settings: settings(),
                 max_connections,
                 max_buffered_bytes,
