--- a/crates/heathroad-balancer/src/dispatch.rs
+++ b/crates/heathroad-balancer/src/dispatch.rs
@@ -12,6 +12,16 @@
 /// Share of the limit in flight from which it counts as used.
 const USED_SHARE: f64 = 0.8;
 
+/// How far a request is after an attempt.
+#[derive(Clone, Copy)]
+struct Progress {
+    /// The request has its final response, or its client left.
+    is_over: bool,
+    has_attempt_in_flight: bool,
+    /// No attempt can have been executed.
+    never_executed: bool,
+}
+
 impl Balancer {
     /// Counts an attempt in against the limit.
     fn count_in(&mut self, class: usize, slice: usize) {
@@ -104,34 +114,22 @@
         let is_uncounted_now = attempt.is_counted && !is_abandoned;
         request.retries_left = result.retries_left.or(request.retries_left);
         let (key, class, slice) = (request.key, request.class, request.slice);
+        let progress = Progress {
+            is_over: result.request_closed || request.is_finished,
+            has_attempt_in_flight: request.has_attempt_in_flight(),
+            never_executed: request.was_never_executed(),
+        };
         self.rest_key(now, key, result.outcome);
         if is_uncounted_now {
             self.count_out(class, slice);
         }
-        self.record_attempt_end(now, result, class, sent, is_abandoned);
-        self.close_idle_if_draining(result.backend, actions);
-        self.continue_request(now, id, result.request_closed, actions);
-    }
-
-    /// Records the end of an attempt at its backend: abandoned work goes on, any other end is an
-    /// outcome.
-    fn record_attempt_end(
-        &mut self,
-        now: f64,
-        result: &AttemptResult,
-        class: usize,
-        sent: SentAttempt,
-        is_abandoned: bool,
-    ) {
-        let Some(backend) = self.backends.get_mut(&result.backend) else {
-            return;
-        };
-        if is_abandoned {
+        if is_abandoned && let Some(backend) = self.backends.get_mut(&result.backend) {
             backend.abandon(sent);
         } else {
-            backend.remove(sent);
-            self.record_outcome(now, result, class);
+            self.record_outcome(now, result, class, sent);
         }
+        self.close_idle_if_draining(result.backend, actions);
+        self.continue_request(now, id, progress, actions);
     }
 
     /// Closes a request after an attempt, retries it, queues it again or ends it.
@@ -139,15 +137,13 @@
         &mut self,
         now: f64,
         id: RequestId,
-        is_closed: bool,
+        progress: Progress,
         actions: &mut Vec<Action>,
     ) {
-        let request = &self.requests[&id];
-        let never_executed = request.was_never_executed();
-        if is_closed || request.is_finished {
+        if progress.is_over {
             return self.close(now, id, actions);
         }
-        if request.has_attempt_in_flight() || self.retry(now, id, never_executed, actions) {
+        if progress.has_attempt_in_flight || self.retry(now, id, progress.never_executed, actions) {
             return;
         }
         let request = &self.requests[&id];
@@ -155,7 +151,7 @@
         // for ever.
         let has_attempts =
             request.attempts.len() < self.max_attempts() && request.retries_left != Some(0);
-        if never_executed && now < request.queue_deadline && has_attempts {
+        if progress.never_executed && now < request.queue_deadline && has_attempts {
             let slice = request.slice;
             return self.slices[slice].queue.push_back(id);
         }
@@ -184,7 +180,7 @@
         if was_counted {
             self.count_out(class, slice);
         }
-        self.record_attempt_end(now, result, class, sent, false);
+        self.record_outcome(now, result, class, sent);
         if is_finished {
             self.close(now, id, actions);
         }
--- a/crates/heathroad-balancer/src/policy/outlier.rs
+++ b/crates/heathroad-balancer/src/policy/outlier.rs
@@ -2,7 +2,7 @@
 //! while, come back by a trial, and stay out longer with each trial that fails.
 
 use crate::api::{AttemptResult, BackendId, Outcome};
-use crate::backend::Backend;
+use crate::backend::{Backend, SentAttempt};
 use crate::balancer::Balancer;
 use crate::policy::limiter::MAX_LATENCY_RATIO;
 
@@ -104,10 +104,17 @@
 
 impl Balancer {
     /// Records what an outcome shows of its backend and of the limit.
-    pub(crate) fn record_outcome(&mut self, now: f64, result: &AttemptResult, class: usize) {
+    pub(crate) fn record_outcome(
+        &mut self,
+        now: f64,
+        result: &AttemptResult,
+        class: usize,
+        sent: SentAttempt,
+    ) {
         let Some(backend) = self.backends.get_mut(&result.backend) else {
             return;
         };
+        backend.remove(sent);
         let has_responded = matches!(
             result.outcome,
             Outcome::Success | Outcome::Error | Outcome::Rejected
--- a/crates/heathroad-balancer/src/policy/selection.rs
+++ b/crates/heathroad-balancer/src/policy/selection.rs
@@ -2,6 +2,7 @@
 //! by expected wait.
 
 use crate::api::{BackendId, DeduplicationScope, EndpointState, Idempotency, RequestId};
+use crate::backend::Backend;
 use crate::balancer::Balancer;
 use crate::request::Request;
 
@@ -74,32 +75,43 @@
         let Some(backend) = self.backends.get(&id) else {
             return false;
         };
-        let idempotency = self.settings.classes[request.class].idempotency;
-        // An ejected backend gets a trial, one repeatable request, once its time is up.
-        let is_trial = idempotency != Idempotency::NonIdempotent && backend.is_due_for_trial(now);
-        let is_in_service = !backend.is_ejected() || ejected == Ejected::Included || is_trial;
         let was_last_tried = request.attempts.last().is_some_and(|a| a.backend == id);
         backend.endpoint.state == EndpointState::Ready
             && !backend.is_out_of_slow_start_tokens(&self.settings.guarantees, now)
-            && is_in_service
+            && self.is_in_service(now, request, backend, ejected)
             && !was_last_tried
-            && self.is_in_deduplication_scope(request, id)
+            && self.is_in_deduplication_scope(request, backend)
     }
 
-    /// Returns whether a backend drops the repeats of a request that may have been executed.
-    fn is_in_deduplication_scope(&self, request: &Request, id: BackendId) -> bool {
-        let endpoint = &self.backends[&id].endpoint;
+    /// Returns whether a backend is in service for a request. An ejected backend gets a trial, one
+    /// repeatable request, once its time is up.
+    fn is_in_service(
+        &self,
+        now: f64,
+        request: &Request,
+        backend: &Backend,
+        ejected: Ejected,
+    ) -> bool {
+        if !backend.is_ejected() || ejected == Ejected::Included {
+            return true;
+        }
         let idempotency = self.settings.classes[request.class].idempotency;
+        idempotency != Idempotency::NonIdempotent && backend.is_due_for_trial(now)
+    }
+
+    /// Returns whether a backend drops the repeats of a request that may have been executed.
+    fn is_in_deduplication_scope(&self, request: &Request, backend: &Backend) -> bool {
         let Some(executed) = request.first_executed() else {
             return true;
         };
+        let idempotency = self.settings.classes[request.class].idempotency;
         let Idempotency::Deduplicated { scope, .. } = idempotency else {
             return true;
         };
         match scope {
             DeduplicationScope::All => true,
-            DeduplicationScope::Zone => endpoint.zone == executed.zone,
-            DeduplicationScope::Cell => endpoint.cell == executed.cell,
+            DeduplicationScope::Zone => backend.endpoint.zone == executed.zone,
+            DeduplicationScope::Cell => backend.endpoint.cell == executed.cell,
         }
     }
 
--- a/crates/heathroad/src/backend/http/mod.rs
+++ b/crates/heathroad/src/backend/http/mod.rs
@@ -19,6 +19,7 @@
 use hyper::header::{HOST, HeaderName, HeaderValue};
 use hyper::{Method, Request, Response, Uri, header};
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::time::Instant;
 
 /// A request's own id.
@@ -130,8 +131,16 @@
     budget: Option<&AttemptBudget>,
 ) -> Result<(Connection, Response<Incoming>), AttemptEnd> {
     loop {
-        let acquired = acquire(pool, target).await;
-        let (mut connection, is_reused) = acquired.map_err(AttemptEnd::NotServed)?;
+        let (mut connection, is_reused) = match pool.take_idle(target) {
+            Some((connection, settles_for)) => {
+                settle(settles_for).await;
+                (connection, true)
+            }
+            None => {
+                let connection = pool.connect_http(target.address).await;
+                (connection.map_err(AttemptEnd::NotServed)?, false)
+            }
+        };
         // The connect may have taken long: by now the backend may drain, the client have left, or a
         // retry come too late.
         if let Err(denial) = pool.check_write(target, control) {
@@ -158,15 +167,11 @@
     }
 }
 
-/// Returns a connection to a process, and whether it was used before.
-async fn acquire(pool: &Pool, target: &Target) -> Result<(Connection, bool), Outcome> {
-    let Some((connection, settles_for)) = pool.take_idle(target) else {
-        return Ok((pool.connect_http(target.address).await?, false));
-    };
-    if !settles_for.is_zero() {
-        sleep(settles_for).await;
+/// Waits until stray bytes on an idle connection would have been seen.
+async fn settle(time: Duration) {
+    if !time.is_zero() {
+        sleep(time).await;
     }
-    Ok((connection, true))
 }
 
 /// Returns what a response means that came before the request's last byte was written. No backend
