--- a/crates/heathroad-balancer/src/policy/selection.rs
+++ b/crates/heathroad-balancer/src/policy/selection.rs
@@ -61,20 +61,30 @@
             return None;
         }
         let mut draws = (0..MAX_DRAWS).map(|_| candidates[rng.usize(..candidates.len())]);
-        let is_eligible = |id: BackendId| self.is_eligible(now, request, id, ejected);
-        let first = draws.find(|&id| is_eligible(id))?;
-        let Some(second) = draws.find(|&id| id != first && is_eligible(id)) else {
+        let eligible = |id: BackendId| {
+            let backend = self.backends.get(&id)?;
+            let is_eligible = self.is_eligible(now, request, id, backend, ejected);
+            is_eligible.then_some((id, backend))
+        };
+        let (first, first_backend) = draws.find_map(eligible)?;
+        let mut others = draws.filter(|&id| id != first);
+        let Some((second, second_backend)) = others.find_map(eligible) else {
             return Some(first);
         };
-        let is_cheaper = self.expected_wait(now, second) < self.expected_wait(now, first);
-        Some(if is_cheaper { second } else { first })
+        let is_second_cheaper =
+            self.expected_wait(now, second_backend) < self.expected_wait(now, first_backend);
+        Some(if is_second_cheaper { second } else { first })
     }
 
     /// Returns whether a backend may be sent an attempt of a request.
-    fn is_eligible(&self, now: f64, request: &Request, id: BackendId, ejected: Ejected) -> bool {
-        let Some(backend) = self.backends.get(&id) else {
-            return false;
-        };
+    fn is_eligible(
+        &self,
+        now: f64,
+        request: &Request,
+        id: BackendId,
+        backend: &Backend,
+        ejected: Ejected,
+    ) -> bool {
         let was_last_tried = request.attempts.last().is_some_and(|a| a.backend == id);
         backend.endpoint.state == EndpointState::Ready
             && !backend.is_out_of_slow_start_tokens(&self.settings.guarantees, now)
@@ -117,12 +127,11 @@
 
     /// Returns the expected wait at a backend relative to the others: own attempts, learned speed,
     /// errors, slow start.
-    fn expected_wait(&self, now: f64, id: BackendId) -> f64 {
-        let backend = &self.backends[&id];
+    fn expected_wait(&self, now: f64, backend: &Backend) -> f64 {
         let slowness = backend.latency_ratio * (1.0 + ERROR_WEIGHT * backend.error_rate)
             / backend.warm_share(&self.settings.guarantees, now);
         let is_priced = self.settings.objectives.cross_zone_price > 0.0;
-        let crossing = if is_priced && self.is_in_other_zone(id) {
+        let crossing = if is_priced && backend.endpoint.zone != self.settings.zone {
             CROSSING_WEIGHT
         } else {
             0.0
