--- a/crates/heathroad-harness/tests/cli.rs
+++ b/crates/heathroad-harness/tests/cli.rs
@@ -235,7 +235,7 @@
     let out = Command::new("/bin/sh")
         .args([
             "-c",
-            "ulimit -Sn 110 && exec \"$0\" short --seconds 3 --rate 600 --heathroad \"$1\"",
+            "ulimit -Sn 110 && exec \"$0\" smoke --seconds 3 --rate 600 --heathroad \"$1\"",
         ])
         .arg(env!("CARGO_BIN_EXE_heathroad-harness"))
         .arg(common::daemon())
