--- a/crates/heathroad-membership/src/activity_record/counts.rs
+++ b/crates/heathroad-membership/src/activity_record/counts.rs
@@ -1,30 +1,30 @@
-//! Kinds of activity, and how often each took place.
+//! Kinds of activity and their counters.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, AddAssign};
 
-/// What a proxy does, as far as a version decides it.
+/// An action of a proxy that depends on the version in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Activity {
     /// A request was bound to the version in force.
     RequestBound,
     /// An attempt was sent to a backend.
     AttemptSent,
-    /// A request was answered with a backend's response.
+    /// A request was answered with a response from a backend.
     RequestServed,
     /// A request was rejected.
     RequestRejected,
-    /// A request failed or timed out, or its client left.
+    /// A request failed or timed out, or its client disconnected.
     RequestFailed,
-    /// A request was rejected unbound, since this proxy had fenced itself.
+    /// A request was rejected before it was bound, because the proxy had fenced itself.
     RequestFenced,
-    /// A change came into force.
+    /// A configuration change was applied.
     ChangeApplied,
-    /// A change was rolled back.
+    /// A configuration change was rolled back.
     ChangeRolledBack,
 }
 
-/// How often each kind of activity took place.
+/// The number of activities of each kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ActivityCounts {
@@ -49,7 +49,7 @@
 }
 
 impl ActivityCounts {
-    /// Returns the number of all activity.
+    /// Returns the number of activities of all kinds.
     pub fn total(&self) -> u64 {
         let requests = self.bound + self.served + self.rejected + self.failed + self.fenced;
         requests + self.sent + self.applied + self.rolled_back
--- a/crates/heathroad-membership/src/activity_record/epoch.rs
+++ b/crates/heathroad-membership/src/activity_record/epoch.rs
@@ -1,4 +1,4 @@
-//! An epoch: a shared handle on an interval, by which activity is counted.
+//! Shared handles through which activity is counted in an interval.
 
 use super::UnixMillis;
 use super::counts::Activity;
@@ -7,12 +7,12 @@
 use std::cell::{Ref, RefCell, RefMut};
 use std::rc::Rc;
 
-/// A handle on an interval of a record. Whoever holds it may count activity for as long as it
-/// likes, also after the interval was merged or discarded.
+/// A shared handle to an interval of a record. It stays valid after the interval has ended, has been
+/// merged into another one, or has been discarded.
 #[derive(Debug)]
 pub struct Epoch {
     interval: RefCell<Interval>,
-    /// The epoch of which this one has become a part.
+    /// The epoch that counts the activity of this one since the two were merged.
     merged_into: RefCell<Option<Rc<Epoch>>>,
 }
 
@@ -24,7 +24,7 @@
         })
     }
 
-    /// Counts an activity.
+    /// Counts one activity.
     pub fn record(self: &Rc<Self>, activity: Activity, now: UnixMillis) {
         let epoch = self.resolve();
         let mut interval = epoch.interval.borrow_mut();
@@ -35,12 +35,12 @@
         interval.last_activity = Some(last);
     }
 
-    /// Returns the digest of the version.
+    /// Returns the digest of the version in force.
     pub fn digest(&self) -> Digest {
         self.interval.borrow().digest
     }
 
-    /// Returns the number of the version's generation of routes.
+    /// Returns the generation of the version's routes.
     pub fn generation(&self) -> u64 {
         self.interval.borrow().version.generation
     }
@@ -58,12 +58,12 @@
         self.interval.borrow_mut()
     }
 
-    /// Has activity counted by another epoch from now on.
+    /// Redirects further activity to another epoch.
     pub(super) fn merge_into(&self, epoch: &Rc<Epoch>) {
         self.merged_into.replace(Some(epoch.clone()));
     }
 
-    /// Returns the epoch that counts the activity of this one.
+    /// Follows merges to the epoch that counts the activity of this one.
     fn resolve(self: &Rc<Self>) -> Rc<Epoch> {
         let mut epoch = self.clone();
         loop {
--- a/crates/heathroad-membership/src/activity_record/mod.rs
+++ b/crates/heathroad-membership/src/activity_record/mod.rs
@@ -1,10 +1,11 @@
-//! The activity record of a proxy: what it did under which version, from when to when.
+//! The activity record of a proxy: which versions were in force at which times, and what the proxy
+//! did under each of them.
 //!
-//! An interval is the time in which one version was in force. What is done for a request is counted
-//! in the interval that was open when the request was bound, also when it is done long after; so
-//! the activity of an interval goes on after its end. The record is bounded: beyond
-//! [`MAX_INTERVALS`], neighbours that differ in their endpoint lists alone are merged; where there
-//! are none, the oldest interval is discarded, and its activity is reported as discarded.
+//! An interval is a period in which one version was in force. All activity for a request counts
+//! towards the interval in which the request was bound, so an interval can gain activity after its
+//! end. The record is bounded: beyond [`MAX_INTERVALS`], adjacent intervals that differ only in their
+//! endpoint lists are merged. If there are none, the oldest interval is discarded and its activity is
+//! reported as discarded.
 
 mod counts;
 mod epoch;
@@ -18,14 +19,14 @@
     DiscardedIntervals, FaultInterval, FaultKind, Interval, RecordSnapshot, RejectedVersion,
 };
 
-/// Unix time in milliseconds, by the proxy's own clock.
+/// Unix time in milliseconds, according to the proxy's own clock.
 pub type UnixMillis = u64;
 
-/// The most intervals of a record.
+/// The maximum number of intervals in a record.
 pub const MAX_INTERVALS: usize = 256;
-/// The most fault intervals of a record; the oldest go first.
+/// The maximum number of fault intervals in a record; the oldest are dropped first.
 pub const MAX_FAULT_INTERVALS: usize = 128;
-/// The most rejected versions of a record; the oldest go first.
+/// The maximum number of rejected versions in a record; the oldest are dropped first.
 pub const MAX_REJECTED_VERSIONS: usize = 32;
-/// The longest reason of a rejection, in bytes; a longer one is cut.
+/// The maximum length of a rejection reason in bytes; longer ones are truncated.
 pub const MAX_REASON_BYTES: usize = 300;
--- a/crates/heathroad-membership/src/activity_record/record.rs
+++ b/crates/heathroad-membership/src/activity_record/record.rs
@@ -1,4 +1,4 @@
-//! The record while it is kept.
+//! The in-memory activity record.
 
 use super::epoch::Epoch;
 use super::snapshot::{
@@ -16,7 +16,7 @@
     incarnation: Incarnation,
     since: UnixMillis,
     epochs: VecDeque<Rc<Epoch>>,
-    /// Counts the activity of epochs that were discarded.
+    /// Counts the activity of discarded intervals, including what is still reported for them.
     discarded: Rc<Epoch>,
     discarded_count: u64,
     discarded_until: Option<UnixMillis>,
@@ -25,8 +25,9 @@
 }
 
 impl ActivityRecord {
-    /// Continues the record of an earlier process. Without one, nothing is known of the time before
-    /// `now`.
+    /// Continues the record of the previous process, if there is one; otherwise starts an empty
+    /// record at `now`. Intervals and faults that the previous process left open end at the time of
+    /// its last snapshot.
     pub fn new(
         now: UnixMillis,
         incarnation: Incarnation,
@@ -40,9 +41,9 @@
             faults: Vec::new(),
             rejected: Vec::new(),
         });
-        let ended_at = previous.at;
+        let last_written = previous.at;
         let close_fault = |fault: FaultInterval| FaultInterval {
-            to: fault.to.or(Some(ended_at)),
+            to: fault.to.or(Some(last_written)),
             ..fault
         };
         let discarded = previous.discarded;
@@ -61,7 +62,7 @@
         };
         for mut interval in previous.intervals {
             if interval.to.is_none() {
-                interval.to = Some(ended_at);
+                interval.to = Some(last_written);
                 interval.truncated = true;
             }
             record.epochs.push_back(Epoch::new(interval));
@@ -70,7 +71,7 @@
         record
     }
 
-    /// Begins an interval in which this version is in force, unless it is in force already.
+    /// Starts an interval for this version, unless the version is already in force.
     pub fn begin_interval(&mut self, now: UnixMillis, version: Version) -> Rc<Epoch> {
         let digest = version.digest();
         if let Some(epoch) = self.epochs.back() {
@@ -94,7 +95,7 @@
         epoch
     }
 
-    /// Ends the last interval: the proxy shuts down.
+    /// Ends the current interval.
     pub fn close(&mut self, now: UnixMillis) {
         if let Some(epoch) = self.epochs.back() {
             epoch.interval_mut().to.get_or_insert(now);
@@ -109,13 +110,13 @@
         self.rejected.push_back(rejected.bounded());
     }
 
-    /// Returns the last rejection of routes with this digest.
+    /// Returns the latest rejection of the routes with this digest.
     pub fn rejection_of(&self, routes: Digest) -> Option<&RejectedVersion> {
         let mut latest_first = self.rejected.iter().rev();
         latest_first.find(|rejected| rejected.routes == routes)
     }
 
-    /// Records a fault that begins, or one that is over.
+    /// Records a fault, either ongoing or already over.
     pub fn record_fault(&mut self, fault: FaultInterval) {
         if self.faults.len() >= MAX_FAULT_INTERVALS {
             self.faults.pop_front();
@@ -123,16 +124,16 @@
         self.faults.push_back(fault);
     }
 
-    /// Ends the lasting fault of a kind.
+    /// Ends the ongoing fault of this kind, if there is one.
     pub fn end_fault(&mut self, kind: FaultKind, now: UnixMillis) {
         let mut latest_first = self.faults.iter_mut().rev();
-        let lasting = latest_first.find(|fault| fault.kind == kind && fault.to.is_none());
-        if let Some(fault) = lasting {
+        let ongoing = latest_first.find(|fault| fault.kind == kind && fault.to.is_none());
+        if let Some(fault) = ongoing {
             fault.to = Some(now);
         }
     }
 
-    /// Returns the record as it stands.
+    /// Returns a copy of the record for storage and for the audit.
     pub fn snapshot(&self, now: UnixMillis) -> RecordSnapshot {
         RecordSnapshot {
             at: now,
@@ -155,26 +156,26 @@
     fn enforce_limit(&mut self) {
         while self.epochs.len() > MAX_INTERVALS {
             match self.first_mergeable() {
-                Some(at) => self.merge_with_next(at),
+                Some(index) => self.merge_with_next(index),
                 None => self.discard_oldest(),
             }
         }
     }
 
-    /// Returns the first interval that can be merged with the next one. The interval in force is
-    /// left as it is.
+    /// Returns the index of the first interval that can be merged with the next one. The current
+    /// interval is never merged.
     fn first_mergeable(&self) -> Option<usize> {
-        (0..self.epochs.len() - 2).find(|at| {
-            let next = self.epochs[at + 1].interval();
-            self.epochs[*at].interval().is_mergeable_with(&next)
+        (0..self.epochs.len() - 2).find(|index| {
+            let next = self.epochs[index + 1].interval();
+            self.epochs[*index].interval().is_mergeable_with(&next)
         })
     }
 
-    fn merge_with_next(&mut self, at: usize) {
-        let Some(previous) = self.epochs.remove(at) else {
+    fn merge_with_next(&mut self, index: usize) {
+        let Some(previous) = self.epochs.remove(index) else {
             return;
         };
-        let epoch = &self.epochs[at];
+        let epoch = &self.epochs[index];
         epoch.interval_mut().absorb_previous(&previous.interval());
         previous.merge_into(epoch);
     }
--- a/crates/heathroad-membership/src/activity_record/snapshot.rs
+++ b/crates/heathroad-membership/src/activity_record/snapshot.rs
@@ -1,4 +1,4 @@
-//! A record as it is stored and sent, as JSON.
+//! The serialized form of an activity record, which is stored on disk and sent to other members.
 
 use super::counts::ActivityCounts;
 use super::{MAX_REASON_BYTES, UnixMillis};
@@ -6,41 +6,41 @@
 use crate::version::{Digest, Version};
 use serde::{Deserialize, Serialize};
 
-/// The time in which a version was in force, and what was done under it.
+/// A period in which one version was in force, and the activity under it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Interval {
-    /// The incarnation of the proxy.
+    /// The incarnation of the proxy that ran the version.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// The version in force; of merged intervals, the last one.
+    /// The version in force; for merged intervals, the latest one.
     pub version: Version,
     /// The digest of the version.
     pub digest: Digest,
-    /// The number of versions; more than one only of merged intervals, whose versions differ in
-    /// endpoint lists alone.
+    /// The number of versions. It exceeds one only for merged intervals, whose versions differ only in
+    /// their endpoint lists.
     #[serde(rename = "versions")]
     pub version_count: u64,
     /// When the interval began.
     pub from: UnixMillis,
-    /// When it ended; none while the version is in force.
+    /// When the interval ended; `None` while the version is in force.
     pub to: Option<UnixMillis>,
-    /// Whether the process ended without closing the interval: what it did after `to` is not on
-    /// record.
+    /// Whether the process ended without closing the interval, so that its activity after `to` is
+    /// unknown.
     #[serde(rename = "torn", default)]
     pub truncated: bool,
     /// The time of the first activity.
     #[serde(rename = "first")]
     pub first_activity: Option<UnixMillis>,
-    /// The time of the last activity, which may be later than `to`.
+    /// The time of the last activity, which can be later than `to`.
     #[serde(rename = "last")]
     pub last_activity: Option<UnixMillis>,
-    /// The activity.
+    /// The activity in this interval.
     #[serde(rename = "acts")]
     pub activity: ActivityCounts,
 }
 
 impl Interval {
-    /// Whether two intervals differ in their endpoint lists alone, so that they can be merged.
+    /// Whether the two intervals differ only in their endpoint lists.
     pub(super) fn is_mergeable_with(&self, next: &Interval) -> bool {
         let (version, next_version) = (&self.version, &next.version);
         self.incarnation == next.incarnation
@@ -51,7 +51,7 @@
             && version.routes == next_version.routes
     }
 
-    /// Extends this interval by the one before it.
+    /// Extends this interval to include the one before it.
     pub(super) fn absorb_previous(&mut self, previous: &Interval) {
         let first = [previous.first_activity, self.first_activity];
         let last = [previous.last_activity, self.last_activity];
@@ -63,47 +63,47 @@
     }
 }
 
-/// A fault that kept a proxy from its part in the fleet.
+/// A fault that impaired a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// It received nothing from other members.
+    /// The proxy received nothing from other members.
     #[serde(rename = "cut_off")]
     Isolated,
-    /// It was held up and did nothing.
+    /// The process was not scheduled or was suspended.
     Stalled,
-    /// It had fenced itself: it bound no request and sent no attempt.
+    /// The proxy had fenced itself: it bound no requests and sent no attempts.
     Fenced,
 }
 
-/// The time in which a fault lasted.
+/// The period in which a fault lasted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultInterval {
     /// The kind of fault.
     #[serde(rename = "trouble")]
     pub kind: FaultKind,
-    /// When it began.
+    /// When the fault began.
     pub from: UnixMillis,
-    /// When it ended; none while it lasts.
+    /// When the fault ended; `None` while it lasts.
     pub to: Option<UnixMillis>,
 }
 
-/// A generation of routes that this proxy rejected, although all should run it.
+/// A desired generation of routes that this proxy rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RejectedVersion {
-    /// When it was rejected.
+    /// When the proxy rejected it.
     pub at: UnixMillis,
-    /// The number of the generation.
+    /// The generation.
     pub generation: u64,
-    /// The digest of its text.
+    /// The digest of its routes.
     pub routes: Digest,
-    /// Why, in at most [`MAX_REASON_BYTES`] bytes.
+    /// The reason, at most [`MAX_REASON_BYTES`] bytes long.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
 impl RejectedVersion {
-    /// Cuts the reason to the permitted length.
+    /// Truncates the reason to [`MAX_REASON_BYTES`].
     pub(super) fn bounded(mut self) -> RejectedVersion {
         while self.reason.len() > MAX_REASON_BYTES {
             self.reason.pop();
@@ -112,43 +112,43 @@
     }
 }
 
-/// What was discarded from a record for lack of room.
+/// Intervals that were discarded to keep the record within its limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DiscardedIntervals {
-    /// The number of intervals.
+    /// The number of discarded intervals.
     #[serde(rename = "pages")]
     pub count: u64,
     /// Their activity.
     #[serde(rename = "acts")]
     pub activity: ActivityCounts,
-    /// The end of the last one.
+    /// The end of the latest discarded interval.
     pub until: Option<UnixMillis>,
 }
 
-/// A record at some time.
+/// A copy of an activity record at one point in time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordSnapshot {
-    /// When the snapshot was taken, by the proxy's clock.
+    /// When the snapshot was taken, according to the proxy's clock.
     pub at: UnixMillis,
-    /// When the record begins; nothing is known of the time before.
+    /// When the record begins.
     pub since: UnixMillis,
-    /// The intervals, the oldest first.
+    /// The intervals, oldest first.
     #[serde(rename = "pages")]
     pub intervals: Vec<Interval>,
-    /// What was discarded.
+    /// The discarded intervals.
     #[serde(rename = "lost")]
     pub discarded: DiscardedIntervals,
-    /// The faults, the oldest first.
+    /// The faults, oldest first.
     #[serde(rename = "spells", default)]
     pub faults: Vec<FaultInterval>,
-    /// The rejected versions, the oldest first.
+    /// The rejected versions, oldest first.
     #[serde(rename = "turned_down", default)]
     pub rejected: Vec<RejectedVersion>,
 }
 
 impl RecordSnapshot {
-    /// Discards the oldest interval, but never the last one that is left. Returns whether there was
-    /// one to discard.
+    /// Discards the oldest interval unless it is the only one. Returns whether an interval was
+    /// discarded.
     pub fn discard_oldest(&mut self) -> bool {
         if self.intervals.len() < 2 {
             return false;
--- a/crates/heathroad-membership/src/authentication.rs
+++ b/crates/heathroad-membership/src/authentication.rs
@@ -1,9 +1,9 @@
-//! Authentication of datagrams: only those of this fleet, made with its key, are accepted. All
-//! others are counted and dropped.
+//! Datagram authentication: only datagrams that carry the fleet's name and are signed with its key
+//! are accepted. All others are counted and dropped.
 //!
-//! A datagram names the incarnation of its recipient. A recorded one names an incarnation that has
-//! ended once the recipient restarts, and within an incarnation each sequence number is accepted
-//! once: nothing can be replayed, although no two proxies share a clock.
+//! Replay protection needs no synchronized clocks: every datagram names the incarnation of its
+//! recipient, so a recording is rejected once the recipient has restarted, and within an incarnation
+//! each sequence number is accepted only once.
 
 use crate::codec::{Reader, Writer};
 use crate::wire::{
@@ -14,37 +14,37 @@
 use sha2::Sha256;
 use thiserror::Error;
 
-/// The shortest key, in bytes.
+/// The minimum length of a key in bytes.
 pub const MIN_KEY_BYTES: usize = 16;
-/// The longest key, in bytes.
+/// The maximum length of a key in bytes.
 pub const MAX_KEY_BYTES: usize = 1024;
 
-/// How many datagrams were dropped, by reason.
+/// The number of dropped datagrams, by reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct DropCounters {
-    /// Datagrams that are too long, too short or cannot be decoded.
+    /// Datagrams that were too long, too short or could not be decoded.
     #[serde(rename = "torn")]
     pub malformed: u64,
     /// Datagrams of another fleet.
     #[serde(rename = "foreign")]
     pub other_fleet: u64,
-    /// Datagrams of a protocol that is not supported here.
+    /// Datagrams with a protocol version that this member does not support.
     #[serde(rename = "protocol")]
     pub unsupported_protocol: u64,
-    /// Datagrams that were not made with the key.
+    /// Datagrams without a valid authentication tag.
     #[serde(rename = "forged")]
     pub unauthenticated: u64,
-    /// Datagrams for another member, or said to be from this one or from none of the fleet.
+    /// Datagrams for another member, or whose sender is unknown or this member itself.
     #[serde(rename = "astray")]
     pub misaddressed: u64,
-    /// Datagrams from or for an incarnation that has ended.
+    /// Datagrams from or for an incarnation other than the current one.
     pub stale: u64,
-    /// Datagrams that were received before, or lie too far behind the latest.
+    /// Datagrams that were received before, or whose sequence number is behind the replay window.
     pub replayed: u64,
 }
 
 impl DropCounters {
-    /// Returns the number of all dropped datagrams.
+    /// Returns the total number of dropped datagrams.
     pub fn total(&self) -> u64 {
         self.malformed
             + self.other_fleet
@@ -56,19 +56,19 @@
     }
 }
 
-/// Why the name or the key of a fleet is rejected.
+/// An error in the name or the key of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum CredentialsError {
-    /// The name is empty or longer than [`MAX_FLEET_NAME_BYTES`] bytes.
+    /// The name is empty or longer than [`MAX_FLEET_NAME_BYTES`].
     #[error("name: expected 1 to {MAX_FLEET_NAME_BYTES} bytes")]
     InvalidName,
-    /// The key is shorter than [`MIN_KEY_BYTES`] bytes or longer than [`MAX_KEY_BYTES`].
+    /// The key is shorter than [`MIN_KEY_BYTES`] or longer than [`MAX_KEY_BYTES`].
     #[error("key: expected {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")]
     InvalidKey,
 }
 
-/// Signs and verifies datagrams with the name and the key of the fleet.
+/// Signs and verifies datagrams with the fleet's name and key.
 #[derive(Clone)]
 pub struct Authenticator {
     fleet_name: Vec<u8>,
@@ -76,7 +76,7 @@
 }
 
 impl Authenticator {
-    /// Checks the name and the key.
+    /// Creates an authenticator after checking the lengths of the name and the key.
     pub fn new(fleet_name: &str, key: &[u8]) -> Result<Authenticator, CredentialsError> {
         if fleet_name.is_empty() || fleet_name.len() > MAX_FLEET_NAME_BYTES {
             return Err(CredentialsError::InvalidName);
@@ -96,7 +96,7 @@
         &self.fleet_name
     }
 
-    /// Completes a datagram with its tag: the first bytes of an HMAC-SHA-256 over all before it.
+    /// Appends the authentication tag to a datagram: a truncated HMAC-SHA-256 of all preceding bytes.
     pub fn sign(&self, mut datagram: Writer) -> Vec<u8> {
         let mac = self.mac.clone().chain_update(datagram.as_slice());
         let tag = mac.finalize().into_bytes();
@@ -104,8 +104,8 @@
         datagram.into_vec()
     }
 
-    /// Returns the header of a datagram and the rest of it up to the tag. A datagram that is
-    /// rejected is counted.
+    /// Verifies a datagram, and returns its header and a reader for the content between the header
+    /// and the tag. If the datagram is rejected, increments the counter for the reason.
     pub fn verify<'a>(
         &self,
         datagram: &'a [u8],
@@ -121,7 +121,7 @@
             dropped.malformed += 1;
             return None;
         };
-        // The name is compared first: datagrams of another fleet cost no HMAC.
+        // Compares the name first so that datagrams of other fleets don't cost an HMAC.
         if header.fleet_name != self.fleet_name {
             dropped.other_fleet += 1;
             return None;
--- a/crates/heathroad-membership/src/claim.rs
+++ b/crates/heathroad-membership/src/claim.rs
@@ -1,29 +1,30 @@
-//! Claims on members, and their order. Any two claims on one member can be compared, and the one of
-//! higher precedence holds: whoever has received the same claims, in any order, knows the same.
+//! Claims about members, and the order between them. Any two claims about a member can be compared,
+//! and the one with the higher precedence wins. Members that have received the same claims therefore
+//! agree, whatever the order of arrival.
 
 use crate::{Incarnation, MemberId};
 use serde::Serialize;
 
-/// The state of a member in the failure detector.
+/// The state of a member according to the failure detector.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 #[repr(u8)]
 pub enum MemberState {
-    /// Nothing was ever received of it.
+    /// Nothing is known of the member yet.
     Unknown = 0,
-    /// It answers probes.
+    /// The member answers probes.
     Alive = 1,
-    /// It did not answer a probe, and may still refute that it failed.
+    /// The member did not answer a probe, but can still refute the suspicion.
     Suspect = 2,
-    /// It announced that it shuts down.
+    /// The member announced its shutdown.
     Left = 3,
-    /// It was suspected and did not refute that in time.
+    /// The member did not refute a suspicion in time.
     #[serde(rename = "gone")]
     Dead = 4,
 }
 
 impl MemberState {
-    /// Returns the state that a code of the wire form stands for. A claim never says `Unknown`.
+    /// Returns the state for a code on the wire. `Unknown` has none, since no claim states it.
     pub(crate) fn from_code(code: u8) -> Option<MemberState> {
         [
             MemberState::Alive,
@@ -35,57 +36,58 @@
         .find(|state| *state as u8 == code)
     }
 
-    /// Whether this is the end of an incarnation: nothing more is expected of it.
+    /// Whether this state ends an incarnation: it can only be overridden by a later one.
     pub fn is_final(self) -> bool {
         matches!(self, MemberState::Left | MemberState::Dead)
     }
 
-    /// Whether a member in this state takes part in the protocol, suspected or not.
+    /// Whether a member in this state participates in the protocol, suspected or not.
     pub fn is_present(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// Orders what a member says of itself: by its incarnation, then by its refutations within it.
+/// Orders the claims of a member about itself: by incarnation, then by refutations within it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize)]
 pub struct Revision {
-    /// The process of the member.
+    /// The incarnation of the member.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// How often the process refuted a suspicion.
+    /// The number of suspicions that the member refuted in this incarnation.
     #[serde(rename = "turn")]
     pub refutations: u16,
 }
 
-/// A claim of one member on the state of another, or of itself.
+/// A claim by one member about the state of another one, or about its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Claim {
-    /// The member that the claim is on.
+    /// The member that the claim is about.
     pub member: MemberId,
-    /// Its state.
+    /// The state of the member.
     pub state: MemberState,
     /// The revision to which the claim applies.
     pub revision: Revision,
-    /// Who makes the claim.
+    /// The member that makes the claim.
     pub source: MemberId,
 }
 
-/// What decides between two claims on one member; the greater one holds.
+/// The precedence of a claim; of two claims about a member, the greater one wins. The fields are
+/// compared in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
     /// A later incarnation overrides an earlier one.
     pub incarnation: Incarnation,
-    /// Within an incarnation its end overrides all else, since no process comes back from it. The
-    /// code of the final state, and 0 for the others.
+    /// Within an incarnation, a final state overrides all others. This is the code of the final state,
+    /// and 0 for the other states.
     pub final_state: u8,
     /// A later refutation overrides an earlier one.
     pub refutations: u16,
-    /// The worse state overrides the better one.
+    /// Between claims with the same number of refutations, `Suspect` overrides `Alive`.
     pub state: u8,
 }
 
 impl Claim {
-    /// Returns the precedence of this claim among those on the same member.
+    /// Returns the precedence of this claim among those about the same member.
     pub fn precedence(&self) -> Precedence {
         let Revision {
             incarnation,
--- a/crates/heathroad-membership/src/codec.rs
+++ b/crates/heathroad-membership/src/codec.rs
@@ -1,66 +1,67 @@
-//! Primitive fields of datagrams: big-endian integers and byte strings without padding.
+//! Encoding and decoding of primitive fields: big-endian integers and byte strings without padding.
 
 use crate::Incarnation;
 use thiserror::Error;
 
-/// An incarnation takes six bytes, which hold milliseconds of Unix time for 8,900 years.
+/// The length of an encoded incarnation. Six bytes hold Unix time in milliseconds until the year
+/// 10889.
 pub(crate) const INCARNATION_BYTES: usize = 6;
 
-/// Why bytes cannot be decoded.
+/// An error in the encoding of a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum DecodeError {
-    /// The bytes end within a field.
+    /// The datagram ends within a field.
     #[error("the datagram is truncated")]
     Truncated,
-    /// The first bytes are not those of this protocol.
-    #[error("the datagram does not begin with the magic bytes")]
+    /// The datagram does not start with the magic bytes.
+    #[error("the datagram does not start with the magic bytes")]
     InvalidMagic,
     /// The lowest supported protocol exceeds the highest.
-    #[error("the range of protocols from {lowest} to {highest} is empty")]
+    #[error("invalid protocol range: lowest {lowest}, highest {highest}")]
     InvalidProtocolRange {
         /// The lowest protocol.
         lowest: u8,
         /// The highest protocol.
         highest: u8,
     },
-    /// A field is longer than permitted.
-    #[error("{field}: the length {length} exceeds {limit}")]
+    /// A field exceeds its maximum length.
+    #[error("{field}: length {length} exceeds the limit of {limit}")]
     TooLong {
         /// The name of the field.
         field: &'static str,
-        /// The length that the datagram states.
+        /// The encoded length.
         length: usize,
-        /// The permitted length.
+        /// The maximum length.
         limit: usize,
     },
-    /// A code has no meaning in this protocol.
-    #[error("{field}: the code {code} is unknown")]
+    /// A code is not defined in this protocol.
+    #[error("{field}: unknown code {code}")]
     UnknownCode {
         /// The name of the field.
         field: &'static str,
         /// The code.
         code: u8,
     },
-    /// A text is not UTF-8.
-    #[error("{field}: the text is not UTF-8")]
-    InvalidText {
+    /// A string is not valid UTF-8.
+    #[error("{field}: invalid UTF-8")]
+    InvalidUtf8 {
         /// The name of the field.
         field: &'static str,
     },
 }
 
-/// Encodes fields into a buffer that grows.
+/// Encodes fields into a growable buffer.
 #[derive(Default)]
 pub struct Writer(Vec<u8>);
 
 impl Writer {
-    /// Returns the bytes that were written so far.
+    /// Returns the bytes written so far.
     pub fn as_slice(&self) -> &[u8] {
         &self.0
     }
 
-    /// Returns the bytes that were written.
+    /// Returns the written bytes.
     pub fn into_vec(self) -> Vec<u8> {
         self.0
     }
@@ -102,7 +103,7 @@
 pub struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
-    /// Starts at the first of these bytes.
+    /// Creates a reader at the start of `bytes`.
     pub fn new(bytes: &'a [u8]) -> Self {
         Reader(bytes)
     }
--- a/crates/heathroad-membership/src/desired_version.rs
+++ b/crates/heathroad-membership/src/desired_version.rs
@@ -1,58 +1,59 @@
-//! What all members should run: the highest generation of routes that was committed at any member,
-//! and from when on it is required. Two texts under one generation are a conflict, which only a
-//! higher generation settles.
+//! The version that all members should run: the highest generation of routes that any member has
+//! committed, and the deadlines by which generations are required. Two different sets of routes with
+//! the same generation are a conflict, which only a higher generation resolves.
 
 use crate::version::Digest;
 use crate::{MemberId, Millis};
 use serde::Serialize;
 
-/// The most requirements that are kept; the lowest generations go first.
+/// The maximum number of requirements; those for the lowest generations are dropped first.
 pub const MAX_REQUIRED: usize = 3;
-/// A deadline that is earlier by no more than this is not a change, since the time that a message
-/// waited is not deducted from it.
+/// A deadline that is earlier by at most this is not treated as a change. Deadlines travel as
+/// remaining time, from which the network delay is not deducted.
 const DEADLINE_TOLERANCE: Millis = 200;
 
 /// A generation of routes that all members should run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct DesiredVersion {
-    /// The number of the generation.
+    /// The generation.
     #[serde(rename = "number")]
     pub generation: u64,
-    /// The digest of its text.
+    /// The digest of its routes.
     pub digest: Digest,
-    /// The member at which it was committed first.
+    /// The member that committed it first.
     #[serde(rename = "by")]
     pub origin: MemberId,
 }
 
-/// A deadline after which no member may run a lower generation. It holds also once a higher
-/// generation is desired that is not required itself.
+/// A deadline after which no member may run a lower generation. It stays in effect when a higher
+/// generation becomes desired without being required.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct RequiredVersion {
-    /// The number of the generation.
+    /// The generation.
     #[serde(rename = "number")]
     pub generation: u64,
-    /// The digest of its text. A member that runs this text complies, under whatever generation.
+    /// The digest of its routes. A member that runs routes with this digest complies, whatever their
+    /// generation.
     pub digest: Digest,
-    /// The deadline, by this member's clock.
+    /// The deadline on this member's clock.
     #[serde(rename = "at")]
     pub deadline: Millis,
 }
 
-/// All known requirements: the later a deadline, the higher its generation.
+/// The known requirements. A later deadline always belongs to a higher generation.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
 pub struct RequiredVersions(Vec<RequiredVersion>);
 
 impl RequiredVersions {
-    /// Returns the requirements, the lowest generation first.
+    /// Returns the requirements, lowest generation first.
     pub fn as_slice(&self) -> &[RequiredVersion] {
         &self.0
     }
 
-    /// Takes a requirement, and returns whether it changes anything.
+    /// Merges a requirement, and returns whether that changes the effective requirements.
     pub fn merge(&mut self, new: RequiredVersion) -> bool {
-        // A requirement says nothing beside one of a higher generation with an earlier deadline.
+        // A requirement for the same or a higher generation with no later deadline covers this one.
         let latest = new.deadline.saturating_add(DEADLINE_TOLERANCE);
         let is_covered = self
             .0
@@ -79,34 +80,34 @@
     }
 }
 
-/// Two texts under one generation.
+/// Two different sets of routes with the same generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct VersionConflict {
-    /// The number of the generation.
+    /// The generation.
     #[serde(rename = "number")]
     pub generation: u64,
-    /// The digests of the texts, the lower one first.
+    /// The digests of the routes, the lower one first.
     pub digests: [Digest; 2],
 }
 
-/// What all members should run, as far as is known.
+/// The version that all members should run, as far as this member knows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 #[serde(tag = "is")]
 pub enum Desired {
-    /// Nothing was ever committed.
+    /// No member is known to have committed a generation.
     #[default]
     #[serde(rename = "nothing")]
     Unset,
-    /// One text is known for the highest generation.
+    /// The highest generation has one set of routes.
     #[serde(rename = "one")]
     Version(DesiredVersion),
-    /// Several texts are known for the highest generation.
+    /// The highest generation has different sets of routes.
     #[serde(rename = "both")]
     Conflict(VersionConflict),
 }
 
 impl Desired {
-    /// Returns the highest generation that is known, and 0 if there is none.
+    /// Returns the highest known generation, or 0 if there is none.
     pub fn generation(&self) -> u64 {
         match self {
             Desired::Unset => 0,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Takes what another member knows, and returns whether it changes anything.
+    /// Merges the desired version known to another member, and returns whether that changes this one.
     pub fn merge(&mut self, other: Desired) -> bool {
         if other.generation() != self.generation() {
             let is_higher = other.generation() > self.generation();
--- a/crates/heathroad-membership/src/lib.rs
+++ b/crates/heathroad-membership/src/lib.rs
@@ -1,19 +1,21 @@
-//! Membership of a fleet of proxies: who is alive, which configuration each runs, and which one all
-//! should run. It is a state machine without I/O, clock or sockets.
+//! Fleet membership for proxies: which members are alive, which configuration version each one runs,
+//! and which version all of them should run. The protocol is a state machine without I/O; the caller
+//! supplies the clock and the sockets.
 //!
-//! A datagram passes through the modules in this order:
+//! Modules, in the order in which an incoming datagram passes through them:
 //!
-//! - [`authentication`] accepts datagrams of this fleet and rejects forged and repeated ones;
-//!   [`wire`] is their form, on top of [`codec`].
-//! - [`protocol`] is one member's part of the protocol: failure detection, dissemination, version
-//!   agreement, fetches of resources, and the piggyback channel.
-//! - [`member_table`] holds what is known of each member; [`claim`] orders the claims made on one.
-//! - [`version`] describes what a proxy runs, [`desired_version`] what all should run, and
-//!   [`activity_record`] what a proxy did under which version.
+//! - [`authentication`] signs outgoing datagrams and rejects those that are forged or belong to
+//!   another fleet; [`wire`] defines the datagram format on top of [`codec`].
+//! - [`protocol`] implements one member: failure detection, dissemination, version agreement,
+//!   resource transfer, and the piggyback channel.
+//! - [`member_table`] stores the known state of every member; [`claim`] defines which of two claims
+//!   about a member takes precedence.
+//! - [`version`] describes what a proxy runs, [`desired_version`] what the whole fleet should run,
+//!   and [`activity_record`] counts what a proxy did under each version.
 //!
 //! The protocol is SWIM with suspicion (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips,
-//! Currey 2017) over a list of addresses that is known in advance. `docs/design/membership.md`
-//! explains the choices, `docs/specs/membership-datagrams.md` specifies the bytes.
+//! Currey 2017) over a fixed list of member addresses. `docs/design/membership.md` explains the
+//! design, and `docs/specs/membership-datagrams.md` specifies the wire format.
 
 pub mod activity_record;
 pub mod authentication;
@@ -28,12 +30,12 @@
 pub mod version;
 pub mod wire;
 
-/// Milliseconds of a monotonic clock.
+/// A point in time or a duration, in milliseconds of the member's monotonic clock.
 pub type Millis = u64;
 
-/// Identifies a member by its index in the fleet's list of addresses.
+/// A member's index in the fleet's list of addresses.
 pub type MemberId = u16;
 
-/// Identifies one process of a member: Unix time in milliseconds at its start, or more where a
-/// larger value is known to others already. Incarnations of a member only grow.
+/// Identifies one process of a member: the Unix time in milliseconds at its start, or a larger value
+/// if the fleet already knows a later incarnation. A member's incarnations only increase.
 pub type Incarnation = u64;
--- a/crates/heathroad-membership/src/local_health.rs
+++ b/crates/heathroad-membership/src/local_health.rs
@@ -1,27 +1,27 @@
-//! The local health multiplier of Lifeguard: a member that is slow or receives little probes more
-//! slowly, and waits longer before it suspects others.
+//! The local health multiplier of Lifeguard: a member that may itself be faulty probes less often and
+//! waits longer before it suspects others.
 
-/// The highest score; intervals and timeouts are then nine times as long.
+/// The worst score, at which intervals and timeouts are nine times as long.
 const MAX_SCORE: u8 = 8;
 
-/// How unhealthy this member seems to itself, from 0 to [`MAX_SCORE`].
+/// The local health score, from 0 (healthy) to [`MAX_SCORE`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct LocalHealth {
     score: u8,
 }
 
 impl LocalHealth {
-    /// Counts this many signs of a fault of this member.
-    pub(crate) fn worsen(&mut self, signs: u8) {
-        self.score = self.score.saturating_add(signs).min(MAX_SCORE);
+    /// Adds `penalty` to the score, after signs that this member is faulty.
+    pub(crate) fn worsen(&mut self, penalty: u8) {
+        self.score = self.score.saturating_add(penalty).min(MAX_SCORE);
     }
 
-    /// Counts a sign that this member works.
+    /// Reduces the score by one, after a sign that this member works.
     pub(crate) fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// Returns the factor by which intervals and timeouts are extended.
+    /// Returns the factor by which intervals and timeouts are multiplied.
     pub(crate) fn multiplier(self) -> u64 {
         u64::from(self.score) + 1
     }
--- a/crates/heathroad-membership/src/member_table.rs
+++ b/crates/heathroad-membership/src/member_table.rs
@@ -1,4 +1,4 @@
-//! What is known of each member: its state, the suspicion against it, and the version it runs.
+//! The member table: the known state of each member, suspicions, and the version each one runs.
 
 use crate::claim::{Claim, MemberState, Revision};
 use crate::replay_window::ReplayWindow;
@@ -7,56 +7,56 @@
 use crate::{Incarnation, MemberId, Millis};
 use std::cmp::Ordering;
 
-/// A suspicion that runs.
+/// A suspicion that a member has failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Suspicion {
-    /// When it began.
+    /// When the suspicion began.
     pub since: Millis,
-    /// When the member counts as dead.
+    /// When the member is declared dead unless it refutes the suspicion.
     pub deadline: Millis,
-    /// The members that suspect it, each once.
+    /// The members that reported the suspicion, without duplicates.
     pub accusers: Vec<MemberId>,
 }
 
-/// Which version a member runs.
+/// The version that a member runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ActiveVersion {
     /// The incarnation of the member.
     pub incarnation: Incarnation,
-    /// Counts the versions of this incarnation.
+    /// Numbers the versions that the member has run in this incarnation.
     pub sequence: u32,
     /// The digest of the version.
     pub digest: Digest,
 }
 
-/// What is known of a member.
+/// The known state of a member.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// Its state.
+    /// The state of the member.
     pub state: MemberState,
     /// The revision to which the state applies.
     pub revision: Revision,
-    /// The source of the claim on its state.
+    /// The member whose claim established the state.
     pub claim_source: MemberId,
-    /// When the state began, by this member's clock.
+    /// When the state began, on the local clock.
     pub state_since: Millis,
-    /// When a datagram of the member itself was last accepted.
+    /// When a datagram from the member was last accepted.
     pub last_heard: Option<Millis>,
-    /// The suspicion, while the member is suspected.
+    /// The suspicion, if the member is suspected.
     pub suspicion: Option<Suspicion>,
-    /// The version it runs.
+    /// The version that the member runs, if known.
     pub active_version: Option<ActiveVersion>,
-    /// The lowest and the highest protocol that it supports.
+    /// The lowest and the highest protocol version that the member supports.
     pub supported_protocols: [u8; 2],
-    /// The sequence numbers received of it.
+    /// The sequence numbers received from the member.
     pub(crate) replay_window: ReplayWindow,
-    /// When this member last probed it because it named an incarnation that nobody confirmed yet.
-    pub(crate) last_greeted: Option<Millis>,
+    /// When the member was last probed because its datagrams named an unconfirmed incarnation.
+    pub(crate) last_challenged: Option<Millis>,
 }
 
 impl Member {
-    /// A member of which nothing was received. Until it has told what it supports, the lowest
-    /// protocol is used with it.
+    /// Creates a member in its initial state. The lowest protocol is used until the member announces
+    /// what it supports.
     fn unknown() -> Member {
         Member {
             state: MemberState::Unknown,
@@ -68,7 +68,7 @@
             active_version: None,
             supported_protocols: [SUPPORTED_PROTOCOLS[0]; 2],
             replay_window: ReplayWindow::default(),
-            last_greeted: None,
+            last_challenged: None,
         }
     }
 
@@ -87,7 +87,7 @@
         });
     }
 
-    /// Adds an accuser, and returns whether it is a new one.
+    /// Adds an accuser to the suspicion, and returns whether it is new.
     fn add_accuser(&mut self, accuser: MemberId) -> bool {
         let Some(suspicion) = &mut self.suspicion else {
             return false;
@@ -101,14 +101,14 @@
     }
 }
 
-/// What became of a claim.
+/// The result of merging a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// The claim is known or out of date.
+    /// The claim is already known or is overridden by another one.
     Ignored,
-    /// The claim adds an accuser to a suspicion.
+    /// The claim added an accuser to a suspicion.
     AccuserAdded,
-    /// The claim holds from now on.
+    /// The claim replaced the previous one.
     Applied {
         /// The state before.
         previous_state: MemberState,
@@ -117,26 +117,26 @@
     },
 }
 
-/// What is known of all members.
+/// The known state of all members.
 #[derive(Debug, Clone)]
 pub struct MemberTable {
     members: Vec<Member>,
 }
 
 impl MemberTable {
-    /// Creates the table of a fleet of so many members, none of which was heard.
-    pub fn new(members: u16) -> MemberTable {
+    /// Creates the table for a fleet of `size` members, all of them unknown.
+    pub fn new(size: u16) -> MemberTable {
         MemberTable {
-            members: vec![Member::unknown(); usize::from(members)],
+            members: vec![Member::unknown(); usize::from(size)],
         }
     }
 
-    /// Returns the number of members, whatever their state.
+    /// Returns the number of members in any state.
     pub fn size(&self) -> u16 {
         self.members.len() as u16
     }
 
-    /// Returns a member, if the fleet has it.
+    /// Returns a member, or `None` if the id is out of range.
     pub fn get(&self, id: MemberId) -> Option<&Member> {
         self.members.get(usize::from(id))
     }
@@ -145,7 +145,7 @@
         self.members.get_mut(usize::from(id))
     }
 
-    /// Returns all members with their ids.
+    /// Iterates over all members with their ids.
     pub fn iter(&self) -> impl Iterator<Item = (MemberId, &Member)> {
         self.members
             .iter()
@@ -153,24 +153,24 @@
             .map(|(id, member)| (id as MemberId, member))
     }
 
-    /// Returns the members that take part in the protocol, suspected or not.
+    /// Iterates over the members that participate in the protocol, suspected or not.
     pub fn present(&self) -> impl Iterator<Item = MemberId> {
         self.iter()
             .filter(|(_, member)| member.state.is_present())
             .map(|(id, _)| id)
     }
 
-    /// Returns the number of members that take part in the protocol.
+    /// Returns the number of members that participate in the protocol.
     pub fn present_count(&self) -> usize {
         self.present().count()
     }
 
-    /// Returns the incarnation of a member, and 0 where it is not known.
+    /// Returns the incarnation of a member, or 0 if it is unknown.
     pub fn incarnation(&self, id: MemberId) -> Incarnation {
         self.get(id).map_or(0, |member| member.revision.incarnation)
     }
 
-    /// Returns the claim that holds for a member.
+    /// Returns the claim that determines the state of a member.
     pub fn claim(&self, id: MemberId) -> Option<Claim> {
         let member = self.get(id)?;
         (member.state != MemberState::Unknown).then_some(Claim {
@@ -181,7 +181,7 @@
         })
     }
 
-    /// Takes a claim.
+    /// Merges a claim: applies it if it takes precedence over the current one.
     pub fn merge(&mut self, now: Millis, claim: Claim) -> MergeOutcome {
         let known = self.claim(claim.member);
         let Some(member) = self.get_mut(claim.member) else {
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Takes which version a member runs, and returns whether that is later than what was known.
+    /// Stores the version that a member runs if it is later than the known one. Returns whether it is.
     pub fn update_active_version(&mut self, id: MemberId, version: ActiveVersion) -> bool {
         let Some(member) = self.get_mut(id) else {
             return false;
@@ -222,14 +222,14 @@
         self.active_digests().any(|active| active == digest)
     }
 
-    /// Returns the digests of the versions that members run.
+    /// Iterates over the digests of the versions that members run, with duplicates.
     pub(crate) fn active_digests(&self) -> impl Iterator<Item = Digest> {
         self.members
             .iter()
             .filter_map(|member| member.active_version.map(|version| version.digest))
     }
 
-    /// Returns the members whose suspicion has run out.
+    /// Returns the members whose suspicion has reached its deadline.
     pub(crate) fn expired_suspicions(&self, now: Millis) -> Vec<MemberId> {
         let has_expired = |member: &Member| {
             let suspicion = member.suspicion.as_ref();
@@ -241,7 +241,7 @@
             .collect()
     }
 
-    /// Returns the earliest deadline of a suspicion.
+    /// Returns the earliest deadline of any suspicion.
     pub(crate) fn next_suspicion_deadline(&self) -> Option<Millis> {
         self.members
             .iter()
@@ -250,7 +250,8 @@
             .min()
     }
 
-    /// Extends all suspicions by the time in which this member could not receive anything.
+    /// Postpones the deadlines of all suspicions, for a time in which this member could not receive
+    /// refutations.
     pub(crate) fn postpone_suspicions(&mut self, by: Millis) {
         for suspicion in self
             .members
--- a/crates/heathroad-membership/src/protocol/claims.rs
+++ b/crates/heathroad-membership/src/protocol/claims.rs
@@ -1,5 +1,5 @@
-//! Claims on members, as they take effect: suspicions begin, are refuted or run out, and this
-//! member contradicts what is not true of itself.
+//! Effects of claims: suspicions start, are refuted or expire, and this member refutes false claims
+//! about itself.
 
 use super::dissemination::Subject;
 use super::event::Event;
@@ -9,7 +9,7 @@
 use crate::{Incarnation, MemberId, Millis};
 
 impl Membership {
-    /// Takes a claim on another member, and spreads it if it changes anything.
+    /// Merges a claim about another member, and disseminates it if it changes anything.
     pub(super) fn apply_claim(&mut self, now: Millis, claim: Claim) {
         match self.members.merge(now, claim) {
             MergeOutcome::Ignored => return,
@@ -27,27 +27,28 @@
         self.update_suspicion_deadline(claim.member);
     }
 
-    /// As in Lifeguard, each further accuser, up to a number, shortens a suspicion.
+    /// Shortens a suspicion with each further accuser, up to `suspicion_confirmations`, as in
+    /// Lifeguard.
     fn update_suspicion_deadline(&mut self, member: MemberId) {
         let (shortest, longest) = self.suspicion_bounds();
-        // No more members can confirm a suspicion than are present beside the two.
-        let possible = self.members.present_count().saturating_sub(2);
-        let enough = self.config.suspicion_confirmations.min(possible);
+        // The suspected member and its first accuser cannot confirm the suspicion.
+        let potential_accusers = self.members.present_count().saturating_sub(2);
+        let required = self.config.suspicion_confirmations.min(potential_accusers);
         let member = self.members.get_mut(member);
         let Some(suspicion) = member.and_then(|member| member.suspicion.as_mut()) else {
             return;
         };
-        let confirmations = suspicion.accusers.len().saturating_sub(1).min(enough) as f64;
-        let share = if enough == 0 {
+        let confirmations = suspicion.accusers.len().saturating_sub(1).min(required) as f64;
+        let progress = if required == 0 {
             1.0
         } else {
-            (confirmations + 1.0).ln() / (enough as f64 + 1.0).ln()
+            (confirmations + 1.0).ln() / (required as f64 + 1.0).ln()
         };
-        let duration = longest as f64 - (longest - shortest) as f64 * share;
+        let duration = longest as f64 - (longest - shortest) as f64 * progress;
         suspicion.deadline = suspicion.since + duration as u64;
     }
 
-    /// Returns the shortest and the longest time that a suspicion runs.
+    /// Returns the shortest and the longest duration of a suspicion.
     fn suspicion_bounds(&self) -> (Millis, Millis) {
         let present = self.members.present_count().max(1) as f64;
         let periods = (self.config.suspicion_periods * self.config.probe_period) as f64;
@@ -55,8 +56,8 @@
         (shortest, shortest * self.config.max_suspicion_factor)
     }
 
-    /// Declares suspected members dead that did not refute the suspicion in time, unless it is this
-    /// member that receives nothing.
+    /// Declares members dead that did not refute a suspicion in time. Does nothing while this member
+    /// is isolated, since it would not receive refutations.
     pub(super) fn declare_expired_suspects_dead(&mut self, now: Millis) {
         if self.detector.is_isolated() {
             return;
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Takes a claim on this member, and contradicts what is not true.
-    pub(super) fn receive_claim_on_self(&mut self, now: Millis, claim: Claim) {
+    /// Handles a claim about this member, and refutes it if it is false.
+    pub(super) fn handle_own_claim(&mut self, now: Millis, claim: Claim) {
         let Revision {
             incarnation,
             refutations,
@@ -102,14 +103,14 @@
         self.announce_alive(now);
     }
 
-    /// Spreads that this member is alive.
+    /// Disseminates that this member is alive.
     pub(super) fn announce_alive(&mut self, now: Millis) {
-        let claim = self.claim_on_self(MemberState::Alive);
+        let claim = self.own_claim(MemberState::Alive);
         self.members.merge(now, claim);
         self.dissemination.spread(Subject::State(self.id));
     }
 
-    /// Goes on in an incarnation later than one that others know.
+    /// Continues in a new incarnation, later than `after` and than the current one.
     pub(super) fn reincarnate(&mut self, now: Millis, after: Incarnation) {
         let incarnation = after.max(self.revision.incarnation) + 1;
         self.revision = Revision {
--- a/crates/heathroad-membership/src/protocol/config.rs
+++ b/crates/heathroad-membership/src/protocol/config.rs
@@ -5,33 +5,33 @@
 /// Intervals, timeouts and limits of the protocol.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// One member is probed in each period.
+    /// The interval at which this member probes another one.
     pub probe_period: Millis,
-    /// A member that has not acknowledged a probe within this time is probed through others.
+    /// The time to wait for an ack before indirect probes are requested.
     pub ack_timeout: Millis,
-    /// The number of members that are asked for an indirect probe.
+    /// The number of members that are asked to probe an unresponsive target.
     pub indirect_probes: usize,
-    /// The pause between two rounds of gossip, while there are updates to spread.
+    /// The interval between rounds of gossip while there are updates to disseminate.
     pub gossip_interval: Millis,
-    /// The number of members to which a round of gossip is sent.
+    /// The number of recipients of a round of gossip.
     pub gossip_fanout: usize,
-    /// The shortest suspicion in probe periods. It is multiplied by the logarithm to base ten of
-    /// the number of present members, but at least by one.
+    /// The shortest duration of a suspicion in probe periods. It is multiplied by the base-10
+    /// logarithm of the number of present members, but at least by one.
     pub suspicion_periods: u64,
-    /// How many times as long a suspicion runs while there is only one accuser.
+    /// The factor by which a suspicion with a single accuser lasts longer than the shortest one.
     pub max_suspicion_factor: u64,
-    /// The number of further accusers with which a suspicion is shortest.
+    /// The number of further accusers that reduce a suspicion to its shortest duration.
     pub suspicion_confirmations: usize,
-    /// The most datagrams per second, those of the two limits below not counted.
+    /// The maximum number of datagrams sent per second, not counting those with a limit below.
     pub max_datagrams_per_second: u32,
-    /// The most datagrams per second that ask for or carry parts of resources.
+    /// The maximum number of datagrams sent per second that request or carry parts of resources.
     pub max_resource_datagrams_per_second: u32,
-    /// The most datagrams per second that carry messages of other protocols.
+    /// The maximum number of datagrams sent per second that carry messages of other protocols.
     pub max_piggyback_datagrams_per_second: u32,
 }
 
 impl Config {
-    /// Returns the default configuration with all times in proportion to a probe period.
+    /// Returns the default configuration with all times scaled to a probe period.
     pub fn with_probe_period(probe_period: Millis) -> Config {
         let default = Config::default();
         let scale = |time: Millis| (time * probe_period / default.probe_period).max(1);
--- a/crates/heathroad-membership/src/protocol/dissemination.rs
+++ b/crates/heathroad-membership/src/protocol/dissemination.rs
@@ -1,6 +1,6 @@
-//! Dissemination: which updates are sent next. Each member sends an update a bounded number of
-//! times, the least sent one first. What room is left in a datagram repeats what is known of the
-//! members in turn, so that whoever missed something receives it again.
+//! Dissemination: selects the updates for outgoing datagrams. Each member sends an update a bounded
+//! number of times, the least sent one first. The remaining space of a datagram repeats the known
+//! state of the members in turn, so that members which missed an update eventually receive it.
 
 use super::version_agreement::VersionAgreement;
 use crate::claim::MemberState;
@@ -10,28 +10,26 @@
 use crate::{MemberId, Millis};
 use std::collections::BTreeMap;
 
-/// An update is sent so many times the logarithm to base two of the fleet's size by each member
-/// that has it. Fewer (four times the logarithm to base ten) left the last of 300 members without
-/// it for 19 s, and took ten times as long at 30% loss.
+/// Each member sends an update this many times the base-2 logarithm of the fleet's size.
 const TRANSMISSIONS_FACTOR: f64 = 3.0;
-/// The most updates that are selected for a datagram; it holds fewer.
+/// The maximum number of updates selected for a datagram, which exceeds the number that fits.
 const MAX_SELECTED: usize = 16;
 
-/// What an update is about.
+/// The subject of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum Subject {
     /// The state of a member.
     State(MemberId),
     /// The version that a member runs.
     ActiveVersion(MemberId),
-    /// The version that all should run.
+    /// The version that all members should run.
     DesiredVersion,
 }
 
 /// An update selected for a datagram.
 #[derive(Debug, Clone)]
 pub(super) struct SelectedUpdate {
-    /// The subject, if the transmission is to be counted.
+    /// The subject, if the transmission counts towards its limit.
     subject: Option<Subject>,
     pub(super) update: Update,
 }
@@ -51,7 +49,7 @@
         }
     }
 
-    /// The member that an uncounted update repeats something of.
+    /// The member whose state a repetition repeats.
     fn repeated_member(&self) -> Option<MemberId> {
         match (self.subject, &self.update) {
             (None, Update::Claim(claim)) => Some(claim.member),
@@ -61,15 +59,15 @@
     }
 }
 
-/// What this member knows, from which updates are made: what is sent is never older than that.
+/// The local state from which updates are built at the time of sending, so that they are current.
 #[derive(Clone, Copy)]
-pub(super) struct Knowledge<'a> {
+pub(super) struct LocalView<'a> {
     pub(super) members: &'a MemberTable,
     pub(super) agreement: &'a VersionAgreement,
 }
 
-impl Knowledge<'_> {
-    fn update_on(self, subject: Subject) -> Option<Update> {
+impl LocalView<'_> {
+    fn update_for(self, subject: Subject) -> Option<Update> {
         match subject {
             Subject::State(member) => self.members.claim(member).map(Update::Claim),
             Subject::ActiveVersion(member) => {
@@ -125,12 +123,12 @@
     }
 }
 
-/// The updates that are being spread, at most two of each member.
+/// The updates that are being disseminated, at most two for each member.
 #[derive(Debug, Clone)]
 pub(super) struct Dissemination {
-    /// How often this member has sent each update.
+    /// The number of times that this member has sent each update.
     transmissions: BTreeMap<Subject, u32>,
-    /// The member of which something was repeated last.
+    /// The member whose state was repeated last.
     last_repeated: MemberId,
     next_round: Millis,
 }
@@ -144,7 +142,7 @@
         }
     }
 
-    /// Returns when the next round of gossip is due, if there is anything to spread.
+    /// Returns when the next round of gossip is due; `None` without updates to disseminate.
     pub(super) fn due(&self) -> Option<Millis> {
         (!self.transmissions.is_empty()).then_some(self.next_round)
     }
@@ -153,36 +151,36 @@
         self.next_round = at;
     }
 
-    /// Starts to spread what is known of a subject.
+    /// Starts to disseminate the current state of a subject.
     pub(super) fn spread(&mut self, subject: Subject) {
         self.transmissions.insert(subject, 0);
     }
 
-    /// Selects the updates for a datagram, the most important first: what the recipient must know
-    /// of itself, what all should run, updates that are being spread, and repetitions.
+    /// Selects the updates for a datagram by priority: a claim that the recipient should refute, the
+    /// desired version and its requirements, updates being disseminated, and repetitions.
     pub(super) fn select(
         &mut self,
-        knowledge: Knowledge<'_>,
+        view: LocalView<'_>,
         recipient: MemberId,
         now: Millis,
     ) -> Vec<SelectedUpdate> {
         let mut selected = Vec::new();
-        selected.extend(correction_for(knowledge, recipient).map(SelectedUpdate::uncounted));
-        // Whoever is answered knows what is desired: there is always room for that.
-        let desired = knowledge.update_on(Subject::DesiredVersion);
+        selected.extend(correction_for(view, recipient).map(SelectedUpdate::uncounted));
+        // Every datagram carries the desired version, even after its dissemination has ended.
+        let desired = view.update_for(Subject::DesiredVersion);
         selected
             .extend(desired.map(|update| SelectedUpdate::counted(Subject::DesiredVersion, update)));
-        selected.extend(knowledge.requirements(now).map(SelectedUpdate::uncounted));
+        selected.extend(view.requirements(now).map(SelectedUpdate::uncounted));
         let pending = self.least_sent();
         selected.extend(pending.iter().filter_map(|subject| {
-            let update = knowledge.update_on(*subject)?;
+            let update = view.update_for(*subject)?;
             Some(SelectedUpdate::counted(*subject, update))
         }));
-        self.fill_with_repetitions(knowledge, &pending, &mut selected);
+        self.fill_with_repetitions(view, &pending, &mut selected);
         selected
     }
 
-    /// Returns the subjects that were sent least, but for the desired version.
+    /// Returns the least sent subjects, except for the desired version.
     fn least_sent(&self) -> Vec<Subject> {
         let mut pending: Vec<(u32, Subject)> = self
             .transmissions
@@ -197,11 +195,11 @@
 
     fn fill_with_repetitions(
         &mut self,
-        knowledge: Knowledge<'_>,
+        view: LocalView<'_>,
         pending: &[Subject],
         selected: &mut Vec<SelectedUpdate>,
     ) {
-        let members = knowledge.members.size();
+        let members = view.members.size();
         for _ in 0..members {
             if selected.len() >= MAX_SELECTED {
                 break;
@@ -210,15 +208,15 @@
             let member = self.last_repeated;
             for subject in [Subject::State(member), Subject::ActiveVersion(member)] {
                 if !pending.contains(&subject) {
-                    let update = knowledge.update_on(subject);
+                    let update = view.update_for(subject);
                     selected.extend(update.map(SelectedUpdate::uncounted));
                 }
             }
         }
     }
 
-    /// Counts the updates that were sent. An update that was sent often enough is spread no longer;
-    /// a repetition that found no room comes first next time.
+    /// Counts the first `sent` updates as sent, and ends the dissemination of those that have reached
+    /// the limit. The next repetitions start at the first one that was not sent.
     pub(super) fn record_sent(&mut self, selected: &[SelectedUpdate], sent: usize, members: u16) {
         let limit = (TRANSMISSIONS_FACTOR * f64::from(members.max(2)).log2()).ceil() as u32;
         let (sent, unsent) = selected.split_at(sent);
@@ -239,13 +237,13 @@
     }
 }
 
-/// The claim on the recipient itself, unless it is that it is alive.
-fn correction_for(knowledge: Knowledge<'_>, recipient: MemberId) -> Option<Update> {
-    let member = knowledge.members.get(recipient)?;
+/// Returns the claim about the recipient if the recipient is not known to be alive.
+fn correction_for(view: LocalView<'_>, recipient: MemberId) -> Option<Update> {
+    let member = view.members.get(recipient)?;
     if member.state == MemberState::Alive {
         return None;
     }
-    knowledge.update_on(Subject::State(recipient))
+    view.update_for(Subject::State(recipient))
 }
 
 #[cfg(test)]
--- a/crates/heathroad-membership/src/protocol/event.rs
+++ b/crates/heathroad-membership/src/protocol/event.rs
@@ -1,18 +1,18 @@
-//! Events: changes that the owner of a member logs and acts on.
+//! Events that a member reports to its caller.
 
 use crate::version::Digest;
 use crate::{Incarnation, MemberId, Millis};
 use serde::Serialize;
 
-/// The most events that wait to be taken; further ones are lost.
+/// The maximum number of queued events; further ones are discarded.
 const MAX_PENDING_EVENTS: usize = 256;
 
-/// A change in what a member knows. As JSON, `what` tells the kind.
+/// A change in the local state of a member. In JSON, `what` names the kind of event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(tag = "what")]
 #[non_exhaustive]
 pub enum Event {
-    /// A member is alive.
+    /// A member became alive, or continues in a new incarnation.
     #[serde(rename = "up")]
     MemberAlive {
         /// The member.
@@ -26,23 +26,23 @@
     MemberSuspected {
         /// The member.
         member: MemberId,
-        /// Who suspects it.
+        /// The member that suspects it.
         #[serde(rename = "by")]
         accuser: MemberId,
     },
-    /// A suspected member is alive after all.
+    /// A suspected member refuted the suspicion.
     #[serde(rename = "refuted")]
     SuspicionRefuted {
         /// The member.
         member: MemberId,
     },
-    /// A member counts as dead.
+    /// A member was declared dead.
     #[serde(rename = "gone")]
     MemberDead {
         /// The member.
         member: MemberId,
     },
-    /// A member announced that it shuts down.
+    /// A member announced its shutdown.
     #[serde(rename = "left")]
     MemberLeft {
         /// The member.
@@ -56,54 +56,55 @@
         /// The digest of the version.
         digest: Digest,
     },
-    /// This member was taken for dead, or for an older incarnation, and goes on in a new one.
+    /// This member continues in a new incarnation, because others considered its previous one dead or
+    /// know a later one.
     #[serde(rename = "reborn")]
     Reincarnated {
         /// The new incarnation.
         #[serde(rename = "life")]
         incarnation: Incarnation,
     },
-    /// This member was held up: it could do nothing for some time.
+    /// This member was stalled: it could not run for some time.
     #[serde(rename = "woke")]
     Stalled {
-        /// For how long, in milliseconds.
+        /// The duration of the stall in milliseconds.
         #[serde(rename = "after")]
         duration: Millis,
     },
-    /// All members should run another generation of routes.
+    /// The desired generation of routes changed.
     #[serde(rename = "wanted")]
     DesiredVersionChanged {
-        /// The number of the generation.
+        /// The generation.
         #[serde(rename = "number")]
         generation: u64,
-        /// The digest of its text.
+        /// The digest of its routes.
         digest: Digest,
     },
-    /// No member may run a lower generation after a deadline.
+    /// A generation is required: no member may run a lower one after a deadline.
     #[serde(rename = "required")]
     VersionRequired {
-        /// The number of the generation.
+        /// The generation.
         #[serde(rename = "number")]
         generation: u64,
     },
-    /// Two texts were committed under one generation.
+    /// Two different sets of routes were committed with the same generation.
     #[serde(rename = "conflict")]
     VersionConflict {
-        /// The number of the generation.
+        /// The generation.
         #[serde(rename = "number")]
         generation: u64,
-        /// The digests of the texts.
+        /// The digests of the routes, the lower one first.
         digests: [Digest; 2],
     },
-    /// This member receives nothing from the others.
+    /// This member no longer receives anything from the others.
     #[serde(rename = "cutoff")]
     Isolated,
-    /// This member receives something again.
+    /// This member received a datagram after it was isolated.
     #[serde(rename = "heard")]
     Reconnected,
 }
 
-/// Events that wait to be taken.
+/// Events that the caller has not taken yet.
 #[derive(Debug, Clone, Default)]
 pub(super) struct EventQueue(Vec<Event>);
 
--- a/crates/heathroad-membership/src/protocol/failure_detector.rs
+++ b/crates/heathroad-membership/src/protocol/failure_detector.rs
@@ -1,64 +1,64 @@
-//! The failure detector: whom to probe and when, what became of the probes, and whether the fault
-//! may be this member's own.
+//! The failure detector: schedules probes, tracks their results, and detects whether this member
+//! itself is isolated.
 
 use super::config::Config;
 use crate::local_health::LocalHealth;
 use crate::member_table::MemberTable;
 use crate::{MemberId, Millis};
 
-/// One period in so many probes a dead member: a partition that heals is found so, from both sides.
+/// On average, one of this many probes targets a dead member, to detect that a partition has healed.
 const DEAD_PROBE_INTERVAL: u32 = 3;
-/// A member that has received nothing for so many periods is isolated. (Its local health does not
-/// count: that worsens as it receives nothing, and it would suspect others for as long.)
+/// A member is isolated when it has received nothing for this many probe periods. The local health
+/// multiplier does not extend this time, since the member would suspect others meanwhile.
 const ISOLATION_PERIODS: u64 = 4;
-/// The most probes that are made for others at a time.
+/// The maximum number of concurrent indirect probes.
 const MAX_INDIRECT_PROBES: usize = 16;
 
-/// A probe that runs.
+/// A probe in progress.
 #[derive(Debug, Clone)]
 pub(super) struct Probe {
     pub(super) target: MemberId,
     pub(super) nonce: u32,
-    begun: Millis,
-    /// When others are asked; none once they were.
+    started_at: Millis,
+    /// When indirect probes are requested; `None` once that time has passed.
     indirect_at: Option<Millis>,
-    ends: Millis,
-    /// The members that were asked for an indirect probe.
+    ends_at: Millis,
+    /// The number of members that were asked for an indirect probe.
     pub(super) helpers: u8,
-    /// Those of them that reported that the target did not answer.
+    /// The number of helpers that reported that the target did not reply.
     nacks: u8,
     pub(super) acknowledged: bool,
 }
 
 impl Probe {
-    /// Returns the number of helpers that reported nothing at all.
-    pub(super) fn silent_helpers(&self) -> u8 {
+    /// Returns the number of helpers that did not send a nack.
+    pub(super) fn missed_nacks(&self) -> u8 {
         self.helpers.saturating_sub(self.nacks)
     }
 }
 
-/// A probe that is made for another member.
+/// A probe on behalf of another member.
 #[derive(Debug, Clone)]
 pub(super) struct IndirectProbe {
     pub(super) requester: MemberId,
     pub(super) requester_nonce: u32,
     pub(super) target: MemberId,
     pub(super) nonce: u32,
-    /// When the requester is told that the target did not answer.
+    /// When a nack is sent to the requester.
     pub(super) nack_at: Millis,
 }
 
-/// The probes of a member.
+/// The failure detector of a member.
 #[derive(Debug, Clone)]
 pub(super) struct FailureDetector {
-    /// The other members in the order in which they are probed.
+    /// The other members in probing order, which is shuffled for each round.
     rotation: Vec<MemberId>,
     next_in_rotation: usize,
     probe: Option<Probe>,
     indirect_probes: Vec<IndirectProbe>,
     next_period: Millis,
     health: LocalHealth,
-    /// When anything was last received, by this member's clock.
+    /// When a datagram was last accepted from any member.
     last_heard: Millis,
     isolated: bool,
 }
@@ -77,17 +77,17 @@
         }
     }
 
-    /// Returns when something is to be done at the latest.
+    /// Returns when the failure detector next has to act.
     pub(super) fn due(&self) -> Millis {
         let nacks = self.indirect_probes.iter().map(|probe| probe.nack_at);
         let probe = self.probe.iter().flat_map(|probe| {
-            let times = [probe.indirect_at, Some(probe.ends)];
+            let times = [probe.indirect_at, Some(probe.ends_at)];
             times.into_iter().flatten()
         });
         nacks.chain(probe).fold(self.next_period, Millis::min)
     }
 
-    /// Begins the next period if it is due, and returns whether it is.
+    /// Starts the next period if it is due, and returns whether it was.
     pub(super) fn begin_period(&mut self, now: Millis, period: Millis) -> bool {
         let is_due = now >= self.next_period;
         if is_due {
@@ -101,7 +101,7 @@
         &self.rotation
     }
 
-    /// Chooses whom to probe. A member that is present, or was never heard, comes once in each
+    /// Chooses the next member to probe. Each member that is present or unknown is chosen once in each
     /// round.
     pub(super) fn next_target(
         &mut self,
@@ -129,8 +129,8 @@
                 return Some(candidate);
             }
         }
-        // A new round began on the way and has passed those who are present; where nobody is, any
-        // member may be probed.
+        // The order was shuffled within the loop, which may have skipped candidates. If all members
+        // are dead or have left, any of them may be probed.
         let present = self.rotation.iter().copied().find(|id| !has_ended(*id));
         present.or(self.rotation.first().copied())
     }
@@ -155,9 +155,9 @@
         self.probe = Some(Probe {
             target,
             nonce,
-            begun: now,
+            started_at: now,
             indirect_at: Some(now + config.ack_timeout * multiplier),
-            ends: now + config.probe_period * multiplier,
+            ends_at: now + config.probe_period * multiplier,
             helpers: 0,
             nacks: 0,
             acknowledged: false,
@@ -168,7 +168,7 @@
         self.probe.as_ref()
     }
 
-    /// Whether others are to be asked now. The answer is yes at most once for each probe.
+    /// Returns whether indirect probes have to be requested now, at most once for each probe.
     pub(super) fn take_indirect_probe_due(&mut self, now: Millis) -> bool {
         let Some(probe) = &mut self.probe else {
             return false;
@@ -186,19 +186,19 @@
         }
     }
 
-    /// Returns the probe if its period is over.
+    /// Removes and returns the probe if its period has ended.
     pub(super) fn take_ended_probe(&mut self, now: Millis) -> Option<Probe> {
-        self.probe.take_if(|probe| now >= probe.ends)
+        self.probe.take_if(|probe| now >= probe.ends_at)
     }
 
-    /// Takes the answer to a probe, and returns when the probe began.
+    /// Records the ack of a probe, and returns when the probe was started.
     pub(super) fn acknowledge(&mut self, nonce: u32) -> Option<Millis> {
         let probe = self.probe.as_mut().filter(|probe| probe.nonce == nonce)?;
         probe.acknowledged = true;
-        Some(probe.begun)
+        Some(probe.started_at)
     }
 
-    /// Takes a helper's report that the target did not answer.
+    /// Records a nack from a helper.
     pub(super) fn record_nack(&mut self, nonce: u32) {
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.nonce == nonce) {
             probe.nacks = probe.nacks.saturating_add(1).min(probe.helpers);
@@ -213,7 +213,7 @@
         self.indirect_probes.push(probe);
     }
 
-    /// Returns the probe for another member that this answer ends.
+    /// Removes and returns the indirect probe that an ack from `target` completes.
     pub(super) fn acknowledge_indirect(
         &mut self,
         nonce: u32,
@@ -223,11 +223,11 @@
             .indirect_probes
             .iter()
             .position(|probe| probe.nonce == nonce && probe.target == target);
-        position.map(|at| self.indirect_probes.swap_remove(at))
+        position.map(|index| self.indirect_probes.swap_remove(index))
     }
 
-    /// Returns the probes for other members that were not answered in time.
-    pub(super) fn take_unanswered(&mut self, now: Millis) -> Vec<IndirectProbe> {
+    /// Removes and returns the indirect probes that have timed out.
+    pub(super) fn take_timed_out_indirect_probes(&mut self, now: Millis) -> Vec<IndirectProbe> {
         self.indirect_probes
             .extract_if(.., |probe| probe.nack_at <= now)
             .collect()
@@ -241,8 +241,8 @@
         &mut self.health
     }
 
-    /// Forgets all probes: a member that was held up finds all timeouts expired at once, and
-    /// nothing follows from that, since what others sent meanwhile is not read yet.
+    /// Cancels all probes after a stall of this member. Their timeouts have expired, but replies may be
+    /// waiting in the socket's buffer.
     pub(super) fn resume_after_stall(&mut self, now: Millis, stalled_for: Millis, pause: Millis) {
         self.probe = None;
         self.indirect_probes.clear();
@@ -251,7 +251,7 @@
         self.health.worsen(1);
     }
 
-    /// Returns how long nothing was received.
+    /// Returns the time since a datagram was last accepted from any member.
     pub(super) fn silent_for(&self, now: Millis) -> Millis {
         now.saturating_sub(self.last_heard)
     }
@@ -260,15 +260,15 @@
         self.isolated
     }
 
-    /// Checks whether this member has become isolated, and returns whether it just has.
+    /// Updates whether this member is isolated, and returns whether it just became isolated.
     pub(super) fn detect_isolation(&mut self, now: Millis, period: Millis, present: usize) -> bool {
         let silent = self.silent_for(now) > ISOLATION_PERIODS * period;
-        let begins = !self.isolated && silent && present > 1;
-        self.isolated |= begins;
-        begins
+        let became_isolated = !self.isolated && silent && present > 1;
+        self.isolated |= became_isolated;
+        became_isolated
     }
 
-    /// Records that something was received, and returns whether that ends an isolation.
+    /// Records that a datagram was accepted, and returns whether this member was isolated before.
     pub(super) fn record_heard(&mut self, now: Millis) -> bool {
         self.last_heard = now;
         std::mem::take(&mut self.isolated)
--- a/crates/heathroad-membership/src/protocol/fetch.rs
+++ b/crates/heathroad-membership/src/protocol/fetch.rs
@@ -1,59 +1,60 @@
-//! Fetches of resources from other members, in parts of a datagram each. The fetching side sets the
-//! pace: it asks again for parts that did not arrive, and gives up when nothing arrives.
+//! Fetches resources from other members in parts, one per datagram. The fetching member requests a
+//! bounded number of parts at a time, retries those that do not arrive, and gives up after a time
+//! without progress.
 
 use crate::version::Digest;
 use crate::wire::{Message, Resource, Update};
 use crate::{MemberId, Millis};
 use thiserror::Error;
 
-/// The bytes of a resource in one datagram.
+/// The length of a part in bytes, except for the last one.
 pub const PART_BYTES: usize = 160;
-/// The longest resource, in bytes.
+/// The maximum length of a resource in bytes.
 pub const MAX_RESOURCE_BYTES: usize = 512 * 1024;
-/// The most fetches at a time.
+/// The maximum number of concurrent fetches.
 pub const MAX_FETCHES: usize = 8;
-/// The length that says that a resource does not exist.
+/// The length on the wire of a resource that does not exist.
 pub(super) const NOT_FOUND_LENGTH: u32 = u32::MAX;
-/// The most parts of one resource that are asked for at a time.
+/// The maximum number of outstanding part requests per fetch.
 const MAX_PARTS_IN_FLIGHT: usize = 8;
-/// A fetch is given up when nothing has arrived for so long.
+/// A fetch fails after this time without a new part.
 const FETCH_TIMEOUT: Millis = 3000;
 
-/// Why a resource was not fetched.
+/// The reason why a fetch failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum FetchError {
-    /// The member that was asked does not have it.
+    /// The source does not have the resource.
     #[error("the member does not have the resource")]
     NotFound,
-    /// Nothing arrived for too long.
-    #[error("the member did not answer in time")]
+    /// No part arrived in time.
+    #[error("the member did not reply in time")]
     TimedOut,
-    /// It does not match its digest, or is longer than permitted.
-    #[error("the resource arrived corrupted")]
+    /// The parts are inconsistent, the resource does not match its digest, or it is too long.
+    #[error("the resource is corrupted")]
     Corrupted,
 }
 
-/// A fetch that has ended.
+/// A fetch that has succeeded or failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompletedFetch {
-    /// The number of the fetch.
+    /// The identifier returned when the fetch was started.
     pub id: u32,
-    /// The resource.
+    /// The bytes of the resource, or the reason of the failure.
     pub result: Result<Vec<u8>, FetchError>,
-    /// How long after the start the first part arrived: the resource is as it was at some time in
-    /// this span.
+    /// The time from the start of the fetch to the arrival of the first part. The resource was read
+    /// within this time.
     pub first_part_after: Millis,
 }
 
-/// A request for a part, to be sent.
+/// An outgoing request for a part.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PartRequest {
     pub(super) source: MemberId,
     pub(super) message: Message,
 }
 
-/// A part that arrived.
+/// A part received from another member.
 #[derive(Debug, Clone)]
 pub(super) struct ReceivedPart {
     pub(super) source: MemberId,
@@ -75,12 +76,12 @@
     source: MemberId,
     resource: Resource,
     key: Digest,
-    /// Known from the first part on.
+    /// The length of the resource, known once the first part has arrived.
     length: Option<usize>,
     parts: Vec<Option<Vec<u8>>>,
     in_flight: Vec<PartInFlight>,
     next_part: usize,
-    begun: Millis,
+    started_at: Millis,
     first_part_at: Option<Millis>,
     last_progress: Millis,
 }
@@ -102,7 +103,7 @@
         retries.fold(self.last_progress + FETCH_TIMEOUT, Millis::min)
     }
 
-    /// Stores a part. Returns an error if the resource cannot be fetched.
+    /// Stores a part. Returns an error if the fetch has failed.
     fn store(&mut self, now: Millis, received: ReceivedPart) -> Result<(), FetchError> {
         if received.length == NOT_FOUND_LENGTH {
             return Err(FetchError::NotFound);
@@ -135,14 +136,14 @@
         Ok(())
     }
 
-    /// Returns the whole resource. Routes must match the digest by which they were asked for.
+    /// Concatenates the parts. Routes must match the digest by which they were requested.
     fn assemble(&self) -> Result<Vec<u8>, FetchError> {
         let bytes: Vec<u8> = self.parts.iter().flatten().flatten().copied().collect();
-        let is_sound = self.resource != Resource::Routes || Digest::of(&bytes) == self.key;
-        is_sound.then_some(bytes).ok_or(FetchError::Corrupted)
+        let is_valid = self.resource != Resource::Routes || Digest::of(&bytes) == self.key;
+        is_valid.then_some(bytes).ok_or(FetchError::Corrupted)
     }
 
-    /// Returns the parts to ask for now: those that did not arrive in time, and further ones.
+    /// Returns the parts to request now: retries first, then further parts.
     fn take_due_parts(&mut self, now: Millis, retry_after: Millis) -> Vec<usize> {
         let mut due = Vec::new();
         for in_flight in &mut self.in_flight {
@@ -151,7 +152,7 @@
                 due.push(in_flight.part);
             }
         }
-        // Until the length is known, the first part alone is asked for.
+        // Only the first part is requested until the length is known.
         let count = if self.length.is_some() {
             self.parts.len()
         } else {
@@ -181,19 +182,19 @@
     }
 }
 
-/// The fetches of a member.
+/// The fetches of a member, in progress and completed.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Fetches {
-    running: Vec<Fetch>,
+    in_progress: Vec<Fetch>,
     completed: Vec<CompletedFetch>,
 }
 
 impl Fetches {
     pub(super) fn has_room(&self) -> bool {
-        self.running.len() < MAX_FETCHES
+        self.in_progress.len() < MAX_FETCHES
     }
 
-    pub(super) fn begin(
+    pub(super) fn start(
         &mut self,
         now: Millis,
         id: u32,
@@ -201,7 +202,7 @@
         resource: Resource,
         key: Digest,
     ) {
-        self.running.push(Fetch {
+        self.in_progress.push(Fetch {
             id,
             source,
             resource,
@@ -210,7 +211,7 @@
             parts: Vec::new(),
             in_flight: Vec::new(),
             next_part: 0,
-            begun: now,
+            started_at: now,
             first_part_at: None,
             last_progress: now,
         });
@@ -220,57 +221,62 @@
         self.completed.drain(..)
     }
 
-    /// Returns when a part is asked for again, or a fetch given up.
+    /// Returns when the next retry or timeout is due.
     pub(super) fn due(&self, retry_after: Millis) -> Option<Millis> {
-        self.running
+        self.in_progress
             .iter()
             .map(|fetch| fetch.due(retry_after))
             .min()
     }
 
-    /// Gives up the fetches that have timed out, and returns the requests that are due.
+    /// Ends the fetches that have timed out, and returns the requests that are due.
     pub(super) fn take_due_requests(
         &mut self,
         now: Millis,
         retry_after: Millis,
     ) -> Vec<PartRequest> {
-        while let Some(at) = self.running.iter().position(|f| f.has_timed_out(now)) {
-            self.complete(at, Err(FetchError::TimedOut));
+        while let Some(index) = self
+            .in_progress
+            .iter()
+            .position(|fetch| fetch.has_timed_out(now))
+        {
+            self.complete(index, Err(FetchError::TimedOut));
         }
         let mut requests = Vec::new();
-        for fetch in &mut self.running {
+        for fetch in &mut self.in_progress {
             let parts = fetch.take_due_parts(now, retry_after);
             requests.extend(parts.into_iter().map(|part| fetch.part_request(part)));
         }
         requests
     }
 
-    /// Takes a part, and returns whether its fetch goes on.
+    /// Handles a received part, and returns whether its fetch is still in progress.
     pub(super) fn receive(&mut self, now: Millis, received: ReceivedPart) -> bool {
-        let is_its_fetch = |f: &Fetch| f.id == received.id && f.source == received.source;
-        let Some(at) = self.running.iter().position(is_its_fetch) else {
+        let matches_part =
+            |fetch: &Fetch| fetch.id == received.id && fetch.source == received.source;
+        let Some(index) = self.in_progress.iter().position(matches_part) else {
             return false;
         };
-        let fetch = &mut self.running[at];
+        let fetch = &mut self.in_progress[index];
         if let Err(error) = fetch.store(now, received) {
-            self.complete(at, Err(error));
+            self.complete(index, Err(error));
             return false;
         }
         if fetch.is_complete() {
             let result = fetch.assemble();
-            self.complete(at, result);
+            self.complete(index, result);
             return false;
         }
         true
     }
 
-    fn complete(&mut self, at: usize, result: Result<Vec<u8>, FetchError>) {
-        let fetch = self.running.swap_remove(at);
+    fn complete(&mut self, index: usize, result: Result<Vec<u8>, FetchError>) {
+        let fetch = self.in_progress.swap_remove(index);
         let first_part_at = fetch.first_part_at.unwrap_or(fetch.last_progress);
         self.completed.push(CompletedFetch {
             id: fetch.id,
             result,
-            first_part_after: first_part_at.saturating_sub(fetch.begun),
+            first_part_after: first_part_at.saturating_sub(fetch.started_at),
         });
     }
 }
--- a/crates/heathroad-membership/src/protocol/membership.rs
+++ b/crates/heathroad-membership/src/protocol/membership.rs
@@ -1,7 +1,7 @@
-//! A member: its components, their connections, and the interface to its owner.
+//! The state machine of a member, which connects the components of the protocol.
 
 use super::config::Config;
-use super::dissemination::{Dissemination, Knowledge, SelectedUpdate, Subject};
+use super::dissemination::{Dissemination, LocalView, SelectedUpdate, Subject};
 use super::event::{Event, EventQueue};
 use super::failure_detector::FailureDetector;
 use super::fetch::Fetches;
@@ -16,24 +16,24 @@
 use crate::wire::{Message, SUPPORTED_PROTOCOLS, Update};
 use crate::{Incarnation, MemberId, Millis};
 
-/// What a member starts with.
+/// The parameters of a member.
 #[derive(Clone)]
 pub struct Settings {
-    /// The name and the key of the fleet.
+    /// Holds the name and the key of the fleet.
     pub authenticator: Authenticator,
-    /// This member.
+    /// The id of this member.
     pub id: MemberId,
     /// The number of members of the fleet.
     pub fleet_size: u16,
     /// The incarnation of this member.
     pub incarnation: Incarnation,
-    /// The seed of its random choices.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// Intervals, timeouts and limits.
+    /// Intervals, timeouts and limits of the protocol.
     pub config: Config,
 }
 
-/// A member's view of its fleet, and its part in it.
+/// The protocol state machine of one member.
 #[derive(Clone)]
 pub struct Membership {
     pub(super) config: Config,
@@ -49,13 +49,13 @@
     pub(super) piggyback: PiggybackChannel,
     pub(super) transport: Transport,
     pub(super) events: EventQueue,
-    /// When [`Membership::tick`] was due, as of the last call. A later call shows a stall.
+    /// The due time of [`Membership::tick`] as of the last call. A much later call reveals a stall.
     expected_tick: Millis,
     has_left: bool,
 }
 
 impl Membership {
-    /// Starts a member.
+    /// Creates a member, which starts to probe others with the first [`Membership::tick`].
     pub fn new(now: Millis, settings: Settings) -> Membership {
         let Settings {
             authenticator,
@@ -68,7 +68,7 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut rotation: Vec<MemberId> = (0..fleet_size).filter(|other| *other != id).collect();
         rng.shuffle(&mut rotation);
-        // Members that start together do not probe together.
+        // A random delay keeps members that start together from probing in lockstep.
         let first_period = now + rng.u64(0..config.gossip_interval.max(1));
         let mut membership = Membership {
             id,
@@ -94,7 +94,7 @@
         membership
     }
 
-    /// Returns when [`Membership::tick`] is to be called at the latest.
+    /// Returns the time by which [`Membership::tick`] has to be called.
     pub fn due(&self) -> Millis {
         let optional = [
             self.members.next_suspicion_deadline(),
@@ -107,16 +107,16 @@
             .fold(self.detector.due(), Millis::min)
     }
 
-    /// Does what is due.
+    /// Performs all actions that are due.
     pub fn tick(&mut self, now: Millis) {
         if self.has_left {
             return;
         }
-        self.detect_stall(now);
+        self.detect_local_faults(now);
         self.declare_expired_suspects_dead(now);
-        self.report_unanswered_probes(now);
-        self.continue_probe(now);
-        self.continue_fetches(now);
+        self.send_due_nacks(now);
+        self.advance_probe(now);
+        self.advance_fetches(now);
         if self.detector.begin_period(now, self.config.probe_period) {
             self.begin_probe(now);
             self.request_unknown_versions(now);
@@ -129,12 +129,12 @@
         self.expect_next_tick(now);
     }
 
-    /// Takes a datagram, of whatever kind and from whomever.
+    /// Handles an incoming datagram, which may be invalid or hostile.
     pub fn receive(&mut self, now: Millis, datagram: &[u8]) {
         if self.has_left {
             return;
         }
-        self.detect_stall(now);
+        self.detect_local_faults(now);
         self.receive_datagram(now, datagram);
         self.expect_next_tick(now);
     }
@@ -143,19 +143,19 @@
         self.expected_tick = self.due().max(now);
     }
 
-    /// Returns the datagrams to be sent since the last call.
+    /// Returns the datagrams to send that were queued since the last call.
     pub fn transmits(&mut self) -> std::vec::Drain<'_, Transmit> {
         self.transport.drain()
     }
 
-    /// Returns the events since the last call, as far as there was room for them.
+    /// Returns the events since the last call. Events beyond the limit of the queue are lost.
     pub fn events(&mut self) -> std::vec::Drain<'_, Event> {
         self.events.drain()
     }
 
-    /// Tells some members that this one shuts down, and does nothing from then on.
+    /// Announces the shutdown of this member to random others, and stops the state machine.
     pub fn leave(&mut self, now: Millis) {
-        let claim = self.claim_on_self(MemberState::Left);
+        let claim = self.own_claim(MemberState::Left);
         self.members.merge(now, claim);
         self.dissemination.spread(Subject::State(self.id));
         self.send_gossip(now);
@@ -163,7 +163,7 @@
         self.has_left = true;
     }
 
-    pub(super) fn claim_on_self(&self, state: MemberState) -> Claim {
+    pub(super) fn own_claim(&self, state: MemberState) -> Claim {
         Claim {
             member: self.id,
             state,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Whether more than half of the fleet is present, as far as is known.
+    /// Whether more than half of the fleet is present according to the member table.
     pub fn sees_majority(&self) -> bool {
         2 * self.members.present_count() > usize::from(self.members.size())
     }
@@ -182,37 +182,37 @@
         self.id
     }
 
-    /// Returns the present revision of this member.
+    /// Returns the current revision of this member.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Whether this member receives nothing from the others.
+    /// Whether this member is isolated: it receives nothing from the others.
     pub fn is_isolated(&self) -> bool {
         self.detector.is_isolated()
     }
 
-    /// Returns how long nothing was received.
+    /// Returns the time since a datagram was last accepted from any member.
     pub fn silent_for(&self, now: Millis) -> Millis {
         self.detector.silent_for(now)
     }
 
-    /// Returns the local health multiplier; 1 is healthy.
+    /// Returns the local health multiplier, which is 1 for a healthy member.
     pub fn health_multiplier(&self) -> u64 {
         self.detector.health().multiplier()
     }
 
-    /// Returns what was sent and received.
+    /// Returns the traffic counters.
     pub fn traffic(&self) -> TrafficCounters {
         self.transport.traffic()
     }
 
-    /// Returns what is known of the members.
+    /// Returns the member table.
     pub fn members(&self) -> &MemberTable {
         &self.members
     }
 
-    /// Returns what operators read of all members.
+    /// Returns a report on each member for operators.
     pub fn member_views(&self, now: Millis) -> Vec<MemberView> {
         let view = |(id, member): (MemberId, &Member)| {
             let active = member.active_version;
@@ -232,13 +232,13 @@
         self.members.iter().map(view).collect()
     }
 
-    /// Sends a message with what updates there is room for.
+    /// Sends a message with as many selected updates as fit.
     pub(super) fn send(&mut self, now: Millis, to: MemberId, message: Message) {
-        let knowledge = Knowledge {
+        let local = LocalView {
             members: &self.members,
             agreement: &self.agreement,
         };
-        let selected = self.dissemination.select(knowledge, to, now);
+        let selected = self.dissemination.select(local, to, now);
         let updates = selected
             .iter()
             .map(|selected: &SelectedUpdate| selected.update.clone());
@@ -268,7 +268,7 @@
             .send(now, channel, [sender, recipient], message, updates)
     }
 
-    /// Returns a member as the recipient of a datagram.
+    /// Returns the addressing information of a member as a recipient.
     pub(super) fn endpoint(&self, id: MemberId) -> Endpoint {
         let lowest = [SUPPORTED_PROTOCOLS[0]; 2];
         let member = self.members.get(id);
@@ -279,9 +279,9 @@
         }
     }
 
-    /// A member that was stopped, or got no time, finds all its timeouts expired at once. Nothing
-    /// follows from that: what others sent meanwhile is not read yet.
-    fn detect_stall(&mut self, now: Millis) {
+    /// Detects a stall or an isolation of this member. After a stall, expired timeouts say nothing
+    /// about other members, since their datagrams may be waiting in the socket's buffer.
+    fn detect_local_faults(&mut self, now: Millis) {
         let late = now.saturating_sub(self.expected_tick);
         if late >= self.config.probe_period {
             self.detector
--- a/crates/heathroad-membership/src/protocol/mod.rs
+++ b/crates/heathroad-membership/src/protocol/mod.rs
@@ -1,10 +1,10 @@
-//! One member's part of the protocol. Its owner tells it what happens at which time, and takes from
-//! it what is to be sent and what has changed.
+//! The protocol state machine of one member. The caller passes in the time and incoming datagrams,
+//! and takes out datagrams to send and events.
 //!
-//! Each component owns its state: the failure detector the probes, dissemination the updates that
-//! spread, version agreement what all should run, the fetches and the resource server the resources
-//! on their way, the piggyback channel messages of other protocols, and the transport the
-//! datagrams. [`Membership`] connects them.
+//! Each component owns its state: the failure detector owns the probes; dissemination, the updates
+//! to be sent; version agreement, the desired and the known versions; fetches and the resource
+//! server, resource transfers; the piggyback channel, messages of other protocols; and the transport,
+//! outgoing datagrams, rate limits and traffic counters. [`Membership`] connects them.
 
 mod claims;
 mod config;
--- a/crates/heathroad-membership/src/protocol/piggyback.rs
+++ b/crates/heathroad-membership/src/protocol/piggyback.rs
@@ -1,27 +1,26 @@
-//! The piggyback channel: messages of other protocols in authenticated datagrams. A message names
-//! the incarnation of its sender, is for this incarnation of its recipient, and arrives at most
-//! once.
+//! The piggyback channel carries messages of other protocols in authenticated datagrams. A message is
+//! addressed to one incarnation of its recipient, and is delivered at most once.
 
 use crate::wire::Update;
 use crate::{Incarnation, MemberId};
 
-/// The longest message, in bytes.
+/// The maximum length of a message in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 190;
-/// The most messages that wait to be taken; further ones are lost, as any may be.
+/// The maximum number of queued messages; further ones are discarded.
 const MAX_PENDING_MESSAGES: usize = 256;
 
-/// A message that arrived.
+/// A message received from another member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PiggybackMessage {
     /// The sender.
     pub from: MemberId,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// The message.
+    /// The content of the message.
     pub bytes: Vec<u8>,
 }
 
-/// Messages that wait to be taken.
+/// Received messages that the caller has not taken yet.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PiggybackChannel {
     received: Vec<PiggybackMessage>,
--- a/crates/heathroad-membership/src/protocol/probe.rs
+++ b/crates/heathroad-membership/src/protocol/probe.rs
@@ -1,4 +1,5 @@
-//! Probes, indirect probes and rounds of gossip: what a member sends of its own accord.
+//! Datagrams that a member initiates: probes, requests for indirect probes, gossip, and requests for
+//! versions.
 
 use super::membership::Membership;
 use crate::claim::{Claim, MemberState};
@@ -6,7 +7,7 @@
 use crate::wire::Message;
 use crate::{MemberId, Millis};
 
-/// The most versions that are asked for at a time.
+/// The maximum number of versions requested at a time.
 const MAX_VERSION_REQUESTS: usize = 2;
 
 impl Membership {
@@ -19,9 +20,9 @@
         self.send(now, target, Message::Ping { nonce });
     }
 
-    /// Asks others for an indirect probe when the target did not answer in time, and concludes at
-    /// the end of the period.
-    pub(super) fn continue_probe(&mut self, now: Millis) {
+    /// Requests indirect probes when the ack timeout expires, and evaluates the probe at the end of its
+    /// period.
+    pub(super) fn advance_probe(&mut self, now: Millis) {
         let Some(target) = self.detector.probe().map(|probe| probe.target) else {
             return;
         };
@@ -33,12 +34,12 @@
             if probe.acknowledged {
                 self.detector.health_mut().improve();
             } else if can_be_suspected {
-                self.conclude_failed_probe(now, target, probe.helpers, probe.silent_helpers());
+                self.handle_failed_probe(now, target, probe.helpers, probe.missed_nacks());
             }
         }
     }
 
-    /// Whether a member is present in an incarnation that is known.
+    /// Whether a member is present and its incarnation is known.
     fn can_be_suspected(&self, id: MemberId) -> bool {
         self.members
             .get(id)
@@ -57,13 +58,19 @@
         }
     }
 
-    /// As in Lifeguard, helpers that reported nothing at all are a sign that this member receives
-    /// badly; where all of them reported that the target did not answer, the fault is the target's.
-    fn conclude_failed_probe(&mut self, now: Millis, target: MemberId, helpers: u8, silent: u8) {
-        let signs = if helpers == 0 { 1 } else { silent };
-        self.detector.health_mut().worsen(signs);
-        let no_helper_answered = helpers > 0 && silent == helpers;
-        if !self.detector.is_isolated() && !no_helper_answered {
+    /// Suspects the target of a failed probe, unless this member may be at fault. As in Lifeguard,
+    /// missed nacks are a sign that this member itself fails to receive datagrams.
+    fn handle_failed_probe(
+        &mut self,
+        now: Millis,
+        target: MemberId,
+        helpers: u8,
+        missed_nacks: u8,
+    ) {
+        let penalty = if helpers == 0 { 1 } else { missed_nacks };
+        self.detector.health_mut().worsen(penalty);
+        let no_helper_replied = helpers > 0 && missed_nacks == helpers;
+        if !self.detector.is_isolated() && !no_helper_replied {
             self.suspect(now, target);
         }
     }
@@ -82,20 +89,19 @@
         }
     }
 
-    /// Tells the members that asked for an indirect probe that its target did not answer.
-    pub(super) fn report_unanswered_probes(&mut self, now: Millis) {
-        for probe in self.detector.take_unanswered(now) {
+    /// Sends a nack for each indirect probe that has timed out.
+    pub(super) fn send_due_nacks(&mut self, now: Millis) {
+        for probe in self.detector.take_timed_out_indirect_probes(now) {
             let nonce = probe.requester_nonce;
             self.send(now, probe.requester, Message::Nack { nonce });
         }
     }
 
-    /// Sends updates to some random members, and asks for versions that are known by their digests
-    /// alone.
+    /// Sends updates to random present members, and requests unknown versions.
     pub(super) fn send_gossip(&mut self, now: Millis) {
         let recipients = self.choose_present(self.config.gossip_fanout, None);
         if recipients.is_empty() {
-            return self.probe_anyone(now);
+            return self.probe_random_member(now);
         }
         for recipient in recipients {
             self.send(now, recipient, Message::Gossip);
@@ -103,8 +109,8 @@
         self.request_unknown_versions(now);
     }
 
-    /// Probes a random member where none is known to be present.
-    fn probe_anyone(&mut self, now: Millis) {
+    /// Probes a random member, whatever its state.
+    fn probe_random_member(&mut self, now: Millis) {
         let others = self.detector.others();
         if others.is_empty() {
             return;
@@ -114,11 +120,11 @@
         self.send(now, to, Message::Ping { nonce });
     }
 
-    /// Asks for versions that are known by their digests alone. That is done in quiet times too,
-    /// since an answer may have been lost.
+    /// Requests versions of which only the digest is known. Repeated in every probe period, since
+    /// requests and replies can be lost.
     pub(super) fn request_unknown_versions(&mut self, now: Millis) {
         let mut unknown = self.agreement.unknown_versions(self.id, &self.members);
-        // One random member that runs a version is asked, so that not all ask the same one.
+        // Selects a random member for each version, to spread the requests over the members that run it.
         self.rng.shuffle(&mut unknown);
         unknown.sort_by_key(|(digest, _)| *digest);
         unknown.dedup_by_key(|(digest, _)| *digest);
@@ -133,7 +139,7 @@
         self.send(now, member, Message::VersionRequest { member, digest });
     }
 
-    /// Chooses some random present members.
+    /// Chooses up to `count` random present members other than this one and `except`.
     pub(super) fn choose_present(
         &mut self,
         count: usize,
@@ -145,9 +151,9 @@
             .filter(|id| *id != self.id && Some(*id) != except)
             .collect();
         let count = count.min(candidates.len());
-        for at in 0..count {
-            let other = self.rng.usize(at..candidates.len());
-            candidates.swap(at, other);
+        for index in 0..count {
+            let other = self.rng.usize(index..candidates.len());
+            candidates.swap(index, other);
         }
         candidates.truncate(count);
         candidates
--- a/crates/heathroad-membership/src/protocol/receive.rs
+++ b/crates/heathroad-membership/src/protocol/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams that arrive: they are checked, their updates are merged, and their messages answered.
+//! Handling of incoming datagrams: verification, merging of updates, and replies to messages.
 
 use super::dissemination::Subject;
 use super::event::Event;
@@ -43,19 +43,20 @@
         };
         let own = self.revision.incarnation;
         if header.recipient_incarnation > own {
-            // This member's clock was set back since an earlier incarnation, which others remember.
+            // The fleet knows a later incarnation of this member, because its clock was set back
+            // between restarts.
             self.transport.traffic_mut().dropped.stale += 1;
             return self.reincarnate(now, header.recipient_incarnation);
         }
         if header.recipient_incarnation < own || header.sender_incarnation < known {
-            return self.answer_unconfirmed(now, header, known, message);
+            return self.handle_unconfirmed(now, header, known, message);
         }
         if self.accept(now, header, known) {
             self.process(now, header, message, updates);
         }
     }
 
-    /// Checks the sequence number of a datagram, and records that its sender was heard.
+    /// Checks the sequence number of a datagram, and records that its sender is alive.
     fn accept(&mut self, now: Millis, header: &Header, known: Incarnation) -> bool {
         let Some(member) = self.members.get_mut(header.sender) else {
             return false;
@@ -97,7 +98,7 @@
                     updates,
                 };
                 if self.fetches.receive(now, received) {
-                    self.continue_fetches(now);
+                    self.advance_fetches(now);
                 }
             }
             Message::Piggyback => {
@@ -108,14 +109,15 @@
                 for update in updates {
                     self.merge_update(now, update);
                 }
-                self.answer(now, header.sender, message);
+                self.handle_message(now, header.sender, message);
             }
         }
     }
 
-    /// Answers a sender that does not know this incarnation, or is of an ended one itself, so that
-    /// it learns; nothing that it says is used, since it may be a recording.
-    fn answer_unconfirmed(
+    /// Handles a datagram that names an outdated incarnation of its sender or of this member. Its
+    /// updates are ignored, since it may be a replay, but the reply tells the sender the current
+    /// incarnations.
+    fn handle_unconfirmed(
         &mut self,
         now: Millis,
         header: &Header,
@@ -127,32 +129,39 @@
         }
         if let Message::Ping { nonce } = message {
             let incarnation = known.max(header.sender_incarnation);
-            self.send_bare(now, header.sender, incarnation, Message::Ack { nonce });
+            self.send_without_updates(now, header.sender, incarnation, Message::Ack { nonce });
         }
-        if header.sender_incarnation > known && self.may_greet(now, header.sender) {
+        if header.sender_incarnation > known && self.try_challenge(now, header.sender) {
             let nonce = self.rng.u32(..);
             let incarnation = header.sender_incarnation;
-            self.send_bare(now, header.sender, incarnation, Message::Ping { nonce });
+            self.send_without_updates(now, header.sender, incarnation, Message::Ping { nonce });
         }
     }
 
-    /// Whether a member may be probed that names an incarnation nobody confirmed: once a period.
-    fn may_greet(&mut self, now: Millis, id: MemberId) -> bool {
+    /// Returns whether a member that names an unconfirmed incarnation may be probed now, at most once
+    /// per probe period.
+    fn try_challenge(&mut self, now: Millis, id: MemberId) -> bool {
         let period = self.config.probe_period;
         let Some(member) = self.members.get_mut(id) else {
             return false;
         };
         let is_due = member
-            .last_greeted
+            .last_challenged
             .is_none_or(|at| now.saturating_sub(at) >= period);
         if is_due {
-            member.last_greeted = Some(now);
+            member.last_challenged = Some(now);
         }
         is_due
     }
 
-    /// Sends a message without updates to an incarnation that is not confirmed.
-    fn send_bare(&mut self, now: Millis, to: MemberId, incarnation: Incarnation, message: Message) {
+    /// Sends a message without updates to an unconfirmed incarnation of a member.
+    fn send_without_updates(
+        &mut self,
+        now: Millis,
+        to: MemberId,
+        incarnation: Incarnation,
+        message: Message,
+    ) {
         let recipient = Endpoint {
             incarnation,
             ..self.endpoint(to)
@@ -163,7 +172,7 @@
     fn merge_update(&mut self, now: Millis, update: Update) {
         match update {
             Update::Claim(claim) if claim.member == self.id => {
-                self.receive_claim_on_self(now, claim);
+                self.handle_own_claim(now, claim);
             }
             Update::Claim(claim) => self.apply_claim(now, claim),
             Update::ActiveVersion {
@@ -209,7 +218,7 @@
                     }));
                 }
             }
-            // Only parts of resources and piggybacked messages hold bytes.
+            // Bytes belong to parts of resources and to piggybacked messages, which are handled before.
             Update::Bytes(_) => {}
         }
     }
@@ -224,20 +233,20 @@
         }
     }
 
-    /// Stores a version that some member runs; others are not asked for.
+    /// Stores a version if some member runs it.
     fn store_version(&mut self, version: Version) {
         if self.members.is_active(version.digest()) {
             self.agreement.store(version, &self.members);
         }
     }
 
-    fn answer(&mut self, now: Millis, from: MemberId, message: Message) {
+    fn handle_message(&mut self, now: Millis, from: MemberId, message: Message) {
         match message {
             Message::Ping { nonce } => self.send(now, from, Message::Ack { nonce }),
             Message::Ack { nonce } => self.receive_ack(now, from, nonce),
             Message::Nack { nonce } => self.detector.record_nack(nonce),
             Message::PingRequest { nonce, target } => {
-                self.probe_for(now, from, nonce, target);
+                self.start_indirect_probe(now, from, nonce, target);
             }
             Message::VersionRequest { member, digest } if member == self.id => {
                 self.send_version(now, from, digest);
@@ -268,8 +277,8 @@
 
     fn receive_ack(&mut self, now: Millis, from: MemberId, nonce: u32) {
         self.agreement.acknowledge(nonce);
-        if let Some(begun) = self.detector.acknowledge(nonce) {
-            self.agreement.record_confirmation(begun);
+        if let Some(started_at) = self.detector.acknowledge(nonce) {
+            self.agreement.record_confirmation(started_at);
         }
         if let Some(probe) = self.detector.acknowledge_indirect(nonce, from) {
             let nonce = probe.requester_nonce;
@@ -277,8 +286,14 @@
         }
     }
 
-    /// Probes a member for another one.
-    fn probe_for(&mut self, now: Millis, requester: MemberId, nonce: u32, target: MemberId) {
+    /// Probes a member on behalf of another one.
+    fn start_indirect_probe(
+        &mut self,
+        now: Millis,
+        requester: MemberId,
+        nonce: u32,
+        target: MemberId,
+    ) {
         let is_other = target != self.id && target < self.members.size();
         if !is_other || !self.detector.has_room_for_indirect_probe() {
             return;
--- a/crates/heathroad-membership/src/protocol/report.rs
+++ b/crates/heathroad-membership/src/protocol/report.rs
@@ -1,4 +1,4 @@
-//! What operators read of a member: its view of the others, and its traffic.
+//! Reports for operators: the state of the members and traffic counters.
 
 use crate::authentication::DropCounters;
 use crate::claim::{MemberState, Revision};
@@ -6,49 +6,50 @@
 use crate::{MemberId, Millis};
 use serde::Serialize;
 
-/// What was sent and received.
+/// The number of datagrams sent and received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct TrafficCounters {
-    /// Datagrams that were sent.
+    /// Sent datagrams.
     pub sent: u64,
-    /// The bytes of these datagrams.
+    /// The total length of the sent datagrams.
     pub sent_bytes: u64,
-    /// Datagrams that were received and used.
+    /// Accepted datagrams.
     #[serde(rename = "heard")]
     pub received: u64,
-    /// Datagrams that were not sent because of a rate limit.
+    /// Datagrams that were not sent because a rate limit was exceeded.
     #[serde(rename = "held_back")]
     pub rate_limited: u64,
-    /// Datagrams that were received and dropped.
+    /// Received datagrams that were dropped.
     pub dropped: DropCounters,
 }
 
-/// What is known of a member.
+/// The known state of a member.
 #[derive(Debug, Clone, Serialize)]
 pub struct MemberView {
-    /// The member.
+    /// The id of the member.
     #[serde(rename = "place")]
     pub id: MemberId,
-    /// Its state.
+    /// The state of the member.
     #[serde(rename = "standing")]
     pub state: MemberState,
     /// The revision to which the state applies.
     #[serde(rename = "incarnation")]
     pub revision: Revision,
-    /// How long it has been in this state.
+    /// How long the member has been in this state.
     #[serde(rename = "for_ms")]
     pub state_age_ms: Millis,
-    /// How long ago something of its own was received; none if that never was. Not told of the
-    /// member that is asked.
+    /// The time since a datagram from the member was last accepted; `None` if there was none, or for
+    /// the reporting member itself.
     #[serde(rename = "heard_ms")]
     pub last_heard_ago_ms: Option<Millis>,
-    /// Who suspects it.
+    /// The members that suspect it.
     pub accusers: Vec<MemberId>,
-    /// The lowest and the highest protocol that it supports.
+    /// The lowest and the highest protocol version that it supports.
     pub protocols: [u8; 2],
-    /// The digest of the version it runs, and which one of its incarnation that is.
+    /// The digest of the version that the member runs, and the sequence number of the version in its
+    /// incarnation.
     #[serde(rename = "acts")]
     pub active_version: Option<(Digest, u32)>,
-    /// The version itself, where it is known.
+    /// The version in full, if known.
     pub version: Option<Version>,
 }
--- a/crates/heathroad-membership/src/protocol/resource_server.rs
+++ b/crates/heathroad-membership/src/protocol/resource_server.rs
@@ -1,5 +1,5 @@
-//! Resources that other members fetch from this one. A resource is kept as it was when it was first
-//! asked for, so that all its parts fit together.
+//! Serves resources to other members. The bytes of a resource are kept for the duration of a fetch, so
+//! that all parts belong to the same state.
 
 use super::fetch::{MAX_RESOURCE_BYTES, NOT_FOUND_LENGTH, PART_BYTES};
 use crate::MemberId;
@@ -7,23 +7,23 @@
 use crate::wire::{Message, Resource, Update};
 use std::collections::VecDeque;
 
-/// The most resources that are kept, and the most requests that wait to be answered.
-const MAX_SERVED: usize = 16;
+/// The maximum number of kept resources, and of pending requests.
+const MAX_SERVED_RESOURCES: usize = 16;
 
-/// A request for a resource, to be answered by [`super::Membership::serve`].
+/// A request for a resource, to be answered with [`super::Membership::serve`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResourceRequest {
-    /// Who asks.
+    /// The member that requests the resource.
     pub from: MemberId,
-    /// The number of the fetch at that member.
+    /// Identifies the fetch at that member.
     pub id: u32,
     /// The kind of resource.
     pub resource: Resource,
-    /// Which of several resources of this kind.
+    /// Identifies the resource among those of its kind.
     pub key: Digest,
 }
 
-/// A part of a resource, to be sent.
+/// An outgoing part of a resource.
 #[derive(Debug, Clone)]
 pub(super) struct PartReply {
     pub(super) message: Message,
@@ -31,7 +31,7 @@
 }
 
 impl PartReply {
-    /// The answer that the resource does not exist.
+    /// Creates the reply for a resource that does not exist.
     fn not_found(id: u32) -> PartReply {
         PartReply {
             message: Message::Part {
@@ -63,28 +63,29 @@
         self.requests.drain(..)
     }
 
-    /// Takes a request for a part, and returns the answer if there is one already.
+    /// Handles a request for a part. Returns the reply if the resource is kept or was discarded;
+    /// otherwise queues a request for the resource.
     pub(super) fn receive(&mut self, request: ResourceRequest, part: u32) -> Option<PartReply> {
         let reply = self.part(request.from, request.id, part);
         if reply.is_some() {
             return reply;
         }
         if part > 0 {
-            // The resource was kept once, and is no longer.
+            // The resource was served before and has been discarded.
             return Some(PartReply::not_found(request.id));
         }
-        if self.requests.len() < MAX_SERVED && !self.requests.contains(&request) {
+        if self.requests.len() < MAX_SERVED_RESOURCES && !self.requests.contains(&request) {
             self.requests.push(request);
         }
         None
     }
 
-    /// Keeps the resource that was asked for, and returns the answer to the request.
+    /// Stores a requested resource, and returns the reply with its first part.
     pub(super) fn serve(&mut self, request: ResourceRequest, bytes: Option<Vec<u8>>) -> PartReply {
         let Some(bytes) = bytes.filter(|bytes| bytes.len() <= MAX_RESOURCE_BYTES) else {
             return PartReply::not_found(request.id);
         };
-        if self.served.len() >= MAX_SERVED {
+        if self.served.len() >= MAX_SERVED_RESOURCES {
             self.served.pop_front();
         }
         self.served.push_back(ServedResource {
--- a/crates/heathroad-membership/src/protocol/resources.rs
+++ b/crates/heathroad-membership/src/protocol/resources.rs
@@ -1,4 +1,4 @@
-//! Resources that are fetched and served, and messages of other protocols.
+//! The interface of [`Membership`] for resource transfers and for messages of other protocols.
 
 use super::fetch::CompletedFetch;
 use super::membership::Membership;
@@ -10,8 +10,9 @@
 use crate::{MemberId, Millis};
 
 impl Membership {
-    /// Fetches a resource from a member. Returns the number of the fetch, by which
-    /// [`Membership::completed_fetches`] tells its end; none if too many are running.
+    /// Starts to fetch a resource from a member. Returns the identifier under which
+    /// [`Membership::completed_fetches`] reports the result, or `None` if `from` is not another member
+    /// or too many fetches are in progress.
     pub fn fetch(
         &mut self,
         now: Millis,
@@ -23,17 +24,17 @@
             return None;
         }
         let id = self.rng.u32(..);
-        self.fetches.begin(now, id, from, resource, key);
-        self.continue_fetches(now);
+        self.fetches.start(now, id, from, resource, key);
+        self.advance_fetches(now);
         Some(id)
     }
 
-    /// Returns the fetches that have ended since the last call.
+    /// Returns the fetches that have succeeded or failed since the last call.
     pub fn completed_fetches(&mut self) -> std::vec::Drain<'_, CompletedFetch> {
         self.fetches.drain_completed()
     }
 
-    pub(super) fn continue_fetches(&mut self, now: Millis) {
+    pub(super) fn advance_fetches(&mut self, now: Millis) {
         let requests = self.fetches.take_due_requests(now, self.config.ack_timeout);
         for request in requests {
             let recipient = self.endpoint(request.source);
@@ -41,12 +42,13 @@
         }
     }
 
-    /// Returns the requests for resources since the last call.
+    /// Returns the requests for resources received since the last call, to be answered with
+    /// [`Membership::serve`].
     pub fn resource_requests(&mut self) -> std::vec::Drain<'_, ResourceRequest> {
         self.resources.drain_requests()
     }
 
-    /// Answers a request with a resource, or that there is none.
+    /// Replies to a request for a resource; `None` means that the resource does not exist.
     pub fn serve(&mut self, now: Millis, request: ResourceRequest, bytes: Option<Vec<u8>>) {
         let reply = self.resources.serve(request, bytes);
         self.send_part(now, request.from, reply);
@@ -58,9 +60,10 @@
         self.send_updates(now, Channel::Resource, recipient, message, &updates);
     }
 
-    /// Sends a message of another protocol, unless it is too long or the rate limit forbids it. It
-    /// may be lost, late or out of order, but arrives at most once, and at no later incarnation of
-    /// the recipient than is known here.
+    /// Sends a message of another protocol. The message is dropped if it is too long, if `to` is not
+    /// another member, or if the rate limit is exceeded. Messages may be lost, delayed or reordered,
+    /// but are delivered at most once, and never to a later incarnation of the recipient than the one
+    /// known here.
     pub fn send_message(&mut self, now: Millis, to: MemberId, bytes: Vec<u8>) {
         let is_member = self.members.get(to).is_some();
         if !is_member || to == self.id || bytes.len() > MAX_MESSAGE_BYTES {
@@ -71,12 +74,12 @@
         self.send_updates(now, channel, recipient, Message::Piggyback, &updates);
     }
 
-    /// Whether any message of another protocol waits to be taken.
+    /// Whether a message of another protocol has been received and not yet been taken.
     pub fn has_messages(&self) -> bool {
         !self.piggyback.is_empty()
     }
 
-    /// Returns the messages of other protocols that arrived since the last call.
+    /// Returns the messages of other protocols received since the last call.
     pub fn messages(&mut self) -> std::vec::Drain<'_, PiggybackMessage> {
         self.piggyback.drain()
     }
--- a/crates/heathroad-membership/src/protocol/tests/dissemination.rs
+++ b/crates/heathroad-membership/src/protocol/tests/dissemination.rs
@@ -31,7 +31,7 @@
     members: &MemberTable,
     agreement: &VersionAgreement,
 ) -> Vec<SelectedUpdate> {
-    dissemination.select(Knowledge { members, agreement }, 1, 0)
+    dissemination.select(LocalView { members, agreement }, 1, 0)
 }
 
 #[test]
--- a/crates/heathroad-membership/src/protocol/tests/failure_detector.rs
+++ b/crates/heathroad-membership/src/protocol/tests/failure_detector.rs
@@ -77,7 +77,7 @@
     detector.record_nack(7);
     assert!(detector.take_ended_probe(999).is_none());
     let probe = detector.take_ended_probe(1000).expect("it has ended");
-    assert_eq!((probe.helpers, probe.silent_helpers()), (2, 1));
+    assert_eq!((probe.helpers, probe.missed_nacks()), (2, 1));
     assert!(detector.probe().is_none());
 }
 
@@ -130,8 +130,8 @@
         .acknowledge_indirect(6, 3)
         .expect("it is its target");
     assert_eq!(answered.requester_nonce, 5);
-    assert!(detector.take_unanswered(99).is_empty());
-    assert_eq!(detector.take_unanswered(100).len(), 1);
+    assert!(detector.take_timed_out_indirect_probes(99).is_empty());
+    assert_eq!(detector.take_timed_out_indirect_probes(100).len(), 1);
 }
 
 #[test]
--- a/crates/heathroad-membership/src/protocol/tests/fetch.rs
+++ b/crates/heathroad-membership/src/protocol/tests/fetch.rs
@@ -8,7 +8,7 @@
 fn begun() -> Fetches {
     let mut fetches = Fetches::default();
     let (resource, key) = (Resource::ActivityRecord, Digest::default());
-    fetches.begin(0, 7, SOURCE, resource, key);
+    fetches.start(0, 7, SOURCE, resource, key);
     fetches
 }
 
--- a/crates/heathroad-membership/src/protocol/tests/resource_server.rs
+++ b/crates/heathroad-membership/src/protocol/tests/resource_server.rs
@@ -36,7 +36,7 @@
 #[test]
 fn a_resource_that_is_kept_no_longer_is_not_found() {
     let mut server = ResourceServer::default();
-    for id in 0..=MAX_SERVED as u32 {
+    for id in 0..=MAX_SERVED_RESOURCES as u32 {
         server.serve(request(id), Some(vec![1; PART_BYTES + 1]));
     }
     let reply = server.receive(request(0), 1).expect("it is answered");
--- a/crates/heathroad-membership/src/protocol/transport.rs
+++ b/crates/heathroad-membership/src/protocol/transport.rs
@@ -1,5 +1,4 @@
-//! Datagrams on their way: outgoing ones are numbered, signed and limited in rate, incoming ones
-//! verified, and all are counted.
+//! Builds, signs and rate-limits outgoing datagrams, verifies incoming ones, and counts both.
 
 use super::config::Config;
 use super::report::TrafficCounters;
@@ -11,36 +10,36 @@
 };
 use crate::{Incarnation, MemberId, Millis};
 
-/// A datagram to be sent.
+/// An outgoing datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Transmit {
     /// The recipient.
     pub to: MemberId,
-    /// At most [`MAX_DATAGRAM_BYTES`] bytes.
+    /// The encoded datagram, at most [`MAX_DATAGRAM_BYTES`] long.
     pub bytes: Vec<u8>,
 }
 
-/// A member as the sender or the recipient of a datagram.
+/// The sender or the recipient of a datagram.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Endpoint {
     pub(super) id: MemberId,
     pub(super) incarnation: Incarnation,
-    /// The lowest and the highest protocol that it is known to support.
+    /// The lowest and the highest protocol version that the member is known to support.
     pub(super) supported_protocols: [u8; 2],
 }
 
-/// Which rate limit applies to a datagram.
+/// The traffic class of a datagram, which determines its rate limit.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Channel {
-    /// Probes, gossip and versions.
+    /// Probes, gossip, and requests for versions.
     Membership,
-    /// Parts of resources, and requests for them.
+    /// Requests for parts of resources, and the parts.
     Resource,
     /// Messages of other protocols.
     Piggyback,
 }
 
-/// Builds datagrams and keeps them until they are taken, and verifies those that arrive.
+/// Queues outgoing datagrams, and verifies incoming ones.
 #[derive(Clone)]
 pub(super) struct Transport {
     authenticator: Authenticator,
@@ -65,7 +64,7 @@
         }
     }
 
-    /// Returns the header and the content of a datagram, unless it is rejected and counted.
+    /// Verifies a datagram, and returns its header and content. A rejected datagram is counted.
     pub(super) fn verify<'a>(&mut self, datagram: &'a [u8]) -> Option<(Header, Reader<'a>)> {
         let dropped = &mut self.traffic.dropped;
         self.authenticator.verify(datagram, dropped)
@@ -83,8 +82,8 @@
         self.transmits.drain(..)
     }
 
-    /// Sends a message with as many updates as fit, unless the rate limit forbids it. Returns the
-    /// number of updates that were sent.
+    /// Queues a message with as many updates as fit. Returns the number of these updates, or `None` if
+    /// the rate limit is exceeded.
     pub(super) fn send(
         &mut self,
         now: Millis,
@@ -113,10 +112,10 @@
 
     fn next_header(&mut self, sender: Endpoint, recipient: Endpoint) -> Header {
         self.sequence = self.sequence.wrapping_add(1);
-        let common =
+        let negotiated =
             wire::negotiate_protocol(sender.supported_protocols, recipient.supported_protocols);
         Header {
-            protocol: common.unwrap_or(SUPPORTED_PROTOCOLS[0]),
+            protocol: negotiated.unwrap_or(SUPPORTED_PROTOCOLS[0]),
             supported_protocols: sender.supported_protocols,
             fleet_name: self.authenticator.fleet_name().to_vec(),
             sender: sender.id,
--- a/crates/heathroad-membership/src/protocol/version_agreement.rs
+++ b/crates/heathroad-membership/src/protocol/version_agreement.rs
@@ -1,5 +1,5 @@
-//! Version agreement: which version all members should run, which versions are known in full, and
-//! until when this member is sure that it knows of all requirements.
+//! Version agreement: the desired version, the required versions, the versions known in full, and the
+//! time of the latest confirmed contact with another member.
 
 use crate::claim::MemberState;
 use crate::desired_version::{Desired, RequiredVersion, RequiredVersions};
@@ -8,25 +8,25 @@
 use crate::{MemberId, Millis};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most versions that are known in full; each takes some 200 bytes.
+/// The maximum number of versions known in full.
 const MAX_KNOWN_VERSIONS: usize = 512;
-/// The most confirmations that are waited for.
+/// The maximum number of pending confirmations; the oldest are dropped first.
 const MAX_PENDING_CONFIRMATIONS: usize = 8;
 
-/// A probe that was sent to confirm that this member is in contact with the others.
+/// A probe that was sent to confirm contact with the fleet.
 #[derive(Debug, Clone, Copy)]
 struct PendingConfirmation {
     nonce: u32,
-    begun: Millis,
+    started_at: Millis,
 }
 
-/// What this member knows of versions.
+/// The versions known to this member.
 #[derive(Debug, Clone, Default)]
 pub(super) struct VersionAgreement {
     known: BTreeMap<Digest, Version>,
     desired: Desired,
     required: RequiredVersions,
-    /// When the latest probe began that was answered.
+    /// The start of the latest acknowledged probe.
     confirmed: Option<Millis>,
     pending_confirmations: VecDeque<PendingConfirmation>,
 }
@@ -36,7 +36,7 @@
         self.desired
     }
 
-    /// Takes what another member knows to be desired, and returns whether it changes anything.
+    /// Merges the desired version known to another member, and returns whether that changes this one.
     pub(super) fn merge_desired(&mut self, desired: Desired) -> bool {
         self.desired.merge(desired)
     }
@@ -45,12 +45,12 @@
         &self.required
     }
 
-    /// Takes a requirement, and returns whether it changes anything.
+    /// Merges a requirement, and returns whether that changes the effective requirements.
     pub(super) fn merge_required(&mut self, required: RequiredVersion) -> bool {
         self.required.merge(required)
     }
 
-    /// Returns the highest generation that any member is known to have committed or to run.
+    /// Returns the highest generation that any member is known to run or to have committed.
     pub(super) fn highest_generation(&self) -> u64 {
         let highest_known = self.known.values().map(|version| version.generation).max();
         highest_known.unwrap_or(0).max(self.desired.generation())
@@ -60,7 +60,7 @@
         self.known.get(&digest)
     }
 
-    /// Stores a version in full. Where there is no room, the versions go that no member runs.
+    /// Stores a version in full. If the limit is reached, versions that no member runs are discarded.
     pub(super) fn store(&mut self, version: Version, members: &MemberTable) {
         if self.known.len() >= MAX_KNOWN_VERSIONS {
             let active: Vec<Digest> = members.active_digests().collect();
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns the members that are alive and run routes with this digest.
+    /// Returns the alive members that run routes with this digest.
     pub(super) fn members_running(&self, routes: Digest, members: &MemberTable) -> Vec<MemberId> {
         let runs_routes = |member: &Member| {
             let version = member
@@ -86,7 +86,8 @@
             .collect()
     }
 
-    /// Returns the versions that members are known to run by their digests alone.
+    /// Returns the versions that other alive members run and of which only the digest is known, each
+    /// with a member that runs it.
     pub(super) fn unknown_versions(
         &self,
         own: MemberId,
@@ -104,34 +105,37 @@
         self.confirmed
     }
 
-    /// Records that a probe was answered that began at this time.
-    pub(super) fn record_confirmation(&mut self, begun: Millis) {
-        self.confirmed = self.confirmed.max(Some(begun));
+    /// Records that a probe started at this time was acknowledged.
+    pub(super) fn record_confirmation(&mut self, started_at: Millis) {
+        self.confirmed = self.confirmed.max(Some(started_at));
     }
 
-    /// Whether a probe for a confirmation began less than the timeout ago.
+    /// Whether the latest probe for a confirmation was started less than `timeout` ago.
     pub(super) fn awaits_confirmation(&self, now: Millis, timeout: Millis) -> bool {
         let last = self.pending_confirmations.back();
-        last.is_some_and(|pending| now.saturating_sub(pending.begun) < timeout)
+        last.is_some_and(|pending| now.saturating_sub(pending.started_at) < timeout)
     }
 
     pub(super) fn begin_confirmation(&mut self, now: Millis, nonce: u32) {
         if self.pending_confirmations.len() >= MAX_PENDING_CONFIRMATIONS {
             self.pending_confirmations.pop_front();
         }
-        let pending = PendingConfirmation { nonce, begun: now };
+        let pending = PendingConfirmation {
+            nonce,
+            started_at: now,
+        };
         self.pending_confirmations.push_back(pending);
     }
 
-    /// Takes the answer to a probe, which may be one for a confirmation.
+    /// Handles an ack, which may belong to a probe for a confirmation.
     pub(super) fn acknowledge(&mut self, nonce: u32) {
         let position = self
             .pending_confirmations
             .iter()
             .position(|pending| pending.nonce == nonce);
-        let pending = position.and_then(|at| self.pending_confirmations.remove(at));
+        let pending = position.and_then(|index| self.pending_confirmations.remove(index));
         if let Some(pending) = pending {
-            self.record_confirmation(pending.begun);
+            self.record_confirmation(pending.started_at);
         }
     }
 }
--- a/crates/heathroad-membership/src/protocol/versions.rs
+++ b/crates/heathroad-membership/src/protocol/versions.rs
@@ -1,4 +1,4 @@
-//! Versions: what this member runs, what all should run, and how sure this member is of that.
+//! The interface of [`Membership`] for versions: the active, desired and required ones.
 
 use super::dissemination::Subject;
 use super::event::Event;
@@ -10,7 +10,7 @@
 use crate::{MemberId, Millis};
 
 impl Membership {
-    /// Tells the fleet which version this member runs from now on.
+    /// Sets the version that this member runs, and disseminates it.
     pub fn set_active_version(&mut self, version: Version) {
         let version = version.bounded();
         let digest = version.digest();
@@ -32,8 +32,8 @@
         self.members.get(self.id)?.active_version
     }
 
-    /// Tells the fleet that a generation was committed at this member, and whether it is required
-    /// of all within a time.
+    /// Disseminates that this member has committed a generation, and optionally that all members are
+    /// required to run it within a time.
     pub fn propose_version(
         &mut self,
         now: Millis,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns a random member from which the routes with this digest can be fetched.
+    /// Chooses a random alive member from which the routes with this digest can be fetched.
     pub fn choose_routes_source(&mut self, routes: Digest) -> Option<MemberId> {
         let mut sources = self.agreement.members_running(routes, &self.members);
         sources.retain(|id| *id != self.id);
@@ -92,13 +92,14 @@
         Some(sources[self.rng.usize(0..sources.len())])
     }
 
-    /// Returns when the latest probe began that was answered: all that the answering member knew
-    /// then is known here.
+    /// Returns the start of the latest acknowledged probe. Acks carry the desired version and the
+    /// requirements known to the replying member, except in reply to an outdated incarnation.
     pub fn confirmed(&self) -> Option<Millis> {
         self.agreement.confirmed()
     }
 
-    /// Probes a random member beside the periodic probes, to renew [`Membership::confirmed`].
+    /// Probes a random member in addition to the periodic probes, to advance
+    /// [`Membership::confirmed`].
     pub fn request_confirmation(&mut self, now: Millis) {
         let timeout = self.config.ack_timeout;
         if self.agreement.awaits_confirmation(now, timeout) {
@@ -112,7 +113,7 @@
         self.send(now, to, Message::Ping { nonce });
     }
 
-    /// Returns what all members should run.
+    /// Returns the version that all members should run.
     pub fn desired(&self) -> Desired {
         self.agreement.desired()
     }
@@ -122,12 +123,12 @@
         self.agreement.required()
     }
 
-    /// Returns the highest generation that any member is known to have committed or to run.
+    /// Returns the highest generation that any member is known to run or to have committed.
     pub fn highest_generation(&self) -> u64 {
         self.agreement.highest_generation()
     }
 
-    /// Returns the version that a digest stands for, where it is known.
+    /// Returns the version with this digest, if it is known in full.
     pub fn known_version(&self, digest: Digest) -> Option<&Version> {
         self.agreement.known(digest)
     }
--- a/crates/heathroad-membership/src/rate_limit.rs
+++ b/crates/heathroad-membership/src/rate_limit.rs
@@ -1,11 +1,11 @@
-//! A token bucket that limits the datagrams sent per second.
+//! A token bucket that limits the rate of outgoing datagrams.
 
 use crate::Millis;
 
-/// Tokens are counted in thousandths, so that whole numbers suffice.
+/// One token in the bucket's unit of a thousandth, which avoids fractions when refilling.
 const TOKEN: u64 = 1000;
 
-/// A bucket that holds the tokens of one second.
+/// A token bucket with a capacity of one second's tokens.
 #[derive(Debug, Clone)]
 pub(crate) struct RateLimiter {
     capacity: u64,
@@ -14,7 +14,7 @@
 }
 
 impl RateLimiter {
-    /// Permits so many datagrams per second, and as many in a burst.
+    /// Creates a full bucket that permits `per_second` datagrams per second and in a burst.
     pub(crate) fn new(now: Millis, per_second: u32) -> RateLimiter {
         let capacity = u64::from(per_second) * TOKEN;
         RateLimiter {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Takes a token if there is one.
+    /// Takes a token, and returns whether one was available.
     pub(crate) fn try_acquire(&mut self, now: Millis) -> bool {
         // Each millisecond refills a thousandth of the capacity.
         let elapsed = now.saturating_sub(self.refilled_at);
--- a/crates/heathroad-membership/src/replay_window.rs
+++ b/crates/heathroad-membership/src/replay_window.rs
@@ -1,22 +1,23 @@
-//! Rejects datagrams that were received before, by their sequence numbers.
+//! Replay protection by sequence numbers.
 
 use crate::Incarnation;
 
-/// The sequence numbers that were received of one incarnation of a sender: the highest one, and
-/// which of the 63 before it.
+/// A sliding window over the sequence numbers received from one incarnation of a sender: the highest
+/// number, and which of the 63 numbers below it were received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct ReplayWindow {
     incarnation: Incarnation,
     highest: u32,
-    /// Bit `n` stands for the sequence number that lies `n` below the highest.
+    /// Bit `n` is set if the sequence number `highest - n` was received.
     received: u64,
 }
 
 impl ReplayWindow {
-    /// Accepts a sequence number at most once. Numbers too far behind the highest are rejected.
+    /// Returns whether a sequence number is new. Numbers below the window are rejected, since they may
+    /// have been received before.
     pub(crate) fn accept(&mut self, incarnation: Incarnation, sequence: u32) -> bool {
         if incarnation != self.incarnation {
-            // Incarnations only grow; datagrams of an earlier one were rejected before.
+            // The caller has already rejected datagrams of earlier incarnations.
             *self = ReplayWindow {
                 incarnation,
                 highest: sequence,
--- a/crates/heathroad-membership/src/version.rs
+++ b/crates/heathroad-membership/src/version.rs
@@ -1,5 +1,5 @@
-//! What a proxy runs, as one value. It spreads as a digest; the value itself is sent on request and
-//! always fits one datagram.
+//! The version that a proxy runs: its build, settings, routes and endpoint lists. Members disseminate
+//! the digest of a version; the version itself is sent on request and always fits into one datagram.
 
 use crate::codec::{DecodeError, Reader, Writer};
 use serde::{Deserialize, Serialize};
@@ -7,17 +7,17 @@
 use std::fmt;
 use thiserror::Error;
 
-/// The longest name of a build, in bytes; a longer one is cut.
+/// The maximum length of a build name in bytes; longer ones are truncated.
 pub const MAX_BUILD_BYTES: usize = 32;
-/// The most sources of endpoint lists that are sent one by one; of further ones only the number is.
+/// The maximum number of endpoint sources listed in a version; further ones are only counted.
 pub const MAX_SOURCES: usize = 8;
 
-/// The first eight bytes of a SHA-256.
+/// A SHA-256 truncated to eight bytes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Digest(pub [u8; 8]);
 
 impl Digest {
-    /// Returns the digest of these bytes.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Digest {
         let mut digest = [0; 8];
         digest.copy_from_slice(&Sha256::digest(bytes)[..8]);
@@ -50,7 +50,7 @@
     }
 }
 
-/// A text is not a digest.
+/// The error for a string that is not a digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("expected a digest of 16 hexadecimal digits")]
 pub struct ParseDigestError;
@@ -67,39 +67,40 @@
     }
 }
 
-/// A source of endpoint lists, and the sequence number of its list.
+/// A source of endpoint lists, and the position in its sequence of changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointSource {
     /// The digest of the source's address.
     #[serde(rename = "source")]
     pub address_digest: Digest,
-    /// The number of the last list or change that was received.
+    /// The sequence number of the latest list or change received from it.
     #[serde(rename = "seq")]
     pub sequence: u64,
 }
 
-/// What a proxy runs.
+/// The version that a proxy runs.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Version {
     /// The build of the program.
     pub build: String,
-    /// The lowest and the highest membership protocol that it supports.
+    /// The lowest and the highest membership protocol version that the proxy supports.
     pub protocols: [u8; 2],
-    /// The digest of its settings.
+    /// The digest of the proxy's settings.
     pub settings: Digest,
-    /// The number of the generation of routes in force; 0 without routes.
+    /// The generation of the routes in force, or 0 without routes.
     pub generation: u64,
-    /// The digest of that generation's text.
+    /// The digest of the routes.
     pub routes: Digest,
-    /// The endpoint lists that it uses.
+    /// The sources of the endpoint lists in use, at most [`MAX_SOURCES`].
     pub sources: Vec<EndpointSource>,
-    /// The number of sources beyond [`MAX_SOURCES`], which are not listed.
+    /// The number of further sources, which are not listed.
     #[serde(rename = "further")]
     pub unlisted_sources: u16,
 }
 
 impl Version {
-    /// Cuts what would not fit a datagram. The result says how many sources were left out.
+    /// Truncates the build name and the list of sources to their limits, and counts the sources that
+    /// are no longer listed.
     pub fn bounded(mut self) -> Version {
         while self.build.len() > MAX_BUILD_BYTES {
             self.build.pop();
@@ -159,7 +160,7 @@
 fn decode_build(reader: &mut Reader<'_>) -> Result<String, DecodeError> {
     let length = decode_length(reader, "build", MAX_BUILD_BYTES)?;
     let build = std::str::from_utf8(reader.read_bytes(length)?)
-        .map_err(|_| DecodeError::InvalidText { field: "build" })?;
+        .map_err(|_| DecodeError::InvalidUtf8 { field: "build" })?;
     Ok(build.to_string())
 }
 
--- a/crates/heathroad-membership/src/wire/header.rs
+++ b/crates/heathroad-membership/src/wire/header.rs
@@ -1,25 +1,25 @@
-//! The header of a datagram, which has the same form in all protocols.
+//! The datagram header, whose format is the same in all protocol versions.
 
 use crate::codec::{DecodeError, INCARNATION_BYTES, Reader, Writer};
 use crate::{Incarnation, MemberId};
 
-/// The longest name of a fleet, in bytes.
+/// The maximum length of a fleet's name in bytes.
 pub const MAX_FLEET_NAME_BYTES: usize = 16;
 
 const MAGIC: [u8; 2] = *b"hf";
-/// The protocol, the supported range, and the length of the fleet's name.
+/// The protocol version, the supported range, and the length of the fleet's name.
 const FIXED_FIELD_BYTES: usize = 4;
 const MEMBER_ID_BYTES: usize = 2;
 const SEQUENCE_BYTES: usize = 4;
 
-/// What precedes the content of a datagram.
+/// The header of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Header {
-    /// The protocol of this datagram.
+    /// The protocol version of this datagram.
     pub protocol: u8,
-    /// The lowest and the highest protocol that the sender supports.
+    /// The lowest and the highest protocol version that the sender supports.
     pub supported_protocols: [u8; 2],
-    /// The name of the fleet, at most [`MAX_FLEET_NAME_BYTES`] bytes.
+    /// The name of the fleet, at most [`MAX_FLEET_NAME_BYTES`] long.
     pub fleet_name: Vec<u8>,
     /// The sender.
     pub sender: MemberId,
@@ -27,14 +27,14 @@
     pub sender_incarnation: Incarnation,
     /// The recipient.
     pub recipient: MemberId,
-    /// The recipient's incarnation as the sender knows it; 0 if it does not.
+    /// The recipient's incarnation as known to the sender, or 0 if it is unknown.
     pub recipient_incarnation: Incarnation,
-    /// Grows with every datagram of the sender's process.
+    /// Increases with every datagram that the sender's process sends.
     pub sequence: u32,
 }
 
 impl Header {
-    /// Encodes the header.
+    /// Appends the encoded header to `writer`.
     pub fn encode(&self, writer: &mut Writer) {
         writer.write_bytes(&MAGIC);
         writer.write_u8(self.protocol);
@@ -48,7 +48,7 @@
         writer.write_u32(self.sequence);
     }
 
-    /// Decodes a header.
+    /// Decodes a header from the front of `reader`.
     pub fn decode(reader: &mut Reader<'_>) -> Result<Header, DecodeError> {
         if reader.read_array()? != MAGIC {
             return Err(DecodeError::InvalidMagic);
--- a/crates/heathroad-membership/src/wire/message.rs
+++ b/crates/heathroad-membership/src/wire/message.rs
@@ -1,10 +1,10 @@
-//! Messages: what a datagram is for.
+//! Messages, of which each datagram carries one.
 
 use crate::MemberId;
 use crate::codec::{DecodeError, Reader, Writer};
 use crate::version::Digest;
 
-/// The codes of messages on the wire.
+/// Message codes on the wire.
 mod code {
     pub const PING: u8 = 1;
     pub const ACK: u8 = 2;
@@ -18,64 +18,64 @@
     pub const PIGGYBACK: u8 = 10;
 }
 
-/// What a datagram is for.
+/// The purpose of a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Message {
-    /// Probes the recipient, which answers with [`Message::Ack`] and the same nonce.
+    /// Probes the recipient, which replies with [`Message::Ack`] and the same nonce.
     Ping {
-        /// Chosen by the prober.
+        /// Chosen by the sender.
         nonce: u32,
     },
-    /// Answers a probe, or tells a member that the target of its [`Message::PingRequest`] answered.
+    /// Replies to a probe, or reports that the target of a [`Message::PingRequest`] replied.
     Ack {
-        /// The nonce of the probe.
+        /// The nonce of the [`Message::Ping`] or [`Message::PingRequest`].
         nonce: u32,
     },
     /// Asks the recipient to probe another member.
     PingRequest {
-        /// Chosen by the prober.
+        /// The nonce of the sender's own probe.
         nonce: u32,
         /// The member to probe.
         target: MemberId,
     },
-    /// Tells that the target of a [`Message::PingRequest`] did not answer in time, which shows the
-    /// prober that the recipient of its request works.
+    /// Reports that the target of a [`Message::PingRequest`] did not reply in time. It also shows that
+    /// the helper itself is reachable.
     Nack {
-        /// The nonce of the probe.
+        /// The nonce of the [`Message::PingRequest`].
         nonce: u32,
     },
-    /// Carries updates alone.
+    /// Carries only updates.
     Gossip,
-    /// Asks for the version with this digest.
+    /// Requests the version with this digest.
     VersionRequest {
         /// The member that runs the version.
         member: MemberId,
         /// The digest of the version.
         digest: Digest,
     },
-    /// Answers [`Message::VersionRequest`]; the version is among the updates.
+    /// Replies to [`Message::VersionRequest`]; the version follows as an update.
     VersionReply,
-    /// Asks for a part of a resource.
+    /// Requests one part of a resource.
     PartRequest {
-        /// The number of the fetch, chosen by the sender.
+        /// Identifies the fetch; chosen by the sender.
         id: u32,
-        /// The resource.
+        /// The kind of resource.
         resource: Resource,
-        /// Which of several resources of this kind.
+        /// Identifies the resource among those of its kind.
         key: Digest,
         /// The index of the part.
         part: u32,
     },
-    /// Carries a part of a resource, which is among the updates.
+    /// Carries one part of a resource; its bytes follow as an update.
     Part {
-        /// The number of the fetch.
+        /// Identifies the fetch.
         id: u32,
-        /// The length of the resource in bytes; [`u32::MAX`] if it does not exist.
+        /// The length of the resource in bytes, or [`u32::MAX`] if it does not exist.
         length: u32,
         /// The index of the part.
         part: u32,
     },
-    /// Carries a message of another protocol, which is among the updates.
+    /// Carries a message of another protocol; its bytes follow as an update.
     Piggyback,
 }
 
@@ -85,11 +85,12 @@
 pub enum Resource {
     /// The activity record of a proxy.
     ActivityRecord = 1,
-    /// A generation of routes, by its digest.
+    /// A generation of routes, identified by digest.
     Routes = 2,
-    /// What a proxy knows of the holders of leases.
+    /// The history of lease holders as known to a proxy.
     LeaseHistory = 3,
-    /// The records of the fleet's audit collector, by their digest; all zeros for the present ones.
+    /// The records of the fleet's audit collector, identified by digest; a zero digest stands for the
+    /// current ones.
     CollectedRecords = 4,
 }
 
--- a/crates/heathroad-membership/src/wire/mod.rs
+++ b/crates/heathroad-membership/src/wire/mod.rs
@@ -1,6 +1,6 @@
-//! The form of datagrams: a header, a message, and updates up to the authentication tag, in at most
-//! 256 bytes. `docs/specs/membership-datagrams.md` specifies it. A datagram that cannot be decoded
-//! is dropped as a whole.
+//! The datagram format: a header, a message, any number of updates, and the authentication tag, in at
+//! most [`MAX_DATAGRAM_BYTES`]. A datagram that cannot be decoded completely is dropped.
+//! `docs/specs/membership-datagrams.md` specifies the format.
 
 mod header;
 mod message;
@@ -12,22 +12,23 @@
 
 use crate::codec::{DecodeError, Reader, Writer};
 
-/// The longest datagram, in bytes.
+/// The maximum length of a datagram in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The length of the authentication tag at the end of a datagram, in bytes.
+/// The length of the authentication tag in bytes.
 pub const TAG_BYTES: usize = 16;
-/// The lowest and the highest protocol that this program supports.
+/// The lowest and the highest protocol version that this build supports.
 pub const SUPPORTED_PROTOCOLS: [u8; 2] = [1, 1];
 
-/// Returns the highest protocol that two members support, given the lowest and the highest of each.
+/// Returns the highest protocol version that both members support, given the lowest and the highest
+/// of each.
 pub fn negotiate_protocol(ours: [u8; 2], theirs: [u8; 2]) -> Option<u8> {
     let highest = ours[1].min(theirs[1]);
     let lowest = ours[0].max(theirs[0]);
     (highest >= lowest).then_some(highest)
 }
 
-/// Encodes a message, and as many updates as fit into `capacity` bytes with it. Returns the number
-/// of updates that were encoded.
+/// Encodes a message and as many of the updates, in order, as fit into `capacity` bytes. Returns the
+/// number of encoded updates.
 pub fn encode_content(
     message: Message,
     updates: &[Update],
@@ -49,7 +50,7 @@
     encoded
 }
 
-/// Decodes a message and all updates behind it.
+/// Decodes a message and the updates that follow it.
 pub fn decode_content(reader: &mut Reader<'_>) -> Result<(Message, Vec<Update>), DecodeError> {
     let message = Message::decode(reader)?;
     let mut updates = Vec::new();
--- a/crates/heathroad-membership/src/wire/update.rs
+++ b/crates/heathroad-membership/src/wire/update.rs
@@ -1,11 +1,11 @@
-//! Updates: pieces of knowledge that spread with the messages.
+//! Updates, which are appended to messages.
 
 use crate::claim::{Claim, MemberState, Revision};
 use crate::codec::{DecodeError, Reader, Writer};
 use crate::version::{Digest, Version};
 use crate::{Incarnation, MemberId};
 
-/// The codes of updates on the wire.
+/// Update codes on the wire.
 mod code {
     pub const CLAIM: u8 = 1;
     pub const ACTIVE_VERSION: u8 = 2;
@@ -16,10 +16,10 @@
     pub const REQUIRED_VERSION: u8 = 7;
 }
 
-/// A piece of knowledge.
+/// A piece of state or data that a datagram carries in addition to its message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Update {
-    /// A claim on the state of a member.
+    /// A claim about the state of a member.
     Claim(Claim),
     /// The version that a member runs.
     ActiveVersion {
@@ -27,38 +27,38 @@
         member: MemberId,
         /// The incarnation of the member.
         incarnation: Incarnation,
-        /// Counts the versions of this incarnation.
+        /// Numbers the versions that the member has run in this incarnation.
         sequence: u32,
         /// The digest of the version.
         digest: Digest,
     },
-    /// The version that a digest stands for.
+    /// A version in full.
     Version(Version),
-    /// Bytes of a resource or of another protocol's message, at most 255.
+    /// At most 255 bytes of a resource or of a message of another protocol.
     Bytes(Vec<u8>),
     /// A generation of routes that all members should run.
     DesiredVersion {
-        /// The number of the generation.
+        /// The generation.
         generation: u64,
-        /// The digest of its text.
+        /// The digest of its routes.
         digest: Digest,
-        /// The member at which it was committed first.
+        /// The member that committed it first.
         origin: MemberId,
     },
-    /// No member may run a lower generation after a deadline.
+    /// A deadline after which no member may run a lower generation.
     RequiredVersion {
-        /// The number of the generation.
+        /// The generation.
         generation: u64,
-        /// The digest of its text.
+        /// The digest of its routes.
         digest: Digest,
-        /// The time that is left until the deadline.
+        /// The remaining time until the deadline.
         remaining_ms: u32,
     },
-    /// Two texts were committed under one generation.
+    /// Two different sets of routes were committed with the same generation.
     VersionConflict {
-        /// The number of the generation.
+        /// The generation.
         generation: u64,
-        /// The digests of the texts.
+        /// The digests of the routes, the lower one first.
         digests: [Digest; 2],
     },
 }
