--- /dev/null
+++ b/crates/heathroad-harness/tests/golden_json.rs
@@ -0,0 +1,69 @@
+//! Golden copy of the shape of `--json`: every key in its order, with the type of its value.
+
+mod common;
+
+use serde_json::Value;
+use std::process::{Command, Stdio};
+
+/// Two expectations, of which one is missed: both shapes of an entry come up.
+const EXPECTED: &str = "[[expect]]\nfigure = \"served\"\nat_least = 1.0\n\
+     [[expect]]\nfigure = \"worth\"\nat_most = 0.0\n";
+
+/// Replaces each value by its type. Keys stay in the order of the text, which a parsed object would
+/// not keep.
+fn shape(text: &str) -> String {
+    let mut shape = String::new();
+    let mut rest = text.trim();
+    while let Some(first) = rest.chars().next() {
+        if "{}[]:,".contains(first) {
+            shape.push(first);
+            rest = &rest[1..];
+            continue;
+        }
+        let mut values = serde_json::Deserializer::from_str(rest).into_iter::<Value>();
+        let value = values.next().expect("a value").expect("JSON");
+        let length = values.byte_offset();
+        let is_key = rest[length..].starts_with(':');
+        match value {
+            Value::String(key) if is_key => shape.push_str(&key),
+            Value::String(_) => shape.push_str("string"),
+            Value::Bool(_) => shape.push_str("boolean"),
+            Value::Number(n) if n.is_f64() => shape.push_str("float"),
+            Value::Number(_) => shape.push_str("integer"),
+            other => panic!("{other} has no type here"),
+        }
+        rest = &rest[length..];
+    }
+    shape
+}
+
+#[test]
+fn the_json_of_a_run_keeps_its_keys_and_types() {
+    let name = format!("{}-golden-json.toml", std::process::id());
+    let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&path, format!("{}{EXPECTED}", common::SMALL)).expect("the folder takes a file");
+    let out = Command::new(env!("CARGO_BIN_EXE_heathroad-harness"))
+        .arg(&path)
+        .args(["--seed", "5", "--json", "-", "--heathroad"])
+        .arg(common::daemon())
+        .env("TMPDIR", env!("CARGO_TARGET_TMPDIR"))
+        .stdin(Stdio::null())
+        .output()
+        .expect("the program starts");
+    let text = String::from_utf8(out.stdout).expect("text");
+    assert_eq!(
+        shape(&text),
+        include_str!("golden/json_shape.txt").trim(),
+        "{text} {}",
+        String::from_utf8_lossy(&out.stderr)
+    );
+    let json: Value = serde_json::from_str(&text).expect("JSON");
+    let names: Vec<&Value> = json["expectations"]
+        .as_array()
+        .expect("a list")
+        .iter()
+        .map(|e| &e["name"])
+        .collect();
+    assert_eq!(names, ["served at least", "worth at most"]);
+    assert_eq!(json["seed"], 5);
+}
