--- a/crates/heathroad-membership/src/protocol/tests/dissemination.rs
+++ b/crates/heathroad-membership/src/protocol/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! Unit tests of dissemination.
+//! Unit tests of the dissemination of updates.
 
 use super::*;
 use crate::claim::{Claim, Revision};
@@ -46,12 +46,12 @@
         dissemination.record_sent(&selected, 1, MEMBERS);
         transmissions += 1;
     }
-    // Three times the logarithm to base two of four members.
+    // 3 * log2(4 members)
     assert_eq!(transmissions, 6);
 }
 
 #[test]
-fn an_update_that_did_not_fit_is_not_counted() {
+fn an_unsent_update_is_not_counted() {
     let (members, agreement) = (members(), VersionAgreement::default());
     let mut dissemination = Dissemination::new(0);
     dissemination.spread(Subject::State(3));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_recipient_is_told_first_that_it_is_suspected() {
+fn a_suspicion_of_the_recipient_is_selected_first() {
     let (mut members, agreement) = (members(), VersionAgreement::default());
     members.merge(0, claim(1, MemberState::Suspect));
     let mut dissemination = Dissemination::new(0);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_is_desired_and_required_precedes_all_other_updates() {
+fn desired_and_required_versions_precede_other_updates() {
     let (members, mut agreement) = (members(), VersionAgreement::default());
     let (generation, digest) = (7, Digest::of(b"routes"));
     let origin = 2;
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_repetition_that_did_not_fit_comes_first_next_time() {
+fn an_unsent_repetition_is_selected_first_next_time() {
     let (members, agreement) = (members(), VersionAgreement::default());
     let mut dissemination = Dissemination::new(0);
     let first = select(&mut dissemination, &members, &agreement);
--- a/crates/heathroad-membership/src/protocol/tests/failure_detector.rs
+++ b/crates/heathroad-membership/src/protocol/tests/failure_detector.rs
@@ -24,12 +24,12 @@
     members
 }
 
-fn detector() -> FailureDetector {
+fn new_detector() -> FailureDetector {
     FailureDetector::new(0, (1..5).collect(), 0)
 }
 
-fn probing() -> FailureDetector {
-    let mut detector = detector();
+fn probing_detector() -> FailureDetector {
+    let mut detector = new_detector();
     assert!(detector.begin_period(0, PERIOD));
     detector.start_probe(0, TARGET, 7, &Config::default());
     detector
@@ -38,7 +38,7 @@
 #[test]
 fn every_present_member_is_probed_once_in_a_round() {
     let members = members(&[MemberState::Alive; 5]);
-    let (mut detector, mut rng) = (detector(), fastrand::Rng::with_seed(1));
+    let (mut detector, mut rng) = (new_detector(), fastrand::Rng::with_seed(1));
     for _ in 0..10 {
         let mut round: Vec<MemberId> = (0..4)
             .filter_map(|_| detector.next_target(&members, &mut rng))
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn dead_members_are_probed_at_times() {
+fn dead_members_are_probed_occasionally() {
     let states = [
         MemberState::Alive,
         MemberState::Dead,
@@ -57,18 +57,18 @@
         MemberState::Alive,
         MemberState::Alive,
     ];
-    let (members, mut detector) = (members(&states), detector());
+    let (members, mut detector) = (members(&states), new_detector());
     let mut rng = fastrand::Rng::with_seed(1);
     let targets: Vec<_> = (0..300)
         .filter_map(|_| detector.next_target(&members, &mut rng))
         .collect();
     let dead = targets.iter().filter(|target| **target == 1).count();
-    assert!((60..140).contains(&dead), "{dead} of 300");
+    assert!((60..140).contains(&dead), "{dead} of 300 probes");
 }
 
 #[test]
-fn helpers_are_asked_once_when_no_answer_came() {
-    let mut detector = probing();
+fn indirect_probes_are_requested_once_after_the_ack_timeout() {
+    let mut detector = probing_detector();
     assert!(!detector.take_indirect_probe_due(249));
     assert!(detector.take_indirect_probe_due(250));
     assert!(!detector.take_indirect_probe_due(251));
@@ -76,28 +76,30 @@
     detector.count_helper();
     detector.record_nack(7);
     assert!(detector.take_ended_probe(999).is_none());
-    let probe = detector.take_ended_probe(1000).expect("it has ended");
+    let probe = detector
+        .take_ended_probe(1000)
+        .expect("the period has ended");
     assert_eq!((probe.helpers, probe.missed_nacks()), (2, 1));
     assert!(detector.probe().is_none());
 }
 
 #[test]
-fn an_acknowledged_probe_asks_no_helpers() {
-    let mut detector = probing();
+fn an_acknowledged_probe_requests_no_indirect_probes() {
+    let mut detector = probing_detector();
     assert_eq!(detector.acknowledge(8), None);
     assert_eq!(detector.acknowledge(7), Some(0));
     assert!(!detector.take_indirect_probe_due(250));
     assert!(
         detector
             .take_ended_probe(1000)
-            .expect("it has ended")
+            .expect("the period has ended")
             .acknowledged
     );
 }
 
 #[test]
-fn the_detector_is_due_at_its_next_step() {
-    let mut detector = detector();
+fn the_detector_is_due_at_its_earliest_timeout() {
+    let mut detector = new_detector();
     assert_eq!(detector.due(), 0);
     detector.begin_period(0, PERIOD);
     assert_eq!(detector.due(), PERIOD);
@@ -114,8 +116,8 @@
 }
 
 #[test]
-fn an_indirect_probe_is_answered_by_its_target_alone() {
-    let mut detector = detector();
+fn an_indirect_probe_is_acknowledged_only_by_its_target() {
+    let mut detector = new_detector();
     let probe = IndirectProbe {
         requester: 2,
         requester_nonce: 5,
@@ -126,26 +128,26 @@
     detector.start_indirect_probe(probe.clone());
     detector.start_indirect_probe(probe);
     assert!(detector.acknowledge_indirect(6, 4).is_none());
-    let answered = detector
+    let acknowledged = detector
         .acknowledge_indirect(6, 3)
-        .expect("it is its target");
-    assert_eq!(answered.requester_nonce, 5);
+        .expect("the ack is from the target");
+    assert_eq!(acknowledged.requester_nonce, 5);
     assert!(detector.take_timed_out_indirect_probes(99).is_empty());
     assert_eq!(detector.take_timed_out_indirect_probes(100).len(), 1);
 }
 
 #[test]
-fn a_member_that_receives_nothing_is_isolated_until_it_does() {
-    let mut detector = detector();
+fn a_member_is_isolated_until_it_receives_a_datagram() {
+    let mut detector = new_detector();
     assert!(!detector.detect_isolation(4 * PERIOD, PERIOD, 5));
     assert!(
         !detector.detect_isolation(4 * PERIOD + 1, PERIOD, 1),
-        "nobody else is present"
+        "no other member is present"
     );
     assert!(detector.detect_isolation(4 * PERIOD + 1, PERIOD, 5));
     assert!(
         !detector.detect_isolation(4 * PERIOD + 2, PERIOD, 5),
-        "it is told once"
+        "isolation is reported once"
     );
     assert!(detector.is_isolated());
     assert!(detector.record_heard(5 * PERIOD));
@@ -153,8 +155,8 @@
 }
 
 #[test]
-fn a_stall_ends_all_probes_and_does_not_count_as_silence() {
-    let mut detector = probing();
+fn a_stall_cancels_probes_and_does_not_count_as_silence() {
+    let mut detector = probing_detector();
     detector.resume_after_stall(10_000, 9_000, 250);
     assert!(detector.probe().is_none());
     assert_eq!(detector.due(), 10_250);
--- a/crates/heathroad-membership/src/protocol/tests/fetch.rs
+++ b/crates/heathroad-membership/src/protocol/tests/fetch.rs
@@ -5,7 +5,7 @@
 const SOURCE: MemberId = 3;
 const RETRY: Millis = 250;
 
-fn begun() -> Fetches {
+fn started_fetch() -> Fetches {
     let mut fetches = Fetches::default();
     let (resource, key) = (Resource::ActivityRecord, Digest::default());
     fetches.start(0, 7, SOURCE, resource, key);
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn the_first_part_is_asked_for_alone_and_again() {
-    let mut fetches = begun();
+fn only_the_first_part_is_requested_and_retried() {
+    let mut fetches = started_fetch();
     assert_eq!(requested_parts(&mut fetches, 0), [0]);
     assert_eq!(fetches.due(RETRY), Some(RETRY));
     assert!(requested_parts(&mut fetches, 249).is_empty());
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_resource_is_assembled_from_its_parts() {
-    let mut fetches = begun();
+    let mut fetches = started_fetch();
     requested_parts(&mut fetches, 0);
     assert!(fetches.receive(10, part(0, 165, PART_BYTES)));
     assert_eq!(requested_parts(&mut fetches, 10), [1]);
@@ -59,15 +59,15 @@
 }
 
 #[test]
-fn parts_of_others_and_of_the_wrong_length_are_not_used() {
-    let mut fetches = begun();
+fn parts_from_other_members_and_of_the_wrong_length_are_rejected() {
+    let mut fetches = started_fetch();
     requested_parts(&mut fetches, 0);
     let mut other = part(0, 5, 5);
     other.source = 4;
     assert!(!fetches.receive(10, other));
     assert!(
         fetches.receive(10, part(0, 165, 5)),
-        "it goes on, and asks again"
+        "the fetch is still in progress"
     );
     assert!(!fetches.receive(20, part(0, 166, PART_BYTES)));
     let completed: Vec<CompletedFetch> = fetches.drain_completed().collect();
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_fetch_without_progress_times_out() {
-    let mut fetches = begun();
+    let mut fetches = started_fetch();
     assert!(requested_parts(&mut fetches, FETCH_TIMEOUT).is_empty());
     let completed: Vec<CompletedFetch> = fetches.drain_completed().collect();
     assert_eq!(completed[0].result, Err(FetchError::TimedOut));
--- a/crates/heathroad-membership/src/protocol/tests/piggyback.rs
+++ b/crates/heathroad-membership/src/protocol/tests/piggyback.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn messages_beyond_the_limit_are_lost() {
+fn messages_beyond_the_limit_are_discarded() {
     let mut channel = PiggybackChannel::default();
     for n in 0..300_u16 {
         channel.receive(1, 9, vec![Update::Bytes(n.to_be_bytes().to_vec())]);
--- a/crates/heathroad-membership/src/protocol/tests/resource_server.rs
+++ b/crates/heathroad-membership/src/protocol/tests/resource_server.rs
@@ -19,27 +19,27 @@
 }
 
 #[test]
-fn a_resource_stays_as_it_was_first_asked_for() {
+fn all_parts_are_served_from_the_same_bytes() {
     let mut server = ResourceServer::default();
     assert!(
         server.receive(request(1), 0).is_none(),
-        "its owner is asked first"
+        "the caller has to provide the resource"
     );
     assert!(server.receive(request(1), 0).is_none());
     assert_eq!(server.drain_requests().collect::<Vec<_>>(), [request(1)]);
     let first = server.serve(request(1), Some(vec![1; PART_BYTES + 1]));
     assert_eq!(length(&first), PART_BYTES as u32 + 1);
-    let second = server.receive(request(1), 1).expect("it is kept");
+    let second = server.receive(request(1), 1).expect("the resource is kept");
     assert_eq!(second.updates, [Update::Bytes(vec![1])]);
 }
 
 #[test]
-fn a_resource_that_is_kept_no_longer_is_not_found() {
+fn a_discarded_resource_is_not_found() {
     let mut server = ResourceServer::default();
     for id in 0..=MAX_SERVED_RESOURCES as u32 {
         server.serve(request(id), Some(vec![1; PART_BYTES + 1]));
     }
-    let reply = server.receive(request(0), 1).expect("it is answered");
+    let reply = server.receive(request(0), 1).expect("there is a reply");
     assert_eq!(length(&reply), NOT_FOUND_LENGTH);
     assert!(
         server
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_resource_that_is_too_long_is_not_found() {
+fn an_oversized_resource_is_not_found() {
     let mut server = ResourceServer::default();
     let reply = server.serve(request(1), Some(vec![0; MAX_RESOURCE_BYTES + 1]));
     assert_eq!(length(&reply), NOT_FOUND_LENGTH);
--- a/crates/heathroad-membership/src/protocol/tests/version_agreement.rs
+++ b/crates/heathroad-membership/src/protocol/tests/version_agreement.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn only_the_answer_to_a_probe_confirms() {
+fn only_an_ack_of_a_pending_probe_confirms() {
     let mut agreement = VersionAgreement::default();
     agreement.begin_confirmation(100, 7);
     assert!(agreement.awaits_confirmation(349, 250));
@@ -24,12 +24,12 @@
     assert_eq!(
         agreement.confirmed(),
         Some(100),
-        "an older one changes nothing"
+        "an older confirmation changes nothing"
     );
 }
 
 #[test]
-fn a_confirmation_that_was_pushed_out_is_worth_nothing() {
+fn a_dropped_pending_confirmation_does_not_confirm() {
     let mut agreement = VersionAgreement::default();
     for nonce in 0..=MAX_PENDING_CONFIRMATIONS as u32 {
         agreement.begin_confirmation(u64::from(nonce), nonce);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn versions_that_nobody_runs_make_room() {
+fn inactive_versions_are_discarded_at_the_limit() {
     let mut members = MemberTable::new(2);
     let active = ActiveVersion {
         incarnation: 1,
--- a/crates/heathroad-membership/src/tests/local_health.rs
+++ b/crates/heathroad-membership/src/tests/local_health.rs
@@ -1,9 +1,9 @@
-//! Unit tests of the local health.
+//! Unit tests of the local health score.
 
 use super::*;
 
 #[test]
-fn health_worsens_and_improves_within_its_bounds() {
+fn the_score_stays_within_its_bounds() {
     let mut health = LocalHealth::default();
     health.improve();
     assert_eq!(health.multiplier(), 1);
--- a/crates/heathroad-membership/src/tests/rate_limit.rs
+++ b/crates/heathroad-membership/src/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the rate limit.
+//! Unit tests of the rate limiter.
 
 use super::*;
 
@@ -7,10 +7,14 @@
 }
 
 #[test]
-fn a_second_refills_the_burst_and_no_more() {
+fn the_bucket_refills_up_to_one_second_of_tokens() {
     let mut limiter = RateLimiter::new(0, 40);
     assert_eq!(acquire_all(&mut limiter, 0), 40);
     assert_eq!(acquire_all(&mut limiter, 100), 4);
     assert_eq!(acquire_all(&mut limiter, 10_000), 40);
-    assert_eq!(acquire_all(&mut limiter, 5_000), 0, "time does not go back");
+    assert_eq!(
+        acquire_all(&mut limiter, 5_000),
+        0,
+        "an earlier time refills nothing"
+    );
 }
--- a/crates/heathroad-membership/src/tests/replay_window.rs
+++ b/crates/heathroad-membership/src/tests/replay_window.rs
@@ -14,17 +14,17 @@
 }
 
 #[test]
-fn a_sequence_number_too_far_behind_is_rejected() {
+fn a_sequence_number_below_the_window_is_rejected() {
     let mut window = ReplayWindow::default();
     assert!(window.accept(1, 100));
     assert!(window.accept(1, 37));
     assert!(!window.accept(1, 36));
     assert!(window.accept(1, 1000));
-    assert!(!window.accept(1, 100), "all before it are forgotten");
+    assert!(!window.accept(1, 100), "the number is below the window");
 }
 
 #[test]
-fn a_new_incarnation_begins_anew() {
+fn a_new_incarnation_resets_the_window() {
     let mut window = ReplayWindow::default();
     assert!(window.accept(1, 100));
     assert!(window.accept(2, 1));
--- a/crates/heathroad-membership/tests/activity_record.rs
+++ b/crates/heathroad-membership/tests/activity_record.rs
@@ -1,5 +1,5 @@
-//! The activity record: all activity is counted in the interval to which its request was bound,
-//! whatever becomes of the interval.
+//! Tests of the activity record: activity counts towards the interval in which its request was bound,
+//! even if the interval is merged or discarded.
 
 mod common;
 
@@ -25,7 +25,7 @@
     snapshot
         .intervals
         .iter()
-        .map(|p| p.activity.total())
+        .map(|interval| interval.activity.total())
         .sum::<u64>()
         + snapshot.discarded.activity.total()
 }
@@ -40,15 +40,20 @@
     second.record(Activity::RequestBound, 260);
     first.record(Activity::RequestServed, 300);
     let snapshot = record.snapshot(400);
-    let [one, two] = &snapshot.intervals[..] else {
+    let [first_interval, second_interval] = &snapshot.intervals[..] else {
         panic!("{snapshot:?}")
     };
     assert_eq!(
-        (one.from, one.to, one.first_activity, one.last_activity),
+        (
+            first_interval.from,
+            first_interval.to,
+            first_interval.first_activity,
+            first_interval.last_activity
+        ),
         (100, Some(200), Some(110), Some(300))
     );
     assert_eq!(
-        one.activity,
+        first_interval.activity,
         ActivityCounts {
             bound: 1,
             sent: 1,
@@ -57,26 +62,31 @@
         }
     );
     assert_eq!(
-        (two.from, two.to, two.activity.bound, two.incarnation),
+        (
+            second_interval.from,
+            second_interval.to,
+            second_interval.activity.bound,
+            second_interval.incarnation
+        ),
         (200, None, 1, 7)
     );
-    // The same version again begins no interval; going back to the first does.
+    // Setting the same version again continues the interval; returning to an earlier one starts a new
+    // interval.
     assert!(Rc::ptr_eq(&record.begin_interval(450, version(2)), &second));
     assert!(!Rc::ptr_eq(&record.begin_interval(500, version(1)), &first));
 }
 
-/// Pages past the most that differ in their lists alone become one, which goes on taking the
-/// recorded of both.
+/// Merged intervals continue to count the activity of all their epochs.
 #[test]
-fn a_full_record_merges_intervals_that_differ_in_lists_alone() {
+fn a_full_record_merges_intervals_that_differ_only_in_endpoint_lists() {
     let mut record = ActivityRecord::new(0, 1, None);
     let mut epochs: Vec<Rc<Epoch>> = Vec::new();
-    for seq in 0..1000 {
-        epochs.push(record.begin_interval(seq, version_with_list(1, seq)));
+    for sequence in 0..1000 {
+        epochs.push(record.begin_interval(sequence, version_with_list(1, sequence)));
     }
     epochs
         .iter()
-        .for_each(|p| p.record(Activity::AttemptSent, 2000));
+        .for_each(|epoch| epoch.record(Activity::AttemptSent, 2000));
     let snapshot = record.snapshot(2000);
     assert_eq!(snapshot.intervals.len(), MAX_INTERVALS);
     assert_eq!(
@@ -87,33 +97,32 @@
         snapshot
             .intervals
             .iter()
-            .map(|p| p.version_count)
+            .map(|interval| interval.version_count)
             .sum::<u64>(),
         1000
     );
     assert_eq!(snapshot.intervals[0].from, 0);
-    let ends: Vec<_> = snapshot
+    let boundaries: Vec<_> = snapshot
         .intervals
         .windows(2)
-        .map(|w| (w[0].to, w[1].from))
+        .map(|pair| (pair[0].to, pair[1].from))
         .collect();
     assert!(
-        ends.iter().all(|(to, from)| *to == Some(*from)),
-        "no interval is lost: {ends:?}"
+        boundaries.iter().all(|(to, from)| *to == Some(*from)),
+        "gap between intervals: {boundaries:?}"
     );
 }
 
-/// Where nothing can be joined the oldest is given up, and what it epochs is snapshot as lost; late
-/// recorded too.
+/// Activity that is recorded after its interval was discarded is reported as discarded, too.
 #[test]
 fn a_full_record_reports_what_it_discarded() {
     let mut record = ActivityRecord::new(0, 1, None);
     let epochs: Vec<_> = (0..MAX_INTERVALS as u64 + 10)
-        .map(|n| record.begin_interval(n, version(n)))
+        .map(|generation| record.begin_interval(generation, version(generation)))
         .collect();
     epochs
         .iter()
-        .for_each(|p| p.record(Activity::RequestRejected, 5000));
+        .for_each(|epoch| epoch.record(Activity::RequestRejected, 5000));
     let snapshot = record.snapshot(5000);
     assert_eq!(
         (snapshot.intervals.len(), snapshot.discarded.count),
@@ -129,30 +138,40 @@
     assert_eq!(total_activity(&snapshot), MAX_INTERVALS as u64 + 10);
 }
 
-/// A process that was killed has closed no epoch: what it did after it wrote last is on no record,
-/// and that is said.
+/// A killed process does not close its interval, so activity after its last snapshot is unknown.
 #[test]
 fn a_restart_marks_the_interval_that_was_truncated() {
     let mut record = ActivityRecord::new(100, 7, None);
     record
         .begin_interval(100, version(1))
         .record(Activity::AttemptSent, 120);
-    let kept: RecordSnapshot =
-        serde_json::from_str(&serde_json::to_string(&record.snapshot(500)).expect("plain"))
-            .expect("same");
-    let mut next = ActivityRecord::new(900, 8, Some(kept));
+    let json = serde_json::to_string(&record.snapshot(500)).expect("the snapshot is serializable");
+    let stored: RecordSnapshot = serde_json::from_str(&json).expect("the snapshot is valid");
+    let mut next = ActivityRecord::new(900, 8, Some(stored));
     next.begin_interval(900, version(1));
     let snapshot = next.snapshot(1000);
-    let [one, two] = &snapshot.intervals[..] else {
+    let [first_interval, second_interval] = &snapshot.intervals[..] else {
         panic!("{snapshot:?}")
     };
     assert_eq!(
-        (one.incarnation, one.to, one.truncated, one.activity.sent),
+        (
+            first_interval.incarnation,
+            first_interval.to,
+            first_interval.truncated,
+            first_interval.activity.sent
+        ),
         (7, Some(500), true, 1)
     );
-    assert_eq!((two.incarnation, two.from, two.truncated), (8, 900, false));
+    assert_eq!(
+        (
+            second_interval.incarnation,
+            second_interval.from,
+            second_interval.truncated
+        ),
+        (8, 900, false)
+    );
     assert_eq!(snapshot.since, 100);
-    // A process that was shut down as planned had closed its interval.
+    // A process that shuts down gracefully closes its interval.
     next.close(1100);
     let snapshot = ActivityRecord::new(1200, 9, Some(next.snapshot(1150))).snapshot(1200);
     assert_eq!(
@@ -166,17 +185,17 @@
 }
 
 proptest! {
-    /// Whatever versions come and whenever recorded are done, none is unaccounted for, and epochs
-    /// lie in order.
+    /// For any sequence of versions and any delay between binding and activity, the counts add up and
+    /// the intervals are contiguous.
     #[test]
-    fn no_activity_is_unaccounted_for(steps in prop::collection::vec((0..6_u64, 0..40_u64, 0..8_usize), 1..900)) {
+    fn all_activity_is_accounted_for(steps in prop::collection::vec((0..6_u64, 0..40_u64, 0..8_usize), 1..900)) {
         let mut record = ActivityRecord::new(0, 1, None);
         let (mut epochs, mut recorded): (Vec<Rc<Epoch>>, u64) = (Vec::new(), 0);
-        for (now, (generation, seq, late)) in steps.into_iter().enumerate() {
-            let epoch = record.begin_interval(now as u64, version_with_list(generation / 5, seq));
+        for (now, (generation, sequence, delay)) in steps.into_iter().enumerate() {
+            let epoch = record.begin_interval(now as u64, version_with_list(generation / 5, sequence));
             epochs.push(epoch);
-            let from = epochs.len().saturating_sub(1 + late * 50);
-            epochs[from].record(Activity::AttemptSent, now as u64);
+            let bound_at = epochs.len().saturating_sub(1 + delay * 50);
+            epochs[bound_at].record(Activity::AttemptSent, now as u64);
             recorded += 1;
         }
         let snapshot = record.snapshot(10_000);
--- a/crates/heathroad-membership/tests/claims.rs
+++ b/crates/heathroad-membership/tests/claims.rs
@@ -1,11 +1,11 @@
-//! Claims on a member, in any order: whoever has received the same claims knows the same.
+//! Tests of claims: members that received the same claims agree, whatever the order.
 
 use heathroad_membership::claim::{Claim, MemberState, Precedence, Revision};
 use heathroad_membership::member_table::MemberTable;
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
 
-fn state() -> impl Strategy<Value = MemberState> {
+fn any_state() -> impl Strategy<Value = MemberState> {
     prop::sample::select(vec![
         MemberState::Alive,
         MemberState::Suspect,
@@ -14,8 +14,8 @@
     ])
 }
 
-fn claims() -> impl Strategy<Value = Vec<Claim>> {
-    let claim = (state(), 1..4_u64, 0..4_u16, 0..5_u16).prop_map(
+fn any_claims() -> impl Strategy<Value = Vec<Claim>> {
+    let claim = (any_state(), 1..4_u64, 0..4_u16, 0..5_u16).prop_map(
         |(state, incarnation, refutations, source)| Claim {
             member: 0,
             state,
@@ -29,27 +29,26 @@
     prop::collection::vec(claim, 1..12)
 }
 
-/// Returns the precedence of the claim that holds after these.
-fn after(claims: &[Claim]) -> Precedence {
+/// Merges the claims into an empty table, and returns the precedence of the resulting claim.
+fn merged_precedence(claims: &[Claim]) -> Precedence {
     let mut table = MemberTable::new(1);
     for claim in claims {
         table.merge(0, *claim);
     }
-    table.claim(0).expect("some claim was merged").precedence()
+    table.claim(0).expect("a claim was merged").precedence()
 }
 
 proptest! {
     #[test]
-    fn order_and_duplicates_of_claims_do_not_matter(claims in claims(), seed in any::<u64>()) {
-        let mut other: Vec<Claim> = claims.iter().chain(&claims).copied().collect();
-        fastrand::Rng::with_seed(seed).shuffle(&mut other);
-        prop_assert_eq!(after(&claims), after(&other));
-        prop_assert_eq!(after(&claims), claims.iter().map(Claim::precedence).max().expect("some"));
+    fn order_and_duplicates_of_claims_do_not_matter(claims in any_claims(), seed in any::<u64>()) {
+        let mut shuffled: Vec<Claim> = claims.iter().chain(&claims).copied().collect();
+        fastrand::Rng::with_seed(seed).shuffle(&mut shuffled);
+        prop_assert_eq!(merged_precedence(&claims), merged_precedence(&shuffled));
+        prop_assert_eq!(merged_precedence(&claims), claims.iter().map(Claim::precedence).max().expect("there is a claim"));
     }
 }
 
-/// Whatever a member claimed before its end, and however late that arrives: no incarnation comes
-/// back from its end.
+/// A late claim from before the end of an incarnation does not revive it.
 #[test]
 fn a_final_state_holds_within_its_incarnation() {
     let claim = |state, incarnation, refutations| Claim {
@@ -61,19 +60,26 @@
         },
         source: 1,
     };
-    for end in [MemberState::Left, MemberState::Dead] {
-        let claims = [claim(end, 1, 0), claim(MemberState::Alive, 1, 9)];
-        assert_eq!(after(&claims), claim(end, 1, 0).precedence());
-        let back = claim(MemberState::Alive, 2, 0);
-        assert_eq!(after(&[claims[0], back]), back.precedence());
+    for final_state in [MemberState::Left, MemberState::Dead] {
+        let claims = [claim(final_state, 1, 0), claim(MemberState::Alive, 1, 9)];
+        assert_eq!(
+            merged_precedence(&claims),
+            claim(final_state, 1, 0).precedence()
+        );
+        let returned = claim(MemberState::Alive, 2, 0);
+        assert_eq!(
+            merged_precedence(&[claims[0], returned]),
+            returned.precedence()
+        );
     }
 }
 
-/// A member in several incarnations, its accuser, and two listeners who receive their claims in any
-/// order, and some of them never.
-struct Claims;
+/// A model of one member with several incarnations, an accuser, and two observers that receive any
+/// subset of the claims in any order.
+struct ClaimModel;
 
-/// The claims so far, the member's own revision, and what each listener has received.
+/// The claims so far, the member's own revision, and the indices of the claims that each observer has
+/// received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct History {
     revision: Revision,
@@ -83,7 +89,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Step {
+enum Action {
     Suspect,
     Refute,
     DeclareDead,
@@ -91,21 +97,22 @@
     Receive(usize, usize),
 }
 
-impl Claims {
-    fn holds(state: &History, listener: usize) -> Option<Precedence> {
-        let received: Vec<Claim> = state.received[listener]
+impl ClaimModel {
+    /// Returns the precedence of the claim that an observer holds.
+    fn observed_precedence(state: &History, observer: usize) -> Option<Precedence> {
+        let received: Vec<Claim> = state.received[observer]
             .iter()
-            .map(|at| state.claims[*at])
+            .map(|index| state.claims[*index])
             .collect();
-        (!received.is_empty()).then(|| after(&received))
+        (!received.is_empty()).then(|| merged_precedence(&received))
     }
 }
 
 const MAX_CLAIMS: usize = 5;
 
-impl Model for Claims {
+impl Model for ClaimModel {
     type State = History;
-    type Action = Step;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<History> {
         let revision = Revision {
@@ -126,58 +133,62 @@
         }]
     }
 
-    fn actions(&self, state: &History, steps: &mut Vec<Step>) {
+    fn actions(&self, state: &History, actions: &mut Vec<Action>) {
         if state.claims.len() < MAX_CLAIMS {
-            let last = state.claims.last().expect("it began with one").state;
+            let last = state
+                .claims
+                .last()
+                .expect("the history starts with a claim")
+                .state;
             match last {
-                MemberState::Alive => steps.push(Step::Suspect),
-                MemberState::Suspect => steps.extend([Step::Refute, Step::DeclareDead]),
+                MemberState::Alive => actions.push(Action::Suspect),
+                MemberState::Suspect => actions.extend([Action::Refute, Action::DeclareDead]),
                 _ => {}
             }
             if state.has_ended {
-                steps.push(Step::Return);
+                actions.push(Action::Return);
             }
         }
-        for listener in 0..2 {
-            let unheard =
-                (0..state.claims.len()).filter(|at| !state.received[listener].contains(at));
-            steps.extend(unheard.map(|at| Step::Receive(listener, at)));
+        for observer in 0..2 {
+            let not_received =
+                (0..state.claims.len()).filter(|index| !state.received[observer].contains(index));
+            actions.extend(not_received.map(|index| Action::Receive(observer, index)));
         }
     }
 
-    fn next_state(&self, last: &History, step: Step) -> Option<History> {
+    fn next_state(&self, last: &History, action: Action) -> Option<History> {
         let mut state = last.clone();
-        let mut say = |state_now, revision| {
+        let mut add_claim = |member_state, revision| {
             state.claims.push(Claim {
                 member: 0,
-                state: state_now,
+                state: member_state,
                 revision,
                 source: 1,
             });
         };
-        match step {
-            Step::Suspect => say(MemberState::Suspect, last.revision),
-            Step::DeclareDead => {
-                say(MemberState::Dead, last.revision);
+        match action {
+            Action::Suspect => add_claim(MemberState::Suspect, last.revision),
+            Action::DeclareDead => {
+                add_claim(MemberState::Dead, last.revision);
                 state.has_ended = true;
             }
-            Step::Refute => {
+            Action::Refute => {
                 let revision = Revision {
                     refutations: last.revision.refutations + 1,
                     ..last.revision
                 };
-                say(MemberState::Alive, revision);
+                add_claim(MemberState::Alive, revision);
                 state.revision = revision;
             }
-            Step::Return => {
+            Action::Return => {
                 let revision = Revision {
                     incarnation: last.revision.incarnation + 1,
                     refutations: 0,
                 };
-                say(MemberState::Alive, revision);
+                add_claim(MemberState::Alive, revision);
                 (state.revision, state.has_ended) = (revision, false);
             }
-            Step::Receive(listener, at) => state.received[listener].push(at),
+            Action::Receive(observer, index) => state.received[observer].push(index),
         }
         Some(state)
     }
@@ -185,35 +196,43 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "whoever has received the same claims knows the same",
-                |_, s: &History| {
-                    let set = |listener: usize| {
-                        let mut received = s.received[listener].clone();
+                "observers that received the same claims agree",
+                |_, history: &History| {
+                    let received = |observer: usize| {
+                        let mut received = history.received[observer].clone();
                         received.sort_unstable();
                         received
                     };
-                    set(0) != set(1) || Claims::holds(s, 0) == Claims::holds(s, 1)
+                    received(0) != received(1)
+                        || ClaimModel::observed_precedence(history, 0)
+                            == ClaimModel::observed_precedence(history, 1)
                 },
             ),
-            Property::always("nobody knows more than was claimed", |_, s: &History| {
-                let most = s.claims.iter().map(Claim::precedence).max();
-                (0..2).all(|listener| Claims::holds(s, listener) <= most)
-            }),
             Property::always(
-                "whoever has received all claims knows the last one",
-                |_, s: &History| {
-                    let last = s.claims.last().map(Claim::precedence);
-                    (0..2).all(|listener| {
-                        s.received[listener].len() < s.claims.len()
-                            || Claims::holds(s, listener) == last
+                "no observer holds a claim that was not made",
+                |_, history: &History| {
+                    let highest = history.claims.iter().map(Claim::precedence).max();
+                    (0..2).all(|observer| {
+                        ClaimModel::observed_precedence(history, observer) <= highest
+                    })
+                },
+            ),
+            Property::always(
+                "an observer that received all claims holds the last one",
+                |_, history: &History| {
+                    let last = history.claims.last().map(Claim::precedence);
+                    (0..2).all(|observer| {
+                        history.received[observer].len() < history.claims.len()
+                            || ClaimModel::observed_precedence(history, observer) == last
                     })
                 },
             ),
             Property::sometimes(
-                "a member comes back in a second incarnation, and is known",
-                |_, s: &History| {
-                    Claims::holds(s, 0)
-                        .is_some_and(|held| held.incarnation == 2 && held.final_state == 0)
+                "an observer knows the member in a second incarnation",
+                |_, history: &History| {
+                    ClaimModel::observed_precedence(history, 0).is_some_and(|precedence| {
+                        precedence.incarnation == 2 && precedence.final_state == 0
+                    })
                 },
             ),
         ]
@@ -221,8 +240,8 @@
 }
 
 #[test]
-fn all_orders_of_a_small_history() {
-    let checker = Claims.checker().threads(2).spawn_bfs().join();
+fn all_orders_of_a_short_history_lead_to_agreement() {
+    let checker = ClaimModel.checker().threads(2).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
 }
--- a/crates/heathroad-membership/tests/common/mod.rs
+++ b/crates/heathroad-membership/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet: members on a simulated network, in simulated time.
-#![allow(dead_code, reason = "each test file uses its part of it")]
+//! A fleet of members on a simulated network, in simulated time.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use heathroad_membership::authentication::Authenticator;
 use heathroad_membership::claim::MemberState;
@@ -10,11 +10,11 @@
 use std::collections::{BinaryHeap, HashSet};
 
 pub const KEY: &[u8] = b"a key of the test's own, long enough";
-/// Unix time in milliseconds at which the simulated clocks start.
-pub const EPOCH: u64 = 1_790_000_000_000;
+/// The Unix time in milliseconds at the start of a simulation.
+pub const CLOCK_START: u64 = 1_790_000_000_000;
 
 pub fn authenticator() -> Authenticator {
-    Authenticator::new("kano", KEY).expect("a good name and key")
+    Authenticator::new("kano", KEY).expect("the name and the key are valid")
 }
 
 pub fn version(generation: u64) -> Version {
@@ -28,81 +28,85 @@
     }
 }
 
-/// The faults of the network.
+/// Faults of the simulated network.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
-    /// The share of datagrams that are lost.
+    /// The probability that a datagram is lost.
     pub loss: f64,
-    /// The share of datagrams that arrive twice.
+    /// The probability that a datagram is duplicated.
     pub duplication: f64,
-    /// The longest delay in milliseconds. Each datagram has a random delay, so that they arrive out
-    /// of order.
+    /// The maximum delay. Each datagram has a random delay, so datagrams are reordered.
     pub delay: Millis,
-    /// Links on which nothing arrives, from the first member to the second.
+    /// Blocked links, as pairs of sender and recipient.
     pub blocked: HashSet<(MemberId, MemberId)>,
 }
 
-/// When a datagram arrives, its number, its recipient, and its bytes.
+/// The maximum number of datagrams that are buffered for a stalled member.
+const MAX_BUFFERED_DATAGRAMS: usize = 200;
+
+/// A datagram in flight: its arrival time, a unique number, its recipient, and its bytes.
 type Delivery = (Millis, u64, MemberId, Vec<u8>);
 
-pub struct World {
+pub struct SimulatedFleet {
     pub now: Millis,
+    /// The running members; `None` for those that are not running.
     pub processes: Vec<Option<Membership>>,
-    /// Until when each member is stalled; its datagrams wait.
-    pub stalled: Vec<Millis>,
+    /// The end of the latest stall of each member, which buffers its datagrams.
+    pub stalled_until: Vec<Millis>,
     pub faults: Faults,
     pub events: Vec<(Millis, MemberId, Event)>,
-    pub sent: Vec<u64>,
-    pub bytes: u64,
-    pub longest: usize,
+    pub datagrams_sent: Vec<u64>,
+    pub bytes_sent: u64,
+    pub longest_datagram: usize,
     rng: fastrand::Rng,
     queue: BinaryHeap<Reverse<Delivery>>,
-    waiting: Vec<Vec<Vec<u8>>>,
-    count: u64,
+    /// The datagrams that arrived for each member during a stall.
+    receive_buffers: Vec<Vec<Vec<u8>>>,
+    deliveries: u64,
     starts: u64,
     config: Config,
     size: u16,
-    /// When each member is due.
+    /// When each member has to be ticked next.
     due_times: Vec<Millis>,
 }
 
-impl World {
-    pub fn new(size: u16, seed: u64) -> World {
+impl SimulatedFleet {
+    pub fn new(size: u16, seed: u64) -> SimulatedFleet {
         eprintln!("seed {seed}");
-        let n = usize::from(size);
-        let mut world = World {
+        let count = usize::from(size);
+        let mut fleet = SimulatedFleet {
             now: 0,
-            processes: vec![None; n],
-            stalled: vec![0; n],
+            processes: vec![None; count],
+            stalled_until: vec![0; count],
             faults: Faults {
                 delay: 12,
                 ..Faults::default()
             },
             events: Vec::new(),
-            sent: vec![0; n],
-            bytes: 0,
-            longest: 0,
+            datagrams_sent: vec![0; count],
+            bytes_sent: 0,
+            longest_datagram: 0,
             rng: fastrand::Rng::with_seed(seed),
             queue: BinaryHeap::new(),
-            waiting: vec![Vec::new(); n],
-            count: 0,
+            receive_buffers: vec![Vec::new(); count],
+            deliveries: 0,
             starts: 0,
             config: Config::default(),
             size,
-            due_times: vec![0; n],
+            due_times: vec![0; count],
         };
-        (0..size).for_each(|id| world.start(id));
-        world
+        (0..size).for_each(|id| fleet.start(id));
+        fleet
     }
 
     pub fn start(&mut self, id: MemberId) {
         self.starts += 1;
-        self.start_in(id, EPOCH + self.now + self.starts);
+        self.start_with_incarnation(id, CLOCK_START + self.now + self.starts);
     }
 
-    pub fn start_in(&mut self, id: MemberId, incarnation: u64) {
+    pub fn start_with_incarnation(&mut self, id: MemberId, incarnation: u64) {
         let seed = self.rng.u64(..);
-        let mut fleet = Membership::new(
+        let mut membership = Membership::new(
             self.now,
             Settings {
                 authenticator: authenticator(),
@@ -113,9 +117,9 @@
                 config: self.config.clone(),
             },
         );
-        fleet.set_active_version(version(1));
-        self.waiting[usize::from(id)].clear();
-        self.processes[usize::from(id)] = Some(fleet);
+        membership.set_active_version(version(1));
+        self.receive_buffers[usize::from(id)].clear();
+        self.processes[usize::from(id)] = Some(membership);
         self.due_times[usize::from(id)] = 0;
     }
 
@@ -123,70 +127,77 @@
         self.processes[usize::from(id)] = None;
     }
 
-    pub fn stall(&mut self, id: MemberId, time: Millis) {
-        self.stalled[usize::from(id)] = self.now + time;
+    pub fn stall(&mut self, id: MemberId, duration: Millis) {
+        self.stalled_until[usize::from(id)] = self.now + duration;
     }
 
-    /// Blocks all links between two sides, in both directions.
-    pub fn partition(&mut self, one: &[MemberId], other: &[MemberId]) {
-        for a in one {
-            for b in other {
+    /// Blocks all links between two groups of members, in both directions.
+    pub fn partition(&mut self, one_side: &[MemberId], other_side: &[MemberId]) {
+        for a in one_side {
+            for b in other_side {
                 self.faults.blocked.extend([(*a, *b), (*b, *a)]);
             }
         }
     }
 
     pub fn member(&self, id: MemberId) -> &Membership {
-        self.processes[usize::from(id)].as_ref().expect("it runs")
+        self.processes[usize::from(id)]
+            .as_ref()
+            .expect("the member is running")
     }
 
     pub fn member_mut(&mut self, id: MemberId) -> &mut Membership {
-        // What it is told may make it due earlier.
+        // The caller may change when the member is due.
         self.due_times[usize::from(id)] = 0;
-        self.processes[usize::from(id)].as_mut().expect("it runs")
+        self.processes[usize::from(id)]
+            .as_mut()
+            .expect("the member is running")
     }
 
-    pub fn state_of(&self, of: MemberId, at: MemberId) -> MemberState {
-        self.member(at).members().get(of).expect("a member").state
+    /// Returns the state of `member` in the member table of `observer`.
+    pub fn state_of(&self, member: MemberId, observer: MemberId) -> MemberState {
+        let table = self.member(observer).members();
+        table.get(member).expect("the id is in range").state
     }
 
     pub fn running(&self) -> Vec<MemberId> {
         (0..self.size)
-            .filter(|p| self.processes[usize::from(*p)].is_some())
+            .filter(|id| self.processes[usize::from(*id)].is_some())
             .collect()
     }
 
-    /// Delivers a datagram now.
+    /// Delivers a datagram immediately.
     pub fn deliver(&mut self, to: MemberId, bytes: &[u8]) {
         let now = self.now;
-        if let Some(fleet) = &mut self.processes[usize::from(to)] {
-            fleet.receive(now, bytes);
+        if let Some(membership) = &mut self.processes[usize::from(to)] {
+            membership.receive(now, bytes);
         }
-        self.collect(to);
+        self.collect_output(to);
     }
 
-    fn collect(&mut self, id: MemberId) {
-        let Some(fleet) = &mut self.processes[usize::from(id)] else {
+    /// Records the events of a member, and puts its datagrams on the network.
+    fn collect_output(&mut self, id: MemberId) {
+        let Some(membership) = &mut self.processes[usize::from(id)] else {
             return;
         };
-        self.due_times[usize::from(id)] = fleet.due();
-        let (now, transmits): (_, Vec<_>) = (self.now, fleet.transmits().collect());
+        self.due_times[usize::from(id)] = membership.due();
+        let (now, transmits): (_, Vec<_>) = (self.now, membership.transmits().collect());
         self.events
-            .extend(fleet.events().map(|event| (now, id, event)));
+            .extend(membership.events().map(|event| (now, id, event)));
         for transmit in transmits {
-            self.sent[usize::from(id)] += 1;
-            self.bytes += transmit.bytes.len() as u64;
-            self.longest = self.longest.max(transmit.bytes.len());
+            self.datagrams_sent[usize::from(id)] += 1;
+            self.bytes_sent += transmit.bytes.len() as u64;
+            self.longest_datagram = self.longest_datagram.max(transmit.bytes.len());
             let copies = 1 + u64::from(self.rng.f64() < self.faults.duplication);
             for _ in 0..copies {
-                let lost = self.rng.f64() < self.faults.loss
+                let is_lost = self.rng.f64() < self.faults.loss
                     || self.faults.blocked.contains(&(id, transmit.to));
-                if !lost {
+                if !is_lost {
                     let delay = 1 + self.rng.u64(0..self.faults.delay.max(1));
-                    self.count += 1;
+                    self.deliveries += 1;
                     self.queue.push(Reverse((
                         now + delay,
-                        self.count,
+                        self.deliveries,
                         transmit.to,
                         transmit.bytes.clone(),
                     )));
@@ -195,16 +206,21 @@
         }
     }
 
-    /// Runs for this time.
-    pub fn run(&mut self, time: Millis) {
-        let end = self.now + time;
+    /// Runs the simulation for this duration.
+    pub fn run(&mut self, duration: Millis) {
+        let end = self.now + duration;
         self.run_until(end, |_| false);
     }
 
-    /// Runs until a condition holds, and returns when it did; none if the end comes first.
-    pub fn run_until(&mut self, end: Millis, holds: impl Fn(&World) -> bool) -> Option<Millis> {
+    /// Runs the simulation until a condition holds, and returns the time; `None` if it does not hold by
+    /// `end`.
+    pub fn run_until(
+        &mut self,
+        end: Millis,
+        condition: impl Fn(&SimulatedFleet) -> bool,
+    ) -> Option<Millis> {
         while self.now < end {
-            if self.now.is_multiple_of(20) && holds(self) {
+            if self.now.is_multiple_of(20) && condition(self) {
                 return Some(self.now);
             }
             self.now += 1;
@@ -216,49 +232,53 @@
                 let Some(Reverse((_, _, to, bytes))) = self.queue.pop() else {
                     break;
                 };
-                if self.stalled[usize::from(to)] > self.now {
-                    // The socket's buffer holds some of them.
-                    let waiting = &mut self.waiting[usize::from(to)];
-                    if waiting.len() < 200 {
-                        waiting.push(bytes);
+                if self.stalled_until[usize::from(to)] > self.now {
+                    let buffer = &mut self.receive_buffers[usize::from(to)];
+                    if buffer.len() < MAX_BUFFERED_DATAGRAMS {
+                        buffer.push(bytes);
                     }
                 } else {
                     self.deliver(to, &bytes);
                 }
             }
             for id in 0..self.size {
-                let at = usize::from(id);
-                if self.stalled[at] > self.now || self.processes[at].is_none() {
+                let index = usize::from(id);
+                if self.stalled_until[index] > self.now || self.processes[index].is_none() {
                     continue;
                 }
-                for bytes in std::mem::take(&mut self.waiting[at]) {
+                for bytes in std::mem::take(&mut self.receive_buffers[index]) {
                     self.deliver(id, &bytes);
                 }
                 let now = self.now;
-                let fleet = self.processes[at].as_mut().expect("it runs");
-                if self.due_times[at] <= now {
-                    fleet.tick(now);
-                    self.collect(id);
+                let membership = self.processes[index]
+                    .as_mut()
+                    .expect("the member is running");
+                if self.due_times[index] <= now {
+                    membership.tick(now);
+                    self.collect_output(id);
                 }
             }
         }
-        holds(self).then_some(self.now)
+        condition(self).then_some(self.now)
     }
 
-    /// Whether every running member knows that exactly the running ones are alive, in their present
-    /// incarnations, and which version each runs.
-    pub fn agrees(&self) -> bool {
+    /// Whether every running member knows exactly the running ones as alive, with their current
+    /// incarnations and versions.
+    pub fn has_converged(&self) -> bool {
         let running = self.running();
-        running.iter().all(|at| {
-            (0..self.size).all(|of| {
-                let known = self.member(*at).members().get(of).expect("a member");
-                match &self.processes[usize::from(of)] {
+        running.iter().all(|observer| {
+            (0..self.size).all(|id| {
+                let table = self.member(*observer).members();
+                let known = table.get(id).expect("the id is in range");
+                match &self.processes[usize::from(id)] {
                     Some(other) => {
-                        let acts =
-                            |f: &Membership| f.members().get(of).and_then(|m| m.active_version);
+                        let active_version = other
+                            .members()
+                            .get(id)
+                            .and_then(|member| member.active_version);
                         known.state == MemberState::Alive
                             && known.revision.incarnation == other.revision().incarnation
-                            && acts(self.member(*at)) == acts(other)
+                            && known.active_version == active_version
                     }
                     None => known.state.is_final() || known.state == MemberState::Unknown,
                 }
@@ -266,11 +286,11 @@
         })
     }
 
-    /// Returns how often a member was declared dead.
-    pub fn false_deaths(&self) -> usize {
+    /// Returns the number of times that a member declared another one dead.
+    pub fn death_count(&self) -> usize {
         self.events
             .iter()
-            .filter(|(_, _, n)| matches!(n, Event::MemberDead { .. }))
+            .filter(|(_, _, event)| matches!(event, Event::MemberDead { .. }))
             .count()
     }
 }
@@ -282,11 +302,11 @@
         .join(name)
 }
 
-/// Compares with a golden file; on a difference the actual text is printed in full.
+/// Compares text with a golden file. On a difference, the panic message contains the actual text.
 pub fn assert_golden(name: &str, actual: &str) {
     let expected = std::fs::read_to_string(golden(name)).unwrap_or_default();
     assert!(
         actual == expected,
-        "{name} differs; it is now:\n{actual}<<<"
+        "{name} differs; actual text:\n{actual}<<<"
     );
 }
--- a/crates/heathroad-membership/tests/golden_datagrams.rs
+++ b/crates/heathroad-membership/tests/golden_datagrams.rs
@@ -1,8 +1,8 @@
-//! The bytes of one datagram of each message and of each item stay as they are.
+//! Golden tests of the wire format, with a datagram for each message and each update.
 
 mod common;
 
-use common::{EPOCH, KEY, authenticator};
+use common::{CLOCK_START, KEY, authenticator};
 use heathroad_membership::authentication::{Authenticator, DropCounters};
 use heathroad_membership::claim::{Claim, MemberState, Revision};
 use heathroad_membership::codec::Writer;
@@ -38,7 +38,7 @@
 
 fn claim(state: MemberState, refutations: u16) -> Update {
     let revision = Revision {
-        incarnation: EPOCH,
+        incarnation: CLOCK_START,
         refutations,
     };
     Update::Claim(Claim {
@@ -49,20 +49,21 @@
     })
 }
 
-fn fetch(resource: Resource) -> Message {
-    Message::PartRequest {
+type Case = (&'static str, Message, Vec<Update>);
+
+fn part_request(name: &'static str, resource: Resource) -> Case {
+    let message = Message::PartRequest {
         id: 0x0a0b_0c0d,
         resource,
         key: digest(0x21),
         part: 4,
-    }
+    };
+    (name, message, Vec::new())
 }
 
-type Case = (&'static str, Message, Vec<Update>);
-
-/// Each message, and each update in some message that holds it.
+/// Returns a datagram for each message and for each update. The names are those in the golden file.
 fn cases() -> Vec<Case> {
-    messages().into_iter().chain(updates()).collect()
+    [messages(), claims(), updates()].concat()
 }
 
 fn messages() -> Vec<Case> {
@@ -92,10 +93,10 @@
             Message::VersionReply,
             vec![Update::Version(version())],
         ),
-        ("fetch-record", fetch(Resource::ActivityRecord), vec![]),
-        ("fetch-routes", fetch(Resource::Routes), vec![]),
-        ("fetch-duties", fetch(Resource::LeaseHistory), vec![]),
-        ("fetch-collected", fetch(Resource::CollectedRecords), vec![]),
+        part_request("fetch-record", Resource::ActivityRecord),
+        part_request("fetch-routes", Resource::Routes),
+        part_request("fetch-duties", Resource::LeaseHistory),
+        part_request("fetch-collected", Resource::CollectedRecords),
         (
             "part",
             Message::Part {
@@ -122,14 +123,26 @@
     ]
 }
 
+fn claims() -> Vec<Case> {
+    [
+        ("claim-alive", claim(MemberState::Alive, 0)),
+        ("claim-suspect", claim(MemberState::Suspect, 0x0203)),
+        ("claim-left", claim(MemberState::Left, 1)),
+        ("claim-gone", claim(MemberState::Dead, 1)),
+    ]
+    .into_iter()
+    .map(|(name, claim)| (name, Message::Gossip, vec![claim]))
+    .collect()
+}
+
 fn updates() -> Vec<Case> {
-    let acts = Update::ActiveVersion {
+    let active = Update::ActiveVersion {
         member: 3,
-        incarnation: EPOCH + 1,
+        incarnation: CLOCK_START + 1,
         sequence: 7,
         digest: digest(0x11),
     };
-    let want = Update::DesiredVersion {
+    let desired = Update::DesiredVersion {
         generation: 12,
         digest: digest(0x12),
         origin: 1,
@@ -144,34 +157,20 @@
         digests: [digest(0x13), digest(0x14)],
     };
     vec![
-        (
-            "claim-alive",
-            Message::Gossip,
-            vec![claim(MemberState::Alive, 0)],
-        ),
-        (
-            "claim-suspect",
-            Message::Gossip,
-            vec![claim(MemberState::Suspect, 0x0203)],
-        ),
-        (
-            "claim-left",
-            Message::Gossip,
-            vec![claim(MemberState::Left, 1)],
-        ),
-        (
-            "claim-gone",
-            Message::Gossip,
-            vec![claim(MemberState::Dead, 1)],
-        ),
-        ("acts", Message::Gossip, vec![acts.clone()]),
-        ("want", Message::Gossip, vec![want.clone()]),
+        ("acts", Message::Gossip, vec![active.clone()]),
+        ("want", Message::Gossip, vec![desired.clone()]),
         ("required", Message::Gossip, vec![required.clone()]),
         ("conflict", Message::Gossip, vec![conflict.clone()]),
         (
             "several",
             Message::Ack { nonce: 1 },
-            vec![claim(MemberState::Alive, 1), want, required, acts, conflict],
+            vec![
+                claim(MemberState::Alive, 1),
+                desired,
+                required,
+                active,
+                conflict,
+            ],
         ),
     ]
 }
@@ -182,9 +181,9 @@
         supported_protocols: SUPPORTED_PROTOCOLS,
         fleet_name: b"kano".to_vec(),
         sender: 0x0102,
-        sender_incarnation: EPOCH,
+        sender_incarnation: CLOCK_START,
         recipient: 0x0304,
-        recipient_incarnation: EPOCH + 5,
+        recipient_incarnation: CLOCK_START + 5,
         sequence: 0x0506_0708,
     }
 }
@@ -199,11 +198,11 @@
     authenticator().sign(writer)
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn from_hex(text: &str) -> Vec<u8> {
     let pairs = text
         .as_bytes()
         .chunks(2)
@@ -214,32 +213,37 @@
 }
 
 #[test]
-fn datagrams_are_encoded_as_before() {
+fn encoded_datagrams_match_the_golden_file() {
     let lines = cases()
         .into_iter()
-        .map(|(name, message, updates)| format!("{name} {}\n", hex(&encode(message, &updates))));
+        .map(|(name, message, updates)| format!("{name} {}\n", to_hex(&encode(message, &updates))));
     common::assert_golden("datagrams.txt", &lines.collect::<String>());
 }
 
 #[test]
-fn datagrams_encoded_before_are_decoded() {
-    let golden = std::fs::read_to_string(common::golden("datagrams.txt")).expect("it is there");
+fn datagrams_of_the_golden_file_are_decoded() {
+    let golden =
+        std::fs::read_to_string(common::golden("datagrams.txt")).expect("the golden file exists");
     let cases = cases();
     assert_eq!(golden.lines().count(), cases.len());
     for (line, (name, message, updates)) in golden.lines().zip(cases) {
-        let bytes = unhex(line.strip_prefix(name).expect("the same order").trim());
+        let bytes = from_hex(
+            line.strip_prefix(name)
+                .expect("the cases are in the same order")
+                .trim(),
+        );
         let mut dropped = DropCounters::default();
-        let opened = Authenticator::new("kano", KEY)
-            .expect("good")
+        let verified = Authenticator::new("kano", KEY)
+            .expect("the name and the key are valid")
             .verify(&bytes, &mut dropped);
-        let (read, mut rest) = opened.expect(name);
+        let (decoded_header, mut content) = verified.expect(name);
         assert_eq!(
-            (read, dropped),
+            (decoded_header, dropped),
             (header(), DropCounters::default()),
             "{name}"
         );
         assert_eq!(
-            wire::decode_content(&mut rest),
+            wire::decode_content(&mut content),
             Ok((message, updates)),
             "{name}"
         );
--- a/crates/heathroad-membership/tests/golden_json.rs
+++ b/crates/heathroad-membership/tests/golden_json.rs
@@ -1,4 +1,4 @@
-//! What operators read of the protocol as JSON stays as it is.
+//! Golden test of the JSON that operators read.
 
 mod common;
 
@@ -11,15 +11,14 @@
 use heathroad_membership::version::Digest;
 use serde::Serialize;
 
-fn line(value: &impl Serialize) -> String {
-    serde_json::to_string(value).expect("plain") + "\n"
+fn json_line(value: &impl Serialize) -> String {
+    serde_json::to_string(value).expect("the value is serializable") + "\n"
 }
 
-#[test]
-fn what_is_told_as_json_is_told_as_before() {
-    let [one, other] = [Digest([0x11; 8]), Digest([0x22; 8])];
-    let mut text = String::new();
-    for event in [
+const DIGESTS: [Digest; 2] = [Digest([0x11; 8]), Digest([0x22; 8])];
+
+fn events() -> Vec<Event> {
+    vec![
         Event::MemberAlive {
             member: 1,
             incarnation: 2,
@@ -33,50 +32,53 @@
         Event::MemberLeft { member: 1 },
         Event::ActiveVersionChanged {
             member: 1,
-            digest: one,
+            digest: DIGESTS[0],
         },
         Event::Reincarnated { incarnation: 4 },
         Event::Stalled { duration: 5 },
         Event::DesiredVersionChanged {
             generation: 6,
-            digest: one,
+            digest: DIGESTS[0],
         },
         Event::VersionRequired { generation: 7 },
         Event::VersionConflict {
             generation: 8,
-            digests: [one, other],
+            digests: DIGESTS,
         },
         Event::Isolated,
         Event::Reconnected,
-    ] {
-        text += &line(&event);
-    }
-    for standing in [
+    ]
+}
+
+#[test]
+fn json_output_matches_the_golden_file() {
+    let mut text: String = events().iter().map(json_line).collect();
+    for state in [
         MemberState::Unknown,
         MemberState::Alive,
         MemberState::Suspect,
         MemberState::Left,
         MemberState::Dead,
     ] {
-        text += &line(&standing);
+        text += &json_line(&state);
     }
-    text += &line(&Desired::Unset);
-    text += &line(&Desired::Version(DesiredVersion {
+    text += &json_line(&Desired::Unset);
+    text += &json_line(&Desired::Version(DesiredVersion {
         generation: 9,
-        digest: one,
+        digest: DIGESTS[0],
         origin: 2,
     }));
-    text += &line(&Desired::Conflict(VersionConflict {
+    text += &json_line(&Desired::Conflict(VersionConflict {
         generation: 10,
-        digests: [one, other],
+        digests: DIGESTS,
     }));
     let mut required = RequiredVersions::default();
     assert!(required.merge(RequiredVersion {
         generation: 11,
-        digest: one,
+        digest: DIGESTS[0],
         deadline: 12
     }));
-    text += &line(&required);
+    text += &json_line(&required);
     let dropped = DropCounters {
         malformed: 1,
         other_fleet: 2,
@@ -86,7 +88,7 @@
         stale: 6,
         replayed: 7,
     };
-    text += &line(&TrafficCounters {
+    text += &json_line(&TrafficCounters {
         sent: 1,
         sent_bytes: 2,
         received: 3,
--- a/crates/heathroad-membership/tests/golden_record.rs
+++ b/crates/heathroad-membership/tests/golden_record.rs
@@ -1,4 +1,4 @@
-//! A record stored by an earlier program is read, and stored again as the same bytes.
+//! Golden tests of the stored activity record.
 
 mod common;
 
@@ -29,8 +29,8 @@
     }
 }
 
-/// A record with everything that a record can hold: two lives, a epoch that was not closed, pages
-/// given up.
+/// Returns a record of two incarnations that has a truncated interval, discarded intervals, faults
+/// and a rejected version.
 fn record() -> RecordSnapshot {
     let mut first = ActivityRecord::new(START, START, None);
     for generation in 1..=MAX_INTERVALS as u64 {
@@ -39,13 +39,13 @@
             .record(Activity::AttemptSent, START + generation);
     }
     let mut snapshot = first.snapshot(START + 1000);
-    // A short file does: the oldest go, as they do where there is no room.
+    // Keeps the golden file short.
     while snapshot.intervals.len() > 1 {
         assert!(snapshot.discard_oldest());
     }
     let mut second = ActivityRecord::new(START + 2000, START + 2000, Some(snapshot));
     let epoch = second.begin_interval(START + 2000, version(300));
-    for (act, times) in [
+    for (activity, count) in [
         (Activity::RequestBound, 9),
         (Activity::AttemptSent, 8),
         (Activity::RequestServed, 7),
@@ -55,7 +55,7 @@
         (Activity::ChangeApplied, 3),
         (Activity::ChangeRolledBack, 2),
     ] {
-        (0..times).for_each(|n| epoch.record(act, START + 2100 + n));
+        (0..count).for_each(|n| epoch.record(activity, START + 2100 + n));
     }
     second.begin_interval(START + 2500, version(301));
     second.record_fault(FaultInterval {
@@ -88,20 +88,20 @@
 }
 
 #[test]
-fn a_record_is_stored_as_before() {
-    let mut text = serde_json::to_string(&record()).expect("plain");
+fn a_stored_record_matches_the_golden_file() {
+    let mut text = serde_json::to_string(&record()).expect("the record is serializable");
     text.push('\n');
     common::assert_golden("activity_record.json", &text);
 }
 
 #[test]
-fn a_record_stored_before_is_read() {
-    let text =
-        std::fs::read_to_string(common::golden("activity_record.json")).expect("it is there");
-    let snapshot: RecordSnapshot = serde_json::from_str(&text).expect("it is read");
+fn the_record_in_the_golden_file_is_read() {
+    let text = std::fs::read_to_string(common::golden("activity_record.json"))
+        .expect("the golden file exists");
+    let snapshot: RecordSnapshot = serde_json::from_str(&text).expect("the record is valid");
     assert_eq!(snapshot, record());
     assert_eq!((snapshot.at, snapshot.since), (START + 3000, START));
-    let lost = DiscardedIntervals {
+    let discarded = DiscardedIntervals {
         count: 255,
         activity: ActivityCounts {
             sent: 255,
@@ -109,25 +109,25 @@
         },
         until: Some(START + 256),
     };
-    assert_eq!(snapshot.discarded, lost);
-    let [torn, whole, open] = &snapshot.intervals[..] else {
+    assert_eq!(snapshot.discarded, discarded);
+    let [truncated, closed, open] = &snapshot.intervals[..] else {
         panic!("{snapshot:?}")
     };
     assert_eq!(
         (
-            torn.truncated,
-            torn.incarnation,
-            torn.to,
-            torn.version_count
+            truncated.truncated,
+            truncated.incarnation,
+            truncated.to,
+            truncated.version_count
         ),
         (true, START, Some(START + 1000), 1)
     );
-    assert_eq!((whole.from, whole.to), (START + 2000, Some(START + 2500)));
+    assert_eq!((closed.from, closed.to), (START + 2000, Some(START + 2500)));
     assert_eq!(
-        (whole.first_activity, whole.last_activity),
+        (closed.first_activity, closed.last_activity),
         (Some(START + 2100), Some(START + 2108))
     );
-    let acts = ActivityCounts {
+    let activity = ActivityCounts {
         bound: 9,
         sent: 8,
         served: 7,
@@ -137,25 +137,25 @@
         applied: 3,
         rolled_back: 2,
     };
-    assert_eq!(whole.activity, acts);
+    assert_eq!(closed.activity, activity);
     assert_eq!(
         (open.version.clone(), open.digest, open.to),
         (version(301), version(301).digest(), None)
     );
-    let troubles: Vec<FaultKind> = snapshot.faults.iter().map(|fault| fault.kind).collect();
+    let faults: Vec<FaultKind> = snapshot.faults.iter().map(|fault| fault.kind).collect();
     assert_eq!(
-        troubles,
+        faults,
         [FaultKind::Isolated, FaultKind::Stalled, FaultKind::Fenced]
     );
     assert_eq!(snapshot.rejected[0].reason, "pool \"main\": is missing");
 }
 
-/// Records of the first programs, which snapshot neither spells nor what was turned down.
+/// Records of the first releases contain neither faults nor rejected versions.
 #[test]
-fn a_record_without_the_later_fields_is_read() {
+fn a_record_without_faults_and_rejections_is_read() {
     let text =
         r#"{"at":5,"since":1,"pages":[],"lost":{"pages":0,"acts":{"bound":1},"until":null}}"#;
-    let snapshot: RecordSnapshot = serde_json::from_str(text).expect("it is read");
+    let snapshot: RecordSnapshot = serde_json::from_str(text).expect("the record is valid");
     assert_eq!(
         (
             snapshot.at,
--- a/crates/heathroad-membership/tests/golden_trace.rs
+++ b/crates/heathroad-membership/tests/golden_trace.rs
@@ -1,8 +1,8 @@
-//! With the same seeds, the same datagrams go at the same times, and the same is told, as before.
+//! Golden test of a simulated fleet: for fixed seeds, all datagrams, events and reports are unchanged.
 
 mod common;
 
-use common::{EPOCH, authenticator, version};
+use common::{CLOCK_START, authenticator, version};
 use heathroad_membership::protocol::{Config, Membership, Settings};
 use heathroad_membership::version::Digest;
 use heathroad_membership::wire::Resource;
@@ -10,20 +10,20 @@
 use std::fmt::Write;
 
 const MEMBERS: u16 = 7;
-/// How often the trace says where it stands.
-const STEP: Millis = 5_000;
+/// The interval at which the trace writes a digest of all output.
+const DIGEST_INTERVAL: Millis = 5_000;
 
 struct Trace {
     now: Millis,
-    fleets: Vec<Option<Membership>>,
-    /// Stalled until then.
-    stalled: Vec<Millis>,
-    /// Nothing passes between the first so many and the others.
-    cut: u16,
+    members: Vec<Option<Membership>>,
+    /// The end of the latest stall of each member.
+    stalled_until: Vec<Millis>,
+    /// No datagrams pass between the members below this id and the others.
+    partition_boundary: u16,
     queue: Vec<(Millis, MemberId, Vec<u8>)>,
     rng: fastrand::Rng,
-    /// Everything that went and was told since the last step.
-    seen: String,
+    /// All datagrams, events, fetches and messages since the last digest.
+    output: String,
     datagrams: usize,
     text: String,
 }
@@ -32,92 +32,94 @@
     fn new(seed: u64) -> Trace {
         let mut trace = Trace {
             now: 0,
-            fleets: vec![None; usize::from(MEMBERS)],
-            stalled: vec![0; usize::from(MEMBERS)],
-            cut: 0,
+            members: vec![None; usize::from(MEMBERS)],
+            stalled_until: vec![0; usize::from(MEMBERS)],
+            partition_boundary: 0,
             queue: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
-            seen: String::new(),
+            output: String::new(),
             datagrams: 0,
             text: format!("seed {seed}\n"),
         };
-        (0..MEMBERS).for_each(|place| trace.start(place, EPOCH + u64::from(place)));
+        (0..MEMBERS).for_each(|id| trace.start(id, CLOCK_START + u64::from(id)));
         trace
     }
 
-    fn start(&mut self, place: MemberId, life: u64) {
+    fn start(&mut self, id: MemberId, incarnation: u64) {
         let seed = self.rng.u64(..);
-        let mut fleet = Membership::new(
+        let mut membership = Membership::new(
             self.now,
             Settings {
                 authenticator: authenticator(),
-                id: place,
+                id,
                 fleet_size: MEMBERS,
-                incarnation: life,
+                incarnation,
                 seed,
                 config: Config::default(),
             },
         );
-        fleet.set_active_version(version(1));
-        self.fleets[usize::from(place)] = Some(fleet);
+        membership.set_active_version(version(1));
+        self.members[usize::from(id)] = Some(membership);
     }
 
-    fn member(&mut self, place: MemberId) -> &mut Membership {
-        self.fleets[usize::from(place)].as_mut().expect("it runs")
+    fn member(&mut self, id: MemberId) -> &mut Membership {
+        self.members[usize::from(id)]
+            .as_mut()
+            .expect("the member is running")
     }
 
-    /// Takes what one member transmits and tells.
-    fn collect(&mut self, place: MemberId) {
-        let (now, cut) = (self.now, self.cut);
-        let Some(fleet) = self.fleets[usize::from(place)].as_mut() else {
+    /// Records the output of a member, and puts its datagrams on the network.
+    fn collect_output(&mut self, id: MemberId) {
+        let (now, partition_boundary) = (self.now, self.partition_boundary);
+        let Some(membership) = self.members[usize::from(id)].as_mut() else {
             return;
         };
-        let asked: Vec<_> = fleet.resource_requests().collect();
-        for question in asked {
-            let there = question.key != Digest::of(b"absent");
-            let text = vec![place as u8; 1000 + usize::from(place)];
-            fleet.serve(now, question, there.then_some(text));
+        let requests: Vec<_> = membership.resource_requests().collect();
+        for request in requests {
+            let exists = request.key != Digest::of(b"absent");
+            let bytes = vec![id as u8; 1000 + usize::from(id)];
+            membership.serve(now, request, exists.then_some(bytes));
         }
-        for event in fleet.events() {
+        for event in membership.events() {
             let _ = writeln!(
-                self.seen,
-                "{now} {place} {}",
-                serde_json::to_string(&event).expect("plain")
+                self.output,
+                "{now} {id} {}",
+                serde_json::to_string(&event).expect("the event is serializable")
             );
         }
-        for fetched in fleet.completed_fetches() {
-            let text = fetched.result.map(|text| Digest::of(&text));
+        for fetched in membership.completed_fetches() {
+            let digest = fetched.result.map(|bytes| Digest::of(&bytes));
             let outcome =
-                text.map_or_else(|_| "not fetched".to_string(), |digest| digest.to_string());
+                digest.map_or_else(|_| "not fetched".to_string(), |digest| digest.to_string());
             let _ = writeln!(
-                self.seen,
-                "{now} {place} {} {} {outcome}",
+                self.output,
+                "{now} {id} {} {} {outcome}",
                 fetched.id, fetched.first_part_after
             );
         }
-        for message in fleet.messages() {
+        for message in membership.messages() {
             let _ = writeln!(
-                self.seen,
-                "{now} {place} {} {:?}",
+                self.output,
+                "{now} {id} {} {:?}",
                 message.from, message.bytes
             );
         }
-        let transmits: Vec<_> = fleet.transmits().collect();
+        let transmits: Vec<_> = membership.transmits().collect();
         for transmit in transmits {
             self.datagrams += 1;
             let _ = writeln!(
-                self.seen,
-                "{now} {place} {} {}",
+                self.output,
+                "{now} {id} {} {}",
                 transmit.to,
                 Digest::of(&transmit.bytes)
             );
-            let apart = (place < cut) != (transmit.to < cut);
+            let is_blocked = (id < partition_boundary) != (transmit.to < partition_boundary);
             let copies = match self.rng.u32(0..100) {
                 0..10 => 0,
                 10..15 => 2,
                 _ => 1,
             };
-            for _ in 0..if apart { 0 } else { copies } {
+            for _ in 0..if is_blocked { 0 } else { copies } {
                 let at = now + 1 + self.rng.u64(0..30);
                 self.queue.push((at, transmit.to, transmit.bytes.clone()));
             }
@@ -129,25 +131,29 @@
         let now = self.now;
         let due: Vec<_> = self.queue.extract_if(.., |(at, ..)| *at <= now).collect();
         for (_, to, bytes) in due {
-            if self.stalled[usize::from(to)] > now {
-                self.queue.push((self.stalled[usize::from(to)], to, bytes));
-            } else if let Some(fleet) = self.fleets[usize::from(to)].as_mut() {
-                fleet.receive(now, &bytes);
-                self.collect(to);
+            if self.stalled_until[usize::from(to)] > now {
+                self.queue
+                    .push((self.stalled_until[usize::from(to)], to, bytes));
+            } else if let Some(membership) = self.members[usize::from(to)].as_mut() {
+                membership.receive(now, &bytes);
+                self.collect_output(to);
             }
         }
-        for place in 0..MEMBERS {
-            let at = usize::from(place);
-            if self.stalled[at] > now {
+        for id in 0..MEMBERS {
+            let index = usize::from(id);
+            if self.stalled_until[index] > now {
                 continue;
             }
-            if let Some(fleet) = self.fleets[at].as_mut().filter(|fleet| fleet.due() <= now) {
-                fleet.tick(now);
+            if let Some(membership) = self.members[index]
+                .as_mut()
+                .filter(|membership| membership.due() <= now)
+            {
+                membership.tick(now);
             }
-            self.collect(place);
+            self.collect_output(id);
         }
-        if now.is_multiple_of(STEP) {
-            let digest = Digest::of(std::mem::take(&mut self.seen).as_bytes());
+        if now.is_multiple_of(DIGEST_INTERVAL) {
+            let digest = Digest::of(std::mem::take(&mut self.output).as_bytes());
             let _ = writeln!(
                 self.text,
                 "{now} ms: {} datagrams, {digest}",
@@ -162,83 +168,92 @@
         }
     }
 
-    fn describe(&mut self) {
-        for place in 0..MEMBERS {
+    /// Writes the reports of all members, the first one in full and the others as digests.
+    fn write_reports(&mut self) {
+        for id in 0..MEMBERS {
             let now = self.now;
-            let Some(fleet) = self.fleets[usize::from(place)].as_ref() else {
+            let Some(membership) = self.members[usize::from(id)].as_ref() else {
                 continue;
             };
-            let facts = serde_json::json!({
-                "members": fleet.member_views(now), "traffic": fleet.traffic(), "doubt": fleet.health_multiplier(),
-                "cut_off": fleet.is_isolated(), "silent_ms": fleet.silent_for(now), "confirmed": fleet.confirmed(),
-                "majority": fleet.sees_majority(), "incarnation": fleet.revision(),
-                "wanted": fleet.desired(), "required": fleet.required(),
-                "highest": fleet.highest_generation(),
+            let report = serde_json::json!({
+                "members": membership.member_views(now), "traffic": membership.traffic(), "doubt": membership.health_multiplier(),
+                "cut_off": membership.is_isolated(), "silent_ms": membership.silent_for(now), "confirmed": membership.confirmed(),
+                "majority": membership.sees_majority(), "incarnation": membership.revision(),
+                "wanted": membership.desired(), "required": membership.required(),
+                "highest": membership.highest_generation(),
             });
-            // One in full, for whoever looks for a difference; of the others a digest.
-            let text = facts.to_string();
+            let text = report.to_string();
             let digest = Digest::of(text.as_bytes());
-            let text = if place == 0 { text } else { digest.to_string() };
-            let _ = writeln!(self.text, "member {place}: {text}");
+            let text = if id == 0 { text } else { digest.to_string() };
+            let _ = writeln!(self.text, "member {id}: {text}");
         }
     }
 }
 
-/// Everything that members go through, one thing after the other.
+/// Runs a fleet through version changes, fetches, a stall, a partition, a crash with a clock set back,
+/// and a shutdown.
 fn trace(seed: u64) -> String {
-    let mut t = Trace::new(seed);
-    t.run_to(10_000);
-    let now = t.now;
-    for place in 0..MEMBERS {
-        t.member(place)
-            .set_active_version(version(2 + u64::from(place % 2)));
+    let mut trace = Trace::new(seed);
+    trace.run_to(10_000);
+    let now = trace.now;
+    for id in 0..MEMBERS {
+        trace
+            .member(id)
+            .set_active_version(version(2 + u64::from(id % 2)));
     }
-    t.member(0)
+    trace
+        .member(0)
         .propose_version(now, 4, Digest::of(b"four"), Some(30_000));
-    t.member(1)
+    trace
+        .member(1)
         .fetch(now, 2, Resource::ActivityRecord, Digest::default())
-        .expect("room");
-    t.member(1)
+        .expect("fewer fetches than the limit");
+    trace
+        .member(1)
         .fetch(now, 3, Resource::ActivityRecord, Digest::of(b"absent"))
-        .expect("room");
-    t.member(2)
+        .expect("fewer fetches than the limit");
+    trace
+        .member(2)
         .fetch(now, 4, Resource::Routes, Digest::of(b"other"))
-        .expect("room");
-    t.run_to(20_000);
+        .expect("fewer fetches than the limit");
+    trace.run_to(20_000);
     let routes = version(2).routes;
-    let source = t.member(5).choose_routes_source(routes);
-    let _ = writeln!(t.text, "source {source:?}");
-    let now = t.now;
-    for place in 1..MEMBERS {
-        t.member(0).send_message(now, place, vec![place as u8; 20]);
-        t.member(place).request_confirmation(now);
+    let source = trace.member(5).choose_routes_source(routes);
+    let _ = writeln!(trace.text, "source {source:?}");
+    let now = trace.now;
+    for id in 1..MEMBERS {
+        trace.member(0).send_message(now, id, vec![id as u8; 20]);
+        trace.member(id).request_confirmation(now);
     }
-    t.stalled[3] = now + 7_000;
-    t.run_to(40_000);
-    // Cut, with another text under one number on either side.
-    t.cut = 3;
-    t.run_to(50_000);
-    let now = t.now;
-    t.member(0)
+    trace.stalled_until[3] = now + 7_000;
+    trace.run_to(40_000);
+    // Both sides of a partition commit the same generation.
+    trace.partition_boundary = 3;
+    trace.run_to(50_000);
+    let now = trace.now;
+    trace
+        .member(0)
         .propose_version(now, 5, Digest::of(b"five"), None);
-    t.member(6)
+    trace
+        .member(6)
         .propose_version(now, 5, Digest::of(b"fifth"), None);
-    t.run_to(80_000);
-    t.describe();
-    t.cut = 0;
-    t.run_to(110_000);
-    // One is killed and comes back with a clock that was set back, one leaves.
-    t.fleets[4] = None;
-    t.run_to(130_000);
-    t.start(4, EPOCH - 1_000);
-    let now = t.now;
-    t.member(6).leave(now);
-    t.collect(6);
-    t.member(0)
+    trace.run_to(80_000);
+    trace.write_reports();
+    trace.partition_boundary = 0;
+    trace.run_to(110_000);
+    // One member crashes and restarts with its clock set back, another one leaves.
+    trace.members[4] = None;
+    trace.run_to(130_000);
+    trace.start(4, CLOCK_START - 1_000);
+    let now = trace.now;
+    trace.member(6).leave(now);
+    trace.collect_output(6);
+    trace
+        .member(0)
         .propose_version(now, 6, Digest::of(b"six"), Some(5_000));
-    t.run_to(160_000);
-    t.describe();
-    t.text
+    trace.run_to(160_000);
+    trace.write_reports();
+    trace.text
 }
 
 #[test]
--- a/crates/heathroad-membership/tests/hostile_datagrams.rs
+++ b/crates/heathroad-membership/tests/hostile_datagrams.rs
@@ -1,8 +1,8 @@
-//! Hostile datagrams change nothing.
+//! Tests that invalid, forged and replayed datagrams have no effect.
 
 mod common;
 
-use common::{KEY, World, authenticator};
+use common::{KEY, SimulatedFleet, authenticator};
 use heathroad_membership::authentication::{Authenticator, CredentialsError, DropCounters};
 use heathroad_membership::claim::{Claim, MemberState, Revision};
 use heathroad_membership::codec::{Reader, Writer};
@@ -11,18 +11,20 @@
 };
 use proptest::prelude::*;
 
-/// Returns all that a member knows of others, as text.
-fn knowledge(world: &World, at: u16) -> String {
-    let mut views = world.member(at).member_views(world.now);
-    views.iter_mut().for_each(|v| v.last_heard_ago_ms = None);
-    format!("{views:?} {:?}", world.member(at).revision())
+/// Returns the state of all members as known to one of them, except for times, as text.
+fn known_state(fleet: &SimulatedFleet, id: u16) -> String {
+    let mut views = fleet.member(id).member_views(fleet.now);
+    views
+        .iter_mut()
+        .for_each(|view| view.last_heard_ago_ms = None);
+    format!("{views:?} {:?}", fleet.member(id).revision())
 }
 
-/// Builds a well-formed datagram, for some incarnation, that declares a member dead.
-fn death(authenticator: &Authenticator, number: u32) -> Vec<u8> {
+/// Returns a well-formed datagram that declares a member dead.
+fn death_claim(authenticator: &Authenticator, sequence: u32) -> Vec<u8> {
     let (fleet_name, incarnation) = (
         authenticator.fleet_name().to_vec(),
-        common::EPOCH + 1_000_000,
+        common::CLOCK_START + 1_000_000,
     );
     let header = Header {
         protocol: 1,
@@ -32,7 +34,7 @@
         sender_incarnation: incarnation,
         recipient: 0,
         recipient_incarnation: incarnation,
-        sequence: number,
+        sequence,
     };
     let revision = Revision {
         incarnation,
@@ -55,35 +57,36 @@
     authenticator.sign(datagram)
 }
 
-fn settled_world() -> World {
-    let mut world = World::new(3, 1);
-    world
-        .run_until(60_000, World::agrees)
-        .expect("all know all");
-    world
+fn converged_fleet() -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::new(3, 1);
+    fleet
+        .run_until(60_000, SimulatedFleet::has_converged)
+        .expect("the members converge");
+    fleet
 }
 
-/// 10,000 of them: noise, bits turned, cut short, other fleets, other keys, records of earlier
-/// ones.
+/// Random bytes, flipped bits, truncated and extended datagrams, other fleets, wrong keys, and replays.
 #[test]
-fn ten_thousand_datagrams_change_nothing() {
-    let mut world = settled_world();
+fn hostile_datagrams_change_nothing() {
+    let mut fleet = converged_fleet();
     let mut rng = fastrand::Rng::with_seed(2);
-    let mut good = Vec::new();
+    let mut valid = Vec::new();
     for _ in 0..40 {
-        let now = world.now;
-        let fleet = world.member_mut(1);
-        fleet.tick(now);
-        good.extend(fleet.transmits().filter(|s| s.to == 0).map(|s| s.bytes));
-        world.now += 500;
+        let now = fleet.now;
+        let membership = fleet.member_mut(1);
+        membership.tick(now);
+        let to_target = membership.transmits().filter(|transmit| transmit.to == 0);
+        valid.extend(to_target.map(|transmit| transmit.bytes));
+        fleet.now += 500;
     }
-    good.iter().for_each(|bytes| world.deliver(0, bytes));
-    let before = knowledge(&world, 0);
-    let dropped = world.member(0).traffic().dropped.total();
-    let foreign = Authenticator::new("other", KEY).expect("good");
-    let wrong_key = Authenticator::new("kano", b"another key, just as long as it").expect("good");
+    valid.iter().for_each(|bytes| fleet.deliver(0, bytes));
+    let before = known_state(&fleet, 0);
+    let dropped = fleet.member(0).traffic().dropped.total();
+    let other_name = Authenticator::new("other", KEY).expect("the name is valid");
+    let wrong_key =
+        Authenticator::new("kano", b"another key, just as long as it").expect("the key is valid");
     for n in 0..10_000_u32 {
-        let mut bytes = good[rng.usize(0..good.len())].clone();
+        let mut bytes = valid[rng.usize(0..valid.len())].clone();
         match n % 7 {
             0 => bytes = (0..rng.usize(0..300)).map(|_| rng.u8(..)).collect(),
             1 => {
@@ -93,47 +96,48 @@
             2 => bytes.truncate(rng.usize(0..bytes.len())),
             3 => bytes.extend((0..rng.usize(1..400)).map(|_| rng.u8(..))),
             4 | 5 => {
-                let by = if n % 7 == 4 { &foreign } else { &wrong_key };
-                bytes = death(by, n);
+                let authenticator = if n % 7 == 4 { &other_name } else { &wrong_key };
+                bytes = death_claim(authenticator, n);
             }
             _ => {}
         }
-        world.deliver(0, &bytes);
+        fleet.deliver(0, &bytes);
     }
-    assert_eq!(knowledge(&world, 0), before);
+    assert_eq!(known_state(&fleet, 0), before);
     let DropCounters {
         malformed,
         other_fleet,
         unauthenticated,
         replayed,
         ..
-    } = world.member(0).traffic().dropped;
-    assert_eq!(world.member(0).traffic().dropped.total(), dropped + 10_000);
+    } = fleet.member(0).traffic().dropped;
+    assert_eq!(fleet.member(0).traffic().dropped.total(), dropped + 10_000);
     assert!(malformed > 0 && other_fleet > 1_000 && unauthenticated > 1_000 && replayed > 1_000);
 }
 
-/// A recording is authentic, and names an incarnation of its recipient that has ended.
+/// Replayed datagrams are authentic, but name an earlier incarnation of the recipient.
 #[test]
-fn a_recording_for_an_earlier_incarnation_changes_nothing() {
-    let mut world = settled_world();
-    let now = world.now;
-    world.member_mut(1).tick(now);
+fn datagrams_for_an_earlier_incarnation_change_nothing() {
+    let mut fleet = converged_fleet();
+    let now = fleet.now;
+    fleet.member_mut(1).tick(now);
     let mut recorded = Vec::new();
     for _ in 0..10 {
-        world.now += 1000;
-        let now = world.now;
-        let fleet = world.member_mut(1);
-        fleet.tick(now);
-        recorded.extend(fleet.transmits().filter(|s| s.to == 0).map(|s| s.bytes));
+        fleet.now += 1000;
+        let now = fleet.now;
+        let membership = fleet.member_mut(1);
+        membership.tick(now);
+        let to_target = membership.transmits().filter(|transmit| transmit.to == 0);
+        recorded.extend(to_target.map(|transmit| transmit.bytes));
     }
-    world.kill(0);
-    world.start(0);
-    let before = knowledge(&world, 0);
-    recorded.iter().for_each(|bytes| world.deliver(0, bytes));
+    fleet.kill(0);
+    fleet.start(0);
+    let before = known_state(&fleet, 0);
+    recorded.iter().for_each(|bytes| fleet.deliver(0, bytes));
     assert!(!recorded.is_empty());
-    assert_eq!(knowledge(&world, 0), before);
+    assert_eq!(known_state(&fleet, 0), before);
     assert_eq!(
-        world.member(0).traffic().dropped.stale,
+        fleet.member(0).traffic().dropped.stale,
         recorded.len() as u64
     );
 }
@@ -167,13 +171,13 @@
 }
 
 proptest! {
-    /// Any bytes are decoded or rejected, and what is decoded is encoded as it was.
+    /// Arbitrary bytes either fail to decode or encode to the same bytes again.
     #[test]
-    fn decoded_bytes_are_encoded_as_they_were(bytes in prop::collection::vec(any::<u8>(), 0..MAX_DATAGRAM_BYTES)) {
+    fn decoded_content_encodes_to_the_same_bytes(bytes in prop::collection::vec(any::<u8>(), 0..MAX_DATAGRAM_BYTES)) {
         if let Ok((message, updates)) = wire::decode_content(&mut Reader::new(&bytes)) {
-            let mut again = Writer::default();
-            prop_assert_eq!(wire::encode_content(message, &updates, MAX_DATAGRAM_BYTES, &mut again), updates.len());
-            prop_assert_eq!(again.as_slice(), &bytes[..]);
+            let mut encoded = Writer::default();
+            prop_assert_eq!(wire::encode_content(message, &updates, MAX_DATAGRAM_BYTES, &mut encoded), updates.len());
+            prop_assert_eq!(encoded.as_slice(), &bytes[..]);
         }
         let mut dropped = DropCounters::default();
         prop_assert!(authenticator().verify(&bytes, &mut dropped).is_none());
--- a/crates/heathroad-membership/tests/membership.rs
+++ b/crates/heathroad-membership/tests/membership.rs
@@ -1,303 +1,342 @@
-//! Which members are alive, as the others find out when some fail, stall or are partitioned.
+//! Tests of failure detection and dissemination in simulated fleets with crashes, stalls, partitions and
+//! restarts.
 
 mod common;
 
-use common::{EPOCH, World, version};
+use common::{CLOCK_START, SimulatedFleet, version};
 use heathroad_membership::claim::MemberState;
 use heathroad_membership::protocol::Event;
 use heathroad_membership::version::Digest;
 
-const LONG: u64 = 120_000;
+/// The time in milliseconds within which the members converge.
+const CONVERGENCE_TIMEOUT: u64 = 120_000;
 
-fn settled(members: u16, seed: u64) -> World {
-    let mut world = World::new(members, seed);
-    world.run_until(LONG, World::agrees).expect("all know all");
-    world.events.clear();
-    world
+fn converged_fleet(members: u16, seed: u64) -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::new(members, seed);
+    fleet
+        .run_until(CONVERGENCE_TIMEOUT, SimulatedFleet::has_converged)
+        .expect("the members converge");
+    fleet.events.clear();
+    fleet
 }
 
 #[test]
-fn all_members_learn_of_all_and_of_their_versions() {
+fn members_learn_the_versions_of_all_others() {
     for (members, seed) in [(2, 1), (3, 2), (24, 3)] {
-        let mut world = settled(members, seed);
-        world.member_mut(1).set_active_version(version(7));
-        let end = world.now + LONG;
-        let known = |w: &World| {
-            let table = w.member(0).members();
-            let acts = table
+        let mut fleet = converged_fleet(members, seed);
+        fleet.member_mut(1).set_active_version(version(7));
+        let end = fleet.now + CONVERGENCE_TIMEOUT;
+        let version_is_known = |fleet: &SimulatedFleet| {
+            let table = fleet.member(0).members();
+            let active = table
                 .get(1)
-                .and_then(|m| m.active_version)
-                .expect("it acts on something");
-            w.agrees()
-                && w.member(0)
-                    .known_version(acts.digest)
-                    .is_some_and(|v| v.generation == 7)
+                .and_then(|member| member.active_version)
+                .expect("the member runs a version");
+            fleet.has_converged()
+                && fleet
+                    .member(0)
+                    .known_version(active.digest)
+                    .is_some_and(|version| version.generation == 7)
         };
-        world
-            .run_until(end, known)
-            .expect("the digest and then the whole version are heard");
-        assert_eq!(world.false_deaths(), 0);
+        fleet
+            .run_until(end, version_is_known)
+            .expect("the version becomes known in full");
+        assert_eq!(fleet.death_count(), 0);
     }
 }
 
 #[test]
-fn a_killed_member_is_dead_for_all_and_no_other_is() {
+fn only_a_killed_member_is_declared_dead() {
     for (loss, seed) in [(0.0, 1), (0.1, 2), (0.3, 3)] {
-        let mut world = settled(12, seed);
-        world.faults.loss = loss;
-        world.kill(5);
-        let end = world.now + LONG;
-        let gone = |w: &World| {
-            w.running()
+        let mut fleet = converged_fleet(12, seed);
+        fleet.faults.loss = loss;
+        fleet.kill(5);
+        let end = fleet.now + CONVERGENCE_TIMEOUT;
+        let is_declared_dead = |fleet: &SimulatedFleet| {
+            fleet
+                .running()
                 .iter()
-                .all(|at| w.state_of(5, *at) == MemberState::Dead)
+                .all(|observer| fleet.state_of(5, *observer) == MemberState::Dead)
         };
-        world.run_until(end, gone).expect("it is gone for all");
-        let others = world
+        fleet
+            .run_until(end, is_declared_dead)
+            .expect("all members declare it dead");
+        let false_deaths = fleet
             .events
             .iter()
-            .filter(|(_, _, n)| matches!(n, Event::MemberDead { member } if *member != 5));
-        assert_eq!(others.count(), 0, "loss {loss}");
+            .filter(|(_, _, event)| matches!(event, Event::MemberDead { member } if *member != 5));
+        assert_eq!(false_deaths.count(), 0, "loss {loss}");
     }
 }
 
-/// A member that was stalled finds all its timeouts expired, but has not read yet what others sent.
+/// After a stall, the timeouts of a member have expired, but it has not yet read the datagrams that
+/// arrived.
 #[test]
 fn a_stalled_member_suspects_nobody_when_it_resumes() {
     for seed in 0..10 {
-        let mut world = settled(6, seed);
-        world.stall(2, 1800);
-        world.run(10_000);
-        let woke = world
+        let mut fleet = converged_fleet(6, seed);
+        fleet.stall(2, 1800);
+        fleet.run(10_000);
+        let is_reported = fleet
             .events
             .iter()
-            .any(|(_, at, n)| *at == 2 && matches!(n, Event::Stalled { .. }));
-        assert!(woke, "seed {seed}");
-        let accused = |n: &Event| {
+            .any(|(_, id, event)| *id == 2 && matches!(event, Event::Stalled { .. }));
+        assert!(is_reported, "seed {seed}");
+        let is_false_claim = |event: &Event| {
             matches!(
-                n,
+                event,
                 Event::MemberSuspected { accuser: 2, .. } | Event::MemberDead { .. }
             )
         };
         assert!(
-            !world.events.iter().any(|(_, _, n)| accused(n)),
+            !fleet
+                .events
+                .iter()
+                .any(|(_, _, event)| is_false_claim(event)),
             "seed {seed}: {:?}",
-            world.events
+            fleet.events
         );
     }
 }
 
-/// An event after a quiet time is no sign of a stall.
+/// A long time between two calls is not a stall if nothing was due.
 #[test]
 fn no_stall_is_reported_without_one() {
-    let mut world = settled(6, 12);
-    world.run(60_000);
-    world.member_mut(1).set_active_version(version(7));
-    world.kill(5);
-    world.run(60_000);
-    let woke = world
+    let mut fleet = converged_fleet(6, 12);
+    fleet.run(60_000);
+    fleet.member_mut(1).set_active_version(version(7));
+    fleet.kill(5);
+    fleet.run(60_000);
+    let stalls = fleet
         .events
         .iter()
-        .filter(|(_, _, n)| matches!(n, Event::Stalled { .. }));
-    assert_eq!(woke.count(), 0);
+        .filter(|(_, _, event)| matches!(event, Event::Stalled { .. }));
+    assert_eq!(stalls.count(), 0);
 }
 
-/// A member that stalled until it was declared dead goes on in a new incarnation.
 #[test]
-fn a_member_declared_dead_comes_back_in_a_new_incarnation() {
-    let mut world = settled(6, 4);
-    let revision = world.member(2).revision().incarnation;
-    world.stall(2, 40_000);
-    world.run(39_000);
-    assert_eq!(world.state_of(2, 0), MemberState::Dead);
-    let end = world.now + LONG;
-    world
-        .run_until(end, World::agrees)
-        .expect("it is back for all");
-    assert!(world.member(2).revision().incarnation > revision);
+fn a_member_declared_dead_during_a_stall_continues_in_a_new_incarnation() {
+    let mut fleet = converged_fleet(6, 4);
+    let incarnation = fleet.member(2).revision().incarnation;
+    fleet.stall(2, 40_000);
+    fleet.run(39_000);
+    assert_eq!(fleet.state_of(2, 0), MemberState::Dead);
+    let end = fleet.now + CONVERGENCE_TIMEOUT;
+    fleet
+        .run_until(end, SimulatedFleet::has_converged)
+        .expect("the members converge");
+    assert!(fleet.member(2).revision().incarnation > incarnation);
     assert!(
-        world
+        fleet
             .events
             .iter()
-            .any(|(_, at, n)| *at == 2 && matches!(n, Event::Reincarnated { .. }))
+            .any(|(_, id, event)| *id == 2 && matches!(event, Event::Reincarnated { .. }))
     );
 }
 
-/// An isolated member suspects nobody, and knows that it is isolated.
+/// A member that receives nothing detects its isolation and suspects nobody.
 #[test]
-fn a_partition_in_one_direction_isolates_a_member() {
-    let mut world = settled(6, 5);
-    // Nothing comes to member 3; what it transmits is heard.
-    world
+fn a_member_that_receives_nothing_is_isolated() {
+    let mut fleet = converged_fleet(6, 5);
+    // Member 3 receives nothing, but the others receive its datagrams.
+    fleet
         .faults
         .blocked
-        .extend((0..6).filter(|p| *p != 3).map(|p| (p, 3)));
-    world.run(6_000);
+        .extend((0..6).filter(|id| *id != 3).map(|id| (id, 3)));
+    fleet.run(6_000);
     assert!(
-        world.member(3).is_isolated(),
-        "it knows within some periods"
+        fleet.member(3).is_isolated(),
+        "isolation is detected within a few probe periods"
     );
-    world.run(54_000);
-    assert!(world.member(3).is_isolated());
-    let by_it = |n: &Event| matches!(n, Event::MemberSuspected { accuser: 3, .. });
+    fleet.run(54_000);
+    assert!(fleet.member(3).is_isolated());
+    let is_accusation = |event: &Event| matches!(event, Event::MemberSuspected { accuser: 3, .. });
     assert!(
-        !world.events.iter().any(|(_, _, n)| by_it(n)),
+        !fleet
+            .events
+            .iter()
+            .any(|(_, _, event)| is_accusation(event)),
         "{:?}",
-        world.events
+        fleet.events
+    );
+    let is_false_death =
+        |event: &Event| matches!(event, Event::MemberDead { member } if *member != 3);
+    assert!(
+        !fleet
+            .events
+            .iter()
+            .any(|(_, _, event)| is_false_death(event))
     );
-    let gone = |n: &Event| matches!(n, Event::MemberDead { member } if *member != 3);
-    assert!(!world.events.iter().any(|(_, _, n)| gone(n)));
-    world.faults.blocked.clear();
-    let end = world.now + LONG;
-    world
-        .run_until(end, World::agrees)
-        .expect("it is among the others again");
+    fleet.faults.blocked.clear();
+    let end = fleet.now + CONVERGENCE_TIMEOUT;
+    fleet
+        .run_until(end, SimulatedFleet::has_converged)
+        .expect("the members converge");
 }
 
 #[test]
-fn partitioned_halves_find_each_other_again() {
-    let mut world = settled(8, 6);
-    world.partition(&[0, 1, 2, 3], &[4, 5, 6, 7]);
-    world.run(60_000);
-    let across = |(a, b): (u16, u16)| [world.state_of(a, b), world.state_of(b, a)];
+fn a_partition_heals() {
+    let mut fleet = converged_fleet(8, 6);
+    fleet.partition(&[0, 1, 2, 3], &[4, 5, 6, 7]);
+    fleet.run(60_000);
+    let across = |(a, b): (u16, u16)| [fleet.state_of(a, b), fleet.state_of(b, a)];
     let pairs = (0..4).flat_map(|a| (4..8).map(move |b| (a, b)));
     assert!(
-        pairs.flat_map(across).all(|s| s == MemberState::Dead),
-        "dead members alone are probed across"
+        pairs
+            .flat_map(across)
+            .all(|state| state == MemberState::Dead),
+        "each side declares the other one dead"
     );
     assert_eq!(
-        (world.state_of(2, 0), world.state_of(4, 6)),
+        (fleet.state_of(2, 0), fleet.state_of(4, 6)),
         (MemberState::Alive, MemberState::Alive)
     );
-    world.member_mut(6).set_active_version(version(9));
-    world.faults.blocked.clear();
-    let end = world.now + LONG;
-    world
-        .run_until(end, World::agrees)
-        .expect("all know all again");
+    fleet.member_mut(6).set_active_version(version(9));
+    fleet.faults.blocked.clear();
+    let end = fleet.now + CONVERGENCE_TIMEOUT;
+    fleet
+        .run_until(end, SimulatedFleet::has_converged)
+        .expect("the members converge");
 }
 
-/// The clock was set back by an hour, so that the new incarnation would be an older one.
+/// The clock is set back by an hour, so that the member restarts with a lower incarnation.
 #[test]
-fn a_restart_under_an_older_clock_takes_a_later_incarnation() {
-    let mut world = settled(5, 7);
-    world.kill(2);
-    world.run(500);
-    world.start_in(2, EPOCH - 3_600_000);
-    let end = world.now + LONG;
-    world
-        .run_until(end, World::agrees)
-        .expect("it is known in an incarnation above its former one");
-    assert!(world.member(2).revision().incarnation > EPOCH);
+fn a_restart_with_a_clock_set_back_takes_a_later_incarnation() {
+    let mut fleet = converged_fleet(5, 7);
+    fleet.kill(2);
+    fleet.run(500);
+    fleet.start_with_incarnation(2, CLOCK_START - 3_600_000);
+    let end = fleet.now + CONVERGENCE_TIMEOUT;
+    fleet
+        .run_until(end, SimulatedFleet::has_converged)
+        .expect("the members converge");
+    assert!(fleet.member(2).revision().incarnation > CLOCK_START);
 }
 
-/// A message to or from a former incarnation changes nothing.
 #[test]
-fn messages_of_a_former_incarnation_are_dropped() {
-    let mut world = settled(5, 8);
-    let mut former = world.member(2).clone();
-    world.kill(2);
-    world.start(2);
-    let end = world.now + LONG;
-    world.run_until(end, World::agrees).expect("it is back");
-    let revision = world.member(2).revision();
-    former.set_active_version(version(99));
+fn datagrams_of_an_earlier_incarnation_are_dropped() {
+    let mut fleet = converged_fleet(5, 8);
+    let mut earlier = fleet.member(2).clone();
+    fleet.kill(2);
+    fleet.start(2);
+    let end = fleet.now + CONVERGENCE_TIMEOUT;
+    fleet
+        .run_until(end, SimulatedFleet::has_converged)
+        .expect("the members converge");
+    let revision = fleet.member(2).revision();
+    earlier.set_active_version(version(99));
     for _ in 0..20 {
-        let now = world.now;
-        former.tick(now);
-        let old: Vec<_> = former.transmits().collect();
-        for s in old {
-            let heard = world.member(s.to).traffic().received;
-            world.deliver(s.to, &s.bytes);
+        let now = fleet.now;
+        earlier.tick(now);
+        let outdated: Vec<_> = earlier.transmits().collect();
+        for transmit in outdated {
+            let received = fleet.member(transmit.to).traffic().received;
+            fleet.deliver(transmit.to, &transmit.bytes);
             assert_eq!(
-                world.member(s.to).traffic().received,
-                heard,
-                "nothing of it is used"
+                fleet.member(transmit.to).traffic().received,
+                received,
+                "the datagram was accepted"
             );
         }
-        world.run(500);
+        fleet.run(500);
     }
-    assert!(world.agrees());
-    assert_eq!(world.member(2).revision().incarnation, revision.incarnation);
+    assert!(fleet.has_converged());
+    assert_eq!(fleet.member(2).revision().incarnation, revision.incarnation);
     let stale: u64 = (0..5)
-        .map(|p| world.member(p).traffic().dropped.stale)
+        .map(|id| fleet.member(id).traffic().dropped.stale)
         .sum();
     assert!(stale > 0);
 }
 
 #[test]
-fn a_member_that_shuts_down_has_left() {
-    let mut world = settled(6, 9);
-    let now = world.now;
-    world.member_mut(3).leave(now);
-    world.run(20);
-    let last: Vec<_> = world.member_mut(3).transmits().collect();
-    last.iter().for_each(|s| world.deliver(s.to, &s.bytes));
-    world.kill(3);
-    let end = world.now + 5_000;
-    let left = |w: &World| {
-        w.running()
+fn a_shutdown_is_known_before_a_suspicion_would_expire() {
+    let mut fleet = converged_fleet(6, 9);
+    let now = fleet.now;
+    fleet.member_mut(3).leave(now);
+    fleet.run(20);
+    let transmits: Vec<_> = fleet.member_mut(3).transmits().collect();
+    transmits
+        .iter()
+        .for_each(|transmit| fleet.deliver(transmit.to, &transmit.bytes));
+    fleet.kill(3);
+    let end = fleet.now + 5_000;
+    let has_left = |fleet: &SimulatedFleet| {
+        fleet
+            .running()
             .iter()
-            .all(|at| w.state_of(3, *at) == MemberState::Left)
+            .all(|observer| fleet.state_of(3, *observer) == MemberState::Left)
     };
-    world
-        .run_until(end, left)
-        .expect("sooner than any suspicion");
+    fleet
+        .run_until(end, has_left)
+        .expect("the shutdown is known to all members");
 }
 
-/// Half of a fleet that comes back at once asks nobody in particular, and nobody transmits more
-/// than it may.
+/// A simultaneous restart of half of the fleet does not overload any member.
 #[test]
-fn half_of_a_fleet_restarts_at_once() {
-    let mut world = settled(100, 10);
-    (0..50).for_each(|p| world.kill(p));
-    world.run(5_000);
-    (0..50).for_each(|p| world.start(p));
-    let (heard, begun) = (|w: &World, p| w.member(p).traffic().received, world.now);
-    let before: Vec<u64> = (0..100).map(|p| heard(&world, p)).collect();
-    world.run(2_000);
-    let most = (0..100)
-        .map(|p| heard(&world, p) - before[usize::from(p)])
+fn a_mass_restart_overloads_no_member() {
+    let mut fleet = converged_fleet(100, 10);
+    (0..50).for_each(|id| fleet.kill(id));
+    fleet.run(5_000);
+    (0..50).for_each(|id| fleet.start(id));
+    let received = |fleet: &SimulatedFleet, id| fleet.member(id).traffic().received;
+    let restarted_at = fleet.now;
+    let before: Vec<u64> = (0..100).map(|id| received(&fleet, id)).collect();
+    fleet.run(2_000);
+    let max_received = (0..100)
+        .map(|id| received(&fleet, id) - before[usize::from(id)])
         .max()
-        .expect("some");
-    assert!(most < 200, "{most} in two seconds");
-    world
-        .run_until(begun + LONG, World::agrees)
-        .expect("all know all");
+        .expect("the fleet has members");
+    assert!(
+        max_received < 200,
+        "{max_received} datagrams in two seconds"
+    );
+    fleet
+        .run_until(
+            restarted_at + CONVERGENCE_TIMEOUT,
+            SimulatedFleet::has_converged,
+        )
+        .expect("the members converge");
 }
 
-/// However large a fleet is, a member transmits no more than its bound a second, and no datagram is
-/// longer than may be.
+/// In a large fleet, the rate of datagrams per member and the length of datagrams stay within limits.
 #[test]
-fn three_hundred_members_keep_to_their_limits() {
-    let mut world = World::new(300, 11);
-    world.run_until(LONG, World::agrees).expect("all know all");
-    let (quiet, bytes, begun) = (world.sent.clone(), world.bytes, world.now);
-    world.run(10_000);
-    let most = world
-        .sent
+fn three_hundred_members_stay_within_limits() {
+    let mut fleet = SimulatedFleet::new(300, 11);
+    fleet
+        .run_until(CONVERGENCE_TIMEOUT, SimulatedFleet::has_converged)
+        .expect("the members converge");
+    let (sent_before, bytes_before) = (fleet.datagrams_sent.clone(), fleet.bytes_sent);
+    let converged_at = fleet.now;
+    fleet.run(10_000);
+    let max_sent = fleet
+        .datagrams_sent
         .iter()
-        .zip(&quiet)
-        .map(|(a, b)| a - b)
+        .zip(&sent_before)
+        .map(|(after, before)| after - before)
         .max()
-        .expect("some");
-    println!("all known after {begun} ms; then at most {most} datagrams a member in 10 s");
-    println!("{} bytes a member and second", (world.bytes - bytes) / 3000);
-    assert!(most <= 10 * 41);
-    assert!(world.longest <= 256);
-    world.kill(17);
-    world.member_mut(3).set_active_version(version(5));
-    let end = world.now + LONG;
-    world
-        .run_until(end, World::agrees)
-        .expect("a death and a version are known to all");
+        .expect("the fleet has members");
+    println!(
+        "converged after {converged_at} ms; then at most {max_sent} datagrams per member in 10 s"
+    );
+    println!(
+        "{} bytes per member and second",
+        (fleet.bytes_sent - bytes_before) / 3000
+    );
+    assert!(max_sent <= 10 * 41);
+    assert!(fleet.longest_datagram <= 256);
+    fleet.kill(17);
+    fleet.member_mut(3).set_active_version(version(5));
+    let end = fleet.now + CONVERGENCE_TIMEOUT;
+    fleet
+        .run_until(end, SimulatedFleet::has_converged)
+        .expect("all members know of the death and the new version");
     assert_eq!(
-        world
+        fleet
             .member(9)
             .members()
             .get(3)
-            .and_then(|m| m.active_version)
-            .map(|a| a.digest),
+            .and_then(|member| member.active_version)
+            .map(|active| active.digest),
         Some(version(5).digest())
     );
     assert_ne!(version(5).digest(), Digest::default());
