--- a/crates/heathroad-membership/examples/membership-bench.rs
+++ b/crates/heathroad-membership/examples/membership-bench.rs
@@ -1,6 +1,6 @@
 //! Measures how fast a simulated fleet detects deaths and learns of versions, its traffic, and its
-//! false positives, for different fleet sizes and loss rates. The optional argument is the number of
-//! seeds.
+//! false positives, for different fleet sizes and loss rates. The optional argument is the number
+//! of seeds.
 //!
 //!     cargo run --release -p heathroad-membership --example membership-bench
 
--- a/crates/heathroad-membership/src/activity_record/epoch.rs
+++ b/crates/heathroad-membership/src/activity_record/epoch.rs
@@ -7,8 +7,8 @@
 use std::cell::{Ref, RefCell, RefMut};
 use std::rc::Rc;
 
-/// A shared handle to an interval of a record. It stays valid after the interval has ended, has been
-/// merged into another one, or has been discarded.
+/// A shared handle to an interval of a record. It stays valid after the interval has ended, has
+/// been merged into another one, or has been discarded.
 #[derive(Debug)]
 pub struct Epoch {
     interval: RefCell<Interval>,
--- a/crates/heathroad-membership/src/activity_record/mod.rs
+++ b/crates/heathroad-membership/src/activity_record/mod.rs
@@ -3,9 +3,9 @@
 //!
 //! An interval is a period in which one version was in force. All activity for a request counts
 //! towards the interval in which the request was bound, so an interval can gain activity after its
-//! end. The record is bounded: beyond [`MAX_INTERVALS`], adjacent intervals that differ only in their
-//! endpoint lists are merged. If there are none, the oldest interval is discarded and its activity is
-//! reported as discarded.
+//! end. The record is bounded: beyond [`MAX_INTERVALS`], adjacent intervals that differ only in
+//! their endpoint lists are merged. If there are none, the oldest interval is discarded and its
+//! activity is reported as discarded.
 
 mod counts;
 mod epoch;
--- a/crates/heathroad-membership/src/activity_record/snapshot.rs
+++ b/crates/heathroad-membership/src/activity_record/snapshot.rs
@@ -16,8 +16,8 @@
     pub version: Version,
     /// The digest of the version.
     pub digest: Digest,
-    /// The number of versions. It exceeds one only for merged intervals, whose versions differ only in
-    /// their endpoint lists.
+    /// The number of versions. It exceeds one only for merged intervals, whose versions differ only
+    /// in their endpoint lists.
     #[serde(rename = "versions")]
     pub version_count: u64,
     /// When the interval began.
--- a/crates/heathroad-membership/src/authentication.rs
+++ b/crates/heathroad-membership/src/authentication.rs
@@ -2,8 +2,8 @@
 //! are accepted. All others are counted and dropped.
 //!
 //! Replay protection needs no synchronized clocks: every datagram names the incarnation of its
-//! recipient, so a recording is rejected once the recipient has restarted, and within an incarnation
-//! each sequence number is accepted only once.
+//! recipient, so a recording is rejected once the recipient has restarted, and within an
+//! incarnation each sequence number is accepted only once.
 
 use crate::codec::{Reader, Writer};
 use crate::wire::{
@@ -96,7 +96,8 @@
         &self.fleet_name
     }
 
-    /// Appends the authentication tag to a datagram: a truncated HMAC-SHA-256 of all preceding bytes.
+    /// Appends the authentication tag to a datagram: a truncated HMAC-SHA-256 of all preceding
+    /// bytes.
     pub fn sign(&self, mut datagram: Writer) -> Vec<u8> {
         let mac = self.mac.clone().chain_update(datagram.as_slice());
         let tag = mac.finalize().into_bytes();
--- a/crates/heathroad-membership/src/claim.rs
+++ b/crates/heathroad-membership/src/claim.rs
@@ -1,6 +1,6 @@
 //! Claims about members, and the order between them. Any two claims about a member can be compared,
-//! and the one with the higher precedence wins. Members that have received the same claims therefore
-//! agree, whatever the order of arrival.
+//! and the one with the higher precedence wins. Members that have received the same claims
+//! therefore agree, whatever the order of arrival.
 
 use crate::{Incarnation, MemberId};
 use serde::Serialize;
@@ -77,8 +77,8 @@
 pub struct Precedence {
     /// A later incarnation overrides an earlier one.
     pub incarnation: Incarnation,
-    /// Within an incarnation, a final state overrides all others. This is the code of the final state,
-    /// and 0 for the other states.
+    /// Within an incarnation, a final state overrides all others. This is the code of the final
+    /// state, and 0 for the other states.
     pub final_state: u8,
     /// A later refutation overrides an earlier one.
     pub refutations: u16,
--- a/crates/heathroad-membership/src/desired_version.rs
+++ b/crates/heathroad-membership/src/desired_version.rs
@@ -1,6 +1,6 @@
 //! The version that all members should run: the highest generation of routes that any member has
-//! committed, and the deadlines by which generations are required. Two different sets of routes with
-//! the same generation are a conflict, which only a higher generation resolves.
+//! committed, and the deadlines by which generations are required. Two different sets of routes
+//! with the same generation are a conflict, which only a higher generation resolves.
 
 use crate::version::Digest;
 use crate::{MemberId, Millis};
@@ -32,8 +32,8 @@
     /// The generation.
     #[serde(rename = "number")]
     pub generation: u64,
-    /// The digest of its routes. A member that runs routes with this digest complies, whatever their
-    /// generation.
+    /// The digest of its routes. A member that runs routes with this digest complies, whatever
+    /// their generation.
     pub digest: Digest,
     /// The deadline on this member's clock.
     #[serde(rename = "at")]
@@ -54,17 +54,17 @@
     /// Merges a requirement, and returns whether that changes the effective requirements.
     pub fn merge(&mut self, new: RequiredVersion) -> bool {
         // A requirement for the same or a higher generation with no later deadline covers this one.
-        let latest = new.deadline.saturating_add(DEADLINE_TOLERANCE);
+        let latest_covering = new.deadline.saturating_add(DEADLINE_TOLERANCE);
         let is_covered = self
             .0
             .iter()
-            .any(|known| known.generation >= new.generation && known.deadline <= latest);
+            .any(|known| known.generation >= new.generation && known.deadline <= latest_covering);
         if is_covered {
-            let same = self
+            let same_generation = self
                 .0
                 .iter_mut()
                 .filter(|known| known.generation == new.generation);
-            same.for_each(|known| known.deadline = known.deadline.min(new.deadline));
+            same_generation.for_each(|known| known.deadline = known.deadline.min(new.deadline));
             return false;
         }
         self.0.retain(|known| {
@@ -116,7 +116,8 @@
         }
     }
 
-    /// Merges the desired version known to another member, and returns whether that changes this one.
+    /// Merges the desired version known to another member, and returns whether that changes this
+    /// one.
     pub fn merge(&mut self, other: Desired) -> bool {
         if other.generation() != self.generation() {
             let is_higher = other.generation() > self.generation();
@@ -135,9 +136,9 @@
             generation: self.generation(),
             digests: [lowest, second],
         });
-        let is_new = *self != conflict;
+        let is_changed = *self != conflict;
         *self = conflict;
-        is_new
+        is_changed
     }
 
     fn digests(&self) -> impl Iterator<Item = Digest> + use<> {
--- a/crates/heathroad-membership/src/lib.rs
+++ b/crates/heathroad-membership/src/lib.rs
@@ -1,6 +1,6 @@
-//! Fleet membership for proxies: which members are alive, which configuration version each one runs,
-//! and which version all of them should run. The protocol is a state machine without I/O; the caller
-//! supplies the clock and the sockets.
+//! Fleet membership for proxies: which members are alive, which configuration version each one
+//! runs, and which version all of them should run. The protocol is a state machine without I/O; the
+//! caller supplies the clock and the sockets.
 //!
 //! Modules, in the order in which an incoming datagram passes through them:
 //!
@@ -36,6 +36,6 @@
 /// A member's index in the fleet's list of addresses.
 pub type MemberId = u16;
 
-/// Identifies one process of a member: the Unix time in milliseconds at its start, or a larger value
-/// if the fleet already knows a later incarnation. A member's incarnations only increase.
+/// Identifies one process of a member: the Unix time in milliseconds at its start, or a larger
+/// value if the fleet already knows a later incarnation. A member's incarnations only increase.
 pub type Incarnation = u64;
--- a/crates/heathroad-membership/src/local_health.rs
+++ b/crates/heathroad-membership/src/local_health.rs
@@ -1,5 +1,5 @@
-//! The local health multiplier of Lifeguard: a member that may itself be faulty probes less often and
-//! waits longer before it suspects others.
+//! The local health multiplier of Lifeguard: a member that may itself be faulty probes less often
+//! and waits longer before it suspects others.
 
 /// The worst score, at which intervals and timeouts are nine times as long.
 const MAX_SCORE: u8 = 8;
--- a/crates/heathroad-membership/src/member_table.rs
+++ b/crates/heathroad-membership/src/member_table.rs
@@ -55,8 +55,8 @@
 }
 
 impl Member {
-    /// Creates a member in its initial state. The lowest protocol is used until the member announces
-    /// what it supports.
+    /// Creates a member in its initial state. The lowest protocol is used until the member
+    /// announces what it supports.
     fn unknown() -> Member {
         Member {
             state: MemberState::Unknown,
@@ -202,7 +202,8 @@
         }
     }
 
-    /// Stores the version that a member runs if it is later than the known one. Returns whether it is.
+    /// Stores the version that a member runs if it is later than the known one. Returns whether it
+    /// is.
     pub fn update_active_version(&mut self, id: MemberId, version: ActiveVersion) -> bool {
         let Some(member) = self.get_mut(id) else {
             return false;
@@ -252,13 +253,13 @@
 
     /// Postpones the deadlines of all suspicions, for a time in which this member could not receive
     /// refutations.
-    pub(crate) fn postpone_suspicions(&mut self, by: Millis) {
+    pub(crate) fn postpone_suspicions(&mut self, delay: Millis) {
         for suspicion in self
             .members
             .iter_mut()
             .filter_map(|member| member.suspicion.as_mut())
         {
-            suspicion.deadline = suspicion.deadline.saturating_add(by);
+            suspicion.deadline = suspicion.deadline.saturating_add(delay);
         }
     }
 }
--- a/crates/heathroad-membership/src/protocol/claims.rs
+++ b/crates/heathroad-membership/src/protocol/claims.rs
@@ -56,8 +56,8 @@
         (shortest, shortest * self.config.max_suspicion_factor)
     }
 
-    /// Declares members dead that did not refute a suspicion in time. Does nothing while this member
-    /// is isolated, since it would not receive refutations.
+    /// Declares members dead that did not refute a suspicion in time. Does nothing while this
+    /// member is isolated, since it would not receive refutations.
     pub(super) fn declare_expired_suspects_dead(&mut self, now: Millis) {
         if self.detector.is_isolated() {
             return;
--- a/crates/heathroad-membership/src/protocol/dissemination.rs
+++ b/crates/heathroad-membership/src/protocol/dissemination.rs
@@ -156,8 +156,8 @@
         self.transmissions.insert(subject, 0);
     }
 
-    /// Selects the updates for a datagram by priority: a claim that the recipient should refute, the
-    /// desired version and its requirements, updates being disseminated, and repetitions.
+    /// Selects the updates for a datagram by priority: a claim that the recipient should refute,
+    /// the desired version and its requirements, updates being disseminated, and repetitions.
     pub(super) fn select(
         &mut self,
         view: LocalView<'_>,
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Counts the first `sent` updates as sent, and ends the dissemination of those that have reached
-    /// the limit. The next repetitions start at the first one that was not sent.
+    /// Counts the first `sent` updates as sent, and ends the dissemination of those that have
+    /// reached the limit. The next repetitions start at the first one that was not sent.
     pub(super) fn record_sent(&mut self, selected: &[SelectedUpdate], sent: usize, members: u16) {
         let limit = (TRANSMISSIONS_FACTOR * f64::from(members.max(2)).log2()).ceil() as u32;
         let (sent, unsent) = selected.split_at(sent);
--- a/crates/heathroad-membership/src/protocol/event.rs
+++ b/crates/heathroad-membership/src/protocol/event.rs
@@ -56,8 +56,8 @@
         /// The digest of the version.
         digest: Digest,
     },
-    /// This member continues in a new incarnation, because others considered its previous one dead or
-    /// know a later one.
+    /// This member continues in a new incarnation, because others considered its previous one dead
+    /// or know a later one.
     #[serde(rename = "reborn")]
     Reincarnated {
         /// The new incarnation.
--- a/crates/heathroad-membership/src/protocol/failure_detector.rs
+++ b/crates/heathroad-membership/src/protocol/failure_detector.rs
@@ -6,7 +6,8 @@
 use crate::member_table::MemberTable;
 use crate::{MemberId, Millis};
 
-/// On average, one of this many probes targets a dead member, to detect that a partition has healed.
+/// On average, one of this many probes targets a member that is dead or has left, if there is one,
+/// to detect that a partition has healed.
 const DEAD_PROBE_INTERVAL: u32 = 3;
 /// A member is isolated when it has received nothing for this many probe periods. The local health
 /// multiplier does not extend this time, since the member would suspect others meanwhile.
@@ -101,8 +102,8 @@
         &self.rotation
     }
 
-    /// Chooses the next member to probe. Each member that is present or unknown is chosen once in each
-    /// round.
+    /// Chooses the next member to probe. Each member that is present or unknown is chosen once in
+    /// each round.
     pub(super) fn next_target(
         &mut self,
         members: &MemberTable,
@@ -241,8 +242,8 @@
         &mut self.health
     }
 
-    /// Cancels all probes after a stall of this member. Their timeouts have expired, but replies may be
-    /// waiting in the socket's buffer.
+    /// Cancels all probes after a stall of this member. Their timeouts have expired, but replies
+    /// may be waiting in the socket's buffer.
     pub(super) fn resume_after_stall(&mut self, now: Millis, stalled_for: Millis, pause: Millis) {
         self.probe = None;
         self.indirect_probes.clear();
--- a/crates/heathroad-membership/src/protocol/mod.rs
+++ b/crates/heathroad-membership/src/protocol/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! Each component owns its state: the failure detector owns the probes; dissemination, the updates
 //! to be sent; version agreement, the desired and the known versions; fetches and the resource
-//! server, resource transfers; the piggyback channel, messages of other protocols; and the transport,
-//! outgoing datagrams, rate limits and traffic counters. [`Membership`] connects them.
+//! server, resource transfers; the piggyback channel, messages of other protocols; and the
+//! transport, outgoing datagrams, rate limits and traffic counters. [`Membership`] connects them.
 
 mod claims;
 mod config;
--- a/crates/heathroad-membership/src/protocol/piggyback.rs
+++ b/crates/heathroad-membership/src/protocol/piggyback.rs
@@ -1,5 +1,5 @@
-//! The piggyback channel carries messages of other protocols in authenticated datagrams. A message is
-//! addressed to one incarnation of its recipient, and is delivered at most once.
+//! The piggyback channel carries messages of other protocols in authenticated datagrams. A message
+//! is addressed to one incarnation of its recipient, and is delivered at most once.
 
 use crate::wire::Update;
 use crate::{Incarnation, MemberId};
--- a/crates/heathroad-membership/src/protocol/probe.rs
+++ b/crates/heathroad-membership/src/protocol/probe.rs
@@ -1,5 +1,5 @@
-//! Datagrams that a member initiates: probes, requests for indirect probes, gossip, and requests for
-//! versions.
+//! Datagrams that a member initiates: probes, requests for indirect probes, gossip, and requests
+//! for versions.
 
 use super::membership::Membership;
 use crate::claim::{Claim, MemberState};
@@ -20,8 +20,8 @@
         self.send(now, target, Message::Ping { nonce });
     }
 
-    /// Requests indirect probes when the ack timeout expires, and evaluates the probe at the end of its
-    /// period.
+    /// Requests indirect probes when the ack timeout expires, and evaluates the probe at the end of
+    /// its period.
     pub(super) fn advance_probe(&mut self, now: Millis) {
         let Some(target) = self.detector.probe().map(|probe| probe.target) else {
             return;
@@ -124,7 +124,8 @@
     /// requests and replies can be lost.
     pub(super) fn request_unknown_versions(&mut self, now: Millis) {
         let mut unknown = self.agreement.unknown_versions(self.id, &self.members);
-        // Selects a random member for each version, to spread the requests over the members that run it.
+        // Selects a random member for each version, to spread the requests over the members that
+        // run it.
         self.rng.shuffle(&mut unknown);
         unknown.sort_by_key(|(digest, _)| *digest);
         unknown.dedup_by_key(|(digest, _)| *digest);
--- a/crates/heathroad-membership/src/protocol/receive.rs
+++ b/crates/heathroad-membership/src/protocol/receive.rs
@@ -21,43 +21,45 @@
             return;
         };
         let sender = self.members.get(header.sender);
-        let known = sender.map(|member| member.revision.incarnation);
+        let known_incarnation = sender.map(|member| member.revision.incarnation);
         let is_for_us = header.recipient == self.id && header.sender != self.id;
-        let Some(known) = known.filter(|_| is_for_us) else {
+        let Some(known_incarnation) = known_incarnation.filter(|_| is_for_us) else {
             self.transport.traffic_mut().dropped.misaddressed += 1;
             return;
         };
-        self.receive_from_member(now, &header, known, &mut content);
+        self.receive_from_member(now, &header, known_incarnation, &mut content);
     }
 
     fn receive_from_member(
         &mut self,
         now: Millis,
         header: &Header,
-        known: Incarnation,
+        known_incarnation: Incarnation,
         content: &mut Reader<'_>,
     ) {
         let Ok((message, updates)) = wire::decode_content(content) else {
             self.transport.traffic_mut().dropped.malformed += 1;
             return;
         };
-        let own = self.revision.incarnation;
-        if header.recipient_incarnation > own {
+        let own_incarnation = self.revision.incarnation;
+        if header.recipient_incarnation > own_incarnation {
             // The fleet knows a later incarnation of this member, because its clock was set back
             // between restarts.
             self.transport.traffic_mut().dropped.stale += 1;
             return self.reincarnate(now, header.recipient_incarnation);
         }
-        if header.recipient_incarnation < own || header.sender_incarnation < known {
-            return self.handle_unconfirmed(now, header, known, message);
+        if header.recipient_incarnation < own_incarnation
+            || header.sender_incarnation < known_incarnation
+        {
+            return self.handle_unconfirmed(now, header, known_incarnation, message);
         }
-        if self.accept(now, header, known) {
+        if self.accept(now, header, known_incarnation) {
             self.process(now, header, message, updates);
         }
     }
 
     /// Checks the sequence number of a datagram, and records that its sender is alive.
-    fn accept(&mut self, now: Millis, header: &Header, known: Incarnation) -> bool {
+    fn accept(&mut self, now: Millis, header: &Header, known_incarnation: Incarnation) -> bool {
         let Some(member) = self.members.get_mut(header.sender) else {
             return false;
         };
@@ -72,7 +74,7 @@
         if self.detector.record_heard(now) {
             self.events.push(Event::Reconnected);
         }
-        if header.sender_incarnation > known {
+        if header.sender_incarnation > known_incarnation {
             let claim = Claim {
                 member: header.sender,
                 state: MemberState::Alive,
@@ -121,25 +123,25 @@
         &mut self,
         now: Millis,
         header: &Header,
-        known: Incarnation,
+        known_incarnation: Incarnation,
         message: Message,
     ) {
         if header.recipient_incarnation != 0 {
             self.transport.traffic_mut().dropped.stale += 1;
         }
         if let Message::Ping { nonce } = message {
-            let incarnation = known.max(header.sender_incarnation);
+            let incarnation = known_incarnation.max(header.sender_incarnation);
             self.send_without_updates(now, header.sender, incarnation, Message::Ack { nonce });
         }
-        if header.sender_incarnation > known && self.try_challenge(now, header.sender) {
+        if header.sender_incarnation > known_incarnation && self.try_challenge(now, header.sender) {
             let nonce = self.rng.u32(..);
             let incarnation = header.sender_incarnation;
             self.send_without_updates(now, header.sender, incarnation, Message::Ping { nonce });
         }
     }
 
-    /// Returns whether a member that names an unconfirmed incarnation may be probed now, at most once
-    /// per probe period.
+    /// Returns whether a member that names an unconfirmed incarnation may be probed now, at most
+    /// once per probe period.
     fn try_challenge(&mut self, now: Millis, id: MemberId) -> bool {
         let period = self.config.probe_period;
         let Some(member) = self.members.get_mut(id) else {
@@ -218,7 +220,8 @@
                     }));
                 }
             }
-            // Bytes belong to parts of resources and to piggybacked messages, which are handled before.
+            // Bytes belong to parts of resources and to piggybacked messages, which are handled
+            // before.
             Update::Bytes(_) => {}
         }
     }
--- a/crates/heathroad-membership/src/protocol/report.rs
+++ b/crates/heathroad-membership/src/protocol/report.rs
@@ -38,16 +38,16 @@
     /// How long the member has been in this state.
     #[serde(rename = "for_ms")]
     pub state_age_ms: Millis,
-    /// The time since a datagram from the member was last accepted; `None` if there was none, or for
-    /// the reporting member itself.
+    /// The time since a datagram from the member was last accepted; `None` if there was none, or
+    /// for the reporting member itself.
     #[serde(rename = "heard_ms")]
     pub last_heard_ago_ms: Option<Millis>,
     /// The members that suspect it.
     pub accusers: Vec<MemberId>,
     /// The lowest and the highest protocol version that it supports.
     pub protocols: [u8; 2],
-    /// The digest of the version that the member runs, and the sequence number of the version in its
-    /// incarnation.
+    /// The digest of the version that the member runs, and the sequence number of the version in
+    /// its incarnation.
     #[serde(rename = "acts")]
     pub active_version: Option<(Digest, u32)>,
     /// The version in full, if known.
--- a/crates/heathroad-membership/src/protocol/resource_server.rs
+++ b/crates/heathroad-membership/src/protocol/resource_server.rs
@@ -1,5 +1,5 @@
-//! Serves resources to other members. The bytes of a resource are kept for the duration of a fetch, so
-//! that all parts belong to the same state.
+//! Serves resources to other members. The bytes of a resource are kept for the duration of a fetch,
+//! so that all parts belong to the same state.
 
 use super::fetch::{MAX_RESOURCE_BYTES, NOT_FOUND_LENGTH, PART_BYTES};
 use crate::MemberId;
--- a/crates/heathroad-membership/src/protocol/resources.rs
+++ b/crates/heathroad-membership/src/protocol/resources.rs
@@ -11,8 +11,8 @@
 
 impl Membership {
     /// Starts to fetch a resource from a member. Returns the identifier under which
-    /// [`Membership::completed_fetches`] reports the result, or `None` if `from` is not another member
-    /// or too many fetches are in progress.
+    /// [`Membership::completed_fetches`] reports the result, or `None` if `from` is not another
+    /// member or too many fetches are in progress.
     pub fn fetch(
         &mut self,
         now: Millis,
@@ -60,10 +60,10 @@
         self.send_updates(now, Channel::Resource, recipient, message, &updates);
     }
 
-    /// Sends a message of another protocol. The message is dropped if it is too long, if `to` is not
-    /// another member, or if the rate limit is exceeded. Messages may be lost, delayed or reordered,
-    /// but are delivered at most once, and never to a later incarnation of the recipient than the one
-    /// known here.
+    /// Sends a message of another protocol. The message is dropped if it is too long, if `to` is
+    /// not another member, or if the rate limit is exceeded. Messages may be lost, delayed or
+    /// reordered, but are delivered at most once, and never to a later incarnation of the recipient
+    /// than the one known here.
     pub fn send_message(&mut self, now: Millis, to: MemberId, bytes: Vec<u8>) {
         let is_member = self.members.get(to).is_some();
         if !is_member || to == self.id || bytes.len() > MAX_MESSAGE_BYTES {
--- a/crates/heathroad-membership/src/protocol/transport.rs
+++ b/crates/heathroad-membership/src/protocol/transport.rs
@@ -82,8 +82,8 @@
         self.transmits.drain(..)
     }
 
-    /// Queues a message with as many updates as fit. Returns the number of these updates, or `None` if
-    /// the rate limit is exceeded.
+    /// Queues a message with as many updates as fit. Returns the number of these updates, or `None`
+    /// if the rate limit is exceeded.
     pub(super) fn send(
         &mut self,
         now: Millis,
--- a/crates/heathroad-membership/src/protocol/version_agreement.rs
+++ b/crates/heathroad-membership/src/protocol/version_agreement.rs
@@ -1,5 +1,5 @@
-//! Version agreement: the desired version, the required versions, the versions known in full, and the
-//! time of the latest confirmed contact with another member.
+//! Version agreement: the desired version, the required versions, the versions known in full, and
+//! the time of the latest confirmed contact with another member.
 
 use crate::claim::MemberState;
 use crate::desired_version::{Desired, RequiredVersion, RequiredVersions};
@@ -36,7 +36,8 @@
         self.desired
     }
 
-    /// Merges the desired version known to another member, and returns whether that changes this one.
+    /// Merges the desired version known to another member, and returns whether that changes this
+    /// one.
     pub(super) fn merge_desired(&mut self, desired: Desired) -> bool {
         self.desired.merge(desired)
     }
@@ -60,7 +61,8 @@
         self.known.get(&digest)
     }
 
-    /// Stores a version in full. If the limit is reached, versions that no member runs are discarded.
+    /// Stores a version in full. If the limit is reached, versions that no member runs are
+    /// discarded.
     pub(super) fn store(&mut self, version: Version, members: &MemberTable) {
         if self.known.len() >= MAX_KNOWN_VERSIONS {
             let active: Vec<Digest> = members.active_digests().collect();
@@ -86,8 +88,8 @@
             .collect()
     }
 
-    /// Returns the versions that other alive members run and of which only the digest is known, each
-    /// with a member that runs it.
+    /// Returns the versions that other alive members run and of which only the digest is known,
+    /// each with a member that runs it.
     pub(super) fn unknown_versions(
         &self,
         own: MemberId,
--- a/crates/heathroad-membership/src/protocol/versions.rs
+++ b/crates/heathroad-membership/src/protocol/versions.rs
@@ -32,8 +32,8 @@
         self.members.get(self.id)?.active_version
     }
 
-    /// Disseminates that this member has committed a generation, and optionally that all members are
-    /// required to run it within a time.
+    /// Disseminates that this member has committed a generation, and optionally that all members
+    /// are required to run it within a time.
     pub fn propose_version(
         &mut self,
         now: Millis,
--- a/crates/heathroad-membership/src/rate_limit.rs
+++ b/crates/heathroad-membership/src/rate_limit.rs
@@ -2,12 +2,14 @@
 
 use crate::Millis;
 
-/// One token in the bucket's unit of a thousandth, which avoids fractions when refilling.
-const TOKEN: u64 = 1000;
+/// Tokens are counted in thousandths, so that a refill after a millisecond is a whole number.
+const UNITS_PER_TOKEN: u64 = 1000;
+const MILLIS_PER_SECOND: u64 = 1000;
 
 /// A token bucket with a capacity of one second's tokens.
 #[derive(Debug, Clone)]
 pub(crate) struct RateLimiter {
+    /// In units of [`UNITS_PER_TOKEN`], as is `available`.
     capacity: u64,
     available: u64,
     refilled_at: Millis,
@@ -16,7 +18,7 @@
 impl RateLimiter {
     /// Creates a full bucket that permits `per_second` datagrams per second and in a burst.
     pub(crate) fn new(now: Millis, per_second: u32) -> RateLimiter {
-        let capacity = u64::from(per_second) * TOKEN;
+        let capacity = u64::from(per_second) * UNITS_PER_TOKEN;
         RateLimiter {
             capacity,
             available: capacity,
@@ -26,15 +28,14 @@
 
     /// Takes a token, and returns whether one was available.
     pub(crate) fn try_acquire(&mut self, now: Millis) -> bool {
-        // Each millisecond refills a thousandth of the capacity.
         let elapsed = now.saturating_sub(self.refilled_at);
-        let refill = elapsed.saturating_mul(self.capacity / TOKEN);
+        let refill = elapsed.saturating_mul(self.capacity / MILLIS_PER_SECOND);
         self.available = self.available.saturating_add(refill).min(self.capacity);
         self.refilled_at = now;
-        if self.available < TOKEN {
+        if self.available < UNITS_PER_TOKEN {
             return false;
         }
-        self.available -= TOKEN;
+        self.available -= UNITS_PER_TOKEN;
         true
     }
 }
--- a/crates/heathroad-membership/src/replay_window.rs
+++ b/crates/heathroad-membership/src/replay_window.rs
@@ -2,8 +2,8 @@
 
 use crate::Incarnation;
 
-/// A sliding window over the sequence numbers received from one incarnation of a sender: the highest
-/// number, and which of the 63 numbers below it were received.
+/// A sliding window over the sequence numbers received from one incarnation of a sender: the
+/// highest number, and which of the 63 numbers below it were received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct ReplayWindow {
     incarnation: Incarnation,
@@ -13,8 +13,8 @@
 }
 
 impl ReplayWindow {
-    /// Returns whether a sequence number is new. Numbers below the window are rejected, since they may
-    /// have been received before.
+    /// Returns whether a sequence number is new. Numbers below the window are rejected, since they
+    /// may have been received before.
     pub(crate) fn accept(&mut self, incarnation: Incarnation, sequence: u32) -> bool {
         if incarnation != self.incarnation {
             // The caller has already rejected datagrams of earlier incarnations.
--- a/crates/heathroad-membership/src/version.rs
+++ b/crates/heathroad-membership/src/version.rs
@@ -1,5 +1,6 @@
-//! The version that a proxy runs: its build, settings, routes and endpoint lists. Members disseminate
-//! the digest of a version; the version itself is sent on request and always fits into one datagram.
+//! The version that a proxy runs: its build, settings, routes and endpoint lists. Members
+//! disseminate the digest of a version; the version itself is sent on request and always fits into
+//! one datagram.
 
 use crate::codec::{DecodeError, Reader, Writer};
 use serde::{Deserialize, Serialize};
@@ -99,8 +100,8 @@
 }
 
 impl Version {
-    /// Truncates the build name and the list of sources to their limits, and counts the sources that
-    /// are no longer listed.
+    /// Truncates the build name and the list of sources to their limits, and counts the sources
+    /// that are no longer listed.
     pub fn bounded(mut self) -> Version {
         while self.build.len() > MAX_BUILD_BYTES {
             self.build.pop();
--- a/crates/heathroad-membership/src/wire/message.rs
+++ b/crates/heathroad-membership/src/wire/message.rs
@@ -38,8 +38,8 @@
         /// The member to probe.
         target: MemberId,
     },
-    /// Reports that the target of a [`Message::PingRequest`] did not reply in time. It also shows that
-    /// the helper itself is reachable.
+    /// Reports that the target of a [`Message::PingRequest`] did not reply in time. It also shows
+    /// that the helper itself is reachable.
     Nack {
         /// The nonce of the [`Message::PingRequest`].
         nonce: u32,
@@ -89,8 +89,8 @@
     Routes = 2,
     /// The history of lease holders as known to a proxy.
     LeaseHistory = 3,
-    /// The records of the fleet's audit collector, identified by digest; a zero digest stands for the
-    /// current ones.
+    /// The records of the fleet's audit collector, identified by digest; a zero digest stands for
+    /// the current ones.
     CollectedRecords = 4,
 }
 
--- a/crates/heathroad-membership/src/wire/mod.rs
+++ b/crates/heathroad-membership/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The datagram format: a header, a message, any number of updates, and the authentication tag, in at
-//! most [`MAX_DATAGRAM_BYTES`]. A datagram that cannot be decoded completely is dropped.
+//! The datagram format: a header, a message, any number of updates, and the authentication tag, in
+//! at most [`MAX_DATAGRAM_BYTES`]. A datagram that cannot be decoded completely is dropped.
 //! `docs/specs/membership-datagrams.md` specifies the format.
 
 mod header;
@@ -27,8 +27,8 @@
     (highest >= lowest).then_some(highest)
 }
 
-/// Encodes a message and as many of the updates, in order, as fit into `capacity` bytes. Returns the
-/// number of encoded updates.
+/// Encodes a message and as many of the updates, in order, as fit into `capacity` bytes. Returns
+/// the number of encoded updates.
 pub fn encode_content(
     message: Message,
     updates: &[Update],
--- a/crates/heathroad-membership/tests/activity_record.rs
+++ b/crates/heathroad-membership/tests/activity_record.rs
@@ -1,5 +1,5 @@
-//! Tests of the activity record: activity counts towards the interval in which its request was bound,
-//! even if the interval is merged or discarded.
+//! Tests of the activity record: activity counts towards the interval in which its request was
+//! bound, even if the interval is merged or discarded.
 
 mod common;
 
@@ -70,8 +70,8 @@
         ),
         (200, None, 1, 7)
     );
-    // Setting the same version again continues the interval; returning to an earlier one starts a new
-    // interval.
+    // Setting the same version again continues the interval; returning to an earlier one starts a
+    // new interval.
     assert!(Rc::ptr_eq(&record.begin_interval(450, version(2)), &second));
     assert!(!Rc::ptr_eq(&record.begin_interval(500, version(1)), &first));
 }
@@ -185,8 +185,8 @@
 }
 
 proptest! {
-    /// For any sequence of versions and any delay between binding and activity, the counts add up and
-    /// the intervals are contiguous.
+    /// For any sequence of versions and any delay between binding and activity, the counts add up
+    /// and the intervals are contiguous.
     #[test]
     fn all_activity_is_accounted_for(steps in prop::collection::vec((0..6_u64, 0..40_u64, 0..8_usize), 1..900)) {
         let mut record = ActivityRecord::new(0, 1, None);
--- a/crates/heathroad-membership/tests/claims.rs
+++ b/crates/heathroad-membership/tests/claims.rs
@@ -78,8 +78,8 @@
 /// subset of the claims in any order.
 struct ClaimModel;
 
-/// The claims so far, the member's own revision, and the indices of the claims that each observer has
-/// received.
+/// The claims so far, the member's own revision, and the indices of the claims that each observer
+/// has received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct History {
     revision: Revision,
--- a/crates/heathroad-membership/tests/common/mod.rs
+++ b/crates/heathroad-membership/tests/common/mod.rs
@@ -212,8 +212,8 @@
         self.run_until(end, |_| false);
     }
 
-    /// Runs the simulation until a condition holds, and returns the time; `None` if it does not hold by
-    /// `end`.
+    /// Runs the simulation until a condition holds, and returns the time; `None` if it does not
+    /// hold by `end`.
     pub fn run_until(
         &mut self,
         end: Millis,
--- a/crates/heathroad-membership/tests/desired_version.rs
+++ b/crates/heathroad-membership/tests/desired_version.rs
@@ -60,8 +60,8 @@
         prop_assert_eq!(merged(&updates), merged(&shuffled));
     }
 
-    /// The merged requirements permit the same generations as all of them together, except where the
-    /// limit forced the lowest ones to be dropped.
+    /// The merged requirements permit the same generations as all of them together, except where
+    /// the limit forced the lowest ones to be dropped.
     #[test]
     fn merging_drops_only_the_lowest_requirements(updates in any_requirements()) {
         let (mut kept, mut dropped) = (RequiredVersions::default(), Vec::new());
@@ -114,8 +114,8 @@
     fleet.member(member).desired()
 }
 
-/// Deadlines travel as remaining time, so only network delay shifts them. They stay in effect when a
-/// higher generation becomes desired that is not required.
+/// Deadlines travel as remaining time, so only network delay shifts them. They stay in effect when
+/// a higher generation becomes desired that is not required.
 #[test]
 fn a_deadline_is_the_same_for_all_members_and_stays() {
     let mut fleet = SimulatedFleet::new(24, 3);
@@ -151,8 +151,8 @@
     }
 }
 
-/// Both sides of a partition commit the same generation. After the partition heals, all members know
-/// of the conflict until a higher generation resolves it.
+/// Both sides of a partition commit the same generation. After the partition heals, all members
+/// know of the conflict until a higher generation resolves it.
 #[test]
 fn a_conflict_lasts_until_a_higher_generation() {
     let mut fleet = SimulatedFleet::new(8, 4);
--- a/crates/heathroad-membership/tests/golden_trace.rs
+++ b/crates/heathroad-membership/tests/golden_trace.rs
@@ -1,4 +1,5 @@
-//! Golden test of a simulated fleet: for fixed seeds, all datagrams, events and reports are unchanged.
+//! Golden test of a simulated fleet: for fixed seeds, all datagrams, events and reports are
+//! unchanged.
 
 mod common;
 
@@ -190,8 +191,8 @@
     }
 }
 
-/// Runs a fleet through version changes, fetches, a stall, a partition, a crash with a clock set back,
-/// and a shutdown.
+/// Runs a fleet through version changes, fetches, a stall, a partition, a crash with a clock set
+/// back, and a shutdown.
 fn trace(seed: u64) -> String {
     let mut trace = Trace::new(seed);
     trace.run_to(10_000);
--- a/crates/heathroad-membership/tests/hostile_datagrams.rs
+++ b/crates/heathroad-membership/tests/hostile_datagrams.rs
@@ -65,7 +65,8 @@
     fleet
 }
 
-/// Random bytes, flipped bits, truncated and extended datagrams, other fleets, wrong keys, and replays.
+/// Random bytes, flipped bits, truncated and extended datagrams, other fleets, wrong keys, and
+/// replays.
 #[test]
 fn hostile_datagrams_change_nothing() {
     let mut fleet = converged_fleet();
--- a/crates/heathroad-membership/tests/membership.rs
+++ b/crates/heathroad-membership/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Tests of failure detection and dissemination in simulated fleets with crashes, stalls, partitions and
-//! restarts.
+//! Tests of failure detection and dissemination in simulated fleets with crashes, stalls,
+//! partitions and restarts.
 
 mod common;
 
@@ -298,7 +298,8 @@
         .expect("the members converge");
 }
 
-/// In a large fleet, the rate of datagrams per member and the length of datagrams stay within limits.
+/// In a large fleet, the rate of datagrams per member and the length of datagrams stay within
+/// limits.
 #[test]
 fn three_hundred_members_stay_within_limits() {
     let mut fleet = SimulatedFleet::new(300, 11);
