--- a/crates/heathroad-membership/src/protocol/tests/version_agreement.rs
+++ b/crates/heathroad-membership/src/protocol/tests/version_agreement.rs
@@ -17,12 +17,12 @@
     assert!(agreement.awaits_confirmation(349, 250));
     assert!(!agreement.awaits_confirmation(350, 250));
     agreement.acknowledge(8);
-    assert_eq!(agreement.confirmed(), None);
+    assert_eq!(agreement.last_confirmed(), None);
     agreement.acknowledge(7);
-    assert_eq!(agreement.confirmed(), Some(100));
+    assert_eq!(agreement.last_confirmed(), Some(100));
     agreement.record_confirmation(50);
     assert_eq!(
-        agreement.confirmed(),
+        agreement.last_confirmed(),
         Some(100),
         "an older confirmation changes nothing"
     );
@@ -35,9 +35,9 @@
         agreement.begin_confirmation(u64::from(nonce), nonce);
     }
     agreement.acknowledge(0);
-    assert_eq!(agreement.confirmed(), None);
+    assert_eq!(agreement.last_confirmed(), None);
     agreement.acknowledge(1);
-    assert_eq!(agreement.confirmed(), Some(1));
+    assert_eq!(agreement.last_confirmed(), Some(1));
 }
 
 #[test]
--- a/crates/heathroad-membership/src/protocol/version_agreement.rs
+++ b/crates/heathroad-membership/src/protocol/version_agreement.rs
@@ -27,7 +27,7 @@
     desired: Desired,
     required: RequiredVersions,
     /// The start of the latest acknowledged probe.
-    confirmed: Option<Millis>,
+    last_confirmed: Option<Millis>,
     pending_confirmations: VecDeque<PendingConfirmation>,
 }
 
@@ -103,13 +103,13 @@
             .collect()
     }
 
-    pub(super) fn confirmed(&self) -> Option<Millis> {
-        self.confirmed
+    pub(super) fn last_confirmed(&self) -> Option<Millis> {
+        self.last_confirmed
     }
 
     /// Records that a probe started at this time was acknowledged.
     pub(super) fn record_confirmation(&mut self, started_at: Millis) {
-        self.confirmed = self.confirmed.max(Some(started_at));
+        self.last_confirmed = self.last_confirmed.max(Some(started_at));
     }
 
     /// Whether the latest probe for a confirmation was started less than `timeout` ago.
--- a/crates/heathroad-membership/src/protocol/versions.rs
+++ b/crates/heathroad-membership/src/protocol/versions.rs
@@ -94,12 +94,12 @@
 
     /// Returns the start of the latest acknowledged probe. Acks carry the desired version and the
     /// requirements known to the replying member, except in reply to an outdated incarnation.
-    pub fn confirmed(&self) -> Option<Millis> {
-        self.agreement.confirmed()
+    pub fn last_confirmed(&self) -> Option<Millis> {
+        self.agreement.last_confirmed()
     }
 
     /// Probes a random member in addition to the periodic probes, to advance
-    /// [`Membership::confirmed`].
+    /// [`Membership::last_confirmed`].
     pub fn request_confirmation(&mut self, now: Millis) {
         let timeout = self.config.ack_timeout;
         if self.agreement.awaits_confirmation(now, timeout) {
--- a/crates/heathroad-membership/tests/golden_trace.rs
+++ b/crates/heathroad-membership/tests/golden_trace.rs
@@ -178,7 +178,7 @@
             };
             let report = serde_json::json!({
                 "members": membership.member_views(now), "traffic": membership.traffic(), "doubt": membership.health_multiplier(),
-                "cut_off": membership.is_isolated(), "silent_ms": membership.silent_for(now), "confirmed": membership.confirmed(),
+                "cut_off": membership.is_isolated(), "silent_ms": membership.silent_for(now), "confirmed": membership.last_confirmed(),
                 "majority": membership.sees_majority(), "incarnation": membership.revision(),
                 "wanted": membership.desired(), "required": membership.required(),
                 "highest": membership.highest_generation(),
--- a/crates/heathroad/src/membership/service.rs
+++ b/crates/heathroad/src/membership/service.rs
@@ -207,12 +207,12 @@
     }
 
     fn renew_confirmation(&self, now: Millis, span: Duration, membership: &mut Membership) {
-        let age = now.saturating_sub(membership.confirmed().unwrap_or(0));
+        let age = now.saturating_sub(membership.last_confirmed().unwrap_or(0));
         let interval = (span / CONFIRMATIONS_PER_SPAN).as_millis();
         if age >= u64::try_from(interval).unwrap_or(u64::MAX) {
             membership.request_confirmation(now);
         }
-        let confirmed = membership.confirmed();
+        let confirmed = membership.last_confirmed();
         let confirmed = confirmed.filter(|_| membership.sees_majority());
         self.activity_log
             .set_sure_until(confirmed.map(|at| self.instant(at) + span));
