--- a/crates/heathroad-retry-budget/src/allowance.rs
+++ b/crates/heathroad-retry-budget/src/allowance.rs
@@ -1,18 +1,18 @@
-//! The arithmetic of retry allowances. An issuer grants retries where a request enters the chain,
-//! and the allowance is spent by whichever proxy retries, delegated to calls below, and settled
-//! when they end. Each operation moves retries or loses them; none creates any.
+//! Accounting of retry allowances. An issuer grants retries where a request enters the call chain.
+//! Proxies spend the allowance on retries and delegate parts of it to downstream calls, which are
+//! settled when they end. Every operation conserves or loses retries; none creates any.
 
 use crate::wire::{MAX_RETRIES, RetriesSpent};
 
 /// Weight of one request in the smoothed ratio of spent to granted retries.
 const SPENT_RATIO_SMOOTHING: f64 = 0.05;
 
-/// Issues retries as a ratio of first attempts, over all tiers, which bounds the retries of a chain
-/// where it begins.
+/// Issues retries in proportion to first attempts, which bounds the retries of all tiers at the
+/// entry of the call chain.
 ///
-/// Retries that are granted and not yet known to be spent are reserved only in the ratio in which
-/// granted retries were lately spent. While nearly none are spent, every request may be granted
-/// some; in an outage, when all are spent, no more are granted than there are.
+/// Outstanding retries are reserved in proportion to the recent spent ratio. While few are spent,
+/// every request can be granted some; in an outage, when all are spent, grants are limited to the
+/// available tokens.
 #[derive(Debug, Clone)]
 pub struct Issuer {
     retry_ratio: f64,
@@ -25,8 +25,8 @@
 }
 
 impl Issuer {
-    /// Returns an issuer of `retry_ratio` retries for each first attempt in the long run, and of
-    /// `burst` at once. Negative and non-finite values count as 0.
+    /// Returns an issuer that grants `retry_ratio` retries per first attempt in the long run, with
+    /// bursts of up to `burst`. Negative and non-finite values count as 0.
     pub fn new(retry_ratio: f64, burst: f64) -> Issuer {
         let non_negative = |x: f64| if x.is_finite() { x.max(0.0) } else { 0.0 };
         let burst = non_negative(burst);
@@ -39,16 +39,16 @@
         }
     }
 
-    /// Records a first attempt and grants it the retries that it asks for, as far as there are any.
-    pub fn issue(&mut self, wanted: u16) -> Allowance {
+    /// Records a first attempt and grants it up to `requested` retries, as far as available.
+    pub fn issue(&mut self, requested: u16) -> Allowance {
         self.tokens = (self.tokens + self.retry_ratio).min(self.burst.max(1.0));
         let available = (self.tokens - self.outstanding * self.spent_ratio).max(0.0);
-        let granted = wanted.min(MAX_RETRIES).min(available as u16);
+        let granted = requested.min(MAX_RETRIES).min(available as u16);
         self.outstanding += f64::from(granted);
         Allowance::new(granted)
     }
 
-    /// Takes back the allowance of a request that has ended; the retries that it spent are gone.
+    /// Reclaims the allowance of a completed request and deducts the retries that it spent.
     pub fn reclaim(&mut self, allowance: Allowance) {
         let granted = f64::from(allowance.granted);
         let spent = f64::from(allowance.granted - allowance.remaining);
@@ -60,19 +60,19 @@
     }
 }
 
-/// The retries that one request may still spend, here and below.
+/// The retries that one request may still spend, in this tier and downstream.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Allowance {
     granted: u16,
     remaining: u16,
-    /// A tier below has reported that no further retry can help.
+    /// A downstream tier has reported that further retries cannot succeed.
     stopped: bool,
 }
 
-/// The retries that a call below may spend. It cannot be copied: it is settled once, or its retries
-/// are lost.
+/// The retries that a downstream call may spend. It is not copyable: it is settled once, or its
+/// retries are lost.
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "a delegation that is not settled is spent"]
+#[must_use = "an unsettled delegation counts as spent"]
 pub struct Delegation(u16);
 
 impl Delegation {
@@ -83,7 +83,7 @@
 }
 
 impl Allowance {
-    /// Returns an allowance of so many retries, at most [`MAX_RETRIES`].
+    /// Returns an allowance of `granted` retries, capped at [`MAX_RETRIES`].
     pub fn new(granted: u16) -> Allowance {
         let granted = granted.min(MAX_RETRIES);
         Allowance {
@@ -93,27 +93,27 @@
         }
     }
 
-    /// Returns the retries that are neither spent nor delegated.
+    /// Returns the number of retries that are neither spent nor delegated.
     pub fn remaining(&self) -> u16 {
         self.remaining
     }
 
-    /// Returns the retries that may still be sent from here: none once a tier below has reported
-    /// that none can help.
+    /// Returns the number of retries that this tier may still send: 0 once a downstream tier has
+    /// reported that retries cannot succeed.
     pub fn usable(&self) -> u16 {
         if self.stopped { 0 } else { self.remaining }
     }
 
-    /// Spends a retry, and returns whether one was usable.
+    /// Spends one retry; returns false if none is usable.
     pub fn try_spend(&mut self) -> bool {
         let may_retry = self.usable() > 0;
         self.remaining -= u16::from(may_retry);
         may_retry
     }
 
-    /// Delegates all retries but one, which stays for the case that the called server is lost with
-    /// its delegation. The last one is delegated too, since a retry further down repeats the least
-    /// work.
+    /// Delegates all retries but one, which is kept in case the called server fails and its
+    /// delegation is lost. A single remaining retry is delegated, since retrying further downstream
+    /// repeats less work.
     pub fn delegate_most(&mut self) -> Delegation {
         self.delegate(if self.remaining > 1 {
             self.remaining - 1
@@ -122,24 +122,22 @@
         })
     }
 
-    /// Delegates at most so many retries to a call below. The nearer a retry is to what fails, the
-    /// more it can help and the less it repeats: a single call is delegated all, parallel calls
-    /// share.
-    pub fn delegate(&mut self, most: u16) -> Delegation {
-        let delegated = most.min(self.remaining);
+    /// Delegates at most `max` retries to a downstream call. Parallel calls share the retries.
+    pub fn delegate(&mut self, max: u16) -> Delegation {
+        let delegated = max.min(self.remaining);
         self.remaining -= delegated;
         Delegation(delegated)
     }
 
-    /// Takes back what a call below has not spent. All of it counts as spent where the call
-    /// reported nothing, or more than it was delegated.
+    /// Returns the unspent retries of a delegation to the allowance. All count as spent if the call
+    /// reported nothing or more than was delegated.
     pub fn settle(&mut self, delegation: Delegation, reported: Option<RetriesSpent>) {
         let spent = reported.map_or(delegation.0, |report| report.retries.min(delegation.0));
         self.remaining += delegation.0 - spent;
         self.stopped |= reported.is_some_and(|report| report.stop);
     }
 
-    /// Returns the report for the tier above; `stop` says that no further retry can help.
+    /// Returns the report for the upstream tier; `stop` states that further retries cannot succeed.
     pub fn retries_spent(&self, stop: bool) -> RetriesSpent {
         RetriesSpent {
             retries: self.granted - self.remaining,
--- a/crates/heathroad-retry-budget/src/id_generator.rs
+++ b/crates/heathroad-retry-budget/src/id_generator.rs
@@ -1,12 +1,12 @@
-//! Ids of delegations.
+//! Generation of delegation ids.
 
-/// Generator of ids that nobody guesses by chance (SplitMix64: Steele, Lea and Flood 2014). They
-/// are names and no secrets.
+/// The SplitMix64 generator (Steele, Lea and Flood 2014). Its ids are unlikely to collide, but are
+/// not secret.
 #[derive(Debug)]
 pub(crate) struct SplitMix64(u64);
 
 impl SplitMix64 {
-    /// Returns the generator of a seed.
+    /// Returns a generator with the given seed.
     pub(crate) fn new(seed: u64) -> SplitMix64 {
         SplitMix64(seed)
     }
--- a/crates/heathroad-retry-budget/src/lib.rs
+++ b/crates/heathroad-retry-budget/src/lib.rs
@@ -1,16 +1,16 @@
-//! Retry budgets down a chain of services. Retries at each tier multiply; a budget that is granted
-//! once, where a request enters the chain, and delegated from tier to tier cannot.
+//! Retry budgets for chains of services. Independent retries at each tier multiply. A budget that
+//! is granted once, where a request enters the chain, and delegated from tier to tier bounds the
+//! total.
 //!
-//! - [`wire`] encodes and decodes the budget's headers. They are strict and bounded, and carry
-//!   durations only, since the clocks of two machines are never compared.
-//! - [`allowance`] holds the arithmetic: retries are issued, delegated to calls below, and come
-//!   back unspent or not at all.
-//! - [`request`] is a request as it claims its budget, and as it is open.
-//! - [`open_allowances`] keeps the allowances of one proxy's open requests.
-//! - [`loop_detection`] finds a request that comes round again, by the path it carries or by an
-//!   identical open request.
+//! - [`wire`] encodes and decodes the budget headers. Parsing is strict and bounded. Headers carry
+//!   durations, not timestamps, so that clocks of different machines are never compared.
+//! - [`allowance`] implements the accounting: retries are issued, delegated to downstream calls,
+//!   and returned if unspent.
+//! - [`request`] defines budget claims and open requests.
+//! - [`open_allowances`] tracks the allowances of one proxy's open requests.
+//! - [`loop_detection`] detects forwarding loops by a request's path or by identical open requests.
 //!
-//! Nothing here does I/O or reads a clock.
+//! The crate does no I/O and reads no clock.
 
 pub mod allowance;
 mod id_generator;
--- a/crates/heathroad-retry-budget/src/loop_detection.rs
+++ b/crates/heathroad-retry-budget/src/loop_detection.rs
@@ -1,28 +1,27 @@
-//! Detection of requests that come round again. A request that carries its path is found by it.
-//! Where something between the proxies strips unknown headers, it is found by an identical request
-//! that is still open.
+//! Detection of forwarding loops. A loop is detected by the path that the request carries or, if an
+//! intermediary strips unknown headers, by identical requests that are still open.
 
 use crate::wire::ProxyPath;
 use std::collections::HashMap;
 
-/// Most fingerprints that are tracked. Further requests are not, and a loop of those ends by its
-/// hops or its deadline.
+/// Maximum number of tracked fingerprints. A loop of an untracked request ends at its hop limit or
+/// deadline.
 const MAX_FINGERPRINTS: usize = 100_000;
 
-/// The reason why a request is rejected.
+/// Why a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Rejection {
     /// The request has passed this proxy more often than its routes allow.
     #[error("the request has passed this proxy before")]
     Loop,
-    /// The request has passed as many proxies as it may.
+    /// The request has reached its hop limit.
     #[error("the request has passed as many proxies as it may")]
     TooManyHops,
 }
 
-/// Returns the path of a request with the name of the proxy that it enters. Its routes may bring it
-/// back `reentries` times.
+/// Appends a proxy's name to a request's path. The request may re-enter the proxy `reentries`
+/// times.
 pub fn extend_path(
     path: &ProxyPath,
     proxy_name: &str,
@@ -43,30 +42,30 @@
     path.with(proxy_name).ok_or(Rejection::TooManyHops)
 }
 
-/// What distinguishes a request from others where it carries no path.
+/// Identifies a request that carries no path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestFingerprint {
-    /// Hash of its key; 0 means that it has none and is not tracked.
+    /// Hash of the idempotency key; 0 if the request has none and is not tracked.
     pub key: u64,
-    /// Its class.
+    /// Index of the request's class.
     pub class: u16,
-    /// Its tenant.
+    /// Index of the request's tenant.
     pub tenant: u16,
 }
 
-/// The number of open requests of each fingerprint.
+/// Counts the open requests with each fingerprint.
 ///
-/// Clients outside the chain may repeat an open request, since they time out and retry. One that
-/// comes from a trusted peer while an identical one is open was sent by the service that the open
-/// one waits for.
+/// Clients outside the chain may time out and retry while the original request is still open. An
+/// identical request from a trusted peer indicates a loop: it was sent by a service that the open
+/// request waits for.
 #[derive(Debug, Default)]
 pub struct InFlightRequests {
     counts: HashMap<RequestFingerprint, usize>,
 }
 
 impl InFlightRequests {
-    /// Records a request, or returns false if it is an identical one come round more often than its
-    /// routes allow. A recorded request is later given to [`InFlightRequests::remove`].
+    /// Records a request; returns false if more identical requests are open than its routes allow.
+    /// A recorded request must be removed with [`InFlightRequests::remove`].
     pub fn try_insert(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -86,7 +85,7 @@
         true
     }
 
-    /// Removes a recorded request that has ended.
+    /// Removes a recorded request once it has completed.
     pub fn remove(&mut self, fingerprint: RequestFingerprint) {
         if let Some(count) = self.counts.get_mut(&fingerprint) {
             *count -= 1;
@@ -101,7 +100,7 @@
         self.counts.len()
     }
 
-    /// Returns whether no fingerprint is tracked.
+    /// Returns whether no fingerprints are tracked.
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
--- a/crates/heathroad-retry-budget/src/open_allowances.rs
+++ b/crates/heathroad-retry-budget/src/open_allowances.rs
@@ -1,10 +1,9 @@
-//! The allowances of one proxy's open requests: what each came with, what is delegated to calls
-//! below, and what is reported to the tier above.
+//! The allowances of one proxy's open requests: the retries granted to each, delegated to downstream
+//! calls and reported to the upstream tier.
 //!
-//! Calls that one parent makes copy its budget as it is, and share its retries by the delegation's
-//! id: whichever of them comes first opens the allowance, and the others draw on it. It is kept
-//! until the time that it was told has passed, so that a call that comes after the others have
-//! ended finds what they have left.
+//! All calls of one parent request carry a copy of its budget and share its retries by delegation
+//! id. The first call creates the allowance and the others draw on it. The allowance is kept until
+//! the budget's time limit has passed, so that a later call only gets the retries that remain.
 
 use crate::allowance::{Allowance, Delegation, Issuer};
 use crate::id_generator::SplitMix64;
@@ -16,61 +15,61 @@
 /// Milliseconds of a monotonic clock.
 pub type Millis = u64;
 
-/// Most allowances that are kept at once; a request past them is granted no retry.
+/// Maximum number of tracked allowances; requests beyond it are granted no retries.
 const MAX_ALLOWANCES: usize = 100_000;
-/// Expired allowances are looked for at this interval.
+/// Interval between sweeps for expired allowances.
 const EXPIRY_INTERVAL: Millis = 1_000;
 
-/// What a proxy grants and accepts.
+/// Retry budget configuration of a proxy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// The proxy's name in paths, which it shares with its replicas.
+    /// The proxy's name in paths, shared by all its replicas.
     pub proxy_name: String,
-    /// Most retries that a request is granted here.
+    /// Maximum number of retries granted to a request.
     pub max_retries: u16,
-    /// Retries granted for each first attempt, in the long run.
+    /// Retries granted per first attempt, in the long run.
     pub retry_ratio: f64,
-    /// Retries granted at once after a calm period.
+    /// Maximum number of unused retries that accumulate.
     pub burst: f64,
-    /// Most proxies that a request may pass, this one among them.
+    /// Maximum number of proxies that a request may pass, including this one.
     pub max_hops: u8,
-    /// How often a request's routes may bring it back here.
+    /// How often a request may re-enter this proxy.
     pub reentries: usize,
-    /// Most identical requests without a path that trusted peers may have open here at once; 0
-    /// turns the check off.
+    /// Maximum number of identical requests without a path that trusted peers may have open at
+    /// once; 0 disables the check.
     pub max_identical: usize,
-    /// Its backends call through proxies that know budgets: retries are delegated to them.
+    /// Whether retries are delegated to backends, whose own calls pass proxies that support budgets.
     pub delegates: bool,
 }
 
 /// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests admitted without a budget that counts.
+    /// Requests admitted with a newly issued budget.
     pub new_budgets: u64,
     /// Requests that carried a budget from a trusted peer.
     pub carried_budgets: u64,
-    /// Headers that could not be decoded.
+    /// Malformed headers received.
     pub malformed_headers: u64,
     /// Requests rejected as loops.
     pub loops: u64,
-    /// Requests rejected for too many hops.
+    /// Requests rejected at their hop limit.
     pub too_many_hops: u64,
-    /// Retries granted here.
+    /// Retries granted by this proxy.
     pub retries_granted: u64,
-    /// Retries sent from here.
+    /// Retries sent by this proxy.
     pub retries_sent: u64,
-    /// Delegated retries of which no report came back.
+    /// Delegated retries for which no report was received.
     pub retries_lost: u64,
 }
 
 #[derive(Debug)]
 struct Entry {
     allowance: Allowance,
-    /// Open requests that draw on it.
+    /// Number of open requests that share the allowance.
     open_requests: u32,
-    /// An allowance delegated from above is kept until then; one granted here ends with its one
-    /// request.
+    /// When an allowance delegated by the upstream tier expires. `None` for one issued by this
+    /// proxy, which ends with its request.
     expires_at: Option<Millis>,
 }
 
@@ -80,7 +79,7 @@
     }
 }
 
-/// The allowances of all open requests, and those that calls of one parent share.
+/// The allowances of all open requests, and the unexpired ones delegated by the upstream tier.
 #[derive(Debug)]
 pub struct OpenAllowances {
     config: Config,
@@ -93,8 +92,7 @@
 }
 
 impl OpenAllowances {
-    /// Returns an empty set. `seed` feeds the ids of delegations, and no two proxies should share
-    /// one.
+    /// Returns an empty set. `seed` seeds the delegation ids and should differ between proxies.
     pub fn new(config: Config, seed: u64) -> OpenAllowances {
         OpenAllowances {
             issuer: Issuer::new(config.retry_ratio, config.burst),
@@ -112,17 +110,17 @@
         self.counters
     }
 
-    /// Returns the number of allowances that are kept.
+    /// Returns the number of tracked allowances.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether no allowance is kept.
+    /// Returns whether no allowances are tracked.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Admits a request whose caller waits so long, or rejects it.
+    /// Admits a request whose caller waits `timeout_ms`, or rejects it.
     pub fn admit(
         &mut self,
         now: Millis,
@@ -135,7 +133,7 @@
         let trusted = claim.from_trusted_peer;
         let claimed = claim.budget.unwrap_or(None);
         let claimed_path = claim.path.unwrap_or_default();
-        let mut budget = Budget::admit(claimed, trusted, self.own_budget(timeout_ms));
+        let mut budget = Budget::admit(claimed, trusted, self.default_budget(timeout_ms));
         let path = self.extend_path(&claimed_path, budget.hops)?;
         let fingerprint = self.track_identical(trusted, &claimed_path, fingerprint)?;
         let carries_budget = trusted && claimed.is_some();
@@ -159,8 +157,8 @@
             u64::from(claim.budget.is_err()) + u64::from(claim.path.is_err());
     }
 
-    /// Returns the budget that a request without one is granted here.
-    fn own_budget(&self, timeout_ms: u32) -> Budget {
+    /// Returns the budget granted to a request that carries none.
+    fn default_budget(&self, timeout_ms: u32) -> Budget {
         Budget {
             time_ms: timeout_ms.min(MAX_TIME_MS),
             retries: self.config.max_retries,
@@ -188,8 +186,8 @@
         })
     }
 
-    /// Tracks a request of a trusted peer that carries no path: only many identical ones show that
-    /// it goes round.
+    /// Tracks a request that a trusted peer sent without a path, whose loops show only as identical
+    /// open requests.
     fn track_identical(
         &mut self,
         trusted: bool,
@@ -210,8 +208,8 @@
         Ok(Some(fingerprint))
     }
 
-    /// Draws on an allowance that was delegated from above, and returns its id. Whoever comes first
-    /// opens it.
+    /// Joins the allowance delegated by the upstream tier and returns its id. The first request
+    /// creates the allowance.
     fn join_allowance(&mut self, now: Millis, carried: Budget) -> u64 {
         self.counters.carried_budgets += 1;
         let id = carried.delegation_id;
@@ -225,7 +223,7 @@
         }
         if let Some(shared) = self.entries.get_mut(&id) {
             shared.open_requests += 1;
-            shared.expires_at = shared.expires_at.map(|known| known.max(expires_at));
+            shared.expires_at = shared.expires_at.map(|current| current.max(expires_at));
             return id;
         }
         if self.entries.len() >= MAX_ALLOWANCES {
@@ -243,11 +241,11 @@
         id
     }
 
-    /// Issues an allowance for a request that enters the chain here, and returns its id.
-    fn issue_allowance(&mut self, wanted: u16) -> u64 {
+    /// Issues an allowance for a request that enters the chain at this proxy, and returns its id.
+    fn issue_allowance(&mut self, requested: u16) -> u64 {
         self.counters.new_budgets += 1;
         let allowance = self.issuer.issue(if self.entries.len() < MAX_ALLOWANCES {
-            wanted
+            requested
         } else {
             0
         });
@@ -283,14 +281,14 @@
             .map(|entry| &mut entry.allowance)
     }
 
-    /// Returns the number of retries that the request may still send.
+    /// Returns the number of retries that may still be sent for the request.
     pub fn remaining_retries(&self, request: &OpenRequest) -> u16 {
         self.entries
             .get(&request.allowance_id)
             .map_or(0, |entry| entry.allowance.usable())
     }
 
-    /// Spends a retry of the request, and returns whether one may be sent.
+    /// Spends one of the request's retries; returns false if none may be sent.
     pub fn try_retry(&mut self, request: &OpenRequest) -> bool {
         let may_retry = self
             .allowance_mut(request)
@@ -299,8 +297,8 @@
         may_retry
     }
 
-    /// Delegates retries to an attempt, with the budget that its call carries. The sender lowers
-    /// the budget's time.
+    /// Delegates retries to an attempt, and returns the budget that its call carries. The sender
+    /// reduces the budget's time to what remains.
     pub fn delegate(&mut self, request: &OpenRequest) -> (Delegation, Budget) {
         let delegates = self.config.delegates;
         let delegation = match self.allowance_mut(request) {
@@ -318,8 +316,8 @@
         )
     }
 
-    /// Settles the delegation of an attempt that has ended. One that was never sent has spent
-    /// nothing.
+    /// Settles the delegation of a completed attempt. An attempt that was never sent has spent no
+    /// retries.
     pub fn settle(
         &mut self,
         request: &OpenRequest,
@@ -340,9 +338,9 @@
         }
     }
 
-    /// Returns the report for the tier above, where the request carried a budget. `failed` says
-    /// that this tier has tried and could not help, so that another way to the same backends will
-    /// not either.
+    /// Returns the report for the upstream tier, if the request carried a trusted budget. `failed`
+    /// states that attempts failed in this tier, so that retries by another path to the same
+    /// backends cannot succeed.
     pub fn retries_spent(&self, request: &OpenRequest, failed: bool) -> Option<RetriesSpent> {
         let entry = self
             .entries
@@ -351,7 +349,7 @@
         Some(entry.allowance.retries_spent(failed))
     }
 
-    /// Closes a request that has ended, with all its attempts.
+    /// Closes a request once it and all its attempts have completed.
     pub fn close(&mut self, now: Millis, request: OpenRequest) {
         if let Some(fingerprint) = request.fingerprint {
             self.in_flight.remove(fingerprint);
@@ -363,7 +361,7 @@
         if !entry.is_expired(now) {
             return;
         }
-        // An allowance that was delegated from above is the issuer's there to reclaim.
+        // Delegated allowances are reclaimed by the proxy that issued them.
         if let Some(entry) = self.entries.remove(&request.allowance_id)
             && entry.expires_at.is_none()
         {
@@ -371,7 +369,7 @@
         }
     }
 
-    /// Removes delegated allowances whose time has passed.
+    /// Removes expired delegated allowances.
     fn remove_expired(&mut self, now: Millis) {
         if now >= self.last_expiry + EXPIRY_INTERVAL {
             self.last_expiry = now;
--- a/crates/heathroad-retry-budget/src/request.rs
+++ b/crates/heathroad-retry-budget/src/request.rs
@@ -1,26 +1,26 @@
-//! A request as it claims its budget, and as it is open.
+//! Budget claims and open requests.
 
 use crate::loop_detection::RequestFingerprint;
 use crate::wire::{Budget, FULL_PRIORITY_WEIGHT, MalformedHeader, ProxyPath};
 
-/// What a request claims about its budget.
+/// The budget and path that a request claims.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BudgetClaim {
-    /// Its budget, if any.
+    /// The claimed budget, if any.
     pub budget: Result<Option<Budget>, MalformedHeader>,
-    /// Its path; empty if it carries none.
+    /// The claimed path; empty if the request carries none.
     pub path: Result<ProxyPath, MalformedHeader>,
-    /// It comes from a peer whose claims are trusted.
+    /// Whether the request comes from a peer whose claims are trusted.
     pub from_trusted_peer: bool,
 }
 
-/// An admitted request. It is given back to
-/// [`OpenAllowances::close`](crate::OpenAllowances::close), once.
+/// An admitted request. It must be closed with
+/// [`OpenAllowances::close`](crate::OpenAllowances::close).
 #[derive(Debug)]
-#[must_use = "an open request is closed"]
+#[must_use = "an open request must be closed"]
 pub struct OpenRequest {
     pub(crate) allowance_id: u64,
-    /// A trusted caller is told what was spent.
+    /// Whether the response reports the spent retries, which only trusted callers receive.
     pub(crate) reports_spent: bool,
     pub(crate) fingerprint: Option<RequestFingerprint>,
     pub(crate) budget: Budget,
@@ -28,17 +28,17 @@
 }
 
 impl OpenRequest {
-    /// Returns the longest time that the request has, in milliseconds from its admission.
+    /// Returns the request's time limit, in milliseconds from its admission.
     pub fn time_limit_ms(&self) -> u32 {
         self.budget.time_ms
     }
 
-    /// Returns its priority weight, as a fraction of its class's.
+    /// Returns the priority weight, as a fraction of the class's weight.
     pub fn priority_weight(&self) -> f64 {
         f64::from(self.budget.priority_weight) / f64::from(FULL_PRIORITY_WEIGHT)
     }
 
-    /// Returns its path, which ends with this proxy's name.
+    /// Returns the request's path, which ends with this proxy's name.
     pub fn path(&self) -> &ProxyPath {
         &self.path
     }
--- a/crates/heathroad-retry-budget/src/wire.rs
+++ b/crates/heathroad-retry-budget/src/wire.rs
@@ -1,98 +1,98 @@
-//! The budget's headers, which a backend can copy as they are: `Req-Budget: t=1850, a=2, w=750,
-//! h=6, i=00c0ffee00c0ffee` and `Req-Path: gate-1, policy-2` with a request, `Req-Spent: a=1` or
-//! `Req-Spent: a=1, stop` with its response.
+//! The budget headers. A request carries `Req-Budget: t=1850, a=2, w=750, h=6, i=00c0ffee00c0ffee`
+//! and `Req-Path: gate-1, policy-2`; its response carries `Req-Spent: a=1` or
+//! `Req-Spent: a=1, stop`. Backends copy the request headers unchanged to their own calls.
 //!
-//! Each value has one spelling: spaces only behind commas, no signs, no leading zeros, all members
-//! in their order. A malformed header counts as absent.
+//! Each value has one canonical encoding: one space after each comma, no signs, no leading zeros,
+//! and all fields in order. A malformed header counts as absent.
 
 use std::fmt;
 
-/// Longest time that is told, in milliseconds.
+/// Maximum time limit of a budget, in milliseconds.
 pub const MAX_TIME_MS: u32 = 600_000;
-/// Most retries in a budget.
+/// Maximum number of retries in a budget.
 pub const MAX_RETRIES: u16 = 64;
-/// The priority weight is told in thousandths of the class's.
+/// The priority weight that equals the class's weight; the unit is thousandths.
 pub const FULL_PRIORITY_WEIGHT: u16 = 1000;
-/// Most hops, and so most names in a path.
+/// Maximum number of hops, and of names in a path.
 pub const MAX_HOPS: u8 = 32;
-/// Longest name in a path, in bytes.
+/// Maximum length of a name in a path, in bytes.
 pub const MAX_NAME_LENGTH: usize = 32;
-/// Longest header value that is decoded, in bytes: a full path of the longest names.
+/// Maximum length of a decoded header value, in bytes: a full path of names of maximum length.
 pub const MAX_HEADER_LENGTH: usize = MAX_HOPS as usize * (MAX_NAME_LENGTH + SEPARATOR.len());
 
-/// Stands between the members of a header.
+/// Separates the fields of a header.
 const SEPARATOR: &str = ", ";
-/// Digits of a delegation's id.
+/// Number of hexadecimal digits of a delegation id.
 const DELEGATION_ID_LENGTH: usize = 16;
-/// Most digits of a number, all of which fit into 32 bits.
+/// Maximum number of digits of a number; 9 digits always fit into a `u32`.
 const MAX_NUMBER_LENGTH: usize = 9;
-/// Follows the retries in a report that no further retry can help.
+/// Marks a report that further retries cannot succeed.
 const STOP_SUFFIX: &str = ", stop";
 
-const BUDGET_FORM: MalformedHeader = MalformedHeader {
-    expected: "t=MILLISECONDS, a=ATTEMPTS, w=THOUSANDTHS, h=HOPS, i=LOAN",
+const MALFORMED_BUDGET: MalformedHeader = MalformedHeader {
+    expected: "t=MILLISECONDS, a=RETRIES, w=THOUSANDTHS, h=HOPS, i=DELEGATION",
 };
-const SPENT_FORM: MalformedHeader = MalformedHeader {
-    expected: "a=ATTEMPTS, or a=ATTEMPTS, stop",
+const MALFORMED_SPENT: MalformedHeader = MalformedHeader {
+    expected: "a=RETRIES or a=RETRIES, stop",
 };
-const PATH_FORM: MalformedHeader = MalformedHeader {
-    expected: "names with a comma and a space between, 32 at most",
+const MALFORMED_PATH: MalformedHeader = MalformedHeader {
+    expected: "at most 32 names, separated by a comma and a space",
 };
 
-/// What a request may still spend.
+/// The retry budget of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Budget {
-    /// Time until its caller gives up, in milliseconds, when the sender sent it.
+    /// Time until the caller's timeout, in milliseconds from the send of the request.
     pub time_ms: u32,
-    /// Retries, here and below together.
+    /// Remaining retries, in this tier and downstream together.
     pub retries: u16,
-    /// Its priority weight, in thousandths of its class's.
+    /// Priority weight, in thousandths of the class's weight.
     pub priority_weight: u16,
-    /// Proxies that it may still pass.
+    /// Number of proxies that the request may still pass.
     pub hops: u8,
-    /// Names the delegation: calls that one parent makes copy one budget, and share its retries.
+    /// Identifies the delegation. Calls with the same id share its retries.
     pub delegation_id: u64,
 }
 
-/// The retries that were spent below, reported with a response.
+/// The report of spent retries that a response carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetriesSpent {
-    /// Number of retries.
+    /// Number of spent retries.
     pub retries: u16,
-    /// No further retry can help.
+    /// Further retries cannot succeed.
     pub stop: bool,
 }
 
-/// The names of the proxies that a request has passed, in their order.
+/// The names of the proxies that a request has passed, in order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ProxyPath(Vec<String>);
 
-/// A header that cannot be decoded.
+/// Error for a header that cannot be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("expected {expected}")]
 pub struct MalformedHeader {
-    /// The form that was expected.
+    /// The expected format.
     pub expected: &'static str,
 }
 
-/// Decodes a number in its one spelling.
-fn decode_number(text: &str, most: u32) -> Option<u32> {
+/// Decodes a number of at most `max` in its canonical encoding.
+fn decode_number(text: &str, max: u32) -> Option<u32> {
     let leading_zero = text.starts_with('0') && text != "0";
     let length_fits = (1..=MAX_NUMBER_LENGTH).contains(&text.len());
-    let is_plain = length_fits && !leading_zero && text.bytes().all(|b| b.is_ascii_digit());
+    let is_canonical = length_fits && !leading_zero && text.bytes().all(|b| b.is_ascii_digit());
     text.parse()
         .ok()
-        .filter(|number| is_plain && *number <= most)
+        .filter(|number| is_canonical && *number <= max)
 }
 
-/// Decodes sixteen hexadecimal digits in lower case.
+/// Decodes sixteen lower-case hexadecimal digits.
 fn decode_delegation_id(text: &str) -> Option<u64> {
     let is_lower_hex = |b: u8| matches!(b, b'0'..=b'9' | b'a'..=b'f');
-    let is_plain = text.len() == DELEGATION_ID_LENGTH && text.bytes().all(is_lower_hex);
-    u64::from_str_radix(text, 16).ok().filter(|_| is_plain)
+    let is_canonical = text.len() == DELEGATION_ID_LENGTH && text.bytes().all(is_lower_hex);
+    u64::from_str_radix(text, 16).ok().filter(|_| is_canonical)
 }
 
-/// Returns the one value of a header. Two are malformed, even if they are equal.
+/// Returns the value of a header, which must not occur more than once, even with equal values.
 fn single_value<'a>(
     mut values: impl Iterator<Item = &'a [u8]>,
 ) -> Result<Option<&'a str>, MalformedHeader> {
@@ -101,43 +101,45 @@
     };
     if values.next().is_some() {
         return Err(MalformedHeader {
-            expected: "the header once",
+            expected: "the header at most once",
         });
     }
     if value.len() > MAX_HEADER_LENGTH {
         return Err(MalformedHeader {
-            expected: "a shorter header",
+            expected: "a header of at most 1088 bytes",
         });
     }
     std::str::from_utf8(value)
         .map(Some)
         .map_err(|_| MalformedHeader {
-            expected: "plain text",
+            expected: "valid UTF-8",
         })
 }
 
 impl Budget {
-    /// Decodes `Req-Budget` from all the values of that name; no value is no budget.
+    /// Decodes `Req-Budget` from all values of that header; none means no budget.
     pub fn decode<'a>(
         values: impl Iterator<Item = &'a [u8]>,
     ) -> Result<Option<Budget>, MalformedHeader> {
         let Some(text) = single_value(values)? else {
             return Ok(None);
         };
-        Budget::decode_members(text).map(Some).ok_or(BUDGET_FORM)
+        Budget::decode_fields(text)
+            .map(Some)
+            .ok_or(MALFORMED_BUDGET)
     }
 
-    fn decode_members(text: &str) -> Option<Budget> {
-        let mut members = text.split(SEPARATOR);
-        let mut number = |name: &str, most: u32| {
-            let value = members.next()?.strip_prefix(name)?.strip_prefix('=')?;
-            decode_number(value, most)
+    fn decode_fields(text: &str) -> Option<Budget> {
+        let mut fields = text.split(SEPARATOR);
+        let mut number = |name: &str, max: u32| {
+            let value = fields.next()?.strip_prefix(name)?.strip_prefix('=')?;
+            decode_number(value, max)
         };
         let time_ms = number("t", MAX_TIME_MS)?;
         let retries = number("a", u32::from(MAX_RETRIES))? as u16;
         let priority_weight = number("w", u32::from(FULL_PRIORITY_WEIGHT))? as u16;
         let hops = number("h", u32::from(MAX_HOPS))? as u8;
-        let delegation_id = decode_delegation_id(members.next()?.strip_prefix("i=")?)?;
+        let delegation_id = decode_delegation_id(fields.next()?.strip_prefix("i=")?)?;
         let budget = Budget {
             time_ms,
             retries,
@@ -145,26 +147,27 @@
             hops,
             delegation_id,
         };
-        members.next().is_none().then_some(budget)
+        fields.next().is_none().then_some(budget)
     }
 
-    /// Returns what counts of a claimed budget. From a trusted peer all of it counts, within the
-    /// time and hops that are granted here at most; from any other peer it can lower what is
-    /// granted here, and never raise it.
-    pub fn admit(claimed: Option<Budget>, from_trusted_peer: bool, own: Budget) -> Budget {
-        let Some(claimed) = claimed else { return own };
+    /// Returns the budget in effect for a claimed budget. A trusted peer's claim is accepted, with
+    /// its time and hops capped at those of `default`. An untrusted claim can only lower `default`.
+    pub fn admit(claimed: Option<Budget>, from_trusted_peer: bool, default: Budget) -> Budget {
+        let Some(claimed) = claimed else {
+            return default;
+        };
         let budget = Budget {
-            time_ms: claimed.time_ms.min(own.time_ms),
-            hops: claimed.hops.min(own.hops),
+            time_ms: claimed.time_ms.min(default.time_ms),
+            hops: claimed.hops.min(default.hops),
             ..claimed
         };
         if from_trusted_peer {
             return budget;
         }
         Budget {
-            retries: claimed.retries.min(own.retries),
-            priority_weight: claimed.priority_weight.min(own.priority_weight),
-            // An id that anybody may have made up names no delegation.
+            retries: claimed.retries.min(default.retries),
+            priority_weight: claimed.priority_weight.min(default.priority_weight),
+            // An untrusted peer must not join the delegation of another caller.
             delegation_id: 0,
             ..budget
         }
@@ -188,21 +191,21 @@
 }
 
 impl RetriesSpent {
-    /// Decodes `Req-Spent` from all the values of that name.
+    /// Decodes `Req-Spent` from all values of that header.
     pub fn decode<'a>(
         values: impl Iterator<Item = &'a [u8]>,
     ) -> Result<Option<RetriesSpent>, MalformedHeader> {
         let Some(text) = single_value(values)? else {
             return Ok(None);
         };
-        let (member, stop) = match text.strip_suffix(STOP_SUFFIX) {
-            Some(member) => (member, true),
+        let (field, stop) = match text.strip_suffix(STOP_SUFFIX) {
+            Some(field) => (field, true),
             None => (text, false),
         };
-        let number = member
+        let number = field
             .strip_prefix("a=")
             .and_then(|text| decode_number(text, u32::from(MAX_RETRIES)));
-        let retries = number.ok_or(SPENT_FORM)? as u16;
+        let retries = number.ok_or(MALFORMED_SPENT)? as u16;
         Ok(Some(RetriesSpent { retries, stop }))
     }
 }
@@ -218,14 +221,14 @@
     }
 }
 
-/// Returns whether a text can be a proxy's name in a path.
+/// Returns whether a text is a valid proxy name.
 pub fn is_proxy_name(text: &str) -> bool {
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     (1..=MAX_NAME_LENGTH).contains(&text.len()) && text.bytes().all(is_allowed)
 }
 
 impl ProxyPath {
-    /// Decodes `Req-Path` from all the values of that name; no value is an empty path.
+    /// Decodes `Req-Path` from all values of that header; none means an empty path.
     pub fn decode<'a>(
         values: impl Iterator<Item = &'a [u8]>,
     ) -> Result<ProxyPath, MalformedHeader> {
@@ -234,17 +237,17 @@
         };
         let names: Vec<String> = text.split(SEPARATOR).map(String::from).collect();
         if names.len() > usize::from(MAX_HOPS) || !names.iter().all(|name| is_proxy_name(name)) {
-            return Err(PATH_FORM);
+            return Err(MALFORMED_PATH);
         }
         Ok(ProxyPath(names))
     }
 
-    /// Returns the names.
+    /// Returns the proxy names.
     pub fn names(&self) -> &[String] {
         &self.0
     }
 
-    /// Returns the path with one more name, or nothing where it is full or the name is not allowed.
+    /// Returns the path with a name appended, or `None` if it is full or the name is invalid.
     pub fn with(&self, proxy_name: &str) -> Option<ProxyPath> {
         let fits = self.0.len() < usize::from(MAX_HOPS) && is_proxy_name(proxy_name);
         fits.then(|| {
--- a/crates/heathroad-retry-budget/tests/allowance.rs
+++ b/crates/heathroad-retry-budget/tests/allowance.rs
@@ -1,38 +1,38 @@
-//! The arithmetic of allowances: whatever is split, lost, repeated or hedged, a chain sends no more
-//! retries than were issued where it begins.
+//! Tests of allowance accounting: with splitting, lost reports, retries and hedging, a call chain
+//! never sends more retries than were issued at its entry.
 
 use heathroad_retry_budget::allowance::{Allowance, Issuer};
 use heathroad_retry_budget::wire::RetriesSpent;
 
 const TIERS: usize = 4;
 
-/// A random chain, and the attempts that each of its tiers has seen.
+/// A random call chain that counts the attempts of each tier.
 struct Chain<'a> {
     rng: &'a mut fastrand::Rng,
-    /// Probability that a call of the last tier fails.
+    /// Probability that a call in the last tier fails.
     failure_probability: f64,
-    /// Probability that a report does not come back.
+    /// Probability that a report is lost.
     loss_probability: f64,
     fan_out: usize,
     attempts: [u32; TIERS],
-    /// Retries that the tiers sent.
+    /// Number of retries sent by all tiers.
     retries: u32,
 }
 
 impl Chain<'_> {
-    /// Carries out a request at a tier; returns whether it was served, and its report.
+    /// Handles a request in a tier; returns whether it was served, and its report.
     fn request(&mut self, tier: usize, granted: u16) -> (bool, Option<RetriesSpent>) {
         let mut allowance = Allowance::new(granted);
         let mut served = false;
         loop {
-            // Now and then an attempt is hedged; the hedge counts as a retry.
-            let hedges = if self.rng.u8(..8) == 0 && allowance.try_spend() {
+            // Some attempts are hedged; the hedge counts as a retry.
+            let copies = if self.rng.u8(..8) == 0 && allowance.try_spend() {
                 2
             } else {
                 1
             };
-            self.retries += hedges - 1;
-            for _ in 0..hedges {
+            self.retries += copies - 1;
+            for _ in 0..copies {
                 served |= self.attempt(tier, &mut allowance);
             }
             if served || !allowance.try_spend() {
@@ -51,24 +51,24 @@
         if tier + 1 == TIERS {
             return self.rng.f64() >= self.failure_probability;
         }
-        let mut all = true;
-        // Parallel calls of one parent share what remains.
+        let mut all_served = true;
+        // Parallel calls share the remaining retries.
         let delegations: Vec<_> = (0..self.fan_out)
             .map(|n| allowance.delegate(allowance.remaining() / (self.fan_out - n) as u16))
             .collect();
         for delegation in delegations {
             let (served, reported) = self.request(tier + 1, delegation.retries());
-            all &= served;
+            all_served &= served;
             allowance.settle(delegation, reported);
         }
-        all
+        all_served
     }
 }
 
-/// Covers parallel calls, lost reports, tiers that report nothing, retries and hedges.
+/// Covers parallel calls, lost reports, retries and hedged attempts.
 #[test]
 fn no_chain_creates_retries() {
-    let (mut most, mut used) = (0, 0);
+    let (mut max_retries, mut total_retries) = (0, 0);
     for seed in 0..20_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let granted = rng.u16(..=6);
@@ -88,13 +88,16 @@
             "seed {seed}: {} retries of {granted} granted",
             chain.retries
         );
-        most = most.max(chain.retries);
-        used += chain.retries;
+        max_retries = max_retries.max(chain.retries);
+        total_retries += chain.retries;
     }
-    assert!(most > 3 && used > 10_000, "{most} {used}");
+    assert!(
+        max_retries > 3 && total_retries > 10_000,
+        "at most {max_retries} per chain, {total_retries} in total"
+    );
 }
 
-/// Each tier sees at most 1.2 times the first attempts, once the burst is used up.
+/// With a retry ratio of 0.1, no tier receives more than 1.2 times the first attempts.
 #[test]
 fn a_chain_whose_last_tier_is_down_sends_few_retries() {
     const REQUESTS: u32 = 10_000;
@@ -126,7 +129,7 @@
     assert_eq!(
         issuer.issue(5).remaining(),
         0,
-        "nothing is left for the next"
+        "all available retries are outstanding"
     );
     issuer.reclaim(first);
     assert_eq!(issuer.issue(5).remaining(), 3);
@@ -152,7 +155,7 @@
             stop: true
         }
     );
-    // All is spent where more than was delegated is reported, or nothing.
+    // Without a report, or with one above the delegation, all delegated retries count as spent.
     for reported in [
         Some(RetriesSpent {
             retries: 60,
--- a/crates/heathroad-retry-budget/tests/golden_headers.rs
+++ b/crates/heathroad-retry-budget/tests/golden_headers.rs
@@ -1,4 +1,4 @@
-//! Golden texts of the retry budget's headers, encoded and decoded.
+//! Golden values of the retry budget headers, encoded and decoded.
 
 use heathroad_retry_budget::wire::{Budget, ProxyPath, RetriesSpent};
 
@@ -69,7 +69,7 @@
 const PATHS: [&[&str]; 3] = [&["gate-1"], &["gate-1", "policy-2"], &["a_b", "C.d", "0"]];
 
 #[test]
-fn budgets_are_encoded_and_decoded_as_golden_texts() {
+fn budget_headers_match_golden_values() {
     for (budget, text) in BUDGETS {
         assert_eq!(budget.to_string(), text);
         assert_eq!(
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn spent_retries_are_encoded_and_decoded_as_golden_texts() {
+fn spent_headers_match_golden_values() {
     for (spent, text) in SPENT {
         assert_eq!(spent.to_string(), text);
         assert_eq!(
@@ -91,13 +91,13 @@
 }
 
 #[test]
-fn paths_are_encoded_and_decoded_as_golden_texts() {
+fn path_headers_match_golden_values() {
     for names in PATHS {
         let text = names.join(", ");
-        let path = ProxyPath::decode([text.as_bytes()].into_iter()).expect("a path");
+        let path = ProxyPath::decode([text.as_bytes()].into_iter()).expect("valid path");
         assert_eq!(path.names(), names);
         assert_eq!(path.to_string(), text);
-        let extended = path.with("own").expect("there is room");
+        let extended = path.with("own").expect("path is not full");
         assert_eq!(extended.to_string(), format!("{text}, own"));
     }
 }
--- a/crates/heathroad-retry-budget/tests/loop_detection.rs
+++ b/crates/heathroad-retry-budget/tests/loop_detection.rs
@@ -1,4 +1,4 @@
-//! A request that comes round is found by its path or by an identical open request.
+//! Tests of loop detection by path and by identical open requests.
 
 use heathroad_retry_budget::loop_detection::{
     InFlightRequests, Rejection, RequestFingerprint, extend_path,
@@ -6,26 +6,30 @@
 use heathroad_retry_budget::wire::ProxyPath;
 
 #[test]
-fn loops_of_any_length_end_and_allowed_reentries_do_not() {
+fn loops_of_any_length_are_rejected_and_configured_reentries_are_not() {
     for length in [1, 2, 5] {
         let (mut path, mut passes) = (ProxyPath::default(), 0);
         let end = loop {
-            let own = format!("proxy-{}", passes % length);
-            match extend_path(&path, &own, 0, 32) {
+            let proxy_name = format!("proxy-{}", passes % length);
+            match extend_path(&path, &proxy_name, 0, 32) {
                 Ok(next) => path = next,
                 Err(rejection) => break rejection,
             }
             passes += 1;
         };
-        assert_eq!((end, passes), (Rejection::Loop, length), "within one pass");
+        assert_eq!(
+            (end, passes),
+            (Rejection::Loop, length),
+            "rejected at the first repeated proxy"
+        );
     }
-    // A route that comes back once may, and not twice.
+    // With one configured reentry, the first is allowed and the second rejected.
     let once = ProxyPath::default()
         .with("gate")
         .and_then(|p| p.with("policy"))
-        .expect("names");
+        .expect("valid names");
     assert!(extend_path(&once, "gate", 1, 8).is_ok());
-    let twice = once.with("gate").expect("a name");
+    let twice = once.with("gate").expect("valid name");
     assert_eq!(extend_path(&twice, "gate", 1, 8), Err(Rejection::Loop));
     assert_eq!(
         extend_path(&ProxyPath::default(), "gate", 0, 0),
@@ -34,7 +38,7 @@
 }
 
 #[test]
-fn without_headers_a_loop_shows_by_an_identical_open_request() {
+fn without_a_path_a_loop_is_detected_by_an_identical_open_request() {
     let (mut open, fingerprint) = (
         InFlightRequests::default(),
         RequestFingerprint {
@@ -44,10 +48,13 @@
         },
     );
     assert!(open.try_insert(fingerprint, false, 0));
-    assert!(open.try_insert(fingerprint, false, 0), "its client retries");
+    assert!(
+        open.try_insert(fingerprint, false, 0),
+        "a client may retry an open request"
+    );
     assert!(
         !open.try_insert(fingerprint, true, 0),
-        "a trusted peer sends it round"
+        "an identical request from a trusted peer is a loop"
     );
     assert!(
         open.try_insert(
@@ -81,11 +88,11 @@
     open.remove(fingerprint);
     assert!(
         open.try_insert(fingerprint, true, 0),
-        "it is no longer open"
+        "the identical requests have completed"
     );
     assert!(
         open.try_insert(fingerprint, true, 1) && !open.try_insert(fingerprint, true, 1),
-        "a route that comes back once"
+        "one reentry is allowed, a second is not"
     );
     for key in 10..300_000 {
         open.try_insert(RequestFingerprint { key, ..fingerprint }, false, 0);
--- a/crates/heathroad-retry-budget/tests/open_allowances.rs
+++ b/crates/heathroad-retry-budget/tests/open_allowances.rs
@@ -1,5 +1,5 @@
-//! The open allowances of several proxies in a chain: whatever is split, shared, lost or forged, no
-//! more retries are sent than were granted where a request entered.
+//! Tests of the open allowances of several proxies in a chain: with shared, lost and forged budgets,
+//! no more retries are sent than were granted at the chain's entry.
 
 use heathroad_retry_budget::allowance::Delegation;
 use heathroad_retry_budget::loop_detection::{Rejection, RequestFingerprint};
@@ -26,7 +26,8 @@
     }
 }
 
-fn outside() -> BudgetClaim {
+/// The claim of an untrusted client without a budget.
+fn untrusted() -> BudgetClaim {
     BudgetClaim {
         budget: Ok(None),
         path: Ok(ProxyPath::default()),
@@ -34,7 +35,7 @@
     }
 }
 
-fn inside(budget: Budget, path: &ProxyPath) -> BudgetClaim {
+fn trusted(budget: Budget, path: &ProxyPath) -> BudgetClaim {
     BudgetClaim {
         budget: Ok(Some(budget)),
         path: Ok(path.clone()),
@@ -53,8 +54,7 @@
 }
 
 impl Chain<'_> {
-    /// Carries out a request at a tier as a proxy does; returns whether it was served, and its
-    /// report.
+    /// Handles a request in a tier as a proxy does; returns whether it was served, and its report.
     fn request(&mut self, tier: usize, claim: BudgetClaim) -> (bool, Option<RetriesSpent>) {
         let request = self.tiers[tier]
             .admit(self.now, claim, UNTRACKED, 1_000)
@@ -66,8 +66,8 @@
             self.attempts[tier] += 1;
             let (delegation, budget) = self.tiers[tier].delegate(&request);
             let path = request.path().clone();
-            let (ok, reported) = self.below(tier, budget, &path);
-            served = ok;
+            let (is_served, reported) = self.backend_call(tier, budget, &path);
+            served = is_served;
             self.tiers[tier].settle(&request, delegation, reported, false);
         }
         let reported = self.tiers[tier]
@@ -77,9 +77,9 @@
         (served, reported)
     }
 
-    /// Acts as a server of the tier: it makes a call or two below, copies the budget, and passes on
-    /// the last report.
-    fn below(
+    /// Handles a call as a backend of the tier: it makes one or two downstream calls with a copy of
+    /// the budget and returns the last report.
+    fn backend_call(
         &mut self,
         tier: usize,
         budget: Budget,
@@ -88,13 +88,13 @@
         if tier + 1 == self.tiers.len() {
             return (self.rng.f64() >= self.failure_probability, None);
         }
-        let (mut all, mut last) = (true, None);
+        let (mut all_served, mut last_report) = (true, None);
         for _ in 0..1 + self.rng.usize(..2) {
-            let (ok, reported) = self.request(tier + 1, inside(budget, path));
-            all &= ok;
-            last = reported;
+            let (is_served, reported) = self.request(tier + 1, trusted(budget, path));
+            all_served &= is_served;
+            last_report = reported;
         }
-        (all, last)
+        (all_served, last_report)
     }
 }
 
@@ -117,33 +117,33 @@
 
 #[test]
 fn no_chain_of_proxies_creates_retries() {
-    let mut most = 0;
+    let mut max_retries = 0;
     for seed in 0..2_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (failure_probability, loss_probability) = (rng.f64(), rng.f64() * 0.5);
         let mut chain = chain(&mut rng, failure_probability, loss_probability);
         for n in 1..=30u64 {
             chain.now += 100;
-            chain.request(0, outside());
+            chain.request(0, untrusted());
             let granted = chain.tiers[0].counters().retries_granted;
             assert!(
                 chain.retries <= granted,
                 "seed {seed}: {} of {granted}",
                 chain.retries
             );
-            // The long-run ratio and the burst that a calm period had saved up.
+            // The burst, the retry ratio, and at most one grant of 3.
             assert!(
                 chain.retries as f64 <= 20.0 + 0.1 * n as f64 + 3.0,
                 "seed {seed}"
             );
         }
-        most = most.max(chain.retries);
+        max_retries = max_retries.max(chain.retries);
         chain.now += 10_000;
         for n in 0..3 {
             let claim = if n == 0 {
-                outside()
+                untrusted()
             } else {
-                inside(budget(9), &ProxyPath::default())
+                trusted(budget(9), &ProxyPath::default())
             };
             let last = chain.tiers[n]
                 .admit(chain.now, claim, UNTRACKED, 1)
@@ -156,7 +156,7 @@
             );
         }
     }
-    assert!(most > 15, "{most}");
+    assert!(max_retries > 15, "{max_retries}");
 }
 
 fn budget(delegation_id: u64) -> Budget {
@@ -169,57 +169,60 @@
     }
 }
 
-/// A hundred requests are open at once: first none needs a retry, and then every one does.
+/// With 100 requests open at once, first none needs a retry and then every one does.
 #[test]
-fn a_calm_period_grants_all_and_an_outage_only_the_ratio() {
+fn all_requests_are_granted_retries_until_an_outage_limits_them_to_the_ratio() {
     let mut allowances = OpenAllowances::new(config("a", false), 1);
-    let run = |allowances: &mut OpenAllowances, rounds: usize, needed: bool| {
-        let (mut may, mut sent) = (0, 0);
+    let run = |allowances: &mut OpenAllowances, rounds: usize, is_outage: bool| {
+        let (mut granted, mut sent) = (0, 0);
         for round in 0..rounds {
             let requests: Vec<OpenRequest> = (0..100)
                 .map(|_| {
                     allowances
-                        .admit(round as u64, outside(), UNTRACKED, 1_000)
+                        .admit(round as u64, untrusted(), UNTRACKED, 1_000)
                         .expect("no loop")
                 })
                 .collect();
             for request in requests {
-                may += usize::from(allowances.remaining_retries(&request) > 0);
-                while needed && allowances.try_retry(&request) {
+                granted += usize::from(allowances.remaining_retries(&request) > 0);
+                while is_outage && allowances.try_retry(&request) {
                     sent += 1;
                 }
                 allowances.close(round as u64, request);
             }
         }
-        (may, sent)
+        (granted, sent)
     };
     run(&mut allowances, 20, false);
-    let (may, _) = run(&mut allowances, 20, false);
-    assert_eq!(may, 2_000, "each could be helped");
+    let (granted, _) = run(&mut allowances, 20, false);
+    assert_eq!(granted, 2_000, "every request is granted retries");
     let (_, transient) = run(&mut allowances, 1, true);
     assert!(
         transient <= 300,
-        "what was in flight when it began: {transient}"
+        "3 retries for each request open at the start of the outage: {transient}"
     );
     let (_, sent) = run(&mut allowances, 200, true);
-    assert!(sent <= 2_000 + 20, "a tenth of 20,000 first tries: {sent}");
+    assert!(
+        sent <= 2_000 + 20,
+        "a tenth of 20,000 first attempts: {sent}"
+    );
     let (_, sent) = run(&mut allowances, 200, true);
     assert!(
         (1_500..=2_020).contains(&sent),
-        "and no less, once what was overdrawn is paid back: {sent}"
+        "the ratio is granted again once the overdraft is repaid: {sent}"
     );
 }
 
 #[test]
 fn calls_of_one_parent_share_its_delegation() {
     let mut allowances = OpenAllowances::new(config("b", false), 2);
-    let admit = |allowances: &mut OpenAllowances, told| {
+    let admit = |allowances: &mut OpenAllowances, claim| {
         allowances
-            .admit(0, told, UNTRACKED, 1_000)
+            .admit(0, claim, UNTRACKED, 1_000)
             .expect("no loop")
     };
-    let one = admit(&mut allowances, inside(budget(7), &ProxyPath::default()));
-    let two = admit(&mut allowances, inside(budget(7), &ProxyPath::default()));
+    let one = admit(&mut allowances, trusted(budget(7), &ProxyPath::default()));
+    let two = admit(&mut allowances, trusted(budget(7), &ProxyPath::default()));
     assert_eq!(
         (
             allowances.remaining_retries(&one),
@@ -230,7 +233,7 @@
     assert!(allowances.try_retry(&one) && allowances.try_retry(&two));
     assert!(
         !allowances.try_retry(&one) && !allowances.try_retry(&two),
-        "between them they had two"
+        "the delegation of two retries is spent"
     );
     assert_eq!(
         allowances.retries_spent(&two, false),
@@ -242,27 +245,38 @@
     assert_eq!((one.time_limit_ms(), one.priority_weight()), (500, 0.4));
     allowances.close(0, one);
     allowances.close(0, two);
-    // A call that comes later, in time, finds what remains.
-    let late = admit(&mut allowances, inside(budget(7), &ProxyPath::default()));
+    // A later call within the time limit only gets the remaining retries.
+    let late = admit(&mut allowances, trusted(budget(7), &ProxyPath::default()));
     assert!(!allowances.try_retry(&late));
     allowances.close(0, late);
-    let over = allowances
+    let after_expiry = allowances
         .admit(
             600,
-            inside(budget(7), &ProxyPath::default()),
+            trusted(budget(7), &ProxyPath::default()),
             UNTRACKED,
             1_000,
         )
         .expect("no loop");
     assert!(
-        allowances.try_retry(&over),
-        "its id may be used again once its time is over"
+        allowances.try_retry(&after_expiry),
+        "the id can be reused once its time limit has passed"
     );
-    allowances.close(600, over);
-    // The id and the retries that an untrusted peer claims do not count.
+    allowances.close(600, after_expiry);
+}
+
+/// An untrusted peer must not draw on the delegation of another caller.
+#[test]
+fn the_delegation_id_and_retries_of_an_untrusted_peer_are_ignored() {
+    let mut allowances = OpenAllowances::new(config("b", false), 2);
+    let admit = |allowances: &mut OpenAllowances, claim| {
+        allowances
+            .admit(0, claim, UNTRACKED, 1_000)
+            .expect("no loop")
+    };
+    let delegated = admit(&mut allowances, trusted(budget(7), &ProxyPath::default()));
     let forged = BudgetClaim {
         from_trusted_peer: false,
-        ..inside(
+        ..trusted(
             Budget {
                 retries: 64,
                 delegation_id: 7,
@@ -275,19 +289,21 @@
     assert_eq!(
         allowances.remaining_retries(&request),
         3,
-        "what this proxy grants and no more"
+        "only the retries that this proxy grants"
     );
     assert_eq!(allowances.retries_spent(&request, true), None);
+    assert_eq!(allowances.remaining_retries(&delegated), 2);
     allowances.close(0, request);
+    allowances.close(0, delegated);
 }
 
-/// Delegated retries without a report are spent, but for the one that was kept; those of an attempt
-/// that was never sent come back.
+/// Delegated retries without a report count as spent; those of an attempt that was never sent are
+/// returned.
 #[test]
 fn a_lost_server_loses_its_delegation() {
     let mut allowances = OpenAllowances::new(config("a", true), 3);
     let request = allowances
-        .admit(0, outside(), UNTRACKED, 1_000)
+        .admit(0, untrusted(), UNTRACKED, 1_000)
         .expect("no loop");
     let (delegation, carried) = allowances.delegate(&request);
     assert_eq!(
@@ -311,9 +327,9 @@
     );
     assert!(allowances.try_retry(&request) && !allowances.try_retry(&request));
     allowances.close(0, request);
-    // A tier below that could not help says so, and what is left is of no use.
+    // After a stop report of the downstream tier, the remaining retries are unusable.
     let request = allowances
-        .admit(0, outside(), UNTRACKED, 1_000)
+        .admit(0, untrusted(), UNTRACKED, 1_000)
         .expect("no loop");
     let (delegation, _): (Delegation, _) = allowances.delegate(&request);
     allowances.settle(
@@ -335,15 +351,15 @@
     allowances.close(0, request);
 }
 
-/// A tier that forgets by a restart opens a delegated allowance anew, once for each restart.
+/// A tier that loses its state in a restart grants a delegated allowance again.
 #[test]
-fn a_restart_costs_one_delegation_at_most() {
+fn a_restart_costs_at_most_one_delegation() {
     let mut sent = 0;
     for incarnation in 0..3 {
         let mut allowances = OpenAllowances::new(config("b", false), incarnation);
         for _ in 0..10 {
             let request = allowances
-                .admit(0, inside(budget(7), &ProxyPath::default()), UNTRACKED, 100)
+                .admit(0, trusted(budget(7), &ProxyPath::default()), UNTRACKED, 100)
                 .expect("no loop");
             while allowances.try_retry(&request) {
                 sent += 1;
@@ -355,75 +371,98 @@
 }
 
 #[test]
-fn loops_are_found_by_path_and_without_one_by_identical_requests() {
+fn loops_are_detected_by_path() {
     let mut allowances = OpenAllowances::new(config("a", true), 4);
-    let here = ProxyPath::default().with("a").expect("a name");
-    let rejection = |allowances: &mut OpenAllowances, told| {
+    let looped_path = ProxyPath::default().with("a").expect("valid name");
+    let rejection = |allowances: &mut OpenAllowances, claim| {
         allowances
-            .admit(0, told, UNTRACKED, 100)
-            .map(|t| allowances.close(0, t))
+            .admit(0, claim, UNTRACKED, 100)
+            .map(|request| allowances.close(0, request))
             .err()
     };
     assert_eq!(
-        rejection(&mut allowances, inside(budget(1), &here)),
+        rejection(&mut allowances, trusted(budget(1), &looped_path)),
         Some(Rejection::Loop)
     );
-    // A path from an untrusted peer counts too.
+    // A loop is also detected by the path of an untrusted peer.
     assert_eq!(
         rejection(
             &mut allowances,
             BudgetClaim {
                 from_trusted_peer: false,
-                ..inside(budget(1), &here)
+                ..trusted(budget(1), &looped_path)
             }
         ),
         Some(Rejection::Loop)
     );
-    let spent = Budget {
+    let without_hops = Budget {
         hops: 0,
         ..budget(1)
     };
     assert_eq!(
-        rejection(&mut allowances, inside(spent, &ProxyPath::default())),
+        rejection(
+            &mut allowances,
+            trusted(without_hops, &ProxyPath::default())
+        ),
         Some(Rejection::TooManyHops)
     );
+    assert_eq!(
+        (
+            allowances.counters().loops,
+            allowances.counters().too_many_hops
+        ),
+        (2, 1)
+    );
+}
+
+#[test]
+fn loops_without_a_path_are_detected_by_identical_requests() {
+    let mut allowances = OpenAllowances::new(config("a", true), 4);
     let fingerprint = RequestFingerprint {
         key: 9,
         class: 1,
         tenant: 1,
     };
-    let stripped = || BudgetClaim {
+    let without_headers = || BudgetClaim {
         from_trusted_peer: true,
-        ..outside()
+        ..untrusted()
     };
     let identical: Vec<OpenRequest> = (0..4)
         .map(|_| {
             allowances
-                .admit(0, stripped(), fingerprint, 100)
-                .expect("four may")
+                .admit(0, without_headers(), fingerprint, 100)
+                .expect("four identical requests are allowed")
         })
         .collect();
     assert_eq!(
-        allowances.admit(0, stripped(), fingerprint, 100).err(),
+        allowances
+            .admit(0, without_headers(), fingerprint, 100)
+            .err(),
         Some(Rejection::Loop)
     );
     let another = allowances
-        .admit(0, outside(), fingerprint, 100)
-        .expect("a caller outside may repeat what it likes");
+        .admit(0, untrusted(), fingerprint, 100)
+        .expect("untrusted clients may repeat requests");
     allowances.close(0, another);
-    identical.into_iter().for_each(|t| allowances.close(0, t));
+    identical
+        .into_iter()
+        .for_each(|request| allowances.close(0, request));
     let again = allowances
-        .admit(0, stripped(), fingerprint, 100)
-        .expect("they are closed");
+        .admit(0, without_headers(), fingerprint, 100)
+        .expect("the identical requests are closed");
     allowances.close(0, again);
     assert_eq!(
         (
             allowances.counters().loops,
             allowances.counters().too_many_hops
         ),
-        (3, 1)
+        (1, 0)
     );
-    // A malformed header counts as absent.
+}
+
+#[test]
+fn malformed_headers_count_as_absent() {
+    let mut allowances = OpenAllowances::new(config("a", true), 4);
     let malformed = BudgetClaim {
         budget: Err(MalformedHeader { expected: "x" }),
         path: Err(MalformedHeader { expected: "y" }),
@@ -431,7 +470,7 @@
     };
     let request = allowances
         .admit(0, malformed, UNTRACKED, 100)
-        .expect("as if it had none");
+        .expect("admitted without a budget");
     assert_eq!(
         (
             allowances.counters().malformed_headers,
