--- a/crates/heathroad/src/backend/attempt.rs
+++ b/crates/heathroad/src/backend/attempt.rs
@@ -89,7 +89,7 @@
     /// Records that the request was handed to a connection, which tells how far it is written where
     /// it has a progress of its own.
     pub(super) fn hand_over(&self, progress: Option<Rc<Progress>>) {
-        self.written.set(Written::Nothing);
+        self.written.set(Written::None);
         self.progress.replace(progress);
     }
 
@@ -169,7 +169,7 @@
             Ok(result) => return report(result),
             Err(given_up) => given_up,
         };
-        if control.written() != Written::Whole {
+        if control.written() != Written::Complete {
             // Its connection, if it has one, is closed: no backend ever has the whole request.
             exchange.set(None);
             return report(AttemptEnd::NotServed(Outcome::NotSent));
@@ -196,7 +196,7 @@
         let has_timed_out = timer.as_mut().poll(cx).is_ready();
         // This is asked before each step: a request that nobody waits for is not written on,
         // whatever else has just come, such as a connection or a slot for one.
-        let is_whole = control.written() == Written::Whole;
+        let is_whole = control.written() == Written::Complete;
         let given_up = control.given_up(has_timed_out, Cancellation::Abandoned);
         if let Some(given_up) = given_up.filter(|_| !is_whole) {
             return Poll::Ready(Err(given_up));
--- a/crates/heathroad/src/backend/http/mod.rs
+++ b/crates/heathroad/src/backend/http/mod.rs
@@ -23,11 +23,11 @@
 use tokio::time::Instant;
 
 /// A request's own id.
-pub static ID: HeaderName = HeaderName::from_static("req-id");
+pub static REQUEST_ID: HeaderName = HeaderName::from_static("req-id");
 /// How long the response is waited for, in milliseconds.
 pub static DEADLINE: HeaderName = HeaderName::from_static("req-deadline-ms");
 /// By which a backend recognizes retries.
-pub static KEY: HeaderName = HeaderName::from_static("idempotency-key");
+pub static IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// The version that a request was bound to, for test harnesses.
 static VERSION: HeaderName = HeaderName::from_static("req-version");
 /// A backend says by it that it has not looked at the request.
@@ -67,7 +67,7 @@
         *request.uri_mut() = self.uri.clone();
         let headers = request.headers_mut();
         headers.insert(HOST, self.host.clone().unwrap_or(DEFAULT_HOST));
-        headers.insert(&ID, self.id.clone());
+        headers.insert(&REQUEST_ID, self.id.clone());
         headers.insert(
             &DEADLINE,
             HeaderValue::from(remaining_time.as_millis() as u64),
@@ -76,7 +76,7 @@
             budget.write_headers(headers, remaining_time);
         }
         if let Some(key) = &self.key {
-            headers.insert(&KEY, key.clone());
+            headers.insert(&IDEMPOTENCY_KEY, key.clone());
         }
         if let Some(version) = &self.version {
             headers.insert(&VERSION, version.clone());
@@ -102,7 +102,7 @@
         Ok(sent) => sent,
         Err(result) => return result,
     };
-    if connection.progress.written() != Written::Whole {
+    if connection.progress.written() != Written::Complete {
         return classify_early_response(&connection, &response);
     }
     let result = response::read(response, budget).await;
@@ -154,7 +154,7 @@
             Ok(response) => return Ok((connection, response)),
             // An idle connection turned out to be closed, or to hold stray bytes. Not a byte of the
             // request was written, so that it goes over another one.
-            Err(reason) if is_reused && connection.progress.written() == Written::Nothing => {
+            Err(reason) if is_reused && connection.progress.written() == Written::None => {
                 tracing::debug!(id = ?call.id, %reason, "idle connection of no use, another is taken");
             }
             // Only the connection knows whether the backend can have the whole request.
@@ -187,7 +187,7 @@
 /// ran: the connection is closed, and no backend gets the rest.
 fn reset_unless_unwritten(connection: &Connection) -> AttemptEnd {
     AttemptEnd::NotServed(match connection.progress.written() {
-        Written::Whole => Outcome::Reset,
-        Written::Nothing | Written::Part => Outcome::ConnectFailed,
+        Written::Complete => Outcome::Reset,
+        Written::None | Written::Partial => Outcome::ConnectFailed,
     })
 }
--- a/crates/heathroad/src/backend/jsonrpc/connection.rs
+++ b/crates/heathroad/src/backend/jsonrpc/connection.rs
@@ -80,7 +80,7 @@
 impl State {
     fn is_written_whole(&self, id: u64) -> bool {
         let pending = self.pending.get(&id);
-        pending.is_some_and(|call| call.control.written() == Written::Whole)
+        pending.is_some_and(|call| call.control.written() == Written::Complete)
     }
 
     fn is_notification(&self, id: u64) -> bool {
@@ -188,7 +188,7 @@
             return;
         };
         self.idle_since.set(Instant::now());
-        if call.control.written() == Written::Nothing {
+        if call.control.written() == Written::None {
             state.queue.retain(|frame| frame.id != id);
             return;
         }
@@ -226,9 +226,9 @@
         let (id, is_done) = (frame.id, frame.remaining.is_empty());
         if let Some(call) = state.pending.get(&id) {
             call.control.set_written(if is_whole {
-                Written::Whole
+                Written::Complete
             } else {
-                Written::Part
+                Written::Partial
             });
         }
         if is_whole && state.is_notification(id) {
--- a/crates/heathroad/src/backend/jsonrpc/mod.rs
+++ b/crates/heathroad/src/backend/jsonrpc/mod.rs
@@ -136,7 +136,7 @@
         }
         let mut handle = connection.start_call(call, expires_at, control, budget);
         let end = (&mut handle.end).await;
-        if is_reused && matches!(end, Ok(CallEnd::ConnectionLost(Written::Nothing))) {
+        if is_reused && matches!(end, Ok(CallEnd::ConnectionLost(Written::None))) {
             // The connection turned out to be closed, and not a byte was written: the call goes
             // over another. Others that were idle beside it may be closed too, which their tasks
             // get to see first.
@@ -170,10 +170,10 @@
         }
         Some(CallEnd::NotificationSent) => AttemptEnd::NotificationSent,
         Some(CallEnd::Drained) => AttemptEnd::NotServed(Outcome::NotSent),
-        Some(CallEnd::ConnectionLost(Written::Nothing | Written::Part)) => {
+        Some(CallEnd::ConnectionLost(Written::None | Written::Partial)) => {
             AttemptEnd::NotServed(Outcome::ConnectFailed)
         }
-        Some(CallEnd::ConnectionLost(Written::Whole)) | None => {
+        Some(CallEnd::ConnectionLost(Written::Complete)) | None => {
             AttemptEnd::NotServed(Outcome::Reset)
         }
     }
--- a/crates/heathroad/src/configuration/mod.rs
+++ b/crates/heathroad/src/configuration/mod.rs
@@ -62,7 +62,7 @@
     listen: Option<String>,
     discovery: Option<String>,
     admin: Option<String>,
-    budget: Option<retry_budget::File>,
+    budget: Option<retry_budget::RawSettings>,
     routes: Option<PathBuf>,
     expectations: Option<PathBuf>,
     state: Option<PathBuf>,
@@ -157,7 +157,10 @@
     let digest = common_digest(&settings);
     let mut settings = settings::read(settings)?;
     validate(&file, &settings.site)?;
-    let budget = file.budget.map(retry_budget::File::check).transpose()?;
+    let budget = file
+        .budget
+        .map(retry_budget::RawSettings::check)
+        .transpose()?;
     settings.balancer.priority_forwarded = budget.is_some();
     let addresses = membership::Addresses {
         listen: file.peer_listen.as_deref(),
--- a/crates/heathroad/src/daemon/endpoint_source.rs
+++ b/crates/heathroad/src/daemon/endpoint_source.rs
@@ -136,7 +136,7 @@
             }
             engine.update_endpoints(update.kind, update.instances);
         }
-        DiscoveryEvent::PollFailed => engine.record_list_failure(),
+        DiscoveryEvent::PollFailed => engine.record_discovery_failure(),
     };
     let watch_requested = watch_requested.clone();
     spawn_local(discovery::follow(
--- a/crates/heathroad/src/daemon/mod.rs
+++ b/crates/heathroad/src/daemon/mod.rs
@@ -149,7 +149,7 @@
         sleep(SWEEP_INTERVAL).await;
         pool.close_aged_connections();
         for engine in router.engines() {
-            engine.forget_unlisted_endpoints();
+            engine.remove_unused_endpoints();
         }
     }
 }
--- a/crates/heathroad/src/engine/endpoints.rs
+++ b/crates/heathroad/src/engine/endpoints.rs
@@ -153,7 +153,7 @@
             kind,
             endpoints: updated,
         });
-        self.forget_unlisted_endpoints();
+        self.remove_unused_endpoints();
     }
 
     fn update_endpoint(&self, endpoints: &mut Endpoints, instance: Instance) -> Endpoint {
@@ -202,7 +202,7 @@
     /// Forgets the backends that no list names, once no open request was sent to them: the decision
     /// module has forgotten such a backend too. Where backends are replaced all day, nothing grows
     /// with their number.
-    pub fn forget_unlisted_endpoints(&self) {
+    pub fn remove_unused_endpoints(&self) {
         let state = &mut *self.state.borrow_mut();
         if state.endpoints.are_all_listed() {
             return;
@@ -216,7 +216,7 @@
     }
 
     /// Notifies the decision module that a call to discovery failed.
-    pub fn record_list_failure(self: &Rc<Self>) {
+    pub fn record_discovery_failure(self: &Rc<Self>) {
         self.watch_requested.send_replace(false);
         self.notify(Event::EndpointUpdate {
             kind: UpdateKind::Failed,
--- a/crates/heathroad/src/engine/mod.rs
+++ b/crates/heathroad/src/engine/mod.rs
@@ -149,7 +149,7 @@
     }
 
     /// Returns the pool's present load.
-    pub fn moment(&self) -> PoolSnapshot<'_> {
+    pub fn snapshot(&self) -> PoolSnapshot<'_> {
         PoolSnapshot {
             metrics: &self.metrics,
             load: self.state.borrow().balancer.load(),
@@ -169,7 +169,7 @@
 
     /// Tells the decision module how many engines send to some backend of this one's, and so share
     /// the requests that it may take while it warms up.
-    pub fn share_warm_up(&self, engines: usize) {
+    pub fn share_slow_start_budget(&self, engines: usize) {
         self.state
             .borrow_mut()
             .balancer
--- a/crates/heathroad/src/engine/timers.rs
+++ b/crates/heathroad/src/engine/timers.rs
@@ -11,7 +11,7 @@
 
 /// A deadline counts from the client's send, and the response has yet to reach it: this time is for
 /// the way. It covers a stall that went undetected when the request arrived.
-pub(super) const TRAVEL_TIME: Duration = stall_detector::DETECTION_THRESHOLD;
+pub(super) const TRANSIT_TIME: Duration = stall_detector::DETECTION_THRESHOLD;
 /// A client waits so long after its deadline, by the protocol: 20 ms, and 50 ms more on sockets.
 pub(super) const CLIENT_GRACE: Duration = Duration::from_millis(70);
 /// The decision module's deadline lies so much before the client's. A request is then answered in
@@ -30,7 +30,7 @@
 pub(super) fn deadline_margin(timeout: Duration) -> Duration {
     MAX_DEADLINE_MARGIN
         .min(timeout / DEADLINE_MARGIN_DIVISOR)
-        .max(TRAVEL_TIME)
+        .max(TRANSIT_TIME)
 }
 
 /// The moments that bound a request.
@@ -56,7 +56,7 @@
         let watchdog_margin = (margin / WATCHDOG_MARGIN_DIVISOR).min(limit);
         Deadlines {
             decision: received_at + limit.saturating_sub(margin),
-            backend: received_at + limit.saturating_sub(TRAVEL_TIME),
+            backend: received_at + limit.saturating_sub(TRANSIT_TIME),
             watchdog: received_at + limit - watchdog_margin,
             client: received_at + timeout + CLIENT_GRACE,
         }
--- a/crates/heathroad/src/frontend/http/request.rs
+++ b/crates/heathroad/src/frontend/http/request.rs
@@ -2,7 +2,7 @@
 
 use super::HttpFrontend;
 use super::response::RequestError;
-use crate::backend::http::{self, DEADLINE, ID, KEY};
+use crate::backend::http::{self, DEADLINE, IDEMPOTENCY_KEY, REQUEST_ID};
 use crate::backend::{Call, MAX_BODY};
 use crate::engine::{self, IncomingRequest};
 use crate::frontend::connections::{Connection, MESSAGE_TIMEOUT};
@@ -53,7 +53,7 @@
 
 impl<'a> ProtocolHeaders<'a> {
     fn read(headers: &'a HeaderMap) -> Result<ProtocolHeaders<'a>, RequestError> {
-        let names = [&ID, &OWNER, &DEADLINE, &KEY];
+        let names = [&REQUEST_ID, &OWNER, &DEADLINE, &IDEMPOTENCY_KEY];
         let [id, owner, timeout, idempotency_key] = single_values(headers, names);
         Ok(ProtocolHeaders {
             id: id.ok_or(BAD_REQUEST)?,
--- a/crates/heathroad/src/retry_budget/mod.rs
+++ b/crates/heathroad/src/retry_budget/mod.rs
@@ -5,7 +5,7 @@
 mod settings;
 
 pub use headers::{AttemptBudget, SPENT_HEADER, read_http_claim, read_jsonrpc_claim};
-pub use settings::{File, Settings, SettingsError};
+pub use settings::{RawSettings, Settings, SettingsError};
 
 use heathroad_retry_budget::allowance::Delegation;
 use heathroad_retry_budget::loop_detection::{Rejection, RequestFingerprint};
--- a/crates/heathroad/src/retry_budget/settings.rs
+++ b/crates/heathroad/src/retry_budget/settings.rs
@@ -12,7 +12,7 @@
 /// The section as it stands in the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct File {
+pub struct RawSettings {
     #[serde(rename = "name")]
     proxy_name: String,
     #[serde(rename = "inner", default)]
@@ -89,7 +89,7 @@
     pub(super) cancels_downstream: bool,
 }
 
-impl File {
+impl RawSettings {
     /// Checks the bounds of all fields.
     pub fn check(self) -> Result<Settings, SettingsError> {
         let checks = [
--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -147,7 +147,7 @@
             open: count_open_descriptors(),
             max: max_descriptors,
         };
-        self.with_moments(|meter, moments| meter.to_text(moments, descriptors))
+        self.with_moments(|meter, snapshots| meter.to_text(snapshots, descriptors))
     }
 
     /// Returns all counters as one line of JSON. `max_descriptors` is the limit of the process.
@@ -156,7 +156,7 @@
             open: count_open_descriptors(),
             max: max_descriptors,
         };
-        self.with_moments(|meter, moments| meter.to_json(moments, descriptors))
+        self.with_moments(|meter, snapshots| meter.to_json(snapshots, descriptors))
     }
 
     fn with_moments<T>(
@@ -164,8 +164,8 @@
         report: impl FnOnce(&MetricsRegistry, &[PoolSnapshot<'_>]) -> T,
     ) -> T {
         let engines = self.engines();
-        let moments: Vec<PoolSnapshot<'_>> = engines.iter().map(|e| e.moment()).collect();
-        report(&self.meter(), &moments)
+        let snapshots: Vec<PoolSnapshot<'_>> = engines.iter().map(|e| e.snapshot()).collect();
+        report(&self.meter(), &snapshots)
     }
 }
 
--- a/crates/heathroad/src/router/pool_run.rs
+++ b/crates/heathroad/src/router/pool_run.rs
@@ -109,7 +109,7 @@
             (now, before) if now == before => targets.len(),
             _ => 0,
         };
-        let limit = predecessor.engine.moment().load.limit;
+        let limit = predecessor.engine.snapshot().load.limit;
         engine.set_initial_limit(limit * kept as f64 / targets.len().max(1) as f64);
     }
 
--- a/crates/heathroad/src/router/registry.rs
+++ b/crates/heathroad/src/router/registry.rs
@@ -243,7 +243,7 @@
         };
         let pools: Vec<BTreeSet<SocketAddr>> = runs.iter().map(addresses).collect();
         for (run, sharing_pools) in runs.iter().zip(count_sharing_pools(&pools)) {
-            run.engine.share_warm_up(sharing_pools);
+            run.engine.share_slow_start_budget(sharing_pools);
         }
     }
 
--- a/crates/heathroad/src/stream.rs
+++ b/crates/heathroad/src/stream.rs
@@ -28,11 +28,11 @@
 pub enum Written {
     /// Nothing of it.
     #[default]
-    Nothing,
+    None,
     /// A part: no backend can have begun it.
-    Part,
+    Partial,
     /// All of it.
-    Whole,
+    Complete,
 }
 
 /// How far the messages on a connection have got.
@@ -73,9 +73,9 @@
     /// all that it has buffered is written, and by then it has taken the body.
     pub fn written(&self) -> Written {
         match (self.is_begun.get(), self.is_flushed.get()) {
-            (false, _) => Written::Nothing,
-            (true, false) => Written::Part,
-            (true, true) => Written::Whole,
+            (false, _) => Written::None,
+            (true, false) => Written::Partial,
+            (true, true) => Written::Complete,
         }
     }
 
--- a/crates/heathroad/tests/unit/engine.rs
+++ b/crates/heathroad/tests/unit/engine.rs
@@ -127,7 +127,7 @@
             );
             assert_eq!(engine.state.borrow().endpoints.by_id.len(), 2);
             engine.state.borrow_mut().requests.clear();
-            engine.forget_unlisted_endpoints();
+            engine.remove_unused_endpoints();
             assert_eq!(engine.state.borrow().endpoints.by_id.len(), 1);
         })
         .await;
--- a/crates/heathroad/tests/unit/stream.rs
+++ b/crates/heathroad/tests/unit/stream.rs
@@ -33,7 +33,7 @@
             other(&mut far).await;
             drop(far);
             assert!(!answer.await.expect("no panic"), "nobody answers");
-            progress.written() == Written::Whole
+            progress.written() == Written::Complete
         })
         .await
 }
@@ -102,5 +102,5 @@
         write(true).await.expect_err("unclean").kind(),
         io::ErrorKind::InvalidData
     );
-    assert_eq!(progress.written(), Written::Nothing);
+    assert_eq!(progress.written(), Written::None);
 }
