--- a/crates/heathroad-membership/src/protocol/receive.rs
+++ b/crates/heathroad-membership/src/protocol/receive.rs
@@ -117,7 +117,7 @@
     }
 
     /// Handles a datagram that names an outdated incarnation of its sender or of this member. Its
-    /// updates are ignored, since it may be a replay, but the reply tells the sender the current
+    /// updates are ignored, since it may be a replay, but the reply names the current
     /// incarnations.
     fn handle_unconfirmed(
         &mut self,
--- a/crates/heathroad-membership/tests/desired_version.rs
+++ b/crates/heathroad-membership/tests/desired_version.rs
@@ -79,7 +79,7 @@
                     all.filter(|r| !is_covered(r)).map(|r| r.generation).collect();
                 prop_assert!(uncovered
                     .iter()
-                    .all(|dropped| kept.as_slice().iter().all(|k| k.generation > *dropped)));
+                    .all(|generation| kept.as_slice().iter().all(|k| k.generation > *generation)));
                 dropped.extend(uncovered);
             }
         }
