--- a/crates/heathroad-routing/src/backend_state/mod.rs
+++ b/crates/heathroad-routing/src/backend_state/mod.rs
@@ -1,8 +1,8 @@
-//! The state of backends, by address.
+//! The availability of backends, by address.
 //!
-//! The state belongs to a backend and not to the pools or generations that name it. A backend in
-//! two pools is one backend for drains and warm-up, and no configuration change brings back a
-//! backend that drains or is gone.
+//! State belongs to a backend, not to the pools or generations that list it. A backend in two pools
+//! drains and warms up as one, and no configuration change makes a draining or departed backend
+//! available again.
 
 #[cfg(test)]
 mod tests;
@@ -10,19 +10,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Whether a backend may be sent new requests.
+/// Whether a backend accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Availability {
-    /// It takes new requests.
+    /// It accepts new requests.
     Available,
-    /// It takes none: it drains, is gone, or was revoked.
+    /// It accepts none: it is draining, gone or revoked.
     Withdrawn,
 }
 
-/// Returns for each pool by how many pools its most shared backend is shared, at least 1.
+/// Returns, for each pool, the number of pools that share its most shared backend, at least 1.
 ///
-/// A pool keeps to that part of the warm-up budget of its backends. Each item of `pools` holds the
-/// backends that one pool sends to.
+/// Each pool divides the warm-up budget of its backends by this number. Each item of `pools` is the
+/// set of backends of one pool.
 pub fn count_sharing_pools(pools: &[BTreeSet<SocketAddr>]) -> Vec<usize> {
     let mut pools_by_backend: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     for backend in pools.iter().flatten() {
@@ -37,24 +37,24 @@
 
 #[derive(Debug, Default)]
 struct BackendState {
-    /// The start time of its process as it was announced; 0 is unknown.
+    /// The announced start time of its process; 0 if unknown.
     process_start: u64,
     withdrawn: bool,
-    /// The pools in force that name the backend.
+    /// The active pools that list the backend.
     pools: BTreeSet<String>,
 }
 
-/// The states of all backends that a pool names, or that were withdrawn while one did.
+/// The states of all backends that are listed by a pool or were withdrawn while they were.
 #[derive(Debug, Default)]
 pub struct BackendStates {
     states: BTreeMap<SocketAddr, BackendState>,
 }
 
 impl BackendStates {
-    /// Replaces the backends that a pool names.
+    /// Replaces the backends that a pool lists.
     ///
-    /// A backend that no pool names is forgotten unless it was withdrawn: the next change must not
-    /// bring that one back.
+    /// A backend that no pool lists any more is removed, unless it is withdrawn: a later change
+    /// must not make it available again.
     pub fn set_pool_backends(&mut self, pool: &str, addresses: &BTreeSet<SocketAddr>) {
         for address in addresses {
             let state = self.states.entry(*address).or_default();
@@ -68,10 +68,10 @@
         });
     }
 
-    /// Records the state that a backend's process announces.
+    /// Records an announcement by a backend's process.
     ///
-    /// A later process start is another process, which earlier drains do not concern. An
-    /// announcement of an earlier process is stale and ignored.
+    /// A later process start means a new process, to which earlier drains do not apply. An
+    /// announcement by an earlier process is stale and ignored.
     pub fn record_announcement(
         &mut self,
         address: SocketAddr,
@@ -89,7 +89,7 @@
         state.withdrawn |= !accepts_requests;
     }
 
-    /// Makes a backend available again, as its registry announces for the same process.
+    /// Makes a backend available again after its registry announced this for the same process.
     pub fn restore(&mut self, address: SocketAddr, process_start: u64) {
         let state = self.states.get_mut(&address);
         if let Some(state) = state.filter(|s| s.process_start <= process_start) {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Returns whether a backend may be sent new requests. One that no pool names may not.
+    /// Returns whether a backend accepts new requests. A backend that no pool lists does not.
     pub fn availability(&self, address: SocketAddr) -> Availability {
         match self.states.get(&address) {
             Some(s) if !s.withdrawn && !s.pools.is_empty() => Availability::Available,
@@ -112,12 +112,12 @@
         withdrawn.map(|(address, _)| *address)
     }
 
-    /// Returns the number of backends that are remembered.
+    /// Returns the number of tracked backends.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Whether no backend is remembered.
+    /// Returns whether no backend is tracked.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
