--- a/crates/heathroad-routing/src/condition.rs
+++ b/crates/heathroad-routing/src/condition.rs
@@ -1,7 +1,7 @@
-//! The conditions of a route, and the attributes of a request that they compare.
+//! Route conditions, and the request attributes that they compare.
 //!
-//! Conditions that look at the same attributes have the same `ConditionShape`, so that one hash
-//! look-up finds all routes of a shape that a request may match.
+//! Conditions that compare the same attributes have the same `ConditionShape`, so that one hash
+//! lookup finds the routes of a shape that a request may match.
 
 use serde::Serialize;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -13,7 +13,7 @@
     pub listener: Option<String>,
     /// The host in lower case: a name, or `*.` and the suffix of the name.
     pub host: Option<String>,
-    /// The whole path, or a path prefix that ends with `/*`.
+    /// The exact path, or a path prefix that ends with `/*`.
     pub path: Option<String>,
     /// The method name of a JSON-RPC call.
     pub method: Option<String>,
@@ -25,13 +25,13 @@
     pub header: Option<(String, String)>,
 }
 
-/// The attributes of a request that routes compare. An absent attribute is empty.
+/// The request attributes that conditions compare. An absent attribute is empty.
 pub struct RequestAttributes<'a> {
     /// The listener that accepted the request.
     pub listener: &'a str,
     /// The host in lower case, without a port.
     pub host: &'a str,
-    /// The path without a query.
+    /// The path without the query.
     pub path: &'a str,
     /// The method name of a JSON-RPC call.
     pub method: &'a str,
@@ -43,14 +43,14 @@
     pub header: &'a dyn Fn(&str) -> Option<&'a str>,
 }
 
-/// How much of a name with several parts a condition compares.
+/// How much of a host or path a condition compares.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum NameScope {
     /// Nothing.
     Any,
     /// A number of parts: the last labels of a host, or the first segments of a path.
     Parts(u16),
-    /// The whole name.
+    /// The complete name.
     Whole,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl NameScope {
-    /// The specificity of a whole name, above that of any number of parts.
+    /// The specificity of a complete name, above that of any number of parts.
     const WHOLE_SPECIFICITY: u32 = 1 << 17;
 
     fn of_parts(count: usize) -> NameScope {
@@ -83,19 +83,19 @@
     }
 }
 
-/// Iterates over the segments of a path that are not empty.
+/// Iterates over the non-empty segments of a path.
 fn path_segments(path: &str) -> impl Iterator<Item = &str> {
     path.trim_matches('/').split('/').filter(|s| !s.is_empty())
 }
 
-/// Returns the first segments of a path, if it has as many.
+/// Returns the first `count` segments of a path, or `None` if it has fewer.
 fn first_segments(path: &str, count: u16) -> Option<Vec<&str>> {
     let count = usize::from(count);
     let segments: Vec<&str> = path_segments(path).take(count).collect();
     (segments.len() == count).then_some(segments)
 }
 
-/// Returns the last labels of a host, if it has more than these.
+/// Returns the last `count` labels of a host, or `None` if it has no further ones.
 fn last_labels(host: &str, count: u16) -> Option<&str> {
     let mut start = host.len();
     for _ in 0..count {
@@ -105,10 +105,12 @@
 }
 
 impl RouteCondition {
-    /// Whether a request fulfils every condition.
+    /// Returns whether a request satisfies every condition.
     pub fn matches(&self, request: &RequestAttributes<'_>) -> bool {
-        let equals = |wanted: &Option<String>, actual: &str| {
-            wanted.as_deref().is_none_or(|wanted| wanted == actual)
+        let equals = |expected: &Option<String>, actual: &str| {
+            expected
+                .as_deref()
+                .is_none_or(|expected| expected == actual)
         };
         self.matches_host(request.host)
             && self.matches_path(request.path)
@@ -120,25 +122,25 @@
     }
 
     fn matches_host(&self, host: &str) -> bool {
-        let Some(wanted) = self.host.as_deref() else {
+        let Some(expected) = self.host.as_deref() else {
             return true;
         };
-        match wanted.strip_prefix("*.") {
+        match expected.strip_prefix("*.") {
             Some(suffix) => host
                 .strip_suffix(suffix)
                 .is_some_and(|labels| labels.len() > 1 && labels.ends_with('.')),
-            None => wanted == host,
+            None => expected == host,
         }
     }
 
     fn matches_path(&self, path: &str) -> bool {
-        let Some(wanted) = self.path.as_deref() else {
+        let Some(expected) = self.path.as_deref() else {
             return true;
         };
         let mut segments = path_segments(path);
-        match wanted.strip_suffix("/*") {
+        match expected.strip_suffix("/*") {
             Some(prefix) => path_segments(prefix).all(|s| segments.next() == Some(s)),
-            None => path_segments(wanted).eq(segments),
+            None => path_segments(expected).eq(segments),
         }
     }
 
@@ -149,7 +151,7 @@
         (request.header)(name) == Some(value)
     }
 
-    /// Describes the requests that match, for people.
+    /// Returns a human-readable description of the matching requests.
     pub fn describe(&self) -> String {
         let attributes = [
             ("listener", &self.listener),
@@ -207,24 +209,23 @@
         }
     }
 
-    /// Returns the key under which this condition stands in a shape that is no more specific than
-    /// its own.
+    /// Returns the hash key of this condition in a shape that is at most as specific as its own.
     pub(crate) fn key_in(&self, shape: &ConditionShape) -> Option<u64> {
         self.with_minimal_request(|request| shape.key_of(request))
     }
 
-    /// Calls a function with a request that fulfils the conditions and has no other attribute.
+    /// Calls a function with a request that has only the attributes that the conditions require.
     pub(crate) fn with_minimal_request<T>(
         &self,
         inspect: impl FnOnce(&RequestAttributes<'_>) -> T,
     ) -> T {
         let text = |value: &Option<String>| value.clone().unwrap_or_default();
-        // A host that matches a wildcard has one label more than the suffix.
+        // A host that matches a wildcard has at least one more label than the suffix.
         let host = text(&self.host).replace('*', "x");
         let path = self.path.as_deref().unwrap_or_default();
         let header = |name: &str| {
-            let (own_name, value) = self.header.as_ref()?;
-            (own_name == name).then_some(value.as_str())
+            let (expected_name, value) = self.header.as_ref()?;
+            (expected_name == name).then_some(value.as_str())
         };
         inspect(&RequestAttributes {
             listener: &text(&self.listener),
@@ -239,8 +240,8 @@
 }
 
 impl ConditionShape {
-    /// Returns a rank that grows with each condition: a condition that is nested in another one has
-    /// the higher rank.
+    /// Returns a rank that increases with each compared attribute, so that a condition nested in
+    /// another one has the higher rank.
     pub(crate) fn specificity(&self) -> u32 {
         let flags = [
             self.header.is_some(),
@@ -267,10 +268,10 @@
         }
     }
 
-    /// Hashes the attributes of a request that the shape compares. Returns `None` if the request
-    /// lacks one of them.
+    /// Hashes the request attributes that the shape compares. Returns `None` if the request lacks
+    /// one of them.
     pub(crate) fn key_of(&self, request: &RequestAttributes<'_>) -> Option<u64> {
-        // The key stays in memory, so that it need not be the same in other builds.
+        // The key never leaves this process, so it need not be stable across builds.
         let mut hasher = DefaultHasher::new();
         match self.path {
             NameScope::Any => {}
