--- a/crates/heathroad-routing/src/transaction/impact.rs
+++ b/crates/heathroad-routing/src/transaction/impact.rs
@@ -1,4 +1,4 @@
-//! The impact of a change: the pools whose requests it may affect.
+//! The impact of a change: the pools that it may affect.
 
 use crate::condition::RouteCondition;
 use crate::generation::Generation;
@@ -7,13 +7,13 @@
 
 /// The pools that a change affects.
 pub(super) struct Impact {
-    /// The pools whose definition or part of the requests changes.
+    /// The pools whose definition or share of the requests changes.
     pub(super) affected_pools: BTreeSet<String>,
-    /// The pools whose requests a pool takes over.
+    /// For each pool, the pools whose requests it takes over.
     pub(super) predecessors: BTreeMap<String, Vec<String>>,
 }
 
-/// Compares two generations.
+/// Determines the impact of a change from one generation to the next.
 pub(super) fn assess(current: &Generation, next: &Generation) -> Impact {
     let differing = next.pools_differing_from(current);
     let mut impact = Impact {
@@ -32,7 +32,7 @@
                     impact.add_moved_requests(&before, &after);
                 }
             }
-            // A new route takes its requests from some less specific one, and so from any pool.
+            // The requests of a new route come from less specific routes, so from any pool.
             None => impact.affected_pools.extend(after),
         }
     }
@@ -43,7 +43,7 @@
 }
 
 impl Impact {
-    /// The requests of a removed route go to any pool that remains.
+    /// Adds the pools of removed routes, whose requests may move to any remaining pool.
     fn add_removed_routes(&mut self, current: &Generation, next: &Generation) {
         let next_routes = next.config.routes.iter();
         let next_conditions: HashSet<_> = next_routes.map(|route| &route.condition).collect();
--- a/crates/heathroad-routing/src/transaction/mod.rs
+++ b/crates/heathroad-routing/src/transaction/mod.rs
@@ -1,10 +1,10 @@
-//! Configuration changes as transactions: staged, applied at one instant, observed on probation,
-//! then committed or rolled back.
+//! Transactional configuration changes: a change is staged, applied atomically, observed on
+//! probation, and then committed or rolled back.
 //!
-//! [`TransactionManager`] is a state machine without clock or I/O. It takes events, and returns
-//! actions to be carried out in their order. There is one transaction at a time. A rollback is a
-//! change with a number of its own. The state of backends belongs to no generation, so that no
-//! rollback brings back a backend that has drained, gone or been revoked meanwhile.
+//! [`TransactionManager`] is a state machine without clock or I/O. It handles events and returns
+//! actions to be carried out in order. Only one transaction is open at a time. A rollback is itself
+//! a change with a new number. Backend states do not belong to a generation, so a rollback does not
+//! restore a backend that was drained, removed or revoked in the meantime.
 
 mod event;
 mod impact;
@@ -23,20 +23,20 @@
 pub type Millis = u64;
 
 /// The factor by which earlier samples decay with each new one, so that a change is compared with
-/// the time just before it.
+/// the period immediately before it.
 const SAMPLE_DECAY: f64 = 0.95;
 
-/// The limits of transactions.
+/// The settings of a transaction manager.
 #[derive(Debug, Clone)]
 pub struct TransactionConfig {
-    /// New pools must have backends and warm connections within this time.
+    /// The maximum time until all new pools are ready and the change is verified.
     pub staging_timeout: Millis,
-    /// A change is on probation for this time before it is committed.
+    /// The duration of the probation before a change is committed.
     pub probation: Millis,
-    /// The maximum number of older generations that requests are still bound to. A change beyond
-    /// it is rejected.
+    /// The maximum number of older generations that open requests use. Further changes are
+    /// rejected.
     pub max_generations_in_use: usize,
-    /// Whether a change is verified before it is applied, by [`Action::Verify`] and
+    /// Whether changes are verified before they are applied, by [`Action::Verify`] and
     /// [`Event::Verified`].
     pub verify: bool,
 }
@@ -52,14 +52,14 @@
     }
 }
 
-/// Whether a staged change is verified.
+/// The verification state of a staged change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Verification {
-    /// It is to be verified once all pools are ready.
+    /// Verification starts once all pools are ready.
     Required,
-    /// The verdict is pending.
+    /// Verification has started.
     Pending,
-    /// The change may be applied.
+    /// The change was verified or needs no verification.
     Done,
 }
 
@@ -80,28 +80,28 @@
     },
 }
 
-/// Decides on changes of the configuration, one at a time.
+/// Manages configuration changes, one at a time.
 #[derive(Debug)]
 pub struct TransactionManager {
     config: TransactionConfig,
     current: Rc<Generation>,
-    /// The generation before the last committed change, for a rollback on demand.
+    /// The generation before the last committed change, for a manual rollback.
     previous: Option<Rc<Generation>>,
-    /// The generation that the journal records as committed.
+    /// The last generation that was recorded as committed.
     committed: Rc<Generation>,
-    /// The one before it, which a restart begins with if the last record was not written.
+    /// The one before it, which a restart uses if the last record could not be written.
     committed_before: Option<Rc<Generation>>,
     phase: Phase,
     highest_number: u64,
     shutting_down: bool,
-    /// The decayed samples of pools before the next change.
+    /// The decayed samples of pools, for comparison with the next change.
     recent_samples: BTreeMap<String, PoolSample>,
-    /// Generations that were in force, as long as requests are bound to them.
+    /// Earlier generations, which open requests may still use.
     older_generations: Vec<Weak<Generation>>,
 }
 
 impl TransactionManager {
-    /// Begins with a committed generation. `highest_number` is the highest one ever assigned.
+    /// Starts with a committed generation. `highest_number` is the highest number ever assigned.
     pub fn new(config: TransactionConfig, current: Rc<Generation>, highest_number: u64) -> Self {
         TransactionManager {
             config,
@@ -122,12 +122,12 @@
         &self.current
     }
 
-    /// Records a number that was assigned elsewhere. The next number assigned here is higher.
+    /// Reserves all numbers up to one that was assigned by another proxy.
     pub fn reserve_numbers_up_to(&mut self, number: u64) {
         self.highest_number = self.highest_number.max(number);
     }
 
-    /// Returns the transaction under way.
+    /// Returns the open transaction.
     pub fn open_transaction(&self) -> Option<OpenTransaction> {
         match &self.phase {
             Phase::Idle => None,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Counts the older generations that requests are still bound to. References that this machine
+    /// Counts the older generations that open requests use. References that the manager itself
     /// keeps for a rollback do not count.
     pub fn count_generations_in_use(&mut self) -> usize {
         self.older_generations.retain(|g| g.strong_count() > 0);
@@ -165,7 +165,7 @@
         older.filter(|g| g.strong_count() > count_own(g)).count()
     }
 
-    /// Handles an event, and appends the actions to be carried out.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Propose(next) => self.propose(now, &next, actions),
@@ -180,13 +180,13 @@
         }
     }
 
-    /// Returns a generation under the highest number. Its text was parsed before, so that parsing
-    /// succeeds again.
+    /// Returns the generation with the highest number assigned. Its text was parsed before, so
+    /// parsing succeeds again.
     fn renumber(&self, generation: &Generation) -> Option<Rc<Generation>> {
         Generation::parse(self.highest_number, "", &generation.text).ok()
     }
 
-    /// Puts a generation in force, and returns the one before.
+    /// Replaces the current generation and returns the previous one.
     fn replace_current(&mut self, next: Rc<Generation>) -> Rc<Generation> {
         let previous = std::mem::replace(&mut self.current, next);
         self.older_generations.push(Rc::downgrade(&previous));
@@ -210,12 +210,12 @@
         self.committed_before = Some(before);
     }
 
-    /// Aborts what is staged. A change on probation stays in force to the end, but is not
-    /// committed, so that the next start does not begin with it.
+    /// Aborts a staged change. A change on probation stays applied but is not committed, so a
+    /// restart does not use it.
     fn shut_down(&mut self, actions: &mut Vec<Action>) {
         self.shutting_down = true;
         if matches!(self.phase, Phase::Staging { .. }) {
-            self.abort("the daemon stops".into(), actions);
+            self.abort("the daemon is shutting down".into(), actions);
         }
     }
 
@@ -228,7 +228,7 @@
             } if now >= *deadline => {
                 let missing: Vec<&str> = missing_pools.iter().map(String::as_str).collect();
                 let reason = match missing.as_slice() {
-                    [] => "not judged in time".to_string(),
+                    [] => "not verified in time".to_string(),
                     missing => format!("not ready in time: {}", missing.join(", ")),
                 };
                 self.abort(reason, actions);
@@ -256,7 +256,7 @@
         self.mark_current_committed();
         self.retire_pools_of(&previous, actions);
         self.previous = Some(previous);
-        // The next change is compared with the probation of this one.
+        // The next change is compared with the probation period of this one.
         self.recent_samples = detector.into_samples();
     }
 }
--- a/crates/heathroad-routing/src/transaction/rollback.rs
+++ b/crates/heathroad-routing/src/transaction/rollback.rs
@@ -1,4 +1,4 @@
-//! Rollbacks: on demand, by a regression, or because a record could not be persisted.
+//! Rollbacks, which are triggered manually, by a regression or by a failed write to the journal.
 
 use super::{Action, Millis, Phase, TransactionManager, TransactionReport, Verification};
 use crate::generation::Generation;
@@ -13,8 +13,9 @@
             Phase::Idle if self.shutting_down => {
                 actions.push(Action::Report(TransactionReport::ShuttingDown));
             }
-            // The pools of a committed change may be gone, so that its rollback is staged and
-            // observed like any change. It is not verified: expectations never bar the way back.
+            // The pools of the previous generation may be gone, so the rollback of a committed
+            // change is staged and observed like any change. It is not verified, so that
+            // expectations cannot prevent a rollback.
             Phase::Idle => match self.previous.clone() {
                 Some(previous) => self.stage(now, &previous, Verification::Done, actions),
                 None => actions.push(Action::Report(TransactionReport::NothingToRollBack)),
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Goes back to the generation before the probation at one instant: its pools were kept.
+    /// Restores the generation before the probation without staging, since its pools were kept.
     pub(super) fn roll_back_probation(&mut self, reason: &str, actions: &mut Vec<Action>) {
         let Phase::Probation { previous, .. } = std::mem::replace(&mut self.phase, Phase::Idle)
         else {
@@ -42,7 +43,7 @@
         self.retire_pools_of(&failed, actions);
     }
 
-    /// Puts a generation in force in place of a change that failed.
+    /// Replaces a failed change by a restored generation.
     fn restore(
         &mut self,
         failed: &Generation,
@@ -59,10 +60,10 @@
         self.replace_current(restored);
     }
 
-    /// Handles a record that could not be persisted.
+    /// Handles a failure to persist a record.
     ///
-    /// A step that is not recorded does not happen: a change that can't be opened or applied is
-    /// aborted, and one that can't be committed is rolled back.
+    /// A step that is not recorded must not take effect: if opening or applying a change cannot be
+    /// recorded, the change is aborted or rolled back; if its commit cannot, it is rolled back.
     pub fn handle_persist_failure(
         &mut self,
         record: &Record,
@@ -82,15 +83,15 @@
         }
     }
 
-    /// Returns to the generation that a restart would begin with, after the record of the current
-    /// one could not be written.
+    /// Reverts to the generation that a restart would use, after the commit of the current one
+    /// could not be recorded.
     fn revert_to_committed(&mut self, reason: &str, actions: &mut Vec<Action>) {
         let Some(committed) = self.committed_before.take() else {
             return;
         };
         self.committed = committed.clone();
         if committed.text == self.current.text {
-            // The record was that of a rollback, which restored this very text.
+            // The failed record is that of a rollback to the same text.
             return;
         }
         self.highest_number += 1;
@@ -103,11 +104,11 @@
         self.previous = None;
     }
 
-    /// Retires the pools of a generation that the current one does not name.
+    /// Retires the pools of a generation that are not part of the current one.
     pub(super) fn retire_pools_of(&self, generation: &Generation, actions: &mut Vec<Action>) {
         let pools = generation.config.pools.iter().map(|pool| &pool.name);
-        let unnamed = pools.filter(|name| self.current.pool(name).is_none());
-        let retired: Vec<String> = unnamed.cloned().collect();
+        let unused = pools.filter(|name| self.current.pool(name).is_none());
+        let retired: Vec<String> = unused.cloned().collect();
         if !retired.is_empty() {
             actions.push(Action::Retire(retired));
         }
--- a/crates/heathroad-routing/src/transaction/staging.rs
+++ b/crates/heathroad-routing/src/transaction/staging.rs
@@ -1,4 +1,4 @@
-//! The first half of a transaction: a proposal is staged, verified, and applied or aborted.
+//! The first phase of a transaction: a proposal is staged, verified, and applied or aborted.
 
 use super::{Action, Millis, Phase, TransactionManager, TransactionReport, Verification, impact};
 use crate::generation::Generation;
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Returns why a proposal does not begin a transaction.
+    /// Returns why a proposal is not staged, if it is not.
     fn find_rejection(&mut self, next: &Generation) -> Option<TransactionReport> {
         let in_use = self.count_generations_in_use();
         if self.shutting_down {
@@ -89,8 +89,8 @@
         self.apply_if_ready(now, actions);
     }
 
-    /// Applies the staged change once no pool is missing and it is verified. Verification comes
-    /// last, because backends may drain meanwhile.
+    /// Applies the staged change once all pools are ready and it is verified. Verification comes
+    /// last, because backends may start to drain while pools are prepared.
     fn apply_if_ready(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let Phase::Staging {
             next,
@@ -144,7 +144,7 @@
             Phase::Staging {
                 next, verification, ..
             } if next.number == number && *verification == Verification::Pending => verification,
-            // The transaction was aborted meanwhile.
+            // The transaction was aborted in the meantime.
             _ => return,
         };
         match rejection {
--- a/crates/heathroad-routing/tests/transactions.rs
+++ b/crates/heathroad-routing/tests/transactions.rs
@@ -1,5 +1,5 @@
-//! Changes: each step by itself, and thousands of random histories of changes, drains, deaths and
-//! kills, in which the same few things must always hold.
+//! Transactions of configuration changes: tests of each step, and random histories of changes,
+//! drains, backend restarts and crashes, in which the same invariants must always hold.
 
 use heathroad_routing::backend_state::{Availability, BackendStates};
 use heathroad_routing::config::BackendSource;
@@ -22,25 +22,25 @@
     }
 }
 
-fn open(number: u64, applied: bool) -> Option<OpenTransaction> {
+fn open_transaction(number: u64, applied: bool) -> Option<OpenTransaction> {
     Some(OpenTransaction { number, applied })
 }
 
-/// Pools by name, with the ports of their members.
+/// Pools by name, with the ports of their backends.
 type Pools<'a> = &'a [(&'a str, &'a [u16])];
 
-/// A configuration of pools by their members, all requests split evenly among them.
-fn text(pools: &[(&str, &[u16])]) -> String {
+/// Returns a configuration that splits all requests evenly among the pools.
+fn text(pools: Pools<'_>) -> String {
     let mut text = String::new();
-    for (name, members) in pools {
-        let list: Vec<String> = members
+    for (name, ports) in pools {
+        let backends: Vec<String> = ports
             .iter()
-            .map(|m| format!("\"127.0.0.1:{m}\""))
+            .map(|port| format!("\"127.0.0.1:{port}\""))
             .collect();
         text += &format!(
             "[[pool]]\nname = \"{name}\"\nbackends = [{}]\n[[pool.class]]\nname = \"c\"\neffect = \"safe\"\n\
              aim_ms = 1\ndeadline_ms = 2\n",
-            list.join(", ")
+            backends.join(", ")
         );
     }
     text += "[[route]]\nname = \"all\"\n";
@@ -50,32 +50,32 @@
     text
 }
 
-fn generation(number: u64, pools: &[(&str, &[u16])]) -> Rc<Generation> {
+fn generation(number: u64, pools: Pools<'_>) -> Rc<Generation> {
     Generation::parse(number, "test", &text(pools)).unwrap_or_else(|e| panic!("{e}"))
 }
 
-struct Scene {
+struct Fixture {
     manager: TransactionManager,
     actions: Vec<Action>,
 }
 
-impl Scene {
-    fn new(pools: &[(&str, &[u16])]) -> Scene {
-        Scene {
+impl Fixture {
+    fn new(pools: Pools<'_>) -> Fixture {
+        Fixture {
             manager: TransactionManager::new(config(), generation(1, pools), 1),
             actions: Vec::new(),
         }
     }
 
-    /// What is said and done, in short.
-    fn at(&mut self, now: u64, event: Event) -> Vec<String> {
+    /// Handles an event and returns the actions in a short form.
+    fn handle(&mut self, now: u64, event: Event) -> Vec<String> {
         self.actions.clear();
         self.manager.handle(now, event, &mut self.actions);
         self.actions
             .iter()
-            .map(|s| match s {
+            .map(|action| match action {
                 Action::Persist(Record::Opened { number, .. }) => format!("open {number}"),
-                Action::Persist(Record::Applied { number }) => format!("write applied {number}"),
+                Action::Persist(Record::Applied { number }) => format!("record applied {number}"),
                 Action::Persist(Record::Committed { number, .. }) => format!("commit {number}"),
                 Action::Persist(Record::Closed { number, .. }) => format!("close {number}"),
                 Action::Stage {
@@ -90,13 +90,13 @@
             .collect()
     }
 
-    /// A pool of the change under way is ready.
-    fn ready(&mut self, now: u64, pool: &str) -> Vec<String> {
+    /// Reports a pool of the open transaction as ready.
+    fn pool_ready(&mut self, now: u64, pool: &str) -> Vec<String> {
         let number = self
             .manager
             .open_transaction()
             .map_or(0, |open| open.number);
-        self.at(
+        self.handle(
             now,
             Event::PoolReady {
                 number,
@@ -105,15 +105,15 @@
         )
     }
 
-    fn propose(&mut self, now: u64, pools: &[(&str, &[u16])]) -> Vec<String> {
-        self.at(now, Event::Propose(generation(0, pools)))
+    fn propose(&mut self, now: u64, pools: Pools<'_>) -> Vec<String> {
+        self.handle(now, Event::Propose(generation(0, pools)))
     }
 }
 
 #[test]
 fn a_change_is_staged_applied_and_committed() {
-    let mut s = Scene::new(&[("a", &[1])]);
-    let two: &[(&str, &[u16])] = &[("a", &[1]), ("b", &[2])];
+    let mut s = Fixture::new(&[("a", &[1])]);
+    let two: Pools<'_> = &[("a", &[1]), ("b", &[2])];
     assert_eq!(
         s.propose(0, two),
         ["open 2", "Staged { number: 2 }", "stage 2 b"]
@@ -121,45 +121,49 @@
     assert_eq!(
         s.manager.current().number,
         1,
-        "nothing is in force before all is ready"
+        "the change is not applied before all pools are ready"
     );
     assert_eq!(
         s.propose(1, &[("z", &[9])]),
         ["Busy { number: 2 }"],
-        "one at a time"
+        "only one transaction is open at a time"
     );
-    assert_eq!(s.ready(2, "a"), [""; 0], "not what is waited for");
     assert_eq!(
-        s.ready(10, "b"),
-        ["write applied 2", "apply 2", "Applied { number: 2 }"]
+        s.pool_ready(2, "a"),
+        [""; 0],
+        "the pool is not part of the change"
+    );
+    assert_eq!(
+        s.pool_ready(10, "b"),
+        ["record applied 2", "apply 2", "Applied { number: 2 }"]
     );
-    assert_eq!(s.manager.open_transaction(), open(2, true));
-    assert_eq!(s.at(5_009, Event::Tick), [""; 0]);
+    assert_eq!(s.manager.open_transaction(), open_transaction(2, true));
+    assert_eq!(s.handle(5_009, Event::Tick), [""; 0]);
     assert_eq!(
-        s.at(5_010, Event::Tick),
+        s.handle(5_010, Event::Tick),
         ["commit 2", "Committed { number: 2 }"]
     );
-    // The same again: nothing happens.
+    // A proposal with the same text changes nothing.
     assert_eq!(s.propose(6_000, two), ["Unchanged { number: 2 }"]);
-    // A pool that goes is retired when that stands, and not before.
+    // A removed pool is retired on commit, not before.
     assert_eq!(
-        s.propose(6_000, &[("b", &[2])]).last().expect("steps"),
+        s.propose(6_000, &[("b", &[2])]).last().expect("actions"),
         "Applied { number: 3 }"
     );
     assert_eq!(
-        s.at(11_000, Event::Tick),
+        s.handle(11_000, Event::Tick),
         ["commit 3", "Committed { number: 3 }", "retire a"]
     );
 }
 
 #[test]
-fn what_is_not_ready_in_time_is_aborted() {
-    let mut s = Scene::new(&[("a", &[1])]);
+fn a_change_that_is_not_ready_in_time_is_aborted() {
+    let mut s = Fixture::new(&[("a", &[1])]);
     s.propose(0, &[("b", &[2])]);
-    assert_eq!(s.at(999, Event::Tick), [""; 0]);
-    let steps = s.at(1_000, Event::Tick);
+    assert_eq!(s.handle(999, Event::Tick), [""; 0]);
+    let actions = s.handle(1_000, Event::Tick);
     assert_eq!(
-        steps,
+        actions,
         [
             "close 2",
             "Aborted { number: 2, reason: \"not ready in time: b\" }",
@@ -173,19 +177,19 @@
     assert_eq!(
         s.propose(1_001, &[("b", &[2])])[0],
         "open 3",
-        "numbers are never given twice"
+        "numbers are not reused"
     );
 }
 
-/// A change that is verified is verified last, applied only if it may be, and not at all once its
-/// time is over. The way back is open.
+/// Verification starts when all pools are ready and has a timeout. A rejected change is aborted, and
+/// a rollback is not verified.
 #[test]
-fn a_change_that_is_verified_waits_for_its_verdict() {
+fn a_verified_change_waits_for_its_verdict() {
     let verified = |number, rejection: Option<&str>| Event::Verified {
         number,
         rejection: rejection.map(String::from),
     };
-    let mut s = Scene::new(&[("a", &[1])]);
+    let mut s = Fixture::new(&[("a", &[1])]);
     s.manager = TransactionManager::new(
         TransactionConfig {
             verify: true,
@@ -194,63 +198,74 @@
         generation(1, &[("a", &[1])]),
         1,
     );
-    let two: &[(&str, &[u16])] = &[("a", &[1]), ("b", &[2])];
+    let two: Pools<'_> = &[("a", &[1]), ("b", &[2])];
     s.propose(0, two);
-    assert_eq!(s.at(1, verified(2, None)), [""; 0], "nobody has asked");
-    assert_eq!(s.ready(2, "b"), ["verify 2"]);
-    assert_eq!(s.ready(3, "b"), [""; 0], "once");
-    assert_eq!(s.at(4, verified(1, None)), [""; 0], "of another change");
-    let down = [
+    assert_eq!(
+        s.handle(1, verified(2, None)),
+        [""; 0],
+        "verification was not requested"
+    );
+    assert_eq!(s.pool_ready(2, "b"), ["verify 2"]);
+    assert_eq!(
+        s.pool_ready(3, "b"),
+        [""; 0],
+        "verification is requested once"
+    );
+    assert_eq!(
+        s.handle(4, verified(1, None)),
+        [""; 0],
+        "a verdict on another change"
+    );
+    let aborted = [
         "close 2",
         "Aborted { number: 2, reason: \"no\" }",
         "retire b",
     ];
-    assert_eq!(s.at(5, verified(2, Some("no"))), down);
+    assert_eq!(s.handle(5, verified(2, Some("no"))), aborted);
     s.propose(10, two);
-    s.ready(11, "b");
+    s.pool_ready(11, "b");
     assert_eq!(
-        s.at(12, verified(3, None))[..2],
-        ["write applied 3", "apply 3"]
+        s.handle(12, verified(3, None))[..2],
+        ["record applied 3", "apply 3"]
     );
     assert_eq!(
-        s.at(13, verified(3, Some("late"))),
+        s.handle(13, verified(3, Some("late"))),
         [""; 0],
-        "it is in force"
+        "the change is already applied"
     );
-    s.at(9_000, Event::Tick);
-    // A committed change is undone without a verdict.
-    let undo = s.at(
+    s.handle(9_000, Event::Tick);
+    // The rollback of a committed change is not verified.
+    let rollback = s.handle(
         9_001,
         Event::RollBack {
-            reason: "asked".into(),
+            reason: "requested".into(),
         },
     );
-    assert!(undo.contains(&"apply 4".to_string()), "{undo:?}");
-    s.at(20_000, Event::Tick);
+    assert!(rollback.contains(&"apply 4".to_string()), "{rollback:?}");
+    s.handle(20_000, Event::Tick);
     s.propose(20_001, two);
-    s.ready(20_002, "b");
+    s.pool_ready(20_002, "b");
     assert_eq!(
-        s.at(21_001, Event::Tick)[1],
-        "Aborted { number: 5, reason: \"not judged in time\" }"
+        s.handle(21_001, Event::Tick)[1],
+        "Aborted { number: 5, reason: \"not verified in time\" }"
     );
-    assert_eq!(s.at(21_002, verified(5, None)), [""; 0]);
+    assert_eq!(s.handle(21_002, verified(5, None)), [""; 0]);
 }
 
-/// A pool of the same name, worded otherwise, was staged by a change that was given up: its
-/// connections are no news.
+/// An aborted change may have staged a different pool of the same name.
 #[test]
-fn what_an_earlier_change_staged_makes_no_later_one_ready() {
-    let mut s = Scene::new(&[("a", &[1])]);
+fn a_pool_of_an_earlier_change_does_not_make_a_later_one_ready() {
+    let mut s = Fixture::new(&[("a", &[1])]);
     s.propose(0, &[("b", &[2])]);
-    s.at(
+    s.handle(
         1,
         Event::RollBack {
-            reason: "asked".into(),
+            reason: "requested".into(),
         },
     );
     s.propose(2, &[("b", &[3])]);
     assert_eq!(
-        s.at(
+        s.handle(
             3,
             Event::PoolReady {
                 number: 2,
@@ -260,7 +275,7 @@
         [""; 0]
     );
     assert_eq!(
-        s.at(
+        s.handle(
             4,
             Event::PoolReady {
                 number: 3,
@@ -272,149 +287,150 @@
 }
 
 #[test]
-fn a_regression_rolls_a_change_back_by_another() {
-    let mut s = Scene::new(&[("a", &[1]), ("b", &[2])]);
-    let well = PoolSample {
+fn a_regression_rolls_a_change_back() {
+    let mut s = Fixture::new(&[("a", &[1]), ("b", &[2])]);
+    let healthy = PoolSample {
         requests: 500.0,
         failed: 2.0,
         ..PoolSample::default()
     };
     for pool in ["a", "b"] {
         assert_eq!(
-            s.at(
+            s.handle(
                 0,
                 Event::PoolSampled {
                     pool: pool.into(),
-                    sample: well
+                    sample: healthy
                 }
             ),
             [""; 0]
         );
     }
     s.propose(1, &[("a", &[1]), ("b", &[3])]);
-    s.ready(2, "b");
+    s.pool_ready(2, "b");
     assert_eq!(
-        s.at(
+        s.handle(
             3,
             Event::PoolSampled {
                 pool: "a".into(),
-                sample: well
+                sample: healthy
             }
         ),
         [""; 0]
     );
-    let ill = PoolSample {
+    let failing = PoolSample {
         requests: 100.0,
         failed: 60.0,
         ..PoolSample::default()
     };
-    let steps = s.at(
+    let actions = s.handle(
         4,
         Event::PoolSampled {
             pool: "b".into(),
-            sample: ill,
+            sample: failing,
         },
     );
-    assert_eq!(steps[..2], ["commit 3", "apply 3"]);
+    assert_eq!(actions[..2], ["commit 3", "apply 3"]);
     assert!(
-        steps[2].starts_with(
+        actions[2].starts_with(
             "RolledBack { number: 2, restored_as: 3, reason: \"pool b: failed 0.600, before 0.004"
         ),
         "{}",
-        steps[2]
+        actions[2]
     );
     assert_eq!(s.manager.current().text, text(&[("a", &[1]), ("b", &[2])]));
     assert_eq!(s.manager.open_transaction(), None);
 }
 
 #[test]
-fn a_rollback_on_demand_goes_back_to_the_generation_before() {
-    let mut s = Scene::new(&[("a", &[1])]);
+fn a_manual_rollback_restores_the_previous_generation() {
+    let mut s = Fixture::new(&[("a", &[1])]);
     assert_eq!(
-        s.at(
+        s.handle(
             0,
             Event::RollBack {
-                reason: "asked".into(),
+                reason: "requested".into(),
             }
         ),
         ["NothingToRollBack"]
     );
-    // While it is staged, on probation, and once it stands: then it is a change like any other.
+    // A staged change is aborted, and one on probation is replaced without staging. The rollback of
+    // a committed change is staged like any change.
     s.propose(0, &[("b", &[2])]);
     assert_eq!(
-        s.at(
+        s.handle(
             1,
             Event::RollBack {
-                reason: "asked".into(),
+                reason: "requested".into(),
             }
         ),
         [
             "close 2",
-            "Aborted { number: 2, reason: \"asked\" }",
+            "Aborted { number: 2, reason: \"requested\" }",
             "retire b"
         ]
     );
     s.propose(2, &[("b", &[2])]);
-    s.ready(3, "b");
-    let steps = s.at(
+    s.pool_ready(3, "b");
+    let actions = s.handle(
         4,
         Event::RollBack {
-            reason: "asked".into(),
+            reason: "requested".into(),
         },
     );
     assert_eq!(
-        steps,
+        actions,
         [
             "commit 4",
             "apply 4",
-            "RolledBack { number: 3, restored_as: 4, reason: \"asked\" }",
+            "RolledBack { number: 3, restored_as: 4, reason: \"requested\" }",
             "retire b"
         ]
     );
     s.propose(5, &[("b", &[2])]);
-    s.ready(6, "b");
-    s.at(6_000, Event::Tick);
+    s.pool_ready(6, "b");
+    s.handle(6_000, Event::Tick);
     assert_eq!(
-        s.at(
+        s.handle(
             6_001,
             Event::RollBack {
-                reason: "asked".into(),
+                reason: "requested".into(),
             }
         ),
         ["open 6", "Staged { number: 6 }", "stage 6 a"]
     );
-    assert_eq!(s.ready(6_002, "a")[1], "apply 6");
+    assert_eq!(s.pool_ready(6_002, "a")[1], "apply 6");
 }
 
 #[test]
-fn a_daemon_that_stops_begins_and_commits_nothing() {
-    let mut s = Scene::new(&[("a", &[1])]);
+fn a_daemon_that_shuts_down_stages_and_commits_nothing() {
+    let mut s = Fixture::new(&[("a", &[1])]);
     s.propose(0, &[("b", &[2])]);
-    assert_eq!(s.at(1, Event::Shutdown)[..1], ["close 2"]);
+    assert_eq!(s.handle(1, Event::Shutdown)[..1], ["close 2"]);
     assert_eq!(s.propose(2, &[("c", &[3])]), ["ShuttingDown"]);
-    let mut s = Scene::new(&[("a", &[1])]);
+    let mut s = Fixture::new(&[("a", &[1])]);
     s.propose(0, &[("b", &[2])]);
-    s.ready(1, "b");
-    assert_eq!(s.at(2, Event::Shutdown), [""; 0]);
+    s.pool_ready(1, "b");
+    assert_eq!(s.handle(2, Event::Shutdown), [""; 0]);
     assert_eq!(
-        s.at(60_000, Event::Tick),
+        s.handle(60_000, Event::Tick),
         [""; 0],
-        "a start will begin with what was committed"
+        "a restart uses the committed generation"
     );
 }
 
-/// A request that lasts pins its generation; too many of those, and a change waits.
+/// Open requests keep their generations alive. Changes are rejected if there are too many of these.
 #[test]
-fn generations_that_requests_use_are_bounded_and_counted() {
-    let mut s = Scene::new(&[("a", &[1])]);
-    let mut pinned = Vec::new();
+fn the_number_of_generations_in_use_is_limited() {
+    let mut s = Fixture::new(&[("a", &[1])]);
+    let mut bound_generations = Vec::new();
     for n in 0..3u16 {
-        pinned.push(s.manager.current().clone());
+        bound_generations.push(s.manager.current().clone());
         let now = u64::from(n) * 10_000;
         s.propose(now, &[("a", &[n + 2])]);
-        s.ready(now + 1, "a");
+        s.pool_ready(now + 1, "a");
         assert_eq!(
-            s.at(now + 9_000, Event::Tick)[1],
+            s.handle(now + 9_000, Event::Tick)[1],
             format!("Committed {{ number: {} }}", n + 2)
         );
         assert_eq!(s.manager.count_generations_in_use(), usize::from(n) + 1);
@@ -423,16 +439,16 @@
         s.propose(40_000, &[("a", &[9])]),
         ["TooManyGenerationsInUse { count: 3 }"]
     );
-    pinned.pop();
+    bound_generations.pop();
     assert_eq!(s.manager.count_generations_in_use(), 2);
     assert_eq!(s.propose(40_001, &[("a", &[9])])[0], "open 5");
 }
 
-/// What can't be written down is not done: an open or an apply is given up or undone, a commit is
-/// undone, so that a start and this life agree on what stands.
+/// A step whose record could not be persisted is reverted, so that a restart finds the same
+/// generation.
 #[test]
-fn a_record_that_is_not_persisted_undoes_its_step() {
-    let fail = |s: &mut Scene, record: Record| {
+fn a_failure_to_persist_a_record_reverts_the_step() {
+    let fail_to_persist = |s: &mut Fixture, record: Record| {
         s.actions.clear();
         s.manager
             .handle_persist_failure(&record, "no space", &mut s.actions);
@@ -443,21 +459,24 @@
         number: 2,
         text: text(new),
     };
-    let mut s = Scene::new(old);
+    let mut s = Fixture::new(old);
     s.propose(0, new);
-    assert_eq!(fail(&mut s, opened()), text(old));
+    assert_eq!(fail_to_persist(&mut s, opened()), text(old));
     assert_eq!(s.manager.open_transaction(), None);
-    let mut s = Scene::new(old);
+    let mut s = Fixture::new(old);
     s.propose(0, new);
-    s.ready(1, "a");
-    assert_eq!(fail(&mut s, Record::Applied { number: 2 }), text(old));
-    let mut s = Scene::new(old);
+    s.pool_ready(1, "a");
+    assert_eq!(
+        fail_to_persist(&mut s, Record::Applied { number: 2 }),
+        text(old)
+    );
+    let mut s = Fixture::new(old);
     s.propose(0, new);
-    s.ready(1, "a");
-    s.at(9_000, Event::Tick);
+    s.pool_ready(1, "a");
+    s.handle(9_000, Event::Tick);
     assert_eq!(s.manager.current().text, text(new));
     assert_eq!(
-        fail(
+        fail_to_persist(
             &mut s,
             Record::Committed {
                 number: 2,
@@ -466,18 +485,18 @@
         ),
         text(old)
     );
-    // The undoing of one that was never committed is what a start begins with anyhow.
-    let mut s = Scene::new(old);
+    // A restart uses the restored generation even if the rollback is not recorded.
+    let mut s = Fixture::new(old);
     s.propose(0, new);
-    s.ready(1, "a");
-    s.at(
+    s.pool_ready(1, "a");
+    s.handle(
         2,
         Event::RollBack {
-            reason: "asked".into(),
+            reason: "requested".into(),
         },
     );
     assert_eq!(
-        fail(
+        fail_to_persist(
             &mut s,
             Record::Committed {
                 number: 3,
@@ -489,23 +508,24 @@
     assert!(s.actions.is_empty());
 }
 
-/// A daemon in a random history: the machine, its log as a start would find it, backends, and
-/// requests that are bound.
-struct World {
+/// A daemon in a random history.
+struct Daemon {
     manager: TransactionManager,
-    log: RecoveredState,
+    /// The state that a restart would recover from the journal.
+    journal: RecoveredState,
     backends: BackendStates,
-    /// BackendStates that were told to drain or gone, by their process.
+    /// The backends that announced a drain, with their process start.
     withdrawn: BTreeSet<(SocketAddr, u64)>,
-    born: BTreeMap<SocketAddr, u64>,
-    ready: BTreeSet<String>,
-    /// Requests: the generation they were taken under, and its number and text then.
+    process_starts: BTreeMap<SocketAddr, u64>,
+    /// The generation of each open request, with its number and text when the request arrived.
     requests: Vec<(Rc<Generation>, u64, String)>,
     applied: Vec<u64>,
-    /// Changes are verified; the one whose verdict is pending, and those that may be applied.
-    verified: bool,
-    asked: Option<u64>,
-    may: BTreeSet<u64>,
+    /// Whether changes are verified.
+    verify: bool,
+    /// The last change whose verification was requested.
+    verifying: Option<u64>,
+    /// The changes that may be applied.
+    accepted: BTreeSet<u64>,
     now: u64,
     sent: usize,
 }
@@ -514,128 +534,131 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-impl World {
-    fn start(log: RecoveredState, verified: bool) -> World {
-        let (number, text) = log.committed.clone().expect("something was committed");
-        let current = Generation::parse(number, "log", &text).unwrap_or_else(|e| panic!("{e}"));
-        let mut world = World {
+impl Daemon {
+    fn start(journal: RecoveredState, verify: bool) -> Daemon {
+        let (number, text) = journal.committed.clone().expect("a committed generation");
+        let current = Generation::parse(number, "journal", &text).unwrap_or_else(|e| panic!("{e}"));
+        let mut daemon = Daemon {
             manager: TransactionManager::new(
-                TransactionConfig {
-                    verify: verified,
-                    ..config()
-                },
+                TransactionConfig { verify, ..config() },
                 current.clone(),
-                log.highest_number,
+                journal.highest_number,
             ),
-            log,
+            journal,
             backends: BackendStates::default(),
             withdrawn: BTreeSet::new(),
-            born: BTreeMap::new(),
-            ready: BTreeSet::new(),
+            process_starts: BTreeMap::new(),
             requests: Vec::new(),
             applied: vec![number],
-            verified,
-            asked: None,
-            may: BTreeSet::new(),
+            verify,
+            verifying: None,
+            accepted: BTreeSet::new(),
             now: 0,
             sent: 0,
         };
-        world.name(&current);
-        world
+        daemon.set_pool_backends(&current);
+        daemon
     }
 
-    fn name(&mut self, g: &Generation) {
-        for pool in &g.config.pools {
-            let BackendSource::List(members) = &pool.source else {
+    fn set_pool_backends(&mut self, generation: &Generation) {
+        for pool in &generation.config.pools {
+            let BackendSource::List(backends) = &pool.source else {
                 continue;
             };
-            self.backends
-                .set_pool_backends(&pool.name, &members.iter().map(|m| m.address).collect());
-            self.ready.insert(pool.name.clone());
+            let addresses = backends.iter().map(|backend| backend.address).collect();
+            self.backends.set_pool_backends(&pool.name, &addresses);
         }
     }
 
-    fn write(&mut self, record: Record) {
+    fn persist(&mut self, record: Record) {
         match record {
             Record::Committed { number, text } => {
-                self.log.highest_number = self.log.highest_number.max(number);
-                (self.log.committed, self.log.open_transaction) = (Some((number, text)), None);
+                self.journal.highest_number = self.journal.highest_number.max(number);
+                (self.journal.committed, self.journal.open_transaction) =
+                    (Some((number, text)), None);
             }
             Record::Opened { number, .. } => {
-                self.log.highest_number = self.log.highest_number.max(number);
-                self.log.open_transaction = open(number, false);
+                self.journal.highest_number = self.journal.highest_number.max(number);
+                self.journal.open_transaction = open_transaction(number, false);
             }
-            Record::Applied { number } => self.log.open_transaction = open(number, true),
-            Record::Closed { .. } => self.log.open_transaction = None,
+            Record::Applied { number } => {
+                self.journal.open_transaction = open_transaction(number, true);
+            }
+            Record::Closed { .. } => self.journal.open_transaction = None,
         }
     }
 
-    /// Takes an event; some steps may not be reached, if the daemon is killed between them.
-    fn tell(&mut self, event: Event, killed_after: Option<usize>) -> bool {
-        let mut steps = Vec::new();
+    /// Handles an event. Returns false if the daemon crashes before it carries out all actions.
+    fn handle(&mut self, event: Event, crash_before_action: Option<usize>) -> bool {
+        let mut actions = Vec::new();
         if let Event::Verified {
             number,
             rejection: None,
         } = &event
         {
-            self.may.insert(*number);
+            self.accepted.insert(*number);
         }
-        let undoing = matches!(event, Event::RollBack { .. });
-        self.manager.handle(self.now, event, &mut steps);
-        for (i, step) in steps.into_iter().enumerate() {
-            if killed_after == Some(i) {
+        let is_rollback = matches!(event, Event::RollBack { .. });
+        self.manager.handle(self.now, event, &mut actions);
+        for (index, action) in actions.into_iter().enumerate() {
+            if crash_before_action == Some(index) {
                 return false;
             }
-            match step {
-                Action::Persist(record) => self.write(record),
+            match action {
+                Action::Persist(record) => self.persist(record),
                 Action::Stage {
                     generation: g,
                     pools,
                 } => {
                     assert!(pools.iter().all(|p| g.pool(p).is_some()));
                     assert_eq!(
-                        self.log.open_transaction,
-                        open(g.number, false),
-                        "it was written down first"
+                        self.journal.open_transaction,
+                        open_transaction(g.number, false),
+                        "the step was recorded first"
                     );
                 }
                 Action::Apply(g) => {
                     assert!(
                         self.applied.last().is_none_or(|n| *n < g.number),
-                        "numbers grow"
+                        "numbers increase"
                     );
-                    let durable = self.log.open_transaction == open(g.number, true)
+                    let is_recorded = self.journal.open_transaction
+                        == open_transaction(g.number, true)
                         || self
-                            .log
+                            .journal
                             .committed
                             .as_ref()
                             .is_some_and(|(n, _)| *n == g.number);
-                    assert!(durable, "it was written down first");
-                    let change = self.log.open_transaction == open(g.number, true);
+                    assert!(is_recorded, "the step was recorded first");
+                    let is_transaction =
+                        self.journal.open_transaction == open_transaction(g.number, true);
                     assert!(
-                        !self.verified || !change || self.may.contains(&g.number),
-                        "it was verified first"
+                        !self.verify || !is_transaction || self.accepted.contains(&g.number),
+                        "the change was verified first"
                     );
                     self.applied.push(g.number);
-                    self.name(&g);
+                    self.set_pool_backends(&g);
                 }
                 Action::Retire(pools) => {
                     let current = self.manager.current();
                     assert!(
                         pools.iter().all(|p| current.pool(p).is_none()),
-                        "none that is in force"
+                        "no pool of the current generation is retired"
                     );
                     pools
                         .iter()
                         .for_each(|p| self.backends.set_pool_backends(p, &BTreeSet::new()));
                 }
                 Action::Verify(g) => {
-                    assert!(self.verified && self.log.open_transaction == open(g.number, false));
-                    self.asked = Some(g.number);
+                    assert!(
+                        self.verify
+                            && self.journal.open_transaction == open_transaction(g.number, false)
+                    );
+                    self.verifying = Some(g.number);
                 }
-                // Nothing that is expected stands in the way back.
-                Action::Report(TransactionReport::Staged { number }) if undoing => {
-                    self.may.insert(number);
+                // Rollbacks are not verified.
+                Action::Report(TransactionReport::Staged { number }) if is_rollback => {
+                    self.accepted.insert(number);
                 }
                 Action::Report(_) => {}
             }
@@ -643,34 +666,35 @@
         true
     }
 
-    /// A request is taken, and sent to some node of its pool that may be sent to.
-    fn request(&mut self, rng: &mut fastrand::Rng) {
+    /// Accepts a request and sends it to a backend.
+    fn accept_request(&mut self, rng: &mut fastrand::Rng) {
         let g = self.manager.current().clone();
         let (number, text) = (g.number, g.text.clone());
         self.requests.push((g, number, text));
         self.send(rng, self.requests.len() - 1);
     }
 
+    /// Sends a request to an available backend of its pool, if there is one.
     fn send(&mut self, rng: &mut fastrand::Rng, request: usize) {
-        let (g, number, held) = &self.requests[request];
-        // One generation a request, unchanged to its end, resends included.
-        assert!(g.number == *number && g.text == *held);
-        let share = g
+        let (g, number, text) = &self.requests[request];
+        // The generation of a request does not change, also for retries.
+        assert!(g.number == *number && g.text == *text);
+        let pool = g
             .table
             .select_pool(&g.config.routes[0], rng.u64(..))
-            .expect("some weight");
-        let BackendSource::List(members) = &g.config.pools[share].source else {
-            panic!("a list")
+            .expect("a weight above 0");
+        let BackendSource::List(backends) = &g.config.pools[pool].source else {
+            panic!("pools list their backends")
         };
-        let may = members
+        let available = backends
             .iter()
-            .find(|m| self.backends.availability(m.address) == Availability::Available);
-        if let Some(m) = may {
-            let born = self.born.get(&m.address).copied().unwrap_or(0);
+            .map(|backend| backend.address)
+            .find(|address| self.backends.availability(*address) == Availability::Available);
+        if let Some(address) = available {
+            let process_start = self.process_starts.get(&address).copied().unwrap_or(0);
             assert!(
-                !self.withdrawn.contains(&(m.address, born)),
-                "{} drains",
-                m.address
+                !self.withdrawn.contains(&(address, process_start)),
+                "{address} is draining"
             );
             self.sent += 1;
         }
@@ -682,35 +706,38 @@
     let mut pools: Vec<(&str, Vec<u16>)> = Vec::new();
     for name in names {
         if rng.u8(..3) > 0 || pools.is_empty() && name == "c" {
-            let members: BTreeSet<u16> =
-                (0..1 + rng.usize(..3)).map(|_| 1 + rng.u16(..6)).collect();
-            pools.push((name, members.into_iter().collect()));
+            let ports: BTreeSet<u16> = (0..1 + rng.usize(..3)).map(|_| 1 + rng.u16(..6)).collect();
+            pools.push((name, ports.into_iter().collect()));
         }
     }
-    let pools: Vec<(&str, &[u16])> = pools.iter().map(|(n, m)| (*n, m.as_slice())).collect();
+    let pools: Vec<(&str, &[u16])> = pools
+        .iter()
+        .map(|(name, ports)| (*name, ports.as_slice()))
+        .collect();
     text(&pools)
 }
 
-/// 10,000 histories: one generation a request, drains kept whatever is undone, and a start on the
-/// last committed generation, killed between any two steps.
+/// In random histories, requests keep their generation, rollbacks do not restore draining backends,
+/// and a restart after a crash between any two actions uses the last committed generation.
 #[test]
-fn histories_of_changes_drains_deaths_and_kills() {
-    let (mut commits, mut undone, mut kills, mut sends, mut downs) = (0, 0, 0, 0, 0);
+fn invariants_hold_in_random_histories() {
+    let (mut commits, mut rollbacks, mut crashes, mut sends, mut rejections) = (0, 0, 0, 0, 0);
     for seed in 0..10_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let first = (1, random_text(&mut rng));
-        let mut world = World::start(
+        let verify = seed % 2 == 0;
+        let mut daemon = Daemon::start(
             RecoveredState {
                 committed: Some(first),
                 highest_number: 1,
                 ..RecoveredState::default()
             },
-            seed % 2 == 0,
+            verify,
         );
         for _ in 0..40 {
-            world.now += rng.u64(..1_500);
-            let killed = (rng.u8(..20) == 0).then(|| rng.usize(..4));
-            let event = match rng.u8(..if seed % 2 == 0 { 14 } else { 12 }) {
+            daemon.now += rng.u64(..1_500);
+            let crash = (rng.u8(..20) == 0).then(|| rng.usize(..4));
+            let event = match rng.u8(..if verify { 14 } else { 12 }) {
                 0..=2 => {
                     let text = random_text(&mut rng);
                     Event::Propose(
@@ -718,7 +745,7 @@
                     )
                 }
                 3 | 4 => {
-                    let number = world
+                    let number = daemon
                         .manager
                         .open_transaction()
                         .map_or(0, |open| open.number);
@@ -740,88 +767,98 @@
                     }
                 }
                 6 => Event::RollBack {
-                    reason: "asked".into(),
+                    reason: "requested".into(),
                 },
                 7 => {
-                    // A drain, a death, or another process at the address.
-                    let at = address(1 + rng.u16(..6));
-                    let born = world.born.entry(at).or_default();
+                    // A backend drains or is replaced by another process.
+                    let address = address(1 + rng.u16(..6));
+                    let process_start = daemon.process_starts.entry(address).or_default();
                     if rng.bool() {
-                        world.withdrawn.insert((at, *born));
-                        world.backends.record_announcement(at, *born, false);
+                        daemon.withdrawn.insert((address, *process_start));
+                        daemon
+                            .backends
+                            .record_announcement(address, *process_start, false);
                     } else {
-                        *born += 1;
-                        world.backends.record_announcement(at, *born, true);
+                        *process_start += 1;
+                        daemon
+                            .backends
+                            .record_announcement(address, *process_start, true);
                     }
                     continue;
                 }
                 8 => {
-                    world.requests.truncate(rng.usize(..=world.requests.len()));
+                    daemon
+                        .requests
+                        .truncate(rng.usize(..=daemon.requests.len()));
                     continue;
                 }
-                9 if !world.requests.is_empty() => {
-                    let again = rng.usize(..world.requests.len());
-                    world.send(&mut rng, again);
+                9 if !daemon.requests.is_empty() => {
+                    let retried = rng.usize(..daemon.requests.len());
+                    daemon.send(&mut rng, retried);
                     continue;
                 }
                 9 | 10 => {
-                    world.request(&mut rng);
+                    daemon.accept_request(&mut rng);
                     continue;
                 }
                 11 => Event::Tick,
-                // The answer to what was asked, late or not at all, or to what nobody asks any
-                // more.
+                // A verdict, possibly late or on a change that is no longer open.
                 _ => {
                     let rejection =
-                        (rng.u8(..4) == 0).then(|| "it breaks what is expected".to_string());
-                    downs += usize::from(rejection.is_some());
+                        (rng.u8(..4) == 0).then(|| "an expectation is violated".to_string());
+                    rejections += usize::from(rejection.is_some());
                     Event::Verified {
-                        number: world.asked.unwrap_or(1),
+                        number: daemon.verifying.unwrap_or(1),
                         rejection,
                     }
                 }
             };
-            let before = (
-                world.log.committed.clone(),
-                world.manager.open_transaction(),
-            );
-            let alive = world.tell(event, killed);
-            let committed = world.log.committed.clone().expect("since the start");
-            commits += usize::from(Some(&committed) != before.0.as_ref());
-            undone += usize::from(
-                before
-                    .1
-                    .is_some_and(|open| open.applied && world.applied.last() > Some(&open.number)),
-            );
+            let committed_before = daemon.journal.committed.clone();
+            let open_before = daemon.manager.open_transaction();
+            let survived = daemon.handle(event, crash);
+            let committed = daemon
+                .journal
+                .committed
+                .clone()
+                .expect("a committed generation");
+            commits += usize::from(Some(&committed) != committed_before.as_ref());
+            rollbacks +=
+                usize::from(open_before.is_some_and(|open| {
+                    open.applied && daemon.applied.last() > Some(&open.number)
+                }));
             assert!(
-                world.manager.count_generations_in_use() <= config().max_generations_in_use + 2,
+                daemon.manager.count_generations_in_use() <= config().max_generations_in_use + 2,
                 "seed {seed}"
             );
-            if !alive || killed.is_some() && rng.bool() {
-                // Killed: a start finds the log and nothing else.
-                kills += 1;
-                let highest = world.log.highest_number;
-                sends += world.sent;
-                world = World::start(world.log.clone(), seed % 2 == 0);
-                assert_eq!(world.manager.current().number, committed.0, "seed {seed}");
+            if !survived || crash.is_some() && rng.bool() {
+                // Only the journal survives a crash.
+                crashes += 1;
+                let highest = daemon.journal.highest_number;
+                sends += daemon.sent;
+                daemon = Daemon::start(daemon.journal.clone(), verify);
+                assert_eq!(daemon.manager.current().number, committed.0, "seed {seed}");
                 assert_eq!(
-                    world.manager.current().text,
+                    daemon.manager.current().text,
                     committed.1,
-                    "seed {seed}: never one on probation"
+                    "seed {seed}: no restart uses a change on probation"
                 );
                 assert!(
-                    world.manager.open_transaction().is_none()
-                        && world.log.highest_number == highest,
+                    daemon.manager.open_transaction().is_none()
+                        && daemon.journal.highest_number == highest,
                     "seed {seed}"
                 );
-                world.log.open_transaction = None;
+                daemon.journal.open_transaction = None;
             }
         }
-        sends += world.sent;
+        sends += daemon.sent;
     }
-    // The histories hold what they are for.
+    // The histories must exercise each case often enough.
     assert!(
-        commits > 2_000 && undone > 500 && kills > 2_000 && sends > 20_000 && downs > 2_000,
-        "{commits} {undone} {kills} {sends} {downs}"
+        commits > 2_000
+            && rollbacks > 500
+            && crashes > 2_000
+            && sends > 20_000
+            && rejections > 2_000,
+        "{commits} {rollbacks} {crashes} {sends} {rejections}"
     );
 }
