--- a/crates/heathroad-routing/tests/regression.rs
+++ b/crates/heathroad-routing/tests/regression.rs
@@ -7,14 +7,13 @@
 /// The duration of an observation.
 const SECONDS: usize = 30;
 
-/// The probabilities that a request fails, is rejected or is late.
-type OutcomeRates = [f64; 3];
-
-/// Draws the outcomes of a pool's requests in one second.
+/// Draws the outcomes of a pool's requests in one second by their probabilities.
 fn random_sample(
     rng: &mut fastrand::Rng,
     requests_per_s: f64,
-    [failed, rejected, late]: OutcomeRates,
+    failed: f64,
+    rejected: f64,
+    late: f64,
 ) -> PoolSample {
     let mut sample = PoolSample::default();
     for _ in 0..requests_per_s.round() as usize {
@@ -43,25 +42,25 @@
 
 /// Simulates a change that affects some pools, and returns the first regression with its second.
 ///
-/// `pools` holds the rates of each pool before and after the change, `predecessors` the new pools
-/// and the pools whose requests they take over.
+/// `pools` holds the probabilities of each pool before and after the change that a request fails, is
+/// rejected or is late, and `predecessors` the new pools and the pools whose requests they take over.
 fn observe_change(
     seed: u64,
     requests_per_s: f64,
-    pools: &[(&str, OutcomeRates, OutcomeRates)],
+    pools: &[(&str, [f64; 3], [f64; 3])],
     affected: &[&str],
     predecessors: &[(&str, &str)],
     warmup_budget_used: f64,
 ) -> Option<(usize, Regression)> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut before = BTreeMap::new();
-    for (pool, rates, _) in pools
+    for (pool, [failed, rejected, late], _) in pools
         .iter()
         .filter(|(p, ..)| predecessors.iter().all(|(new, _)| new != p))
     {
         before.insert(
             pool.to_string(),
-            sum((0..20).map(|_| random_sample(&mut rng, requests_per_s, *rates))),
+            sum((0..20).map(|_| random_sample(&mut rng, requests_per_s, *failed, *rejected, *late))),
         );
     }
     let predecessors = predecessors
@@ -77,8 +76,8 @@
         predecessors,
     );
     for second in 0..SECONDS {
-        for (pool, _, rates) in pools {
-            let mut sample = random_sample(&mut rng, requests_per_s, *rates);
+        for (pool, _, [failed, rejected, late]) in pools {
+            let mut sample = random_sample(&mut rng, requests_per_s, *failed, *rejected, *late);
             if affected.contains(pool) {
                 sample.warmup_budget_used = warmup_budget_used * (second as f64 / 5.0).min(1.0);
             }
@@ -91,8 +90,7 @@
     None
 }
 
-const HEALTHY: OutcomeRates = [0.01, 0.01, 0.03];
-const DEGRADED: OutcomeRates = [0.2, 0.1, 0.2];
+const HEALTHY: [f64; 3] = [0.01, 0.01, 0.03];
 
 #[test]
 fn regressions_are_detected_within_seconds() {
@@ -141,8 +139,10 @@
                     second <= 8,
                     "seed {seed}, rate {rate}: {indicator} after {second} s"
                 );
-                assert!(regression.now > regression.expected);
-                assert!(regression.to_string().contains(&regression.pool));
+                assert!(
+                    regression.now > regression.expected
+                        && regression.to_string().contains(&regression.pool)
+                );
             }
         }
     }
@@ -151,6 +151,7 @@
 #[test]
 fn harmless_changes_are_not_reported() {
     for seed in 0..50 {
+        let degraded = [0.2, 0.1, 0.2];
         let results = [
             // Nothing changes, at low and high request rates, in healthy and degraded pools.
             observe_change(
@@ -172,7 +173,7 @@
             observe_change(
                 seed,
                 100.0,
-                &[("a", DEGRADED, DEGRADED), ("b", HEALTHY, HEALTHY)],
+                &[("a", degraded, degraded), ("b", HEALTHY, HEALTHY)],
                 &["a"],
                 &[],
                 0.0,
@@ -186,7 +187,7 @@
                 0.0,
             ),
             // The rates improve, or worsen by less than the margin.
-            observe_change(seed, 100.0, &[("a", DEGRADED, HEALTHY)], &["a"], &[], 0.0),
+            observe_change(seed, 100.0, &[("a", degraded, HEALTHY)], &["a"], &[], 0.0),
             observe_change(
                 seed,
                 300.0,
@@ -199,7 +200,7 @@
             observe_change(
                 seed,
                 200.0,
-                &[("a", HEALTHY, DEGRADED), ("b", HEALTHY, DEGRADED)],
+                &[("a", HEALTHY, degraded), ("b", HEALTHY, degraded)],
                 &["a"],
                 &[],
                 0.0,
@@ -208,9 +209,9 @@
                 seed,
                 60.0,
                 &[
-                    ("a", HEALTHY, DEGRADED),
-                    ("b", HEALTHY, DEGRADED),
-                    ("c", HEALTHY, DEGRADED),
+                    ("a", HEALTHY, degraded),
+                    ("b", HEALTHY, degraded),
+                    ("c", HEALTHY, degraded),
                 ],
                 &["a", "b"],
                 &[],
@@ -230,7 +231,7 @@
             observe_change(
                 seed,
                 100.0,
-                &[("a", DEGRADED, DEGRADED), ("n", HEALTHY, DEGRADED)],
+                &[("a", degraded, degraded), ("n", HEALTHY, degraded)],
                 &["n"],
                 &[("n", "a")],
                 0.0,
--- a/crates/heathroad-routing/tests/transactions.rs
+++ b/crates/heathroad-routing/tests/transactions.rs
@@ -517,6 +517,7 @@
     /// The backends that announced a drain, with their process start.
     withdrawn: BTreeSet<(SocketAddr, u64)>,
     process_starts: BTreeMap<SocketAddr, u64>,
+    ready_pools: BTreeSet<String>,
     /// The generation of each open request, with its number and text when the request arrived.
     requests: Vec<(Rc<Generation>, u64, String)>,
     applied: Vec<u64>,
@@ -548,6 +549,7 @@
             backends: BackendStates::default(),
             withdrawn: BTreeSet::new(),
             process_starts: BTreeMap::new(),
+            ready_pools: BTreeSet::new(),
             requests: Vec::new(),
             applied: vec![number],
             verify,
@@ -565,8 +567,9 @@
             let BackendSource::List(backends) = &pool.source else {
                 continue;
             };
-            let addresses = backends.iter().map(|backend| backend.address).collect();
-            self.backends.set_pool_backends(&pool.name, &addresses);
+            self.backends
+                .set_pool_backends(&pool.name, &backends.iter().map(|b| b.address).collect());
+            self.ready_pools.insert(pool.name.clone());
         }
     }
 
@@ -688,13 +691,17 @@
         };
         let available = backends
             .iter()
-            .map(|backend| backend.address)
-            .find(|address| self.backends.availability(*address) == Availability::Available);
-        if let Some(address) = available {
-            let process_start = self.process_starts.get(&address).copied().unwrap_or(0);
+            .find(|b| self.backends.availability(b.address) == Availability::Available);
+        if let Some(backend) = available {
+            let process_start = self
+                .process_starts
+                .get(&backend.address)
+                .copied()
+                .unwrap_or(0);
             assert!(
-                !self.withdrawn.contains(&(address, process_start)),
-                "{address} is draining"
+                !self.withdrawn.contains(&(backend.address, process_start)),
+                "{} is draining",
+                backend.address
             );
             self.sent += 1;
         }
