--- a/crates/heathroad-routing/src/backend_state/mod.rs
+++ b/crates/heathroad-routing/src/backend_state/mod.rs
@@ -44,7 +44,7 @@
     pools: BTreeSet<String>,
 }
 
-/// The states of all backends that are listed by a pool or were withdrawn while they were.
+/// The states of all backends that a pool lists, and of withdrawn backends.
 #[derive(Debug, Default)]
 pub struct BackendStates {
     states: BTreeMap<SocketAddr, BackendState>,
--- a/crates/heathroad-routing/src/config/error.rs
+++ b/crates/heathroad-routing/src/config/error.rs
@@ -1,4 +1,4 @@
-//! The errors of a configuration file, each with its position and what was expected there.
+//! Configuration errors, with their position in the file and what was expected there.
 
 use std::fmt;
 
@@ -12,21 +12,21 @@
     pub field: String,
     /// What is wrong with the value.
     pub reason: String,
-    /// What the parser expects in its place.
+    /// What was expected instead.
     pub expected: String,
 }
 
 /// All errors of one file, sorted by line. The list is never empty.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub struct ConfigErrors {
-    /// The name of the file, as the caller gave it.
+    /// The file name that the caller gave.
     pub file: String,
-    /// The errors, each of them once.
+    /// The errors, without duplicates.
     pub list: Vec<ConfigError>,
 }
 
 impl fmt::Display for ConfigErrors {
-    /// Writes one line for each error, with the file's name in front.
+    /// Writes one line per error, prefixed with the file name.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, error) in self.list.iter().enumerate() {
             let separator = if index == 0 { "" } else { "\n" };
--- a/crates/heathroad-routing/src/config/listener.rs
+++ b/crates/heathroad-routing/src/config/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners for JSON-RPC: their limits, their methods, and how they tell tenants apart.
+//! JSON-RPC listeners: their limits, their methods and the source of a call's tenant.
 
 use super::parser::Section;
 use super::pool::{Idempotency, parse_framing};
@@ -13,15 +13,15 @@
 const MAX_LISTENERS: usize = 64;
 /// The maximum number of methods of a listener.
 const MAX_METHODS: usize = 10_000;
-/// The value of `protocol`, the only one that there is.
+/// The only supported value of `protocol`.
 const PROTOCOL: &str = "json-rpc";
-/// The default of `idle_ms`.
+/// The default value of `idle_ms`.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 600_000.0;
 
-/// A listener for JSON-RPC.
+/// A JSON-RPC listener.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Listener {
-    /// The unique name of the listener, for routes.
+    /// The unique name of the listener, by which routes refer to it.
     pub name: String,
     /// The address that clients connect to.
     pub address: SocketAddr,
@@ -37,26 +37,26 @@
     pub max_message_bytes: usize,
     /// The maximum number of calls in a batch.
     pub max_batch_size: usize,
-    /// For how long a connection may be idle, in milliseconds.
+    /// The maximum idle time of a connection, in milliseconds.
     pub idle_timeout_ms: f64,
-    /// What tells the tenant of a call.
+    /// How the tenant of a call is determined.
     pub tenant_source: TenantSource,
     /// The methods by name.
     pub methods: HashMap<String, Method>,
-    /// How calls of other methods are treated. `None` rejects them.
+    /// How calls to unlisted methods are treated. `None` rejects them.
     pub default_method: Option<Method>,
 }
 
-/// What tells the tenant of a call.
+/// How the tenant of a call is determined.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TenantSource {
     /// Calls have no tenant.
     None,
-    /// All calls are of one tenant.
+    /// All calls belong to one tenant.
     Fixed(String),
-    /// The client's IP address tells the tenant.
+    /// The tenant is looked up by the client's IP address.
     ClientAddress(BTreeMap<IpAddr, String>),
-    /// A string in the parameters of each call tells the tenant.
+    /// The tenant is a string in the call's parameters.
     Params(Pointer),
 }
 
@@ -65,20 +65,20 @@
 pub struct Method {
     /// The class of its calls.
     pub class: String,
-    /// Where the idempotency key lies in the parameters of a call.
+    /// The location of the idempotency key in the call's parameters.
     pub key: Option<Pointer>,
 }
 
-/// How the pools that speak JSON-RPC serve a class.
+/// How JSON-RPC pools serve a class.
 #[derive(Default)]
 struct ServedClass {
-    /// Some pool drops repeated calls by their idempotency key.
+    /// Some pool deduplicates calls by idempotency key.
     is_keyed: bool,
     /// Some pool may run a call of the class more than once.
     may_repeat: bool,
 }
 
-/// The classes that pools with JSON-RPC serve, by name.
+/// The classes that JSON-RPC pools serve, by name.
 type ServedClasses<'a> = BTreeMap<&'a str, ServedClass>;
 
 fn collect_served_classes(pools: &[LocatedPool]) -> ServedClasses<'_> {
@@ -166,8 +166,8 @@
     }
 }
 
-/// Reports a listener whose address is another one's too. Port 0 is a free port, and so never
-/// shared.
+/// Reports a listener whose address is already used by another one. Port 0 stands for any free
+/// port, so it can be used repeatedly.
 fn report_shared_address(
     section: &Section<'_, '_>,
     listener: &Listener,
@@ -178,7 +178,7 @@
         return;
     }
     if let Some(other) = names_by_address.insert(address, listener.name.clone()) {
-        let reason = format!("{address} is {other:?}'s too");
+        let reason = format!("{address} is already used by listener {other:?}");
         section.report("listen", reason, "an address of its own");
     }
 }
@@ -207,7 +207,7 @@
     value: &Spanned<DeValue<'_>>,
     tenants: &[String],
 ) -> TenantSource {
-    let (key, expected) = ("tenant_from", "a table of addresses and tenants");
+    let (key, expected) = ("tenant_from", "a table that maps IP addresses to tenants");
     let Some(table) = value.get_ref().as_table() else {
         section.report_kind(value, key, expected);
         return TenantSource::None;
@@ -220,7 +220,7 @@
                 tenants_by_address.insert(address, name.to_string());
             }
             _ => {
-                let reason = format!("{:?} is none", address.get_ref());
+                let reason = format!("invalid entry {:?}", address.get_ref());
                 section.report_value(tenant, key, reason, expected);
             }
         }
@@ -278,15 +278,15 @@
     let key = section.string("key");
     let key = key.and_then(|key| parse_pointer(section, "key", &key));
     if !section.has("key") && served.is_some_and(|c| c.is_keyed) {
-        let expected = "where a keyed call's key lies in its params, such as /claim/id";
+        let expected = "the location of the idempotency key in the params, such as /claim/id";
         section.report_missing("key", expected);
     }
     section.reject_unknown_keys();
     Method { class, key }
 }
 
-/// Parses the class of calls whose method is not listed. As nothing is known of these methods, no
-/// pool may run a call of this class twice.
+/// Parses the class of calls to unlisted methods. Nothing is known about these methods, so no pool
+/// may run a call of this class more than once.
 fn parse_default_method(section: &Section<'_, '_>, classes: &ServedClasses<'_>) -> Option<Method> {
     let class = section.string("unknown")?;
     let served = find_served_class(section, classes, "unknown", &class);
@@ -297,7 +297,7 @@
     Some(Method { class, key: None })
 }
 
-/// Finds a class that some pool with JSON-RPC serves, or reports that there is none.
+/// Finds a class that some JSON-RPC pool serves, or reports that there is none.
 fn find_served_class<'c>(
     section: &Section<'_, '_>,
     classes: &'c ServedClasses<'_>,
@@ -308,7 +308,7 @@
     if served.is_none() {
         let names: Vec<&str> = classes.keys().copied().collect();
         let expected = match names.as_slice() {
-            [] => "a class of a pool with [pool.rpc]; there is none".to_string(),
+            [] => "a pool with [pool.rpc], but there is none".to_string(),
             names => format!("one of {}", names.join(", ")),
         };
         let reason = format!("no pool that speaks JSON-RPC serves {class:?}");
--- a/crates/heathroad-routing/src/config/mod.rs
+++ b/crates/heathroad-routing/src/config/mod.rs
@@ -1,6 +1,6 @@
-//! The configuration file of routes and pools: its content, its parser and its checks.
+//! The configuration file of routes and pools: its content, parser and checks.
 //!
-//! Parsing reports all errors of a file at once, so that nobody corrects a file error by error.
+//! Parsing reports all errors of a file at once instead of stopping at the first one.
 
 mod checks;
 pub mod error;
@@ -26,21 +26,21 @@
 pub const MAX_ROUTES: usize = 100_000;
 /// The maximum number of pools.
 pub const MAX_POOLS: usize = 1_000;
-/// The name of the daemon's own listener for HTTP.
+/// The name of the daemon's HTTP listener.
 pub const MAIN_LISTENER: &str = "main";
-/// The longest duration that a file may name, in milliseconds: one day.
+/// The maximum duration in a configuration file, in milliseconds: one day.
 const MAX_DURATION_MS: f64 = 86_400_000.0;
 
-/// The checked content of a file.
+/// The checked content of a configuration file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// The known tenants. If there are any, a route may not name others.
+    /// The known tenants. Routes may refer to any tenant if this is empty.
     pub tenants: Vec<String>,
     /// The pools.
     pub pools: Vec<Pool>,
     /// The routes.
     pub routes: Vec<Route>,
-    /// The listeners for JSON-RPC, beside the daemon's own one for HTTP.
+    /// The JSON-RPC listeners, which do not include the daemon's HTTP listener.
     pub listeners: Vec<Listener>,
 }
 
@@ -50,7 +50,7 @@
     offset: usize,
 }
 
-/// Parses and checks the text of a file. `file` is its name in error messages.
+/// Parses and checks the text of a configuration file. `file` is its name in error messages.
 ///
 /// # Errors
 ///
@@ -77,7 +77,7 @@
 
 impl Config {
     /// Iterates over the pools that would send HTTP requests back to the daemon, because one of
-    /// their listed backends is the address that the daemon itself listens on.
+    /// their listed backends is the daemon's own listen address.
     pub fn pools_looping_to(&self, listen_address: SocketAddr) -> impl Iterator<Item = &Pool> {
         self.pools.iter().filter(move |pool| match &pool.source {
             BackendSource::List(backends) => {
@@ -91,11 +91,11 @@
     }
 }
 
-/// Whether a connection to an address may reach a listener on another one, which can be the
-/// unspecified address.
+/// Returns whether a connection to `address` reaches a listener on `listen_address`, which may be
+/// the unspecified address.
 fn connects_to(address: SocketAddr, listen_address: SocketAddr) -> bool {
-    let reaches_any = listen_address.ip().is_unspecified() && address.ip().is_loopback();
+    let reaches_unspecified = listen_address.ip().is_unspecified() && address.ip().is_loopback();
     listen_address.port() != 0
         && address.port() == listen_address.port()
-        && (address.ip() == listen_address.ip() || reaches_any)
+        && (address.ip() == listen_address.ip() || reaches_unspecified)
 }
--- a/crates/heathroad-routing/src/config/parser/mod.rs
+++ b/crates/heathroad-routing/src/config/parser/mod.rs
@@ -1,7 +1,7 @@
 //! A TOML parser that keeps source positions and reports all errors of a document at once.
 //!
-//! A [`Section`] is one table of the document. Code that reads a section asks it for every key that
-//! it knows; [`Section::reject_unknown_keys`] then reports all others.
+//! A [`Section`] is one table of the document. Callers request every key that they support;
+//! [`Section::reject_unknown_keys`] then reports all other keys.
 
 mod values;
 
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 ///
-/// Returns every error that the document has, sorted by line.
+/// Returns all errors of the document, sorted by line.
 pub fn parse_document<T>(
     file: &str,
     text: &str,
@@ -44,15 +44,15 @@
     })
 }
 
-/// The text of a document and the errors that were found in it so far.
+/// The text of a document and the errors found in it so far.
 pub struct Document<'a> {
     text: &'a str,
-    /// The byte offsets of all line ends.
+    /// The byte offsets of the line feeds.
     line_ends: Vec<usize>,
     errors: RefCell<Vec<ConfigError>>,
 }
 
-/// One table of a document, which remembers the keys that its reader asked for.
+/// One table of a document, which tracks the keys that were requested from it.
 pub struct Section<'a, 't> {
     /// The document that the table is part of.
     pub document: &'a Document<'a>,
@@ -70,7 +70,7 @@
             text,
             line_ends: bytes
                 .filter(|(_, b)| *b == b'\n')
-                .map(|(at, _)| at)
+                .map(|(offset, _)| offset)
                 .collect(),
             errors: RefCell::default(),
         }
@@ -106,7 +106,7 @@
     fn parse<T>(&self, read_root: impl for<'b> FnOnce(&Section<'b, '_>) -> T) -> Option<T> {
         if self.text.len() > MAX_BYTES {
             let reason = format!("{} bytes", self.text.len());
-            self.report(0, "file", reason, format!("{MAX_BYTES} at most"));
+            self.report(0, "file", reason, format!("at most {MAX_BYTES}"));
             return None;
         }
         let (table, errors) = DeTable::parse_recoverable(self.text);
@@ -141,7 +141,7 @@
 }
 
 impl<'a, 't> Section<'a, 't> {
-    /// Returns the path of a key of this section, from the root of the document on.
+    /// Returns the path of a key of this section from the document root.
     pub fn field(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_string()
@@ -150,19 +150,19 @@
         }
     }
 
-    /// Returns the value of a key, and marks the key as known.
+    /// Returns the value of a key and marks the key as known.
     pub fn value(&self, key: &'static str) -> Option<&'t Spanned<DeValue<'t>>> {
         self.known_keys.borrow_mut().insert(key);
         let found = self.table.iter().find(|(k, _)| k.get_ref().as_ref() == key);
         found.map(|(_, value)| value)
     }
 
-    /// Whether the section has a key, which is marked as known.
+    /// Returns whether the section has a key, and marks the key as known.
     pub fn has(&self, key: &'static str) -> bool {
         self.value(key).is_some()
     }
 
-    /// Returns a section for a table that is a value in this one.
+    /// Returns a section for a table nested in this one.
     pub fn child(&self, table: &'t DeTable<'t>, offset: usize, path: String) -> Section<'a, 't> {
         self.document.section(table, offset, path)
     }
@@ -186,15 +186,15 @@
             .report(offset, self.field(key), reason, expected);
     }
 
-    /// Adds an error about a value of a wrong kind.
+    /// Adds an error about a value of the wrong type.
     pub fn report_kind(&self, value: &Spanned<DeValue<'_>>, key: &str, expected: &str) {
         let reason = format!("is {}", describe_kind(value.get_ref()));
         self.report_value(value, key, reason, expected);
     }
 
-    /// Adds an error about a list item of a wrong kind.
+    /// Adds an error about a list item of the wrong type.
     pub fn report_item_kind(&self, item: &Spanned<DeValue<'_>>, key: &str, expected: &str) {
-        let reason = format!("holds {}", describe_kind(item.get_ref()));
+        let reason = format!("contains {}", describe_kind(item.get_ref()));
         self.report_value(item, key, reason, expected);
     }
 
@@ -203,7 +203,7 @@
         self.report(key, "is missing", expected);
     }
 
-    /// Adds an error for each key that the reader of the section did not ask for.
+    /// Adds an error for each key that was not requested from the section.
     pub fn reject_unknown_keys(&self) {
         let known_keys = self.known_keys.borrow();
         let known: Vec<&str> = known_keys.iter().copied().collect();
--- a/crates/heathroad-routing/src/config/parser/values.rs
+++ b/crates/heathroad-routing/src/config/parser/values.rs
@@ -1,5 +1,5 @@
-//! Typed values of a section. A value of a wrong kind or out of bounds is reported and read as
-//! absent, so that the rest of the document is still checked.
+//! Typed access to the values of a section. A value of the wrong type or out of range is reported
+//! and treated as absent, so that the rest of the document is still checked.
 
 use super::Section;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 use toml::de::{DeArray, DeValue};
 
 impl<'a, 't> Section<'a, 't> {
-    /// Reads a string that is not empty.
+    /// Reads a non-empty string.
     pub fn string(&self, key: &'static str) -> Option<String> {
         let value = self.value(key)?;
         match value.get_ref().as_str() {
@@ -22,20 +22,25 @@
 
     /// Reads a list of distinct strings.
     pub fn string_list(&self, key: &'static str) -> Vec<String> {
-        let mut texts: Vec<String> = Vec::new();
+        let mut strings: Vec<String> = Vec::new();
         for item in self.array(key, "a list of texts").into_iter().flatten() {
             match item.get_ref().as_str() {
-                Some(text) if texts.iter().any(|t| t == text) => {
-                    self.report_value(item, key, format!("{text:?} comes twice"), "each once");
+                Some(text) if strings.iter().any(|t| t == text) => {
+                    self.report_value(
+                        item,
+                        key,
+                        format!("{text:?} is listed twice"),
+                        "each string once",
+                    );
                 }
-                Some(text) if !text.is_empty() => texts.push(text.to_string()),
+                Some(text) if !text.is_empty() => strings.push(text.to_string()),
                 _ => self.report_item_kind(item, key, "texts that are not empty"),
             }
         }
-        texts
+        strings
     }
 
-    /// Reads a number within bounds, both included.
+    /// Reads a number from `low` to `high`, inclusive.
     pub fn number(&self, key: &'static str, low: f64, high: f64) -> Option<f64> {
         let value = self.value(key)?;
         let number = match value.get_ref() {
@@ -55,7 +60,7 @@
         None
     }
 
-    /// Reads a number that must be present. Returns the lower bound where it is not.
+    /// Reads a required number. Returns `low` if it is absent or invalid.
     pub fn required_number(&self, key: &'static str, low: f64, high: f64) -> f64 {
         if !self.has(key) {
             self.report_missing(key, &format!("a number from {low} to {high}"));
@@ -63,7 +68,7 @@
         self.number(key, low, high).unwrap_or(low)
     }
 
-    /// Reads an integer within bounds, both included.
+    /// Reads an integer from `low` to `high`, inclusive.
     pub fn integer(&self, key: &'static str, low: u32, high: u32) -> Option<u32> {
         let number = self.number(key, f64::from(low), f64::from(high))?;
         if number.fract() != 0.0
@@ -103,7 +108,7 @@
         };
         if let Some(value) = self.value(key).filter(|_| array.len() > max_count) {
             let reason = format!("has {} entries", array.len());
-            self.report_value(value, key, reason, &format!("{max_count} at most"));
+            self.report_value(value, key, reason, &format!("at most {max_count}"));
             return Vec::new();
         }
         let mut sections = Vec::new();
@@ -119,7 +124,7 @@
         sections
     }
 
-    /// Reads a list whose items a function converts. Reports the items that it returns `None` for.
+    /// Reads a list and converts its items. Reports the items for which `convert` returns `None`.
     pub fn list<T>(
         &self,
         key: &'static str,
@@ -136,7 +141,8 @@
         converted
     }
 
-    /// Reads one of several words. Returns the value of the first one where there is none.
+    /// Reads one of several words. Returns the value of the first word if the key is absent or
+    /// invalid.
     pub fn choice<T: Copy>(&self, key: &'static str, words: &[(&str, T)], expected: &str) -> T {
         let default = words[0].1;
         let Some(text) = self.string(key) else {
@@ -151,8 +157,8 @@
         }
     }
 
-    /// Reads the key `name`, which must differ from all names read before. `lines_by_name` keeps
-    /// these with their lines.
+    /// Reads the required key `name`. `lines_by_name` holds the names read so far, which must
+    /// differ, and their lines.
     pub fn unique_name(&self, lines_by_name: &mut BTreeMap<String, usize>) -> String {
         let Some(name) = self.string("name") else {
             if !self.has("name") {
@@ -162,13 +168,13 @@
         };
         let line = self.document.line_at(self.offset);
         if let Some(first) = lines_by_name.insert(name.clone(), line) {
-            let reason = format!("{name:?} is a name of line {first} too");
+            let reason = format!("{name:?} is already used on line {first}");
             self.report("name", reason, "a name of its own");
         }
         name
     }
 
-    /// Reads a socket address that must be present.
+    /// Reads a required socket address.
     pub fn required_address(&self, key: &'static str) -> Option<SocketAddr> {
         let value = self.value(key);
         if value.is_none() {
@@ -200,13 +206,13 @@
     }
 }
 
-/// Describes the kind of a value for an error message.
+/// Describes the type of a value for an error message.
 pub fn describe_kind(value: &DeValue<'_>) -> &'static str {
     match value {
         DeValue::String(s) if s.is_empty() => "an empty text",
         DeValue::String(_) => "a text",
         DeValue::Integer(_) | DeValue::Float(_) => "a number",
-        DeValue::Boolean(_) => "true or false",
+        DeValue::Boolean(_) => "a boolean",
         DeValue::Datetime(_) => "a date",
         DeValue::Array(_) => "a list",
         DeValue::Table(_) => "a table",
--- a/crates/heathroad-routing/src/config/pool.rs
+++ b/crates/heathroad-routing/src/config/pool.rs
@@ -1,4 +1,4 @@
-//! Pools: their backends, the classes that they serve, and how they speak JSON-RPC.
+//! Pools: their backends, the classes that they serve and their JSON-RPC settings.
 
 use super::parser::Section;
 use super::{LocatedPool, MAX_DURATION_MS, MAX_POOLS};
@@ -12,9 +12,9 @@
 
 /// The maximum number of classes of a pool.
 const MAX_CLASSES: usize = 1_000;
-/// The maximum number of requests in flight that a pool may be allowed.
+/// The maximum value of a pool's limit on requests in flight.
 const MAX_OPEN_REQUESTS: u32 = 1_000_000;
-/// The bounds of the weight of a backend.
+/// The minimum and maximum weight of a backend.
 const BACKEND_WEIGHTS: [f64; 2] = [0.01, 1000.0];
 /// The maximum priority weight of a class.
 const MAX_PRIORITY_WEIGHT: f64 = 1e6;
@@ -22,12 +22,12 @@
 const MAX_CONCURRENT_CALLS: u32 = 1_000;
 /// The maximum absolute value of a JSON-RPC error code.
 const MAX_ERROR_CODE: f64 = 1e9;
-/// The labels by which a pool selects the hosts of a registry.
+/// The labels by which a pool selects hosts from a registry.
 const REGISTRY_LABELS: [&str; 3] = ["site", "class", "block"];
 
 /// A set of backends that serve the same classes.
 ///
-/// The daemon hashes the serialized form, so that its names stay when the fields are renamed.
+/// The daemon hashes the serialized form, so its names must not change when a field is renamed.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Pool {
     /// The unique name of the pool.
@@ -36,10 +36,10 @@
     pub source: BackendSource,
     /// The classes that the pool serves.
     pub classes: Vec<Class>,
-    /// The maximum number of requests in flight. `None` leaves the daemon's own limit.
+    /// The maximum number of requests in flight. `None` applies the daemon's limit.
     #[serde(rename = "open")]
     pub max_open_requests: Option<u32>,
-    /// How the backends speak JSON-RPC. `None` means that they do not.
+    /// How the backends speak JSON-RPC. `None` if they do not.
     #[serde(rename = "rpc")]
     pub jsonrpc: Option<JsonRpcSettings>,
 }
@@ -61,11 +61,11 @@
 /// A backend that the configuration file lists.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ListedBackend {
-    /// The address, which is the name as well.
+    /// The address, which also identifies the backend.
     pub address: SocketAddr,
     /// The site.
     pub site: String,
-    /// The block: a small group of backends that share deduplication.
+    /// The block, a small group of backends that share deduplication.
     pub block: u16,
     /// The capacity relative to that of the other backends.
     pub weight: f64,
@@ -79,7 +79,7 @@
     /// Whether a request of the class may run more than once.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// The latency objective in milliseconds. A response within it earns the full weight.
+    /// The latency objective in milliseconds. Only responses within it count with full weight.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: f64,
     /// The maximum duration of a request in milliseconds.
@@ -95,7 +95,7 @@
     /// A request may run any number of times.
     #[serde(rename = "Safe")]
     Idempotent,
-    /// Backends drop a repeated request by its idempotency key.
+    /// Backends deduplicate requests by idempotency key.
     Keyed {
         /// The backends that share deduplication.
         #[serde(rename = "group")]
@@ -129,16 +129,16 @@
     /// The maximum number of concurrent calls on one connection.
     #[serde(rename = "calls")]
     pub max_concurrent_calls: u32,
-    /// The error code by which a backend rejects a call that it did not run, if it has one.
+    /// The error code with which a backend rejects a call without running it, if any.
     #[serde(rename = "declined")]
     pub rejection_code: Option<i64>,
-    /// Whether calls carry a retry budget, as members beside those of the specification.
+    /// Whether calls carry a retry budget in members that are not part of the specification.
     #[serde(rename = "budget")]
     pub carries_budget: bool,
 }
 
 impl fmt::Display for DeduplicationScope {
-    /// Writes the scope as the configuration file names it.
+    /// Writes the value of the configuration key `group`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             DeduplicationScope::All => "all",
@@ -228,7 +228,7 @@
     selected
 }
 
-/// Parses a list whose items are addresses, or tables with an address and labels.
+/// Parses a list whose items are addresses or tables with an address.
 fn parse_backends<'t>(
     section: &Section<'_, 't>,
     value: &'t Spanned<DeValue<'t>>,
@@ -286,8 +286,8 @@
     let latency_objective_ms = section.required_number("aim_ms", 1.0, MAX_DURATION_MS);
     let deadline_ms = section.required_number("deadline_ms", 1.0, MAX_DURATION_MS);
     if latency_objective_ms > deadline_ms {
-        let reason = format!("{latency_objective_ms} is past the deadline of {deadline_ms}");
-        section.report("aim_ms", reason, "an aim within the deadline");
+        let reason = format!("{latency_objective_ms} exceeds the deadline of {deadline_ms}");
+        section.report("aim_ms", reason, "at most the deadline");
     }
     let priority_weight = section
         .number("worth", 0.0, MAX_PRIORITY_WEIGHT)
@@ -319,12 +319,12 @@
                 window_ms: window_ms.unwrap_or(1.0),
             };
         }
-        Some(word @ ("safe" | "unsafe")) => {
+        Some(effect @ ("safe" | "unsafe")) => {
             if has_scope || has_window {
-                let reason = format!("{word:?} with a group or a window");
-                section.report("effect", reason, "these for \"keyed\" only");
+                let reason = format!("{effect:?} with `group` or `window_ms`");
+                section.report("effect", reason, "these keys only with \"keyed\"");
             }
-            if word == "safe" {
+            if effect == "safe" {
                 return Idempotency::Idempotent;
             }
         }
@@ -335,7 +335,7 @@
     Idempotency::NonIdempotent
 }
 
-/// Parses the key `group`, whose default is all backends of the pool.
+/// Parses the key `group`, which defaults to all backends of the pool.
 pub fn parse_deduplication_scope(section: &Section<'_, '_>) -> DeduplicationScope {
     let words = [
         ("all", DeduplicationScope::All),
@@ -360,7 +360,7 @@
     Some(settings)
 }
 
-/// Parses the key `framing`, whose default is one message a line.
+/// Parses the key `framing`, which defaults to one message per line.
 pub(super) fn parse_framing(section: &Section<'_, '_>) -> Framing {
     let words = [
         ("lines", Framing::Lines),
--- a/crates/heathroad-routing/src/config/route.rs
+++ b/crates/heathroad-routing/src/config/route.rs
@@ -1,4 +1,4 @@
-//! Routes in the configuration file: their conditions and their destinations.
+//! Routes of the configuration file: their conditions and destinations.
 
 use super::parser::Section;
 use super::{LocatedPool, MAX_ROUTES};
@@ -8,9 +8,9 @@
 use crate::traffic_split::WeightedPool;
 use std::collections::BTreeMap;
 
-/// The maximum number of pools of a split.
+/// The maximum number of pools in a traffic split.
 const MAX_SPLIT_POOLS: usize = 64;
-/// The maximum weight of a pool in a split.
+/// The maximum weight of a pool in a traffic split.
 const MAX_WEIGHT: f64 = 1e6;
 
 /// Parses all `[[route]]` tables and reports conflicts between them.
@@ -61,7 +61,7 @@
         return;
     };
     if !tenants.is_empty() && !tenants.contains(tenant) {
-        let reason = format!("no tenant {tenant:?}, unreachable");
+        let reason = format!("no tenant {tenant:?}, so the route is unreachable");
         let expected = format!("one of `tenants`: {}", tenants.join(", "));
         section.report("tenant", reason, expected);
     }
@@ -77,7 +77,7 @@
         };
         let served: Vec<&str> = pool.classes.iter().map(|c| c.name.as_str()).collect();
         if !served.contains(&class.as_str()) {
-            let reason = format!("pool {:?} does not serve {class:?}, unreachable", pool.name);
+            let reason = format!("pool {:?} does not serve class {class:?}", pool.name);
             section.report("class", reason, format!("one of {}", served.join(", ")));
         }
     }
@@ -88,13 +88,13 @@
         let first = &routes[conflict.first];
         let offset = root.document.line_start(routes[conflict.second].line);
         let field = format!("route[{}]", conflict.second);
-        let expected = "for each request one route that is most specific";
+        let expected = "one most specific route for each request";
         root.document
             .report(offset, field, conflict.describe(first), expected);
     }
 }
 
-/// Parses the keys of a section that are conditions of requests.
+/// Parses the keys of a section that are conditions on requests.
 pub fn parse_condition(section: &Section<'_, '_>) -> RouteCondition {
     RouteCondition {
         listener: section.string("listener"),
@@ -110,7 +110,7 @@
 fn parse_path(section: &Section<'_, '_>) -> Option<String> {
     let path = section.string("path")?;
     if !path.starts_with('/') || path.contains("/*/") || path.contains('?') {
-        let expected = "a path from its /, or a prefix that ends with /*";
+        let expected = "a path that starts with /, or a prefix that ends with /*";
         section.report("path", format!("is {path:?}"), expected);
     }
     Some(path)
@@ -119,7 +119,7 @@
 fn parse_host(section: &Section<'_, '_>) -> Option<String> {
     let host = section.string("host")?.to_ascii_lowercase();
     if host.trim_start_matches("*.").contains(['*', '/']) {
-        let expected = "a name, or one that begins with *.";
+        let expected = "a host name, optionally with the prefix *.";
         section.report("host", format!("is {host:?}"), expected);
     }
     Some(host)
@@ -132,12 +132,12 @@
         return None;
     };
     let header = section.child(table, value.span().start, section.field("header"));
-    let (name, wanted) = (header.string("name"), header.string("is"));
-    if name.is_none() || wanted.is_none() {
+    let (name, value) = (header.string("name"), header.string("is"));
+    if name.is_none() || value.is_none() {
         header.report_missing("name", "`name` and `is`");
     }
     header.reject_unknown_keys();
-    Some((name?.to_ascii_lowercase(), wanted?))
+    Some((name?.to_ascii_lowercase(), value?))
 }
 
 fn parse_destinations(section: &Section<'_, '_>, pools: &[LocatedPool]) -> Vec<WeightedPool> {
@@ -178,7 +178,11 @@
         let pool = name.as_ref().and_then(|name| find_pool(part, pools, name));
         if let (Some(pool), Some(name)) = (pool, name) {
             if destinations.iter().any(|d| d.pool == pool) {
-                part.report("pool", format!("{name:?} comes twice"), "each once");
+                part.report(
+                    "pool",
+                    format!("{name:?} is listed twice"),
+                    "each pool once",
+                );
             } else {
                 destinations.push(WeightedPool { pool, weight });
             }
@@ -187,13 +191,13 @@
     }
     let is_complete = destinations.len() == split.len();
     if is_complete && destinations.iter().all(|d| d.weight == 0.0) {
-        let reason = "all weights are 0, nothing would be sent";
+        let reason = "all weights are 0";
         section.report("split", reason, "one weight above 0 at the least");
     }
     destinations
 }
 
-/// Returns the index of a pool by its name, or reports that there is none.
+/// Returns the index of a pool by name, or reports that there is none.
 fn find_pool(section: &Section<'_, '_>, pools: &[LocatedPool], name: &str) -> Option<usize> {
     let index = pools.iter().position(|located| located.pool.name == name);
     if index.is_none() {
--- a/crates/heathroad-routing/src/diff.rs
+++ b/crates/heathroad-routing/src/diff.rs
@@ -1,5 +1,5 @@
-//! A description of what a change does, for people: which requests move to which pools, and how
-//! pools and listeners change.
+//! A human-readable description of a change: which requests move to which pools, and how pools and
+//! listeners change.
 
 use crate::condition::{RequestAttributes, RouteCondition};
 use crate::config::{
@@ -9,11 +9,10 @@
 use crate::traffic_split::WeightedPool;
 use std::collections::{BTreeSet, HashSet};
 
-/// A text that no condition asks for.
-const UNUSED_TEXT: &str = "\u{1}";
+/// A value that matches no condition.
+const UNMATCHED_VALUE: &str = "\u{1}";
 
-/// Describes the change from one generation to another, line by line. Returns no line where nothing
-/// changes.
+/// Describes the change from one generation to another. Returns no lines if nothing changes.
 pub fn describe_changes(from: &Generation, to: &Generation) -> Vec<String> {
     let mut lines = Vec::new();
     describe_pools(&from.config, &to.config, &mut lines);
@@ -29,7 +28,7 @@
         match find(from, &new.name) {
             None => {
                 let source = describe_source(&new.source);
-                lines.push(format!("pool {} is new: {source}", new.name));
+                lines.push(format!("pool {} is added: {source}", new.name));
             }
             Some(old) => describe_pool(&old, new, lines),
         }
@@ -40,7 +39,7 @@
         .filter(|pool| find(to, &pool.name).is_none())
     {
         lines.push(format!(
-            "pool {} is removed; what it has is finished",
+            "pool {} is removed; its open requests are completed",
             old.name
         ));
     }
@@ -69,29 +68,26 @@
     describe_backends(old, new, lines);
     for class in &new.classes {
         match old.classes.iter().find(|o| o.name == class.name) {
-            None => lines.push(format!(
-                "pool {name} serves class {} from now on",
-                class.name
-            )),
+            None => lines.push(format!("pool {name} begins to serve class {}", class.name)),
             Some(old_class) => describe_class(name, old_class, class, lines),
         }
     }
     for class in &old.classes {
         if new.classes.iter().all(|c| c.name != class.name) {
-            lines.push(format!("pool {name} serves class {} no more", class.name));
+            lines.push(format!("pool {name} no longer serves class {}", class.name));
         }
     }
     if old.jsonrpc != new.jsonrpc {
         lines.push(format!(
-            "pool {name}: its backends are called over JSON-RPC in another way, or no more"
+            "pool {name}: the JSON-RPC settings of its backends change"
         ));
     }
     if old.max_open_requests != new.max_open_requests {
         let limit = |limit: Option<u32>| {
-            limit.map_or("the daemon's own".to_string(), |limit| limit.to_string())
+            limit.map_or("the daemon's limit".to_string(), |limit| limit.to_string())
         };
         lines.push(format!(
-            "pool {name}: most open requests {} instead of {}",
+            "pool {name}: maximum open requests {} instead of {}",
             limit(new.max_open_requests),
             limit(old.max_open_requests)
         ));
@@ -126,9 +122,11 @@
 
 fn describe_idempotency(idempotency: Idempotency) -> String {
     match idempotency {
-        Idempotency::Idempotent => "safe to repeat".into(),
-        Idempotency::NonIdempotent => "never run twice".into(),
-        Idempotency::Keyed { scope, window_ms } => format!("keyed, {scope} for {window_ms} ms"),
+        Idempotency::Idempotent => "idempotent".into(),
+        Idempotency::NonIdempotent => "non-idempotent".into(),
+        Idempotency::Keyed { scope, window_ms } => {
+            format!("keyed, scope {scope}, window {window_ms} ms")
+        }
     }
 }
 
@@ -136,7 +134,7 @@
     let name = &new.name;
     if old.idempotency != new.idempotency {
         lines.push(format!(
-            "pool {pool}, class {name}: {} instead of {}; calls that are out keep the old way",
+            "pool {pool}, class {name}: {} instead of {}; open requests are not affected",
             describe_idempotency(new.idempotency),
             describe_idempotency(old.idempotency)
         ));
@@ -145,10 +143,10 @@
         ("aim", old.latency_objective_ms, new.latency_objective_ms),
         ("deadline", old.deadline_ms, new.deadline_ms),
     ];
-    for (what, before, after) in durations {
+    for (key, before, after) in durations {
         if before != after {
             lines.push(format!(
-                "pool {pool}, class {name}: {what} {after} ms instead of {before} ms"
+                "pool {pool}, class {name}: {key} {after} ms instead of {before} ms"
             ));
         }
     }
@@ -160,7 +158,7 @@
     }
 }
 
-/// Describes where the requests of each route go, for the routes of either generation.
+/// Describes the changed destinations of all routes of both generations.
 fn describe_routes(from: &Generation, to: &Generation, lines: &mut Vec<String>) {
     let mut seen = HashSet::new();
     for route in from.config.routes.iter().chain(&to.config.routes) {
@@ -168,39 +166,40 @@
         if !seen.insert(condition) {
             continue;
         }
-        let [before, after] = [from, to].map(|generation| pool_parts(generation, condition));
+        let [before, after] = [from, to].map(|generation| pool_shares(generation, condition));
         if before != after {
             lines.push(format!(
                 "{} go to {} instead of {}",
                 condition.describe(),
-                describe_parts(&after),
-                describe_parts(&before)
+                describe_shares(&after),
+                describe_shares(&before)
             ));
         }
     }
 }
 
-/// A pool's part of the requests of a route.
+/// A pool's share of the requests of a route.
 #[derive(Debug, PartialEq)]
-struct PoolPart {
+struct PoolShare {
     pool: String,
     /// From 0 to 1.
     fraction: f64,
 }
 
-/// Returns where a generation sends the requests that fulfil a condition, sorted by pool.
-fn pool_parts(generation: &Generation, condition: &RouteCondition) -> Vec<PoolPart> {
-    let host = condition.host.as_deref().unwrap_or(UNUSED_TEXT);
+/// Returns the pools to which a generation sends the requests that satisfy a condition, by name.
+fn pool_shares(generation: &Generation, condition: &RouteCondition) -> Vec<PoolShare> {
+    let host = condition.host.as_deref().unwrap_or(UNMATCHED_VALUE);
     let path = condition.path.as_deref().unwrap_or("/*");
-    let text = |value: &Option<String>| value.clone().unwrap_or_else(|| UNUSED_TEXT.to_string());
+    let text =
+        |value: &Option<String>| value.clone().unwrap_or_else(|| UNMATCHED_VALUE.to_string());
     let header = |name: &str| {
-        let (own_name, value) = condition.header.as_ref()?;
-        (own_name == name).then_some(value.as_str())
+        let (expected_name, value) = condition.header.as_ref()?;
+        (expected_name == name).then_some(value.as_str())
     };
     let route = generation.table.find_route(&RequestAttributes {
         listener: &text(&condition.listener),
-        host: &host.replace('*', UNUSED_TEXT),
-        path: &path.replace('*', UNUSED_TEXT),
+        host: &host.replace('*', UNMATCHED_VALUE),
+        path: &path.replace('*', UNMATCHED_VALUE),
         method: &text(&condition.method),
         class: &text(&condition.class),
         tenant: &text(&condition.tenant),
@@ -208,26 +207,26 @@
     });
     let destinations: &[WeightedPool] = route.map_or(&[], |route| &route.destinations);
     let total: f64 = destinations.iter().map(|d| d.weight).sum();
-    let mut parts: Vec<PoolPart> = destinations
+    let mut shares: Vec<PoolShare> = destinations
         .iter()
         .filter(|destination| destination.weight > 0.0)
-        .map(|destination| PoolPart {
+        .map(|destination| PoolShare {
             pool: generation.config.pools[destination.pool].name.clone(),
             fraction: destination.weight / total,
         })
         .collect();
-    parts.sort_by(|a, b| a.pool.cmp(&b.pool));
-    parts
+    shares.sort_by(|a, b| a.pool.cmp(&b.pool));
+    shares
 }
 
-fn describe_parts(parts: &[PoolPart]) -> String {
-    match parts {
-        [] => "nowhere".to_string(),
+fn describe_shares(shares: &[PoolShare]) -> String {
+    match shares {
+        [] => "no pool".to_string(),
         [only] => only.pool.clone(),
         several => {
             let percentages = several
                 .iter()
-                .map(|PoolPart { pool, fraction }| format!("{:.1}% to {pool}", fraction * 100.0));
+                .map(|PoolShare { pool, fraction }| format!("{:.1}% to {pool}", fraction * 100.0));
             percentages.collect::<Vec<_>>().join(", ")
         }
     }
@@ -238,7 +237,7 @@
         |config: &Config, name: &str| config.listeners.iter().find(|l| l.name == name).cloned();
     for new in &to.listeners {
         match find(from, &new.name) {
-            None => lines.push(format!("listener {} is new, on {}", new.name, new.address)),
+            None => lines.push(format!("listener {} is added on {}", new.name, new.address)),
             Some(old) => describe_listener(&old, new, lines),
         }
     }
@@ -248,7 +247,7 @@
         .filter(|l| find(to, &l.name).is_none())
     {
         lines.push(format!(
-            "listener {} is closed; what it has is finished",
+            "listener {} is removed; its open calls are completed",
             old.name
         ));
     }
@@ -258,10 +257,10 @@
     let name = &new.name;
     if (&old.tenant_source, &old.default_method) != (&new.tenant_source, &new.default_method) {
         lines.push(format!(
-            "listener {name}: its tenants or unknown methods are told otherwise"
+            "listener {name}: the tenant source or the class of unknown methods changes"
         ));
     }
-    // Connections end only where something else than tenants and methods changes.
+    // Connections are kept if only tenants and methods change.
     let connection_settings = |listener: &Listener| Listener {
         methods: Default::default(),
         tenant_source: TenantSource::None,
@@ -270,7 +269,7 @@
     };
     if connection_settings(old) != connection_settings(new) {
         lines.push(format!(
-            "listener {name} changes; connections to it end once they are answered"
+            "listener {name} changes; its connections close once their calls are answered"
         ));
     }
     let methods: BTreeSet<&String> = old.methods.keys().chain(new.methods.keys()).collect();
@@ -292,13 +291,15 @@
             new.class, old.class
         )),
         (Some(old), Some(new)) if old != new => Some(format!(
-            "listener {listener}, method {method}: its key lies elsewhere"
+            "listener {listener}, method {method}: the location of the idempotency key changes"
         )),
         (None, Some(new)) => Some(format!(
-            "listener {listener} takes method {method}, class {}",
+            "listener {listener} begins to accept method {method}, class {}",
             new.class
         )),
-        (Some(_), None) => Some(format!("listener {listener} takes method {method} no more")),
+        (Some(_), None) => Some(format!(
+            "listener {listener} no longer accepts method {method}"
+        )),
         _ => None,
     }
 }
--- a/crates/heathroad-routing/src/generation.rs
+++ b/crates/heathroad-routing/src/generation.rs
@@ -1,6 +1,6 @@
 //! An immutable snapshot of a configuration, with its number and digest.
 //!
-//! A request binds to the generation in force when it arrives, and keeps it to its final response.
+//! A request binds to the current generation when it arrives and keeps it until its final response.
 
 use crate::condition::RequestAttributes;
 use crate::config::error::{ConfigError, ConfigErrors};
@@ -10,14 +10,14 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// The number of bytes of the SHA-256 hash that a digest shows.
+/// The number of leading bytes of the SHA-256 hash in a digest.
 const DIGEST_BYTES: usize = 8;
 
-/// A snapshot of a configuration. Reference counts keep it until the last request that is bound to
-/// it ends.
+/// A snapshot of a configuration. Reference counting keeps it until the last request bound to it
+/// ends.
 #[derive(Debug)]
 pub struct Generation {
-    /// The number, which grows with each change that is applied, rollbacks included.
+    /// The number, which increases with each applied change, including rollbacks.
     pub number: u64,
     /// The digest of the text.
     pub digest: String,
@@ -30,7 +30,7 @@
 }
 
 impl Generation {
-    /// Parses and checks a text. `file` is its name in error messages.
+    /// Parses and checks a configuration text. `file` is its name in error messages.
     ///
     /// # Errors
     ///
@@ -57,12 +57,12 @@
         }))
     }
 
-    /// Finds a pool by its name.
+    /// Finds a pool by name.
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         self.config.pools.iter().find(|pool| pool.name == name)
     }
 
-    /// Iterates over the names of the pools that another generation lacks or defines otherwise.
+    /// Iterates over the names of the pools that another generation lacks or defines differently.
     pub fn pools_differing_from<'a>(
         &'a self,
         other: &'a Generation,
@@ -73,12 +73,12 @@
     }
 }
 
-/// Returns the digest of a text, which is the same on every machine.
+/// Returns the digest of a configuration text, which is the same on every machine.
 pub fn digest_text(text: &str) -> String {
     let hash = Sha256::digest(text.as_bytes());
     let mut digest = String::new();
     for byte in hash.iter().take(DIGEST_BYTES) {
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = write!(digest, "{byte:02x}");
     }
     digest
@@ -88,13 +88,13 @@
     ConfigError {
         line: 1,
         field: "route".into(),
-        reason: format!("{} kinds of conditions", error.count),
-        expected: format!("{MAX_SHAPES} at most, for each costs every request a look-up"),
+        reason: format!("{} condition shapes", error.count),
+        expected: format!("at most {MAX_SHAPES}, since each costs every request a lookup"),
     }
 }
 
-/// Finds methods whose calls some route takes to a pool that does not speak JSON-RPC or does not
-/// serve their class: such calls would never be served.
+/// Finds methods whose calls are routed to a pool that does not speak JSON-RPC or does not serve
+/// their class. Such calls could never be served.
 fn find_unserved_methods(config: &Config, table: &RouteTable) -> Vec<ConfigError> {
     let mut errors = Vec::new();
     for listener in &config.listeners {
--- a/crates/heathroad-routing/src/table.rs
+++ b/crates/heathroad-routing/src/table.rs
@@ -1,37 +1,39 @@
 //! The routing table, which finds the most specific route that matches a request.
 //!
-//! Routes are grouped by the shape of their conditions. A shape costs one hash look-up, and shapes
-//! are tried from the most specific one on. Two routes that could both be the most specific one for
-//! some request are a conflict; [`find_conflicts`] finds it before such a request arrives.
+//! Routes are grouped by the shape of their conditions. Each shape costs one hash lookup; shapes
+//! are tried in descending order of specificity. Two routes conflict if some request matches both
+//! and neither is more specific; [`find_conflicts`] detects this when a configuration is checked.
 
 use crate::condition::{ConditionShape, RequestAttributes};
 use crate::route::Route;
 use crate::traffic_split;
 use std::collections::{BTreeSet, HashMap};
 
-/// The maximum number of shapes. Each of them costs every request a look-up.
+/// The maximum number of shapes, each of which costs every request a lookup.
 pub const MAX_SHAPES: usize = 128;
 
-/// Two routes that are both the most specific one for some request.
+/// Two routes that match the same request, neither of which is more specific.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteConflict {
     /// The index of the first route.
     pub first: usize,
-    /// The index of the second route, which stands behind the first one.
+    /// The index of the second route, which follows the first one in the file.
     pub second: usize,
-    /// Whether both match exactly the same requests, and not only some of them.
+    /// Whether both match exactly the same requests, rather than only some in common.
     pub identical: bool,
 }
 
 impl RouteConflict {
-    /// Describes the conflict as an error of the second route. `first` is the first one.
+    /// Describes the conflict as an error of the second route. `first` is the first route.
     pub fn describe(&self, first: &Route) -> String {
         let Route { name, line, .. } = first;
         if self.identical {
-            format!("matches the same requests as route {name:?} of line {line}, unreachable")
+            format!(
+                "matches the same requests as route {name:?} on line {line}, so it is unreachable"
+            )
         } else {
             format!(
-                "some requests match it and route {name:?} of line {line}, neither more specific"
+                "some requests match both it and route {name:?} on line {line}, and neither is more specific"
             )
         }
     }
@@ -39,13 +41,13 @@
 
 /// The error of a table with more than [`MAX_SHAPES`] shapes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("{count} kinds of conditions; expected {MAX_SHAPES} at most")]
+#[error("{count} condition shapes; expected at most {MAX_SHAPES}")]
 pub struct TooManyShapes {
     /// The number of shapes.
     pub count: usize,
 }
 
-/// Finds conflicts between routes, at most one for each second route.
+/// Finds conflicts between routes, at most one per second route.
 ///
 /// Only the first [`MAX_SHAPES`] shapes are compared; [`RouteTable::new`] rejects more.
 pub fn find_conflicts(routes: &[Route]) -> Vec<RouteConflict> {
@@ -63,7 +65,7 @@
             let common = shape.intersection(other_shape);
             let is_nested = common == **shape || common == **other_shape;
             if is_nested && shape != other_shape {
-                // The route that compares less is the less specific one.
+                // The route that compares fewer attributes is less specific.
                 continue;
             }
             for (first, second) in find_common_keys(routes, &common, indices, other_indices) {
@@ -81,7 +83,7 @@
     conflicts
 }
 
-/// Finds pairs of routes with the same key in a shape, in the order of their indices.
+/// Finds pairs of routes that have the same key in a shape. The lower index comes first.
 fn find_common_keys(
     routes: &[Route],
     shape: &ConditionShape,
@@ -108,15 +110,15 @@
 /// The routes of a configuration, indexed by the shapes of their conditions.
 #[derive(Debug)]
 pub struct RouteTable {
-    /// The shapes from the most specific one on, with the indices of their routes by key.
+    /// The shapes by descending specificity, with the indices of their routes by key.
     shapes: Vec<(ConditionShape, HashMap<u64, Vec<u32>>)>,
     routes: Vec<Route>,
     pool_names: Vec<String>,
 }
 
 impl RouteTable {
-    /// Indexes routes that have no conflicts. `pool_names` are the names of the pools that their
-    /// destinations refer to.
+    /// Indexes routes without conflicts. `pool_names` are the names of the pools to which their
+    /// destinations refer.
     ///
     /// # Errors
     ///
@@ -152,15 +154,15 @@
         self.shapes.iter().find_map(|(shape, routes_by_key)| {
             let indices = routes_by_key.get(&shape.key_of(request)?)?;
             let mut candidates = indices.iter().map(|i| &self.routes[*i as usize]);
-            // Keys are hashes, so that a candidate may differ from the request.
+            // Keys are hashes, so a candidate may not match the request.
             candidates.find(|route| route.condition.matches(request))
         })
     }
 
-    /// Returns for each route the index of the narrowest other route that matches everything that
-    /// it matches.
+    /// Returns, for each route, the index of the most specific other route that matches all of its
+    /// requests.
     ///
-    /// The routes of a checked configuration are nested or disjoint, because others are a conflict.
+    /// The routes of a checked configuration are nested or disjoint, since any others conflict.
     pub fn enclosing_routes(&self) -> Vec<Option<usize>> {
         self.routes
             .iter()
@@ -184,7 +186,7 @@
         })
     }
 
-    /// Selects the pool that a request with a key goes to by a route, and returns its index.
+    /// Selects the destination pool of a route for a key, and returns the index of the pool.
     /// Requests with the same key go to the same pool.
     pub fn select_pool(&self, route: &Route, key: u64) -> Option<usize> {
         let selected = traffic_split::select_pool(&route.destinations, &self.pool_names, key);
--- a/crates/heathroad-routing/tests/config.rs
+++ b/crates/heathroad-routing/tests/config.rs
@@ -1,11 +1,10 @@
-//! The file: what is read of a good one, and everything that is wrong with a bad one, at once, with
-//! lines.
+//! Parsing of configuration files: the values of a valid file, and the errors of invalid ones.
 
 use heathroad_routing::config::{BackendSource, DeduplicationScope, Idempotency, parse};
 use heathroad_routing::diff;
 use heathroad_routing::generation::Generation;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 tenants = ["kano-textiles", "zaria-foods"]
 
 [[pool]]
@@ -53,22 +52,22 @@
 "#;
 
 #[test]
-fn a_good_file_is_read() {
-    let c = parse("routes.toml", GOOD).expect("good");
+fn a_valid_file_is_parsed() {
+    let c = parse("routes.toml", VALID).expect("a valid file");
     assert_eq!((c.tenants.len(), c.pools.len(), c.routes.len()), (2, 2, 2));
-    let BackendSource::List(members) = &c.pools[0].source else {
-        panic!("a list")
+    let BackendSource::List(backends) = &c.pools[0].source else {
+        panic!("pool 0 lists its backends")
     };
     assert_eq!(
         (
-            members[1].site.as_str(),
-            members[1].block,
-            members[1].weight
+            backends[1].site.as_str(),
+            backends[1].block,
+            backends[1].weight
         ),
         ("kano-dc", 2, 0.5)
     );
     let BackendSource::Registry { address, select } = &c.pools[1].source else {
-        panic!("a registry")
+        panic!("pool 1 has a registry")
     };
     assert_eq!(
         (address.map(|a| a.port()), select["class"].as_str()),
@@ -91,10 +90,10 @@
     );
 }
 
-/// Every fault of one file at once, each with its line, field, reason and what was expected.
+/// All errors of a file are reported together, each with its line, field, reason and expectation.
 #[test]
-fn everything_wrong_is_told_at_once() {
-    let bad = r#"
+fn all_errors_of_a_file_are_reported() {
+    let invalid = r#"
 pols = 1
 [[pool]]
 name = "a"
@@ -135,35 +134,37 @@
 path = "/x"
 pool = "a"
 "#;
-    let said = parse("bad.toml", bad).expect_err("bad").to_string();
+    let errors = parse("invalid.toml", invalid)
+        .expect_err("an invalid file")
+        .to_string();
     for part in [
-        "bad.toml:2: pols: unknown field; expected one of listener, pool, route, tenants",
-        "bad.toml:5: pool[0].backends: is \"nowhere\"; expected an address and port",
-        "pool[0].backends: 127.0.0.1:9001 comes twice; expected each address once",
-        "pool[0].class[0].effect: \"safe\" with a group or a window; expected these for \"keyed\" only",
-        "pool[0].class[0].aim_ms: 3000 is past the deadline of 2000; expected an aim within the deadline",
+        "invalid.toml:2: pols: unknown field; expected one of listener, pool, route, tenants",
+        "invalid.toml:5: pool[0].backends: is \"nowhere\"; expected an address and port",
+        "pool[0].backends: 127.0.0.1:9001 is listed twice; expected each address at most once",
+        "pool[0].class[0].effect: \"safe\" with `group` or `window_ms`; expected these keys only with \"keyed\"",
+        "pool[0].class[0].aim_ms: 3000 exceeds the deadline of 2000; expected at most the deadline",
         "pool[0].class[1].window_ms: is missing; expected for how long repeats are dropped",
-        "pool[1].name: \"a\" is a name of line 3 too; expected a name of its own",
+        "pool[1].name: \"a\" is already used on line 3; expected a name of its own",
         "pool[1].backends: neither a list nor a registry",
         "pool[1].class: is missing or empty",
         "pool[1].open: is 1.5; expected a whole number",
         "route[0].pool: no pool \"b\"; expected one of a, a",
-        "route[1].class: pool \"a\" does not serve \"no-such\", unreachable; expected one of look, keep",
-        "route[2].split: all weights are 0, nothing would be sent; expected one weight above 0",
-        "bad.toml:33: route[3]: some requests match it and route \"two\" of line 23, neither more specific",
-        "bad.toml:37: route[4]: some requests match it and route \"two\" of line 23, neither more specific",
+        "route[1].class: pool \"a\" does not serve class \"no-such\"; expected one of look, keep",
+        "route[2].split: all weights are 0; expected one weight above 0",
+        "invalid.toml:33: route[3]: some requests match both it and route \"two\" on line 23, and neither is more specific",
+        "invalid.toml:37: route[4]: some requests match both it and route \"two\" on line 23, and neither is more specific",
     ] {
-        assert!(said.contains(part), "{part}\nis not in\n{said}");
+        assert!(errors.contains(part), "{part}\nis not in\n{errors}");
     }
-    assert_eq!(said.lines().count(), 15, "{said}");
+    assert_eq!(errors.lines().count(), 15, "{errors}");
 }
 
 #[test]
-fn other_bad_files_are_told_too() {
-    let with = |from: &str, to: &str| {
-        assert!(GOOD.contains(from), "{from}");
-        parse("f", &GOOD.replacen(from, to, 1))
-            .expect_err("bad")
+fn each_invalid_value_is_reported() {
+    let parse_with = |from: &str, to: &str| {
+        assert!(VALID.contains(from), "{from}");
+        parse("f", &VALID.replacen(from, to, 1))
+            .expect_err("an invalid file")
             .to_string()
     };
     let cases = [
@@ -171,12 +172,12 @@
         (
             "name = \"some\"",
             "name = \"all\"",
-            "\"all\" is a name of line",
+            "\"all\" is already used on line",
         ),
         (
             "tenant = \"zaria-foods\"",
             "tenant = \"nobody\"",
-            "no tenant \"nobody\", unreachable",
+            "no tenant \"nobody\", so the route is unreachable",
         ),
         (
             "tenant = \"zaria-foods\"",
@@ -226,74 +227,76 @@
         (
             "pool = \"policy-new\"\nweight = 1",
             "pool = \"policy\"\nweight = 1",
-            "\"policy\" comes twice",
+            "\"policy\" is listed twice",
         ),
         (
             "[[route]]\nname = \"all\"\npool = \"policy\"",
             "[[route]]\nname = \"all\"\npath = \"x\"\npool = \"policy\"",
-            "expected a path from its /",
+            "expected a path that starts with /",
         ),
     ];
-    for (from, to, says) in cases {
-        let said = with(from, to);
-        assert!(said.contains(says), "{says}\nis not in\n{said}");
+    for (from, to, expected) in cases {
+        let errors = parse_with(from, to);
+        assert!(errors.contains(expected), "{expected}\nis not in\n{errors}");
     }
-    let two = GOOD.replace(
+    let conflicting = VALID.replace(
         "registry = \"127.0.0.1:8500\"",
         "backends = [{ address = \"127.0.0.1:9002\", block = 3 }]",
     );
-    let two = two.replace("select = { site = \"kano-dc\", class = \"m2\" }", "");
-    let said = parse("f", &two).expect_err("bad").to_string();
+    let conflicting = conflicting.replace("select = { site = \"kano-dc\", class = \"m2\" }", "");
+    let errors = parse("f", &conflicting)
+        .expect_err("an invalid file")
+        .to_string();
     assert!(
-        said.contains("127.0.0.1:9002 is of another site or block in pool \"policy\""),
-        "{said}"
+        errors.contains("127.0.0.1:9002 has a different site or block in pool \"policy\""),
+        "{errors}"
     );
     assert!(
         parse("f", "")
-            .expect_err("empty")
+            .expect_err("an empty file")
             .to_string()
             .contains("pool: is missing or empty")
     );
 }
 
-/// No text makes the reader panic: good ones with bytes changed, cut and doubled.
+/// Mutates a valid file: bytes are replaced, removed, inserted and duplicated.
 #[test]
-fn no_text_makes_it_panic() {
+fn the_parser_does_not_panic_on_malformed_input() {
     for seed in 0..4_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut bytes = GOOD.as_bytes().to_vec();
+        let mut bytes = VALID.as_bytes().to_vec();
         for _ in 0..1 + rng.usize(..6) {
-            let at = rng.usize(..bytes.len());
+            let offset = rng.usize(..bytes.len());
             match rng.u8(..4) {
-                0 => bytes[at] = rng.u8(32..127),
-                1 => drop(bytes.drain(at..(at + rng.usize(..30)).min(bytes.len()))),
-                2 => bytes.insert(at, *rng.choice(b"[]{}=\"'.,#\n0-").expect("some")),
+                0 => bytes[offset] = rng.u8(32..127),
+                1 => drop(bytes.drain(offset..(offset + rng.usize(..30)).min(bytes.len()))),
+                2 => bytes.insert(offset, *rng.choice(b"[]{}=\"'.,#\n0-").expect("a byte")),
                 _ => {
-                    let part = bytes[at..(at + rng.usize(..60)).min(bytes.len())].to_vec();
-                    bytes.splice(at..at, part);
+                    let part = bytes[offset..(offset + rng.usize(..60)).min(bytes.len())].to_vec();
+                    bytes.splice(offset..offset, part);
                 }
             }
         }
         let Ok(text) = String::from_utf8(bytes) else {
             continue;
         };
-        if let Err(faults) = parse("f", &text) {
-            assert!(!faults.list.is_empty(), "seed {seed}");
+        if let Err(errors) = parse("f", &text) {
+            assert!(!errors.list.is_empty(), "seed {seed}");
             assert_eq!(
-                faults.to_string().lines().count(),
-                faults.list.len(),
-                "seed {seed}: one line each"
+                errors.to_string().lines().count(),
+                errors.list.len(),
+                "seed {seed}: one line per error"
             );
         }
     }
 }
 
 #[test]
-fn a_change_is_told_in_words() {
-    let read = |text: &str| Generation::parse(1, "f", text).expect("good");
-    let from = read(GOOD);
+fn a_diff_describes_each_change() {
+    let parse = |text: &str| Generation::parse(1, "f", text).expect("a valid file");
+    let from = parse(VALID);
     assert_eq!(diff::describe_changes(&from, &from), Vec::<String>::new());
-    let to = GOOD
+    let to = VALID
         .replace("weight = 9", "weight = 4")
         .replace("\"127.0.0.1:9001\", ", "\"127.0.0.1:9003\", ")
         .replace(
@@ -304,13 +307,13 @@
     let to = to
         + "[[pool]]\nname = \"third\"\nregistry = \"default\"\n[[pool.class]]\nname = \"c\"\neffect = \"safe\"\n\
         aim_ms = 1\ndeadline_ms = 2\n[[route]]\nname = \"c\"\nclass = \"c\"\npool = \"third\"\n";
-    let lines = diff::describe_changes(&from, &read(&to));
+    let lines = diff::describe_changes(&from, &parse(&to));
     for part in [
         "backend 127.0.0.1:9003 joins pool policy",
         "backend 127.0.0.1:9001 leaves pool policy",
-        "pool policy, class claim-submit: never run twice instead of keyed, block for 10000 ms; calls that are out keep the old way",
+        "pool policy, class claim-submit: non-idempotent instead of keyed, scope block, window 10000 ms; open requests are not affected",
         "pool policy, class claim-submit: worth 4 instead of 3",
-        "pool third is new: all of the default registry",
+        "pool third is added: all of the default registry",
         "requests with class claim-status, tenant zaria-foods go to 80.0% to policy, 20.0% to policy-new instead of 90.0% to policy, 10.0% to policy-new",
         "requests with class c go to third instead of policy",
     ] {
@@ -320,9 +323,11 @@
         );
     }
     assert_eq!(lines.len(), 7, "{lines:#?}");
-    let back = diff::describe_changes(&read(&to), &from);
+    let reverse = diff::describe_changes(&parse(&to), &from);
     assert!(
-        back.iter().any(|l| l.starts_with("pool third is removed")),
-        "{back:#?}"
+        reverse
+            .iter()
+            .any(|l| l.starts_with("pool third is removed")),
+        "{reverse:#?}"
     );
 }
--- a/crates/heathroad-routing/tests/golden_config_keys.rs
+++ b/crates/heathroad-routing/tests/golden_config_keys.rs
@@ -1,5 +1,5 @@
-//! The keys of the file of routes and pools: each is read, and whatever is no key is refused with
-//! the list of those that are. Both golden answers come from commit 1355c4b.
+//! The keys of the configuration file of routes and pools: each known key is parsed, and unknown keys
+//! are reported with the list of known ones. The golden files were written by commit 1355c4b.
 
 use heathroad_routing::condition::RouteCondition;
 use heathroad_routing::config::{Config, TenantSource, parse};
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn every_key_is_accepted_and_digested_alike() {
+fn every_key_is_accepted_and_the_digest_is_unchanged() {
     let generation = Generation::parse(7, "f", include_str!("golden/all_keys.toml"))
         .unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_pools_and_conditions_keep_their_values() {
+fn the_pools_and_conditions_are_unchanged() {
     let config = config();
     let pools: Vec<String> = config
         .pools
@@ -31,12 +31,12 @@
     let actual = format!("{}{:#}\n", pools.concat(), serde_json::json!(conditions));
     assert!(
         actual == include_str!("golden/all_keys.json"),
-        "now:\n{actual}"
+        "actual:\n{actual}"
     );
 }
 
 #[test]
-fn the_listeners_keep_their_values() {
+fn the_listeners_are_unchanged() {
     let config = config();
     let l = &config.listeners[0];
     assert_eq!(
@@ -67,34 +67,34 @@
     );
     assert_eq!(l.tenant_source, TenantSource::Fixed("zaria-foods".into()));
     assert!(
-        matches!(&config.listeners[1].tenant_source, TenantSource::ClientAddress(by) if by.len() == 1)
+        matches!(&config.listeners[1].tenant_source, TenantSource::ClientAddress(tenants) if tenants.len() == 1)
     );
     assert!(matches!(
         config.listeners[2].tenant_source,
         TenantSource::Params(_)
     ));
-    let d = &config.listeners[2];
+    let with_defaults = &config.listeners[2];
     assert_eq!(
         (
-            d.ordered_responses,
-            d.max_connections,
-            d.max_concurrent_calls,
-            d.max_message_bytes,
-            d.max_batch_size,
-            d.idle_timeout_ms
+            with_defaults.ordered_responses,
+            with_defaults.max_connections,
+            with_defaults.max_concurrent_calls,
+            with_defaults.max_message_bytes,
+            with_defaults.max_batch_size,
+            with_defaults.idle_timeout_ms
         ),
         (false, 256, 64, 4096 * 1024, 10_000, 600_000.0)
     );
 }
 
-/// Each line of the answer names a section's keys, so that a key that is renamed shows.
+/// The error for an unknown key lists all keys of its section.
 #[test]
-fn unknown_keys_are_refused_with_all_known_ones() {
+fn unknown_keys_are_reported_with_all_known_ones() {
     let actual = parse("f", include_str!("golden/unknown_keys.toml"))
-        .expect_err("it has stray keys")
+        .expect_err("it has unknown keys")
         .to_string();
     assert!(
         actual == include_str!("golden/unknown_keys.txt").trim_end(),
-        "now:\n{actual}"
+        "actual:\n{actual}"
     );
 }
--- a/crates/heathroad-routing/tests/listeners.rs
+++ b/crates/heathroad-routing/tests/listeners.rs
@@ -1,4 +1,4 @@
-//! What a file says of JSON-RPC: read, and every mistake told with its line.
+//! Parsing of JSON-RPC listeners and pools: valid values, errors and the description of changes.
 
 use heathroad_jsonrpc::Framing;
 use heathroad_routing::config::{Listener, TenantSource};
@@ -6,7 +6,7 @@
 use heathroad_routing::generation::Generation;
 use std::rc::Rc;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 tenants = ["sahel-agro", "zaria-foods"]
 [[pool]]
 name = "claims"
@@ -52,14 +52,14 @@
 key = "/claim/id"
 "#;
 
-fn read(text: &str) -> Result<Rc<Generation>, String> {
+fn parse(text: &str) -> Result<Rc<Generation>, String> {
     Generation::parse(1, "f", text).map_err(|e| e.to_string())
 }
 
 #[test]
-fn a_good_file_says_where_calls_come_in_and_go() {
-    let g = read(GOOD).unwrap_or_else(|e| panic!("{e}"));
-    let rpc = g.config.pools[0].jsonrpc.expect("it speaks JSON-RPC");
+fn a_valid_file_is_parsed() {
+    let g = parse(VALID).unwrap_or_else(|e| panic!("{e}"));
+    let rpc = g.config.pools[0].jsonrpc.expect("JSON-RPC settings");
     assert_eq!(
         (
             rpc.port,
@@ -97,8 +97,8 @@
 }
 
 #[test]
-fn each_mistake_has_its_line_and_what_was_expected() {
-    for (from, to, want) in [
+fn each_invalid_value_is_reported() {
+    for (from, to, expected) in [
         (
             "protocol = \"json-rpc\"",
             "protocol = \"soap\"",
@@ -142,7 +142,7 @@
         (
             "tenant_in = \"/client\"",
             "tenant_from = { \"here\" = \"x\" }",
-            "\"here\" is none",
+            "invalid entry \"here\"",
         ),
         (
             "unknown = \"payout\"",
@@ -183,17 +183,17 @@
         (
             "listener = \"batches\"\npool = \"claims\"",
             "listener = \"other\"\npool = \"claims\"",
-            "no listener \"other\", unreachable",
+            "no listener \"other\", so the route is unreachable",
         ),
         (
             "listener = \"batches\"\npool = \"claims\"",
             "listener = \"batches\"\npool = \"web\"",
-            "remote calls would go to pool \"web\"",
+            "JSON-RPC calls would go to pool \"web\"",
         ),
         (
             "listener = \"batches\"\npool = \"claims\"",
             "method = \"none\"\nlistener = \"main\"\npool = \"claims\"",
-            "no listener has a method \"none\"",
+            "no listener has a method \"none\", so",
         ),
         (
             "name = \"batches\"\nlisten =",
@@ -201,64 +201,64 @@
             "listener[0].name: \"main\" is the daemon's own",
         ),
     ] {
-        assert!(GOOD.contains(from), "{from}");
-        let said = read(&GOOD.replacen(from, to, 1))
+        assert!(VALID.contains(from), "{from}");
+        let errors = parse(&VALID.replacen(from, to, 1))
             .err()
-            .unwrap_or_else(|| panic!("{to} is taken"));
-        assert!(said.contains(want), "{to}: {said}");
+            .unwrap_or_else(|| panic!("{to} is accepted"));
+        assert!(errors.contains(expected), "{to}: {errors}");
     }
-    // The most general route would take calls to a pool that does not speak it.
-    let said = read(&GOOD.replace("listener = \"main\"\n", "").replace(
+    // The least specific route would send calls to a pool that does not speak JSON-RPC.
+    let result = parse(&VALID.replace("listener = \"main\"\n", "").replace(
         "listener = \"batches\"\npool = \"claims\"",
         "class = \"payout\"\npool = \"claims\"",
     ));
-    let said = said.expect_err("it is turned down");
+    let errors = result.expect_err("an unserved method");
     assert!(
-        said.contains("calls of \"claims.submit\" on listener \"batches\" go to pool \"web\""),
-        "{said}"
+        errors.contains("calls of \"claims.submit\" on listener \"batches\" go to pool \"web\""),
+        "{errors}"
     );
-    let twice = format!(
-        "{GOOD}{}",
-        &GOOD[GOOD.find("[[listener]]").expect("there")..].replacen("batches", "more", 1)
+    let duplicate = format!(
+        "{VALID}{}",
+        &VALID[VALID.find("[[listener]]").expect("a listener")..].replacen("batches", "more", 1)
     );
-    let said = read(&twice).expect_err("it is turned down");
+    let errors = parse(&duplicate).expect_err("a shared address");
     assert!(
-        said.contains("127.0.0.1:9300 is \"batches\"'s too"),
-        "{said}"
+        errors.contains("127.0.0.1:9300 is already used by listener \"batches\""),
+        "{errors}"
     );
 }
 
 #[test]
-fn a_change_of_listeners_is_told_in_words() {
-    let other = GOOD
+fn a_diff_describes_each_change_of_a_listener() {
+    let changed = VALID
         .replace(
             "class = \"claim-submit\"\nkey = \"/claim/id\"",
             "class = \"payout\"",
         )
         .replace("order = \"asked\"\n", "")
         .replace("calls = 8", "calls = 4");
-    let [a, b] = [GOOD, &other].map(|t| read(t).unwrap_or_else(|e| panic!("{e}")));
-    let words = diff::describe_changes(&a, &b).join("\n");
-    for want in [
-        "listener batches changes; connections to it end",
+    let [a, b] = [VALID, &changed].map(|t| parse(t).unwrap_or_else(|e| panic!("{e}")));
+    let lines = diff::describe_changes(&a, &b).join("\n");
+    for expected in [
+        "listener batches changes; its connections close",
         "listener batches, method claims.submit: class payout instead of claim-submit",
-        "pool claims: its backends are called over JSON-RPC in another way",
+        "pool claims: the JSON-RPC settings of its backends change",
     ] {
-        assert!(words.contains(want), "{words}");
+        assert!(lines.contains(expected), "{lines}");
     }
     assert!(diff::describe_changes(&a, &a).is_empty());
 }
 
 #[test]
-fn a_pool_that_leads_back_to_a_listener_is_a_loop() {
-    let text = |backend: &str, rpc: &str, listen: &str| {
+fn a_backend_that_is_an_own_listener_is_reported() {
+    let config_text = |backend: &str, rpc: &str, listen: &str| {
         format!(
             "[[pool]]\nname = \"p\"\nbackends = [\"{backend}\"]\n[pool.rpc]\n{rpc}\n[[pool.class]]\nname = \"c\"\neffect = \"unsafe\"\n\
              aim_ms = 1\ndeadline_ms = 1\n[[route]]\nname = \"r\"\npool = \"p\"\n[[listener]]\nname = \"l\"\n\
              protocol = \"json-rpc\"\nlisten = \"{listen}\"\n[[listener.method]]\nname = \"m\"\nclass = \"c\"\n"
         )
     };
-    let said = |text: &str| {
+    let parse_errors = |text: &str| {
         heathroad_routing::config::parse("f", text)
             .map_err(|e| e.to_string())
             .err()
@@ -268,25 +268,32 @@
         ("127.0.0.1:8000", "port = 9000", "127.0.0.1:9000"),
         ("127.0.0.1:9000", "", "0.0.0.0:9000"),
     ] {
-        let told = said(&text(backend, rpc, listen)).expect("a loop");
+        let errors = parse_errors(&config_text(backend, rpc, listen)).expect("a loop");
         assert!(
-            told.contains("is listener \"l\", calls would come back for ever"),
-            "{told}"
+            errors.contains("is listener \"l\", calls would loop"),
+            "{errors}"
         );
     }
     assert_eq!(
-        said(&text("127.0.0.1:9000", "port = 9001", "127.0.0.1:9000")),
+        parse_errors(&config_text(
+            "127.0.0.1:9000",
+            "port = 9001",
+            "127.0.0.1:9000"
+        )),
+        None
+    );
+    assert_eq!(
+        parse_errors(&config_text("10.0.0.1:9000", "", "0.0.0.0:9000")),
         None
     );
-    assert_eq!(said(&text("10.0.0.1:9000", "", "0.0.0.0:9000")), None);
     let config =
-        heathroad_routing::config::parse("f", &text("127.0.0.1:9000", "", "127.0.0.1:9001"))
-            .expect("good");
+        heathroad_routing::config::parse("f", &config_text("127.0.0.1:9000", "", "127.0.0.1:9001"))
+            .expect("a valid file");
     assert_eq!(
         config
             .pools_looping_to(([127, 0, 0, 1], 9000).into())
             .count(),
         0,
-        "its backends are called over JSON-RPC"
+        "JSON-RPC pools receive no HTTP requests"
     );
 }
--- a/crates/heathroad-routing/tests/table.rs
+++ b/crates/heathroad-routing/tests/table.rs
@@ -1,5 +1,5 @@
-//! Routes: the most specific match, against a plain search over every route; and clashes, against a
-//! search over every request of a small world.
+//! The routing table against exhaustive search: the most specific match and the detection of
+//! conflicts, over all requests with a small set of attribute values.
 
 use heathroad_routing::condition::{RequestAttributes, RouteCondition};
 use heathroad_routing::config::parse;
@@ -27,12 +27,12 @@
     RouteTable::new(routes, vec![]).expect("few shapes")
 }
 
-fn some(text: &str) -> Option<String> {
-    Some(text.to_string())
+fn some(value: &str) -> Option<String> {
+    Some(value.to_string())
 }
 
-/// Every request of the small world.
-fn world(mut look: impl FnMut(&RequestAttributes<'_>)) {
+/// Visits every combination of the attribute values.
+fn for_each_request(mut visit: impl FnMut(&RequestAttributes<'_>)) {
     for host in HOSTS {
         for path in PATHS {
             for class in WORDS {
@@ -42,7 +42,7 @@
                 {
                     let header = |name: &str| value.filter(|_| name == "h");
                     let (listener, method) = ("", "");
-                    look(&RequestAttributes {
+                    visit(&RequestAttributes {
                         listener,
                         host,
                         path,
@@ -57,92 +57,102 @@
     }
 }
 
-fn random_match(rng: &mut fastrand::Rng) -> RouteCondition {
-    let mut maybe = |list: &[&str]| {
+fn random_condition(rng: &mut fastrand::Rng) -> RouteCondition {
+    let mut optional = |values: &[&str]| {
         rng.bool()
-            .then(|| list[rng.usize(..list.len())].to_string())
+            .then(|| values[rng.usize(..values.len())].to_string())
     };
     RouteCondition {
-        host: maybe(&["a.org", "x.a.org", "*.a.org", "*.org", "*.x.a.org"]),
-        path: maybe(&["/p", "/p/*", "/p/q", "/p/q/*", "/s/*", "/*"]),
-        class: maybe(&WORDS),
-        tenant: maybe(&["k", "l"]),
-        header: maybe(&["1", "2"]).map(|v| ("h".to_string(), v)),
+        host: optional(&["a.org", "x.a.org", "*.a.org", "*.org", "*.x.a.org"]),
+        path: optional(&["/p", "/p/*", "/p/q", "/p/q/*", "/s/*", "/*"]),
+        class: optional(&WORDS),
+        tenant: optional(&["k", "l"]),
+        header: optional(&["1", "2"]).map(|v| ("h".to_string(), v)),
         ..RouteCondition::default()
     }
 }
 
-/// Whether everything that one matches the other matches too, over the small world.
-fn within(one: &RouteCondition, other: &RouteCondition) -> bool {
-    let mut all = true;
-    world(|r| all &= !one.matches(r) || other.matches(r));
-    all
+/// Returns whether `outer` matches every request that `inner` matches.
+fn is_nested(inner: &RouteCondition, outer: &RouteCondition) -> bool {
+    let mut nested = true;
+    for_each_request(|r| nested &= !inner.matches(r) || outer.matches(r));
+    nested
 }
 
-/// Over 3,000 random tables: where no clash is found, each request takes the one route that is
-/// within all others that match it; where two such could win, a clash is found.
+/// In random tables without a conflict, each request takes the matching route that is nested in all
+/// other matching routes. If some request has no such route, a conflict is reported.
 #[test]
 fn the_most_specific_route_wins_or_a_conflict_is_reported() {
-    let (mut sound, mut clashing) = (0, 0);
+    let (mut unambiguous_tables, mut conflicting_tables) = (0, 0);
     for seed in 0..3_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let n = 1 + rng.usize(..4);
         let routes: Vec<Route> = (0..n)
-            .map(|i| route(&i.to_string(), random_match(&mut rng)))
+            .map(|i| route(&i.to_string(), random_condition(&mut rng)))
             .collect();
-        let found = find_conflicts(&routes);
-        let mut ambiguous = false;
-        let compiled = table(routes.clone());
-        let inside: Vec<Vec<bool>> = routes
+        let conflicts = find_conflicts(&routes);
+        let mut is_ambiguous = false;
+        let table = table(routes.clone());
+        let nested: Vec<Vec<bool>> = routes
             .iter()
             .map(|x| {
                 routes
                     .iter()
-                    .map(|y| within(&x.condition, &y.condition))
+                    .map(|y| is_nested(&x.condition, &y.condition))
                     .collect()
             })
             .collect();
-        world(|r| {
+        for_each_request(|r| {
             let matching: Vec<usize> = (0..n).filter(|i| routes[*i].condition.matches(r)).collect();
-            let best: Vec<usize> = matching
+            let most_specific: Vec<usize> = matching
                 .iter()
                 .copied()
-                .filter(|x| matching.iter().all(|y| inside[*x][*y]))
+                .filter(|x| matching.iter().all(|y| nested[*x][*y]))
                 .collect();
-            match best[..] {
+            match most_specific[..] {
                 [] if matching.is_empty() => {
-                    assert!(compiled.find_route(r).is_none(), "seed {seed}");
+                    assert!(table.find_route(r).is_none(), "seed {seed}");
                 }
-                [only] if found.is_empty() => {
-                    let taken = compiled.find_route(r).expect("a match");
+                [only] if conflicts.is_empty() => {
+                    let route = table.find_route(r).expect("a matching route");
                     assert_eq!(
-                        taken.name, routes[only].name,
+                        route.name, routes[only].name,
                         "seed {seed}: {} {}",
                         r.host, r.path
                     );
                 }
                 [_] => {}
-                // None is within all others, or two are the same.
-                _ => ambiguous = true,
+                // No route is nested in all others, or several are identical.
+                _ => is_ambiguous = true,
             }
         });
-        assert!(!ambiguous || !found.is_empty(), "seed {seed}: {routes:?}");
-        if found.is_empty() {
-            sound += 1;
+        assert!(
+            !is_ambiguous || !conflicts.is_empty(),
+            "seed {seed}: {routes:?}"
+        );
+        if conflicts.is_empty() {
+            unambiguous_tables += 1;
         } else {
-            clashing += 1;
+            conflicting_tables += 1;
         }
     }
-    assert!(sound > 300 && clashing > 300, "{sound} and {clashing}");
+    assert!(
+        unambiguous_tables > 300 && conflicting_tables > 300,
+        "{unambiguous_tables} and {conflicting_tables}"
+    );
 }
 
 #[test]
 fn each_condition_is_compared() {
-    let one =
-        |when: RouteCondition, host: &str, path: &str, class: &str, value: Option<&'static str>| {
-            let header = |name: &str| value.filter(|_| name == "x-claims");
-            let t = table(vec![route("r", when)]);
-            t.find_route(&RequestAttributes {
+    let matches = |condition: RouteCondition,
+                   host: &str,
+                   path: &str,
+                   class: &str,
+                   value: Option<&'static str>| {
+        let header = |name: &str| value.filter(|_| name == "x-claims");
+        let table = table(vec![route("r", condition)]);
+        table
+            .find_route(&RequestAttributes {
                 listener: "in",
                 host,
                 path,
@@ -152,45 +162,52 @@
                 header: &header,
             })
             .is_some()
-        };
+    };
     let host = |h: &str| RouteCondition {
         host: some(h),
         ..RouteCondition::default()
     };
     assert!(
-        one(host("a.org"), "a.org", "/", "c", None)
-            && !one(host("a.org"), "x.a.org", "/", "c", None)
+        matches(host("a.org"), "a.org", "/", "c", None)
+            && !matches(host("a.org"), "x.a.org", "/", "c", None)
     );
     assert!(
-        one(host("*.a.org"), "x.a.org", "/", "c", None)
-            && one(host("*.a.org"), "y.x.a.org", "/", "c", None)
+        matches(host("*.a.org"), "x.a.org", "/", "c", None)
+            && matches(host("*.a.org"), "y.x.a.org", "/", "c", None)
     );
     assert!(
-        !one(host("*.a.org"), "a.org", "/", "c", None)
-            && !one(host("*.a.org"), "xa.org", "/", "c", None)
+        !matches(host("*.a.org"), "a.org", "/", "c", None)
+            && !matches(host("*.a.org"), "xa.org", "/", "c", None)
     );
     let path = |p: &str| RouteCondition {
         path: some(p),
         ..RouteCondition::default()
     };
-    assert!(one(path("/p/*"), "", "/p", "c", None) && one(path("/p/*"), "", "/p/q/r", "c", None));
-    assert!(!one(path("/p/*"), "", "/pq", "c", None) && !one(path("/p"), "", "/p/q", "c", None));
+    assert!(
+        matches(path("/p/*"), "", "/p", "c", None)
+            && matches(path("/p/*"), "", "/p/q/r", "c", None)
+    );
+    assert!(
+        !matches(path("/p/*"), "", "/pq", "c", None) && !matches(path("/p"), "", "/p/q", "c", None)
+    );
     let class = RouteCondition {
         class: some("c"),
         ..RouteCondition::default()
     };
-    assert!(one(class.clone(), "", "/", "c", None) && !one(class, "", "/", "d", None));
+    assert!(matches(class.clone(), "", "/", "c", None) && !matches(class, "", "/", "d", None));
     let header = RouteCondition {
         header: Some(("x-claims".into(), "new".into())),
         ..RouteCondition::default()
     };
-    assert!(one(header.clone(), "", "/", "c", Some("new")));
-    assert!(!one(header.clone(), "", "/", "c", Some("old")) && !one(header, "", "/", "c", None));
-    for (field, fits) in [("in", true), ("out", false)] {
+    assert!(matches(header.clone(), "", "/", "c", Some("new")));
+    assert!(
+        !matches(header.clone(), "", "/", "c", Some("old")) && !matches(header, "", "/", "c", None)
+    );
+    for (listener, expected) in [("in", true), ("out", false)] {
         assert_eq!(
-            one(
+            matches(
                 RouteCondition {
-                    listener: some(field),
+                    listener: some(listener),
                     ..RouteCondition::default()
                 },
                 "",
@@ -198,10 +215,10 @@
                 "c",
                 None
             ),
-            fits
+            expected
         );
     }
-    assert!(one(
+    assert!(matches(
         RouteCondition {
             method: some("m"),
             tenant: some("t"),
@@ -212,7 +229,7 @@
         "c",
         None
     ));
-    assert!(!one(
+    assert!(!matches(
         RouteCondition {
             method: some("n"),
             tenant: some("t"),
@@ -225,51 +242,50 @@
     ));
 }
 
-/// A measurement and no test: look-ups and memory by the number of routes. `--ignored --nocapture`,
-/// in release.
+/// A benchmark of lookup time and memory by the number of routes. Run it in release mode with
+/// `--ignored --nocapture`.
 #[test]
-#[ignore = "a measurement"]
-fn what_a_look_up_costs() {
+#[ignore = "a benchmark"]
+fn benchmark_route_lookup() {
     for n in [10, 1_000, 10_000] {
         let mut text = String::from(
             "[[pool]]\nname = \"a\"\nbackends = [\"127.0.0.1:1\"]\n[[pool.class]]\nname = \"c\"\neffect = \"safe\"\n\
              aim_ms = 1\ndeadline_ms = 2\n",
         );
         for i in 0..n {
-            let when = match i % 4 {
+            let condition = match i % 4 {
                 0 => format!("path = \"/s{i}/*\""),
                 1 => format!("path = \"/s{i}/x\""),
                 2 => format!("host = \"h{i}.org\"\npath = \"/s{i}/x\""),
                 _ => format!("host = \"h{i}.org\"\npath = \"/s{i}/*\"\ntenant = \"t\""),
             };
-            text += &format!("[[route]]\nname = \"r{i}\"\npool = \"a\"\n{when}\n");
+            text += &format!("[[route]]\nname = \"r{i}\"\npool = \"a\"\n{condition}\n");
         }
-        let memory = || {
-            let status =
-                std::fs::read_to_string("/proc/self/status").expect("the system's account");
+        let resident_kib = || {
+            let status = std::fs::read_to_string("/proc/self/status").expect("the process status");
             let line = status
                 .lines()
                 .find(|l| l.starts_with("VmRSS"))
-                .expect("it is there");
+                .expect("a VmRSS line");
             line.split_whitespace()
                 .nth(1)
                 .and_then(|kb| kb.parse::<i64>().ok())
                 .expect("a number")
         };
-        let before = memory();
-        let begun = std::time::Instant::now();
-        let config = parse("measured", &text).expect("good");
-        let checked = begun.elapsed();
-        let t = RouteTable::new(config.routes, vec!["a".into()]).expect("few shapes");
-        let held = memory() - before;
-        let asked: Vec<(String, String)> = (0..n)
+        let kib_before = resident_kib();
+        let start = std::time::Instant::now();
+        let config = parse("benchmark", &text).expect("a valid file");
+        let parse_time = start.elapsed();
+        let table = RouteTable::new(config.routes, vec!["a".into()]).expect("few shapes");
+        let table_kib = resident_kib() - kib_before;
+        let requests: Vec<(String, String)> = (0..n)
             .map(|i| (format!("h{i}.org"), format!("/s{i}/x")))
             .collect();
-        let begun = std::time::Instant::now();
-        let looks = 1_000_000;
+        let start = std::time::Instant::now();
+        let lookups = 1_000_000;
         let mut found = 0;
-        for i in 0..looks {
-            let (host, path) = &asked[i % n];
+        for i in 0..lookups {
+            let (host, path) = &requests[i % n];
             let header = |_: &str| None;
             let r = RequestAttributes {
                 listener: "",
@@ -280,12 +296,12 @@
                 tenant: "t",
                 header: &header,
             };
-            found += usize::from(t.find_route(&r).is_some());
+            found += usize::from(table.find_route(&r).is_some());
         }
-        assert_eq!(found, looks);
-        let took = begun.elapsed().as_nanos() as f64 / looks as f64;
+        assert_eq!(found, lookups);
+        let lookup_ns = start.elapsed().as_nanos() as f64 / lookups as f64;
         println!(
-            "{n} routes: read and checked in {checked:?}, {took:.0} ns a look-up, {held} KiB held"
+            "{n} routes: parsed in {parse_time:?}, {lookup_ns:.0} ns per lookup, {table_kib} KiB resident"
         );
     }
 }
--- a/crates/heathroad-verifier/tests/expectations.rs
+++ b/crates/heathroad-verifier/tests/expectations.rs
@@ -15,7 +15,7 @@
         .to_string();
     for line in [
         "e.toml:1: node[0].address: is missing; expected an address and port",
-        "e.toml:5: state[0].drains: holds a text; expected addresses and ports",
+        "e.toml:5: state[0].drains: contains a text; expected addresses and ports",
         "e.toml:3: state[0].drains: is missing; expected one of `drains`",
         "e.toml:6: expect[0].states: no state \"t\"; expected one of the [[state]] names: s",
         "expect[0].losing: has 2 of them; expected one of `nodes`, `sites` and `blocks`",
@@ -24,9 +24,9 @@
         "expect[0].nodes.at_least: 3 is past at_most, 2",
         "expect[0].open.at_least: is missing; expected `at_least`, `at_most` or both",
         "expect[0].served: is a text; expected true or false",
-        "expect[1].name: \"a\" is a name of line 6 too",
-        "expect[1].never.blocks: holds a number; expected numbers of blocks",
-        "expect[1].path: is \"x\"; expected a path from its /",
+        "expect[1].name: \"a\" is already used on line 6",
+        "expect[1].never.blocks: contains a number; expected numbers of blocks",
+        "expect[1].path: is \"x\"; expected a path that starts with /",
         "expect[2].only: is missing; expected something that is expected",
     ] {
         assert!(faults.contains(line), "{line}\n--\n{faults}");
--- a/crates/heathroad/tests/routes.rs
+++ b/crates/heathroad/tests/routes.rs
@@ -607,7 +607,7 @@
     orders.came(1).await;
     let (status, said) = s.ask("POST", "/config/apply", &dangling).await;
     assert!(
-        status == 422 && said.contains("no tenant \"acme\", unreachable"),
+        status == 422 && said.contains("no tenant \"acme\", so the route is unreachable"),
         "{status} {said}"
     );
     s.apply(&without).await;
