--- a/crates/heathroad-routing/src/journal/mod.rs
+++ b/crates/heathroad-routing/src/journal/mod.rs
@@ -1,7 +1,7 @@
-//! A write-ahead journal of configuration changes that survives a crash.
+//! A crash-safe write-ahead journal of configuration changes.
 //!
-//! A change is recorded before it takes effect. A start reads the last committed generation, and
-//! never one on probation. The storage is behind a trait, so that tests can fail it at every point.
+//! A change is recorded before it takes effect. On startup, the last committed generation is
+//! recovered, never one on probation. Storage is a trait, so that tests can inject failures.
 
 mod record;
 mod recovery;
@@ -11,16 +11,16 @@
 
 use std::fmt;
 
-/// The journal is compacted when it is longer than its live records by this many bytes.
+/// The journal is compacted when it exceeds its live records by this many bytes.
 const COMPACTION_THRESHOLD_BYTES: usize = 1 << 20;
-/// The reason that a start records for a transaction that the previous process left open.
+/// The reason recorded on startup for a transaction that the previous process left open.
 const CLOSED_BY_RESTART: &str = "the daemon ended before it was committed";
 
-/// The storage of a journal. Each operation may fail, and a crash may lose what was not synced.
+/// The storage of a journal. Any operation may fail, and a crash may lose unsynced data.
 pub trait JournalStorage {
     /// The error of a failed operation.
     type Error: fmt::Display;
-    /// Returns the bytes of the journal, or `None` if there is no journal.
+    /// Returns the content of the journal, or `None` if there is none.
     fn load(&mut self) -> Result<Option<Vec<u8>>, Self::Error>;
     /// Truncates the journal to a length in bytes.
     fn truncate(&mut self, length: usize) -> Result<(), Self::Error>;
@@ -43,7 +43,7 @@
     Format(FormatError),
 }
 
-/// The records that a compacted journal holds.
+/// The records that compaction keeps.
 #[derive(Debug, Clone, Default)]
 struct LiveRecords {
     committed: Option<Record>,
@@ -82,20 +82,20 @@
     }
 }
 
-/// A journal on a storage.
+/// A journal in a storage.
 pub struct Journal<S> {
     storage: S,
     length: usize,
     live: LiveRecords,
-    /// Whether an operation failed, so that the end of the journal is unknown. The journal is then
-    /// rewritten before the next record.
+    /// Whether a failed operation left the end of the journal in an unknown state. The next write
+    /// then rewrites the journal.
     needs_rewrite: bool,
 }
 
 impl<S: JournalStorage> Journal<S> {
-    /// Opens a journal, or creates one, and returns the state that it records.
+    /// Opens or creates a journal, and returns the recovered state.
     ///
-    /// A tail that is truncated or damaged is cut off, and a transaction that was open is closed.
+    /// A truncated or corrupt tail is removed, and an open transaction is closed.
     ///
     /// # Errors
     ///
@@ -113,23 +113,23 @@
             },
             needs_rewrite: false,
         };
-        let found_bytes = bytes.map_or(0, |bytes| bytes.len());
+        let stored_bytes = bytes.map_or(0, |bytes| bytes.len());
         journal
-            .repair(found_bytes, state.open_transaction)
+            .repair(stored_bytes, state.open_transaction)
             .map_err(OpenError::Storage)?;
         Ok((journal, state))
     }
 
-    /// Cuts off a damaged tail, and closes a transaction that was left open.
+    /// Removes a damaged tail, and closes a transaction that was left open.
     fn repair(
         &mut self,
-        found_bytes: usize,
+        stored_bytes: usize,
         open_transaction: Option<OpenTransaction>,
     ) -> Result<(), S::Error> {
         if self.length == 0 {
-            // There is no journal, or it is truncated in its header.
+            // There is no journal, or its header is incomplete.
             self.rewrite()?;
-        } else if found_bytes > self.length {
+        } else if stored_bytes > self.length {
             self.storage.truncate(self.length)?;
             self.storage.sync()?;
         }
@@ -168,7 +168,7 @@
             .and_then(|()| self.storage.sync());
         match appended {
             Ok(()) => self.length += bytes.len(),
-            // Some of the bytes may be there, durably or not.
+            // Part of the record may have been stored, durably or not.
             Err(_) => self.needs_rewrite = true,
         }
         appended
--- a/crates/heathroad-routing/src/journal/record.rs
+++ b/crates/heathroad-routing/src/journal/record.rs
@@ -1,38 +1,38 @@
-//! The records of the journal and their stored form.
+//! The records of the journal and their storage format.
 //!
-//! The file begins with the line `heathroad-routing 1`. Each record follows as the length and the
-//! CRC-32 of its payload, both little-endian in four bytes, and the payload, a JSON object.
+//! The file starts with the line `heathroad-routing 1`. Each record consists of the length and the
+//! CRC-32 of its payload, both as little-endian 32-bit integers, and the payload, a JSON object.
 
 use serde::{Deserialize, Serialize};
 
-/// The format version that is written, and the highest one that is read.
+/// The format version that is written, and the highest version that can be read.
 pub(super) const FORMAT_VERSION: u32 = 1;
-/// The name at the beginning of the file.
+/// The name at the start of the file.
 pub(super) const FORMAT_NAME: &str = "heathroad-routing";
 /// The maximum size of a payload.
 const MAX_PAYLOAD_BYTES: usize = 64 << 20;
-/// The size of the length and the checksum in front of a payload.
+/// The size of the length and checksum that precede a payload.
 const FRAME_HEADER_BYTES: usize = 8;
 
-/// One step of a transaction. The names are stored.
+/// One step of a transaction. The names of variants and fields are part of the storage format.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Record {
-    /// A generation is committed: a start begins with it.
+    /// A generation was committed. Startup uses the last one.
     Committed {
         /// The number of the generation.
         number: u64,
         /// The text of the generation.
         text: String,
     },
-    /// A transaction has begun.
+    /// A transaction was opened.
     Opened {
         /// The number that the generation will have.
         number: u64,
         /// The text of the generation.
         text: String,
     },
-    /// The generation of the transaction is in force, on probation.
+    /// The generation of the transaction was applied and is on probation.
     Applied {
         /// The number of the generation.
         number: u64,
@@ -41,23 +41,23 @@
     Closed {
         /// The number of the generation.
         number: u64,
-        /// The reason, for people.
+        /// The human-readable reason.
         #[serde(rename = "why")]
         reason: String,
     },
 }
 
-/// Why a record can't be read.
+/// Why a record cannot be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RecordError {
     /// The record is longer than the remaining bytes.
-    #[error("torn")]
+    #[error("truncated")]
     Truncated,
     /// The length or the checksum is wrong.
-    #[error("spoilt")]
+    #[error("corrupt")]
     Corrupt,
     /// The payload is not a known record.
-    #[error("not understood")]
+    #[error("of an unknown type")]
     Unknown,
 }
 
@@ -67,9 +67,9 @@
 }
 
 impl Record {
-    /// Encodes the record with its frame.
+    /// Encodes the record with its frame header.
     pub(super) fn encode(&self) -> Vec<u8> {
-        // A record consists of numbers and strings, so that it always has a JSON form.
+        // A record consists of numbers and strings, so serialization cannot fail.
         let payload = serde_json::to_vec(self).unwrap_or_default();
         let mut bytes = Vec::with_capacity(FRAME_HEADER_BYTES + payload.len());
         bytes.extend((payload.len() as u32).to_le_bytes());
@@ -78,10 +78,12 @@
         bytes
     }
 
-    /// Decodes the record at the beginning of some bytes. Returns it with the length of its frame.
+    /// Decodes the record at the start of `bytes`. Returns it with the length of its frame.
     pub(super) fn decode(bytes: &[u8]) -> Result<(Record, usize), RecordError> {
-        let read_u32 = |at: usize| -> Result<u32, RecordError> {
-            let word = bytes.get(at..at + 4).ok_or(RecordError::Truncated)?;
+        let read_u32 = |offset: usize| -> Result<u32, RecordError> {
+            let word = bytes
+                .get(offset..offset + 4)
+                .ok_or(RecordError::Truncated)?;
             let word = word.try_into().map_err(|_| RecordError::Truncated)?;
             Ok(u32::from_le_bytes(word))
         };
--- a/crates/heathroad-routing/src/journal/recovery.rs
+++ b/crates/heathroad-routing/src/journal/recovery.rs
@@ -1,8 +1,8 @@
-//! Recovery of the state that a journal records.
+//! Recovery of the transaction state from a journal.
 
 use super::record::{FORMAT_NAME, FORMAT_VERSION, Record, header};
 
-/// The first line of a journal is never longer than this.
+/// The maximum length of the first line of a journal.
 const MAX_HEADER_BYTES: usize = 64;
 
 /// A transaction that was open when the journal ended.
@@ -10,38 +10,38 @@
 pub struct OpenTransaction {
     /// The number of its generation.
     pub number: u64,
-    /// Whether the generation was in force, on probation.
+    /// Whether the generation was applied and on probation.
     pub applied: bool,
 }
 
-/// The state that a journal records.
+/// The state recovered from a journal.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RecoveredState {
     /// The number and the text of the last committed generation.
     pub committed: Option<(u64, String)>,
-    /// The transaction that was open. A start does not resume it.
+    /// The open transaction. Startup does not resume it.
     pub open_transaction: Option<OpenTransaction>,
-    /// The highest number that was ever assigned.
+    /// The highest generation number ever assigned.
     pub highest_number: u64,
-    /// The number of bytes that hold valid records.
+    /// The length of the valid part of the journal in bytes.
     pub valid_bytes: usize,
-    /// What is wrong with the bytes behind these, for people.
+    /// A human-readable description of damage after the valid part.
     pub damage: Option<String>,
 }
 
-/// Why a file can't be used as a journal.
+/// Why a file cannot be used as a journal.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum FormatError {
-    /// The file is of a newer format version.
-    #[error("the log is of format {0}; expected {FORMAT_VERSION} or older")]
+    /// The file has a newer format version.
+    #[error("the journal has format version {0}; expected {FORMAT_VERSION} or older")]
     Newer(u32),
     /// The file is not a journal.
-    #[error("this is no log of {FORMAT_NAME}")]
+    #[error("not a journal of {FORMAT_NAME}")]
     Foreign,
 }
 
-/// Reads a journal up to its end or to the first damaged record.
+/// Reads a journal up to its end or the first damaged record.
 ///
 /// # Errors
 ///
@@ -52,8 +52,8 @@
         return Ok(state);
     }
     if header().as_bytes().starts_with(bytes) && !bytes.contains(&b'\n') {
-        // Nothing was ever written behind the first line.
-        state.damage = Some("the log was torn in its first line".into());
+        // The journal was being created, so it never held a record.
+        state.damage = Some("the first line of the journal is truncated".into());
         return Ok(state);
     }
     state.valid_bytes = check_header(bytes)?;
@@ -64,8 +64,8 @@
                 state.replay(record);
             }
             Err(error) => {
-                let lost = bytes.len() - state.valid_bytes;
-                let damage = format!("{lost} bytes behind the last sound record are {error}");
+                let lost_bytes = bytes.len() - state.valid_bytes;
+                let damage = format!("{lost_bytes} bytes after the last valid record are {error}");
                 state.damage = Some(damage);
                 break;
             }
@@ -74,7 +74,7 @@
     Ok(state)
 }
 
-/// Checks the first line and returns its length, with the line end.
+/// Checks the first line and returns its length including the line feed.
 fn check_header(bytes: &[u8]) -> Result<usize, FormatError> {
     let line_end = bytes
         .iter()
--- a/crates/heathroad-routing/tests/journal.rs
+++ b/crates/heathroad-routing/tests/journal.rs
@@ -1,104 +1,108 @@
-//! The log under every failure of its disk: each write, cut, sync and rename fails or is torn in
-//! turn, and each is a crash. A start always begins with a generation that was committed, and with
-//! the last one that was said to be.
+//! Fault injection for the journal: every storage operation fails, completely or partially, followed
+//! by a crash. Recovery must return the last generation whose commit was acknowledged.
 
 use heathroad_routing::journal::{
     FormatError, Journal, JournalStorage, OpenError, OpenTransaction, Record, recover,
 };
 
-/// A disk in memory. What was not synced may be lost or torn by a crash.
+/// An in-memory storage. A crash may lose or truncate unsynced data.
 #[derive(Clone, Default)]
-struct Memory {
-    /// What the next crash keeps.
-    lasting: Option<Vec<u8>>,
-    /// What is there until then.
-    present: Option<Vec<u8>>,
-    /// The calls until one fails; none for ever.
+struct MemoryStorage {
+    /// The content that survives a crash.
+    durable: Option<Vec<u8>>,
+    /// The content including unsynced data.
+    current: Option<Vec<u8>>,
+    /// The number of calls that succeed. `None` means that no call fails.
     fails_at: Option<usize>,
     calls: usize,
-    /// How much of what a failing call was to write gets through, of 8 parts.
-    torn: usize,
+    /// The eighths of the data that a failing call writes nevertheless.
+    written_eighths: usize,
 }
 
-impl Memory {
+impl MemoryStorage {
     fn fails(&mut self) -> bool {
         self.calls += 1;
         self.fails_at.is_some_and(|at| self.calls > at)
     }
 
-    /// What a start finds after a crash now: of what was not synced, so many parts of 8 made it.
-    fn crashed(&self, kept: usize) -> Memory {
-        let lasting = self.lasting.clone().unwrap_or_default();
-        let present = self.present.clone().unwrap_or_default();
-        let found = if present.starts_with(&lasting) {
-            let fresh = present.len() - lasting.len();
-            present[..lasting.len() + fresh * kept / 8].to_vec()
+    /// Returns the storage after a crash that keeps some eighths of the unsynced data.
+    fn after_crash(&self, kept_eighths: usize) -> MemoryStorage {
+        let durable = self.durable.clone().unwrap_or_default();
+        let current = self.current.clone().unwrap_or_default();
+        let kept = if current.starts_with(&durable) {
+            let unsynced = current.len() - durable.len();
+            current[..durable.len() + unsynced * kept_eighths / 8].to_vec()
         } else {
-            lasting
+            durable
         };
-        let found = Some(found).filter(|f| !f.is_empty());
-        Memory {
-            lasting: found.clone(),
-            present: found,
-            ..Memory::default()
+        let kept = Some(kept).filter(|bytes| !bytes.is_empty());
+        MemoryStorage {
+            durable: kept.clone(),
+            current: kept,
+            ..MemoryStorage::default()
         }
     }
 }
 
-impl JournalStorage for Memory {
+impl JournalStorage for MemoryStorage {
     type Error = &'static str;
 
     fn load(&mut self) -> Result<Option<Vec<u8>>, Self::Error> {
         if self.fails() {
             Err("load")
         } else {
-            Ok(self.present.clone())
+            Ok(self.current.clone())
         }
     }
     fn truncate(&mut self, length: usize) -> Result<(), Self::Error> {
         if self.fails() {
             return Err("truncate");
         }
-        self.present.get_or_insert_default().truncate(length);
+        self.current.get_or_insert_default().truncate(length);
         Ok(())
     }
     fn append(&mut self, bytes: &[u8]) -> Result<(), Self::Error> {
         let fails = self.fails();
-        let part = if fails {
-            bytes.len() * self.torn / 8
+        let written = if fails {
+            bytes.len() * self.written_eighths / 8
         } else {
             bytes.len()
         };
-        self.present.get_or_insert_default().extend(&bytes[..part]);
+        self.current
+            .get_or_insert_default()
+            .extend(&bytes[..written]);
         if fails { Err("append") } else { Ok(()) }
     }
     fn sync(&mut self) -> Result<(), Self::Error> {
         if self.fails() {
             return Err("sync");
         }
-        self.lasting.clone_from(&self.present);
+        self.durable.clone_from(&self.current);
         Ok(())
     }
     fn replace(&mut self, bytes: &[u8]) -> Result<(), Self::Error> {
         if self.fails() {
-            // A rename is whole or not at all; whether it lasts is not known.
-            if self.torn == 8 {
-                self.present = Some(bytes.to_vec());
+            // A rename is atomic, but it may have happened without being durable.
+            if self.written_eighths == 8 {
+                self.current = Some(bytes.to_vec());
             }
             return Err("replace");
         }
-        self.present = Some(bytes.to_vec());
-        self.lasting.clone_from(&self.present);
+        self.current = Some(bytes.to_vec());
+        self.durable.clone_from(&self.current);
         Ok(())
     }
 }
 
+/// The length of the line `heathroad-routing 1`.
+const HEADER_BYTES: usize = 20;
+
 fn text(n: u64) -> String {
     format!("text {n} {}", "x".repeat(n as usize % 7 * 50))
 }
 
-/// A life of changes: two committed, one given up, one undone, one open at the end.
-fn life() -> Vec<Record> {
+/// The records of five changes: two committed, one aborted, one rolled back and one left open.
+fn sample_records() -> Vec<Record> {
     let committed = |number| Record::Committed {
         number,
         text: text(number),
@@ -120,7 +124,7 @@
         },
         opened(4),
         applied(4),
-        // The undoing of 4, with the text of 2.
+        // The rollback of 4, with the text of 2.
         Record::Committed {
             number: 5,
             text: text(2),
@@ -130,8 +134,8 @@
     ]
 }
 
-/// The committed generation after so many records.
-fn committed_after(records: &[Record]) -> Option<(u64, String)> {
+/// Returns the committed generation after some records.
+fn last_committed(records: &[Record]) -> Option<(u64, String)> {
     records.iter().rev().find_map(|r| match r {
         Record::Committed { number, text } => Some((*number, text.clone())),
         _ => None,
@@ -139,17 +143,18 @@
 }
 
 #[test]
-fn a_start_begins_with_the_last_committed_generation() {
-    let (mut journal, found) = Journal::open(Memory::default()).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!((found.committed, found.highest_number), (None, 0));
-    for r in life() {
-        journal.write(r).expect("the disk is well");
+fn recovery_returns_the_last_committed_generation() {
+    let (mut journal, state) =
+        Journal::open(MemoryStorage::default()).unwrap_or_else(|e| panic!("{e}"));
+    assert_eq!((state.committed, state.highest_number), (None, 0));
+    for r in sample_records() {
+        journal.write(r).expect("storage works");
     }
-    let (journal, found) =
-        Journal::open(journal.into_storage().crashed(8)).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!(found.committed, Some((5, text(2))));
+    let (journal, state) =
+        Journal::open(journal.into_storage().after_crash(8)).unwrap_or_else(|e| panic!("{e}"));
+    assert_eq!(state.committed, Some((5, text(2))));
     assert_eq!(
-        (found.open_transaction, found.highest_number, found.damage),
+        (state.open_transaction, state.highest_number, state.damage),
         (
             Some(OpenTransaction {
                 number: 6,
@@ -158,63 +163,63 @@
             6,
             None
         ),
-        "it was in probation"
+        "the open transaction was on probation"
     );
-    // The start itself closed it.
-    let found = Journal::open(journal.into_storage().crashed(0))
+    // Opening the journal closed the transaction.
+    let state = Journal::open(journal.into_storage().after_crash(0))
         .unwrap_or_else(|e| panic!("{e}"))
         .1;
     assert_eq!(
         (
-            found.committed,
-            found.open_transaction,
-            found.highest_number
+            state.committed,
+            state.open_transaction,
+            state.highest_number
         ),
         (Some((5, text(2))), None, 6)
     );
 }
 
-/// Every call fails in turn, torn at every eighth, and is followed by a crash that keeps any eighth
-/// of what was not synced. Whoever was told that a record is written finds it; what was not may be
-/// there or not.
+/// Each storage call fails in turn, after writing any number of eighths, and is followed by a crash
+/// that keeps any number of eighths of the unsynced data. Acknowledged records must be recovered;
+/// the failed record may or may not be.
 #[test]
-fn every_crash_point_starts_on_a_committed_generation() {
+fn recovery_finds_the_committed_generation_after_a_crash_at_any_point() {
     let mut points = 0;
     for fails_at in 0..60 {
-        for torn in 0..=8 {
-            for kept in 0..=8 {
-                let disk = Memory {
+        for written_eighths in 0..=8 {
+            for kept_eighths in 0..=8 {
+                let storage = MemoryStorage {
                     fails_at: Some(fails_at),
-                    torn,
-                    ..Memory::default()
+                    written_eighths,
+                    ..MemoryStorage::default()
                 };
-                let mut told = Vec::new();
-                let mut tried = None;
-                let disk = match Journal::open(disk.clone()) {
-                    // Nothing was ever written there.
-                    Err(_) => Memory::default(),
+                let mut acknowledged = Vec::new();
+                let mut failed = None;
+                let storage = match Journal::open(storage.clone()) {
+                    // Nothing was written.
+                    Err(_) => MemoryStorage::default(),
                     Ok((mut journal, _)) => {
-                        for r in life() {
+                        for r in sample_records() {
                             if journal.write(r.clone()).is_err() {
-                                tried = Some(r);
+                                failed = Some(r);
                                 break;
                             }
-                            told.push(r);
+                            acknowledged.push(r);
                         }
                         journal.into_storage()
                     }
                 };
-                let found = match Journal::open(disk.crashed(kept)) {
-                    Ok((_, found)) => found,
-                    Err(e) => panic!("point {fails_at}/{torn}/{kept}: {e}"),
+                let state = match Journal::open(storage.after_crash(kept_eighths)) {
+                    Ok((_, state)) => state,
+                    Err(e) => panic!("point {fails_at}/{written_eighths}/{kept_eighths}: {e}"),
                 };
-                let before = committed_after(&told);
-                told.extend(tried);
-                let after = committed_after(&told);
+                let before = last_committed(&acknowledged);
+                acknowledged.extend(failed);
+                let after = last_committed(&acknowledged);
                 assert!(
-                    found.committed == before || found.committed == after,
-                    "point {fails_at}/{torn}/{kept}: {:?} is neither {before:?} nor {after:?}",
-                    found.committed
+                    state.committed == before || state.committed == after,
+                    "point {fails_at}/{written_eighths}/{kept_eighths}: {:?} is neither {before:?} nor {after:?}",
+                    state.committed
                 );
                 points += 1;
             }
@@ -223,24 +228,25 @@
     assert_eq!(points, 60 * 81);
 }
 
-/// A disk that fails once: the record is written at the next try, and the log is whole.
+/// A record whose write failed once can be written again, and the journal is valid.
 #[test]
-fn a_failed_write_is_tried_again_on_a_whole_log() {
-    for torn in 0..=8 {
+fn a_failed_write_can_be_retried() {
+    for written_eighths in 0..=8 {
         for fails_at in 2..8 {
             let (mut journal, _) =
-                Journal::open(Memory::default()).unwrap_or_else(|e| panic!("{e}"));
-            let mut disk = {
+                Journal::open(MemoryStorage::default()).unwrap_or_else(|e| panic!("{e}"));
+            let mut storage = {
                 journal
                     .write(Record::Committed {
                         number: 1,
                         text: text(1),
                     })
-                    .expect("well");
+                    .expect("storage works");
                 journal.into_storage()
             };
-            (disk.fails_at, disk.torn, disk.calls) = (Some(fails_at), torn, 0);
-            let Ok((mut journal, _)) = Journal::open(disk) else {
+            (storage.fails_at, storage.written_eighths, storage.calls) =
+                (Some(fails_at), written_eighths, 0);
+            let Ok((mut journal, _)) = Journal::open(storage) else {
                 continue;
             };
             let mut failed = 0;
@@ -251,76 +257,80 @@
                 };
                 while journal.write(record.clone()).is_err() {
                     failed += 1;
-                    // The disk is well again.
-                    let mut disk = journal.into_storage();
-                    disk.fails_at = None;
-                    journal = Journal::open(disk).unwrap_or_else(|e| panic!("{e}")).0;
+                    let mut storage = journal.into_storage();
+                    storage.fails_at = None;
+                    journal = Journal::open(storage).unwrap_or_else(|e| panic!("{e}")).0;
                 }
             }
-            assert_eq!(failed, 1, "{torn} {fails_at}");
-            let found = Journal::open(journal.into_storage().crashed(0))
+            assert_eq!(failed, 1, "{written_eighths} {fails_at}");
+            let state = Journal::open(journal.into_storage().after_crash(0))
                 .unwrap_or_else(|e| panic!("{e}"))
                 .1;
-            assert_eq!((found.committed, found.damage), (Some((5, text(5))), None));
+            assert_eq!((state.committed, state.damage), (Some((5, text(5))), None));
         }
     }
 }
 
 #[test]
-fn a_torn_or_spoilt_log_says_so_and_keeps_what_is_sound() {
-    let (mut journal, _) = Journal::open(Memory::default()).unwrap_or_else(|e| panic!("{e}"));
-    life()
+fn a_truncated_or_corrupt_journal_is_recovered_up_to_the_damage() {
+    let (mut journal, _) =
+        Journal::open(MemoryStorage::default()).unwrap_or_else(|e| panic!("{e}"));
+    sample_records()
         .into_iter()
-        .for_each(|r| journal.write(r).expect("well"));
-    let bytes = journal.into_storage().lasting.expect("a log");
-    for cut in 0..bytes.len() {
-        let found = recover(&bytes[..cut]).expect("this format");
+        .for_each(|r| journal.write(r).expect("storage works"));
+    let bytes = journal.into_storage().durable.expect("a journal");
+    let ever_committed = [(1, text(1)), (2, text(2)), (5, text(2))];
+    for length in 0..bytes.len() {
+        let state = recover(&bytes[..length]).expect("a known format");
         assert!(
-            found.valid_bytes <= cut && (found.valid_bytes == cut) == found.damage.is_none(),
-            "{cut}: {found:?}"
+            state.valid_bytes <= length && (state.valid_bytes == length) == state.damage.is_none(),
+            "{length}: {state:?}"
         );
-        if let Some((number, held)) = found.committed {
-            assert!(
-                [(1, text(1)), (2, text(2)), (5, text(2))].contains(&(number, held)),
-                "{cut}"
-            );
+        if let Some(committed) = state.committed {
+            assert!(ever_committed.contains(&committed), "{length}");
         }
     }
-    for at in 20..bytes.len() {
-        let mut spoilt = bytes.clone();
-        spoilt[at] ^= 0x20;
-        let found = recover(&spoilt).expect("this format");
+    for offset in HEADER_BYTES..bytes.len() {
+        let mut corrupt = bytes.clone();
+        corrupt[offset] ^= 0x20;
+        let state = recover(&corrupt).expect("a known format");
         assert!(
-            found
+            state
                 .damage
-                .is_some_and(|n| n.contains("behind the last sound record")),
-            "{at}"
+                .is_some_and(|damage| damage.contains("after the last valid record")),
+            "{offset}"
+        );
+        assert!(
+            state
+                .committed
+                .is_none_or(|committed| ever_committed.contains(&committed))
         );
-        assert!(found.committed.is_none_or(|(n, held)| {
-            [(1, text(1)), (2, text(2)), (5, text(2))].contains(&(n, held))
-        }));
     }
     assert_eq!(
         recover(b"heathroad-routing 2\nwhatever"),
         Err(FormatError::Newer(2))
     );
     assert_eq!(recover(b"something else\n"), Err(FormatError::Foreign));
-    let newer = Memory {
-        present: Some(b"heathroad-routing 9\n".to_vec()),
-        ..Memory::default()
+    let newer = MemoryStorage {
+        current: Some(b"heathroad-routing 9\n".to_vec()),
+        ..MemoryStorage::default()
     };
     match Journal::open(newer) {
         Err(OpenError::Format(e)) => {
-            assert_eq!(e.to_string(), "the log is of format 9; expected 1 or older");
+            assert_eq!(
+                e.to_string(),
+                "the journal has format version 9; expected 1 or older"
+            );
         }
-        _ => panic!("it is not to be touched"),
+        _ => panic!("a journal of a newer version must be rejected"),
     }
 }
 
-/// Thousands of changes do not make the log grow without end.
+/// The journal stays small after many changes.
 #[test]
-fn the_log_is_written_anew_before_it_grows_long() {
-    let (mut journal, _) = Journal::open(Memory::default()).unwrap_or_else(|e| panic!("{e}"));
+fn the_journal_is_compacted() {
+    let (mut journal, _) =
+        Journal::open(MemoryStorage::default()).unwrap_or_else(|e| panic!("{e}"));
     let long = "y".repeat(10_000);
     for number in 1..1_000 {
         journal
@@ -328,18 +338,23 @@
                 number,
                 text: long.clone(),
             })
-            .expect("well");
+            .expect("storage works");
         journal
             .write(Record::Committed {
                 number,
                 text: long.clone(),
             })
-            .expect("well");
+            .expect("storage works");
     }
-    let disk = journal.into_storage();
-    assert!(disk.lasting.as_ref().is_some_and(|b| b.len() < 1_200_000));
-    let found = Journal::open(disk.crashed(0))
+    let storage = journal.into_storage();
+    assert!(
+        storage
+            .durable
+            .as_ref()
+            .is_some_and(|b| b.len() < 1_200_000)
+    );
+    let state = Journal::open(storage.after_crash(0))
         .unwrap_or_else(|e| panic!("{e}"))
         .1;
-    assert_eq!(found.committed, Some((999, long)));
+    assert_eq!(state.committed, Some((999, long)));
 }
--- a/crates/heathroad/tests/routes.rs
+++ b/crates/heathroad/tests/routes.rs
@@ -267,7 +267,7 @@
     std::fs::write(&log, &bytes).expect("it can be written");
     (s.proxy, s.admin) = restart(
         &s.config,
-        "4 bytes behind the last sound record are torn; they are cut off",
+        "4 bytes after the last valid record are truncated; they are cut off",
     )
     .await;
     assert_eq!(s.proxy.call("once").await, (200, "b".into()));
@@ -276,7 +276,7 @@
     std::fs::write(&log, "heathroad-routing 7\n").expect("it can be written");
     (s.proxy, s.admin) = restart(
         &s.config,
-        "the log is of format 7; expected 1 or older; it is left as it is",
+        "the journal has format version 7; expected 1 or older; it is left as it is",
     )
     .await;
     assert_eq!(s.proxy.call("once").await, (200, "a".into()));
