--- a/crates/heathroad-routing/src/transaction/event.rs
+++ b/crates/heathroad-routing/src/transaction/event.rs
@@ -1,4 +1,4 @@
-//! What a transaction manager takes and returns: events, actions and reports.
+//! The events, actions and reports of a transaction manager.
 
 use crate::generation::Generation;
 use crate::journal::Record;
@@ -9,44 +9,44 @@
 /// An event that the manager handles.
 #[derive(Debug)]
 pub enum Event {
-    /// A checked generation is proposed. The manager assigns its number, unless the generation has
-    /// one that is higher than any assigned here, by which other proxies know it.
+    /// A checked generation is proposed. The manager assigns the next number, unless the generation
+    /// already has a higher one, by which other proxies know it.
     Propose(Rc<Generation>),
-    /// A staged pool has backends and warm connections.
+    /// A staged pool has backends and established connections.
     PoolReady {
-        /// The number of the generation that staged the pool. An earlier one may have staged a
-        /// different pool of the same name.
+        /// The number of the generation that staged the pool. An earlier generation may have staged
+        /// a different pool of the same name.
         number: u64,
         /// The name of the pool.
         pool: String,
     },
-    /// A change was verified, as [`Action::Verify`] asks.
+    /// The verification requested by [`Action::Verify`] has completed.
     Verified {
         /// The number of the change.
         number: u64,
-        /// Why the change must not be applied. `None` means that it may be.
+        /// Why the change must not be applied. `None` if it may be applied.
         rejection: Option<String>,
     },
-    /// A pool has a new sample since the last event.
+    /// A pool has a new sample.
     PoolSampled {
         /// The name of the pool.
         pool: String,
-        /// The outcomes since the last event.
+        /// The outcomes since the previous sample of the pool.
         sample: PoolSample,
     },
-    /// An operator rolls back the change under way, or else the last committed one.
+    /// An operator rolls back the open transaction or, if there is none, the last committed change.
     RollBack {
-        /// The reason, for people.
+        /// The human-readable reason.
         reason: String,
     },
-    /// The daemon shuts down, and begins nothing new.
+    /// The daemon is shutting down. No new transaction is accepted.
     Shutdown,
     /// Time has passed.
     Tick,
 }
 
-/// An action to be carried out before the next one. If [`Action::Persist`] fails, the caller drops
-/// the rest and reports it by
+/// An action of the caller. Actions are carried out in order, one after the other. If
+/// [`Action::Persist`] fails, the caller discards the remaining actions and calls
 /// [`handle_persist_failure`](super::TransactionManager::handle_persist_failure).
 #[derive(Debug)]
 pub enum Action {
@@ -59,48 +59,48 @@
         /// The names of the pools.
         pools: Vec<String>,
     },
-    /// Verify the generation as things stand, and answer by [`Event::Verified`].
+    /// Verify the generation against the current state, and answer with [`Event::Verified`].
     Verify(Rc<Generation>),
-    /// Bind new requests to the generation from this instant on.
+    /// Bind all new requests to the generation from now on.
     Apply(Rc<Generation>),
-    /// Drain these pools, which no generation in force names.
+    /// Drain these pools, which are not part of the current generation.
     Retire(Vec<String>),
-    /// Notify the operator who asked, and log.
+    /// Log the report and return it to the operator.
     Report(TransactionReport),
 }
 
-/// The progress of a transaction, or why there is none.
+/// The progress of a transaction, or why a proposal was rejected.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub enum TransactionReport {
-    /// The proposed text is the one in force, so that nothing happens.
+    /// The proposed text is that of the current generation, so nothing changes.
     Unchanged {
-        /// The number of the generation in force.
+        /// The number of the current generation.
         number: u64,
     },
-    /// Another transaction is under way, so that the proposal is rejected.
+    /// The proposal is rejected, because another transaction is open.
     Busy {
         /// The number of its generation.
         number: u64,
     },
-    /// Requests are bound to too many older generations, so that the proposal is rejected.
+    /// The proposal is rejected, because open requests use too many older generations.
     TooManyGenerationsInUse {
         /// The number of these generations.
         count: usize,
     },
-    /// The daemon shuts down, so that the proposal is rejected.
+    /// The proposal is rejected, because the daemon is shutting down.
     ShuttingDown,
-    /// The change is accepted, and its pools are being prepared.
+    /// The change was accepted, and its pools are being prepared.
     Staged {
         /// The number of the change.
         number: u64,
     },
-    /// The change is in force, on probation.
+    /// The change was applied and is on probation.
     Applied {
         /// The number of the change.
         number: u64,
     },
-    /// The change is committed.
+    /// The change was committed.
     Committed {
         /// The number of the change.
         number: u64,
@@ -109,16 +109,16 @@
     Aborted {
         /// The number of the change.
         number: u64,
-        /// The reason, for people.
+        /// The human-readable reason.
         reason: String,
     },
-    /// The change was replaced by the generation before it.
+    /// The change was replaced by the previous generation.
     RolledBack {
         /// The number of the change.
         number: u64,
-        /// The number under which the earlier generation is in force again.
+        /// The new number of the restored generation.
         restored_as: u64,
-        /// The reason, for people.
+        /// The human-readable reason.
         reason: String,
     },
     /// There is no change to roll back.
@@ -126,7 +126,7 @@
 }
 
 impl TransactionReport {
-    /// Whether the request of an operator was not carried out.
+    /// Returns whether an operator's request was not carried out.
     pub fn is_rejection(&self) -> bool {
         match self {
             Self::Busy { .. }
@@ -147,25 +147,24 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unchanged { number } => {
-                let generation = format!("generation {number}, which is in force");
-                write!(f, "nothing changes: the same as {generation}")
+                write!(f, "nothing changes: generation {number} has the same text")
             }
             Self::Busy { number } => {
                 write!(
                     f,
-                    "turned down: generation {number} is under way, wait for it"
+                    "rejected: the change to generation {number} is still in progress"
                 )
             }
             Self::TooManyGenerationsInUse { count } => {
                 write!(
                     f,
-                    "turned down: requests are still bound to {count} older generations"
+                    "rejected: open requests still use {count} older generations"
                 )
             }
-            Self::ShuttingDown => f.write_str("turned down: the daemon stops"),
+            Self::ShuttingDown => f.write_str("rejected: the daemon is shutting down"),
             Self::Staged { number } => write!(f, "generation {number} is staged"),
             Self::Applied { number } => {
-                write!(f, "generation {number} is in force, on probation")
+                write!(f, "generation {number} is applied and on probation")
             }
             Self::Committed { number } => write!(f, "generation {number} is committed"),
             Self::Aborted { number, reason } => {
--- a/crates/heathroad/tests/routes.rs
+++ b/crates/heathroad/tests/routes.rs
@@ -158,7 +158,7 @@
     assert_eq!(s.proxy.call("once").await, (200, "b".into()));
     let (status, said) = s.ask("POST", "/config/apply", &text(a.addr)).await;
     assert!(
-        status == 409 && said.contains("generation 2 is under way"),
+        status == 409 && said.contains("change to generation 2 is still in progress"),
         "{status} {said}"
     );
     let (status, said) = s.ask("POST", "/config/undo", "").await;
@@ -293,7 +293,7 @@
     let mut s = scene(&text(a.addr), 20, |_| {}).await;
     std::fs::write(&s.file, text(b.addr)).expect("it can be written");
     s.proxy
-        .reload(&s.config.to_string(), "generation 2 is in force")
+        .reload(&s.config.to_string(), "generation 2 is applied")
         .await;
     assert_eq!(s.proxy.call("look").await, (200, "b".into()));
     s.stands(2).await;
