--- a/crates/heathroad/tests/routes.rs
+++ b/crates/heathroad/tests/routes.rs
@@ -158,7 +158,7 @@
     assert_eq!(s.proxy.call("once").await, (200, "b".into()));
     let (status, said) = s.ask("POST", "/config/apply", &text(a.addr)).await;
     assert!(
-        status == 409 && said.contains("generation 2 is under way"),
+        status == 409 && said.contains("change to generation 2 is still in progress"),
         "{status} {said}"
     );
     let (status, said) = s.ask("POST", "/config/undo", "").await;
@@ -267,7 +267,7 @@
     std::fs::write(&log, &bytes).expect("it can be written");
     (s.proxy, s.admin) = restart(
         &s.config,
-        "4 bytes behind the last sound record are torn; they are cut off",
+        "4 bytes after the last valid record are truncated; they are cut off",
     )
     .await;
     assert_eq!(s.proxy.call("once").await, (200, "b".into()));
@@ -276,7 +276,7 @@
     std::fs::write(&log, "heathroad-routing 7\n").expect("it can be written");
     (s.proxy, s.admin) = restart(
         &s.config,
-        "the log is of format 7; expected 1 or older; it is left as it is",
+        "the journal has format version 7; expected 1 or older; it is left as it is",
     )
     .await;
     assert_eq!(s.proxy.call("once").await, (200, "a".into()));
@@ -293,7 +293,7 @@
     let mut s = scene(&text(a.addr), 20, |_| {}).await;
     std::fs::write(&s.file, text(b.addr)).expect("it can be written");
     s.proxy
-        .reload(&s.config.to_string(), "generation 2 is in force")
+        .reload(&s.config.to_string(), "generation 2 is applied")
         .await;
     assert_eq!(s.proxy.call("look").await, (200, "b".into()));
     s.stands(2).await;
@@ -607,7 +607,7 @@
     orders.came(1).await;
     let (status, said) = s.ask("POST", "/config/apply", &dangling).await;
     assert!(
-        status == 422 && said.contains("no tenant \"acme\", unreachable"),
+        status == 422 && said.contains("no tenant \"acme\", so the route is unreachable"),
         "{status} {said}"
     );
     s.apply(&without).await;
