--- a/crates/heathroad-jsonrpc/src/framing.rs
+++ b/crates/heathroad-jsonrpc/src/framing.rs
@@ -14,51 +14,52 @@
     Headers,
     /// Texts follow each other with white space between them or nothing: an object or array ends
     /// with its bracket.
-    RunOn,
+    #[serde(rename = "RunOn")]
+    Concatenated,
 }
 
 /// Bounds of what is read.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// Most bytes of a text.
-    pub text: usize,
+    pub max_text_bytes: usize,
     /// Most brackets open at once.
-    pub depth: u32,
+    pub max_depth: u32,
     /// Most members of a batch.
-    pub batch: usize,
+    pub max_batch_len: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            text: 1 << 20,
-            depth: 128,
-            batch: 10_000,
+            max_text_bytes: 1 << 20,
+            max_depth: 128,
+            max_batch_len: 10_000,
         }
     }
 }
 
 /// The stream can't be cut any more: where the next text begins is not known, or not waited for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
+pub enum FramingError {
     /// A text is longer than is read, or is announced so.
     TooLong,
     /// More brackets are open than are read.
     TooDeep,
     /// A head that can't be read.
-    Head(&'static str),
+    InvalidHeader(&'static str),
     /// Something other than an object or an array begins.
-    NoText,
+    NotObjectOrArray,
 }
 
-impl Broken {
+impl FramingError {
     /// What was expected instead.
     pub fn expected(self) -> &'static str {
         match self {
-            Broken::TooLong => "a shorter text",
-            Broken::TooDeep => "fewer brackets within each other",
-            Broken::Head(expected) => expected,
-            Broken::NoText => "an object or an array",
+            FramingError::TooLong => "a shorter text",
+            FramingError::TooDeep => "fewer brackets within each other",
+            FramingError::InvalidHeader(expected) => expected,
+            FramingError::NotObjectOrArray => "an object or an array",
         }
     }
 }
@@ -80,7 +81,7 @@
     scan: Scan,
     /// The length that a head told.
     length: Option<usize>,
-    broken: Option<Broken>,
+    broken: Option<FramingError>,
 }
 
 /// What is open in a text.
@@ -143,19 +144,19 @@
     }
 
     /// Whether a text has begun and not ended, or lies there whole.
-    pub fn begun(&self) -> bool {
+    pub fn has_pending_text(&self) -> bool {
         self.length.is_some() || self.buffer.iter().any(|b| !blank(*b))
     }
 
     /// The next whole text, if it has come. Once the stream is broken it stays so.
-    pub fn next_text(&mut self) -> Result<Option<Bytes>, Broken> {
+    pub fn next_text(&mut self) -> Result<Option<Bytes>, FramingError> {
         if let Some(broken) = self.broken {
             return Err(broken);
         }
         let next = match self.framing {
             Framing::Lines => self.line(),
             Framing::Headers => self.headed(),
-            Framing::RunOn => self.run_on(),
+            Framing::Concatenated => self.run_on(),
         };
         if let Err(broken) = next {
             self.broken = Some(broken);
@@ -165,8 +166,9 @@
     }
 
     /// What lies there when the stream has ended: the last line needs no end.
-    pub fn rest(&mut self) -> Option<Bytes> {
-        let text = self.framing == Framing::Lines && self.broken.is_none() && self.begun();
+    pub fn finish(&mut self) -> Option<Bytes> {
+        let text =
+            self.framing == Framing::Lines && self.broken.is_none() && self.has_pending_text();
         text.then(|| self.take(self.buffer.len()))
     }
 
@@ -178,14 +180,14 @@
     /// Looks at the next byte; true where the outermost bracket closes. Depth is looked at on the
     /// way, so that nobody has to look again. (What opens nothing closes nothing: whether it is a
     /// text at all the parser says.)
-    fn look(&mut self, byte: u8) -> Result<bool, Broken> {
+    fn look(&mut self, byte: u8) -> Result<bool, FramingError> {
         let ends = self.scan.look(byte);
         self.seen += 1;
-        if self.scan.depth > self.limits.depth {
-            return Err(Broken::TooDeep);
+        if self.scan.depth > self.limits.max_depth {
+            return Err(FramingError::TooDeep);
         }
-        if self.seen > self.limits.text {
-            return Err(Broken::TooLong);
+        if self.seen > self.limits.max_text_bytes {
+            return Err(FramingError::TooLong);
         }
         Ok(ends)
     }
@@ -196,7 +198,7 @@
         self.buffer.split_to(length).freeze()
     }
 
-    fn line(&mut self) -> Result<Option<Bytes>, Broken> {
+    fn line(&mut self) -> Result<Option<Bytes>, FramingError> {
         if self.seen == 0 {
             self.skip(blank);
         }
@@ -211,7 +213,7 @@
         Ok(None)
     }
 
-    fn run_on(&mut self) -> Result<Option<Bytes>, Broken> {
+    fn run_on(&mut self) -> Result<Option<Bytes>, FramingError> {
         if self.seen == 0 {
             self.skip(blank);
             if self.buffer.starts_with(BOM) {
@@ -225,7 +227,7 @@
                 .first()
                 .is_some_and(|b| !matches!(b, b'{' | b'['))
             {
-                return Err(Broken::NoText);
+                return Err(FramingError::NotObjectOrArray);
             }
         }
         while let Some(&byte) = self.buffer.get(self.seen) {
@@ -236,7 +238,7 @@
         Ok(None)
     }
 
-    fn headed(&mut self) -> Result<Option<Bytes>, Broken> {
+    fn headed(&mut self) -> Result<Option<Bytes>, FramingError> {
         let length = match self.length {
             Some(length) => length,
             None => {
@@ -246,15 +248,15 @@
                 }
                 let Some(end) = self.head_end() else {
                     return if self.buffer.len() > MAX_HEAD {
-                        Err(Broken::Head("a head of 4 KiB at most"))
+                        Err(FramingError::InvalidHeader("a head of 4 KiB at most"))
                     } else {
                         Ok(None)
                     };
                 };
                 let head = self.take(end);
                 let length = content_length(&head)?;
-                if length > self.limits.text {
-                    return Err(Broken::TooLong);
+                if length > self.limits.max_text_bytes {
+                    return Err(FramingError::TooLong);
                 }
                 *self.length.insert(length)
             }
@@ -290,7 +292,7 @@
 
 /// The one length that a head tells. Two are wrong, even alike: who reads the other would cut
 /// elsewhere.
-fn content_length(head: &[u8]) -> Result<usize, Broken> {
+fn content_length(head: &[u8]) -> Result<usize, FramingError> {
     let mut length = None;
     for line in head
         .split(|b| *b == b'\n')
@@ -302,7 +304,7 @@
         let colon = line
             .iter()
             .position(|b| *b == b':')
-            .ok_or(Broken::Head("`Name: value` lines"))?;
+            .ok_or(FramingError::InvalidHeader("`Name: value` lines"))?;
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         if name.eq_ignore_ascii_case(b"content-length") {
             let digits =
@@ -311,13 +313,15 @@
                 .ok()
                 .filter(|_| digits)
                 .and_then(|v| v.parse().ok());
-            let told = told.ok_or(Broken::Head("a Content-Length in decimal digits"))?;
+            let told = told.ok_or(FramingError::InvalidHeader(
+                "a Content-Length in decimal digits",
+            ))?;
             if length.replace(told).is_some() {
-                return Err(Broken::Head("one Content-Length"));
+                return Err(FramingError::InvalidHeader("one Content-Length"));
             }
         } else if name.is_empty() || name.iter().any(|b| blank(*b)) {
-            return Err(Broken::Head("`Name: value` lines"));
+            return Err(FramingError::InvalidHeader("`Name: value` lines"));
         }
     }
-    length.ok_or(Broken::Head("a Content-Length"))
+    length.ok_or(FramingError::InvalidHeader("a Content-Length"))
 }
--- a/crates/heathroad-jsonrpc/src/lib.rs
+++ b/crates/heathroad-jsonrpc/src/lib.rs
@@ -16,6 +16,6 @@
 pub mod pointer;
 pub mod write;
 
-pub use framing::{Broken, Decoder, Framing, Limits};
-pub use message::{Answer, Call, Message, Reply, Wrong};
+pub use framing::{Decoder, Framing, FramingError, Limits};
+pub use message::{Call, Message, RequestError, Response, ServerMessage};
 pub use pointer::Pointer;
--- a/crates/heathroad-jsonrpc/src/message.rs
+++ b/crates/heathroad-jsonrpc/src/message.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub enum Message {
     /// One call or notification.
-    One(Result<Call, Wrong>),
+    Single(Result<Call, RequestError>),
     /// A batch, its members as they stand; it is not empty.
     Batch(Vec<Bytes>),
 }
@@ -35,17 +35,17 @@
     /// Its method's name.
     pub method: String,
     /// The name as it stands, in quotes.
-    pub method_text: Bytes,
+    pub raw_method: Bytes,
     /// Its parameters as they stand.
     pub params: Option<Bytes>,
     /// What it carries down a chain, beside the specification's members.
-    pub carried: Carried,
+    pub budget_members: BudgetMembers,
 }
 
 /// Members of an extension: budgets down a chain of services, as the texts that HTTP has in headers
 /// of the same names. A member that is no plain text, or comes twice, is there and empty.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Carried {
+pub struct BudgetMembers {
     /// `req-budget`, without its quotes.
     pub budget: Option<Bytes>,
     /// `req-path`, without its quotes.
@@ -54,7 +54,7 @@
 
 /// What can't be taken, with the code to answer.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wrong {
+pub struct RequestError {
     /// One of the specification's codes.
     pub code: i64,
     /// What was expected.
@@ -64,40 +64,40 @@
 }
 
 /// The id of answers to what has none that can be told.
-pub const NULL: Bytes = Bytes::from_static(b"null");
+pub const NULL_ID: Bytes = Bytes::from_static(b"null");
 
-fn wrong(code: i64, expected: &'static str) -> Wrong {
-    Wrong {
+fn wrong(code: i64, expected: &'static str) -> RequestError {
+    RequestError {
         code,
         expected,
-        id: NULL,
+        id: NULL_ID,
     }
 }
 
 /// A server's text.
 #[derive(Debug)]
-pub enum Reply {
+pub enum ServerMessage {
     /// An answer.
-    Answer(Answer),
+    Response(Response),
     /// A call of the server's own, with its id as it stands; none for a notification.
     Call(Option<Bytes>),
     /// Neither.
-    Wrong(&'static str),
+    Invalid(&'static str),
 }
 
 /// A server's answer to a call.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Answer {
+pub struct Response {
     /// The id as it stands.
     pub id: Bytes,
     /// `"result":...` or `"error":...`, the value as it stands.
     pub member: Bytes,
     /// The code of an error, where it is a number.
-    pub code: Option<i64>,
+    pub error_code: Option<i64>,
     /// Whether it is an error.
-    pub error: bool,
+    pub is_error: bool,
     /// `req-spent`, without its quotes, where it is told.
-    pub spent: Option<Bytes>,
+    pub retries_spent: Option<Bytes>,
 }
 
 /// The members of an envelope, as they stand. Others are passed over; one that comes twice is told.
@@ -253,11 +253,11 @@
 }
 
 /// Reads a caller's text.
-pub fn read(text: &Bytes, most: usize) -> Result<Message, Wrong> {
+pub fn parse(text: &Bytes, most: usize) -> Result<Message, RequestError> {
     let text = &unmarked(text);
     let utf8 = std::str::from_utf8(text).map_err(|_| wrong(PARSE_ERROR, "UTF-8"))?;
     if !utf8.trim_start().starts_with('[') {
-        return Ok(Message::One(call(text)));
+        return Ok(Message::Single(parse_call(text)));
     }
     let mut json = serde_json::Deserializer::from_str(utf8);
     let members = Members(most)
@@ -303,7 +303,7 @@
 }
 
 /// Reads one call: a text, or a member of a batch.
-pub fn call(text: &Bytes) -> Result<Call, Wrong> {
+pub fn parse_call(text: &Bytes) -> Result<Call, RequestError> {
     let utf8 = std::str::from_utf8(text).map_err(|_| wrong(PARSE_ERROR, "UTF-8"))?;
     let e: Envelope<'_> = match serde_json::from_str(utf8) {
         Ok(e) => e,
@@ -316,8 +316,8 @@
         e.id.filter(|id| is_id(id) && !e.twice)
             .map(|id| part(text, id));
     let invalid = |expected| {
-        let id = id.clone().unwrap_or(NULL);
-        Err(Wrong {
+        let id = id.clone().unwrap_or(NULL_ID);
+        Err(RequestError {
             code: INVALID_REQUEST,
             expected,
             id,
@@ -347,61 +347,61 @@
     if e.result.is_some() || e.error.is_some() {
         return invalid("a call without `result` or `error`");
     }
-    let (method_text, params) = (part(text, method), e.params.map(|p| part(text, p)));
-    let carried = Carried {
+    let (raw_method, params) = (part(text, method), e.params.map(|p| part(text, p)));
+    let budget_members = BudgetMembers {
         budget: e.budget.text(text),
         path: e.path.text(text),
     };
     Ok(Call {
         id,
         method: name,
-        method_text,
+        raw_method,
         params,
-        carried,
+        budget_members,
     })
 }
 
 /// Reads a server's text.
-pub fn reply(text: &Bytes) -> Reply {
+pub fn parse_server_message(text: &Bytes) -> ServerMessage {
     let text = &unmarked(text);
     let Ok(utf8) = std::str::from_utf8(text) else {
-        return Reply::Wrong("UTF-8");
+        return ServerMessage::Invalid("UTF-8");
     };
     let Ok(e) = serde_json::from_str::<Envelope<'_>>(utf8) else {
-        return Reply::Wrong("an object");
+        return ServerMessage::Invalid("an object");
     };
     if e.twice {
-        return Reply::Wrong("each member once");
+        return ServerMessage::Invalid("each member once");
     }
     if e.method.is_some() {
-        return Reply::Call(e.id.map(|id| part(text, id)));
+        return ServerMessage::Call(e.id.map(|id| part(text, id)));
     }
     let Some(id) = e.id else {
-        return Reply::Wrong("an `id`");
+        return ServerMessage::Invalid("an `id`");
     };
     let (name, value) = match (e.result, e.error) {
         (Some(result), None) => ("result", result),
         (None, Some(error)) => ("error", error),
-        _ => return Reply::Wrong("one of `result` and `error`"),
+        _ => return ServerMessage::Invalid("one of `result` and `error`"),
     };
     #[derive(Deserialize)]
     struct Code {
         code: i64,
     }
-    let error = name == "error";
-    let code = serde_json::from_str::<Code>(value.get())
+    let is_error = name == "error";
+    let error_code = serde_json::from_str::<Code>(value.get())
         .ok()
-        .filter(|_| error)
+        .filter(|_| is_error)
         .map(|c| c.code);
     let member = [b"\"", name.as_bytes(), b"\":", value.get().as_bytes()]
         .concat()
         .into();
-    let spent = e.spent.text(text);
-    Reply::Answer(Answer {
+    let retries_spent = e.spent.text(text);
+    ServerMessage::Response(Response {
         id: part(text, id),
         member,
-        code,
-        error,
-        spent,
+        error_code,
+        is_error,
+        retries_spent,
     })
 }
--- a/crates/heathroad-jsonrpc/src/pointer.rs
+++ b/crates/heathroad-jsonrpc/src/pointer.rs
@@ -15,16 +15,16 @@
 
 /// Why there is no value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Missing {
+pub enum FindError {
     /// Nothing lies there.
-    Nothing,
+    NotFound,
     /// A name on the way comes twice: who reads the other one would find another value.
-    Twice,
+    DuplicateName,
 }
 
 impl Pointer {
     /// Reads a pointer such as `/claim/id`; what was expected where it is none.
-    pub fn read(text: &str) -> Result<Pointer, &'static str> {
+    pub fn parse(text: &str) -> Result<Pointer, &'static str> {
         let mut steps = text.split('/');
         if steps.next() != Some("") || text.is_empty() {
             return Err("a pointer from its /, such as /claim/id");
@@ -52,17 +52,17 @@
     }
 
     /// The value that it leads to, as it stands.
-    pub fn find<'a>(&self, text: &'a str) -> Result<&'a RawValue, Missing> {
-        let mut here: &RawValue = serde_json::from_str(text).map_err(|_| Missing::Nothing)?;
+    pub fn find<'a>(&self, text: &'a str) -> Result<&'a RawValue, FindError> {
+        let mut here: &RawValue = serde_json::from_str(text).map_err(|_| FindError::NotFound)?;
         for step in &self.0 {
             let mut d = serde_json::Deserializer::from_str(here.get());
             let Found { value, twice } = Step(step)
                 .deserialize(&mut d)
-                .map_err(|_| Missing::Nothing)?;
+                .map_err(|_| FindError::NotFound)?;
             if twice {
-                return Err(Missing::Twice);
+                return Err(FindError::DuplicateName);
             }
-            here = value.ok_or(Missing::Nothing)?;
+            here = value.ok_or(FindError::NotFound)?;
         }
         Ok(here)
     }
@@ -124,6 +124,6 @@
 }
 
 /// A value's text, where it is one.
-pub fn text(value: &RawValue) -> Option<String> {
+pub fn as_string(value: &RawValue) -> Option<String> {
     String::deserialize(value).ok()
 }
--- a/crates/heathroad-jsonrpc/src/write.rs
+++ b/crates/heathroad-jsonrpc/src/write.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 /// An answer to an id: `"result":...` or `"error":...`.
-pub fn answer(id: &[u8], member: &[u8], out: &mut BytesMut) {
+pub fn response(id: &[u8], member: &[u8], out: &mut BytesMut) {
     out.reserve(id.len() + member.len() + 32);
     out.put_slice(b"{\"jsonrpc\":\"2.0\",");
     out.put_slice(member);
@@ -16,7 +16,7 @@
 
 /// The `error` member of an answer, with milliseconds after which to come back if that is to be
 /// told.
-pub fn error(code: i64, message: &str, retry_after_ms: Option<u64>) -> Bytes {
+pub fn error_member(code: i64, message: &str, retry_after_ms: Option<u64>) -> Bytes {
     let mut error = json!({"code": code, "message": message});
     if let Some(ms) = retry_after_ms {
         error["data"] = json!({"retry_after_ms": ms});
@@ -26,7 +26,7 @@
 
 /// A call's members of the extension for budgets, to be put before its end: plain texts, which need
 /// no escapes.
-pub fn carry(call: &mut BytesMut, budget: &str, path: &str) {
+pub fn add_budget_members(call: &mut BytesMut, budget: &str, path: &str) {
     if call.last() == Some(&b'}') {
         call.truncate(call.len() - 1);
         call.put_slice(
@@ -36,7 +36,7 @@
 }
 
 /// What was spent, behind the member of an answer.
-pub fn spent(member: &[u8], spent: &str) -> Bytes {
+pub fn with_retries_spent(member: &[u8], spent: &str) -> Bytes {
     [member, b",\"req-spent\":\"", spent.as_bytes(), b"\""]
         .concat()
         .into()
@@ -77,6 +77,6 @@
             out.put_slice(format!("Content-Length: {}\r\n\r\n", text.len()).as_bytes());
             out.put_slice(text);
         }
-        Framing::RunOn => out.put_slice(text),
+        Framing::Concatenated => out.put_slice(text),
     }
 }
--- a/crates/heathroad-jsonrpc/tests/specification.rs
+++ b/crates/heathroad-jsonrpc/tests/specification.rs
@@ -1,28 +1,28 @@
 //! The examples of the specification (section 7), and the hard cases of envelopes.
 
 use bytes::{Bytes, BytesMut};
-use heathroad_jsonrpc::message::{self, Message, Reply};
-use heathroad_jsonrpc::{Call, Pointer, Wrong, pointer, write};
+use heathroad_jsonrpc::message::{self, Message, ServerMessage};
+use heathroad_jsonrpc::{Call, Pointer, RequestError, pointer, write};
 
-fn read(text: &'static str) -> Result<Message, Wrong> {
-    message::read(&Bytes::from_static(text.as_bytes()), 10)
+fn read(text: &'static str) -> Result<Message, RequestError> {
+    message::parse(&Bytes::from_static(text.as_bytes()), 10)
 }
 
-fn one(text: &'static str) -> Result<Call, Wrong> {
+fn one(text: &'static str) -> Result<Call, RequestError> {
     match read(text)? {
-        Message::One(call) => call,
+        Message::Single(call) => call,
         Message::Batch(members) => panic!("a batch of {}", members.len()),
     }
 }
 
-fn members(text: &'static str) -> Vec<Result<Call, Wrong>> {
+fn members(text: &'static str) -> Vec<Result<Call, RequestError>> {
     match read(text) {
-        Ok(Message::Batch(members)) => members.iter().map(message::call).collect(),
+        Ok(Message::Batch(members)) => members.iter().map(message::parse_call).collect(),
         other => panic!("{other:?}"),
     }
 }
 
-fn code<T>(done: Result<T, Wrong>) -> (i64, Bytes) {
+fn code<T>(done: Result<T, RequestError>) -> (i64, Bytes) {
     let wrong = done.err().expect("it is wrong");
     (wrong.code, wrong.id)
 }
@@ -147,13 +147,13 @@
     ] {
         let text =
             format!(r#"{{"id":{id},"params":{{"z":1.10,"a":1e2}},"method":"m","jsonrpc":"2.0"}}"#);
-        let Ok(Message::One(Ok(call))) = message::read(&Bytes::from(text.clone()), 1) else {
+        let Ok(Message::Single(Ok(call))) = message::parse(&Bytes::from(text.clone()), 1) else {
             panic!("{text}")
         };
         assert_eq!(call.id.as_deref(), Some(id.as_bytes()));
         assert_eq!(call.params.as_deref(), Some(&br#"{"z":1.10,"a":1e2}"#[..]));
         let mut out = BytesMut::new();
-        write::answer(
+        write::response(
             id.as_bytes(),
             br#""result":12345678901234567890.01"#,
             &mut out,
@@ -167,9 +167,9 @@
     let text = Bytes::from(format!(
         r#"{{"jsonrpc":"2.0","method":"m","params":{params}}}"#
     ));
-    let call = message::call(&text).expect("sound");
+    let call = message::parse_call(&text).expect("sound");
     let mut out = BytesMut::new();
-    write::call(Some(7), &call.method_text, call.params.as_deref(), &mut out);
+    write::call(Some(7), &call.raw_method, call.params.as_deref(), &mut out);
     assert_eq!(
         out,
         format!(r#"{{"jsonrpc":"2.0","method":"m","params":{params},"id":7}}"#)
@@ -250,12 +250,15 @@
         );
     }
     let invalid = Bytes::from_static(b"{\"jsonrpc\":\"2.0\",\"method\":\"\xff\",\"id\":5}");
-    assert_eq!(code(message::read(&invalid, 1)).0, -32700, "no UTF-8");
+    assert_eq!(code(message::parse(&invalid, 1)).0, -32700, "no UTF-8");
     // A mark at the begin is no part of the text; a name that nobody knows is passed over, whatever
     // it is.
     let marked =
         Bytes::from("\u{feff}{\"jsonrpc\":\"2.0\",\"method\":\"a\",\"\\ud800\":1}".to_string());
-    assert!(matches!(message::read(&marked, 1), Ok(Message::One(Ok(_)))));
+    assert!(matches!(
+        message::parse(&marked, 1),
+        Ok(Message::Single(Ok(_)))
+    ));
     // Nobody's stack grows with brackets.
     let deep = format!(
         r#"{{"jsonrpc":"2.0","method":"a","params":{}{}}}"#,
@@ -263,16 +266,17 @@
         "]".repeat(100_000)
     );
     assert!(matches!(
-        message::read(&Bytes::from(deep), 1),
-        Ok(Message::One(Ok(_)))
+        message::parse(&Bytes::from(deep), 1),
+        Ok(Message::Single(Ok(_)))
     ));
 }
 
 #[test]
 fn servers_texts() {
-    let reply = |text: &'static str| message::reply(&Bytes::from_static(text.as_bytes()));
+    let reply =
+        |text: &'static str| message::parse_server_message(&Bytes::from_static(text.as_bytes()));
     let answer = |text| match reply(text) {
-        Reply::Answer(a) => a,
+        ServerMessage::Response(a) => a,
         other => panic!("{other:?}"),
     };
     let a = answer(r#"{"jsonrpc":"2.0","result":{"b":1.10,"a":2},"id":12}"#);
@@ -280,20 +284,20 @@
         (&a.id[..], &a.member[..]),
         (&b"12"[..], &br#""result":{"b":1.10,"a":2}"#[..])
     );
-    assert_eq!((a.code, a.error), (None, false));
+    assert_eq!((a.error_code, a.is_error), (None, false));
     let a = answer(r#"{"id":12,"error":{"code":-32603,"message":"no"},"jsonrpc":"2.0"}"#);
-    assert_eq!((a.code, a.error), (Some(-32603), true));
+    assert_eq!((a.error_code, a.is_error), (Some(-32603), true));
     assert!(
-        answer(r#"{"result":null,"id":1}"#).code.is_none(),
+        answer(r#"{"result":null,"id":1}"#).error_code.is_none(),
         "older servers leave the version out"
     );
     assert!(matches!(
         reply(r#"{"jsonrpc":"2.0","method":"ping","id":9}"#),
-        Reply::Call(Some(_))
+        ServerMessage::Call(Some(_))
     ));
     assert!(matches!(
         reply(r#"{"jsonrpc":"2.0","method":"log"}"#),
-        Reply::Call(None)
+        ServerMessage::Call(None)
     ));
     for text in [
         r#"{"result":1,"error":{},"id":1}"#,
@@ -303,14 +307,14 @@
         "[1]",
         "noise",
     ] {
-        assert!(matches!(reply(text), Reply::Wrong(_)), "{text}");
+        assert!(matches!(reply(text), ServerMessage::Invalid(_)), "{text}");
     }
 }
 
 #[test]
 fn pointers() {
     let find = |p: &str, text: &str| {
-        Pointer::read(p)
+        Pointer::parse(p)
             .expect("a pointer")
             .find(text)
             .map(|v| v.get().to_string())
@@ -329,27 +333,27 @@
     ] {
         assert_eq!(find(p, text).as_deref(), Ok(want), "{p}");
     }
-    use pointer::Missing::{Nothing, Twice};
+    use pointer::FindError::{DuplicateName, NotFound};
     for p in [
         "/bar", "/foo/2", "/foo/00", "/foo/01", "/foo/-", "/foo/0/x", "/foo/1e0", "/foo/+1",
     ] {
-        assert_eq!(find(p, text), Err(Nothing), "{p}");
+        assert_eq!(find(p, text), Err(NotFound), "{p}");
     }
-    assert_eq!(find("/a/b", r#"{"a":{"b":1,"b":2}}"#), Err(Twice));
+    assert_eq!(find("/a/b", r#"{"a":{"b":1,"b":2}}"#), Err(DuplicateName));
     assert_eq!(
         find("/a/b", r#"{"a":{"b":1.10},"x":{"b":2}}"#).as_deref(),
         Ok("1.10")
     );
     for wrong in ["", "a", "a/b", "/~", "/~2"] {
-        assert!(Pointer::read(wrong).is_err(), "{wrong:?}");
+        assert!(Pointer::parse(wrong).is_err(), "{wrong:?}");
     }
     let deep = "[".repeat(100_000) + &"]".repeat(100_000);
-    assert_eq!(find("/0/0/0/1", &deep), Err(Nothing));
+    assert_eq!(find("/0/0/0/1", &deep), Err(NotFound));
 }
 
 #[test]
 fn errors_are_written_whole() {
-    let error = write::error(-32001, "refused: \"later\"", Some(250));
+    let error = write::error_member(-32001, "refused: \"later\"", Some(250));
     let error: serde_json::Value =
         serde_json::from_str(&format!("{{{}}}", String::from_utf8_lossy(&error))).expect("JSON");
     assert_eq!(
--- a/crates/heathroad-jsonrpc/tests/streams.rs
+++ b/crates/heathroad-jsonrpc/tests/streams.rs
@@ -1,15 +1,15 @@
 //! Streams of bytes: cut into texts whatever the pieces they come in, bounded whatever comes.
 
 use bytes::{BufMut, Bytes, BytesMut};
-use heathroad_jsonrpc::framing::{Broken, Decoder, Framing, Limits};
+use heathroad_jsonrpc::framing::{Decoder, Framing, FramingError, Limits};
 use heathroad_jsonrpc::{message, write};
 use serde::de::IgnoredAny;
 
-const ALL: [Framing; 3] = [Framing::Lines, Framing::Headers, Framing::RunOn];
+const ALL: [Framing; 3] = [Framing::Lines, Framing::Headers, Framing::Concatenated];
 const SMALL: Limits = Limits {
-    text: 200,
-    depth: 8,
-    batch: 10,
+    max_text_bytes: 200,
+    max_depth: 8,
+    max_batch_len: 10,
 };
 
 /// The texts of a stream that comes in pieces of these sizes, by turns, and how it broke.
@@ -18,7 +18,7 @@
     limits: Limits,
     bytes: &[u8],
     sizes: &[usize],
-) -> (Vec<Bytes>, Option<Broken>) {
+) -> (Vec<Bytes>, Option<FramingError>) {
     let (mut decoder, mut texts) = (Decoder::new(framing, limits), Vec::new());
     let (mut rest, mut turn) = (bytes, 0);
     loop {
@@ -78,7 +78,7 @@
         (vec!["{}\r".into(), "[]".into()], None)
     );
     assert_eq!(
-        texts(Framing::RunOn, "\u{feff} {}[]\n\t{} {"),
+        texts(Framing::Concatenated, "\u{feff} {}[]\n\t{} {"),
         (vec!["{}".into(), "[]".into(), "{}".into()], None)
     );
     let heads = "\r\ncontent-LENGTH: 2\r\nContent-Type: x; y\r\n\r\n{}\r\nContent-Length:3\n\n[1]";
@@ -88,15 +88,15 @@
     );
     let mut decoder = Decoder::new(Framing::Lines, SMALL);
     decoder.buffer().put_slice(b" \n");
-    assert!(!decoder.begun());
+    assert!(!decoder.has_pending_text());
     decoder.buffer().put_slice(b"{}");
-    assert!(decoder.begun());
+    assert!(decoder.has_pending_text());
     assert_eq!(
-        (decoder.next_text(), decoder.rest()),
+        (decoder.next_text(), decoder.finish()),
         (Ok(None), Some("{}".into())),
         "the last line needs no end"
     );
-    assert_eq!(decoder.rest(), None);
+    assert_eq!(decoder.finish(), None);
 }
 
 #[test]
@@ -105,71 +105,83 @@
     let deep = "[".repeat(9);
     let head = |h: &str| format!("{h}\r\n\r\n{{}}");
     let cases = [
-        (Framing::Lines, long.clone(), Broken::TooLong),
-        (Framing::Lines, deep.clone(), Broken::TooDeep),
-        (Framing::RunOn, format!("[{long}]"), Broken::TooLong),
-        (Framing::RunOn, deep.clone(), Broken::TooDeep),
-        (Framing::RunOn, "{} 1".into(), Broken::NoText),
-        (Framing::RunOn, "}".into(), Broken::NoText),
+        (Framing::Lines, long.clone(), FramingError::TooLong),
+        (Framing::Lines, deep.clone(), FramingError::TooDeep),
+        (
+            Framing::Concatenated,
+            format!("[{long}]"),
+            FramingError::TooLong,
+        ),
+        (Framing::Concatenated, deep.clone(), FramingError::TooDeep),
+        (
+            Framing::Concatenated,
+            "{} 1".into(),
+            FramingError::NotObjectOrArray,
+        ),
+        (
+            Framing::Concatenated,
+            "}".into(),
+            FramingError::NotObjectOrArray,
+        ),
         (
             Framing::Headers,
             format!("Content-Length: 9\r\n\r\n{deep}"),
-            Broken::TooDeep,
+            FramingError::TooDeep,
         ),
         (
             Framing::Headers,
             head("Content-Length: 1000000000"),
-            Broken::TooLong,
+            FramingError::TooLong,
         ),
         (
             Framing::Headers,
             head("Content-Length: 99999999999999999999"),
-            Broken::Head("a Content-Length in decimal digits"),
+            FramingError::InvalidHeader("a Content-Length in decimal digits"),
         ),
         (
             Framing::Headers,
             head("Content-Length: -2"),
-            Broken::Head("a Content-Length in decimal digits"),
+            FramingError::InvalidHeader("a Content-Length in decimal digits"),
         ),
         (
             Framing::Headers,
             head("Content-Length: +2"),
-            Broken::Head("a Content-Length in decimal digits"),
+            FramingError::InvalidHeader("a Content-Length in decimal digits"),
         ),
         (
             Framing::Headers,
             head("Content-Length:"),
-            Broken::Head("a Content-Length in decimal digits"),
+            FramingError::InvalidHeader("a Content-Length in decimal digits"),
         ),
         (
             Framing::Headers,
             head("Content-Length: 2\r\nContent-Length: 2"),
-            Broken::Head("one Content-Length"),
+            FramingError::InvalidHeader("one Content-Length"),
         ),
         (
             Framing::Headers,
             head("Content-Length : 2"),
-            Broken::Head("`Name: value` lines"),
+            FramingError::InvalidHeader("`Name: value` lines"),
         ),
         (
             Framing::Headers,
             head("noise"),
-            Broken::Head("`Name: value` lines"),
+            FramingError::InvalidHeader("`Name: value` lines"),
         ),
         (
             Framing::Headers,
             head("X: y"),
-            Broken::Head("a Content-Length"),
+            FramingError::InvalidHeader("a Content-Length"),
         ),
         (
             Framing::Headers,
             "X: y\r\n".repeat(1000),
-            Broken::Head("a head of 4 KiB at most"),
+            FramingError::InvalidHeader("a head of 4 KiB at most"),
         ),
         (
             Framing::Headers,
             "x".repeat(10_000),
-            Broken::Head("a head of 4 KiB at most"),
+            FramingError::InvalidHeader("a head of 4 KiB at most"),
         ),
     ];
     for (framing, bytes, want) in cases {
@@ -178,13 +190,13 @@
             assert_eq!(broken, Some(want), "{framing:?} {bytes:.60}");
         }
     }
-    let mut decoder = Decoder::new(Framing::RunOn, SMALL);
+    let mut decoder = Decoder::new(Framing::Concatenated, SMALL);
     decoder.buffer().put_slice(b"x{}");
-    assert_eq!(decoder.next_text(), Err(Broken::NoText));
+    assert_eq!(decoder.next_text(), Err(FramingError::NotObjectOrArray));
     decoder.buffer().put_slice(b"{}");
     assert_eq!(
         decoder.next_text(),
-        Err(Broken::NoText),
+        Err(FramingError::NotObjectOrArray),
         "it is not known where that is"
     );
 }
@@ -232,33 +244,34 @@
         }
         let framing = ALL[rng.usize(..3)];
         let limits = Limits {
-            text: 1 + rng.usize(..2_000),
-            depth: 1 + rng.u32(..20),
-            batch: 10,
+            max_text_bytes: 1 + rng.usize(..2_000),
+            max_depth: 1 + rng.u32(..20),
+            max_batch_len: 10,
         };
         let sizes: Vec<usize> = (0..5).map(|_| 1 + rng.usize(..50)).collect();
         let whole = cut(framing, limits, &bytes, &[bytes.len().max(1)]);
         assert_eq!(whole, cut(framing, limits, &bytes, &sizes), "seed {seed}");
         breaks += usize::from(whole.1.is_some());
         for text in whole.0 {
-            assert!(text.len() <= limits.text, "seed {seed}");
+            assert!(text.len() <= limits.max_text_bytes, "seed {seed}");
             texts_seen += 1;
             let json = serde_json::from_slice::<IgnoredAny>(
                 text.strip_prefix(b"\xef\xbb\xbf").unwrap_or(&text),
             )
             .is_ok()
                 && std::str::from_utf8(&text).is_ok();
-            match message::read(&text, 10) {
-                Ok(message::Message::One(Err(wrong))) | Err(wrong)
+            match message::parse(&text, 10) {
+                Ok(message::Message::Single(Err(wrong))) | Err(wrong)
                     if wrong.code == message::PARSE_ERROR =>
                 {
                     assert!(!json, "seed {seed}: {text:?}");
                 }
-                Ok(message::Message::One(Ok(call))) => {
+                Ok(message::Message::Single(Ok(call))) => {
                     assert!(json, "seed {seed}: {text:?}");
                     let mut out = BytesMut::new();
-                    write::call(Some(1), &call.method_text, call.params.as_deref(), &mut out);
-                    let again = message::call(&out.freeze()).expect("what is written can be read");
+                    write::call(Some(1), &call.raw_method, call.params.as_deref(), &mut out);
+                    let again =
+                        message::parse_call(&out.freeze()).expect("what is written can be read");
                     assert_eq!(
                         (again.method, again.params),
                         (call.method, call.params),
@@ -268,11 +281,11 @@
                 }
                 Ok(message::Message::Batch(members)) => {
                     assert!(json && members.len() <= 10, "seed {seed}: {text:?}");
-                    members.iter().for_each(|m| drop(message::call(m)));
+                    members.iter().for_each(|m| drop(message::parse_call(m)));
                 }
                 _ => {}
             }
-            let _ = message::reply(&text);
+            let _ = message::parse_server_message(&text);
         }
     }
     assert!(
@@ -308,7 +321,10 @@
             bytes[n] = stream.len();
             let begun = std::time::Instant::now();
             let (cut, _) = cut(framing, Limits::default(), &stream, &[16 * 1024]);
-            let calls = cut.iter().filter(|t| message::call(t).is_ok()).count();
+            let calls = cut
+                .iter()
+                .filter(|t| message::parse_call(t).is_ok())
+                .count();
             let took = begun.elapsed().as_secs_f64();
             assert_eq!(calls, texts.len());
             let mb = stream.len() as f64 / 1e6;
--- a/crates/heathroad-routing/src/config/listener.rs
+++ b/crates/heathroad-routing/src/config/listener.rs
@@ -245,7 +245,7 @@
 }
 
 fn parse_pointer(section: &Section<'_, '_>, key: &str, text: &str) -> Option<Pointer> {
-    let pointer = Pointer::read(text);
+    let pointer = Pointer::parse(text);
     pointer
         .map_err(|expected| section.report(key, format!("is {text:?}"), expected))
         .ok()
--- a/crates/heathroad-routing/src/config/pool.rs
+++ b/crates/heathroad-routing/src/config/pool.rs
@@ -365,7 +365,7 @@
     let words = [
         ("lines", Framing::Lines),
         ("headers", Framing::Headers),
-        ("run-on", Framing::RunOn),
+        ("run-on", Framing::Concatenated),
     ];
     section.choice("framing", &words, "\"lines\", \"headers\" or \"run-on\"")
 }
--- a/crates/heathroad/src/backend/jsonrpc/connection.rs
+++ b/crates/heathroad/src/backend/jsonrpc/connection.rs
@@ -6,8 +6,8 @@
 use crate::retry_budget::AttemptBudget;
 use crate::stream::Written;
 use bytes::{Buf, Bytes, BytesMut};
-use heathroad_jsonrpc::message::{self, METHOD_NOT_FOUND, Reply};
-use heathroad_jsonrpc::{Answer, Framing, write};
+use heathroad_jsonrpc::message::{self, METHOD_NOT_FOUND, ServerMessage};
+use heathroad_jsonrpc::{Framing, Response, write};
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashSet, VecDeque};
@@ -24,7 +24,7 @@
 /// How a call on a connection ended.
 pub(super) enum CallEnd {
     /// The backend answered it.
-    Answered(Answer),
+    Answered(Response),
     /// It is a notification, and is written.
     NotificationSent,
     /// The backend was told to drain before the call's first byte was written.
@@ -250,15 +250,15 @@
     /// Takes a text of the backend's; returns false where nothing more on this connection can be
     /// trusted.
     pub(super) fn take_text(&self, text: &Bytes, framing: Framing) -> bool {
-        match message::reply(text) {
-            Reply::Answer(answer) => self.take_answer(answer),
-            Reply::Call(None) => true,
-            Reply::Call(Some(id)) => self.reject_backend_call(&id, framing),
-            Reply::Wrong(_) => false,
+        match message::parse_server_message(text) {
+            ServerMessage::Response(answer) => self.take_answer(answer),
+            ServerMessage::Call(None) => true,
+            ServerMessage::Call(Some(id)) => self.reject_backend_call(&id, framing),
+            ServerMessage::Invalid(_) => false,
         }
     }
 
-    fn take_answer(&self, answer: Answer) -> bool {
+    fn take_answer(&self, answer: Response) -> bool {
         let state = &mut *self.state.borrow_mut();
         let id = std::str::from_utf8(&answer.id)
             .ok()
@@ -277,9 +277,9 @@
     /// Rejects a call of the backend's, which is no client here.
     fn reject_backend_call(&self, id: &Bytes, framing: Framing) -> bool {
         let state = &mut *self.state.borrow_mut();
-        let error = write::error(METHOD_NOT_FOUND, "no calls are taken here", None);
+        let error = write::error_member(METHOD_NOT_FOUND, "no calls are taken here", None);
         let mut text = BytesMut::new();
-        write::answer(id, &error, &mut text);
+        write::response(id, &error, &mut text);
         state.queue.push_back(Frame::new(NO_CALL, framing, &text));
         state.backend_calls += 1;
         state.backend_calls <= MAX_BACKEND_CALLS
@@ -314,7 +314,7 @@
         if let Some(budget) = budget {
             let remaining_time = expires_at.saturating_duration_since(Instant::now());
             let (budget, path) = budget.header_values(remaining_time);
-            write::carry(&mut text, &budget, path);
+            write::add_budget_members(&mut text, &budget, path);
         }
         text
     }
--- a/crates/heathroad/src/backend/jsonrpc/io.rs
+++ b/crates/heathroad/src/backend/jsonrpc/io.rs
@@ -42,7 +42,7 @@
 ) {
     let (mut reader, mut writer) = stream.split();
     let limits = Limits {
-        text: MAX_ANSWER,
+        max_text_bytes: MAX_ANSWER,
         ..Limits::default()
     };
     let mut decoder = Decoder::new(framing, limits);
--- a/crates/heathroad/src/backend/jsonrpc/mod.rs
+++ b/crates/heathroad/src/backend/jsonrpc/mod.rs
@@ -164,7 +164,7 @@
     match end {
         Some(CallEnd::Answered(answer)) => {
             if let Some(budget) = budget {
-                budget.read_jsonrpc_report(answer.spent.as_deref());
+                budget.read_jsonrpc_report(answer.retries_spent.as_deref());
             }
             classify_answer(answer, call.transport.declined_code)
         }
--- a/crates/heathroad/src/backend/outcome.rs
+++ b/crates/heathroad/src/backend/outcome.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use heathroad_balancer::api::Outcome;
-use heathroad_jsonrpc::Answer;
+use heathroad_jsonrpc::Response;
 use heathroad_jsonrpc::message::INTERNAL_ERROR;
 use hyper::StatusCode;
 
@@ -52,8 +52,8 @@
 
 /// Returns what a JSON-RPC answer means. Errors of the application are passed on; the decision
 /// module is told beside that if the backend reports an internal error.
-pub(super) fn classify_answer(answer: Answer, declined_code: Option<i64>) -> AttemptEnd {
-    match answer.code {
+pub(super) fn classify_answer(answer: Response, declined_code: Option<i64>) -> AttemptEnd {
+    match answer.error_code {
         Some(code) if Some(code) == declined_code => AttemptEnd::NotServed(Outcome::Rejected),
         Some(INTERNAL_ERROR) => AttemptEnd::ServedWithError(answer.member),
         _ => AttemptEnd::Served(answer.member),
--- a/crates/heathroad/src/frontend/jsonrpc/answer.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/answer.rs
@@ -2,9 +2,9 @@
 
 use bytes::{Bytes, BytesMut};
 use heathroad_jsonrpc::message::{
-    INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, NULL, PARSE_ERROR, Wrong,
+    INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, NULL_ID, PARSE_ERROR, RequestError,
 };
-use heathroad_jsonrpc::{Broken, write};
+use heathroad_jsonrpc::{FramingError, write};
 use std::time::Duration;
 
 /// Rejected: a retry is harmless. This code and the next two are of the range that the
@@ -20,7 +20,7 @@
 /// Returns an answer by its `result` or `error` member.
 pub(super) fn answer(id: &Bytes, member: &[u8]) -> Bytes {
     let mut text = BytesMut::new();
-    write::answer(id, member, &mut text);
+    write::response(id, member, &mut text);
     text.freeze()
 }
 
@@ -28,22 +28,22 @@
 pub(super) fn rejected(retry_after: Option<Duration>) -> Bytes {
     let milliseconds = retry_after.map(|delay| delay.as_millis() as u64);
     let message = "refused: nothing was done, and trying again is harmless";
-    write::error(REJECTED, message, milliseconds)
+    write::error_member(REJECTED, message, milliseconds)
 }
 
 /// Returns the member of a failure.
 pub(super) fn failed() -> Bytes {
-    write::error(FAILED, "failed: it may have run", None)
+    write::error_member(FAILED, "failed: it may have run", None)
 }
 
 /// Returns the member of a failure for want of memory for the answer.
 pub(super) fn too_large_to_keep() -> Bytes {
-    write::error(FAILED, "failed: there is no room for its answer", None)
+    write::error_member(FAILED, "failed: there is no room for its answer", None)
 }
 
 /// Returns the member of a failure by timeout.
 pub(super) fn timed_out() -> Bytes {
-    write::error(
+    write::error_member(
         TIMED_OUT,
         "failed: no answer in time; it may have run",
         None,
@@ -51,7 +51,7 @@
 }
 
 /// Returns the answer to what is no call, or one that cannot be handled.
-pub(super) fn malformed(wrong: &Wrong) -> Bytes {
+pub(super) fn malformed(wrong: &RequestError) -> Bytes {
     let name = match wrong.code {
         PARSE_ERROR => "Parse error",
         METHOD_NOT_FOUND => "Method not found",
@@ -59,19 +59,19 @@
         _ => "Invalid Request",
     };
     let message = format!("{name}: expected {}", wrong.expected);
-    answer(&wrong.id, &write::error(wrong.code, &message, None))
+    answer(&wrong.id, &write::error_member(wrong.code, &message, None))
 }
 
 /// Returns the answer to texts that cannot be told apart any further.
-pub(super) fn broken(broken: Broken) -> Bytes {
-    let code = if broken == Broken::TooLong {
+pub(super) fn broken(broken: FramingError) -> Bytes {
+    let code = if broken == FramingError::TooLong {
         INVALID_REQUEST
     } else {
         PARSE_ERROR
     };
-    malformed(&Wrong {
+    malformed(&RequestError {
         code,
         expected: broken.expected(),
-        id: NULL,
+        id: NULL_ID,
     })
 }
--- a/crates/heathroad/src/frontend/jsonrpc/call.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/call.rs
@@ -12,9 +12,9 @@
 use bytes::Bytes;
 use heathroad_balancer::api::Idempotency;
 use heathroad_jsonrpc::message::{
-    Call, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, NULL, Wrong,
+    Call, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, NULL_ID, RequestError,
 };
-use heathroad_jsonrpc::pointer::{self, Missing};
+use heathroad_jsonrpc::pointer::{self, FindError};
 use heathroad_jsonrpc::write;
 use heathroad_retry_budget::loop_detection::RequestFingerprint;
 use heathroad_routing::config::{Listener, Method, TenantSource};
@@ -27,19 +27,19 @@
 /// The parameters of a call without any.
 const NO_PARAMS: &str = "[]";
 
-fn wrong(code: i64, expected: &'static str) -> Wrong {
-    Wrong {
+fn wrong(code: i64, expected: &'static str) -> RequestError {
+    RequestError {
         code,
         expected,
-        id: NULL,
+        id: NULL_ID,
     }
 }
 
 /// Returns what is wrong with a call in whose parameters a value is missing.
-fn missing_value(missing: Missing, expected: &'static str) -> Wrong {
+fn missing_value(missing: FindError, expected: &'static str) -> RequestError {
     match missing {
-        Missing::Nothing => wrong(INVALID_PARAMS, expected),
-        Missing::Twice => wrong(
+        FindError::NotFound => wrong(INVALID_PARAMS, expected),
+        FindError::DuplicateName => wrong(
             INVALID_PARAMS,
             "each name on the way to a key or tenant once",
         ),
@@ -55,7 +55,7 @@
 }
 
 /// Returns the idempotency key of a call, where its method has one.
-fn idempotency_key(call: &Call, method: &Method) -> Result<Option<String>, Wrong> {
+fn idempotency_key(call: &Call, method: &Method) -> Result<Option<String>, RequestError> {
     let Some(pointer) = &method.key else {
         return Ok(None);
     };
@@ -69,7 +69,7 @@
 /// Returns a call as attempts of it are sent.
 fn to_outgoing(call: Call, transport: jsonrpc::Transport) -> jsonrpc::Call {
     jsonrpc::Call {
-        method: call.method_text,
+        method: call.raw_method,
         params: call.params,
         is_notification: call.id.is_none(),
         transport,
@@ -78,7 +78,11 @@
 
 impl Client {
     /// Finds out what a call is and which pool it goes to.
-    pub(super) fn bind_call(&self, call: Call, received_at: Instant) -> Result<BoundCall, Wrong> {
+    pub(super) fn bind_call(
+        &self,
+        call: Call,
+        received_at: Instant,
+    ) -> Result<BoundCall, RequestError> {
         let generation = self.frontend().pools.current_generation();
         let listeners = &generation.config.listeners;
         let listener = listeners
@@ -138,7 +142,11 @@
     }
 
     /// Returns the name of a call's tenant, where the listener has tenants.
-    fn tenant_name(&self, call: &Call, listener: &Listener) -> Result<Option<String>, Wrong> {
+    fn tenant_name(
+        &self,
+        call: &Call,
+        listener: &Listener,
+    ) -> Result<Option<String>, RequestError> {
         match &listener.tenant_source {
             TenantSource::None => Ok(None),
             TenantSource::Fixed(name) => Ok(Some(name.clone())),
@@ -151,7 +159,7 @@
                 let expected = "a tenant where the listener looks for it";
                 let value = pointer.find(params(call));
                 let value = value.map_err(|missing| missing_value(missing, expected))?;
-                let name = pointer::text(value);
+                let name = pointer::as_string(value);
                 Ok(Some(
                     name.ok_or(wrong(INVALID_PARAMS, "a tenant that is a text"))?,
                 ))
@@ -159,7 +167,7 @@
         }
     }
 
-    fn tenant_index(&self, name: Option<&str>) -> Result<u16, Wrong> {
+    fn tenant_index(&self, name: Option<&str>) -> Result<u16, RequestError> {
         let tenants = &self.frontend().settings.site.tenants;
         if tenants.is_empty() {
             return Ok(0);
@@ -175,11 +183,11 @@
         call: &Call,
         fingerprint: RequestFingerprint,
         timeout: Duration,
-    ) -> Result<Option<RequestBudget>, Wrong> {
+    ) -> Result<Option<RequestBudget>, RequestError> {
         let Some(budgets) = &self.frontend().budgets else {
             return Ok(None);
         };
-        let claim = read_jsonrpc_claim(&call.carried, budgets.is_trusted(self.peer));
+        let claim = read_jsonrpc_claim(&call.budget_members, budgets.is_trusted(self.peer));
         let admitted = budgets.admit(claim, fingerprint, timeout);
         let expected = "a call that has not passed this proxy before, nor too many";
         Ok(Some(admitted.map_err(|_| wrong(LOOP_DETECTED, expected))?))
@@ -205,7 +213,7 @@
             Response::TimedOut => answer::timed_out(),
         };
         let member = match retries_spent {
-            Some(spent) => write::spent(&member, &spent.to_string()),
+            Some(spent) => write::with_retries_spent(&member, &spent.to_string()),
             None => member,
         };
         FinishedCall {
@@ -238,7 +246,7 @@
     }
 
     /// Counts a call that cannot be handled, and returns its answer.
-    pub(super) fn reject_malformed(&self, wrong: &Wrong) -> Bytes {
+    pub(super) fn reject_malformed(&self, wrong: &RequestError) -> Bytes {
         let status = match wrong.code {
             METHOD_NOT_FOUND => 404,
             INVALID_PARAMS => 422,
--- a/crates/heathroad/src/frontend/jsonrpc/connection.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/connection.rs
@@ -13,7 +13,7 @@
 use crate::stream::peek;
 use crate::time::millis;
 use bytes::{Buf, Bytes, BytesMut};
-use heathroad_jsonrpc::message::{NULL, PARSE_ERROR, Wrong};
+use heathroad_jsonrpc::message::{NULL_ID, PARSE_ERROR, RequestError};
 use heathroad_jsonrpc::{Decoder, Limits, write};
 use heathroad_routing::config::Listener;
 use std::cell::Cell;
@@ -141,9 +141,9 @@
     fn new(client: Rc<Client>) -> Session {
         let (listener, now) = (client.listener(), Instant::now());
         let limits = Limits {
-            text: listener.max_message_bytes,
-            depth: MAX_DEPTH,
-            batch: listener.max_batch_size,
+            max_text_bytes: listener.max_message_bytes,
+            max_depth: MAX_DEPTH,
+            max_batch_len: listener.max_batch_size,
         };
         Session {
             decoder: Decoder::new(listener.framing, limits),
@@ -319,7 +319,7 @@
             && unread_until.is_none()
             && self.exchanges.has_capacity(self.client.listener())
             && self.output.len() < MAX_OUTPUT;
-        let is_receiving = reads && self.decoder.begun();
+        let is_receiving = reads && self.decoder.has_pending_text();
         self.text_begun_at = is_receiving.then(|| self.text_begun_at.unwrap_or(now));
         let is_idle = self.is_quiet() && self.output.is_empty() && !is_receiving;
         let deadline = self.deadline(is_idle, now);
@@ -362,10 +362,10 @@
         }
         if wait.is_receiving {
             let expected = "a whole text within 2 s";
-            let late = Wrong {
+            let late = RequestError {
                 code: PARSE_ERROR,
                 expected,
-                id: NULL,
+                id: NULL_ID,
             };
             self.end_broken_input(answer::malformed(&late), REQUEST_TIMEOUT);
             return None;
@@ -382,7 +382,7 @@
     /// Takes the last text of a client that has ended its side.
     async fn end_input(&mut self) {
         self.is_input_over = true;
-        if let Some(text) = self.decoder.rest() {
+        if let Some(text) = self.decoder.finish() {
             self.take_text(&text, false).await;
         }
     }
--- a/crates/heathroad/src/frontend/jsonrpc/intake.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/intake.rs
@@ -6,7 +6,7 @@
 use super::exchange::Exchange;
 use crate::frontend::reservations::BufferReservation;
 use bytes::Bytes;
-use heathroad_jsonrpc::message::{self, Call, Message, Wrong};
+use heathroad_jsonrpc::message::{self, Call, Message, RequestError};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::task::yield_now;
@@ -20,7 +20,7 @@
 
 /// A member of a text that is not bound yet.
 enum Member {
-    Parsed(Result<Call, Wrong>),
+    Parsed(Result<Call, RequestError>),
     Text(Bytes),
 }
 
@@ -53,8 +53,8 @@
     }
 
     fn parse(&self, text: &Bytes) -> (bool, Vec<Member>) {
-        match message::read(text, self.client.listener().max_batch_size) {
-            Ok(Message::One(call)) => (false, vec![Member::Parsed(call)]),
+        match message::parse(text, self.client.listener().max_batch_size) {
+            Ok(Message::Single(call)) => (false, vec![Member::Parsed(call)]),
             Ok(Message::Batch(texts)) => (true, texts.into_iter().map(Member::Text).collect()),
             Err(wrong) => (false, vec![Member::Parsed(Err(wrong))]),
         }
@@ -63,7 +63,7 @@
     fn take_member(&self, member: Member, must_reject: bool, exchange: &mut Exchange) {
         let call = match member {
             Member::Parsed(call) => call,
-            Member::Text(text) => message::call(&text),
+            Member::Text(text) => message::parse_call(&text),
         };
         let id = call.as_ref().ok().and_then(|call| call.id.clone());
         let is_notification = call.as_ref().is_ok_and(|call| call.id.is_none());
@@ -79,7 +79,7 @@
                 exchange.waiting.push_back(call);
             }
             Err(wrong) => {
-                let wrong = Wrong {
+                let wrong = RequestError {
                     id: id.unwrap_or(wrong.id.clone()),
                     ..wrong
                 };
--- a/crates/heathroad/src/frontend/jsonrpc/listener.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/listener.rs
@@ -8,7 +8,7 @@
 use crate::frontend::connections::{DescriptorGuard, SPARE_CONNECTIONS, accept_queued};
 use crate::runtime_accounting::{sleep, spawn_in, timeout};
 use bytes::BytesMut;
-use heathroad_jsonrpc::message::NULL;
+use heathroad_jsonrpc::message::NULL_ID;
 use heathroad_jsonrpc::write;
 use heathroad_routing::config::Listener;
 use std::cell::{Cell, RefCell};
@@ -144,7 +144,11 @@
         let _descriptor = DescriptorGuard::new(&self.frontend.table);
         let member = rejected(retry_after(&self.frontend.settings));
         let mut output = BytesMut::new();
-        write::frame(self.listener.framing, &answer(&NULL, &member), &mut output);
+        write::frame(
+            self.listener.framing,
+            &answer(&NULL_ID, &member),
+            &mut output,
+        );
         let (mut reader, mut writer) = stream.split();
         // Whether the client takes that or not, nothing is owed to it.
         if let Ok(Ok(())) = timeout(LINGER, writer.write_all(&output)).await {
--- a/crates/heathroad/src/retry_budget/headers.rs
+++ b/crates/heathroad/src/retry_budget/headers.rs
@@ -1,7 +1,7 @@
 //! The budget of a request as its HTTP headers or JSON-RPC members carry it, and the budget that an
 //! attempt takes along.
 
-use heathroad_jsonrpc::message::Carried;
+use heathroad_jsonrpc::message::BudgetMembers;
 use heathroad_retry_budget::request::BudgetClaim;
 use heathroad_retry_budget::wire::{Budget, ProxyPath, RetriesSpent};
 use hyper::header::{HeaderMap, HeaderValue};
@@ -27,10 +27,10 @@
 }
 
 /// Reads the budget that a JSON-RPC call claims.
-pub fn read_jsonrpc_claim(carried: &Carried, from_trusted_peer: bool) -> BudgetClaim {
+pub fn read_jsonrpc_claim(members: &BudgetMembers, from_trusted_peer: bool) -> BudgetClaim {
     BudgetClaim {
-        budget: Budget::decode(carried.budget.iter().map(|value| &value[..])),
-        path: ProxyPath::decode(carried.path.iter().map(|value| &value[..])),
+        budget: Budget::decode(members.budget.iter().map(|value| &value[..])),
+        path: ProxyPath::decode(members.path.iter().map(|value| &value[..])),
         from_trusted_peer,
     }
 }
