--- a/crates/heathroad-jsonrpc/src/framing.rs
+++ b/crates/heathroad-jsonrpc/src/framing.rs
@@ -1,31 +1,31 @@
-//! Where one text ends and the next begins.
+//! Splits a byte stream into JSON texts.
 
 use bytes::{Buf, Bytes, BytesMut};
 use serde::Serialize;
 
-/// How texts are told apart.
+/// How JSON texts are delimited in a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
 pub enum Framing {
-    /// One text a line, which ends with a line feed. Empty lines say nothing.
+    /// One text per line, terminated by a line feed. Empty lines are ignored.
     #[default]
     Lines,
-    /// Each text has a head as HTTP messages do, with `Content-Length` in bytes (as the Language
-    /// Server Protocol's base protocol has it).
+    /// Each text follows a header section with `Content-Length` in bytes, as in the base protocol
+    /// of the Language Server Protocol.
     Headers,
-    /// Texts follow each other with white space between them or nothing: an object or array ends
-    /// with its bracket.
+    /// Objects and arrays follow each other, with or without white space between them. The closing
+    /// bracket ends a text.
     #[serde(rename = "RunOn")]
     Concatenated,
 }
 
-/// Bounds of what is read.
+/// Limits on what is accepted.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Most bytes of a text.
+    /// The longest text, in bytes.
     pub max_text_bytes: usize,
-    /// Most brackets open at once.
+    /// The deepest nesting of objects and arrays.
     pub max_depth: u32,
-    /// Most members of a batch.
+    /// The most calls of a batch.
     pub max_batch_len: usize,
 }
 
@@ -39,21 +39,22 @@
     }
 }
 
-/// The stream can't be cut any more: where the next text begins is not known, or not waited for.
+/// Why a stream cannot be split any further: the start of the next text is unknown, or too far
+/// ahead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FramingError {
-    /// A text is longer than is read, or is announced so.
+    /// A text exceeds [`Limits::max_text_bytes`], or its announced length does.
     TooLong,
-    /// More brackets are open than are read.
+    /// A text exceeds [`Limits::max_depth`].
     TooDeep,
-    /// A head that can't be read.
+    /// A header section is malformed. The value is what was expected.
     InvalidHeader(&'static str),
-    /// Something other than an object or an array begins.
+    /// A text begins with anything but an object or an array.
     NotObjectOrArray,
 }
 
 impl FramingError {
-    /// What was expected instead.
+    /// Returns what was expected instead, for the error message to the peer.
     pub fn expected(self) -> &'static str {
         match self {
             FramingError::TooLong => "a shorter text",
@@ -64,48 +65,48 @@
     }
 }
 
-/// Longest head, and longest line in it.
-const MAX_HEAD: usize = 4 * 1024;
-/// There is room for so much at the least when more is read.
-const ROOM: usize = 4 * 1024;
-const BOM: &[u8] = b"\xef\xbb\xbf";
+/// The longest header section.
+const MAX_HEADER_BYTES: usize = 4 * 1024;
+/// The buffer grows by this much when its spare capacity falls below a quarter of it.
+const BUFFER_GROWTH_BYTES: usize = 4 * 1024;
+const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
 
-/// Cuts a stream into texts. Each byte is looked at once.
+/// Splits a stream into texts. Each byte is scanned once.
 #[derive(Debug)]
 pub struct Decoder {
     framing: Framing,
     limits: Limits,
     buffer: BytesMut,
-    /// So many bytes of the buffer were looked at.
-    seen: usize,
-    scan: Scan,
-    /// The length that a head told.
-    length: Option<usize>,
-    broken: Option<FramingError>,
+    /// How many bytes at the front of the buffer were scanned.
+    scanned: usize,
+    scanner: Scanner,
+    /// The length of the next text, once its header section was read.
+    content_length: Option<usize>,
+    error: Option<FramingError>,
 }
 
-/// What is open in a text.
+/// Tracks strings and nesting within a text.
 #[derive(Debug, Default, Clone, Copy)]
-struct Scan {
+struct Scanner {
     depth: u32,
-    quoted: bool,
-    escaped: bool,
+    in_string: bool,
+    is_escaped: bool,
 }
 
-impl Scan {
-    /// Looks at one byte; true where the outermost bracket closes.
-    fn look(&mut self, byte: u8) -> bool {
-        if self.quoted {
+impl Scanner {
+    /// Scans one byte. Returns whether it closes the outermost bracket.
+    fn scan(&mut self, byte: u8) -> bool {
+        if self.in_string {
             match byte {
-                _ if self.escaped => self.escaped = false,
-                b'\\' => self.escaped = true,
-                b'"' => self.quoted = false,
+                _ if self.is_escaped => self.is_escaped = false,
+                b'\\' => self.is_escaped = true,
+                b'"' => self.in_string = false,
                 _ => {}
             }
             return false;
         }
         match byte {
-            b'"' => self.quoted = true,
+            b'"' => self.in_string = true,
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' => {
                 self.depth = self.depth.saturating_sub(1);
@@ -117,109 +118,110 @@
     }
 }
 
-fn blank(byte: u8) -> bool {
+fn is_whitespace(byte: u8) -> bool {
     matches!(byte, b' ' | b'\t' | b'\r' | b'\n')
 }
 
 impl Decoder {
-    /// For a stream that begins.
+    /// Creates a decoder for a new stream.
     pub fn new(framing: Framing, limits: Limits) -> Self {
         Decoder {
             framing,
             limits,
             buffer: BytesMut::new(),
-            seen: 0,
-            scan: Scan::default(),
-            length: None,
-            broken: None,
+            scanned: 0,
+            scanner: Scanner::default(),
+            content_length: None,
+            error: None,
         }
     }
 
-    /// Where bytes that came are put, at its end. Nothing but [`Decoder::next_text`] takes any out.
+    /// Returns the buffer, with spare capacity. Received bytes are appended to it; callers do not
+    /// remove any.
     pub fn buffer(&mut self) -> &mut BytesMut {
-        if self.buffer.capacity() - self.buffer.len() < ROOM / 4 {
-            self.buffer.reserve(ROOM);
+        if self.buffer.capacity() - self.buffer.len() < BUFFER_GROWTH_BYTES / 4 {
+            self.buffer.reserve(BUFFER_GROWTH_BYTES);
         }
         &mut self.buffer
     }
 
-    /// Whether a text has begun and not ended, or lies there whole.
+    /// Returns whether the buffer holds a text, or the beginning of one.
     pub fn has_pending_text(&self) -> bool {
-        self.length.is_some() || self.buffer.iter().any(|b| !blank(*b))
+        self.content_length.is_some() || self.buffer.iter().any(|b| !is_whitespace(*b))
     }
 
-    /// The next whole text, if it has come. Once the stream is broken it stays so.
+    /// Returns the next complete text, if it has arrived. An error is final: each later call
+    /// returns it again.
     pub fn next_text(&mut self) -> Result<Option<Bytes>, FramingError> {
-        if let Some(broken) = self.broken {
-            return Err(broken);
+        if let Some(error) = self.error {
+            return Err(error);
         }
         let next = match self.framing {
-            Framing::Lines => self.line(),
-            Framing::Headers => self.headed(),
-            Framing::Concatenated => self.run_on(),
+            Framing::Lines => self.next_line(),
+            Framing::Headers => self.next_with_headers(),
+            Framing::Concatenated => self.next_concatenated(),
         };
-        if let Err(broken) = next {
-            self.broken = Some(broken);
+        if let Err(error) = next {
+            self.error = Some(error);
             self.buffer.clear();
         }
         next
     }
 
-    /// What lies there when the stream has ended: the last line needs no end.
+    /// Returns the last text at the end of the stream: a line without its line feed.
     pub fn finish(&mut self) -> Option<Bytes> {
-        let text =
-            self.framing == Framing::Lines && self.broken.is_none() && self.has_pending_text();
-        text.then(|| self.take(self.buffer.len()))
+        let has_text =
+            self.framing == Framing::Lines && self.error.is_none() && self.has_pending_text();
+        has_text.then(|| self.take(self.buffer.len()))
     }
 
-    fn skip(&mut self, what: impl Fn(u8) -> bool) {
-        let blanks = self.buffer.iter().take_while(|b| what(**b)).count();
-        self.buffer.advance(blanks);
+    fn skip_while(&mut self, is_skipped: impl Fn(u8) -> bool) {
+        let length = self.buffer.iter().take_while(|b| is_skipped(**b)).count();
+        self.buffer.advance(length);
     }
 
-    /// Looks at the next byte; true where the outermost bracket closes. Depth is looked at on the
-    /// way, so that nobody has to look again. (What opens nothing closes nothing: whether it is a
-    /// text at all the parser says.)
-    fn look(&mut self, byte: u8) -> Result<bool, FramingError> {
-        let ends = self.scan.look(byte);
-        self.seen += 1;
-        if self.scan.depth > self.limits.max_depth {
+    /// Scans the next byte and enforces the limits. Returns whether it closes the outermost
+    /// bracket. Unbalanced brackets are left to the parser.
+    fn scan_byte(&mut self, byte: u8) -> Result<bool, FramingError> {
+        let is_end = self.scanner.scan(byte);
+        self.scanned += 1;
+        if self.scanner.depth > self.limits.max_depth {
             return Err(FramingError::TooDeep);
         }
-        if self.seen > self.limits.max_text_bytes {
+        if self.scanned > self.limits.max_text_bytes {
             return Err(FramingError::TooLong);
         }
-        Ok(ends)
+        Ok(is_end)
     }
 
     fn take(&mut self, length: usize) -> Bytes {
-        self.seen = 0;
-        self.scan = Scan::default();
+        self.scanned = 0;
+        self.scanner = Scanner::default();
         self.buffer.split_to(length).freeze()
     }
 
-    fn line(&mut self) -> Result<Option<Bytes>, FramingError> {
-        if self.seen == 0 {
-            self.skip(blank);
+    fn next_line(&mut self) -> Result<Option<Bytes>, FramingError> {
+        if self.scanned == 0 {
+            self.skip_while(is_whitespace);
         }
-        while let Some(&byte) = self.buffer.get(self.seen) {
+        while let Some(&byte) = self.buffer.get(self.scanned) {
             if byte == b'\n' {
-                let text = self.take(self.seen);
+                let text = self.take(self.scanned);
                 self.buffer.advance(1);
                 return Ok(Some(text));
             }
-            self.look(byte)?;
+            self.scan_byte(byte)?;
         }
         Ok(None)
     }
 
-    fn run_on(&mut self) -> Result<Option<Bytes>, FramingError> {
-        if self.seen == 0 {
-            self.skip(blank);
-            if self.buffer.starts_with(BOM) {
-                self.buffer.advance(BOM.len());
-                self.skip(blank);
-            } else if BOM.starts_with(&self.buffer) {
+    fn next_concatenated(&mut self) -> Result<Option<Bytes>, FramingError> {
+        if self.scanned == 0 {
+            self.skip_while(is_whitespace);
+            if self.buffer.starts_with(BYTE_ORDER_MARK) {
+                self.buffer.advance(BYTE_ORDER_MARK.len());
+                self.skip_while(is_whitespace);
+            } else if BYTE_ORDER_MARK.starts_with(&self.buffer) {
                 return Ok(None);
             }
             if self
@@ -230,59 +232,59 @@
                 return Err(FramingError::NotObjectOrArray);
             }
         }
-        while let Some(&byte) = self.buffer.get(self.seen) {
-            if self.look(byte)? {
-                return Ok(Some(self.take(self.seen)));
+        while let Some(&byte) = self.buffer.get(self.scanned) {
+            if self.scan_byte(byte)? {
+                return Ok(Some(self.take(self.scanned)));
             }
         }
         Ok(None)
     }
 
-    fn headed(&mut self) -> Result<Option<Bytes>, FramingError> {
-        let length = match self.length {
+    fn next_with_headers(&mut self) -> Result<Option<Bytes>, FramingError> {
+        let length = match self.content_length {
             Some(length) => length,
             None => {
-                // Line feeds between a text and the next head do no harm.
-                if self.seen == 0 {
-                    self.skip(|b| matches!(b, b'\r' | b'\n'));
+                // Tolerates line breaks between a text and the next header section.
+                if self.scanned == 0 {
+                    self.skip_while(|b| matches!(b, b'\r' | b'\n'));
                 }
-                let Some(end) = self.head_end() else {
-                    return if self.buffer.len() > MAX_HEAD {
+                let Some(end) = self.header_end() else {
+                    return if self.buffer.len() > MAX_HEADER_BYTES {
                         Err(FramingError::InvalidHeader("a head of 4 KiB at most"))
                     } else {
                         Ok(None)
                     };
                 };
-                let head = self.take(end);
-                let length = content_length(&head)?;
+                let header = self.take(end);
+                let length = parse_content_length(&header)?;
                 if length > self.limits.max_text_bytes {
                     return Err(FramingError::TooLong);
                 }
-                *self.length.insert(length)
+                *self.content_length.insert(length)
             }
         };
-        while self.seen < length.min(self.buffer.len()) {
-            self.look(self.buffer[self.seen])?;
+        while self.scanned < length.min(self.buffer.len()) {
+            self.scan_byte(self.buffer[self.scanned])?;
         }
         if self.buffer.len() < length {
             return Ok(None);
         }
-        self.length = None;
+        self.content_length = None;
         Ok(Some(self.take(length)))
     }
 
-    /// Where the head that lies there ends: behind its empty line.
-    fn head_end(&mut self) -> Option<usize> {
-        while let Some(at) = self.buffer[self.seen..].iter().position(|b| *b == b'\n') {
-            let at = self.seen + at;
+    /// Returns the length of the header section, with its empty line, once that has arrived.
+    fn header_end(&mut self) -> Option<usize> {
+        while let Some(at) = self.buffer[self.scanned..].iter().position(|b| *b == b'\n') {
+            let at = self.scanned + at;
             let line = self.buffer[..at]
                 .strip_suffix(b"\r")
                 .unwrap_or(&self.buffer[..at]);
             if line.is_empty() || line.ends_with(b"\n") {
                 return Some(at + 1);
             }
-            self.seen = at + 1;
-            if self.seen > MAX_HEAD {
+            self.scanned = at + 1;
+            if self.scanned > MAX_HEADER_BYTES {
                 return None;
             }
         }
@@ -290,11 +292,11 @@
     }
 }
 
-/// The one length that a head tells. Two are wrong, even alike: who reads the other would cut
-/// elsewhere.
-fn content_length(head: &[u8]) -> Result<usize, FramingError> {
+/// Parses the `Content-Length` of a header section. A second one is an error, even with the same
+/// value, since other parsers may handle duplicates differently.
+fn parse_content_length(header: &[u8]) -> Result<usize, FramingError> {
     let mut length = None;
-    for line in head
+    for line in header
         .split(|b| *b == b'\n')
         .map(|l| l.strip_suffix(b"\r").unwrap_or(l))
     {
@@ -307,19 +309,19 @@
             .ok_or(FramingError::InvalidHeader("`Name: value` lines"))?;
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         if name.eq_ignore_ascii_case(b"content-length") {
-            let digits =
+            let is_number =
                 !value.is_empty() && value.len() <= 18 && value.iter().all(u8::is_ascii_digit);
-            let told = std::str::from_utf8(value)
+            let parsed = std::str::from_utf8(value)
                 .ok()
-                .filter(|_| digits)
+                .filter(|_| is_number)
                 .and_then(|v| v.parse().ok());
-            let told = told.ok_or(FramingError::InvalidHeader(
+            let parsed = parsed.ok_or(FramingError::InvalidHeader(
                 "a Content-Length in decimal digits",
             ))?;
-            if length.replace(told).is_some() {
+            if length.replace(parsed).is_some() {
                 return Err(FramingError::InvalidHeader("one Content-Length"));
             }
-        } else if name.is_empty() || name.iter().any(|b| blank(*b)) {
+        } else if name.is_empty() || name.iter().any(|b| is_whitespace(*b)) {
             return Err(FramingError::InvalidHeader("`Name: value` lines"));
         }
     }
--- a/crates/heathroad-jsonrpc/src/lib.rs
+++ b/crates/heathroad-jsonrpc/src/lib.rs
@@ -1,15 +1,15 @@
 //! JSON-RPC 2.0 (the specification of 2013-01-04) over a stream of bytes, without I/O.
 //!
-//! - [`framing`] cuts a stream into texts: one a line, behind `Content-Length` headers, or one
-//!   behind the other.
-//! - [`message`] reads a text's envelope: calls, notifications, batches, answers. `params`,
-//!   `result`, `error` and `id` are never read into numbers or maps and written again: they pass
-//!   byte for byte.
+//! - [`framing`] splits a stream into JSON texts: one per line, after `Content-Length` headers, or
+//!   concatenated.
+//! - [`message`] parses the envelope of a text: calls, notifications, batches and responses. The
+//!   values of `params`, `result`, `error` and `id` are not decoded; they are forwarded byte for
+//!   byte.
 //! - [`mod@pointer`] finds a value inside `params` (RFC 6901).
-//! - [`mod@write`] makes texts.
+//! - [`mod@write`] writes texts.
 //!
-//! Everything is bounded: bytes and depth of a text, members of a batch. Work is linear in the
-//! bytes that came.
+//! The size and nesting of texts and the size of batches are limited. The running time is linear in
+//! the number of bytes.
 
 pub mod framing;
 pub mod message;
--- a/crates/heathroad-jsonrpc/src/message.rs
+++ b/crates/heathroad-jsonrpc/src/message.rs
@@ -1,4 +1,4 @@
-//! Envelopes: what a text asks, or answers.
+//! JSON-RPC envelopes: parses calls, batches and responses, and keeps their values as raw JSON.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -7,66 +7,66 @@
 use std::borrow::Cow;
 use std::fmt;
 
-/// The specification's codes (section 5.1).
+/// The text is not JSON. The error codes are those of the specification (section 5.1).
 pub const PARSE_ERROR: i64 = -32700;
-/// Not a request.
+/// The JSON is not a valid request.
 pub const INVALID_REQUEST: i64 = -32600;
-/// No such method.
+/// The method does not exist.
 pub const METHOD_NOT_FOUND: i64 = -32601;
-/// Parameters that the method can't have.
+/// The parameters do not fit the method.
 pub const INVALID_PARAMS: i64 = -32602;
-/// The server's own error.
+/// The server failed.
 pub const INTERNAL_ERROR: i64 = -32603;
 
-/// What a text from a caller holds.
+/// The content of a client's text.
 #[derive(Debug)]
 pub enum Message {
-    /// One call or notification.
+    /// A single call or notification.
     Single(Result<Call, RequestError>),
-    /// A batch, its members as they stand; it is not empty.
+    /// A batch with at least one member. Each is unparsed, for [`parse_call`].
     Batch(Vec<Bytes>),
 }
 
-/// A call, or a notification where it has no id.
+/// A call, or a notification if it has no id.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Call {
-    /// Its id as it stands: `1`, `1.0` and `"1"` are three.
+    /// The raw JSON of the id: `1`, `1.0` and `"1"` are different ids.
     pub id: Option<Bytes>,
-    /// Its method's name.
+    /// The method name, with escapes resolved.
     pub method: String,
-    /// The name as it stands, in quotes.
+    /// The raw JSON of the method name, with its quotes.
     pub raw_method: Bytes,
-    /// Its parameters as they stand.
+    /// The raw JSON of the parameters.
     pub params: Option<Bytes>,
-    /// What it carries down a chain, beside the specification's members.
+    /// The members of the retry budget extension.
     pub budget_members: BudgetMembers,
 }
 
-/// Members of an extension: budgets down a chain of services, as the texts that HTTP has in headers
-/// of the same names. A member that is no plain text, or comes twice, is there and empty.
+/// The members of the retry budget extension. They have the names and values of the HTTP headers. A
+/// member that is duplicated, or not a string without escapes, is present but empty.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct BudgetMembers {
-    /// `req-budget`, without its quotes.
+    /// The value of `req-budget`, without quotes.
     pub budget: Option<Bytes>,
-    /// `req-path`, without its quotes.
+    /// The value of `req-path`, without quotes.
     pub path: Option<Bytes>,
 }
 
-/// What can't be taken, with the code to answer.
+/// Why a call is rejected, with the fields of the error response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestError {
-    /// One of the specification's codes.
+    /// The error code.
     pub code: i64,
-    /// What was expected.
+    /// What was expected instead, for the message.
     pub expected: &'static str,
-    /// The id to answer to; null where none can be told.
+    /// The id to respond to, or null if it cannot be determined.
     pub id: Bytes,
 }
 
-/// The id of answers to what has none that can be told.
+/// The id of responses to calls whose id cannot be determined.
 pub const NULL_ID: Bytes = Bytes::from_static(b"null");
 
-fn wrong(code: i64, expected: &'static str) -> RequestError {
+fn rejection(code: i64, expected: &'static str) -> RequestError {
     RequestError {
         code,
         expected,
@@ -74,33 +74,33 @@
     }
 }
 
-/// A server's text.
+/// The content of a server's text.
 #[derive(Debug)]
 pub enum ServerMessage {
-    /// An answer.
+    /// A response to a call.
     Response(Response),
-    /// A call of the server's own, with its id as it stands; none for a notification.
+    /// A call by the server, with the raw JSON of its id; a notification has none.
     Call(Option<Bytes>),
-    /// Neither.
+    /// Neither. The value is what was expected.
     Invalid(&'static str),
 }
 
-/// A server's answer to a call.
+/// A server's response to a call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Response {
-    /// The id as it stands.
+    /// The raw JSON of the id.
     pub id: Bytes,
-    /// `"result":...` or `"error":...`, the value as it stands.
+    /// The member `"result":...` or `"error":...`, with the raw JSON of its value.
     pub member: Bytes,
-    /// The code of an error, where it is a number.
+    /// The code of an error, if it is an integer.
     pub error_code: Option<i64>,
-    /// Whether it is an error.
+    /// Whether the member is `error`.
     pub is_error: bool,
-    /// `req-spent`, without its quotes, where it is told.
+    /// The value of `req-spent`, without quotes, if present.
     pub retries_spent: Option<Bytes>,
 }
 
-/// The members of an envelope, as they stand. Others are passed over; one that comes twice is told.
+/// The known members of an envelope, as raw JSON. Others are ignored.
 #[derive(Default)]
 struct Envelope<'a> {
     version: Option<&'a RawValue>,
@@ -109,38 +109,40 @@
     params: Option<&'a RawValue>,
     result: Option<&'a RawValue>,
     error: Option<&'a RawValue>,
-    twice: bool,
-    budget: Extra<'a>,
-    path: Extra<'a>,
-    spent: Extra<'a>,
+    /// Whether a member of the specification is duplicated.
+    has_duplicates: bool,
+    budget: ExtensionMember<'a>,
+    path: ExtensionMember<'a>,
+    spent: ExtensionMember<'a>,
 }
 
-/// A member that spoils nothing but itself.
+/// A member of an extension. If it is malformed, the envelope is still valid.
 #[derive(Default, Clone, Copy)]
-enum Extra<'a> {
+enum ExtensionMember<'a> {
     #[default]
-    None,
-    Once(&'a RawValue),
-    Twice,
+    Absent,
+    Present(&'a RawValue),
+    Duplicate,
 }
 
-impl<'a> Extra<'a> {
-    fn put(&mut self, value: &'a RawValue) {
-        *self = if matches!(self, Extra::None) {
-            Extra::Once(value)
+impl<'a> ExtensionMember<'a> {
+    fn add(&mut self, value: &'a RawValue) {
+        *self = if matches!(self, ExtensionMember::Absent) {
+            ExtensionMember::Present(value)
         } else {
-            Extra::Twice
+            ExtensionMember::Duplicate
         };
     }
 
-    fn text(self, whole: &Bytes) -> Option<Bytes> {
+    /// Returns the value without quotes, empty if the member is malformed.
+    fn value(self, text: &Bytes) -> Option<Bytes> {
         let value = match self {
-            Extra::None => return None,
-            Extra::Once(value) => part(whole, value),
-            Extra::Twice => return Some(Bytes::new()),
+            ExtensionMember::Absent => return None,
+            ExtensionMember::Present(value) => slice_of(text, value),
+            ExtensionMember::Duplicate => return Some(Bytes::new()),
         };
-        let plain = value.len() >= 2 && value.starts_with(b"\"") && !value.contains(&b'\\');
-        Some(if plain {
+        let is_plain = value.len() >= 2 && value.starts_with(b"\"") && !value.contains(&b'\\');
+        Some(if is_plain {
             value.slice(1..value.len() - 1)
         } else {
             Bytes::new()
@@ -150,49 +152,50 @@
 
 impl<'de> Deserialize<'de> for Envelope<'de> {
     fn deserialize<D: de::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        struct Members;
-        impl<'de> Visitor<'de> for Members {
+        struct EnvelopeVisitor;
+        impl<'de> Visitor<'de> for EnvelopeVisitor {
             type Value = Envelope<'de>;
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 f.write_str("an object")
             }
             fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Envelope<'de>, A::Error> {
-                let mut e = Envelope::default();
+                let mut envelope = Envelope::default();
                 while let Some(raw) = map.next_key::<&RawValue>()? {
-                    let place = match name(raw).map_or(Known::Other, |name| Known::of(&name)) {
-                        Known::Version => &mut e.version,
-                        Known::Id => &mut e.id,
-                        Known::Method => &mut e.method,
-                        Known::Params => &mut e.params,
-                        Known::Result => &mut e.result,
-                        Known::Error => &mut e.error,
-                        Known::Budget => {
-                            e.budget.put(map.next_value()?);
+                    let known = member_name(raw).map(|name| KnownMember::from_name(&name));
+                    let member = match known.unwrap_or(KnownMember::Other) {
+                        KnownMember::Version => &mut envelope.version,
+                        KnownMember::Id => &mut envelope.id,
+                        KnownMember::Method => &mut envelope.method,
+                        KnownMember::Params => &mut envelope.params,
+                        KnownMember::Result => &mut envelope.result,
+                        KnownMember::Error => &mut envelope.error,
+                        KnownMember::Budget => {
+                            envelope.budget.add(map.next_value()?);
                             continue;
                         }
-                        Known::Path => {
-                            e.path.put(map.next_value()?);
+                        KnownMember::Path => {
+                            envelope.path.add(map.next_value()?);
                             continue;
                         }
-                        Known::Spent => {
-                            e.spent.put(map.next_value()?);
+                        KnownMember::Spent => {
+                            envelope.spent.add(map.next_value()?);
                             continue;
                         }
-                        Known::Other => {
+                        KnownMember::Other => {
                             map.next_value::<IgnoredAny>()?;
                             continue;
                         }
                     };
-                    e.twice |= place.replace(map.next_value()?).is_some();
+                    envelope.has_duplicates |= member.replace(map.next_value()?).is_some();
                 }
-                Ok(e)
+                Ok(envelope)
             }
         }
-        d.deserialize_map(Members)
+        d.deserialize_map(EnvelopeVisitor)
     }
 }
 
-enum Known {
+enum KnownMember {
     Version,
     Id,
     Method,
@@ -205,36 +208,35 @@
     Other,
 }
 
-impl Known {
-    fn of(name: &str) -> Known {
+impl KnownMember {
+    fn from_name(name: &str) -> KnownMember {
         match name {
-            "jsonrpc" => Known::Version,
-            "id" => Known::Id,
-            "method" => Known::Method,
-            "params" => Known::Params,
-            "result" => Known::Result,
-            "error" => Known::Error,
-            "req-budget" => Known::Budget,
-            "req-path" => Known::Path,
-            "req-spent" => Known::Spent,
-            _ => Known::Other,
+            "jsonrpc" => KnownMember::Version,
+            "id" => KnownMember::Id,
+            "method" => KnownMember::Method,
+            "params" => KnownMember::Params,
+            "result" => KnownMember::Result,
+            "error" => KnownMember::Error,
+            "req-budget" => KnownMember::Budget,
+            "req-path" => KnownMember::Path,
+            "req-spent" => KnownMember::Spent,
+            _ => KnownMember::Other,
         }
     }
 }
 
-/// A member's name as it stands, without its quotes where it needs no reading. Half a surrogate in
-/// it, which is nobody's name here, is nobody's trouble.
-pub(crate) fn name(raw: &RawValue) -> Option<Cow<'_, str>> {
-    let inside = raw.get().strip_prefix('"')?.strip_suffix('"')?;
-    if inside.contains('\\') {
+/// Returns the name of a member, with escapes resolved; none if an escape is an unpaired surrogate.
+pub(crate) fn member_name(raw: &RawValue) -> Option<Cow<'_, str>> {
+    let unquoted = raw.get().strip_prefix('"')?.strip_suffix('"')?;
+    if unquoted.contains('\\') {
         String::deserialize(raw).ok().map(Cow::Owned)
     } else {
-        Some(Cow::Borrowed(inside))
+        Some(Cow::Borrowed(unquoted))
     }
 }
 
-/// The part of a text that a value lies in.
-fn part(text: &Bytes, value: &RawValue) -> Bytes {
+/// Returns the slice of a text that holds a value, without copying.
+fn slice_of(text: &Bytes, value: &RawValue) -> Bytes {
     text.slice_ref(value.get().as_bytes())
 }
 
@@ -245,76 +247,74 @@
         || value.get() == "null"
 }
 
-/// A text without the mark that some systems put before it (RFC 8259, section 8.1, lets it be
-/// ignored).
-fn unmarked(text: &Bytes) -> Bytes {
+/// Strips a leading byte order mark, which parsers may ignore (RFC 8259, section 8.1).
+fn strip_byte_order_mark(text: &Bytes) -> Bytes {
     text.strip_prefix(b"\xef\xbb\xbf")
         .map_or_else(|| text.clone(), |rest| text.slice_ref(rest))
 }
 
-/// Reads a caller's text.
-pub fn parse(text: &Bytes, most: usize) -> Result<Message, RequestError> {
-    let text = &unmarked(text);
-    let utf8 = std::str::from_utf8(text).map_err(|_| wrong(PARSE_ERROR, "UTF-8"))?;
+/// Parses a client's text. A batch may have up to `max_batch_len` members.
+pub fn parse(text: &Bytes, max_batch_len: usize) -> Result<Message, RequestError> {
+    let text = &strip_byte_order_mark(text);
+    let utf8 = std::str::from_utf8(text).map_err(|_| rejection(PARSE_ERROR, "UTF-8"))?;
     if !utf8.trim_start().starts_with('[') {
         return Ok(Message::Single(parse_call(text)));
     }
     let mut json = serde_json::Deserializer::from_str(utf8);
-    let members = Members(most)
+    let members = BatchMembers(max_batch_len)
         .deserialize(&mut json)
-        .and_then(|m| json.end().map(|()| m));
-    let list = members.map_err(|_| wrong(PARSE_ERROR, "JSON"))?;
-    let list = list.ok_or(wrong(INVALID_REQUEST, "a smaller batch"))?;
-    if list.is_empty() {
-        return Err(wrong(INVALID_REQUEST, "a batch that is not empty"));
+        .and_then(|members| json.end().map(|()| members));
+    let members = members.map_err(|_| rejection(PARSE_ERROR, "JSON"))?;
+    let members = members.ok_or(rejection(INVALID_REQUEST, "a smaller batch"))?;
+    if members.is_empty() {
+        return Err(rejection(INVALID_REQUEST, "a batch that is not empty"));
     }
-    Ok(Message::Batch(
-        list.into_iter().map(|m| part(text, m)).collect(),
-    ))
+    let members = members.into_iter().map(|member| slice_of(text, member));
+    Ok(Message::Batch(members.collect()))
 }
 
-/// Reads a batch's members; none where there are more than this. Those past it are not kept.
-struct Members(usize);
+/// Collects the members of a batch; none if there are more than this number.
+struct BatchMembers(usize);
 
-impl<'de> DeserializeSeed<'de> for Members {
+impl<'de> DeserializeSeed<'de> for BatchMembers {
     type Value = Option<Vec<&'de RawValue>>;
     fn deserialize<D: de::Deserializer<'de>>(self, d: D) -> Result<Self::Value, D::Error> {
         d.deserialize_seq(self)
     }
 }
 
-impl<'de> Visitor<'de> for Members {
+impl<'de> Visitor<'de> for BatchMembers {
     type Value = Option<Vec<&'de RawValue>>;
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("an array")
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Self::Value, A::Error> {
-        let mut list = Vec::new();
+        let mut members = Vec::new();
         while let Some(member) = seq.next_element::<&RawValue>()? {
-            if list.len() == self.0 {
-                // Whether the rest is JSON still matters for the answer.
+            if members.len() == self.0 {
+                // A syntax error in the rest takes precedence over the size of the batch.
                 while seq.next_element::<IgnoredAny>()?.is_some() {}
                 return Ok(None);
             }
-            list.push(member);
+            members.push(member);
         }
-        Ok(Some(list))
+        Ok(Some(members))
     }
 }
 
-/// Reads one call: a text, or a member of a batch.
+/// Parses a single call: a whole text, or a member of a batch.
 pub fn parse_call(text: &Bytes) -> Result<Call, RequestError> {
-    let utf8 = std::str::from_utf8(text).map_err(|_| wrong(PARSE_ERROR, "UTF-8"))?;
-    let e: Envelope<'_> = match serde_json::from_str(utf8) {
-        Ok(e) => e,
-        // A sound value that is no object is no request; all else is no JSON.
-        Err(e) if e.is_data() => return Err(wrong(INVALID_REQUEST, "an object")),
-        Err(_) => return Err(wrong(PARSE_ERROR, "JSON")),
+    let utf8 = std::str::from_utf8(text).map_err(|_| rejection(PARSE_ERROR, "UTF-8"))?;
+    let envelope: Envelope<'_> = match serde_json::from_str(utf8) {
+        Ok(envelope) => envelope,
+        // Valid JSON that is not an object.
+        Err(error) if error.is_data() => return Err(rejection(INVALID_REQUEST, "an object")),
+        Err(_) => return Err(rejection(PARSE_ERROR, "JSON")),
     };
-    // Of an id that comes twice neither can be answered.
-    let id =
-        e.id.filter(|id| is_id(id) && !e.twice)
-            .map(|id| part(text, id));
+    // With duplicate members, the id itself may be ambiguous.
+    let has_duplicates = envelope.has_duplicates;
+    let id = envelope.id.filter(|id| is_id(id) && !has_duplicates);
+    let id = id.map(|id| slice_of(text, id));
     let invalid = |expected| {
         let id = id.clone().unwrap_or(NULL_ID);
         Err(RequestError {
@@ -323,34 +323,34 @@
             id,
         })
     };
-    if e.twice {
+    if has_duplicates {
         return invalid("each member once");
     }
-    if e.id.is_some() && id.is_none() {
+    if envelope.id.is_some() && id.is_none() {
         return invalid("an id that is a text, a number or null");
     }
-    if e.version.is_none_or(|v| v.get() != "\"2.0\"") {
+    if envelope.version.is_none_or(|v| v.get() != "\"2.0\"") {
         return invalid("`\"jsonrpc\": \"2.0\"`");
     }
-    let Some(method) = e.method else {
+    let Some(method) = envelope.method else {
         return invalid("a `method`");
     };
     let Ok(name) = serde_json::from_str::<String>(method.get()) else {
         return invalid("a `method` that is a text");
     };
-    // Null is what several clients send for none.
-    if e.params
-        .is_some_and(|p| !p.get().starts_with(['{', '[', 'n']))
-    {
+    // Some clients send `null` for absent parameters.
+    let is_valid = |params: &RawValue| params.get().starts_with(['{', '[', 'n']);
+    if envelope.params.is_some_and(|params| !is_valid(params)) {
         return invalid("`params` that are an object or an array");
     }
-    if e.result.is_some() || e.error.is_some() {
+    if envelope.result.is_some() || envelope.error.is_some() {
         return invalid("a call without `result` or `error`");
     }
-    let (raw_method, params) = (part(text, method), e.params.map(|p| part(text, p)));
+    let raw_method = slice_of(text, method);
+    let params = envelope.params.map(|params| slice_of(text, params));
     let budget_members = BudgetMembers {
-        budget: e.budget.text(text),
-        path: e.path.text(text),
+        budget: envelope.budget.value(text),
+        path: envelope.path.value(text),
     };
     Ok(Call {
         id,
@@ -361,44 +361,44 @@
     })
 }
 
-/// Reads a server's text.
+/// Parses a server's text.
 pub fn parse_server_message(text: &Bytes) -> ServerMessage {
-    let text = &unmarked(text);
+    let text = &strip_byte_order_mark(text);
     let Ok(utf8) = std::str::from_utf8(text) else {
         return ServerMessage::Invalid("UTF-8");
     };
-    let Ok(e) = serde_json::from_str::<Envelope<'_>>(utf8) else {
+    let Ok(envelope) = serde_json::from_str::<Envelope<'_>>(utf8) else {
         return ServerMessage::Invalid("an object");
     };
-    if e.twice {
+    if envelope.has_duplicates {
         return ServerMessage::Invalid("each member once");
     }
-    if e.method.is_some() {
-        return ServerMessage::Call(e.id.map(|id| part(text, id)));
+    if envelope.method.is_some() {
+        return ServerMessage::Call(envelope.id.map(|id| slice_of(text, id)));
     }
-    let Some(id) = e.id else {
+    let Some(id) = envelope.id else {
         return ServerMessage::Invalid("an `id`");
     };
-    let (name, value) = match (e.result, e.error) {
+    let (name, value) = match (envelope.result, envelope.error) {
         (Some(result), None) => ("result", result),
         (None, Some(error)) => ("error", error),
         _ => return ServerMessage::Invalid("one of `result` and `error`"),
     };
     #[derive(Deserialize)]
-    struct Code {
+    struct ErrorObject {
         code: i64,
     }
     let is_error = name == "error";
-    let error_code = serde_json::from_str::<Code>(value.get())
+    let error_code = serde_json::from_str::<ErrorObject>(value.get())
         .ok()
         .filter(|_| is_error)
-        .map(|c| c.code);
+        .map(|error| error.code);
     let member = [b"\"", name.as_bytes(), b"\":", value.get().as_bytes()]
         .concat()
         .into();
-    let retries_spent = e.spent.text(text);
+    let retries_spent = envelope.spent.value(text);
     ServerMessage::Response(Response {
-        id: part(text, id),
+        id: slice_of(text, id),
         member,
         error_code,
         is_error,
--- a/crates/heathroad-jsonrpc/src/write.rs
+++ b/crates/heathroad-jsonrpc/src/write.rs
@@ -1,10 +1,10 @@
-//! Texts, made of parts that pass as they stand.
+//! Writes JSON-RPC texts from raw JSON values.
 
 use crate::framing::Framing;
 use bytes::{BufMut, Bytes, BytesMut};
 use serde_json::json;
 
-/// An answer to an id: `"result":...` or `"error":...`.
+/// Writes a response with an id and a `"result":...` or `"error":...` member.
 pub fn response(id: &[u8], member: &[u8], out: &mut BytesMut) {
     out.reserve(id.len() + member.len() + 32);
     out.put_slice(b"{\"jsonrpc\":\"2.0\",");
@@ -14,8 +14,8 @@
     out.put_u8(b'}');
 }
 
-/// The `error` member of an answer, with milliseconds after which to come back if that is to be
-/// told.
+/// Returns the `error` member of a response. The delay before a retry, in milliseconds, goes into
+/// its `data`.
 pub fn error_member(code: i64, message: &str, retry_after_ms: Option<u64>) -> Bytes {
     let mut error = json!({"code": code, "message": message});
     if let Some(ms) = retry_after_ms {
@@ -24,8 +24,8 @@
     format!("\"error\":{error}").into()
 }
 
-/// A call's members of the extension for budgets, to be put before its end: plain texts, which need
-/// no escapes.
+/// Adds the members of the retry budget extension to the end of a call. The values are strings that
+/// need no escapes.
 pub fn add_budget_members(call: &mut BytesMut, budget: &str, path: &str) {
     if call.last() == Some(&b'}') {
         call.truncate(call.len() - 1);
@@ -35,15 +35,14 @@
     }
 }
 
-/// What was spent, behind the member of an answer.
+/// Adds the `req-spent` member after the member of a response.
 pub fn with_retries_spent(member: &[u8], spent: &str) -> Bytes {
     [member, b",\"req-spent\":\"", spent.as_bytes(), b"\""]
         .concat()
         .into()
 }
 
-/// A call under an id of the sender's own, or a notification where there is none; `method` in
-/// quotes.
+/// Writes a call, or a notification if there is no id. `method` is a JSON string with its quotes.
 pub fn call(id: Option<u64>, method: &[u8], params: Option<&[u8]>, out: &mut BytesMut) {
     out.reserve(method.len() + params.map_or(0, <[u8]>::len) + 64);
     out.put_slice(b"{\"jsonrpc\":\"2.0\",\"method\":");
@@ -59,15 +58,15 @@
     out.put_u8(b'}');
 }
 
-/// A text as it goes out. In a framing of lines it must be one: line feeds between its tokens,
-/// which mean nothing, are made spaces (inside of texts JSON allows none).
+/// Writes a text with its framing. With [`Framing::Lines`], line breaks within the text become
+/// spaces. They can only be white space between tokens, since JSON strings contain none.
 pub fn frame(framing: Framing, text: &[u8], out: &mut BytesMut) {
     match framing {
         Framing::Lines => {
             out.reserve(text.len() + 1);
-            let from = out.len();
+            let start = out.len();
             out.put_slice(text);
-            out[from..]
+            out[start..]
                 .iter_mut()
                 .filter(|b| matches!(b, b'\n' | b'\r'))
                 .for_each(|b| *b = b' ');
--- a/crates/heathroad-jsonrpc/tests/specification.rs
+++ b/crates/heathroad-jsonrpc/tests/specification.rs
@@ -1,35 +1,35 @@
-//! The examples of the specification (section 7), and the hard cases of envelopes.
+//! The examples of the specification (section 7), and malformed or ambiguous envelopes.
 
 use bytes::{Bytes, BytesMut};
 use heathroad_jsonrpc::message::{self, Message, ServerMessage};
 use heathroad_jsonrpc::{Call, Pointer, RequestError, pointer, write};
 
-fn read(text: &'static str) -> Result<Message, RequestError> {
+fn parse(text: &'static str) -> Result<Message, RequestError> {
     message::parse(&Bytes::from_static(text.as_bytes()), 10)
 }
 
-fn one(text: &'static str) -> Result<Call, RequestError> {
-    match read(text)? {
+fn parse_single(text: &'static str) -> Result<Call, RequestError> {
+    match parse(text)? {
         Message::Single(call) => call,
-        Message::Batch(members) => panic!("a batch of {}", members.len()),
+        Message::Batch(members) => panic!("unexpected batch of {} calls", members.len()),
     }
 }
 
-fn members(text: &'static str) -> Vec<Result<Call, RequestError>> {
-    match read(text) {
+fn parse_batch(text: &'static str) -> Vec<Result<Call, RequestError>> {
+    match parse(text) {
         Ok(Message::Batch(members)) => members.iter().map(message::parse_call).collect(),
-        other => panic!("{other:?}"),
+        other => panic!("expected a batch, got {other:?}"),
     }
 }
 
-fn code<T>(done: Result<T, RequestError>) -> (i64, Bytes) {
-    let wrong = done.err().expect("it is wrong");
-    (wrong.code, wrong.id)
+fn code_and_id<T>(result: Result<T, RequestError>) -> (i64, Bytes) {
+    let error = result.err().expect("an error");
+    (error.code, error.id)
 }
 
 #[track_caller]
-fn is_call(text: &'static str, id: Option<&str>, method: &str, params: Option<&str>) {
-    let call = one(text).expect("sound");
+fn assert_call(text: &'static str, id: Option<&str>, method: &str, params: Option<&str>) {
+    let call = parse_single(text).expect("a valid call");
     assert_eq!(call.id.as_deref(), id.map(str::as_bytes));
     assert_eq!(
         (call.method.as_str(), call.params.as_deref()),
@@ -40,27 +40,27 @@
 #[test]
 fn calls_and_notifications() {
     let text = r#"{"jsonrpc": "2.0", "method": "subtract", "params": [42, 23], "id": 1}"#;
-    is_call(text, Some("1"), "subtract", Some("[42, 23]"));
+    assert_call(text, Some("1"), "subtract", Some("[42, 23]"));
     let text = r#"{"jsonrpc": "2.0", "method": "subtract", "params": {"subtrahend": 23, "minuend": 42}, "id": 3}"#;
-    is_call(
+    assert_call(
         text,
         Some("3"),
         "subtract",
         Some(r#"{"subtrahend": 23, "minuend": 42}"#),
     );
-    is_call(
+    assert_call(
         r#"{"jsonrpc": "2.0", "method": "update", "params": [1,2,3,4,5]}"#,
         None,
         "update",
         Some("[1,2,3,4,5]"),
     );
-    is_call(
+    assert_call(
         r#"{"jsonrpc": "2.0", "method": "foobar"}"#,
         None,
         "foobar",
         None,
     );
-    is_call(
+    assert_call(
         r#"{"jsonrpc": "2.0", "method": "foobar", "id": "1"}"#,
         Some("\"1\""),
         "foobar",
@@ -72,31 +72,39 @@
 fn errors_of_the_specification() {
     let null = Bytes::from_static(b"null");
     assert_eq!(
-        code(one(
+        code_and_id(parse_single(
             r#"{"jsonrpc": "2.0", "method": "foobar, "params": "bar", "baz]"#
         )),
         (-32700, null.clone())
     );
     assert_eq!(
-        code(one(r#"{"jsonrpc": "2.0", "method": 1, "params": "bar"}"#)),
+        code_and_id(parse_single(
+            r#"{"jsonrpc": "2.0", "method": 1, "params": "bar"}"#
+        )),
         (-32600, null.clone())
     );
-    let cut = r#"[{"jsonrpc": "2.0", "method": "sum", "params": [1,2,4], "id": "1"}, {"jsonrpc": "2.0", "method"]"#;
-    assert_eq!(code(read(cut)), (-32700, null.clone()));
-    assert_eq!(code(read("[]")), (-32600, null.clone()));
+    let truncated = r#"[{"jsonrpc": "2.0", "method": "sum", "params": [1,2,4], "id": "1"}, {"jsonrpc": "2.0", "method"]"#;
+    assert_eq!(code_and_id(parse(truncated)), (-32700, null.clone()));
+    assert_eq!(code_and_id(parse("[]")), (-32600, null.clone()));
     assert_eq!(
-        members("[1]").into_iter().map(code).collect::<Vec<_>>(),
+        parse_batch("[1]")
+            .into_iter()
+            .map(code_and_id)
+            .collect::<Vec<_>>(),
         [(-32600, null.clone())]
     );
     assert_eq!(
-        members("[1,2,3]").into_iter().map(code).collect::<Vec<_>>(),
+        parse_batch("[1,2,3]")
+            .into_iter()
+            .map(code_and_id)
+            .collect::<Vec<_>>(),
         vec![(-32600, null); 3]
     );
 }
 
 #[test]
-fn a_batch_of_all_kinds() {
-    let list = members(
+fn batch_of_calls_notifications_and_invalid_members() {
+    let calls = parse_batch(
         r#"[
         {"jsonrpc": "2.0", "method": "sum", "params": [1,2,4], "id": "1"},
         {"jsonrpc": "2.0", "method": "notify_hello", "params": [7]},
@@ -106,34 +114,34 @@
         {"jsonrpc": "2.0", "method": "get_data", "id": "9"}
     ]"#,
     );
-    let ids: Vec<Option<Bytes>> = list
+    let ids: Vec<Option<Bytes>> = calls
         .iter()
-        .map(|c| c.as_ref().ok().and_then(|c| c.id.clone()))
+        .map(|call| call.as_ref().ok().and_then(|call| call.id.clone()))
         .collect();
-    let text = |t: &'static str| Some(Bytes::from_static(t.as_bytes()));
+    let id = |id: &'static str| Some(Bytes::from_static(id.as_bytes()));
     assert_eq!(
         ids,
         [
-            text("\"1\""),
+            id("\"1\""),
             None,
-            text("\"2\""),
+            id("\"2\""),
             None,
-            text("\"5\""),
-            text("\"9\"")
+            id("\"5\""),
+            id("\"9\"")
         ]
     );
-    assert_eq!(list[3].clone().err().map(|w| w.code), Some(-32600));
-    assert!(list[1].is_ok(), "a notification");
+    assert_eq!(calls[3].clone().err().map(|error| error.code), Some(-32600));
+    assert!(calls[1].is_ok(), "a notification is valid");
     assert_eq!(
-        code(read("[1,2,3,4,5,6,7,8,9,10,11]")).0,
+        code_and_id(parse("[1,2,3,4,5,6,7,8,9,10,11]")).0,
         -32600,
-        "more than is taken"
+        "a batch over the limit"
     );
 }
 
-/// Ids, amounts and the order of names pass as they stand.
+/// Guards against decoding ids and numbers, which would lose precision or the order of names.
 #[test]
-fn values_pass_byte_for_byte() {
+fn values_are_forwarded_byte_for_byte() {
     for id in [
         "1",
         "1.0",
@@ -167,7 +175,7 @@
     let text = Bytes::from(format!(
         r#"{{"jsonrpc":"2.0","method":"m","params":{params}}}"#
     ));
-    let call = message::parse_call(&text).expect("sound");
+    let call = message::parse_call(&text).expect("a valid call");
     let mut out = BytesMut::new();
     write::call(Some(7), &call.raw_method, call.params.as_deref(), &mut out);
     assert_eq!(
@@ -177,8 +185,8 @@
 }
 
 #[test]
-fn envelopes_that_no_two_readers_read_alike() {
-    for (text, want, id) in [
+fn ambiguous_or_malformed_envelopes_are_rejected() {
+    for (text, expected_code, id) in [
         (
             r#"{"jsonrpc":"2.0","method":"a","id":1,"id":2}"#,
             -32600,
@@ -244,22 +252,25 @@
         ("", -32700, "null"),
     ] {
         assert_eq!(
-            code(one(text)),
-            (want, Bytes::from_static(id.as_bytes())),
+            code_and_id(parse_single(text)),
+            (expected_code, Bytes::from_static(id.as_bytes())),
             "{text}"
         );
     }
     let invalid = Bytes::from_static(b"{\"jsonrpc\":\"2.0\",\"method\":\"\xff\",\"id\":5}");
-    assert_eq!(code(message::parse(&invalid, 1)).0, -32700, "no UTF-8");
-    // A mark at the begin is no part of the text; a name that nobody knows is passed over, whatever
-    // it is.
-    let marked =
+    assert_eq!(
+        code_and_id(message::parse(&invalid, 1)).0,
+        -32700,
+        "invalid UTF-8"
+    );
+    // A byte order mark and unknown members are ignored, even a name with an unpaired surrogate.
+    let with_mark =
         Bytes::from("\u{feff}{\"jsonrpc\":\"2.0\",\"method\":\"a\",\"\\ud800\":1}".to_string());
     assert!(matches!(
-        message::parse(&marked, 1),
+        message::parse(&with_mark, 1),
         Ok(Message::Single(Ok(_)))
     ));
-    // Nobody's stack grows with brackets.
+    // Deep nesting must not overflow the stack.
     let deep = format!(
         r#"{{"jsonrpc":"2.0","method":"a","params":{}{}}}"#,
         "[".repeat(100_000),
@@ -272,31 +283,37 @@
 }
 
 #[test]
-fn servers_texts() {
-    let reply =
+fn server_messages() {
+    let parse_server =
         |text: &'static str| message::parse_server_message(&Bytes::from_static(text.as_bytes()));
-    let answer = |text| match reply(text) {
-        ServerMessage::Response(a) => a,
-        other => panic!("{other:?}"),
+    let parse_response = |text| match parse_server(text) {
+        ServerMessage::Response(response) => response,
+        other => panic!("expected a response, got {other:?}"),
     };
-    let a = answer(r#"{"jsonrpc":"2.0","result":{"b":1.10,"a":2},"id":12}"#);
+    let response = parse_response(r#"{"jsonrpc":"2.0","result":{"b":1.10,"a":2},"id":12}"#);
     assert_eq!(
-        (&a.id[..], &a.member[..]),
+        (&response.id[..], &response.member[..]),
         (&b"12"[..], &br#""result":{"b":1.10,"a":2}"#[..])
     );
-    assert_eq!((a.error_code, a.is_error), (None, false));
-    let a = answer(r#"{"id":12,"error":{"code":-32603,"message":"no"},"jsonrpc":"2.0"}"#);
-    assert_eq!((a.error_code, a.is_error), (Some(-32603), true));
+    assert_eq!((response.error_code, response.is_error), (None, false));
+    let response =
+        parse_response(r#"{"id":12,"error":{"code":-32603,"message":"no"},"jsonrpc":"2.0"}"#);
+    assert_eq!(
+        (response.error_code, response.is_error),
+        (Some(-32603), true)
+    );
     assert!(
-        answer(r#"{"result":null,"id":1}"#).error_code.is_none(),
-        "older servers leave the version out"
+        parse_response(r#"{"result":null,"id":1}"#)
+            .error_code
+            .is_none(),
+        "servers of older versions omit `jsonrpc`"
     );
     assert!(matches!(
-        reply(r#"{"jsonrpc":"2.0","method":"ping","id":9}"#),
+        parse_server(r#"{"jsonrpc":"2.0","method":"ping","id":9}"#),
         ServerMessage::Call(Some(_))
     ));
     assert!(matches!(
-        reply(r#"{"jsonrpc":"2.0","method":"log"}"#),
+        parse_server(r#"{"jsonrpc":"2.0","method":"log"}"#),
         ServerMessage::Call(None)
     ));
     for text in [
@@ -307,21 +324,24 @@
         "[1]",
         "noise",
     ] {
-        assert!(matches!(reply(text), ServerMessage::Invalid(_)), "{text}");
+        assert!(
+            matches!(parse_server(text), ServerMessage::Invalid(_)),
+            "{text}"
+        );
     }
 }
 
 #[test]
 fn pointers() {
-    let find = |p: &str, text: &str| {
-        Pointer::parse(p)
-            .expect("a pointer")
+    let find = |pointer: &str, text: &str| {
+        Pointer::parse(pointer)
+            .expect("a valid pointer")
             .find(text)
-            .map(|v| v.get().to_string())
+            .map(|value| value.get().to_string())
     };
     // RFC 6901, section 5.
     let text = r#"{"foo":["bar","baz"],"":0,"a/b":1,"c%d":2,"m~n":8," ":7,"k\"l":6}"#;
-    for (p, want) in [
+    for (pointer, expected) in [
         ("/foo", r#"["bar","baz"]"#),
         ("/foo/0", "\"bar\""),
         ("/", "0"),
@@ -331,28 +351,28 @@
         ("/ ", "7"),
         ("/k\"l", "6"),
     ] {
-        assert_eq!(find(p, text).as_deref(), Ok(want), "{p}");
+        assert_eq!(find(pointer, text).as_deref(), Ok(expected), "{pointer}");
     }
     use pointer::FindError::{DuplicateName, NotFound};
-    for p in [
+    for pointer in [
         "/bar", "/foo/2", "/foo/00", "/foo/01", "/foo/-", "/foo/0/x", "/foo/1e0", "/foo/+1",
     ] {
-        assert_eq!(find(p, text), Err(NotFound), "{p}");
+        assert_eq!(find(pointer, text), Err(NotFound), "{pointer}");
     }
     assert_eq!(find("/a/b", r#"{"a":{"b":1,"b":2}}"#), Err(DuplicateName));
     assert_eq!(
         find("/a/b", r#"{"a":{"b":1.10},"x":{"b":2}}"#).as_deref(),
         Ok("1.10")
     );
-    for wrong in ["", "a", "a/b", "/~", "/~2"] {
-        assert!(Pointer::parse(wrong).is_err(), "{wrong:?}");
+    for invalid in ["", "a", "a/b", "/~", "/~2"] {
+        assert!(Pointer::parse(invalid).is_err(), "{invalid:?}");
     }
     let deep = "[".repeat(100_000) + &"]".repeat(100_000);
     assert_eq!(find("/0/0/0/1", &deep), Err(NotFound));
 }
 
 #[test]
-fn errors_are_written_whole() {
+fn error_member_contains_code_message_and_retry_delay() {
     let error = write::error_member(-32001, "refused: \"later\"", Some(250));
     let error: serde_json::Value =
         serde_json::from_str(&format!("{{{}}}", String::from_utf8_lossy(&error))).expect("JSON");
--- a/crates/heathroad-jsonrpc/tests/streams.rs
+++ b/crates/heathroad-jsonrpc/tests/streams.rs
@@ -1,45 +1,46 @@
-//! Streams of bytes: cut into texts whatever the pieces they come in, bounded whatever comes.
+//! Splitting of byte streams into texts: independent of how the bytes are chunked, and within the
+//! limits for any input.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use heathroad_jsonrpc::framing::{Decoder, Framing, FramingError, Limits};
 use heathroad_jsonrpc::{message, write};
 use serde::de::IgnoredAny;
 
-const ALL: [Framing; 3] = [Framing::Lines, Framing::Headers, Framing::Concatenated];
-const SMALL: Limits = Limits {
+const FRAMINGS: [Framing; 3] = [Framing::Lines, Framing::Headers, Framing::Concatenated];
+const SMALL_LIMITS: Limits = Limits {
     max_text_bytes: 200,
     max_depth: 8,
     max_batch_len: 10,
 };
 
-/// The texts of a stream that comes in pieces of these sizes, by turns, and how it broke.
-fn cut(
+/// Decodes a stream in chunks of the given sizes, used in rotation. Returns its texts and error.
+fn decode(
     framing: Framing,
     limits: Limits,
     bytes: &[u8],
-    sizes: &[usize],
+    chunk_sizes: &[usize],
 ) -> (Vec<Bytes>, Option<FramingError>) {
     let (mut decoder, mut texts) = (Decoder::new(framing, limits), Vec::new());
-    let (mut rest, mut turn) = (bytes, 0);
+    let (mut rest, mut chunks) = (bytes, 0);
     loop {
         match decoder.next_text() {
             Ok(Some(text)) => texts.push(text),
-            Err(broken) => return (texts, Some(broken)),
+            Err(error) => return (texts, Some(error)),
             Ok(None) if rest.is_empty() => return (texts, None),
             Ok(None) => {
-                let (now, later) = rest.split_at(sizes[turn % sizes.len()].clamp(1, rest.len()));
-                decoder.buffer().put_slice(now);
-                (rest, turn) = (later, turn + 1);
+                let size = chunk_sizes[chunks % chunk_sizes.len()].clamp(1, rest.len());
+                decoder.buffer().put_slice(&rest[..size]);
+                (rest, chunks) = (&rest[size..], chunks + 1);
             }
         }
     }
 }
 
-fn framed(framing: Framing, texts: &[&str]) -> Vec<u8> {
+fn encode(framing: Framing, texts: &[&str]) -> Vec<u8> {
     let mut out = BytesMut::new();
     texts
         .iter()
-        .for_each(|t| write::frame(framing, t.as_bytes(), &mut out));
+        .for_each(|text| write::frame(framing, text.as_bytes(), &mut out));
     out.to_vec()
 }
 
@@ -52,27 +53,27 @@
 ];
 
 #[test]
-fn texts_come_out_whole_in_pieces_of_any_size() {
-    for framing in ALL {
-        let bytes = framed(framing, &TEXTS);
+fn texts_are_decoded_from_chunks_of_any_size() {
+    for framing in FRAMINGS {
+        let bytes = encode(framing, &TEXTS);
         for first in 1..=bytes.len() {
             for second in [1, 2, 7, bytes.len()] {
-                let (texts, broken) = cut(framing, SMALL, &bytes, &[first, second]);
+                let (texts, error) = decode(framing, SMALL_LIMITS, &bytes, &[first, second]);
                 assert_eq!(
-                    (texts, broken),
+                    (texts, error),
                     (TEXTS.map(Bytes::from).to_vec(), None),
                     "{framing:?} {first} {second}"
                 );
             }
         }
     }
-    // Line feeds within a text, which mean nothing, do not end its line.
-    assert_eq!(framed(Framing::Lines, &["{\n\"a\":1}"]), b"{ \"a\":1}\n");
+    // A line feed between tokens must not end the line.
+    assert_eq!(encode(Framing::Lines, &["{\n\"a\":1}"]), b"{ \"a\":1}\n");
 }
 
 #[test]
-fn what_says_nothing_is_passed_over() {
-    let texts = |framing, bytes: &str| cut(framing, SMALL, bytes.as_bytes(), &[1]);
+fn whitespace_and_byte_order_marks_are_ignored() {
+    let texts = |framing, bytes: &str| decode(framing, SMALL_LIMITS, bytes.as_bytes(), &[1]);
     assert_eq!(
         texts(Framing::Lines, "\r\n\n  {}\r\n\n[]\n {"),
         (vec!["{}\r".into(), "[]".into()], None)
@@ -81,12 +82,13 @@
         texts(Framing::Concatenated, "\u{feff} {}[]\n\t{} {"),
         (vec!["{}".into(), "[]".into(), "{}".into()], None)
     );
-    let heads = "\r\ncontent-LENGTH: 2\r\nContent-Type: x; y\r\n\r\n{}\r\nContent-Length:3\n\n[1]";
+    let with_headers =
+        "\r\ncontent-LENGTH: 2\r\nContent-Type: x; y\r\n\r\n{}\r\nContent-Length:3\n\n[1]";
     assert_eq!(
-        texts(Framing::Headers, heads),
+        texts(Framing::Headers, with_headers),
         (vec!["{}".into(), "[1]".into()], None)
     );
-    let mut decoder = Decoder::new(Framing::Lines, SMALL);
+    let mut decoder = Decoder::new(Framing::Lines, SMALL_LIMITS);
     decoder.buffer().put_slice(b" \n");
     assert!(!decoder.has_pending_text());
     decoder.buffer().put_slice(b"{}");
@@ -94,16 +96,16 @@
     assert_eq!(
         (decoder.next_text(), decoder.finish()),
         (Ok(None), Some("{}".into())),
-        "the last line needs no end"
+        "the last line needs no line feed"
     );
     assert_eq!(decoder.finish(), None);
 }
 
 #[test]
-fn a_stream_that_cannot_be_cut_is_told_and_stays_broken() {
+fn framing_errors_are_reported_and_final() {
     let long = format!("\"{}\"", "x".repeat(500));
     let deep = "[".repeat(9);
-    let head = |h: &str| format!("{h}\r\n\r\n{{}}");
+    let with_header = |header: &str| format!("{header}\r\n\r\n{{}}");
     let cases = [
         (Framing::Lines, long.clone(), FramingError::TooLong),
         (Framing::Lines, deep.clone(), FramingError::TooDeep),
@@ -130,47 +132,47 @@
         ),
         (
             Framing::Headers,
-            head("Content-Length: 1000000000"),
+            with_header("Content-Length: 1000000000"),
             FramingError::TooLong,
         ),
         (
             Framing::Headers,
-            head("Content-Length: 99999999999999999999"),
+            with_header("Content-Length: 99999999999999999999"),
             FramingError::InvalidHeader("a Content-Length in decimal digits"),
         ),
         (
             Framing::Headers,
-            head("Content-Length: -2"),
+            with_header("Content-Length: -2"),
             FramingError::InvalidHeader("a Content-Length in decimal digits"),
         ),
         (
             Framing::Headers,
-            head("Content-Length: +2"),
+            with_header("Content-Length: +2"),
             FramingError::InvalidHeader("a Content-Length in decimal digits"),
         ),
         (
             Framing::Headers,
-            head("Content-Length:"),
+            with_header("Content-Length:"),
             FramingError::InvalidHeader("a Content-Length in decimal digits"),
         ),
         (
             Framing::Headers,
-            head("Content-Length: 2\r\nContent-Length: 2"),
+            with_header("Content-Length: 2\r\nContent-Length: 2"),
             FramingError::InvalidHeader("one Content-Length"),
         ),
         (
             Framing::Headers,
-            head("Content-Length : 2"),
+            with_header("Content-Length : 2"),
             FramingError::InvalidHeader("`Name: value` lines"),
         ),
         (
             Framing::Headers,
-            head("noise"),
+            with_header("noise"),
             FramingError::InvalidHeader("`Name: value` lines"),
         ),
         (
             Framing::Headers,
-            head("X: y"),
+            with_header("X: y"),
             FramingError::InvalidHeader("a Content-Length"),
         ),
         (
@@ -184,51 +186,50 @@
             FramingError::InvalidHeader("a head of 4 KiB at most"),
         ),
     ];
-    for (framing, bytes, want) in cases {
+    for (framing, bytes, expected) in cases {
         for size in [1, 3, 100_000] {
-            let (_, broken) = cut(framing, SMALL, bytes.as_bytes(), &[size]);
-            assert_eq!(broken, Some(want), "{framing:?} {bytes:.60}");
+            let (_, error) = decode(framing, SMALL_LIMITS, bytes.as_bytes(), &[size]);
+            assert_eq!(error, Some(expected), "{framing:?} {bytes:.60}");
         }
     }
-    let mut decoder = Decoder::new(Framing::Concatenated, SMALL);
+    let mut decoder = Decoder::new(Framing::Concatenated, SMALL_LIMITS);
     decoder.buffer().put_slice(b"x{}");
     assert_eq!(decoder.next_text(), Err(FramingError::NotObjectOrArray));
     decoder.buffer().put_slice(b"{}");
     assert_eq!(
         decoder.next_text(),
         Err(FramingError::NotObjectOrArray),
-        "it is not known where that is"
+        "the start of the next text is unknown"
     );
 }
 
-/// 10,000 hostile streams, made of the corpus by cuts, repeats, flips and joins: nothing panics,
-/// pieces decide nothing, nothing longer than the bound comes out, and what is called no JSON is
-/// none.
+/// Mutates the corpus and guards against panics, results that depend on chunk sizes, texts over the
+/// limit, and parse errors for valid JSON.
 #[test]
-fn hostile_streams() {
+fn mutated_streams() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus");
     let mut files: Vec<_> = std::fs::read_dir(folder)
-        .expect("it is there")
-        .map(|f| f.expect("read").path())
+        .expect("the corpus folder")
+        .map(|entry| entry.expect("a folder entry").path())
         .collect();
     files.sort();
     let corpus: Vec<Vec<u8>> = files
         .iter()
-        .map(|f| std::fs::read(f).expect("a file"))
+        .map(|file| std::fs::read(file).expect("a readable file"))
         .collect();
     assert!(corpus.len() >= 10);
-    let (mut texts_seen, mut calls, mut breaks) = (0, 0, 0);
+    let (mut texts, mut calls, mut errors) = (0, 0, 0);
     for seed in 0..10_000u64 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut bytes = Vec::new();
         for _ in 0..1 + rng.usize(..6) {
-            let part = &corpus[rng.usize(..corpus.len())];
-            let from = if rng.bool() {
+            let file = &corpus[rng.usize(..corpus.len())];
+            let start = if rng.bool() {
                 0
             } else {
-                rng.usize(..=part.len())
+                rng.usize(..=file.len())
             };
-            bytes.extend_from_slice(&part[from..]);
+            bytes.extend_from_slice(&file[start..]);
         }
         for _ in 0..rng.usize(..4) {
             if bytes.is_empty() {
@@ -242,46 +243,52 @@
                 _ => drop(bytes.remove(at)),
             }
         }
-        let framing = ALL[rng.usize(..3)];
+        let framing = FRAMINGS[rng.usize(..3)];
         let limits = Limits {
             max_text_bytes: 1 + rng.usize(..2_000),
             max_depth: 1 + rng.u32(..20),
             max_batch_len: 10,
         };
-        let sizes: Vec<usize> = (0..5).map(|_| 1 + rng.usize(..50)).collect();
-        let whole = cut(framing, limits, &bytes, &[bytes.len().max(1)]);
-        assert_eq!(whole, cut(framing, limits, &bytes, &sizes), "seed {seed}");
-        breaks += usize::from(whole.1.is_some());
-        for text in whole.0 {
+        let chunk_sizes: Vec<usize> = (0..5).map(|_| 1 + rng.usize(..50)).collect();
+        let (decoded, error) = decode(framing, limits, &bytes, &[bytes.len().max(1)]);
+        let in_chunks = decode(framing, limits, &bytes, &chunk_sizes);
+        assert_eq!(
+            (&decoded, error),
+            (&in_chunks.0, in_chunks.1),
+            "seed {seed}"
+        );
+        errors += usize::from(error.is_some());
+        for text in decoded {
             assert!(text.len() <= limits.max_text_bytes, "seed {seed}");
-            texts_seen += 1;
-            let json = serde_json::from_slice::<IgnoredAny>(
+            texts += 1;
+            let is_json = serde_json::from_slice::<IgnoredAny>(
                 text.strip_prefix(b"\xef\xbb\xbf").unwrap_or(&text),
             )
             .is_ok()
                 && std::str::from_utf8(&text).is_ok();
             match message::parse(&text, 10) {
-                Ok(message::Message::Single(Err(wrong))) | Err(wrong)
-                    if wrong.code == message::PARSE_ERROR =>
+                Ok(message::Message::Single(Err(error))) | Err(error)
+                    if error.code == message::PARSE_ERROR =>
                 {
-                    assert!(!json, "seed {seed}: {text:?}");
+                    assert!(!is_json, "seed {seed}: {text:?}");
                 }
                 Ok(message::Message::Single(Ok(call))) => {
-                    assert!(json, "seed {seed}: {text:?}");
+                    assert!(is_json, "seed {seed}: {text:?}");
                     let mut out = BytesMut::new();
                     write::call(Some(1), &call.raw_method, call.params.as_deref(), &mut out);
-                    let again =
-                        message::parse_call(&out.freeze()).expect("what is written can be read");
+                    let reparsed = message::parse_call(&out.freeze()).expect("a valid call");
                     assert_eq!(
-                        (again.method, again.params),
+                        (reparsed.method, reparsed.params),
                         (call.method, call.params),
                         "seed {seed}"
                     );
                     calls += 1;
                 }
                 Ok(message::Message::Batch(members)) => {
-                    assert!(json && members.len() <= 10, "seed {seed}: {text:?}");
-                    members.iter().for_each(|m| drop(message::parse_call(m)));
+                    assert!(is_json && members.len() <= 10, "seed {seed}: {text:?}");
+                    members
+                        .iter()
+                        .for_each(|member| drop(message::parse_call(member)));
                 }
                 _ => {}
             }
@@ -289,49 +296,49 @@
         }
     }
     assert!(
-        texts_seen > 10_000 && calls > 2_000 && breaks > 1_000,
-        "{texts_seen} {calls} {breaks}"
+        texts > 10_000 && calls > 2_000 && errors > 1_000,
+        "{texts} texts, {calls} calls, {errors} errors"
     );
 }
 
-/// A measurement and no test: bytes a second beside a bare parse by the same library. Run in
+/// Measures the throughput of decoding and parsing against that of `serde_json` alone. Run in
 /// release with `--ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
 fn throughput() {
-    let claim = |n: usize| {
+    let call = |n: usize| {
         format!(
             r#"{{"jsonrpc":"2.0","method":"claims.submit","params":{{"claim":"c-{n}","tenant":"sahel-agro","amount":{n}.10,"lines":[{{"code":"A1","sum":1e2}},{{"code":"B2","sum":12345678901234567890.01}}],"note":"{}"}},"id":{n}}}"#,
             "x".repeat(n % 300)
         )
     };
-    let texts: Vec<String> = (0..20_000).map(claim).collect();
-    let list: Vec<&str> = texts.iter().map(String::as_str).collect();
+    let texts: Vec<String> = (0..20_000).map(call).collect();
+    let text_slices: Vec<&str> = texts.iter().map(String::as_str).collect();
     let mut bytes = [0; 3].map(|_| 0);
     for round in 0..3 {
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let parsed: usize = texts
             .iter()
-            .map(|t| usize::from(serde_json::from_str::<IgnoredAny>(t).is_ok()))
+            .map(|text| usize::from(serde_json::from_str::<IgnoredAny>(text).is_ok()))
             .sum();
-        let bare = begun.elapsed().as_secs_f64();
+        let baseline_s = started.elapsed().as_secs_f64();
         assert_eq!(parsed, texts.len());
-        for (n, framing) in ALL.into_iter().enumerate() {
-            let stream = framed(framing, &list);
+        for (n, framing) in FRAMINGS.into_iter().enumerate() {
+            let stream = encode(framing, &text_slices);
             bytes[n] = stream.len();
-            let begun = std::time::Instant::now();
-            let (cut, _) = cut(framing, Limits::default(), &stream, &[16 * 1024]);
-            let calls = cut
+            let started = std::time::Instant::now();
+            let (decoded, _) = decode(framing, Limits::default(), &stream, &[16 * 1024]);
+            let calls = decoded
                 .iter()
-                .filter(|t| message::parse_call(t).is_ok())
+                .filter(|text| message::parse_call(text).is_ok())
                 .count();
-            let took = begun.elapsed().as_secs_f64();
+            let elapsed_s = started.elapsed().as_secs_f64();
             assert_eq!(calls, texts.len());
-            let mb = stream.len() as f64 / 1e6;
+            let megabytes = stream.len() as f64 / 1e6;
             println!(
-                "round {round} {framing:?}: {:.0} MB/s; bare parse {:.0} MB/s",
-                mb / took,
-                mb / bare
+                "round {round} {framing:?}: {:.0} MB/s; serde_json alone {:.0} MB/s",
+                megabytes / elapsed_s,
+                megabytes / baseline_s
             );
         }
     }
