--- a/crates/heathroad/src/membership/activity_log.rs
+++ b/crates/heathroad/src/membership/activity_log.rs
@@ -1,4 +1,4 @@
-//! The version that this proxy runs, and the record of what it does under it.
+//! Tracks the version that this proxy runs, and records its activity under each version.
 
 use super::version_fence::{Requirement, VersionFence};
 use heathroad_membership::Incarnation;
@@ -16,7 +16,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The activity of one request, under the version to which it was bound.
+/// Records the activity of one request, under the version to which the request was bound.
 #[derive(Clone)]
 pub struct RequestActivity {
     log: Rc<ActivityLog>,
@@ -24,19 +24,19 @@
 }
 
 impl RequestActivity {
-    /// Records that something was done for the request.
+    /// Records an activity for the request.
     pub fn record(&self, activity: Activity) {
         self.epoch.record(activity, self.log.now());
     }
 
-    /// Whether an attempt may be sent for the request: not under a generation of routes that a
-    /// requirement forbids.
+    /// Returns whether an attempt may be sent for the request: the version fence forbids attempts
+    /// under outdated routes.
     pub fn permits_attempt(&self) -> bool {
         let fence = &self.log.fence;
         fence.permits(self.epoch.generation(), self.epoch.routes())
     }
 
-    /// Returns the header that tells backends the version, if they are told.
+    /// Returns the header that sends the version to backends, if that is enabled.
     pub fn version_header(&self) -> Option<HeaderValue> {
         if !self.log.sends_version_header {
             return None;
@@ -45,18 +45,18 @@
     }
 }
 
-/// A generation of routes that was committed at this proxy, to be proposed to the fleet.
+/// A generation of routes that was committed at this proxy and is proposed to the cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CommittedGeneration {
-    /// The number of the generation.
+    /// The generation number.
     pub generation: u64,
-    /// The digest of its text.
+    /// The digest of the routes' text.
     pub digest: Digest,
-    /// Within how many milliseconds it is required of all members.
+    /// The time within which all members must apply it, in milliseconds.
     pub required_within_ms: Option<u64>,
 }
 
-/// The routes in force.
+/// The routes that are currently applied.
 struct ActiveRoutes {
     generation: u64,
     digest: Digest,
@@ -73,14 +73,14 @@
     }
 }
 
-/// The version that this proxy runs, and the record of what it does under it.
+/// Tracks the version that this proxy runs, and records its activity under each version.
 pub struct ActivityLog {
     version: RefCell<Version>,
     version_changed: Notify,
     record: RefCell<ActivityRecord>,
     epoch: RefCell<Rc<Epoch>>,
     sends_version_header: bool,
-    /// Unix time at the start, in milliseconds; later times are by the monotonic clock.
+    /// Unix time at the start of the process. Later times add the monotonic clock to it.
     started_at: UnixMillis,
     started: Instant,
     routes: RefCell<ActiveRoutes>,
@@ -91,8 +91,8 @@
 }
 
 impl ActivityLog {
-    /// Starts with a version without routes and endpoint lists, and continues the record of an
-    /// earlier process. Backends are told the version where `sends_version_header` says so.
+    /// Creates a log with a version that has no routes or endpoint lists yet. It continues the
+    /// record of the previous process, if there is one.
     pub fn new(
         settings_digest: Digest,
         previous_record: Option<RecordSnapshot>,
@@ -129,27 +129,27 @@
         })
     }
 
-    /// Returns the incarnation of this process: Unix time in milliseconds at its start.
+    /// Returns the incarnation of this process: the Unix time at its start, in milliseconds.
     pub fn incarnation(&self) -> Incarnation {
         self.started_at
     }
 
-    /// Returns Unix time in milliseconds, by a clock that never goes back.
+    /// Returns the Unix time in milliseconds, by a clock that never goes back.
     pub fn now(&self) -> UnixMillis {
         self.started_at + as_millis(self.started.elapsed())
     }
 
-    /// Returns the version in force.
+    /// Returns the current version.
     pub fn version(&self) -> Version {
         self.version.borrow().clone()
     }
 
-    /// Waits until the version changes, or a generation is committed.
+    /// Waits until the version changes or a generation is committed.
     pub async fn changed(&self) {
         self.version_changed.notified().await;
     }
 
-    /// Binds a request to the version in force.
+    /// Binds a request to the current version.
     pub fn begin_request(self: &Rc<Self>) -> RequestActivity {
         RequestActivity {
             log: self.clone(),
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Sets the generation of routes in force.
+    /// Sets the routes that are applied, with their generation.
     pub fn set_routes(&self, generation: u64, text: &str) {
         let routes = ActiveRoutes::new(generation, text);
         let digest = routes.digest;
@@ -168,7 +168,7 @@
         });
     }
 
-    /// Announces that the routes in force were committed.
+    /// Announces a committed generation, to be proposed to the cluster.
     pub fn announce_commit(&self, generation: u64, text: &str, required_within_ms: Option<u64>) {
         self.committed.set(Some(CommittedGeneration {
             generation,
@@ -178,12 +178,12 @@
         self.version_changed.notify_waiters();
     }
 
-    /// Returns what was committed since the last call.
+    /// Returns the latest generation that was committed since the last call.
     pub(super) fn take_committed(&self) -> Option<CommittedGeneration> {
         self.committed.take()
     }
 
-    /// Returns the highest generation that is known in the fleet.
+    /// Returns the highest generation that is known in the cluster.
     pub fn highest_known_generation(&self) -> u64 {
         self.highest_known_generation.get()
     }
@@ -196,18 +196,19 @@
         self.fence.set_requirements(requirements);
     }
 
-    /// Sets until when all requirements are known.
-    pub(super) fn set_sure_until(&self, until: Option<Instant>) {
-        self.fence.set_sure_until(until);
+    /// Sets until when the requirements are known to be complete.
+    pub(super) fn set_confirmed_until(&self, until: Option<Instant>) {
+        self.fence.set_confirmed_until(until);
     }
 
-    /// Returns the shortest time within which a generation can be required, in milliseconds: where
-    /// proxies fence themselves when they cannot know what is required, they do so after as long.
+    /// Returns the shortest time within which a generation can be required, in milliseconds. It is
+    /// the time after which unconfirmed proxies fence themselves, or 0 if they do not.
     pub fn min_required_within_ms(&self) -> u64 {
         self.fence.fence_unsure_after().map_or(0, as_millis)
     }
 
-    /// Whether this proxy is fenced: it binds no request. The record says from when to when.
+    /// Returns whether this proxy is fenced, so that it accepts no requests. Each transition is
+    /// recorded and logged.
     pub fn is_fenced(&self) -> bool {
         let (generation, digest) = {
             let routes = self.routes.borrow();
@@ -223,14 +224,14 @@
     fn record_fence(&self, is_fenced: bool) {
         if is_fenced {
             self.begin_fault(FaultKind::Fenced);
-            tracing::warn!(fenced = true, "fleet: fenced: no request is bound");
+            tracing::warn!(fenced = true, "fleet: fenced: requests are rejected");
         } else {
             self.end_fault(FaultKind::Fenced);
             tracing::warn!(fenced = false, "fleet: no longer fenced");
         }
     }
 
-    /// Records that a generation was rejected.
+    /// Records that a generation of routes was rejected.
     pub fn record_rejection(&self, generation: u64, routes: Digest, reason: String) {
         self.record.borrow_mut().record_rejection(RejectedVersion {
             at: self.now(),
@@ -240,24 +241,24 @@
         });
     }
 
-    /// Whether routes with this digest were rejected before.
+    /// Returns whether routes with this digest were rejected before.
     pub fn was_rejected(&self, routes: Digest) -> bool {
         self.record.borrow().rejection_of(routes).is_some()
     }
 
-    /// Returns the text of the routes in force, if they have this digest.
+    /// Returns the text of the current routes, if they have this digest.
     pub fn routes(&self, digest: Digest) -> Option<Rc<str>> {
         let routes = self.routes.borrow();
         let matches = routes.digest == digest && digest != Digest::default();
         matches.then(|| routes.text.clone())
     }
 
-    /// Records an activity under the version in force.
+    /// Records an activity under the current version.
     pub fn record(&self, activity: Activity) {
         self.epoch.borrow().record(activity, self.now());
     }
 
-    /// Takes the sequence number of a source's endpoint list into the version.
+    /// Records the sequence number of a source's endpoint list in the version.
     pub fn endpoint_list_received(&self, source: SocketAddr, sequence: u64) {
         let address_digest = Digest::of(source.to_string().as_bytes());
         self.change_version(|version| {
@@ -275,7 +276,7 @@
         });
     }
 
-    /// Takes a source that is followed no longer out of the version.
+    /// Removes an endpoint source from the version.
     pub fn endpoint_source_removed(&self, source: SocketAddr) {
         let address_digest = Digest::of(source.to_string().as_bytes());
         self.change_version(|version| {
@@ -295,7 +296,7 @@
         self.version_changed.notify_waiters();
     }
 
-    /// Records a fault that lasts.
+    /// Records the start of a fault.
     pub(super) fn begin_fault(&self, kind: FaultKind) {
         self.record.borrow_mut().record_fault(FaultInterval {
             kind,
@@ -319,12 +320,12 @@
         });
     }
 
-    /// Returns the record as it stands.
+    /// Returns a snapshot of the record.
     pub fn snapshot(&self) -> RecordSnapshot {
         self.record.borrow().snapshot(self.now())
     }
 
-    /// Ends the last interval of the record: this proxy shuts down.
+    /// Closes the record when this proxy shuts down.
     pub(super) fn close(&self) {
         self.record.borrow_mut().close(self.now());
     }
--- a/crates/heathroad/src/membership/audit/mod.rs
+++ b/crates/heathroad/src/membership/audit/mod.rs
@@ -1,6 +1,6 @@
-//! The audit: which proxy ran which version, and when. A member's own record is reported as such.
-//! Of a member that is not reached, the audit reports what was last received of it, and that
-//! nothing is known beyond that.
+//! Audits which proxy ran which version, and when. The report contains the record of each reachable
+//! member. For the others it contains the last information received, and marks the time since as
+//! unknown.
 
 mod query;
 mod remote;
@@ -18,7 +18,7 @@
 use heathroad_membership::MemberId;
 use heathroad_membership::claim::MemberState;
 use heathroad_membership::protocol::fetch::FetchError;
-use report::{AuditReport, AuditedMember, AuditedRecord, RecordReport, UnreachedReport};
+use report::{AuditReport, AuditedMember, AuditedRecord, MissingRecordReport, RecordReport};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -26,26 +26,26 @@
 
 type FetchedRecords = BTreeMap<MemberId, Result<RemoteRecord, FetchError>>;
 
-/// Asks every member for its record. Of a member that is not reached, the record of the fleet's
-/// collector is reported, where there is one.
+/// Fetches the record of every present member. For an unreachable member, the report contains the
+/// copy of the cluster's collector, if there is one.
 pub async fn audit(
     service: Rc<MembershipService>,
     leases: Option<Rc<LeaseService>>,
     query: AuditQuery,
 ) -> Value {
-    let fleet = service.report();
-    let mut records = fetch_records(&service, &fleet.members).await;
-    let collected = if is_any_unreached(&records, fleet.members.len()) {
+    let cluster = service.report();
+    let mut records = fetch_records(&service, &cluster.members).await;
+    let collected = if is_any_unreachable(&records, cluster.members.len()) {
         fetch_collected(leases).await
     } else {
         None
     };
-    let audited = |member: MemberReport| {
+    let audit_one = |member: MemberReport| {
         let id = member.view.id;
         let record = if member.is_self {
             let record = service.activity_log().snapshot();
             let report = RecordReport::new(query, &record, ClockOffset::default());
-            AuditedRecord::Reached(report)
+            AuditedRecord::Fetched(report)
         } else {
             let collected = collected.as_ref().and_then(|records| records.get(id));
             audit_member(query, &member, records.remove(&id), collected)
@@ -53,19 +53,19 @@
         AuditedMember::new(member, record)
     };
     let report = AuditReport {
-        fleet_name: fleet.fleet_name,
-        asked: fleet.own_id,
+        cluster_name: cluster.cluster_name,
+        reported_by: cluster.own_id,
         at: service.activity_log().now(),
-        isolated: fleet.isolated,
-        desired: fleet.desired,
-        required: fleet.required,
-        members: fleet.members.into_iter().map(audited).collect(),
+        isolated: cluster.isolated,
+        desired: cluster.desired,
+        required: cluster.required,
+        members: cluster.members.into_iter().map(audit_one).collect(),
     };
     serde_json::to_value(report).unwrap_or_default()
 }
 
-/// Fetches the records of all present members. Dead members are not waited for: half of a fleet
-/// would take minutes.
+/// Fetches the records of all present members. Dead members are skipped, since waiting for each to
+/// time out could take minutes.
 async fn fetch_records(
     service: &Rc<MembershipService>,
     members: &[MemberReport],
@@ -86,10 +86,10 @@
     records
 }
 
-/// Whether there is any member but this proxy and those whose records were fetched.
-fn is_any_unreached(records: &FetchedRecords, members: usize) -> bool {
-    let reached = records.values().filter(|record| record.is_ok()).count();
-    members > reached + 1
+/// Returns whether the record of any other member was not fetched.
+fn is_any_unreachable(records: &FetchedRecords, member_count: usize) -> bool {
+    let fetched = records.values().filter(|record| record.is_ok()).count();
+    member_count > fetched + 1
 }
 
 async fn fetch_collected(leases: Option<Rc<LeaseService>>) -> Option<CollectedRecords> {
@@ -102,10 +102,10 @@
     fetched: Option<Result<RemoteRecord, FetchError>>,
     collected: Option<&CollectedRecord>,
 ) -> AuditedRecord {
-    let why = match fetched {
+    let reason = match fetched {
         Some(Ok(remote)) => {
             let report = RecordReport::new(query, &remote.snapshot, remote.clock_offset);
-            return AuditedRecord::Reached(report);
+            return AuditedRecord::Fetched(report);
         }
         Some(Err(FetchError::NotFound)) => "it keeps no record",
         Some(Err(FetchError::Corrupted)) => "its record came spoilt",
@@ -114,5 +114,5 @@
         None => "it is not there, as far as is known here",
     };
     let collected = collected.map(|collected| RecordReport::of_collected(query, collected));
-    AuditedRecord::Unreached(UnreachedReport::new(&member.view, why, collected))
+    AuditedRecord::Missing(MissingRecordReport::new(&member.view, reason, collected))
 }
--- a/crates/heathroad/src/membership/audit/query.rs
+++ b/crates/heathroad/src/membership/audit/query.rs
@@ -1,4 +1,4 @@
-//! What is asked of the audit.
+//! The query parameters of the audit.
 
 use super::ClockOffset;
 use heathroad_membership::activity_record::{Interval, UnixMillis};
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum AuditQueryError {
-    /// A value is not a number.
+    /// A value is not a whole number.
     #[error("{name}: {value:?}: expected a whole number")]
     InvalidValue {
         /// The name of the parameter.
@@ -16,7 +16,7 @@
         /// Its value.
         value: String,
     },
-    /// There is no such parameter.
+    /// A parameter is unknown.
     #[error("{name}: expected since, version or at")]
     UnknownParameter {
         /// The name of the parameter.
@@ -24,14 +24,14 @@
     },
 }
 
-/// Selects intervals of the records. Times are by the clock of the proxy that is asked.
+/// Selects intervals of the records. Times are by the clock of the proxy that answers.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct AuditQuery {
-    /// Leaves out what ended before this time.
+    /// Excludes intervals that ended before this time.
     since: Option<UnixMillis>,
     /// Selects one generation of routes.
     generation: Option<u64>,
-    /// Selects what was in force at this time.
+    /// Selects the intervals that include this time.
     at: Option<UnixMillis>,
 }
 
@@ -59,8 +59,8 @@
         Ok(parsed)
     }
 
-    /// Whether an interval is selected that was recorded by another clock, and written at
-    /// `written_at` by that clock.
+    /// Returns whether the query selects an interval. Its times, and the time `written_at` of the
+    /// record, are by the other proxy's clock.
     pub(super) fn selects(
         &self,
         interval: &Interval,
--- a/crates/heathroad/src/membership/audit/remote.rs
+++ b/crates/heathroad/src/membership/audit/remote.rs
@@ -1,4 +1,4 @@
-//! Records and other snapshots of members, with the offsets of their clocks.
+//! Fetches records and other snapshots from members, with the offsets of their clocks.
 
 use super::ClockOffset;
 use crate::membership::MembershipService;
@@ -10,7 +10,7 @@
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
-/// A snapshot that has not arrived within this time is reported as not reached.
+/// A member whose snapshot does not arrive within this time is reported as unreachable.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// The record of a member.
@@ -18,11 +18,11 @@
 pub struct RemoteRecord {
     /// The record.
     pub snapshot: RecordSnapshot,
-    /// How far the member's clock is from this proxy's.
+    /// The offset between the member's clock and this proxy's.
     pub clock_offset: ClockOffset,
 }
 
-/// Fetches a snapshot as JSON; `taken_at` returns when it was taken by the member's clock.
+/// Fetches a snapshot in JSON. `taken_at` returns the time in the snapshot, by the member's clock.
 pub async fn fetch_snapshot<T: DeserializeOwned>(
     service: &MembershipService,
     member: MemberId,
--- a/crates/heathroad/src/membership/audit/report.rs
+++ b/crates/heathroad/src/membership/audit/report.rs
@@ -1,4 +1,4 @@
-//! The form of the audit's answer.
+//! The JSON report of the audit.
 
 use super::super::member_report::MemberReport;
 use super::{AuditQuery, ClockOffset};
@@ -14,13 +14,14 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// The answer to an audit.
+/// The report of an audit.
 #[derive(Debug, Serialize)]
 pub(super) struct AuditReport {
     #[serde(rename = "fleet")]
-    pub(super) fleet_name: String,
-    /// The member that was asked; times are by its clock.
-    pub(super) asked: MemberId,
+    pub(super) cluster_name: String,
+    /// The member that created the report; times are by its clock.
+    #[serde(rename = "asked")]
+    pub(super) reported_by: MemberId,
     pub(super) at: UnixMillis,
     #[serde(rename = "cut_off")]
     pub(super) isolated: bool,
@@ -30,7 +31,7 @@
     pub(super) members: Vec<AuditedMember>,
 }
 
-/// A member, and its record as far as it is known.
+/// A member and its record.
 #[derive(Debug, Serialize)]
 pub(super) struct AuditedMember {
     #[serde(rename = "place")]
@@ -59,19 +60,19 @@
     }
 }
 
-/// The record of a member, or what is known without it.
+/// The record of a member, or the last known state if it could not be fetched.
 #[derive(Debug, Serialize)]
 #[serde(untagged)]
 pub(super) enum AuditedRecord {
-    Reached(RecordReport),
-    Unreached(UnreachedReport),
+    Fetched(RecordReport),
+    Missing(MissingRecordReport),
 }
 
-/// A record, with the times of its intervals and faults by the clock of the proxy that is asked.
+/// A record. The times of its intervals and faults are by the clock of the proxy that answers.
 #[derive(Debug, Serialize)]
 pub(super) struct RecordReport {
     reached: bool,
-    /// How far the clock of the record is ahead of that of the proxy that is asked.
+    /// How far the member's clock is ahead of the clock of the proxy that answers.
     #[serde(rename = "clock_off_ms")]
     clock_ahead_ms: i64,
     clock_error_ms: u64,
@@ -89,10 +90,11 @@
     collection: Option<Collection>,
 }
 
-/// Who collected a record, and when. It says nothing of the time after that.
+/// The collector of a record, and when it was collected. The time since is unknown.
 #[derive(Debug, Serialize)]
 struct Collection {
-    by: MemberId,
+    #[serde(rename = "by")]
+    collector: MemberId,
     collected_at: UnixMillis,
 }
 
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Reports the collector's record of a member that was not reached.
+    /// Reports the collector's copy of the record of an unreachable member.
     pub(super) fn of_collected(query: AuditQuery, collected: &CollectedRecord) -> RecordReport {
         let clock = ClockOffset {
             offset_ms: collected.clock_offset,
@@ -130,7 +132,7 @@
         RecordReport {
             reached: false,
             collection: Some(Collection {
-                by: collected.by,
+                collector: collected.by,
                 collected_at: collected.collected_at,
             }),
             ..RecordReport::new(query, &collected.record, clock)
@@ -157,9 +159,9 @@
     }
 }
 
-/// What is known of a member that was not reached.
+/// The last known state of a member whose record could not be fetched.
 #[derive(Debug, Serialize)]
-pub(super) struct UnreachedReport {
+pub(super) struct MissingRecordReport {
     reached: bool,
     #[serde(rename = "why")]
     reason: &'static str,
@@ -168,18 +170,19 @@
     #[serde(rename = "last_acts")]
     last_active_version: Option<(Digest, u32)>,
     last_version: Option<Version>,
-    /// Which version the member ran since it was last heard, and until when, nobody here can know.
+    /// The end of the time for which the member's version is unknown. It is always null, since no
+    /// end is known.
     unknown_until: Option<UnixMillis>,
     collected: Option<RecordReport>,
 }
 
-impl UnreachedReport {
+impl MissingRecordReport {
     pub(super) fn new(
         view: &MemberView,
         reason: &'static str,
         collected: Option<RecordReport>,
-    ) -> UnreachedReport {
-        UnreachedReport {
+    ) -> MissingRecordReport {
+        MissingRecordReport {
             reached: false,
             reason,
             last_heard_ago_ms: view.last_heard_ago_ms,
--- a/crates/heathroad/src/membership/event_log.rs
+++ b/crates/heathroad/src/membership/event_log.rs
@@ -1,4 +1,4 @@
-//! The latest events of the membership protocol, for operators and for the log.
+//! Keeps the latest events of the membership protocol and writes them to the log.
 
 use heathroad_membership::activity_record::UnixMillis;
 use heathroad_membership::protocol::Event;
@@ -7,10 +7,10 @@
 use std::collections::VecDeque;
 use tracing::{info, warn};
 
-/// The most events that are kept.
+/// The number of events that are kept.
 const MAX_EVENTS: usize = 200;
 
-/// An event, and when it was recorded.
+/// An event with the time at which it was recorded.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub(super) struct LoggedEvent {
     at: UnixMillis,
@@ -18,12 +18,12 @@
     event: Event,
 }
 
-/// The latest events.
+/// The latest events, up to [`MAX_EVENTS`].
 #[derive(Default)]
 pub(super) struct EventLog(RefCell<VecDeque<LoggedEvent>>);
 
 impl EventLog {
-    /// Keeps an event, and writes it to the log.
+    /// Records an event and writes it to the log.
     pub(super) fn record(&self, now: UnixMillis, event: Event) {
         let mut events = self.0.borrow_mut();
         if events.len() == MAX_EVENTS {
@@ -33,7 +33,7 @@
         write_to_log(event);
     }
 
-    /// Returns the events that are kept, the oldest first.
+    /// Returns the latest events, oldest first.
     pub(super) fn latest(&self) -> Vec<LoggedEvent> {
         self.0.borrow().iter().copied().collect()
     }
@@ -59,7 +59,7 @@
         Event::Reincarnated { incarnation } => {
             warn!(
                 incarnation,
-                "fleet: taken for dead, going on as incarnation {incarnation}"
+                "fleet: declared dead by other members, continuing as incarnation {incarnation}"
             );
         }
         Event::Stalled { duration } => {
@@ -75,15 +75,15 @@
             generation,
             %lower,
             %higher,
-            "fleet: conflict: generation {generation} was committed as {lower} and as {higher}"
+            "fleet: conflict: generation {generation} has the digests {lower} and {higher}"
         ),
         Event::VersionRequired { generation } => {
             info!(generation, "fleet: generation {generation} is required");
         }
-        Event::Isolated => warn!("fleet: isolated: nothing is received from other members"),
+        Event::Isolated => warn!("fleet: isolated: no messages from other members"),
         Event::Reconnected => info!("fleet: reconnected"),
         Event::ActiveVersionChanged { .. } => {}
-        // Kinds that a later version of the protocol adds.
+        // Kinds without a message of their own; the enum is non-exhaustive.
         event => info!(?event, "fleet: event"),
     }
 }
--- a/crates/heathroad/src/membership/member_report.rs
+++ b/crates/heathroad/src/membership/member_report.rs
@@ -1,4 +1,4 @@
-//! What operators read of the members at `/fleet/members`.
+//! The JSON report on the cluster's members, served at `/fleet/members`.
 
 use super::event_log::LoggedEvent;
 use super::service::MembershipService;
@@ -10,11 +10,11 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// What this proxy knows of its fleet.
+/// This proxy's view of its cluster.
 #[derive(Debug, Serialize)]
-pub(super) struct FleetReport {
+pub(super) struct ClusterReport {
     #[serde(rename = "fleet")]
-    pub(super) fleet_name: String,
+    pub(super) cluster_name: String,
     #[serde(rename = "place")]
     pub(super) own_id: MemberId,
     pub(super) at: UnixMillis,
@@ -34,7 +34,7 @@
     events: Vec<LoggedEvent>,
 }
 
-/// What this proxy knows of a member.
+/// This proxy's view of a member.
 #[derive(Debug, Serialize)]
 pub(super) struct MemberReport {
     #[serde(flatten)]
@@ -45,13 +45,13 @@
 }
 
 impl MembershipService {
-    /// Returns what operators read of the members, as JSON.
+    /// Returns the report on the members, as JSON.
     pub fn members(&self) -> Value {
         serde_json::to_value(self.report()).unwrap_or_default()
     }
 
-    /// Returns what this proxy knows of its fleet.
-    pub(super) fn report(&self) -> FleetReport {
+    /// Returns the report on the members.
+    pub(super) fn report(&self) -> ClusterReport {
         let now = self.now();
         let membership = self.membership.borrow();
         let own_id = membership.id();
@@ -61,8 +61,8 @@
             view,
         };
         let views = membership.member_views(now);
-        FleetReport {
-            fleet_name: self.fleet_name.clone(),
+        ClusterReport {
+            cluster_name: self.cluster_name.clone(),
             own_id,
             at: self.activity_log.now(),
             isolated: membership.is_isolated(),
--- a/crates/heathroad/src/membership/mod.rs
+++ b/crates/heathroad/src/membership/mod.rs
@@ -1,6 +1,6 @@
-//! Membership of this proxy in its fleet: the socket and the clock around `heathroad_membership`,
-//! the activity record, and the audit. It is off unless the daemon's file names a file of the
-//! fleet.
+//! Membership of this proxy in its cluster: runs the protocol of `heathroad_membership` on a socket
+//! and a clock, and keeps the activity record and the audit. It is disabled unless the daemon's
+//! configuration has the key `fleet`.
 
 pub mod activity_log;
 pub mod audit;
--- a/crates/heathroad/src/membership/pending_fetches.rs
+++ b/crates/heathroad/src/membership/pending_fetches.rs
@@ -1,4 +1,4 @@
-//! Fetches of resources that callers wait for.
+//! Delivers fetched resources to the callers that wait for them.
 
 use heathroad_membership::Millis;
 use heathroad_membership::activity_record::UnixMillis;
@@ -9,12 +9,11 @@
 
 /// A resource that was fetched from another member.
 pub struct FetchedResource {
-    /// The resource.
+    /// The content of the resource.
     pub bytes: Vec<u8>,
-    /// When it was asked for, by this proxy's clock.
+    /// When the resource was requested, by this proxy's clock.
     pub requested_at: UnixMillis,
-    /// How long after that its first part arrived: the resource is as it was at some time in this
-    /// span.
+    /// The time from the request to the first part. The resource was read within it.
     pub first_part_after: Millis,
 }
 
@@ -31,7 +30,7 @@
     }
 }
 
-/// The callers that wait for a fetch to end, by the number of the fetch.
+/// The callers that wait for fetches, by the id of the fetch.
 #[derive(Default)]
 pub(super) struct PendingFetches(RefCell<HashMap<u32, oneshot::Sender<CompletedFetch>>>);
 
@@ -46,10 +45,10 @@
         self.0.borrow_mut().remove(&id);
     }
 
-    /// Hands a fetch that has ended to the caller that waits for it.
+    /// Delivers a completed fetch to its caller.
     pub(super) fn complete(&self, fetch: CompletedFetch) {
         if let Some(sender) = self.0.borrow_mut().remove(&fetch.id) {
-            // The caller may have given up.
+            // The caller may have timed out.
             let _ = sender.send(fetch);
         }
     }
--- a/crates/heathroad/src/membership/record_file.rs
+++ b/crates/heathroad/src/membership/record_file.rs
@@ -1,6 +1,6 @@
-//! The activity record on disk, where there is a state folder. It is written to a temporary file
-//! and renamed, so that it is complete at any time. What was not written yet when the process ended
-//! is on no record, and the next record says so.
+//! Stores the activity record in the state folder, if there is one. Each write goes to a temporary
+//! file that is then renamed, so that readers never see a partial record. Activity after the last
+//! write is lost if the process dies; the next record reports the gap.
 
 use super::activity_log::ActivityLog;
 use crate::runtime_accounting::sleep;
@@ -12,18 +12,18 @@
 use thiserror::Error;
 use tokio::task::spawn_blocking;
 
-/// The name of the file in the state folder.
+/// The name of the record in the state folder.
 const FILE_NAME: &str = "acts.json";
-/// The name under which it is written before it is renamed.
+/// The name of the temporary file.
 const TEMPORARY_FILE_NAME: &str = "acts.json.new";
-/// The pause between two writes, while anything changes.
+/// The interval at which changes are written.
 const WRITE_INTERVAL: Duration = Duration::from_secs(1);
-/// The longest file that is read, in bytes.
+/// The largest file that is read.
 const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// Why a record cannot be read. The proxy then begins a new one.
+/// Why a record cannot be read. The proxy then starts a new one.
 #[derive(Debug, Error)]
-#[error("{path}: {cause}; a new record begins", path = .path.display())]
+#[error("{path}: {cause}; starting a new record", path = .path.display())]
 pub struct RecordFileError {
     path: PathBuf,
     #[source]
@@ -34,13 +34,13 @@
 enum RecordFileErrorCause {
     #[error("{0}")]
     Unreadable(#[from] io::Error),
-    #[error("{length} bytes, {MAX_FILE_BYTES} at most are expected")]
+    #[error("file has {length} bytes, the limit is {MAX_FILE_BYTES}")]
     TooLong { length: u64 },
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// Reads the record of an earlier process, if there is one.
+/// Reads the record of the previous process, if there is one.
 pub fn read(folder: &Path) -> Result<Option<RecordSnapshot>, RecordFileError> {
     let path = folder.join(FILE_NAME);
     read_file(&path).map_err(|cause| RecordFileError { path, cause })
@@ -66,8 +66,8 @@
     std::fs::rename(&temporary, folder.join(FILE_NAME))
 }
 
-/// Writes the record whenever it has changed, for as long as the process runs.
-pub(super) async fn write_continuously(folder: PathBuf, log: Rc<ActivityLog>) {
+/// Writes the record whenever it has changed. Never returns.
+pub(super) async fn run_writer(folder: PathBuf, log: Rc<ActivityLog>) {
     let mut written: Option<RecordSnapshot> = None;
     let mut is_failing = false;
     loop {
--- a/crates/heathroad/src/membership/service.rs
+++ b/crates/heathroad/src/membership/service.rs
@@ -1,5 +1,5 @@
-//! The membership service: it drives the protocol with a socket and a clock, and connects it with
-//! the other parts of the daemon.
+//! The membership service: drives the protocol with a socket and a clock, and connects it to the
+//! rest of the daemon.
 
 use super::activity_log::{ActivityLog, CommittedGeneration};
 use super::event_log::EventLog;
@@ -27,26 +27,25 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-/// Routes are given up that have not arrived within this time.
+/// The timeout for fetching routes from a member.
 const ROUTES_TIMEOUT: Duration = Duration::from_secs(30);
-/// The most datagrams that are read in one turn, so that requests get theirs.
+/// The most datagrams that are read at a time, so that other tasks are not delayed.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
-/// The protocol is told of the time so often at the least.
+/// The longest time between two ticks of the protocol.
 const MAX_TICK_INTERVAL: Duration = Duration::from_secs(60);
-/// A proxy that fences itself when it is unsure asks for so many confirmations in the time for
-/// which one makes it sure.
-const CONFIRMATIONS_PER_SPAN: u32 = 6;
-/// The pause before a fetch is tried again, while too many are running.
+/// A proxy with a fence timeout requests this many confirmations per timeout.
+const CONFIRMATIONS_PER_TIMEOUT: u32 = 6;
+/// The delay before a fetch is retried while too many are in progress.
 const FETCH_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Returns resources that other parts of the daemon have.
+/// Serves resources of other parts of the daemon.
 type ResourceProvider = Box<dyn Fn(Resource, Digest) -> Option<Vec<u8>>>;
 
 /// Why the service cannot start.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum StartError {
-    /// The port of the fleet cannot be opened.
+    /// The membership socket cannot be opened.
     #[error("fleet: {address}: {source}")]
     Bind {
         /// The address.
@@ -55,13 +54,13 @@
         source: io::Error,
     },
     /// The list of addresses is too long.
-    #[error("fleet: too many peers")]
+    #[error("fleet: more than {} peers", u16::MAX)]
     TooManyMembers,
 }
 
-/// This proxy as a member of its fleet.
+/// The membership of this proxy in its cluster.
 pub struct MembershipService {
-    pub(super) fleet_name: String,
+    pub(super) cluster_name: String,
     pub(super) membership: RefCell<Membership>,
     socket: UdpSocket,
     pub(super) addresses: Vec<SocketAddr>,
@@ -78,8 +77,8 @@
 }
 
 impl MembershipService {
-    /// Opens the port and joins the fleet. The record is kept in the state folder, where there is
-    /// one.
+    /// Opens the socket and joins the cluster. The activity record is kept in the state folder, if
+    /// there is one.
     pub async fn begin(
         settings: Settings,
         seed: u64,
@@ -104,7 +103,7 @@
         let mut membership = Membership::new(0, protocol_settings);
         membership.set_active_version(activity_log.version());
         let service = Rc::new(MembershipService {
-            fleet_name: settings.fleet_name,
+            cluster_name: settings.fleet_name,
             membership: RefCell::new(membership),
             socket,
             addresses: settings.addresses,
@@ -122,7 +121,7 @@
         spawn_local(service.clone().run());
         if let Some(folder) = service.state_folder.clone() {
             let log = service.activity_log.clone();
-            spawn_local(record_file::write_continuously(folder, log));
+            spawn_local(record_file::run_writer(folder, log));
         }
         Ok(service)
     }
@@ -132,12 +131,12 @@
         self.membership.borrow().id()
     }
 
-    /// Returns when this proxy's monotonic clock was at 0.
+    /// Returns the instant at which this proxy's monotonic clock was 0.
     pub fn started(&self) -> Instant {
         self.started
     }
 
-    /// Returns the milliseconds of this proxy's monotonic clock.
+    /// Returns the time of this proxy's monotonic clock, in milliseconds.
     pub fn now(&self) -> Millis {
         u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
@@ -150,7 +149,7 @@
                 () = self.activity_log.changed() => {}
                 () = self.work_added.notified() => {}
                 () = sleep_until(self.next_tick()) => {
-                    // What has arrived counts before it is concluded that nothing has.
+                    // Reads datagrams that have arrived before the protocol evaluates its timeouts.
                     self.receive_datagrams();
                     let now = self.now();
                     self.membership.borrow_mut().tick(now);
@@ -162,19 +161,21 @@
     }
 
     fn next_tick(&self) -> Instant {
-        let due = self.instant(self.membership.borrow().due());
-        // Where this proxy has to be sure, it checks that more often than the protocol asks for.
+        let due = self.to_instant(self.membership.borrow().due());
+        // Confirmations are renewed more often than the protocol is due.
         let interval = self
             .fence_unsure_after
-            .map_or(MAX_TICK_INTERVAL, |span| span / CONFIRMATIONS_PER_SPAN);
+            .map_or(MAX_TICK_INTERVAL, |fence_timeout| {
+                fence_timeout / CONFIRMATIONS_PER_TIMEOUT
+            });
         due.min(Instant::now() + interval)
     }
 
-    fn instant(&self, at: Millis) -> Instant {
+    fn to_instant(&self, at: Millis) -> Instant {
         self.started + Duration::from_millis(at)
     }
 
-    /// Tells the fleet what this proxy runs, and the activity log what is required of it.
+    /// Passes the running version to the protocol, and the required versions to the activity log.
     fn exchange_versions(&self) {
         let now = self.now();
         let mut membership = self.membership.borrow_mut();
@@ -193,33 +194,39 @@
         let requirements = membership.required().as_slice().iter();
         let requirements = requirements.map(|version| Requirement {
             version: *version,
-            deadline: self.instant(version.deadline),
+            deadline: self.to_instant(version.deadline),
         });
         self.activity_log.set_requirements(requirements.collect());
-        if let Some(span) = self.fence_unsure_after {
-            self.renew_confirmation(now, span, &mut membership);
+        if let Some(fence_timeout) = self.fence_unsure_after {
+            self.renew_confirmation(now, fence_timeout, &mut membership);
         }
         drop(membership);
         self.desired
             .send_if_modified(|known| std::mem::replace(known, desired) != desired);
-        // The fence begins and ends also while no request asks for it.
+        // Records transitions of the fence even while there are no requests.
         self.activity_log.is_fenced();
     }
 
-    fn renew_confirmation(&self, now: Millis, span: Duration, membership: &mut Membership) {
+    /// Requests a confirmation if the last one is old, and tells the fence when that expires.
+    fn renew_confirmation(
+        &self,
+        now: Millis,
+        fence_timeout: Duration,
+        membership: &mut Membership,
+    ) {
         let age = now.saturating_sub(membership.last_confirmed().unwrap_or(0));
-        let interval = (span / CONFIRMATIONS_PER_SPAN).as_millis();
+        let interval = (fence_timeout / CONFIRMATIONS_PER_TIMEOUT).as_millis();
         if age >= u64::try_from(interval).unwrap_or(u64::MAX) {
             membership.request_confirmation(now);
         }
         let confirmed = membership.last_confirmed();
         let confirmed = confirmed.filter(|_| membership.sees_majority());
         self.activity_log
-            .set_sure_until(confirmed.map(|at| self.instant(at) + span));
+            .set_confirmed_until(confirmed.map(|at| self.to_instant(at) + fence_timeout));
     }
 
     fn receive_datagrams(&self) {
-        // A byte more than is permitted shows that a datagram is too long.
+        // One byte more than the limit, so that longer datagrams are detected.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             match self.socket.try_recv_from(&mut buffer) {
@@ -228,7 +235,7 @@
                     self.membership.borrow_mut().receive(now, &buffer[..length]);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                // A refused send shows here as an error; it says nothing of what is behind it.
+                // The error of an earlier send to a closed port; there may be more datagrams.
                 Err(_) => {}
             }
         }
@@ -237,24 +244,24 @@
         }
     }
 
-    /// Waits until messages of other protocols have arrived.
+    /// Waits for messages of other protocols.
     pub async fn messages_received(&self) {
         self.messages_arrived.notified().await;
     }
 
-    /// Returns the messages of other protocols that arrived since the last call.
+    /// Returns the messages of other protocols that were received since the last call.
     pub fn take_messages(&self) -> Vec<PiggybackMessage> {
         self.membership.borrow_mut().messages().collect()
     }
 
-    /// Sends a message of another protocol.
+    /// Sends a message of another protocol to a member.
     pub fn send_message(&self, to: MemberId, bytes: Vec<u8>) {
         let now = self.now();
         self.membership.borrow_mut().send_message(now, to, bytes);
         self.send_datagrams();
     }
 
-    /// Returns the members that are present, with or without this proxy.
+    /// Returns the present members, with or without this proxy.
     pub fn present_members(&self, include_self: bool) -> Vec<MemberId> {
         let membership = self.membership.borrow();
         let own = membership.id();
@@ -262,7 +269,7 @@
         present.filter(|id| include_self || *id != own).collect()
     }
 
-    /// Has resources that the service itself does not know served by a provider.
+    /// Sets the provider of resources that belong to other parts of the daemon.
     pub fn serve_resources(&self, provider: ResourceProvider) {
         self.resource_provider.replace(Some(provider));
     }
@@ -306,7 +313,7 @@
     fn send_datagrams(&self) {
         for transmit in self.membership.borrow_mut().transmits() {
             if let Some(address) = self.addresses.get(usize::from(transmit.to)) {
-                // A datagram that cannot be sent now is lost, as any may be.
+                // The protocol tolerates lost datagrams.
                 let _ = self.socket.try_send_to(&transmit.bytes, *address);
             }
         }
@@ -322,7 +329,7 @@
         }
     }
 
-    /// Tells the fleet that this proxy shuts down.
+    /// Closes the record and announces to the cluster that this proxy shuts down.
     pub fn leave(&self) {
         self.activity_log.close();
         if let Some(folder) = &self.state_folder
@@ -335,7 +342,7 @@
         self.process_outputs();
     }
 
-    /// Returns what all members should run, as it changes.
+    /// Returns a watch on the version that all members should run.
     pub fn watch_desired(&self) -> watch::Receiver<Desired> {
         self.desired.subscribe()
     }
@@ -345,7 +352,7 @@
         &self.activity_log
     }
 
-    /// Fetches the text of routes from a random member that runs them.
+    /// Fetches the text of routes from a random member that runs them; none if that fails.
     pub async fn fetch_routes(&self, routes: Digest) -> Option<String> {
         let source = self.membership.borrow_mut().choose_routes_source(routes)?;
         let fetched = self.fetch(source, Resource::Routes, routes, ROUTES_TIMEOUT);
@@ -358,18 +365,19 @@
         from: MemberId,
         resource: Resource,
         key: Digest,
-        time_limit: Duration,
+        fetch_timeout: Duration,
     ) -> Result<FetchedResource, FetchError> {
         let (id, requested_at) = self.start_fetch(from, resource, key).await;
         let completed = self.pending_fetches.register(id);
         self.work_added.notify_one();
-        let completed = timeout(time_limit, completed).await;
+        let completed = timeout(fetch_timeout, completed).await;
         self.pending_fetches.remove(id);
         let completed = completed.ok().and_then(Result::ok);
         FetchedResource::new(requested_at, completed.ok_or(FetchError::TimedOut)?)
     }
 
-    /// Starts a fetch as soon as there is room for one. Returns its number and the time.
+    /// Starts a fetch as soon as the limit on concurrent fetches permits. Returns its id and the
+    /// time of the request.
     async fn start_fetch(&self, from: MemberId, resource: Resource, key: Digest) -> (u32, u64) {
         loop {
             let (now, requested_at) = (self.now(), self.activity_log.now());
--- a/crates/heathroad/src/membership/version_fence.rs
+++ b/crates/heathroad/src/membership/version_fence.rs
@@ -1,6 +1,6 @@
-//! The version fence: whether this proxy may still act on its generation of routes. It may not
-//! after the deadline of a higher generation that is required, nor, where it is told to fence
-//! itself, while it cannot know what is required.
+//! The version fence decides whether this proxy may use its generation of routes. It may not after
+//! the deadline of a higher required generation. If a fence timeout is set, it also may not while
+//! the last confirmation of the requirements is older than that.
 
 use heathroad_membership::desired_version::RequiredVersion;
 use heathroad_membership::version::Digest;
@@ -8,12 +8,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A requirement, with its deadline as an instant.
+/// A required version with its deadline as an instant.
 #[derive(Debug, Clone, Copy)]
 pub struct Requirement {
-    /// What is required.
+    /// The required version.
     pub version: RequiredVersion,
-    /// When it takes effect.
+    /// When older generations become forbidden.
     pub deadline: Instant,
 }
 
@@ -27,10 +27,10 @@
 /// The state of the fence.
 pub(super) struct VersionFence {
     requirements: RefCell<Vec<Requirement>>,
-    /// For how long all requirements are known after a member has answered; none if this proxy does
-    /// not fence itself when it cannot know them.
+    /// How long a confirmation of the requirements is valid. Without it, this proxy does not fence
+    /// itself for lack of confirmation.
     fence_unsure_after: Option<Duration>,
-    sure_until: Cell<Option<Instant>>,
+    confirmed_until: Cell<Option<Instant>>,
 }
 
 impl VersionFence {
@@ -38,7 +38,7 @@
         VersionFence {
             requirements: RefCell::default(),
             fence_unsure_after,
-            sure_until: Cell::default(),
+            confirmed_until: Cell::default(),
         }
     }
 
@@ -46,16 +46,16 @@
         self.requirements.replace(requirements);
     }
 
-    pub(super) fn set_sure_until(&self, until: Option<Instant>) {
-        self.sure_until.set(until);
+    pub(super) fn set_confirmed_until(&self, until: Option<Instant>) {
+        self.confirmed_until.set(until);
     }
 
     pub(super) fn fence_unsure_after(&self) -> Option<Duration> {
         self.fence_unsure_after
     }
 
-    /// Whether this proxy may act on a generation of routes. The clock is read each time: a proxy
-    /// that has stalled finds out before its next action.
+    /// Returns whether this proxy may use a generation of routes. The clock is read on each call,
+    /// so that a stalled proxy is fenced before its next action.
     pub(super) fn permits(&self, generation: u64, routes: Digest) -> bool {
         let requirements = self.requirements.borrow();
         if requirements.is_empty() && self.fence_unsure_after.is_none() {
@@ -65,11 +65,11 @@
         let is_forbidden = requirements
             .iter()
             .any(|requirement| requirement.forbids(generation, routes, now));
-        !is_forbidden && !self.is_unsure(now)
+        !is_forbidden && !self.is_unconfirmed(now)
     }
 
-    fn is_unsure(&self, now: Instant) -> bool {
-        let has_expired = self.sure_until.get().is_none_or(|until| now >= until);
+    fn is_unconfirmed(&self, now: Instant) -> bool {
+        let has_expired = self.confirmed_until.get().is_none_or(|until| now >= until);
         self.fence_unsure_after.is_some() && has_expired
     }
 }
