--- a/crates/heathroad/src/retry_budget/headers.rs
+++ b/crates/heathroad/src/retry_budget/headers.rs
@@ -1,5 +1,5 @@
-//! The budget of a request as its HTTP headers or JSON-RPC members carry it, and the budget that an
-//! attempt takes along.
+//! Reading budget claims from HTTP headers and JSON-RPC members, and the budget that an attempt
+//! carries.
 
 use heathroad_jsonrpc::message::Carried;
 use heathroad_retry_budget::request::BudgetClaim;
@@ -9,14 +9,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Carries what a request may still spend.
+/// Request header with the retry budget.
 pub const BUDGET_HEADER: &str = "req-budget";
-/// Names the proxies that a request has passed.
+/// Request header with the names of the proxies that the request has passed.
 pub const PATH_HEADER: &str = "req-path";
-/// Reports with a response what was spent below.
+/// Response header with the number of spent retries.
 pub const SPENT_HEADER: &str = "req-spent";
 
-/// Reads the budget that an HTTP request claims.
+/// Reads the budget claim of an HTTP request.
 pub fn read_http_claim(headers: &HeaderMap, from_trusted_peer: bool) -> BudgetClaim {
     let values = |name: &str| headers.get_all(name).iter().map(HeaderValue::as_bytes);
     BudgetClaim {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Reads the budget that a JSON-RPC call claims.
+/// Reads the budget claim of a JSON-RPC call.
 pub fn read_jsonrpc_claim(carried: &Carried, from_trusted_peer: bool) -> BudgetClaim {
     BudgetClaim {
         budget: Budget::decode(carried.budget.iter().map(|value| &value[..])),
@@ -35,7 +35,7 @@
     }
 }
 
-/// The budget that an attempt takes along, and the report that its response brings back.
+/// The budget that an attempt carries, and the report of spent retries from its response.
 pub struct AttemptBudget {
     budget: Budget,
     path: Rc<str>,
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Returns the values of the budget's and the path's headers. They tell durations only, so that
-    /// no clocks are compared.
+    /// Returns the values of the budget and path headers. The time is a duration, so that clocks of
+    /// different machines are never compared.
     pub fn header_values(&self, remaining_time: Duration) -> (String, &str) {
         let remaining_ms = u32::try_from(remaining_time.as_millis()).unwrap_or(u32::MAX);
         let budget = Budget {
@@ -65,8 +65,8 @@
         (budget.to_string(), &self.path)
     }
 
-    /// Returns whether a backend stops what its caller has given up. Its connection is closed then,
-    /// and so on down the chain.
+    /// Returns whether backends cancel their work when the connection of an abandoned attempt is
+    /// closed, which then propagates down the chain.
     pub fn cancels_downstream(&self) -> bool {
         self.cancels_downstream
     }
@@ -74,7 +74,7 @@
     /// Writes the headers of an HTTP request.
     pub fn write_headers(&self, headers: &mut HeaderMap, remaining_time: Duration) {
         let (budget, path) = self.header_values(remaining_time);
-        // Both are plain text.
+        // Both are ASCII text, so the conversions cannot fail.
         if let (Ok(budget), Ok(path)) = (HeaderValue::try_from(budget), HeaderValue::from_str(path))
         {
             headers.insert(BUDGET_HEADER, budget);
@@ -98,7 +98,7 @@
             .set(RetriesSpent::decode(values).unwrap_or(None));
     }
 
-    /// Returns the report of the attempt's response, if one has come.
+    /// Returns the report from the attempt's response, if there is one.
     pub(super) fn retries_spent(&self) -> Option<RetriesSpent> {
         self.retries_spent.get()
     }
--- a/crates/heathroad/src/retry_budget/mod.rs
+++ b/crates/heathroad/src/retry_budget/mod.rs
@@ -1,5 +1,5 @@
-//! Retry budgets of real requests. `heathroad-retry-budget` decides; this module knows the clock
-//! and which peers are trusted, and sees to it that every admitted request is closed.
+//! Retry budgets of the daemon's requests. The crate `heathroad-retry-budget` makes the decisions;
+//! this module provides the clock and the trusted peers, and closes every admitted request.
 
 mod headers;
 mod settings;
@@ -19,16 +19,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request that is rejected since it goes round. The text is the body of its response.
+/// Rejection of a request in a forwarding loop. The text is the body of the response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum LoopError {
-    /// The request has been here before.
+    /// The request has passed this proxy before.
     #[error("loop: the request has passed {proxy_name} before")]
     Loop {
         /// This proxy's name in paths.
         proxy_name: String,
     },
-    /// The request has passed too many proxies.
+    /// The request has reached its hop limit.
     #[error("loop: the request has passed as many proxies as it may before {proxy_name}")]
     TooManyHops {
         /// This proxy's name in paths.
@@ -45,23 +45,23 @@
     started: Instant,
 }
 
-/// The budget of an admitted request, which is closed when it is dropped.
+/// The budget of an admitted request. Dropping it closes the request's allowance.
 pub struct RequestBudget {
     budgets: Rc<RetryBudgets>,
-    /// Taken when it is closed, and by nobody else.
+    /// `None` only while it is dropped.
     request: Option<OpenRequest>,
     path: Rc<str>,
 }
 
-/// What is delegated to an attempt, until it is settled.
+/// The budget delegated to an attempt, until it is settled.
 pub struct DelegatedBudget {
     delegation: Delegation,
-    /// What the attempt takes along.
+    /// The budget that the attempt carries.
     pub attempt: Rc<AttemptBudget>,
 }
 
 impl RetryBudgets {
-    /// Returns budgets without requests; no two proxies should share a seed.
+    /// Returns the budgets of a proxy without requests. Each proxy should use a different seed.
     pub fn new(settings: &Settings, seed: u64) -> Rc<RetryBudgets> {
         let Settings {
             config,
@@ -77,7 +77,7 @@
         })
     }
 
-    /// Returns whether a peer's budgets count in full.
+    /// Returns whether a peer's budget claims are trusted.
     pub fn is_trusted(&self, peer: IpAddr) -> bool {
         self.trusted_peers.contains(&peer.to_canonical())
     }
@@ -91,7 +91,7 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Admits a request whose client waits so long, or rejects it since it goes round.
+    /// Admits a request with the client's timeout, or rejects it as a forwarding loop.
     pub fn admit(
         self: &Rc<Self>,
         claim: BudgetClaim,
@@ -122,20 +122,20 @@
 }
 
 impl RequestBudget {
-    /// Returns the longest time that the request has.
+    /// Returns the request's time limit.
     pub fn time_limit(&self) -> Duration {
         let limit_ms = self.request.as_ref().map_or(0, OpenRequest::time_limit_ms);
         Duration::from_millis(u64::from(limit_ms))
     }
 
-    /// Returns the request's priority weight, as a fraction of its class's.
+    /// Returns the priority weight, as a fraction of the class's weight.
     pub fn priority_weight(&self) -> f64 {
         self.request
             .as_ref()
             .map_or(1.0, OpenRequest::priority_weight)
     }
 
-    /// Returns the number of retries that the request may still send.
+    /// Returns the number of retries that may still be sent for the request.
     pub fn remaining_retries(&self) -> u32 {
         let allowances = self.budgets.allowances.borrow();
         self.request.as_ref().map_or(0, |request| {
@@ -143,7 +143,7 @@
         })
     }
 
-    /// Spends a retry, and returns whether one may be sent.
+    /// Spends one retry; returns false if none may be sent.
     pub fn try_retry(&self) -> bool {
         let mut allowances = self.budgets.allowances.borrow_mut();
         self.request
@@ -151,12 +151,12 @@
             .is_some_and(|request| allowances.try_retry(request))
     }
 
-    /// Delegates a budget to an attempt. The decision module weighs the request at such a fraction
-    /// of its class's weight.
+    /// Delegates a budget to an attempt. `priority_weight` is the request's weight in the decision
+    /// module, as a fraction of the class's weight.
     pub fn delegate(&self, priority_weight: f64) -> Option<DelegatedBudget> {
         let request = self.request.as_ref()?;
         let (delegation, budget) = self.budgets.allowances.borrow_mut().delegate(request);
-        // A request that came with a lower weight keeps that, so that it is not lowered twice.
+        // A lower weight from the request's own budget takes precedence.
         let thousandths = (priority_weight * f64::from(FULL_PRIORITY_WEIGHT)) as u16;
         let budget = Budget {
             priority_weight: thousandths.min(budget.priority_weight),
@@ -170,7 +170,8 @@
         })
     }
 
-    /// Settles the budget of an attempt that has ended; one that was never sent has spent nothing.
+    /// Settles the budget of a completed attempt. An attempt that was never sent has spent no
+    /// retries.
     pub fn settle(&self, delegated: DelegatedBudget, never_sent: bool) {
         let DelegatedBudget {
             delegation,
@@ -182,7 +183,8 @@
         }
     }
 
-    /// Returns the report for the caller, where it sent a budget.
+    /// Returns the report for the caller, if it is trusted and sent a budget. `failed` states that
+    /// attempts failed in this tier.
     pub fn retries_spent(&self, failed: bool) -> Option<RetriesSpent> {
         self.budgets
             .allowances
--- a/crates/heathroad/src/retry_budget/settings.rs
+++ b/crates/heathroad/src/retry_budget/settings.rs
@@ -1,4 +1,4 @@
-//! The `budget` section of the daemon's configuration file.
+//! The `budget` section of the configuration file.
 
 use heathroad_retry_budget::open_allowances::Config;
 use heathroad_retry_budget::wire::{MAX_HOPS, MAX_RETRIES, is_proxy_name};
@@ -6,10 +6,10 @@
 use std::collections::BTreeSet;
 use std::net::IpAddr;
 
-/// Bounds of the burst: the most retries that a calm period saves up.
+/// Allowed range of the burst, in retries.
 const BURST_BOUNDS: std::ops::RangeInclusive<f64> = 0.0..=1e6;
 
-/// The section as it stands in the file.
+/// The section as read from the file, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawSettings {
@@ -55,42 +55,42 @@
     64
 }
 
-/// A field of the section that is out of its bounds.
+/// An invalid field of the section.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// The name cannot stand in a path.
+    /// The name is not a valid proxy name.
     #[error("budget: name: expected 1 to 32 letters, digits, `-`, `_` and `.`")]
     ProxyName,
-    /// A request would be granted too many retries.
+    /// The number of retries is out of range.
     #[error("budget: attempts: expected 64 at the most")]
     MaxRetries,
-    /// The ratio is no ratio.
+    /// The retry ratio is out of range.
     #[error("budget: share: expected a number from 0 to 1")]
     RetryRatio,
-    /// The burst is negative or too large.
+    /// The burst is out of range.
     #[error("budget: depth: expected a number from 0 to 1000000")]
     Burst,
-    /// A request could pass no proxy, or too many.
+    /// The hop limit is out of range.
     #[error("budget: hops: expected a number from 1 to 32")]
     MaxHops,
-    /// A request could come back more often than it may pass proxies.
+    /// The number of reentries is not below the maximum number of hops.
     #[error("budget: reentries: expected a number below 32")]
     Reentries,
 }
 
-/// What a proxy grants, and which peers it trusts.
+/// The validated settings of the section.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// What the decisions need.
+    /// Configuration of the retry budget crate.
     pub(super) config: Config,
-    /// Peers whose budgets count in full.
+    /// Peers whose budget claims are trusted.
     pub(super) trusted_peers: BTreeSet<IpAddr>,
-    /// Backends stop what their caller has given up.
+    /// Backends cancel their work when their caller closes the connection.
     pub(super) cancels_downstream: bool,
 }
 
 impl RawSettings {
-    /// Checks the bounds of all fields.
+    /// Validates all fields.
     pub fn check(self) -> Result<Settings, SettingsError> {
         let checks = [
             (is_proxy_name(&self.proxy_name), SettingsError::ProxyName),
@@ -109,7 +109,7 @@
                 SettingsError::Reentries,
             ),
         ];
-        if let Some((_, error)) = checks.into_iter().find(|(holds, _)| !holds) {
+        if let Some((_, error)) = checks.into_iter().find(|(is_valid, _)| !is_valid) {
             return Err(error);
         }
         let config = Config {
--- a/crates/heathroad/src/safety/client.rs
+++ b/crates/heathroad/src/safety/client.rs
@@ -1,10 +1,10 @@
-//! Whether a client still waits for its response.
+//! Detection of disconnected clients.
 
 use std::rc::{Rc, Weak};
 
-/// A client's connection, as far as those who act for the client need it.
+/// A client's connection, as seen by the tasks that act for the client.
 pub trait ClientConnection {
-    /// Returns whether the client has closed the connection by now.
+    /// Returns whether the client has closed the connection.
     fn has_left(&self) -> bool;
 }
 
@@ -13,13 +13,13 @@
 pub struct ClientHandle(Weak<dyn ClientConnection>);
 
 impl ClientHandle {
-    /// Returns a handle of a connection.
+    /// Returns a handle to a connection.
     pub fn new<C: ClientConnection + 'static>(connection: &Rc<C>) -> ClientHandle {
         let connection: Rc<dyn ClientConnection> = connection.clone();
         ClientHandle(Rc::downgrade(&connection))
     }
 
-    /// Returns whether the client has left: it closed its connection, or the proxy did.
+    /// Returns whether the connection was closed, by the client or by the proxy.
     pub fn has_left(&self) -> bool {
         let connection = self.0.upgrade();
         connection.is_none_or(|connection| connection.has_left())
--- a/crates/heathroad/src/safety/mod.rs
+++ b/crates/heathroad/src/safety/mod.rs
@@ -1,14 +1,13 @@
-//! The safety rules: whether an attempt may be started, written or retried, a request rejected, or
-//! a connection closed at this moment.
+//! The safety rules: whether an attempt may be sent, written or retried, a request rejected, or a
+//! connection closed.
 //!
-//! Every part of the daemon asks here when it acts, and not when the act was decided. What was true
-//! then may be over by now: the process may have stalled, a connect taken long, or two events come
-//! in one turn. The rules hold whatever the decision module has decided; a decision that breaks one
-//! is denied, logged and counted.
+//! Rules are checked when an action is executed, not when it is decided, since the state may have
+//! changed in between: the process may have stalled, a connect may have taken long, or two events
+//! may have been handled together. Decisions that violate a rule are denied, logged and counted.
 //!
-//! - `rules` holds the rules, which are pure functions.
-//! - `client` tells whether a client still waits.
-//! - [`violations`] counts and logs what was denied, and rules that were seen broken.
+//! - `rules` implements the rules as pure functions.
+//! - `client` detects disconnected clients.
+//! - [`violations`] counts and logs denials and violations.
 
 mod client;
 mod rules;
--- a/crates/heathroad/src/safety/rules.rs
+++ b/crates/heathroad/src/safety/rules.rs
@@ -1,4 +1,4 @@
-//! The safety rules, as pure functions of what is known at a moment.
+//! The safety rules, as pure functions.
 
 use crate::stall_detector;
 use crate::time::millis;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Number of the kinds of [`Denial`].
+/// Number of variants of [`Denial`].
 pub const DENIAL_KINDS: usize = 8;
 
 /// The rule that denies an attempt.
@@ -14,24 +14,26 @@
 pub enum Denial {
     /// The request's response was sent.
     RequestAnswered,
-    /// The client has closed its connection.
+    /// The client has disconnected.
     ClientLeft,
-    /// The backend drains or is gone.
+    /// The backend is draining or was removed.
     BackendWithdrawn,
-    /// The request has had as many attempts as it may.
+    /// The request has reached its limit of attempts.
     AttemptLimit,
-    /// The request's budget, or the version that it was bound to, permits no attempt.
+    /// The request's retry budget, or the configuration version that it is bound to, permits no
+    /// attempt.
     NotGranted,
-    /// The request may have run, and is not idempotent.
+    /// The request may have been executed and is not idempotent.
     NotRetryable,
-    /// The request may have run outside the group that recognizes its idempotency key.
+    /// The request may have been executed by a backend that does not share deduplication with the
+    /// selected one.
     OutsideGroup,
-    /// The time in which its idempotency key is recognized is over, or nearly.
+    /// The deduplication window of the idempotency key has ended or is about to end.
     WindowExpired,
 }
 
 impl Denial {
-    /// Values of the metric's label, by [`Denial::index`].
+    /// Label values of the denials metric, indexed by [`Denial::index`].
     pub const LABELS: [&str; DENIAL_KINDS] = [
         "request_over",
         "client_left",
@@ -43,44 +45,44 @@
         "window_over",
     ];
 
-    /// Returns its index among the labels.
+    /// Returns the index of the denial in [`Denial::LABELS`].
     pub fn index(self) -> usize {
         self as usize
     }
 }
 
-/// Where a backend stands, which decides the group that recognizes an idempotency key.
+/// The location of a backend, which determines the backends that share deduplication with it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Location {
-    /// Index of its zone in the settings.
+    /// Index of the zone in the settings.
     pub zone: u16,
-    /// Its cell.
+    /// The cell.
     pub cell: u16,
 }
 
-/// An attempt that a request has had.
+/// An earlier attempt of a request, in flight or completed.
 #[derive(Debug, Clone, Copy)]
 pub struct PastAttempt {
-    /// Where its backend stands.
+    /// Location of the backend.
     pub location: Location,
-    /// When it was started.
+    /// When the attempt was started.
     pub started_at: Instant,
-    /// How it ended; nothing while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
 impl PastAttempt {
-    /// Returns whether it may have had an effect, or may yet have one.
+    /// Returns whether the attempt may have been executed or may still be executed.
     fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(Outcome::never_executed)
     }
 }
 
-/// The moment before which an attempt is written, where a rule sets one.
+/// The time before which an attempt must be written, if limited.
 pub type WriteDeadline = Option<Instant>;
 
-/// Returns until when one more attempt may be written at a location, or the rule that denies it.
-/// The idempotency is what the request's class declares.
+/// Checks whether another attempt may be sent to a location, given the idempotency of the request's
+/// class. Returns its write deadline or the rule that denies it.
 pub fn check_retry<'a>(
     idempotency: Idempotency,
     past_attempts: impl Iterator<Item = &'a PastAttempt> + Clone,
@@ -98,15 +100,12 @@
     let Some(first) = may_have_run.next() else {
         return Ok(None);
     };
-    let (window, group) = match idempotency {
+    let (window, scope) = match idempotency {
         Idempotency::Idempotent => return Ok(None),
         Idempotency::NonIdempotent => return Err(Denial::NotRetryable),
-        Idempotency::Deduplicated {
-            window,
-            scope: group,
-        } => (window, group),
+        Idempotency::Deduplicated { window, scope } => (window, scope),
     };
-    if !is_in_group(group, first.location, location) {
+    if !is_in_scope(scope, first.location, location) {
         return Err(Denial::OutsideGroup);
     }
     let write_deadline = first.started_at + retry_window(window);
@@ -117,28 +116,28 @@
     }
 }
 
-/// Returns whether a location recognizes the idempotency keys that were used at the first.
-fn is_in_group(group: DeduplicationScope, first: Location, location: Location) -> bool {
-    match group {
+/// Returns whether backends at `location` deduplicate requests that were sent to `first`.
+fn is_in_scope(scope: DeduplicationScope, first: Location, location: Location) -> bool {
+    match scope {
         DeduplicationScope::All => true,
         DeduplicationScope::Zone => location.zone == first.zone,
         DeduplicationScope::Cell => location.cell == first.cell,
     }
 }
 
-/// Returns how long after a first attempt a retry may be written, by the deduplication window in
-/// milliseconds. It is shorter than that: the process may stall between its look at the clock and
-/// the write.
+/// Returns how long after the first attempt a retry may be written, given the deduplication window
+/// in milliseconds. It is shorter than the window, since the process may stall between reading the
+/// clock and the write.
 pub fn retry_window(window_ms: f64) -> Duration {
     millis(window_ms).saturating_sub(stall_detector::MAX_TOLERATED_STALL)
 }
 
-/// Returns whether a request may be rejected, which promises that a retry is harmless.
+/// Returns whether a request may be rejected, which tells the client that it can retry safely.
 pub fn may_reject<'a>(
     idempotency: Idempotency,
     mut past_attempts: impl Iterator<Item = &'a PastAttempt>,
 ) -> bool {
-    let retries_anywhere = matches!(
+    let can_retry_anywhere = matches!(
         idempotency,
         Idempotency::Idempotent
             | Idempotency::Deduplicated {
@@ -146,21 +145,21 @@
                 ..
             }
     );
-    retries_anywhere || !past_attempts.any(PastAttempt::may_have_run)
+    can_retry_anywhere || !past_attempts.any(PastAttempt::may_have_run)
 }
 
-/// What is known of an attempt that is about to be written.
+/// The state of an attempt that is about to be written.
 #[derive(Debug, Clone, Copy)]
 pub struct PendingWrite {
-    /// Whether its client has left.
+    /// Whether the client has disconnected.
     pub client_left: bool,
-    /// Whether its backend takes nothing new any more.
+    /// Whether the backend no longer accepts new requests.
     pub backend_withdrawn: bool,
-    /// The moment before which it is written.
+    /// The attempt's write deadline.
     pub deadline: WriteDeadline,
 }
 
-/// Returns the rule that denies the write of an attempt, if any.
+/// Checks whether an attempt may be written now; returns the rule that denies it otherwise.
 pub fn check_write(write: PendingWrite, now: Instant) -> Result<(), Denial> {
     if write.client_left {
         return Err(Denial::ClientLeft);
@@ -174,19 +173,18 @@
     Ok(())
 }
 
-/// What is known of a client's connection that is about to be closed, for whatever reason.
+/// The state of a client connection that is about to be closed.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionState {
-    /// A request on it waits for its response.
+    /// A request waits for its response.
     pub has_pending_request: bool,
-    /// A response is not written to its end.
+    /// A response is not fully written.
     pub has_unsent_response: bool,
-    /// Bytes lie on it that were not read; false where they do not matter, since what the client
-    /// sends is not understood.
+    /// Received bytes are unread. False if the client's data is malformed and will not be read.
     pub has_unread_bytes: bool,
 }
 
-/// Returns whether a client's connection may be closed without taking anything from the client.
+/// Returns whether a client connection may be closed without losing a request or a response.
 pub fn may_close(connection: ConnectionState) -> bool {
     !connection.has_pending_request
         && !connection.has_unsent_response
--- a/crates/heathroad/src/stall_detector.rs
+++ b/crates/heathroad/src/stall_detector.rs
@@ -1,13 +1,12 @@
-//! Detection of stalls of the event loop. A busy machine or a stopped virtual one may hold the
-//! process up, for a time in which it reads nothing, answers nothing and lets no timer fire. What
-//! it reads afterwards looks new and is not: bytes may have waited for as long as the stall took.
+//! Detection of event loop stalls. On an overloaded machine or a paused virtual machine the process
+//! may not run for some time. Data read afterwards may have arrived at any time during the stall.
 //!
-//! A timer ticks, and a late tick shows a stall. Whatever counts from an arrival (deadlines, the
-//! grace of a drain, the time left in a stop) asks here when that can have been at the earliest.
-//! Whatever acts on something that was seen before asks whether the process stalled since.
+//! A periodic timer detects a stall by a late tick. Code that measures time from an arrival
+//! (deadlines, drain grace periods, shutdown) uses the earliest possible arrival time. Code that
+//! relies on earlier observations checks whether the process may have stalled since.
 //!
-//! The state belongs to the thread, as everything in the daemon runs on one. Where no timer ticks,
-//! as in tests of single parts, no stall is ever detected.
+//! The state is thread-local, since the daemon runs on one thread. Without a running timer, as in
+//! unit tests, no stalls are detected.
 
 use crate::runtime_accounting::sleep_until;
 use std::cell::Cell;
@@ -15,29 +14,29 @@
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// Time between two ticks. Fifty wake-ups a second are under a thousandth of a core.
+/// Interval between ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// A tick that is late by less is on time: timers have a resolution of 1 ms, and a full turn of the
-/// loop takes some.
+/// Maximum delay of a tick that does not count as a stall; covers timer resolution and a busy event
+/// loop.
 const TICK_TOLERANCE: Duration = Duration::from_millis(10);
-/// A shorter stall is not detected.
+/// Shorter stalls may remain undetected.
 pub const DETECTION_THRESHOLD: Duration = TICK_INTERVAL.saturating_add(TICK_TOLERANCE);
-/// The longest stall between a look at the clock and the act that rests on it, for which everything
-/// that is done in time allows.
+/// The longest stall between reading the clock and a time-critical action that deadlines and windows
+/// allow for.
 pub const MAX_TOLERATED_STALL: Duration = Duration::from_millis(150);
 
-/// The stalls that were detected.
+/// Statistics of the detected stalls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Stalls {
-    /// Their number.
+    /// Number of stalls.
     pub count: u64,
-    /// The longest.
+    /// Duration of the longest stall.
     pub longest: Duration,
 }
 
 impl Stalls {
-    /// Returns these stalls and one more.
-    fn and(self, stall: Duration) -> Stalls {
+    /// Returns the statistics with another stall added.
+    fn with(self, stall: Duration) -> Stalls {
         Stalls {
             count: self.count + 1,
             longest: self.longest.max(stall),
@@ -45,15 +44,15 @@
     }
 }
 
-/// When the loop was last known to run, and when it stalled last.
+/// The times of the last ticks.
 #[derive(Debug, Clone, Copy)]
 struct Ticks {
     last: Instant,
-    /// The tick before the last: what the system reported before the last tick may be read after
-    /// it.
+    /// The tick before the last one. Events reported by the system before the last tick may be
+    /// handled after it.
     before_last: Instant,
-    /// A stall has just ended, and what waited meanwhile is being dealt with: when it may have
-    /// begun.
+    /// The earliest start of a stall that has just ended, while the events that arrived during the
+    /// stall are handled.
     stalled_since: Option<Instant>,
 }
 
@@ -66,8 +65,8 @@
         }
     }
 
-    /// Records the next tick, which was due one interval after the last; returns how late it is,
-    /// where that is a stall.
+    /// Records a tick, which was due one interval after the last; returns its delay if it shows a
+    /// stall.
     fn tick(&mut self, now: Instant) -> Option<Duration> {
         let delay = now.saturating_duration_since(self.last + TICK_INTERVAL);
         let is_stall = delay > TICK_TOLERANCE;
@@ -78,7 +77,7 @@
         is_stall.then_some(delay)
     }
 
-    /// Returns since when the process may not have run, if that is so at `now`.
+    /// Returns the earliest time since which the process may have stalled, if it may have at `now`.
     fn uncertain_since(&self, now: Instant) -> Option<Instant> {
         if now.saturating_duration_since(self.last) > DETECTION_THRESHOLD {
             return Some(self.before_last);
@@ -92,7 +91,7 @@
     static STALLS: Cell<Stalls> = const { Cell::new(Stalls { count: 0, longest: Duration::ZERO }) };
 }
 
-/// Ticks for ever, on the thread whose loop is watched.
+/// Runs the detector for the current thread's event loop; never returns.
 pub async fn run() {
     let mut ticks = Ticks::new(Instant::now());
     TICKS.set(Some(ticks));
@@ -101,10 +100,10 @@
         let stall = ticks.tick(Instant::now());
         TICKS.set(Some(ticks));
         if let Some(stall) = stall {
-            STALLS.set(STALLS.get().and(stall));
+            STALLS.set(STALLS.get().with(stall));
             tracing::debug!(late_ms = stall.as_secs_f64() * 1e3, "event loop stalled");
-            // What the system had reported before the stall, and what it reports after it, is read
-            // before this goes on.
+            // Lets other tasks handle the events reported before the stall and those reported after
+            // it.
             yield_now().await;
             yield_now().await;
             ticks.stalled_since = None;
@@ -113,22 +112,22 @@
     }
 }
 
-/// Returns the earliest moment at which something can have arrived that the process sees at `now`:
-/// `now` itself, unless the process stalled.
+/// Returns the earliest time at which data that the process reads at `now` can have arrived: `now`
+/// itself unless the process may have stalled.
 pub fn earliest_arrival(now: Instant) -> Instant {
     let uncertain_since = TICKS.get().and_then(|ticks| ticks.uncertain_since(now));
     uncertain_since.map_or(now, |since| since.min(now))
 }
 
-/// Returns whether the process may have stalled just before `now`, so that what it knows of its
-/// connections is old.
+/// Returns whether the process may have stalled just before `now`, so that its view of the
+/// connections may be outdated.
 pub fn may_have_stalled(now: Instant) -> bool {
     TICKS
         .get()
         .is_some_and(|ticks| ticks.uncertain_since(now).is_some())
 }
 
-/// Returns the stalls of this thread.
+/// Returns this thread's stall statistics.
 pub fn stalls() -> Stalls {
     STALLS.get()
 }
--- a/crates/heathroad/src/stream.rs
+++ b/crates/heathroad/src/stream.rs
@@ -1,5 +1,5 @@
-//! A stream that watches what passes over it: whether a request is written whole, whether the other
-//! side has stopped taking bytes, and since when it sends.
+//! A stream wrapper that tracks how much of a request is written, detects stalled writes, and records
+//! when data arrived.
 
 use crate::runtime_accounting::{self, sleep};
 use crate::stall_detector;
@@ -20,25 +20,25 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep};
 
-/// A write that makes no headway for so long has failed: a machine that fell silent resets nothing.
+/// Timeout of a write without progress; a failed machine does not reset its connections.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How far a request was written, by the bytes that the system took of it.
+/// How much of a request was written to the socket.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum Written {
-    /// Nothing of it.
+    /// Nothing.
     #[default]
     None,
-    /// A part: no backend can have begun it.
+    /// A part: no backend can have executed the request.
     Partial,
-    /// All of it.
+    /// The complete request.
     Complete,
 }
 
-/// How far the messages on a connection have got.
+/// The progress of messages on a connection.
 #[derive(Default)]
 pub struct Progress {
-    /// A request was started, and no byte of it is written.
+    /// A request was started and no write was attempted yet.
     is_new_request: Cell<bool>,
     is_body_taken: Cell<bool>,
     is_begun: Cell<bool>,
@@ -49,28 +49,28 @@
 }
 
 impl Progress {
-    /// Returns whether bytes were written that the system has not taken yet.
+    /// Returns whether written bytes have not been flushed yet.
     pub fn has_unsent_bytes(&self) -> bool {
         self.has_unsent_bytes.get()
     }
 
-    /// Returns the earliest moment at which what was read last can have arrived.
+    /// Returns the earliest time at which the data of the last read can have arrived.
     pub fn last_arrival(&self) -> Option<Instant> {
         self.last_arrival.get()
     }
 
-    /// Returns since when the other side sends its present message.
+    /// Returns when the first data of the current incoming message was read.
     pub fn receiving_since(&self) -> Option<Instant> {
         self.receiving_since.get()
     }
 
-    /// Takes what is read from now on for a new message.
+    /// Treats subsequently read data as a new message.
     pub fn expect_message(&self) {
         self.receiving_since.set(None);
     }
 
-    /// Returns how far the present request was written. The HTTP library flushes a stream only when
-    /// all that it has buffered is written, and by then it has taken the body.
+    /// Returns how much of the current request was written. Hyper flushes a stream only when its
+    /// buffer, including the body, is completely written.
     pub fn written(&self) -> Written {
         match (self.is_begun.get(), self.is_flushed.get()) {
             (false, _) => Written::None,
@@ -88,17 +88,17 @@
     }
 }
 
-/// The body of a request, which tells when the HTTP library has taken it.
+/// A request body that records when hyper has polled it.
 pub struct RequestBody {
     data: Bytes,
     progress: Rc<Progress>,
 }
 
 impl RequestBody {
-    /// Starts a new request, and returns its body.
+    /// Starts a new request and returns its body.
     pub fn new(data: Bytes, progress: Rc<Progress>) -> Self {
         progress.start_request();
-        // The library does not ask for an empty body.
+        // Hyper does not poll an empty body.
         progress.is_body_taken.set(data.is_empty());
         RequestBody { data, progress }
     }
@@ -126,20 +126,20 @@
     }
 }
 
-/// A stream that can be asked what has arrived on it.
+/// A stream that can be checked for unread data.
 pub trait Unread {
-    /// Returns whether unread bytes lie on it, or it was closed, by the system's word.
+    /// Asks the system whether the stream has unread bytes or was closed.
     fn has_unread(&self) -> bool;
 
-    /// Returns the earliest moment at which the bytes of the last read can have arrived, if they
-    /// had been taken from the system before that read.
+    /// Returns the earliest time at which the bytes of the last read can have arrived, if they came
+    /// from a read-ahead buffer.
     fn buffered_arrival(&self) -> Option<Instant> {
         None
     }
 }
 
-/// Returns the number of unread bytes on a stream (one at most is counted), none if it has ended,
-/// by the system's word. The reactor knows only what it was told when it last looked.
+/// Asks the system for unread bytes on a stream: returns 1 if there are any and 0 if the stream has
+/// ended. The reactor's readiness may be outdated.
 pub fn peek(stream: &TcpStream) -> io::Result<usize> {
     runtime_accounting::look();
     SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
@@ -151,7 +151,7 @@
     }
 }
 
-/// A stream that records what passes over it.
+/// A stream that records its progress.
 pub struct WatchedStream<S> {
     stream: S,
     progress: Rc<Progress>,
@@ -159,12 +159,12 @@
 }
 
 impl<S> WatchedStream<S> {
-    /// Watches a stream.
+    /// Wraps a stream.
     pub fn new(stream: S) -> Self {
         WatchedStream::with_progress(stream, Rc::default())
     }
 
-    /// Watches a stream, and records its progress there.
+    /// Wraps a stream and records its progress in `progress`.
     pub fn with_progress(stream: S, progress: Rc<Progress>) -> Self {
         WatchedStream {
             stream,
@@ -173,12 +173,12 @@
         }
     }
 
-    /// Returns its progress.
+    /// Returns the stream's progress.
     pub fn progress(&self) -> Rc<Progress> {
         self.progress.clone()
     }
 
-    /// Records the result of a write, which fails if it makes no headway.
+    /// Records the result of a write, and fails it after [`WRITE_TIMEOUT`] without progress.
     fn record_write(
         &mut self,
         cx: &mut Context<'_>,
@@ -203,8 +203,8 @@
 }
 
 impl<S: Unread> WatchedStream<S> {
-    /// Fails where something lies on the connection before the first byte of a request: a stray
-    /// second response to the request before would be taken for the response to this one.
+    /// Fails if there are unread bytes before the first write of a request: a stray second response
+    /// to the previous request would be taken for the response to this one.
     fn check_unread(&self) -> io::Result<()> {
         let has_stray_bytes =
             self.progress.is_new_request.replace(false) && self.stream.has_unread();
--- a/crates/heathroad/src/time.rs
+++ b/crates/heathroad/src/time.rs
@@ -1,11 +1,11 @@
-//! Durations to and from the milliseconds of settings, events and log lines.
+//! Conversion between durations and the milliseconds of settings, events and log lines.
 
 use std::time::Duration;
 
-/// Longest duration that a setting gives.
+/// Maximum duration, in seconds: one day.
 const DAY_SECONDS: f64 = 86_400.0;
 
-/// A duration; what is not a sensible number of milliseconds counts as none, and a day is the most.
+/// Converts milliseconds to a duration of at most one day. Negative and non-finite values give zero.
 pub fn millis(ms: f64) -> Duration {
     Duration::from_secs_f64(if ms.is_finite() {
         (ms / 1000.0).clamp(0.0, DAY_SECONDS)
@@ -14,7 +14,7 @@
     })
 }
 
-/// A duration in milliseconds.
+/// Converts a duration to milliseconds.
 pub fn as_millis(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1e3
 }
--- a/crates/heathroad/tests/unit/stall_detector.rs
+++ b/crates/heathroad/tests/unit/stall_detector.rs
@@ -67,7 +67,7 @@
 #[test]
 fn stalls_are_counted() {
     let none = Stalls::default();
-    let two = none.and(ms(40)).and(ms(30));
+    let two = none.with(ms(40)).with(ms(30));
     assert_eq!((two.count, two.longest), (2, ms(40)));
 }
 
