--- a/crates/heathroad/src/backend/attempt.rs
+++ b/crates/heathroad/src/backend/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at a backend: how it runs, times out and is cancelled.
+//! Running one attempt of a request, with timeout and cancellation.
 
 use super::outcome::AttemptEnd;
 use super::pool::Pool;
@@ -17,30 +17,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The response to an abandoned attempt is awaited so long, to keep its connection: longer than
-/// most work takes.
+/// How long the response to an abandoned attempt is awaited, to reuse its connection.
 const ABANDONED_RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How far an attempt was cancelled.
+/// The degree to which an attempt is cancelled.
 #[derive(Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Cancellation {
     #[default]
     None,
-    /// Nobody waits for it: what is not written yet is not written.
+    /// The response is no longer needed: the attempt ends unless it is fully written.
     Abandoned,
-    /// It ends, however far it is.
+    /// The attempt ends in any state.
     Cancelled,
 }
 
-/// What an attempt shares with those who sent it.
+/// The state that an attempt shares with its sender.
 #[derive(Default)]
 pub struct AttemptControl {
-    /// The client it is sent for, where that is known.
+    /// The client of the request, if known.
     pub(super) client: Option<ClientHandle>,
     pub(super) write_deadline: WriteDeadline,
-    /// How far it was written, by whoever writes it, or by the HTTP connection that it was handed
-    /// to.
+    /// How much was written, if there is no `progress`.
     written: Cell<Written>,
+    /// The progress of the HTTP connection that sends the request.
     progress: RefCell<Option<Rc<Progress>>>,
     cancellation: Cell<Cancellation>,
     has_reported: Cell<bool>,
@@ -48,7 +47,7 @@
 }
 
 impl AttemptControl {
-    /// Returns the control of an attempt that is sent for a client and written before a deadline.
+    /// Returns the control of an attempt for a client, with a write deadline.
     pub fn new(client: Option<ClientHandle>, write_deadline: WriteDeadline) -> AttemptControl {
         AttemptControl {
             client,
@@ -57,13 +56,13 @@
         }
     }
 
-    /// Cancels the attempt; one that has ended ignores it.
+    /// Cancels the attempt; has no effect if it has ended.
     pub fn cancel(&self) {
         self.raise_cancellation(Cancellation::Cancelled);
     }
 
-    /// Abandons the attempt, since its request is over. If it is not written whole by now it never
-    /// ran, and ends here; otherwise it goes on, or is cancelled as the settings say.
+    /// Abandons the attempt, since its request is closed. If it is not fully written, it was never
+    /// executed and ends; otherwise it continues unless it is also cancelled.
     pub fn abandon(&self) {
         self.raise_cancellation(Cancellation::Abandoned);
     }
@@ -81,24 +80,24 @@
         self.has_reported.set(true);
     }
 
-    /// Returns whether the attempt has reported its result; its work may go on.
+    /// Returns whether the attempt has reported its result. It may still await a late response.
     pub fn has_reported(&self) -> bool {
         self.has_reported.get()
     }
 
-    /// Records that the request was handed to a connection, which tells how far it is written where
-    /// it has a progress of its own.
-    pub(super) fn hand_over(&self, progress: Option<Rc<Progress>>) {
+    /// Records that the request was assigned to a connection, with the progress of an HTTP
+    /// connection.
+    pub(super) fn assign_connection(&self, progress: Option<Rc<Progress>>) {
         self.written.set(Written::None);
         self.progress.replace(progress);
     }
 
-    /// Records how far the request is written.
+    /// Records how much of the request is written.
     pub(super) fn set_written(&self, written: Written) {
         self.written.set(written);
     }
 
-    /// Returns how far the request is written.
+    /// Returns how much of the request is written.
     pub(super) fn written(&self) -> Written {
         let progress = self.progress.borrow();
         progress
@@ -106,16 +105,17 @@
             .map_or(self.written.get(), |progress| progress.written())
     }
 
-    /// Returns why the attempt is given up at this moment, if it is.
-    fn given_up(&self, has_timed_out: bool, least: Cancellation) -> Option<Outcome> {
+    /// Returns the outcome of an attempt that has timed out or is cancelled to at least the given
+    /// degree.
+    fn abort_outcome(&self, has_timed_out: bool, min: Cancellation) -> Option<Outcome> {
         if has_timed_out {
             return Some(Outcome::Timeout);
         }
-        (self.cancellation.get() >= least).then_some(Outcome::Cancelled)
+        (self.cancellation.get() >= min).then_some(Outcome::Cancelled)
     }
 }
 
-/// Stores a task's waker, and clones it only where it is another task's.
+/// Stores a task's waker; clones it only if the stored one belongs to another task.
 pub fn store_waker(slot: &Cell<Option<Waker>>, cx: &Context<'_>) {
     let waker = slot.take().filter(|waker| waker.will_wake(cx.waker()));
     slot.set(Some(waker.unwrap_or_else(|| cx.waker().clone())));
@@ -123,27 +123,27 @@
 
 /// One attempt of a request.
 pub struct Attempt {
-    /// The request.
+    /// The content of the request.
     pub call: Rc<Call>,
-    /// Where it goes.
+    /// The backend process.
     pub target: Rc<Target>,
-    /// When it is given up.
+    /// When the attempt times out.
     pub times_out_at: Instant,
-    /// The backend is told to be done by then.
+    /// The deadline sent to the backend.
     pub expires_at: Instant,
-    /// What it shares with those who sent it.
+    /// The state shared with the attempt's sender.
     pub control: Rc<AttemptControl>,
-    /// The retry budget that it takes along, where budgets are configured.
+    /// The retry budget that the attempt carries, if budgets are configured.
     pub budget: Option<Rc<AttemptBudget>>,
 }
 
 impl Attempt {
-    /// Carries the attempt out and reports its result, once.
+    /// Runs the attempt and reports its result, once.
     ///
-    /// The connection of an attempt that was given up is kept for a while after that: backends do
-    /// not stop their work, so that closing would spare nothing and cost both sides a new
-    /// connection. The backend is loaded by that work. When its response has come after all, or the
-    /// connection is closed, `on_late_result` is told, once.
+    /// After a timeout or cancellation, the late response is awaited for some time: most backends
+    /// do not stop their work when the connection is closed, and a new connection costs both sides.
+    /// `on_late_result` is called once the response has arrived or the wait has ended, since the
+    /// backend is loaded until then.
     pub async fn run(
         self,
         pool: Rc<Pool>,
@@ -164,29 +164,29 @@
             control.mark_reported();
             on_result(result);
         };
-        let ended = run_until_given_up(exchange.as_mut(), control, self.times_out_at).await;
-        let given_up = match ended {
+        let ended = run_until_aborted(exchange.as_mut(), control, self.times_out_at).await;
+        let abort_outcome = match ended {
             Ok(result) => return report(result),
-            Err(given_up) => given_up,
+            Err(outcome) => outcome,
         };
         if control.written() != Written::Complete {
-            // Its connection, if it has one, is closed: no backend ever has the whole request.
+            // Closes the connection, if there is one, so that no backend receives the rest of the
+            // request.
             exchange.set(None);
             return report(AttemptEnd::NotServed(Outcome::NotSent));
         }
-        report(AttemptEnd::NotServed(given_up));
-        // The close tells such a backend to stop, and whatever it has not sent on yet is dropped:
-        // the work ends here and now.
+        report(AttemptEnd::NotServed(abort_outcome));
+        // Closing the connection cancels the backend's work.
         if budget.is_some_and(AttemptBudget::cancels_downstream) {
-            return on_late_result(AttemptEnd::NotServed(given_up));
+            return on_late_result(AttemptEnd::NotServed(abort_outcome));
         }
-        let late_result = await_abandoned(&pool, exchange.as_mut()).await;
-        on_late_result(late_result.unwrap_or(AttemptEnd::NotServed(given_up)));
+        let late_result = await_late_response(&pool, exchange.as_mut()).await;
+        on_late_result(late_result.unwrap_or(AttemptEnd::NotServed(abort_outcome)));
     }
 }
 
 /// Runs an exchange until it ends, times out or is cancelled.
-async fn run_until_given_up(
+async fn run_until_aborted(
     mut exchange: Pin<&mut Option<impl Future<Output = AttemptEnd>>>,
     control: &AttemptControl,
     times_out_at: Instant,
@@ -194,14 +194,14 @@
     let mut timer = pin!(sleep_until(times_out_at));
     poll_fn(|cx| {
         let has_timed_out = timer.as_mut().poll(cx).is_ready();
-        // This is asked before each step: a request that nobody waits for is not written on,
-        // whatever else has just come, such as a connection or a slot for one.
-        let is_whole = control.written() == Written::Complete;
-        let given_up = control.given_up(has_timed_out, Cancellation::Abandoned);
-        if let Some(given_up) = given_up.filter(|_| !is_whole) {
-            return Poll::Ready(Err(given_up));
+        // Checked before each poll of the exchange, so that an abandoned request is not written
+        // further.
+        let is_fully_written = control.written() == Written::Complete;
+        let abandoned = control.abort_outcome(has_timed_out, Cancellation::Abandoned);
+        if let Some(outcome) = abandoned.filter(|_| !is_fully_written) {
+            return Poll::Ready(Err(outcome));
         }
-        let cancelled = control.given_up(has_timed_out, Cancellation::Cancelled);
+        let cancelled = control.abort_outcome(has_timed_out, Cancellation::Cancelled);
         let polled = exchange
             .as_mut()
             .as_pin_mut()
@@ -209,8 +209,8 @@
         if let Some(Poll::Ready(result)) = polled {
             return Poll::Ready(Ok(result));
         }
-        if let Some(given_up) = cancelled {
-            return Poll::Ready(Err(given_up));
+        if let Some(outcome) = cancelled {
+            return Poll::Ready(Err(outcome));
         }
         store_waker(&control.waker, cx);
         Poll::Pending
@@ -218,9 +218,10 @@
     .await
 }
 
-/// Awaits the response to an abandoned attempt, for which nobody waits, to keep its connection.
-/// Returns nothing if none has come, or where another attempt needs the connection's slot more.
-async fn await_abandoned(
+/// Awaits the late response to an abandoned attempt, so that its connection can be reused. Returns
+/// `None` if no response arrives in time, if too many are awaited already, or if another attempt
+/// needs the connection slot.
+async fn await_late_response(
     pool: &Pool,
     exchange: Pin<&mut Option<impl Future<Output = AttemptEnd>>>,
 ) -> Option<AttemptEnd> {
--- a/crates/heathroad/src/backend/http/connection.rs
+++ b/crates/heathroad/src/backend/http/connection.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 connections to backends, which carry one request at a time.
+//! HTTP/1.1 connections to backends, with one request at a time.
 
 use crate::backend::pool::{ConnectionSlot, Pool};
 use crate::backend::target::Target;
@@ -20,22 +20,19 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Longest response head; the buffer for heads and bodies grows to this size, in bytes.
+/// Maximum size of a response head and of the read buffer, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
-/// A stray second response comes at most so long after the first. A connection that has been idle
-/// for longer holds none that has not been noticed.
-const SETTLED_AFTER: Duration = Duration::from_millis(50);
-/// Once a backend has sent stray bytes, for so long every connection settles before it is used
-/// again.
-const STRAY_BYTES_MEMORY: Duration = Duration::from_secs(60);
+/// Idle time after which a stray second response would have arrived and been noticed.
+const SETTLE_TIME: Duration = Duration::from_millis(50);
+/// How long connections must settle before reuse once a backend has sent stray bytes.
+const STRAY_BYTES_COOLDOWN: Duration = Duration::from_secs(60);
 
-/// A connection that carries one request at a time. It is closed at once when it is dropped,
-/// whatever is still to be written: by itself the HTTP library would first write a request to its
-/// end for which nobody waits any more.
+/// A connection that carries one request at a time. It is closed immediately when dropped, since
+/// hyper alone would first finish writing an abandoned request.
 pub struct Connection {
     pub(super) sender: SendRequest<RequestBody>,
     pub(super) progress: Rc<Progress>,
-    /// Bytes that were read and belong to no response, once the connection has ended.
+    /// Bytes that were read but belong to no response, available once the connection has ended.
     pub(super) unparsed: Rc<RefCell<Bytes>>,
     task: AbortHandle,
 }
@@ -46,31 +43,31 @@
     }
 }
 
-/// A connection that carries no request.
+/// A connection without a request.
 pub struct IdleConnection {
     connection: Connection,
-    /// When it became idle.
+    /// When the connection became idle.
     pub since: Instant,
 }
 
 impl IdleConnection {
-    /// Returns whether it has ended.
+    /// Returns whether the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.connection.sender.is_closed()
     }
 }
 
 impl Pool {
-    /// Takes an idle connection to a process, with the time for which it has yet to settle.
+    /// Takes an idle connection to a process and returns it with its remaining settle time.
     ///
-    /// It is the most recently used of those that have settled: the others then grow old and are
-    /// closed. A connection that was used just now is the likeliest to receive a stray second
-    /// response. Where none has settled, the one that has been idle longest is taken, and settles
-    /// first while stray responses come.
+    /// Prefers the most recently used connection that has settled, so that the others reach the
+    /// maximum idle age and are closed. A connection that was used just now is the most likely to
+    /// receive a stray second response. If none has settled, takes the longest idle one, which must
+    /// settle first if backends have recently sent stray bytes.
     pub(super) fn take_idle(&self, target: &Target) -> Option<(Connection, Duration)> {
         let (max_age, now) = (self.max_idle_age(), Instant::now());
         let stray_bytes_at = self.stray_bytes_at.get();
-        let must_settle = stray_bytes_at.is_some_and(|at| now - at < STRAY_BYTES_MEMORY);
+        let must_settle = stray_bytes_at.is_some_and(|at| now - at < STRAY_BYTES_COOLDOWN);
         let mut idle_http = self.idle_http.borrow_mut();
         let idle = idle_http.get_mut(&target.id)?;
         idle.retain(|idle| idle.connection.sender.is_ready() && now - idle.since < max_age);
@@ -79,26 +76,26 @@
         }
         let settled = idle
             .iter()
-            .rposition(|idle| now - idle.since >= SETTLED_AFTER);
+            .rposition(|idle| now - idle.since >= SETTLE_TIME);
         let IdleConnection { connection, since } = idle.remove(settled.unwrap_or(0));
-        let settles_for = SETTLED_AFTER.saturating_sub(now - since);
+        let remaining_settle_time = SETTLE_TIME.saturating_sub(now - since);
         Some((
             connection,
             if must_settle {
-                settles_for
+                remaining_settle_time
             } else {
                 Duration::ZERO
             },
         ))
     }
 
-    /// Keeps a connection for the next request.
+    /// Returns a connection to the pool for reuse, unless it is closed or its process is draining.
     pub(in crate::backend) fn keep_idle(&self, target: &Target, connection: Connection) {
         if target.is_draining() || connection.sender.is_closed() {
             return;
         }
-        // The backend counts from its response, which may have lain unread while the process
-        // stalled.
+        // The backend's idle time starts at its response, which may have arrived during a stall of
+        // the event loop.
         let since = stall_detector::earliest_arrival(Instant::now());
         let mut idle_http = self.idle_http.borrow_mut();
         idle_http
@@ -116,7 +113,7 @@
         self.start_http(stream, slot).await
     }
 
-    /// Starts a connection on a stream.
+    /// Starts an HTTP connection on a stream.
     pub(in crate::backend) async fn start_http(
         &self,
         stream: TcpStream,
@@ -129,16 +126,16 @@
         let handshake = builder.handshake(watched).await;
         let (sender, mut connection) = handshake.map_err(|_| Outcome::ConnectFailed)?;
         let unparsed = Rc::<RefCell<Bytes>>::default();
-        let (rest, stray_bytes_at) = (unparsed.clone(), self.stray_bytes_at.clone());
+        let (remaining_bytes, stray_bytes_at) = (unparsed.clone(), self.stray_bytes_at.clone());
         let task = spawn_local(async move {
             let _slot = slot;
-            // Its end shows at the sender, where it has a meaning.
+            // The sender reports the end of the connection to the request.
             let end = poll_fn(|cx| connection.poll_without_shutdown(cx)).await;
             let read_buf = connection.into_parts().read_buf;
             if !read_buf.is_empty() || end.is_err_and(|error| is_stray_bytes(&error)) {
                 stray_bytes_at.set(Some(Instant::now()));
             }
-            rest.replace(read_buf);
+            remaining_bytes.replace(read_buf);
         });
         let task = task.abort_handle();
         Ok(Connection {
@@ -150,7 +147,7 @@
     }
 }
 
-/// Returns whether a connection ended since bytes lay on it before a request was written.
+/// Returns whether a connection failed because of unread bytes before a request was written.
 fn is_stray_bytes(error: &hyper::Error) -> bool {
     let cause = error
         .source()
--- a/crates/heathroad/src/backend/http/mod.rs
+++ b/crates/heathroad/src/backend/http/mod.rs
@@ -22,35 +22,35 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request's own id.
+/// The request id.
 pub static REQUEST_ID: HeaderName = HeaderName::from_static("req-id");
-/// How long the response is waited for, in milliseconds.
+/// The remaining time until the caller's timeout, in milliseconds.
 pub static DEADLINE: HeaderName = HeaderName::from_static("req-deadline-ms");
-/// By which a backend recognizes retries.
+/// The idempotency key by which backends deduplicate retries.
 pub static IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// The version that a request was bound to, for test harnesses.
+/// The configuration version that a request is bound to, for test harnesses.
 static VERSION: HeaderName = HeaderName::from_static("req-version");
-/// A backend says by it that it has not looked at the request.
+/// States that the backend declined the request without processing it.
 static DECLINED: HeaderName = HeaderName::from_static("srv-declined");
 
-/// The `Host` of a request whose client named none.
+/// The `Host` header of requests without one.
 const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("heathroad");
 
-/// A request as every attempt of it is sent.
+/// The content of an HTTP request, which is the same for all its attempts.
 pub struct Call {
-    /// Its method.
+    /// The method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// `Host`, as the client gave it.
+    /// The client's `Host` header.
     pub host: Option<HeaderValue>,
-    /// `Req-Id`.
+    /// The `Req-Id` header.
     pub id: HeaderValue,
-    /// `Idempotency-Key`.
+    /// The `Idempotency-Key` header.
     pub key: Option<HeaderValue>,
-    /// The version that it was bound to, where backends are told.
+    /// The `Req-Version` header, if it is sent to backends.
     pub version: Option<HeaderValue>,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-/// Sends a request and reads its response. The control is told which connection it was handed to.
+/// Sends a request and reads its response. The control records the connection in use.
 pub(super) async fn exchange(
     pool: &Rc<Pool>,
     call: &Call,
@@ -107,11 +107,11 @@
     }
     let result = response::read(response, budget).await;
     let is_reusable = match result {
-        Some(_) => response::check_rest(&mut connection).await,
+        Some(_) => response::check_trailing_bytes(&mut connection).await,
         None => None,
     };
     let Some((result, is_reusable)) = result.zip(is_reusable) else {
-        // The request may have run, and what is on this connection is of no use.
+        // The request may have been executed.
         tracing::debug!(id = ?call.id, address = %target.address, "response truncated or malformed");
         return AttemptEnd::NotServed(Outcome::Reset);
     };
@@ -132,8 +132,8 @@
 ) -> Result<(Connection, Response<Incoming>), AttemptEnd> {
     loop {
         let (mut connection, is_reused) = match pool.take_idle(target) {
-            Some((connection, settles_for)) => {
-                settle(settles_for).await;
+            Some((connection, settle_time)) => {
+                settle(settle_time).await;
                 (connection, true)
             }
             None => {
@@ -141,41 +141,41 @@
                 (connection.map_err(AttemptEnd::NotServed)?, false)
             }
         };
-        // The connect may have taken long: by now the backend may drain, the client have left, or a
-        // retry come too late.
+        // While the connection was established, the backend may have started to drain, the client
+        // may have disconnected, or the write deadline may have passed.
         if let Err(denial) = pool.check_write(target, control) {
             violations::record_denial(denial, &String::from_utf8_lossy(call.id.as_bytes()));
             return Err(AttemptEnd::NotServed(Outcome::NotSent));
         }
         tracing::debug!(id = ?call.id, address = %target.address, is_reused, "attempt written");
         let request = call.to_request(&connection.progress, expires_at, budget);
-        control.hand_over(Some(connection.progress.clone()));
+        control.assign_connection(Some(connection.progress.clone()));
         match connection.sender.send_request(request).await {
             Ok(response) => return Ok((connection, response)),
-            // An idle connection turned out to be closed, or to hold stray bytes. Not a byte of the
-            // request was written, so that it goes over another one.
+            // The idle connection was closed or had stray bytes. Nothing of the request was
+            // written, so it can be sent over another connection.
             Err(reason) if is_reused && connection.progress.written() == Written::None => {
-                tracing::debug!(id = ?call.id, %reason, "idle connection of no use, another is taken");
+                tracing::debug!(id = ?call.id, %reason, "idle connection unusable, trying another one");
             }
-            // Only the connection knows whether the backend can have the whole request.
+            // The outcome depends on whether the backend may have received the complete request.
             Err(reason) => {
                 let written = connection.progress.written();
-                tracing::debug!(id = ?call.id, %reason, ?written, "backend connection ended");
+                tracing::debug!(id = ?call.id, %reason, ?written, "backend connection lost");
                 return Err(reset_unless_unwritten(&connection));
             }
         }
     }
 }
 
-/// Waits until stray bytes on an idle connection would have been seen.
+/// Waits until stray bytes on an idle connection would have been noticed.
 async fn settle(time: Duration) {
     if !time.is_zero() {
         sleep(time).await;
     }
 }
 
-/// Returns what a response means that came before the request's last byte was written. No backend
-/// made a response for what it has not whole, unless it rejected the request by its head.
+/// Classifies a response that arrived before the request was fully written. It is only accepted as a
+/// rejection, which a backend may send after the request head.
 fn classify_early_response(connection: &Connection, response: &Response<Incoming>) -> AttemptEnd {
     match classify_status(response.status(), response::is_declined(response)) {
         result @ (AttemptEnd::Rejected | AttemptEnd::NotServed(Outcome::Rejected)) => result,
@@ -183,8 +183,8 @@
     }
 }
 
-/// Returns the result of a connection that broke off. A request that was not written whole never
-/// ran: the connection is closed, and no backend gets the rest.
+/// Returns the result of a lost connection. A request that was not fully written is never executed,
+/// since the connection is closed and the backend does not receive the rest.
 fn reset_unless_unwritten(connection: &Connection) -> AttemptEnd {
     AttemptEnd::NotServed(match connection.progress.written() {
         Written::Complete => Outcome::Reset,
--- a/crates/heathroad/src/backend/http/response.rs
+++ b/crates/heathroad/src/backend/http/response.rs
@@ -1,4 +1,4 @@
-//! Reading of HTTP responses: whether one is sound, and what it means.
+//! Reading, validation and classification of HTTP responses.
 
 use super::DECLINED;
 use super::connection::Connection;
@@ -13,34 +13,32 @@
 use hyper::{Response, StatusCode, Version, header};
 use std::time::Duration;
 
-/// A body that has begun and makes no headway for so long is not coming: its length does not fit.
-const BODY_PAUSE: Duration = Duration::from_millis(500);
-/// Once its response is read a connection is ready at once, unless the request is still being
-/// written.
+/// Maximum time between two parts of a body; a longer pause means that the body is truncated.
+const BODY_READ_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long to wait for a connection to become ready after its response was read.
 const READY_TIMEOUT: Duration = Duration::from_millis(50);
-/// Most header lines of a response.
+/// Maximum number of header lines of a response.
 const MAX_HEADERS: usize = 64;
-/// A shorter body is copied, so that the response to a slow client does not keep the whole buffer
-/// that it came in.
+/// Bodies below this size, in bytes, are copied, so that a response to a slow client does not keep
+/// the read buffer alive.
 const MIN_SHARED_BODY: usize = 2048;
 
-/// What follows from a head's lines.
+/// The header fields that determine how a response is handled.
 struct HeadSummary {
     is_declined: bool,
-    lengths: usize,
+    content_lengths: usize,
     transfer_codings: usize,
     closes: bool,
 }
 
 impl HeadSummary {
-    /// Reads a head. One walk over the few lines that there are costs less than a look-up for each
-    /// name.
+    /// Reads a response head. One pass over the headers is faster than separate look-ups.
     fn read(head: &Parts) -> HeadSummary {
-        let (mut declined, mut lengths, mut transfer_codings) = (None, 0, 0);
+        let (mut declined, mut content_lengths, mut transfer_codings) = (None, 0, 0);
         let mut closes = head.version == Version::HTTP_10;
         for (name, value) in &head.headers {
             if name == header::CONTENT_LENGTH {
-                lengths += 1;
+                content_lengths += 1;
             } else if name == header::TRANSFER_ENCODING {
                 transfer_codings += 1;
             } else if name == header::CONNECTION {
@@ -53,26 +51,25 @@
         let is_declined = declined.unwrap_or(false);
         HeadSummary {
             is_declined,
-            lengths,
+            content_lengths,
             transfer_codings,
             closes,
         }
     }
 
-    /// Returns whether the head tells where the body ends: once, by a length that is allowed, or by
-    /// the sender's word that it closes the connection behind it. Without either the body ends
-    /// nowhere, and of two lengths at most one is true.
-    fn tells_body_end(&self, status: StatusCode) -> bool {
+    /// Returns whether the head delimits the body unambiguously: by exactly one content length or
+    /// transfer coding, by the end of the connection, or because the status allows no body.
+    fn delimits_body(&self, status: StatusCode) -> bool {
         let has_no_body = matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-        match self.lengths + self.transfer_codings {
+        match self.content_lengths + self.transfer_codings {
             0 => has_no_body || self.closes,
-            1 => !has_no_body || self.lengths == 1,
+            1 => !has_no_body || self.content_lengths == 1,
             _ => false,
         }
     }
 }
 
-/// Returns whether a response says that the backend has not looked at the request.
+/// Returns whether the backend declined the request without processing it.
 pub(super) fn is_declined(response: &Response<Incoming>) -> bool {
     response
         .headers()
@@ -80,9 +77,8 @@
         .is_some_and(|value| value == "1")
 }
 
-/// Reads a response and returns what it means; nothing if it is malformed. A reset is no end of a
-/// body: it shows as an error of the read, since nobody else asks the system about the connection
-/// meanwhile.
+/// Reads and classifies a response; returns `None` if it is malformed or truncated. A connection
+/// reset is reported as a read error and does not end a body.
 pub(super) async fn read(
     response: Response<Incoming>,
     budget: Option<&AttemptBudget>,
@@ -93,7 +89,7 @@
     }
     let summary = HeadSummary::read(&head);
     let is_too_long = body.size_hint().lower() > MAX_BODY as u64;
-    if head.headers.len() > MAX_HEADERS || !summary.tells_body_end(head.status) || is_too_long {
+    if head.headers.len() > MAX_HEADERS || !summary.delimits_body(head.status) || is_too_long {
         return None;
     }
     let body = read_body(body).await?;
@@ -103,11 +99,10 @@
     })
 }
 
-/// Reads a body; returns nothing if it breaks off or is too long, since the request may have run
-/// then.
+/// Reads a body; returns `None` if it is truncated or too long.
 async fn read_body(mut body: Incoming) -> Option<Bytes> {
     let (mut first, mut joined) = (Bytes::new(), BytesMut::new());
-    while let Some(frame) = timeout(BODY_PAUSE, body.frame()).await.ok()? {
+    while let Some(frame) = timeout(BODY_READ_TIMEOUT, body.frame()).await.ok()? {
         let Ok(data) = frame.ok()?.into_data() else {
             continue;
         };
@@ -115,7 +110,7 @@
             return None;
         }
         if first.is_empty() && joined.is_empty() {
-            // Most bodies come in one piece.
+            // Most bodies consist of one frame.
             let is_short = data.len() < MIN_SHARED_BODY;
             first = if is_short {
                 Bytes::copy_from_slice(&data)
@@ -137,22 +132,21 @@
     })
 }
 
-/// Looks at what came behind a response before it counts, and returns whether the connection is fit
-/// for the next request; nothing where the response is malformed.
+/// Checks the bytes after a response and returns whether the connection can be reused, or `None` if
+/// the response is malformed.
 ///
-/// The HTTP library ends a body where its length says. If that is too short, the rest of the body
-/// lies behind it, and the response would be passed on cut off. A second response behind the first
-/// is none of the first's business.
-pub(super) async fn check_rest(connection: &mut Connection) -> Option<bool> {
+/// If the content length is too small, hyper returns a truncated body and leaves the rest in the
+/// buffer. A second response after the first does not invalidate the first.
+pub(super) async fn check_trailing_bytes(connection: &mut Connection) -> Option<bool> {
     if connection.sender.is_ready() {
         return Some(true);
     }
     match timeout(READY_TIMEOUT, connection.sender.ready()).await {
         Ok(Ok(())) => Some(true),
         Ok(Err(_)) => {
-            let rest = connection.unparsed.take();
-            let is_sound = rest.is_empty() || rest.starts_with(b"HTTP/1.");
-            is_sound.then_some(false)
+            let trailing = connection.unparsed.take();
+            let is_valid = trailing.is_empty() || trailing.starts_with(b"HTTP/1.");
+            is_valid.then_some(false)
         }
         Err(_) => Some(false),
     }
--- a/crates/heathroad/src/backend/jsonrpc/connection.rs
+++ b/crates/heathroad/src/backend/jsonrpc/connection.rs
@@ -1,5 +1,5 @@
-//! A JSON-RPC connection's state: the calls that it carries, which of their texts are written, and
-//! whom an answer belongs to. It does no I/O.
+//! The state of a JSON-RPC connection: its pending calls, the messages to write, and the matching of
+//! responses to calls. It does no I/O.
 
 use super::Call;
 use crate::backend::attempt::AttemptControl;
@@ -16,37 +16,37 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::Instant;
 
-/// A backend may call the proxy so often, which takes no calls, before its connection is closed.
+/// Maximum number of calls from a backend, which are all rejected, before its connection is closed.
 const MAX_BACKEND_CALLS: usize = 16;
-/// The id of texts that are no calls of ours.
-const NO_CALL: u64 = 0;
+/// The id of outgoing messages that are not calls.
+const NO_CALL_ID: u64 = 0;
 
 /// How a call on a connection ended.
 pub(super) enum CallEnd {
-    /// The backend answered it.
+    /// With a response.
     Answered(Answer),
-    /// It is a notification, and is written.
+    /// The call is a notification and was written.
     NotificationSent,
-    /// The backend was told to drain before the call's first byte was written.
+    /// The backend's drain grace period ended before anything of the call was written.
     Drained,
-    /// The connection ended, with so much of the call written.
+    /// The connection was lost after this much of the call was written.
     ConnectionLost(Written),
 }
 
 struct PendingCall {
     end: oneshot::Sender<CallEnd>,
-    /// Holds how far it was written.
+    /// Records how much of the call is written.
     control: Rc<AttemptControl>,
-    /// The backend should have answered by then.
+    /// The deadline sent to the backend.
     expires_at: Instant,
     is_notification: bool,
 }
 
-/// A text that is written.
+/// An outgoing message.
 struct Frame {
     id: u64,
     remaining: Bytes,
-    /// Bytes behind the text, without which a reader has the whole of it: a line's end.
+    /// Length of the line terminator, without which the message is already complete.
     terminator_length: usize,
 }
 
@@ -64,12 +64,12 @@
 
 #[derive(Default)]
 struct State {
-    /// Texts that are not begun to be written.
+    /// Messages of which nothing is written.
     queue: VecDeque<Frame>,
-    /// The text that is begun.
+    /// The message that is being written.
     writing: Option<Frame>,
     pending: FxHashMap<u64, PendingCall>,
-    /// Calls that nobody waits for any more, whose answers may still come.
+    /// Abandoned calls whose responses may still arrive.
     abandoned: HashSet<u64>,
     last_id: u64,
     backend_calls: usize,
@@ -78,7 +78,7 @@
 }
 
 impl State {
-    fn is_written_whole(&self, id: u64) -> bool {
+    fn is_fully_written(&self, id: u64) -> bool {
         let pending = self.pending.get(&id);
         pending.is_some_and(|call| call.control.written() == Written::Complete)
     }
@@ -90,16 +90,16 @@
     }
 }
 
-/// A connection that carries several calls at once.
+/// A connection that carries several calls concurrently.
 pub struct Connection {
     state: RefCell<State>,
-    /// When its last call ended.
+    /// When the last call ended.
     idle_since: Cell<Instant>,
-    /// Notifies the connection's task that there is something to do.
+    /// Notifies the connection's task of changes.
     pub(super) wake: Notify,
 }
 
-/// A call whose end is waited for. If it is dropped before that, the call is abandoned.
+/// A handle to wait for the end of a call. Dropping it abandons the call.
 pub(super) struct CallHandle {
     connection: Rc<Connection>,
     id: u64,
@@ -122,34 +122,34 @@
         }
     }
 
-    /// Returns whether it has not ended.
+    /// Returns whether the connection is open.
     pub fn is_open(&self) -> bool {
         !self.state.borrow().has_ended
     }
 
-    /// Returns how long it has carried no call; nothing while it does.
+    /// Returns how long the connection has been idle; `None` if it has pending calls or is closing.
     pub fn idle_time(&self) -> Option<Duration> {
         let state = self.state.borrow();
         let is_idle = state.pending.is_empty() && !state.is_closing && !state.has_ended;
         is_idle.then(|| self.idle_since.get().elapsed())
     }
 
-    /// Takes no new calls, and closes when the last one has ended.
+    /// Stops accepting calls and closes the connection once the last call has ended.
     pub fn close(&self) {
         self.state.borrow_mut().is_closing = true;
         self.wake.notify_one();
     }
 
-    /// Returns how many calls it carries, if it can take one more. A connection with an overdue
-    /// answer takes none.
+    /// Returns the number of pending calls if the connection accepts another one. It accepts none
+    /// while a response is overdue.
     pub(super) fn load(&self, max_calls: usize, now: Instant) -> Option<usize> {
         let state = self.state.borrow();
-        let has_room = !state.is_closing && !state.has_ended && state.pending.len() < max_calls;
-        let is_prompt = has_room && state.pending.values().all(|call| now < call.expires_at);
-        is_prompt.then(|| state.pending.len())
+        let has_capacity = !state.is_closing && !state.has_ended && state.pending.len() < max_calls;
+        let is_available = has_capacity && state.pending.values().all(|call| now < call.expires_at);
+        is_available.then(|| state.pending.len())
     }
 
-    /// Queues a call to be written.
+    /// Queues a call for writing.
     pub(super) fn start_call(
         self: &Rc<Self>,
         call: &Call,
@@ -161,11 +161,11 @@
         let state = &mut *self.state.borrow_mut();
         state.last_id += 1;
         let id = state.last_id;
-        let text = call.to_text(id, expires_at, budget);
+        let text = call.to_message(id, expires_at, budget);
         state
             .queue
             .push_back(Frame::new(id, call.transport.framing, &text));
-        control.hand_over(None);
+        control.assign_connection(None);
         let pending = PendingCall {
             end: sender,
             control: control.clone(),
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Gives up a call that nobody waits for any more.
+    /// Abandons a call whose response is no longer needed.
     fn abandon(&self, id: u64) {
         let state = &mut *self.state.borrow_mut();
         let Some(call) = state.pending.remove(&id) else {
@@ -192,16 +192,16 @@
             state.queue.retain(|frame| frame.id != id);
             return;
         }
-        // Its answer may come yet, or the connection be of no use: it carries what it has, and
-        // takes no new call. Alone on the connection, a text that nobody waits for is not written
-        // to its end.
+        // The connection accepts no new calls, since the response may still arrive or the
+        // connection may be broken. It closes once no calls are pending, even if the abandoned call
+        // is not fully written.
         state.abandoned.insert(id);
         state.is_closing = true;
         self.wake.notify_one();
     }
 
-    /// Returns what is to be written next. Where no text is begun, the next one is, unless the
-    /// backend drains.
+    /// Returns the bytes to write next. Once the backend is drained, queued calls end and only a
+    /// message that is partially written is completed.
     pub(super) fn next_bytes(&self, is_drained: bool) -> Option<Bytes> {
         let state = &mut *self.state.borrow_mut();
         if state.writing.is_none() && is_drained {
@@ -215,23 +215,23 @@
         state.writing.as_ref().map(|frame| frame.remaining.clone())
     }
 
-    /// Records that so many bytes were written.
+    /// Records the number of bytes that were written.
     pub(super) fn record_written(&self, bytes: usize) {
         let state = &mut *self.state.borrow_mut();
         let Some(frame) = &mut state.writing else {
             return;
         };
         frame.remaining.advance(bytes);
-        let is_whole = frame.remaining.len() <= frame.terminator_length;
+        let is_complete = frame.remaining.len() <= frame.terminator_length;
         let (id, is_done) = (frame.id, frame.remaining.is_empty());
         if let Some(call) = state.pending.get(&id) {
-            call.control.set_written(if is_whole {
+            call.control.set_written(if is_complete {
                 Written::Complete
             } else {
                 Written::Partial
             });
         }
-        if is_whole && state.is_notification(id) {
+        if is_complete && state.is_notification(id) {
             self.end_call(state, id, CallEnd::NotificationSent);
         }
         if is_done {
@@ -242,62 +242,64 @@
     fn end_call(&self, state: &mut State, id: u64, end: CallEnd) {
         if let Some(call) = state.pending.remove(&id) {
             self.idle_since.set(Instant::now());
-            // The receiver may be gone just now.
+            // The receiver may have been dropped.
             let _ = call.end.send(end);
         }
     }
 
-    /// Takes a text of the backend's; returns false where nothing more on this connection can be
-    /// trusted.
-    pub(super) fn take_text(&self, text: &Bytes, framing: Framing) -> bool {
+    /// Handles a message from the backend; returns false if the connection must be closed because
+    /// the backend violates the protocol.
+    pub(super) fn handle_message(&self, text: &Bytes, framing: Framing) -> bool {
         match message::reply(text) {
-            Reply::Answer(answer) => self.take_answer(answer),
+            Reply::Answer(answer) => self.handle_response(answer),
             Reply::Call(None) => true,
             Reply::Call(Some(id)) => self.reject_backend_call(&id, framing),
             Reply::Wrong(_) => false,
         }
     }
 
-    fn take_answer(&self, answer: Answer) -> bool {
+    fn handle_response(&self, answer: Answer) -> bool {
         let state = &mut *self.state.borrow_mut();
         let id = std::str::from_utf8(&answer.id)
             .ok()
             .and_then(|id| id.parse().ok());
         let Some(id) = id else { return false };
-        // Nobody can have an answer to what was not written whole.
-        if state.is_written_whole(id) && !state.is_notification(id) {
+        // A call that is not fully written cannot have a response.
+        if state.is_fully_written(id) && !state.is_notification(id) {
             self.end_call(state, id, CallEnd::Answered(answer));
             return true;
         }
-        // A late answer is nobody's. One to what was never asked, or a second one, shows that ids
-        // are mixed up, and then it is not known whose the other answers are.
+        // The late response of an abandoned call is discarded. After a response with an unknown id
+        // or a duplicate one, the ids of other responses cannot be trusted.
         state.abandoned.remove(&id)
     }
 
-    /// Rejects a call of the backend's, which is no client here.
+    /// Rejects a call from the backend; returns false if there were too many.
     fn reject_backend_call(&self, id: &Bytes, framing: Framing) -> bool {
         let state = &mut *self.state.borrow_mut();
         let error = write::error(METHOD_NOT_FOUND, "no calls are taken here", None);
         let mut text = BytesMut::new();
         write::answer(id, &error, &mut text);
-        state.queue.push_back(Frame::new(NO_CALL, framing, &text));
+        state
+            .queue
+            .push_back(Frame::new(NO_CALL_ID, framing, &text));
         state.backend_calls += 1;
         state.backend_calls <= MAX_BACKEND_CALLS
     }
 
-    /// Returns whether its last call has ended and it takes no new one.
+    /// Returns whether the connection is closing and its last call has ended.
     pub(super) fn is_finished(&self) -> bool {
         let state = self.state.borrow();
         state.is_closing && state.pending.is_empty()
     }
 
-    /// Ends all its calls.
+    /// Marks the connection as ended and ends all its calls.
     pub(super) fn end(&self) {
         let state = &mut *self.state.borrow_mut();
         state.has_ended = true;
         state.queue.clear();
         for (_, call) in state.pending.drain() {
-            // The receiver may be gone just now.
+            // The receiver may have been dropped.
             let _ = call
                 .end
                 .send(CallEnd::ConnectionLost(call.control.written()));
@@ -306,8 +308,8 @@
 }
 
 impl Call {
-    /// Returns its text under an id.
-    fn to_text(&self, id: u64, expires_at: Instant, budget: Option<&AttemptBudget>) -> BytesMut {
+    /// Encodes the call with an id.
+    fn to_message(&self, id: u64, expires_at: Instant, budget: Option<&AttemptBudget>) -> BytesMut {
         let id = (!self.is_notification).then_some(id);
         let mut text = BytesMut::new();
         write::call(id, &self.method, self.params.as_deref(), &mut text);
--- a/crates/heathroad/src/backend/jsonrpc/io.rs
+++ b/crates/heathroad/src/backend/jsonrpc/io.rs
@@ -1,4 +1,4 @@
-//! The task of a JSON-RPC connection, which reads from and writes to its stream.
+//! The task of a JSON-RPC connection, which does its I/O.
 
 use super::connection::Connection;
 use crate::backend::pool::{ConnectionSlot, Pool};
@@ -13,12 +13,12 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::WriteHalf;
 
-/// Longest answer that is read, in bytes.
-const MAX_ANSWER: usize = 1 << 20;
-/// Where nothing more can be written, an answer that may have come is looked for so long.
-const LINGER: Duration = Duration::from_millis(50);
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE: usize = 1 << 20;
+/// How long to wait for a last response after a write has failed.
+const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Runs a connection to its end, and removes it from the pool.
+/// Runs a connection until it ends, then removes it from the pool.
 pub(super) async fn run(
     pool: Rc<Pool>,
     connection: Rc<Connection>,
@@ -28,13 +28,13 @@
     _slot: ConnectionSlot,
 ) {
     let is_drained = || pool.is_past_drain_grace(&target);
-    carry(&connection, &mut stream, framing, is_drained).await;
+    run_io(&connection, &mut stream, framing, is_drained).await;
     connection.end();
     pool.remove_jsonrpc(&target, &connection);
 }
 
 /// Reads and writes until the connection ends.
-async fn carry(
+async fn run_io(
     connection: &Connection,
     stream: &mut TcpStream,
     framing: Framing,
@@ -42,19 +42,21 @@
 ) {
     let (mut reader, mut writer) = stream.split();
     let limits = Limits {
-        text: MAX_ANSWER,
+        text: MAX_RESPONSE,
         ..Limits::default()
     };
     let mut decoder = Decoder::new(framing, limits);
     let mut is_broken = false;
     loop {
-        if !take_texts(connection, &mut decoder, framing) || is_broken || connection.is_finished() {
+        let is_valid = handle_messages(connection, &mut decoder, framing);
+        if !is_valid || is_broken || connection.is_finished() {
             return;
         }
         let next = connection.next_bytes(is_drained());
         tokio::select! {
             biased;
-            // What the backend has sent, or that it has left, is seen before more is written to it.
+            // Reads take precedence, so that a close by the backend is noticed before more is
+            // written.
             read = reader.read_buf(decoder.buffer()) => {
                 runtime_accounting::read();
                 if !read.is_ok_and(|bytes| bytes > 0) {
@@ -67,9 +69,10 @@
                     connection.record_written(bytes);
                 }
                 _ => {
-                    // An answer may have come before the end.
+                    // A response may have arrived before the write failed.
                     is_broken = true;
-                    let _ = timeout(LINGER, reader.read_buf(decoder.buffer())).await;
+                    let _ =
+                        timeout(FINAL_READ_TIMEOUT, reader.read_buf(decoder.buffer())).await;
                 }
             },
             () = connection.wake.notified() => {}
@@ -77,18 +80,19 @@
     }
 }
 
-/// Takes the texts that were read; returns false where nothing more can be trusted.
-fn take_texts(connection: &Connection, decoder: &mut Decoder, framing: Framing) -> bool {
+/// Handles the messages that were read; returns false if the connection must be closed because the
+/// backend violates the protocol.
+fn handle_messages(connection: &Connection, decoder: &mut Decoder, framing: Framing) -> bool {
     loop {
         match decoder.next_text() {
-            Ok(Some(text)) if connection.take_text(&text, framing) => {}
+            Ok(Some(text)) if connection.handle_message(&text, framing) => {}
             Ok(None) => return true,
             Ok(Some(_)) | Err(_) => return false,
         }
     }
 }
 
-/// Writes what is next, or waits for ever.
+/// Writes the next bytes; never completes if there are none.
 async fn write_next(writer: &mut WriteHalf<'_>, next: Option<&Bytes>) -> io::Result<usize> {
     match next {
         Some(bytes) => writer.write(bytes).await,
--- a/crates/heathroad/src/backend/jsonrpc/mod.rs
+++ b/crates/heathroad/src/backend/jsonrpc/mod.rs
@@ -1,5 +1,5 @@
-//! Attempts over JSON-RPC: a connection carries several calls at once, under ids of the proxy's
-//! own. That a call never ran is claimed only where the last byte of its text was not written.
+//! Attempts over JSON-RPC. A connection carries several calls concurrently, with ids assigned by the
+//! proxy. A call counts as never executed only if its message was not fully written.
 
 mod connection;
 mod io;
@@ -7,7 +7,7 @@
 pub use connection::Connection;
 
 use super::attempt::AttemptControl;
-use super::outcome::{AttemptEnd, classify_answer};
+use super::outcome::{AttemptEnd, classify_response};
 use super::pool::Pool;
 use super::target::Target;
 use crate::retry_budget::AttemptBudget;
@@ -26,20 +26,20 @@
 /// How the backends of a pool are called.
 #[derive(Debug, Clone, Copy)]
 pub struct Transport {
-    /// Their port; none is that of the target.
+    /// The JSON-RPC port; `None` for the port of the target's address.
     pub port: Option<u16>,
-    /// How texts are framed.
+    /// The framing of messages.
     pub framing: Framing,
-    /// Most calls at once on a connection.
+    /// Maximum number of concurrent calls on a connection.
     pub max_calls: usize,
-    /// The error code by which a backend says that it has not looked at the call.
+    /// The error code with which a backend declines a call without processing it.
     pub declined_code: Option<i64>,
-    /// Calls carry retry budgets, as members beside the specification's.
+    /// Whether calls carry retry budgets, as additional members of the message.
     pub carries_budget: bool,
 }
 
 impl Transport {
-    /// Returns the address at which a process takes calls.
+    /// Returns the address at which a process accepts calls.
     fn address(&self, target: &Target) -> SocketAddr {
         let mut address = target.address;
         if let Some(port) = self.port {
@@ -49,20 +49,20 @@
     }
 }
 
-/// A call as every attempt of it is sent.
+/// The content of a JSON-RPC call, which is the same for all its attempts.
 pub struct Call {
-    /// Its method's name, in quotes.
+    /// The method name as a quoted JSON string.
     pub method: Bytes,
-    /// Its parameters as they stand.
+    /// The parameters as unparsed JSON.
     pub params: Option<Bytes>,
-    /// It is a notification: no answer ever comes.
+    /// Whether the call is a notification, which has no response.
     pub is_notification: bool,
-    /// How it is sent.
+    /// How the call is sent.
     pub transport: Transport,
 }
 
 impl Pool {
-    /// Returns the least loaded connection to a process that can take one more call.
+    /// Returns the least loaded connection to a process that accepts another call.
     pub(super) fn find_jsonrpc(&self, target: &Target, max_calls: usize) -> Option<Rc<Connection>> {
         let (connections, now) = (self.jsonrpc.borrow(), Instant::now());
         let max_age = self.max_idle_age();
@@ -73,8 +73,8 @@
             connection.load(max_calls, now).filter(|_| !is_aged)
         };
         let candidates = connections.get(&target.id)?.iter().rev();
-        let fit = candidates.filter_map(|connection| Some((load(connection)?, connection)));
-        let (_, least_loaded) = fit.min_by_key(|(load, _)| *load)?;
+        let available = candidates.filter_map(|connection| Some((load(connection)?, connection)));
+        let (_, least_loaded) = available.min_by_key(|(load, _)| *load)?;
         Some(least_loaded.clone())
     }
 
@@ -107,16 +107,16 @@
     /// Removes a connection that has ended.
     fn remove_jsonrpc(&self, target: &Target, ended: &Rc<Connection>) {
         let mut connections = self.jsonrpc.borrow_mut();
-        if let Some(of_target) = connections.get_mut(&target.id) {
-            of_target.retain(|connection| !Rc::ptr_eq(connection, ended));
-            if of_target.is_empty() {
+        if let Some(target_connections) = connections.get_mut(&target.id) {
+            target_connections.retain(|connection| !Rc::ptr_eq(connection, ended));
+            if target_connections.is_empty() {
                 connections.remove(&target.id);
             }
         }
     }
 }
 
-/// Sends a call and waits for its answer. The control is told that it was handed to a connection.
+/// Sends a call and waits for its response. The control records how much of the call is written.
 pub(super) async fn exchange(
     pool: &Rc<Pool>,
     call: &Call,
@@ -137,9 +137,8 @@
         let mut handle = connection.start_call(call, expires_at, control, budget);
         let end = (&mut handle.end).await;
         if is_reused && matches!(end, Ok(CallEnd::ConnectionLost(Written::None))) {
-            // The connection turned out to be closed, and not a byte was written: the call goes
-            // over another. Others that were idle beside it may be closed too, which their tasks
-            // get to see first.
+            // The reused connection was closed before anything was written, so the call can be sent
+            // over another one. Yields first, so that the tasks of other closed connections notice.
             yield_now().await;
             continue;
         }
@@ -147,7 +146,7 @@
     }
 }
 
-/// Returns a connection to a process, and whether it was used before.
+/// Returns a connection to a process and whether it is reused.
 async fn acquire(
     pool: &Rc<Pool>,
     call: &Call,
@@ -159,14 +158,15 @@
     }
 }
 
-/// Returns what a call's end means; nothing is known of one whose connection's task is gone.
+/// Classifies the end of a call. `None` means that the connection's task was dropped; the call may
+/// have been executed.
 fn classify_end(end: Option<CallEnd>, call: &Call, budget: Option<&AttemptBudget>) -> AttemptEnd {
     match end {
         Some(CallEnd::Answered(answer)) => {
             if let Some(budget) = budget {
                 budget.read_jsonrpc_report(answer.spent.as_deref());
             }
-            classify_answer(answer, call.transport.declined_code)
+            classify_response(answer, call.transport.declined_code)
         }
         Some(CallEnd::NotificationSent) => AttemptEnd::NotificationSent,
         Some(CallEnd::Drained) => AttemptEnd::NotServed(Outcome::NotSent),
--- a/crates/heathroad/src/backend/mod.rs
+++ b/crates/heathroad/src/backend/mod.rs
@@ -1,9 +1,9 @@
-//! The backends' side of the proxy: attempts over kept connections, and what the end of each means.
+//! Sending of attempts to backends over pooled connections.
 //!
-//! - `attempt` runs one attempt, times it out and cancels it.
-//! - `pool` bounds and keeps the connections, `target` is the process that they lead to.
-//! - [`http`] and [`jsonrpc`] carry a call over a connection.
-//! - `outcome` says what a response means.
+//! - `attempt` runs one attempt, with timeout and cancellation.
+//! - `pool` is the connection pool, `target` a backend process.
+//! - [`http`] and [`jsonrpc`] send calls over a connection.
+//! - `outcome` classifies results.
 
 mod attempt;
 pub mod http;
@@ -22,19 +22,19 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Longest body that is passed on in either direction.
+/// Maximum size of request and response bodies, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
 
-/// A request as every attempt of it is sent.
+/// The content of a request, which is the same for all its attempts.
 pub enum Call {
-    /// Over HTTP.
+    /// An HTTP request.
     Http(http::Call),
-    /// Over JSON-RPC.
+    /// A JSON-RPC call.
     JsonRpc(jsonrpc::Call),
 }
 
 impl Call {
-    /// Returns the label by which log lines name it: its `Req-Id`, or its method's name.
+    /// Returns the label in log lines: the `Req-Id` or the method name.
     pub fn label(&self) -> Cow<'_, str> {
         match self {
             Call::Http(call) => String::from_utf8_lossy(call.id.as_bytes()),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Returns whether attempts of it carry retry budgets.
+    /// Returns whether attempts carry retry budgets.
     pub fn carries_budget(&self) -> bool {
         match self {
             Call::Http(_) => true,
@@ -62,7 +62,7 @@
     match call {
         Call::Http(call) => http::exchange(pool, call, target, expires_at, control, budget).await,
         Call::JsonRpc(call) => {
-            // It is boxed so that calls over HTTP need no memory for it.
+            // Boxed to keep the future of HTTP calls small.
             Box::pin(jsonrpc::exchange(
                 pool, call, target, expires_at, control, budget,
             ))
--- a/crates/heathroad/src/backend/outcome.rs
+++ b/crates/heathroad/src/backend/outcome.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt means.
+//! Classification of attempt results.
 
 use bytes::Bytes;
 use heathroad_balancer::api::Outcome;
@@ -8,40 +8,40 @@
 
 /// How an attempt ended.
 pub enum AttemptEnd {
-    /// With a response to pass on.
+    /// With a response for the client.
     Served(Bytes),
-    /// With a response to pass on, of a backend that reports an internal error.
+    /// With a response for the client that reports an internal error of the backend.
     ServedWithError(Bytes),
-    /// A notification was written; no response ever comes to it.
+    /// A JSON-RPC notification was written, which has no response.
     NotificationSent,
-    /// The backend rejected the request as one that no backend can use.
+    /// The backend rejected the request as invalid.
     Rejected,
-    /// Without a response to pass on.
+    /// Without a response for the client.
     NotServed(Outcome),
 }
 
 impl AttemptEnd {
-    /// Returns the result as the decision module knows it.
+    /// Returns the outcome that is reported to the decision module.
     pub fn outcome(&self) -> Outcome {
         match self {
             AttemptEnd::Served(_) => Outcome::Success,
             AttemptEnd::ServedWithError(_) => Outcome::Error,
-            // A rejection is the request's fault: it says nothing of the backend, and another would
-            // reject it too. What has no response says nothing of the backend either.
+            // An invalid request and a notification without a response say nothing about the
+            // backend's health.
             AttemptEnd::Rejected | AttemptEnd::NotificationSent => Outcome::Cancelled,
             AttemptEnd::NotServed(outcome) => *outcome,
         }
     }
 }
 
-/// Returns what an HTTP response means that is not passed on. A backend declines a request that it
-/// has not looked at.
+/// Classifies an HTTP response that is not served to the client. `is_declined` states that the
+/// backend declined the request without processing it.
 pub(super) fn classify_status(status: StatusCode, is_declined: bool) -> AttemptEnd {
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_declined => {
             AttemptEnd::NotServed(Outcome::Rejected)
         }
-        // These speak of the moment and not of the request.
+        // Temporary conditions: the request itself is not invalid.
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_EARLY | StatusCode::TOO_MANY_REQUESTS => {
             AttemptEnd::NotServed(Outcome::Error)
         }
@@ -50,9 +50,9 @@
     }
 }
 
-/// Returns what a JSON-RPC answer means. Errors of the application are passed on; the decision
-/// module is told beside that if the backend reports an internal error.
-pub(super) fn classify_answer(answer: Answer, declined_code: Option<i64>) -> AttemptEnd {
+/// Classifies a JSON-RPC response. Application errors are served to the client; an internal error
+/// also counts as an error of the backend.
+pub(super) fn classify_response(answer: Answer, declined_code: Option<i64>) -> AttemptEnd {
     match answer.code {
         Some(code) if Some(code) == declined_code => AttemptEnd::NotServed(Outcome::Rejected),
         Some(INTERNAL_ERROR) => AttemptEnd::ServedWithError(answer.member),
--- a/crates/heathroad/src/backend/pool.rs
+++ b/crates/heathroad/src/backend/pool.rs
@@ -1,5 +1,4 @@
-//! The connections to all backends: how many there are, which are kept, and which are closed for
-//! others.
+//! The connection pool for all backends: limits, reuse and eviction of connections.
 
 use super::attempt::AttemptControl;
 use super::target::Target;
@@ -19,29 +18,28 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::Instant;
 
-/// Connections on which responses to abandoned attempts are awaited, as a fraction of all, as a
-/// divisor.
+/// At most the connection limit divided by this may await responses to abandoned attempts.
 const ABANDONED_DIVISOR: usize = 4;
-/// Idle connections are closed at this fraction of the time after which backends close them.
+/// Idle connections are closed after this fraction of the backends' idle timeout.
 const IDLE_CLOSE_FRACTION: f64 = 0.5;
-/// Nothing is written later than this fraction of the drain's grace, as a divisor: the rest is for
-/// a late loop and a slow write.
+/// Writes to a draining backend end after its grace period divided by this; the rest covers a
+/// delayed event loop and a slow write.
 const DRAIN_GRACE_DIVISOR: u32 = 2;
 
-/// Permits one connection; given back when dropped.
+/// Permits one connection; released when dropped.
 pub(super) type ConnectionSlot = OwnedSemaphorePermit;
 
-/// The bounds of a pool of connections.
+/// The limits of a connection pool.
 pub struct Limits {
-    /// Most connections at once.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// A connect that takes longer has failed.
+    /// Timeout of connects.
     pub connect_timeout: Duration,
-    /// Backends close connections that are idle for so long.
+    /// How long a connection is idle before backends close it.
     pub idle_timeout: Duration,
-    /// Nothing is sent later than this after the notice of a drain.
+    /// Maximum time from the notice of a drain until the last write to the backend.
     pub drain_grace: Duration,
-    /// Whether an abandoned attempt may stay open beside the next one.
+    /// Whether a request may have more than one attempt open at a time.
     pub may_duplicate: bool,
 }
 
@@ -49,24 +47,24 @@
 pub struct Pool {
     pub(super) limits: Limits,
     next_target_id: Cell<u64>,
-    /// The processes in use, by name, address and start: engines that name one process share it and
+    /// The processes in use by name, address and start time. Engines that use the same process share
     /// its connections.
     targets: RefCell<HashMap<(String, SocketAddr, u64), Weak<Target>>>,
-    /// Idle HTTP connections by the target's id, the one idle longest first.
+    /// Idle HTTP connections by target id, longest idle first.
     pub(super) idle_http: RefCell<FxHashMap<u64, Vec<http::IdleConnection>>>,
-    /// JSON-RPC connections by the target's id, those in use too.
+    /// All JSON-RPC connections by target id, including those in use.
     pub(super) jsonrpc: RefCell<FxHashMap<u64, Vec<Rc<jsonrpc::Connection>>>>,
     slots: Arc<Semaphore>,
     abandoned_attempts: Rc<Cell<usize>>,
-    /// Most abandoned attempts whose responses are awaited.
+    /// Maximum number of abandoned attempts whose responses are awaited.
     pub(super) max_abandoned_attempts: usize,
-    /// When a backend last sent something that nobody had asked for.
+    /// When a backend last sent bytes that belong to no response.
     pub(super) stray_bytes_at: Rc<Cell<Option<Instant>>>,
     /// Notifies one abandoned attempt that its connection's slot is needed.
     pub(super) slot_needed: Notify,
 }
 
-/// Counts an abandoned attempt; given back when dropped.
+/// Counts one abandoned attempt until it is dropped.
 pub(super) struct AbandonedSlot(Rc<Cell<usize>>);
 
 impl Drop for AbandonedSlot {
@@ -76,7 +74,7 @@
 }
 
 impl Pool {
-    /// Returns a pool without connections.
+    /// Returns an empty pool.
     pub fn new(limits: Limits) -> Self {
         Pool {
             next_target_id: Cell::default(),
@@ -92,24 +90,23 @@
         }
     }
 
-    /// Returns a process to send to. One that is in use and takes new requests is the same for all
-    /// engines that name it.
-    pub fn target(&self, name: &str, address: SocketAddr, born_ms: f64) -> Rc<Target> {
+    /// Returns the target of a backend process. Engines share the target of a process that is in use
+    /// and not draining.
+    pub fn target(&self, name: &str, address: SocketAddr, started_ms: f64) -> Rc<Target> {
         let mut targets = self.targets.borrow_mut();
-        let key = (name.to_string(), address, born_ms.to_bits());
+        let key = (name.to_string(), address, started_ms.to_bits());
         let known = targets.get(&key).and_then(Weak::upgrade);
         if let Some(target) = known.filter(|target| !target.is_draining()) {
             return target;
         }
         let id = self.next_target_id.get();
         self.next_target_id.set(id + 1);
-        let target = Rc::new(Target::new(id, address, born_ms));
+        let target = Rc::new(Target::new(id, address, started_ms));
         targets.insert(key, Rc::downgrade(&target));
         target
     }
 
-    /// Opens a connection to a process and keeps it, if none is idle; returns whether there is one
-    /// now.
+    /// Opens an idle connection to a process if there is none; returns whether there is one now.
     pub async fn ensure_connection(
         self: &Rc<Self>,
         target: &Rc<Target>,
@@ -144,10 +141,10 @@
         }
     }
 
-    /// Closes connections that have been idle for long, and those of processes that are out of use.
+    /// Closes connections that reached the maximum idle age, and those to unused processes.
     ///
-    /// A backend closes idle connections too, and a request that crosses its close would end as a
-    /// reset, which may have run: the pool closes them clearly earlier.
+    /// The maximum age is well below the backends' idle timeout: a request that races with the
+    /// backend's close would end in a reset, after which it may have been executed.
     pub fn close_aged_connections(&self) {
         let max_age = self.max_idle_age();
         self.idle_http.borrow_mut().retain(|_, idle| {
@@ -185,12 +182,12 @@
             .for_each(|connection| connection.close());
     }
 
-    /// Returns the age at which the pool closes an idle connection.
+    /// Returns the idle time after which the pool closes a connection.
     pub(super) fn max_idle_age(&self) -> Duration {
         self.limits.idle_timeout.mul_f64(IDLE_CLOSE_FRACTION)
     }
 
-    /// Closes the connection that has been idle longest; returns whether there was one.
+    /// Closes the longest idle connection; returns whether there was one.
     fn evict_idle(&self) -> bool {
         let jsonrpc = self.jsonrpc.borrow();
         let idle = jsonrpc.values().flatten();
@@ -206,8 +203,8 @@
 
     fn has_http_idle_longer_than(&self, idle_time: Duration) -> bool {
         let idle_http = self.idle_http.borrow();
-        let mut longest = idle_http.values().filter_map(|idle| idle.first());
-        longest.any(|idle| idle.since.elapsed() > idle_time)
+        let mut oldest = idle_http.values().filter_map(|idle| idle.first());
+        oldest.any(|idle| idle.since.elapsed() > idle_time)
     }
 
     fn evict_idle_http(&self) -> bool {
@@ -220,9 +217,8 @@
         idle.map(|idle| idle.remove(0)).is_some()
     }
 
-    /// Returns a slot for a connection. Where none is free, a connection is closed that needs its
-    /// slot less. That takes a moment, which is waited for, since the request would be rejected
-    /// otherwise.
+    /// Acquires a connection slot. If none is free, evicts an idle connection or ends the wait for
+    /// an abandoned attempt, and waits for the slot.
     async fn acquire_slot(&self) -> Result<ConnectionSlot, Outcome> {
         let slot = match self.slots.clone().try_acquire_owned() {
             Ok(slot) => slot,
@@ -243,14 +239,17 @@
             self.slots.clone().acquire_owned(),
         )
         .await;
-        // Without a slot the request was never sent, and that says nothing of the backend.
+        // Not an error of the backend: the request was not sent.
         acquired.ok().and_then(Result::ok).ok_or_else(|| {
-            tracing::debug!(reason = "no connection slot", "backend connection failed");
+            tracing::debug!(
+                reason = "no connection slot available",
+                "backend connection failed"
+            );
             Outcome::NotSent
         })
     }
 
-    /// Opens a stream to an address, with its slot.
+    /// Opens a TCP connection with a connection slot.
     pub(super) async fn connect(
         &self,
         address: SocketAddr,
@@ -261,8 +260,8 @@
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => {
                 tracing::debug!(%address, reason = %error, "backend connection failed");
-                let is_ours = is_out_of_descriptors(&error);
-                return Err(if is_ours {
+                let is_local_failure = is_out_of_descriptors(&error);
+                return Err(if is_local_failure {
                     Outcome::NotSent
                 } else {
                     Outcome::ConnectFailed
@@ -280,7 +279,7 @@
         Ok((stream, slot))
     }
 
-    /// Returns the rule that denies the write of an attempt to a process now, if any.
+    /// Checks whether an attempt may be written to a process now.
     pub(super) fn check_write(
         &self,
         target: &Target,
@@ -295,8 +294,7 @@
         safety::check_write(write, Instant::now())
     }
 
-    /// Returns whether a process was told to drain so long ago that nothing more may be written to
-    /// it.
+    /// Returns whether the grace period for writes to a draining process has passed.
     pub(super) fn is_past_drain_grace(&self, target: &Target) -> bool {
         let grace = self.limits.drain_grace / DRAIN_GRACE_DIVISOR;
         target
@@ -304,7 +302,7 @@
             .is_some_and(|notified_at| notified_at.elapsed() > grace)
     }
 
-    /// Counts an abandoned attempt whose response is awaited, unless there are as many as may be.
+    /// Reserves the wait for an abandoned attempt's response; returns `None` at the limit.
     pub(super) fn take_abandoned_slot(&self) -> Option<AbandonedSlot> {
         let count = &self.abandoned_attempts;
         if count.get() >= self.max_abandoned_attempts {
@@ -315,7 +313,7 @@
     }
 }
 
-/// Returns whether the process or the machine has no descriptor left.
+/// Returns whether a connect failed because the process or the system is out of file descriptors.
 fn is_out_of_descriptors(error: &io::Error) -> bool {
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
--- a/crates/heathroad/src/engine/attempt.rs
+++ b/crates/heathroad/src/engine/attempt.rs
@@ -1,5 +1,5 @@
-//! The attempts of open requests: whether one may be sent, how it is sent, and what follows from
-//! its result.
+//! The attempts of open requests: checking them against the safety rules, sending them and recording
+//! their results.
 
 use super::endpoints::KnownEndpoint;
 use super::pending_response::RunningAttempt;
@@ -20,29 +20,29 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// An attempt that the decision module asked for.
+/// An attempt that the decision module requested.
 pub(super) struct AttemptRecord {
     pub(super) backend: BackendId,
-    /// What the safety rules look at.
+    /// The attempt as the safety rules see it.
     pub(super) past: PastAttempt,
-    /// What it needs while it is in flight.
+    /// `None` once the attempt has reported its result.
     pub(super) in_flight: Option<InFlightAttempt>,
 }
 
-/// An attempt that has not reported its result.
+/// The state of an attempt until it reports its result.
 pub(super) struct InFlightAttempt {
     pub(super) control: Rc<AttemptControl>,
     budget: Option<DelegatedBudget>,
 }
 
-/// What an attempt that may be sent needs.
+/// The result of a permitted attempt's checks.
 struct GrantedAttempt {
     target: Rc<Target>,
     location: Location,
     write_deadline: WriteDeadline,
 }
 
-/// Names an attempt.
+/// Identifies an attempt.
 #[derive(Clone, Copy)]
 struct AttemptId {
     request: RequestId,
@@ -52,8 +52,13 @@
 }
 
 impl AttemptId {
-    /// Returns the decision module's event for the attempt's end.
-    fn resolved(&self, outcome: Outcome, elapsed_ms: f64, open: &OpenRequest) -> AttemptResult {
+    /// Returns the result that is reported to the decision module.
+    fn attempt_result(
+        &self,
+        outcome: Outcome,
+        elapsed_ms: f64,
+        open: &OpenRequest,
+    ) -> AttemptResult {
         AttemptResult {
             request: self.request,
             attempt: self.number as u8,
@@ -67,7 +72,7 @@
 }
 
 impl Engine {
-    /// Sends an attempt that the decision module asked for, unless a rule denies it.
+    /// Sends an attempt that the decision module requested, unless a safety rule denies it.
     pub(super) fn send_attempt(
         self: &Rc<Self>,
         state: &mut State,
@@ -107,7 +112,7 @@
         });
     }
 
-    /// Counts and records an attempt, and returns it.
+    /// Creates an attempt and records it in the request and the metrics.
     fn begin_attempt(
         &self,
         open: &mut OpenRequest,
@@ -117,7 +122,7 @@
         times_out_at: Instant,
     ) -> Attempt {
         let started_at = id.started_at;
-        self.count_attempt(open, &granted.target, started_at);
+        self.record_attempt_start(open, &granted.target, started_at);
         let client = open.client.clone();
         let control = Rc::new(AttemptControl::new(client, granted.write_deadline));
         let budget = open.budget.as_ref().filter(|_| open.call.carries_budget());
@@ -126,7 +131,7 @@
             request = id.request, id = %open.call.label(), attempt = id.number,
             address = %granted.target.address, after = ?open.last_outcome,
             timeout_ms = as_millis(times_out_at.saturating_duration_since(started_at)),
-            "attempt begun"
+            "attempt started"
         );
         let attempt = Attempt {
             call: open.call.clone(),
@@ -149,7 +154,7 @@
         attempt
     }
 
-    /// Returns what an attempt at a backend needs, or the rule that denies it now.
+    /// Checks whether an attempt may be sent to a backend now.
     fn check_attempt(
         &self,
         open: &OpenRequest,
@@ -195,8 +200,8 @@
         })
     }
 
-    /// Ends an attempt that a rule denies. If the client has left, the decision module is notified
-    /// at once.
+    /// Records a denied attempt and reports it to the decision module as not sent. If the client has
+    /// disconnected, that is reported first.
     fn deny_attempt(
         &self,
         state: &mut State,
@@ -233,16 +238,17 @@
             backend,
             started_at,
         };
-        let resolved = id.resolved(Outcome::NotSent, 0.0, open);
-        state.events.push_back(Event::AttemptEnded(resolved));
+        let result = id.attempt_result(Outcome::NotSent, 0.0, open);
+        state.events.push_back(Event::AttemptEnded(result));
     }
 
-    fn count_attempt(&self, open: &OpenRequest, target: &Target, started_at: Instant) {
+    fn record_attempt_start(&self, open: &OpenRequest, target: &Target, started_at: Instant) {
         if !open.attempts.is_empty() {
             self.metrics.record_retry(open.last_outcome);
         }
-        let age_ms = self.clock.to_ms(started_at) - target.born_ms;
-        if target.born_ms > 0.0 && age_ms < self.settings.balancer.guarantees.slow_start_duration {
+        let age_ms = self.clock.to_ms(started_at) - target.started_ms;
+        if target.started_ms > 0.0 && age_ms < self.settings.balancer.guarantees.slow_start_duration
+        {
             self.metrics.record_slow_start_send();
         }
         if let Some(activity) = &open.activity {
@@ -261,8 +267,8 @@
         attempt.run(self.pool.clone(), on_result, on_late_result)
     }
 
-    /// Records the result of an attempt, and notifies the decision module. The first served
-    /// response goes to the client at once.
+    /// Records the result of an attempt and notifies the decision module. The first served response
+    /// is sent to the client immediately.
     fn record_attempt_result(
         self: &Rc<Self>,
         request: RequestId,
@@ -303,24 +309,25 @@
             }
             self.count_result(&result);
             open.respond_with_result(result);
-            let resolved = id.resolved(outcome, elapsed_ms, open);
+            let attempt_result = id.attempt_result(outcome, elapsed_ms, open);
             state.remove_if_finished(request);
-            Event::AttemptEnded(resolved)
+            Event::AttemptEnded(attempt_result)
         };
         self.notify(event);
     }
 
     fn count_result(&self, result: &AttemptEnd) {
-        let special = match result {
+        let unjudged_end = match result {
             AttemptEnd::Rejected => Some(UnjudgedEnd::Unusable),
             AttemptEnd::NotificationSent => Some(UnjudgedEnd::NotificationSent),
             _ => None,
         };
-        self.metrics.record_attempt_end(result.outcome(), special);
+        self.metrics
+            .record_attempt_end(result.outcome(), unjudged_end);
     }
 
-    /// Notifies the decision module of the result of an attempt that was given up before. Its
-    /// request is over.
+    /// Notifies the decision module of the late result of an abandoned attempt, whose request is
+    /// closed.
     fn record_late_result(self: &Rc<Self>, id: AttemptId, result: &AttemptEnd) {
         let outcome = result.outcome();
         self.metrics.record_late_completion(outcome);
@@ -337,7 +344,7 @@
 }
 
 impl OpenRequest {
-    /// Sends the response that an attempt's result holds, if any.
+    /// Responds to the client if an attempt's result determines the response.
     fn respond_with_result(&mut self, result: AttemptEnd) {
         match result {
             AttemptEnd::Served(body) | AttemptEnd::ServedWithError(body) => {
--- a/crates/heathroad/src/engine/clock.rs
+++ b/crates/heathroad/src/engine/clock.rs
@@ -6,17 +6,18 @@
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// Converts between instants and the milliseconds of the decision module.
+/// Converts between instants and the decision module's time in milliseconds.
 ///
-/// The clock is monotonic and starts at the Unix time of the process's start, so that the start
-/// times of backends, which discovery tells in Unix time, need no conversion.
+/// The clock is monotonic and starts at the Unix time of its creation, so that it is comparable with
+/// the Unix start times of backends in discovery.
 pub(super) struct Clock {
     start: Instant,
+    /// Unix time of `start`.
     start_ms: f64,
 }
 
 impl Clock {
-    /// Returns a clock that starts now.
+    /// Returns a clock that starts at the current time.
     pub(super) fn new() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/crates/heathroad/src/engine/endpoints.rs
+++ b/crates/heathroad/src/engine/endpoints.rs
@@ -1,4 +1,4 @@
-//! The backends of a pool as discovery lists them, and updates of that list.
+//! The backends of a pool, and updates of the endpoint list from discovery.
 
 use super::{Engine, hash_text};
 use crate::backend::{Pool, Target};
@@ -12,13 +12,13 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// A backend that the list names, or that an open request was sent to.
+/// A backend that is in the endpoint list or has attempts of open requests.
 pub(super) struct KnownEndpoint {
     name: String,
     is_listed: bool,
-    /// Its process, once it was ready.
+    /// The backend's process; `None` until it has been ready.
     pub(super) target: Option<Rc<Target>>,
-    /// Where it stands, by the last list.
+    /// The backend's zone and cell in the last update.
     pub(super) location: Location,
 }
 
@@ -32,34 +32,36 @@
         }
     }
 
-    /// Returns its process if that takes new requests.
+    /// Returns the process if it accepts new requests.
     fn available_target(&self) -> Option<&Rc<Target>> {
         self.target.as_ref().filter(|target| !target.is_draining())
     }
 
-    /// Sends nothing new to its process from now on.
-    fn withdraw(&self, pool: &Pool, metrics: &PoolMetrics, notice: DrainReason) {
+    /// Marks the process as draining, so that it receives no new attempts, and closes its idle
+    /// connections.
+    fn withdraw(&self, pool: &Pool, metrics: &PoolMetrics, reason: DrainReason) {
         let Some(target) = self.available_target() else {
             return;
         };
         tracing::debug!(
-            backend = self.name, address = %target.address, reason = ?notice, "backend withdrawn"
+            backend = self.name, address = %target.address, ?reason, "backend withdrawn"
         );
-        // The notice may have lain unread while the process stalled.
+        // The update may have arrived during a stall of the event loop.
         target.start_draining(stall_detector::earliest_arrival(Instant::now()));
         pool.close_idle_connections(target);
-        metrics.record_drain(notice);
+        metrics.record_drain(reason);
     }
 
-    /// Replaces its process unless that is the listed one.
+    /// Replaces the process unless it is the one in the endpoint list.
     fn set_ready_target(&mut self, instance: &Instance, pool: &Pool, metrics: &PoolMetrics) {
         let Some(address) = instance.address else {
             return;
         };
-        // A new process knows nothing of the old one's connections. Where its machine fell silent
-        // they look open still, and a request on one would end as a reset, which may have run.
+        // Connections to a replaced process must not be reused. If its machine failed without
+        // closing them they still appear open, and a request on one would end in a reset, after
+        // which it may have been executed.
         let is_same = self.available_target().is_some_and(|target| {
-            target.address == address && target.born_ms == instance.started_ms
+            target.address == address && target.started_ms == instance.started_ms
         });
         if is_same {
             return;
@@ -70,7 +72,7 @@
     }
 }
 
-/// All known backends, with the decision module's ids for them.
+/// All known backends, by name and by the decision module's ids.
 #[derive(Default)]
 pub(super) struct Endpoints {
     pub(super) ids: HashMap<String, BackendId>,
@@ -83,15 +85,16 @@
         self.by_id.get(&id)
     }
 
-    /// Returns the processes that take new requests.
+    /// Returns the processes that accept new requests.
     pub(super) fn available_targets(&self) -> impl Iterator<Item = &Rc<Target>> {
         self.by_id
             .values()
             .filter_map(KnownEndpoint::available_target)
     }
 
-    /// Returns a backend by its name, with its id. The id is made from the name, since every
-    /// replica of the proxy orders the backends by it: the replicas' subsets are to overlap evenly.
+    /// Returns a backend and its id by name, and adds it if it is unknown. The id is a hash of the
+    /// name, so that all replicas of the proxy order the backends alike and their subsets overlap
+    /// evenly.
     fn get_or_insert(&mut self, name: &str) -> (BackendId, &mut KnownEndpoint) {
         let id = self.ids.get(name).copied().unwrap_or_else(|| {
             let mut id = hash_text(name) as BackendId;
@@ -112,21 +115,21 @@
         self.by_id.values().all(|endpoint| endpoint.is_listed)
     }
 
-    /// Forgets the backends that are neither listed nor in use.
+    /// Removes the backends that are neither listed nor in use.
     fn retain_listed_or_used(&mut self, used: &HashSet<BackendId>) {
         let ids = &mut self.ids;
         self.by_id.retain(|id, endpoint| {
-            let stays = endpoint.is_listed || used.contains(id);
-            if !stays {
+            let is_kept = endpoint.is_listed || used.contains(id);
+            if !is_kept {
                 ids.remove(&endpoint.name);
             }
-            stays
+            is_kept
         });
     }
 }
 
 impl Engine {
-    /// Applies a list of backends, or changes to it.
+    /// Applies a full endpoint list or a delta.
     pub fn update_endpoints(self: &Rc<Self>, kind: UpdateKind, list: Vec<Instance>) {
         let updated = {
             let endpoints = &mut self.state.borrow_mut().endpoints;
@@ -161,12 +164,12 @@
         endpoint.is_listed = instance.health != InstanceHealth::Deleted;
         let zones = &self.settings.site.zones;
         let Some(zone) = zones.iter().position(|zone| *zone == instance.site) else {
-            // The pool cannot send there, and takes it out wherever it was before.
+            // Backends in unknown zones are not used, even if their previous zone was known.
             endpoint.is_listed = false;
             endpoint.withdraw(&self.pool, &self.metrics, DrainReason::Removed);
             if instance.health == InstanceHealth::Serving {
                 tracing::warn!(
-                    "discovery: {}: zone {:?} is unknown, passed over",
+                    "discovery: backend {} ignored: unknown zone {:?}",
                     instance.name,
                     instance.site
                 );
@@ -199,9 +202,8 @@
         }
     }
 
-    /// Forgets the backends that no list names, once no open request was sent to them: the decision
-    /// module has forgotten such a backend too. Where backends are replaced all day, nothing grows
-    /// with their number.
+    /// Removes the backends that are neither in the endpoint list nor used by an open request, so
+    /// that replaced backends do not accumulate.
     pub fn remove_unused_endpoints(&self) {
         let state = &mut *self.state.borrow_mut();
         if state.endpoints.are_all_listed() {
@@ -215,7 +217,7 @@
         state.endpoints.retain_listed_or_used(&used);
     }
 
-    /// Notifies the decision module that a call to discovery failed.
+    /// Notifies the decision module that a poll of discovery failed.
     pub fn record_discovery_failure(self: &Rc<Self>) {
         self.watch_requested.send_replace(false);
         self.notify(Event::EndpointUpdate {
--- a/crates/heathroad/src/engine/mod.rs
+++ b/crates/heathroad/src/engine/mod.rs
@@ -1,10 +1,11 @@
-//! The engine of one pool: the only owner of its decision module. It turns what happens on the
-//! sockets into the decision module's events, in one order, and carries out the module's actions.
+//! The engine of one pool, which owns the pool's decision module. It translates network and timer
+//! events into the decision module's events and executes the module's actions.
 //!
-//! - `request` is the way of a request, from its arrival to its one response.
+//! - `request` handles a request from its arrival to its final response.
 //! - `attempt` sends attempts and records their results.
-//! - `endpoints` applies updates of the list of backends.
-//! - `response`, `pending_response`, `timers` and `clock` serve these.
+//! - `endpoints` applies updates of the endpoint list.
+//! - `response` and `pending_response` define the final response and the wait for it.
+//! - `timers` computes deadlines and starts timers; `clock` converts times.
 
 mod attempt;
 mod clock;
@@ -41,33 +42,34 @@
     endpoints: Endpoints,
     requests: FxHashMap<RequestId, OpenRequest>,
     next_request_id: RequestId,
-    /// Events that the decision module has yet to handle.
+    /// Events that the decision module has not yet handled.
     events: VecDeque<Event>,
-    /// An empty buffer for the module's actions.
+    /// Buffer for the module's actions, empty between events.
     actions: Vec<Action>,
 }
 
-/// Decides the requests of one pool. Everything runs on one thread, so that events have one order.
+/// Handles the requests of one pool, on a single thread.
 pub struct Engine {
     state: RefCell<State>,
     pool: Rc<Pool>,
     clock: Clock,
     settings: InstanceSettings,
     metrics: PoolMetrics,
-    /// What this proxy acts on, where a record is kept.
+    /// The activity log, if activities are recorded.
     activity_log: Option<Rc<ActivityLog>>,
-    /// Whether the decision module wants the list of backends to be watched.
+    /// Whether the decision module has requested a watch of the endpoint list.
     watch_requested: watch::Sender<bool>,
-    /// All requests end by then; set by a planned stop.
+    /// When a graceful shutdown ends all requests.
     stop_at: Cell<Option<Instant>>,
-    /// No request will come any more, since the pool has left the configuration.
+    /// The pool has been removed from the configuration and receives no more requests.
     is_closed: Cell<bool>,
-    /// Requests rejected while this proxy was fenced.
+    /// Number of requests rejected while this proxy was fenced.
     fenced_rejections: Cell<u64>,
 }
 
 impl Engine {
-    /// Starts the decision module, which asks for the list of backends through `watch_requested`.
+    /// Creates the engine and its decision module, which requests the endpoint list through
+    /// `watch_requested`.
     pub fn new(
         mut settings: InstanceSettings,
         seed: u64,
@@ -99,7 +101,7 @@
         }))
     }
 
-    /// Returns whether some backend takes new requests.
+    /// Returns whether any backend accepts new requests.
     pub fn is_ready(&self) -> bool {
         self.state
             .borrow()
@@ -109,7 +111,7 @@
             .is_some()
     }
 
-    /// Returns the number of requests that wait for their response.
+    /// Returns the number of requests that have no response yet.
     pub fn pending_requests(&self) -> usize {
         let state = self.state.borrow();
         state
@@ -119,21 +121,21 @@
             .count()
     }
 
-    /// Returns the number of requests rejected while this proxy was fenced. The pool has no part in
-    /// these.
+    /// Returns the number of requests rejected while this proxy was fenced, independently of the
+    /// pool's state.
     pub fn fenced_rejections(&self) -> u64 {
         self.fenced_rejections.get()
     }
 
-    /// Returns whether this proxy is fenced: it admits no request, since another configuration is
-    /// required than it acts on, or it cannot know.
+    /// Returns whether this proxy is fenced: it admits no requests, since its configuration is not
+    /// or may not be the required version.
     pub fn is_fenced(&self) -> bool {
         self.activity_log
             .as_ref()
             .is_some_and(|log| log.is_fenced())
     }
 
-    /// Binds a request to the configuration in force, where a record is kept.
+    /// Binds a request to the active configuration version, if activities are recorded.
     pub fn bind_activity(&self) -> Option<activity_log::RequestActivity> {
         self.activity_log.as_ref().map(ActivityLog::begin_request)
     }
@@ -148,7 +150,7 @@
         &self.settings
     }
 
-    /// Returns the pool's present load.
+    /// Returns the pool's current metrics and load.
     pub fn snapshot(&self) -> PoolSnapshot<'_> {
         PoolSnapshot {
             metrics: &self.metrics,
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Returns the backends' processes that take new requests.
+    /// Returns the backend processes that accept new requests.
     pub fn available_targets(&self) -> Vec<Rc<Target>> {
         self.state
             .borrow()
@@ -167,8 +169,7 @@
             .collect()
     }
 
-    /// Tells the decision module how many engines send to some backend of this one's, and so share
-    /// the requests that it may take while it warms up.
+    /// Divides the slow-start budget of backends by the number of engines that send to them.
     pub fn share_slow_start_budget(&self, engines: usize) {
         self.state
             .borrow_mut()
@@ -176,19 +177,18 @@
             .share_slow_start_budget(engines);
     }
 
-    /// Sets the least initial concurrency limit, by what is known of the backends. It is told
-    /// before the first list.
+    /// Raises the initial concurrency limit to at least `limit`. Must be called before the first
+    /// endpoint update.
     pub fn set_initial_limit(&self, limit: f64) {
         self.state.borrow_mut().balancer.raise_limit_to(limit);
     }
 
-    /// Declares that no request will come any more. Attempts in flight end by themselves.
+    /// Closes the engine: it receives no more requests. Attempts in flight complete normally.
     pub fn close(&self) {
         self.is_closed.set(true);
     }
 
-    /// Notifies the decision module of an event and carries out its actions, until no event is
-    /// left.
+    /// Notifies the decision module of an event and executes its actions, until no events remain.
     fn notify(self: &Rc<Self>, event: Event) {
         let state = &mut *self.state.borrow_mut();
         state.events.push_back(event);
@@ -197,13 +197,13 @@
             let now_ms = self.clock.to_ms(Instant::now());
             state.balancer.handle_event(now_ms, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(state, action);
+                self.execute(state, action);
             }
             state.actions = actions;
         }
     }
 
-    fn carry_out(self: &Rc<Self>, state: &mut State, action: Action) {
+    fn execute(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
             Action::Send {
                 request,
@@ -219,12 +219,12 @@
                 self.reject(state, request, millis(retry_after));
             }
             Action::Fail { request } => {
-                tracing::debug!(request, reason = "decided", "request failed");
+                tracing::debug!(request, reason = "balancer decision", "request failed");
                 state.respond(request, Response::Failed);
             }
             Action::Cancel { request, attempt } => state.cancel_attempt(request, attempt),
-            // Timers keep an engine alive: with nothing left to do they end, and the engine with
-            // them.
+            // Timers hold references to the engine. A closed engine without requests starts none,
+            // so that it is dropped.
             Action::SetTimer { .. } if self.is_closed.get() && state.requests.is_empty() => {}
             Action::SetTimer { delay, token } => self.schedule_wakeup(millis(delay), token),
             Action::CloseIdle { backend } => {
@@ -242,7 +242,12 @@
 
 impl State {
     fn cancel_attempt(&mut self, request: RequestId, attempt: u8) {
-        tracing::debug!(request, attempt, reason = "decided", "attempt cancelled");
+        tracing::debug!(
+            request,
+            attempt,
+            reason = "balancer decision",
+            "attempt cancelled"
+        );
         let open = self.requests.get(&request);
         let attempt = open.and_then(|open| open.attempts.get(usize::from(attempt)));
         if let Some(in_flight) = attempt.and_then(|attempt| attempt.in_flight.as_ref()) {
@@ -251,8 +256,8 @@
     }
 }
 
-/// Returns the settings by which the module decides. Its deduplication windows end earlier than the
-/// configured ones, since an attempt is written a moment after the decision.
+/// Returns the decision module's settings. Its deduplication windows are shortened, since an attempt
+/// is written some time after the decision.
 fn balancer_settings(settings: &InstanceSettings) -> Settings {
     let mut settings = settings.balancer.clone();
     for class in &mut settings.classes {
@@ -263,7 +268,7 @@
     settings
 }
 
-/// Returns the number by which the decision module knows the text of a request's key; never 0.
+/// Returns the hash of a request's key; never 0, which means that a request has no key.
 pub fn hash_key(text: &str) -> u64 {
     hash_text(text).max(1)
 }
--- a/crates/heathroad/src/engine/pending_response.rs
+++ b/crates/heathroad/src/engine/pending_response.rs
@@ -1,7 +1,6 @@
-//! Waiting for a request's one response. The task that waits also runs the request's attempts, so
-//! that what a response wakes is at once the task that passes it on, and an attempt needs no task
-//! of its own. Attempts that outlast the wait, since the client has left or an abandoned attempt
-//! goes on, are given one.
+//! Waiting for a request's response. The waiting task also polls the request's attempts, so that an
+//! attempt needs no task of its own and its response wakes the client's task directly. Attempts that
+//! outlive the wait, such as those of a disconnected client, are moved to their own tasks.
 
 use crate::backend::{AttemptControl, store_waker};
 use crate::runtime_accounting::{sleep_until, spawn_local};
@@ -12,30 +11,30 @@
 use std::task::{Context, Poll, Waker};
 use tokio::time::Instant;
 
-/// An attempt under way.
+/// An attempt that is being polled.
 pub struct RunningAttempt {
-    /// Carries the attempt out.
+    /// Runs the attempt.
     pub future: Pin<Box<dyn Future<Output = ()>>>,
-    /// The attempt reports its result by then.
+    /// The attempt's timeout, by which it reports its result.
     pub times_out_at: Instant,
-    /// Tells whether it has.
+    /// Records whether the attempt has reported its result.
     pub control: Rc<AttemptControl>,
 }
 
 impl RunningAttempt {
-    /// Returns whether the attempt will report a result by itself before a deadline.
+    /// Returns whether the attempt will report its result by a deadline.
     fn reports_before(&self, deadline: Instant) -> bool {
         self.times_out_at <= deadline && !self.control.has_reported()
     }
 }
 
-/// A response that one task waits for and others send, with the attempts that the waiting task
-/// runs.
+/// A response that one task waits for and other tasks send, and the attempts that the waiting task
+/// polls.
 pub struct PendingResponse<T> {
     response: Cell<Option<T>>,
     new_attempts: RefCell<Vec<RunningAttempt>>,
     waker: Cell<Option<Waker>>,
-    /// The waiting task is polling just now, and sees what comes without being woken.
+    /// Set while the waiting task polls its attempts, when it needs no wake-up.
     is_polling: Cell<bool>,
 }
 
@@ -57,7 +56,7 @@
         self.wake();
     }
 
-    /// Hands an attempt to the waiting task.
+    /// Adds an attempt for the waiting task to poll.
     pub fn add_attempt(&self, attempt: RunningAttempt) {
         self.new_attempts.borrow_mut().push(attempt);
         self.wake();
@@ -72,11 +71,11 @@
         }
     }
 
-    /// Waits for the response; returns nothing if none has come by the deadline.
+    /// Waits for the response; returns `None` at the deadline.
     ///
-    /// While an attempt is under way that times out before the deadline, no timer is started: the
-    /// attempt's result wakes this task, which then looks at the time again. Attempts that still
-    /// run when the wait is over, however it ends, go on in tasks of their own.
+    /// No timer is started while an attempt is running that times out before the deadline, since
+    /// its result wakes this task. Attempts that are still running when the wait ends, also by
+    /// being dropped, continue in their own tasks.
     pub async fn wait(self: Rc<Self>, deadline: Instant) -> Option<T> {
         let mut attempts = Attempts {
             pending: self.clone(),
@@ -112,7 +111,7 @@
     }
 }
 
-/// The attempts that the waiting task runs.
+/// The attempts that the waiting task polls.
 struct Attempts<T> {
     pending: Rc<PendingResponse<T>>,
     running: Vec<RunningAttempt>,
@@ -127,8 +126,8 @@
         self.running.append(&mut new);
     }
 
-    /// Polls all attempts, and those that they begin in turn, until the response is there or
-    /// nothing moves.
+    /// Polls all attempts, including those that are added meanwhile; returns the response if there
+    /// is one.
     fn poll(&mut self, cx: &mut Context<'_>) -> Option<T> {
         let mut polled = 0;
         loop {
@@ -141,7 +140,7 @@
             }
             let mut index = 0;
             while index < self.running.len() {
-                // Those that were polled before they began others are not polled again.
+                // Attempts that an earlier iteration polled are skipped.
                 let is_unpolled = index >= polled;
                 if is_unpolled && self.running[index].future.as_mut().poll(cx).is_ready() {
                     drop(self.running.remove(index));
--- a/crates/heathroad/src/engine/request.rs
+++ b/crates/heathroad/src/engine/request.rs
@@ -1,5 +1,4 @@
-//! The way of a request through the engine: it is checked, opened, decided by the decision module,
-//! and answered once.
+//! Handling of requests: admission checks, the open request, and its final response.
 
 use super::attempt::AttemptRecord;
 use super::pending_response::PendingResponse;
@@ -18,26 +17,26 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Attempts that most requests need at most.
-const USUAL_ATTEMPTS: usize = 2;
+/// Initial capacity for the attempts of a request.
+const ATTEMPTS_CAPACITY: usize = 2;
 
-/// A request as the frontend has read it, its names resolved.
+/// A request that the frontend has parsed, with its class and tenant resolved.
 pub struct IncomingRequest {
-    /// What is sent to backends.
+    /// The call that is sent to backends.
     pub call: Call,
-    /// Index of its class in the settings.
+    /// Index of the class in the settings.
     pub class: u16,
-    /// Index of its tenant.
+    /// Index of the tenant in the settings.
     pub tenant: u16,
-    /// Hash of its key, by [`super::hash_key`]; 0 means that it has none.
+    /// Hash of the key, by [`super::hash_key`]; 0 if the request has none.
     pub key: u64,
-    /// When its head arrived, at the earliest.
+    /// Earliest time at which the request head can have arrived.
     pub received_at: Instant,
-    /// How long its client waits.
+    /// The client's timeout.
     pub timeout: Duration,
-    /// Its retry budget, where budgets are configured.
+    /// The retry budget, if budgets are configured.
     pub budget: Option<RequestBudget>,
-    /// Records its activities, where a record is kept.
+    /// Records the request's activities, if activities are recorded.
     pub activity: Option<activity_log::RequestActivity>,
 }
 
@@ -48,7 +47,7 @@
         }
     }
 
-    /// Returns how long its client waits, within its budget.
+    /// Returns the client's timeout, limited by the retry budget's time.
     fn effective_timeout(&self) -> Duration {
         let budget = self.budget.as_ref();
         budget.map_or(self.timeout, |budget| self.timeout.min(budget.time_limit()))
@@ -68,15 +67,16 @@
     }
 }
 
-/// A request that is decided, until its response is sent and its last attempt has ended.
+/// A request from its arrival at the decision module until its response is sent and its last attempt
+/// has ended.
 pub(super) struct OpenRequest {
     pub(super) call: Rc<Call>,
     pub(super) class: u16,
     pub(super) response: ResponseState,
-    /// Backends are told to be done by then.
+    /// The deadline sent to backends.
     pub(super) backend_deadline: Instant,
     pub(super) client: Option<ClientHandle>,
-    /// Attempts by number.
+    /// Attempts, indexed by their number.
     pub(super) attempts: Vec<AttemptRecord>,
     /// The outcome of the attempt that ended last.
     pub(super) last_outcome: Option<Outcome>,
@@ -85,10 +85,10 @@
 }
 
 impl OpenRequest {
-    /// Sends the response, unless one was sent before.
+    /// Sends the response, unless the request already has one.
     pub(super) fn respond(&mut self, response: Response) {
         if let Some(pending) = self.close() {
-            // Where attempts have failed here, a retry from above is of no use.
+            // After failed attempts, retries by upstream tiers cannot succeed.
             let has_failed = !matches!(response, Response::Served(_)) && !self.attempts.is_empty();
             let budget = self.budget.as_ref();
             let retries_spent = budget.and_then(|budget| budget.retries_spent(has_failed));
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Marks the response as sent, and returns who waited for it. Attempts that are not written
-    /// whole yet are not written on, whatever the settings say of cancelling.
+    /// Marks the response as sent and returns the pending response, if there was one. All attempts
+    /// are abandoned, which ends those that are not yet fully written.
     pub(super) fn close(&mut self) -> Option<Rc<PendingResponse<FinalResponse>>> {
         let response = std::mem::replace(&mut self.response, ResponseState::Sent);
         let ResponseState::Pending(pending) = response else {
@@ -114,12 +114,12 @@
         Some(pending)
     }
 
-    /// Returns whether its response was sent.
+    /// Returns whether the response was sent.
     pub(super) fn is_answered(&self) -> bool {
         matches!(self.response, ResponseState::Sent)
     }
 
-    /// Returns whether its response was sent and all attempts have ended.
+    /// Returns whether the response was sent and all attempts have ended.
     pub(super) fn is_finished(&self) -> bool {
         self.is_answered()
             && self
@@ -128,14 +128,14 @@
                 .all(|attempt| attempt.in_flight.is_none())
     }
 
-    /// Returns the attempts as the safety rules look at them.
+    /// Returns the attempts as the safety rules see them.
     pub(super) fn past_attempts(&self) -> impl Iterator<Item = &PastAttempt> + Clone {
         self.attempts.iter().map(|attempt| &attempt.past)
     }
 }
 
 impl State {
-    /// Sends a request's response, unless one was sent before.
+    /// Sends the response to a request, unless it already has one.
     pub(super) fn respond(&mut self, request: RequestId, response: Response) {
         if let Some(open) = self.requests.get_mut(&request) {
             open.respond(response);
@@ -143,7 +143,7 @@
         self.remove_if_finished(request);
     }
 
-    /// Removes a request if nothing of it is open.
+    /// Removes a request once its response is sent and all attempts have ended.
     pub(super) fn remove_if_finished(&mut self, request: RequestId) {
         if self
             .requests
@@ -156,8 +156,8 @@
 }
 
 impl Engine {
-    /// Handles a client's request, whose connection can be watched for the client's leaving, and
-    /// waits for its one response. If the future is dropped before that, the client has left.
+    /// Handles a client's request and waits for its final response. `client` detects that the client
+    /// has disconnected. Dropping the future before the response also counts as a disconnect.
     pub async fn handle_request(
         self: &Rc<Self>,
         incoming: IncomingRequest,
@@ -173,12 +173,12 @@
             id = %incoming.call.label(), class = incoming.class, timeout_ms = as_millis(timeout),
             waited_ms = as_millis(incoming.received_at.elapsed()), "request received"
         );
-        // Its time may have passed while it waited for its turn on its connection.
+        // The deadline may have passed while the request was queued on its connection.
         if Instant::now() >= deadlines.decision {
-            return self.time_out_undecided(&incoming);
+            return self.time_out_before_decision(&incoming);
         }
         let Some(request) = self.next_request_id() else {
-            return self.reject_above_capacity(&incoming);
+            return self.reject_at_capacity(&incoming);
         };
         let arrival = incoming.arrival(request, self.clock.to_ms(deadlines.decision));
         let received_at = incoming.received_at;
@@ -186,8 +186,8 @@
         let mut guard = RequestGuard::new(self.clone(), request, &incoming);
         self.open_request(request, incoming, client, &deadlines, pending.clone());
         self.notify(Event::RequestArrived(arrival));
-        // The decision module answers in time; the watchdog guards against a late loop and its
-        // silence.
+        // The decision module normally responds before its own deadline. The watchdog covers a
+        // delayed event loop and a module that does not respond.
         let response = pending.wait(deadlines.watchdog).await.unwrap_or_else(|| {
             tracing::debug!(request, reason = "watchdog deadline", "request timed out");
             Response::TimedOut.into()
@@ -196,7 +196,7 @@
         response
     }
 
-    /// Counts a request that ends before it is decided, and records it.
+    /// Records a request that ends before it reaches the decision module.
     pub fn record_undecided(&self, incoming: &IncomingRequest, response: ResponseKind) {
         self.metrics
             .record_response(incoming.class, incoming.tenant, response);
@@ -213,7 +213,7 @@
         Response::Rejected { retry_after }.into()
     }
 
-    fn time_out_undecided(&self, incoming: &IncomingRequest) -> FinalResponse {
+    fn time_out_before_decision(&self, incoming: &IncomingRequest) -> FinalResponse {
         tracing::debug!(
             id = %incoming.call.label(), reason = "deadline passed before the decision", "request timed out"
         );
@@ -223,9 +223,9 @@
         Response::TimedOut.into()
     }
 
-    fn reject_above_capacity(&self, incoming: &IncomingRequest) -> FinalResponse {
+    fn reject_at_capacity(&self, incoming: &IncomingRequest) -> FinalResponse {
         tracing::debug!(
-            id = %incoming.call.label(), reason = "open requests at their limit", "request rejected"
+            id = %incoming.call.label(), reason = "limit of open requests reached", "request rejected"
         );
         self.metrics
             .record_response(incoming.class, incoming.tenant, ResponseKind::Rejected);
@@ -233,7 +233,7 @@
         Response::Rejected { retry_after: None }.into()
     }
 
-    /// Returns an unused id, or nothing where as many requests are open as may be.
+    /// Returns an unused id, or `None` if the limit of open requests is reached.
     fn next_request_id(&self) -> Option<RequestId> {
         let state = &mut *self.state.borrow_mut();
         if state.requests.len() >= self.settings.site.max_open_requests {
@@ -252,14 +252,14 @@
         deadlines: &Deadlines,
         pending: Rc<PendingResponse<FinalResponse>>,
     ) {
-        tracing::debug!(request, id = %incoming.call.label(), "request open");
+        tracing::debug!(request, id = %incoming.call.label(), "request opened");
         let open = OpenRequest {
             call: Rc::new(incoming.call),
             class: incoming.class,
             response: ResponseState::Pending(pending),
             backend_deadline: deadlines.backend,
             client,
-            attempts: Vec::with_capacity(USUAL_ATTEMPTS),
+            attempts: Vec::with_capacity(ATTEMPTS_CAPACITY),
             last_outcome: None,
             budget: incoming.budget,
             activity: incoming.activity,
@@ -267,10 +267,10 @@
         self.state.borrow_mut().requests.insert(request, open);
     }
 
-    /// Rejects a request as the decision module asked. Where it may have run, that is a violation,
-    /// and the request has failed.
+    /// Rejects a request as the decision module decided. If it may have been executed, this is a
+    /// violation and the request fails instead.
     pub(super) fn reject(&self, state: &mut State, request: RequestId, retry_after: Duration) {
-        tracing::debug!(request, reason = "decided", "request rejected");
+        tracing::debug!(request, reason = "balancer decision", "request rejected");
         let retry_after = Some(retry_after).filter(|delay| !delay.is_zero());
         let may_reject = self.may_reject(state, request);
         let response = if may_reject {
@@ -292,8 +292,7 @@
         may_reject
     }
 
-    /// Returns the idempotency that a class declares for its requests; an unknown class is taken
-    /// for the strictest.
+    /// Returns the idempotency of a class; an unknown class counts as non-idempotent.
     pub(super) fn idempotency(&self, class: u16) -> Idempotency {
         let classes = &self.settings.balancer.classes;
         classes
@@ -312,15 +311,15 @@
     }
 }
 
-/// Stands for a client that waits. When it is dropped, the request's end is counted; if no response
-/// was sent by then, the client has left, and the decision module is notified.
+/// Records the end of a request when dropped. If no response was sent by then, the client has
+/// disconnected, and the decision module is notified.
 struct RequestGuard {
     engine: Rc<Engine>,
     request: RequestId,
     class: u16,
     tenant: u16,
     activity: Option<activity_log::RequestActivity>,
-    /// How the request ends, by what is known now.
+    /// How the request ends: `ClientLeft` until a response is recorded.
     outcome: ResponseKind,
 }
 
@@ -336,7 +335,7 @@
         }
     }
 
-    /// Records the response that the client is given.
+    /// Records the response that is sent to the client.
     fn record_response(
         &mut self,
         response: &Response,
@@ -345,7 +344,7 @@
     ) {
         self.outcome = response.kind();
         if Instant::now() > client_deadline {
-            // The request's own id is gone by then.
+            // The request's label is no longer available, only its internal id.
             let label = format!("number {}", self.request);
             violations::record_violation(Violation::LateResponse, &label);
         }
--- a/crates/heathroad/src/engine/response.rs
+++ b/crates/heathroad/src/engine/response.rs
@@ -10,27 +10,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The retry delay advertised to clients that are rejected by the proxy itself, in milliseconds.
+/// The retry delay advertised to clients that the proxy itself rejects, in milliseconds.
 const RETRY_AFTER_MS: f64 = 500.0;
 
-/// What a client is answered.
+/// The response to a client.
 #[derive(Debug)]
 pub enum Response {
     /// A backend's response.
     Served(Bytes),
-    /// The request was rejected; a retry is harmless.
+    /// The request was rejected and can be retried safely.
     Rejected {
         /// The retry delay advertised to the client, if any.
         retry_after: Option<Duration>,
     },
-    /// The request failed; it may have run.
+    /// The request failed; it may have been executed.
     Failed,
-    /// No response came in time; the request may have run.
+    /// No response was received in time; the request may have been executed.
     TimedOut,
 }
 
 impl Response {
-    /// Returns the kind under which the response is counted.
+    /// Returns the kind of the response for metrics.
     pub(super) fn kind(&self) -> ResponseKind {
         match self {
             Response::Served(_) => ResponseKind::Served,
@@ -41,12 +41,12 @@
     }
 }
 
-/// The one response to a request, with the report for a caller that sent a retry budget.
+/// The final response to a request, with the report for a caller that sent a retry budget.
 #[derive(Debug)]
 pub struct FinalResponse {
-    /// What the client is answered.
+    /// The response to the client.
     pub response: Response,
-    /// The retries that were spent on it.
+    /// The retries spent on the request, if the caller sent a retry budget.
     pub retries_spent: Option<RetriesSpent>,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Whether a request still waits for its response, which can be sent only once.
+/// Whether the response to a request is pending or was sent. It is sent at most once.
 pub(super) enum ResponseState {
     Pending(Rc<PendingResponse<FinalResponse>>),
     Sent,
@@ -68,9 +68,10 @@
 /// Returns the retry delay advertised to clients that are rejected for lack of capacity, or by a
 /// fenced proxy, if the settings allow one.
 pub fn retry_after(settings: &InstanceSettings) -> Option<Duration> {
-    let caps = &settings.balancer.limits;
-    caps.retry_after
-        .then(|| millis(RETRY_AFTER_MS.min(caps.max_retry_after)))
+    let limits = &settings.balancer.limits;
+    limits
+        .retry_after
+        .then(|| millis(RETRY_AFTER_MS.min(limits.max_retry_after)))
 }
 
 /// Returns the activity that records a final response.
--- a/crates/heathroad/src/engine/timers.rs
+++ b/crates/heathroad/src/engine/timers.rs
@@ -9,46 +9,45 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A deadline counts from the client's send, and the response has yet to reach it: this time is for
-/// the way. It covers a stall that went undetected when the request arrived.
+/// Time reserved for the transit of request and response, since the client's deadline counts from
+/// its send. It also covers a stall that was not detected when the request arrived.
 pub(super) const TRANSIT_TIME: Duration = stall_detector::DETECTION_THRESHOLD;
-/// A client waits so long after its deadline, by the protocol: 20 ms, and 50 ms more on sockets.
+/// How long a client waits after its deadline: 20 ms by the protocol, plus 50 ms on sockets.
 pub(super) const CLIENT_GRACE: Duration = Duration::from_millis(70);
-/// The decision module's deadline lies so much before the client's. A request is then answered in
-/// time though the process stalls just then, and stalled undetected when the request arrived.
+/// How long before the client's deadline the decision module's deadline is. The margin covers an
+/// undetected stall at the request's arrival and a tolerated stall before the response.
 pub(super) const MAX_DEADLINE_MARGIN: Duration = stall_detector::MAX_TOLERATED_STALL
     .saturating_add(stall_detector::DETECTION_THRESHOLD)
     .saturating_sub(CLIENT_GRACE);
-/// The margin takes no more than this fraction of the client's timeout, as a divisor: a short
-/// timeout leaves time for work.
+/// The margin is at most the client's timeout divided by this, so that short timeouts leave time for
+/// attempts.
 const DEADLINE_MARGIN_DIVISOR: u32 = 2;
-/// A request without a response at this fraction of the margin, as a divisor, times out whatever
-/// the decision module says.
+/// The watchdog deadline precedes the client's deadline by the margin divided by this.
 const WATCHDOG_MARGIN_DIVISOR: u32 = 2;
 
-/// Returns how long before a client's deadline the decision module's lies.
+/// Returns how long before the client's deadline the decision module's deadline is.
 pub(super) fn deadline_margin(timeout: Duration) -> Duration {
     MAX_DEADLINE_MARGIN
         .min(timeout / DEADLINE_MARGIN_DIVISOR)
         .max(TRANSIT_TIME)
 }
 
-/// The moments that bound a request.
+/// The deadlines of a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Deadlines {
-    /// The decision module decides until then.
+    /// The decision module's deadline.
     pub(super) decision: Instant,
-    /// Backends are told to be done by then.
+    /// The deadline sent to backends.
     pub(super) backend: Instant,
-    /// The request times out then, whatever the decision module says.
+    /// The engine times the request out if the decision module has not responded.
     pub(super) watchdog: Instant,
-    /// A response after this is a violation.
+    /// A later response is a violation.
     pub(super) client: Instant,
 }
 
 impl Deadlines {
-    /// Returns the deadlines of a request whose client waits so long. All but the client's own lie
-    /// before the end of a planned stop.
+    /// Returns the deadlines of a request with the client's timeout. All but the client's deadline
+    /// are before the end of a graceful shutdown.
     pub(super) fn new(received_at: Instant, timeout: Duration, stop_at: Option<Instant>) -> Self {
         let until_stop = stop_at.map(|stop_at| stop_at.saturating_duration_since(received_at));
         let limit = until_stop.map_or(timeout, |until_stop| timeout.min(until_stop));
@@ -64,7 +63,7 @@
 }
 
 impl Engine {
-    /// Notifies the decision module of a wake-up after a delay.
+    /// Starts a timer of the decision module.
     pub(super) fn schedule_wakeup(self: &Rc<Self>, delay: Duration, token: u64) {
         let engine = self.clone();
         spawn_local(async move {
@@ -73,8 +72,8 @@
         });
     }
 
-    /// Times out all requests that are still open at a planned stop, and admits none that would
-    /// last longer.
+    /// Sets the end of a graceful shutdown: open requests time out then, and the deadlines of new
+    /// requests are limited to it.
     pub fn end_requests_at(self: &Rc<Self>, stop_at: Instant) {
         self.stop_at.set(Some(stop_at));
         let engine = self.clone();
@@ -89,8 +88,8 @@
             let state = &mut *self.state.borrow_mut();
             tracing::debug!(
                 open = state.requests.len(),
-                reason = "stop",
-                "requests ended"
+                reason = "shutdown",
+                "open requests timed out"
             );
             let requests = state.requests.values_mut();
             requests.for_each(|request| request.respond(Response::TimedOut));
