--- a/crates/heathroad-balancer/src/api.rs
+++ b/crates/heathroad-balancer/src/api.rs
@@ -1,74 +1,74 @@
-//! The interface of the decision module: settings and events in, actions out. No logic lives here.
+//! The interface of the balancer: settings and events in, actions out. This module has no logic.
 //!
-//! Times and durations are milliseconds as `f64`. The clock is whatever the embedding proxy passes
-//! to [`Balancer::handle_event`](crate::Balancer::handle_event); it starts anywhere and only goes
-//! forward.
+//! Times and durations are milliseconds as `f64`. The embedding proxy passes the current time to
+//! [`Balancer::handle_event`](crate::Balancer::handle_event); its clock must be monotonic and may
+//! start at any value.
 
 use serde::Serialize;
 
-/// Identifies a client request at one replica; never reused.
+/// Identifies a client request within one replica; never reused.
 pub type RequestId = u64;
-/// Identifies a backend; the same at every replica and across restarts of its process.
+/// Identifies a backend, consistently across replicas and restarts of the backend's process.
 pub type BackendId = u32;
-/// The number of an attempt within its request, counted from 0 in the order of sends.
+/// The index of an attempt within its request, from 0 in the order of sending.
 pub type AttemptNumber = u8;
 
-/// Everything that a replica is configured with at its start.
+/// The configuration of one replica.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Settings {
-    /// The number of this replica among [`replica_count`](Self::replica_count), from 0.
+    /// The index of this replica, from 0 to [`replica_count`](Self::replica_count) - 1.
     pub replica_index: u32,
-    /// How many replicas send to this tier.
+    /// The number of replicas that send to this tier.
     pub replica_count: u32,
-    /// The position of the tier that this replica sends to; 0 is the one that clients reach.
+    /// The index of the tier that this replica sends to; 0 is the tier that clients call.
     pub tier: u32,
     /// The zone of this replica.
     pub zone: u16,
-    /// The shortest time between two rounds of events.
+    /// The shortest interval at which the proxy delivers events.
     pub tick: f64,
-    /// Requests may arrive with a priority share that an upstream proxy has set.
+    /// Requests may carry a priority share set by an upstream proxy.
     pub priority_forwarded: bool,
-    /// The endpoint list has to be polled ([`Action::WatchEndpoints`]) rather than being pushed.
+    /// The endpoint list is polled ([`Action::WatchEndpoints`]) instead of pushed.
     pub polls_endpoints: bool,
     /// The priority of a request beyond its tenant's quota, as a share of its class's weight.
     pub over_quota_priority: f64,
-    /// The request classes; a request names its index in this list.
+    /// The request classes; a request refers to its class by index.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// What the site allows.
+    /// Limits set by the site.
     pub limits: SiteLimits,
-    /// The figures of the guarantees that hold whatever fails.
+    /// Parameters of the guarantees that hold under any failure.
     pub guarantees: Guarantees,
-    /// How the operators weigh and price results.
+    /// Weights and prices of the operators' objectives.
     pub objectives: Objectives,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Class {
-    /// A response within this time earns the full weight.
+    /// The latency within which a response earns the full weight.
     pub latency_objective: f64,
-    /// The weight of a request against those of other classes.
+    /// The weight of a request relative to other classes.
     pub priority_weight: f64,
-    /// Whether and where a request may be executed again.
+    /// Whether, and on which backends, a request may be executed again.
     pub idempotency: Idempotency,
-    /// Requests with one key are executed one at a time, in the order of their arrival; all such
-    /// classes share their keys.
+    /// Requests with the same key are executed one at a time, in order of arrival. All ordered
+    /// classes share one key space.
     pub ordered_by_key: bool,
 }
 
-/// Whether a request of a class may be repeated once it may have been executed.
+/// Whether a request that may have been executed can be sent again.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum Idempotency {
-    /// The request is safe to repeat anywhere.
+    /// The request can be repeated on any backend.
     Idempotent,
-    /// Repeats are dropped by the backends of `scope` for `window` after the first send that may
-    /// have been executed.
+    /// The backends within `scope` drop repeats for `window` after the first attempt that may have
+    /// been executed.
     Deduplicated {
-        /// Which backends drop each other's repeats.
+        /// The backends that share deduplication state.
         scope: DeduplicationScope,
-        /// For how long they do.
+        /// How long that state is kept.
         window: f64,
     },
     /// The request must never be executed twice.
@@ -76,7 +76,7 @@
     NonIdempotent,
 }
 
-/// The backends that drop repeats of a request that one of them has seen.
+/// The set of backends that share deduplication state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All backends.
@@ -90,111 +90,110 @@
 /// A tenant.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all replicas, within its quota.
+    /// The tenant's quota in requests per second, over all replicas.
     pub quota_per_s: f64,
 }
 
-/// What the site allows.
+/// Limits set by the site.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SiteLimits {
     /// Attempts may be cancelled.
     pub cancellation: bool,
-    /// Rejected clients are given a retry delay.
+    /// Rejections carry a retry delay.
     pub retry_after: bool,
-    /// The longest retry delay that a client respects.
+    /// The longest retry delay that clients respect.
     pub max_retry_after: f64,
-    /// The most attempts for one request.
+    /// The maximum number of attempts per request.
     pub max_attempts: u32,
-    /// The proxy sees the work of abandoned attempts end, and reports it by
+    /// The proxy observes when abandoned attempts complete and reports it with
     /// [`Event::LateCompletion`].
     pub late_completions: bool,
 }
 
-/// The figures of the guarantees.
+/// Parameters of the guarantees that hold under any failure.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Guarantees {
-    /// The share of its capacity that a backend has right after its start, at least.
+    /// The minimum share of its capacity that a backend has right after its start.
     pub slow_start_floor: f64,
-    /// The time after which a backend has its full capacity, at most.
+    /// The maximum time until a started backend has its full capacity.
     pub slow_start_duration: f64,
-    /// A backend in slow start collapses when it is sent more than this multiple of its present
+    /// A backend in slow start collapses when it is sent more than this multiple of its current
     /// capacity.
     pub overload_multiple: f64,
-    /// Where the endpoint list is polled: a change counts as known after this time of silence.
-    pub poll_within: f64,
-    /// Idle connections to a draining backend are closed within this time; 0 where no such
-    /// guarantee holds.
+    /// If the endpoint list is polled: the time without a poll after which a replica is assumed to
+    /// know of a change.
+    pub max_poll_interval: f64,
+    /// Idle connections to a draining backend are closed within this time; 0 means no guarantee.
     pub idle_close_within: f64,
-    /// The time for which a key of an ordered class rests after an attempt that may still be
-    /// executing.
-    pub unknown_outcome_rest: f64,
+    /// How long a key of an ordered class is blocked after an attempt that may still be executing.
+    pub unknown_outcome_delay: f64,
 }
 
-/// How the operators weigh and price results.
+/// Weights and prices of the operators' objectives.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Objectives {
-    /// The weight of the worst-served class.
+    /// The weight of the worst-served class in the overall objective.
     pub worst_class_weight: f64,
-    /// The price of an attempt that crosses zones.
+    /// The price of a cross-zone attempt.
     pub cross_zone_price: f64,
 }
 
-/// Whether an endpoint takes new requests.
+/// Whether an endpoint accepts new requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// The endpoint takes requests.
+    /// The endpoint accepts requests.
     #[default]
     Ready,
-    /// The endpoint finishes its requests and must be sent no new ones.
+    /// The endpoint completes its requests and must not be sent new ones.
     Draining,
-    /// The endpoint is removed.
+    /// The endpoint has been removed.
     Removed,
 }
 
-/// One backend, as the endpoint list describes it.
+/// A backend as described by the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Endpoint {
     /// The backend.
     pub backend: BackendId,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: EndpointState,
     /// Its zone.
     pub zone: u16,
-    /// The time at which its process last started; 0 is long ago.
+    /// The time at which its process last started; 0 means that it is fully warmed up.
     pub started_at: f64,
-    /// Its capacity relative to the others'.
+    /// Its capacity relative to other backends.
     pub weight: f64,
     /// Its cell.
     pub cell: u16,
 }
 
-/// How an endpoint update relates to the list that the replica has.
+/// How an endpoint update applies to the replica's current list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// The complete list; an endpoint that it lacks is removed.
+    /// The complete list; endpoints missing from it are removed.
     Snapshot,
-    /// The changed endpoints only.
+    /// Only the changed endpoints.
     Delta,
-    /// The complete list from a cache; it may be old.
+    /// The complete list from a cache, possibly outdated.
     Cached,
-    /// A poll failed or a watch broke; the update has no endpoints.
+    /// A poll failed or a watch was interrupted; the update has no endpoints.
     Failed,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The backend served the request.
+    /// The backend returned a successful response.
     Success,
-    /// The backend answered with an error; the request may have been executed.
+    /// The backend returned an error; the request may have been executed.
     Error,
-    /// The backend rejected the request unseen; it was never executed.
+    /// The backend rejected the request before processing it; it was never executed.
     Rejected,
-    /// No response came in time; the request may have been executed.
+    /// No response arrived before the deadline; the request may have been executed.
     Timeout,
-    /// No connection was made; the request was never executed.
+    /// The connection could not be established; the request was never executed.
     ConnectFailed,
-    /// The connection broke; the request may have been executed.
+    /// The connection was lost; the request may have been executed.
     Reset,
     /// The attempt was cancelled; the request may have been executed.
     Cancelled,
@@ -203,7 +202,7 @@
 }
 
 impl Outcome {
-    /// Returns whether this outcome proves that the request was never executed.
+    /// Returns whether this outcome guarantees that the request was never executed.
     pub fn never_executed(self) -> bool {
         matches!(
             self,
@@ -212,26 +211,26 @@
     }
 }
 
-/// A request that arrived.
+/// A request from a client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestArrival {
     /// The request.
     pub request: RequestId,
-    /// The key of an ordered class; 0 is none.
+    /// The ordering key; 0 means none. Ignored unless the class is ordered.
     pub key: u64,
     /// The index of its class.
     pub class: u16,
-    /// The index of its tenant; 0 where there are none.
+    /// The index of its tenant; 0 if no tenants are configured.
     pub tenant: u16,
-    /// The time at which its client gives up.
+    /// The time at which the client gives up.
     pub deadline: f64,
-    /// The most attempts beyond the first, where the request carries a retry budget.
+    /// The maximum number of retries, if the request carries a retry budget.
     pub retries_left: Option<u32>,
     /// Its priority, as a share of its class's weight.
     pub priority_share: f64,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptResult {
     /// The request.
@@ -244,31 +243,31 @@
     pub outcome: Outcome,
     /// The time since it was sent.
     pub elapsed: f64,
-    /// The request has its final response; nothing more is owed.
+    /// The request has its final response; the replica must not produce another.
     pub request_closed: bool,
-    /// How many further attempts its retry budget has now, where it carries one: what backends
-    /// spent on retries of their own has been deducted.
+    /// The remaining retries, if the request carries a retry budget. Retries that the backends
+    /// made themselves have been deducted.
     pub retries_left: Option<u32>,
 }
 
-/// What a replica is notified of.
+/// An event delivered to a replica.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The endpoint list, or a change of it.
+    /// The endpoint list, or a change to it.
     EndpointUpdate {
-        /// How the endpoints relate to the list that the replica has.
+        /// How the endpoints apply to the replica's current list.
         kind: UpdateKind,
         /// The endpoints.
         endpoints: Vec<Endpoint>,
     },
-    /// A request arrived; exactly one final response is owed.
+    /// A request arrived; it needs exactly one final response.
     RequestArrived(RequestArrival),
     /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// The work of an attempt that had timed out or was cancelled has ended: with its response, or
-    /// unseen with its connection, which repeats the earlier outcome.
+    /// A timed-out or cancelled attempt has completed at its backend. The outcome is that of its
+    /// late response, or the earlier one again if its connection was closed without a response.
     LateCompletion(AttemptResult),
-    /// The client left; nothing more is owed.
+    /// The client disconnected; no response is needed any more.
     ClientLeft {
         /// The request.
         request: RequestId,
@@ -280,7 +279,7 @@
     },
 }
 
-/// What a replica decides, to be carried out in order.
+/// An action for the proxy; the actions of an event must be performed in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request.
@@ -289,33 +288,33 @@
         request: RequestId,
         /// The backend to send it to.
         backend: BackendId,
-        /// The time at which the attempt is abandoned.
+        /// The time at which the attempt times out.
         deadline: f64,
     },
-    /// The final response: rejected, and a retry is harmless.
+    /// Respond with a rejection: the client can safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// The retry delay advertised to the client; 0 is none.
+        /// The retry delay advertised to the client; 0 means none.
         retry_after: f64,
     },
-    /// The final response: failed, and the request may have been executed.
+    /// Respond with a failure: the request may have been executed.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Cancel one attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Set a timer that fires an [`Event::TimerFired`].
+    /// Set a timer that delivers an [`Event::TimerFired`].
     SetTimer {
-        /// The time from now.
+        /// The delay from now.
         delay: f64,
-        /// The token that comes back with the event.
+        /// The token to return with the event.
         token: u64,
     },
     /// Close the idle connections to a backend.
@@ -323,25 +322,25 @@
         /// The backend.
         backend: BackendId,
     },
-    /// Watch the endpoint list, or end the watch.
+    /// Start or stop watching the endpoint list.
     WatchEndpoints {
-        /// On or off.
+        /// Whether to watch.
         on: bool,
     },
 }
 
-/// The state of a replica's concurrency limit, for monitoring; nothing is decided by it.
+/// The state of a replica's concurrency limit, for monitoring only.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Load {
-    /// The learned total.
+    /// The learned concurrency limit.
     pub limit: f64,
-    /// The attempts counted against it.
+    /// The attempts that count against it.
     pub in_flight: f64,
     /// Its class slices, highest priority first.
     pub slices: Vec<SliceLoad>,
 }
 
-/// The state of one slice of the limit.
+/// The state of one class slice.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct SliceLoad {
     /// The slice's own limit.
@@ -354,12 +353,12 @@
     pub queued: usize,
 }
 
-/// Why settings were rejected.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("settings: {field}: {reason}")]
 #[non_exhaustive]
 pub struct SettingsError {
-    /// The setting, as a path such as `classes[1].latency_objective`.
+    /// The path of the setting, such as `classes[1].aim`.
     pub field: String,
     /// What is wrong with it.
     pub reason: &'static str,
--- a/crates/heathroad-balancer/src/endpoints.rs
+++ b/crates/heathroad-balancer/src/endpoints.rs
@@ -46,7 +46,7 @@
             return;
         }
         actions.push(Action::SetTimer {
-            delay: share * self.settings.guarantees.poll_within,
+            delay: share * self.settings.guarantees.max_poll_interval,
             token: TIMER_ENDPOINT_POLL,
         });
     }
--- a/crates/heathroad-balancer/src/policy/ordering.rs
+++ b/crates/heathroad-balancer/src/policy/ordering.rs
@@ -65,7 +65,7 @@
             Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
         );
         if let Some(queue) = self.key_queues.get_mut(&key).filter(|_| may_execute) {
-            queue.rest_until = now + self.settings.guarantees.unknown_outcome_rest;
+            queue.rest_until = now + self.settings.guarantees.unknown_outcome_delay;
         }
     }
 
--- a/crates/heathroad-balancer/src/settings.rs
+++ b/crates/heathroad-balancer/src/settings.rs
@@ -172,11 +172,11 @@
     #[serde(rename = "fallMultiple", deserialize_with = "figure")]
     overload_multiple: f64,
     #[serde(default, rename = "askWithin", deserialize_with = "figure")]
-    poll_within: f64,
+    max_poll_interval: f64,
     #[serde(default, rename = "releaseWithin", deserialize_with = "figure")]
     idle_close_within: f64,
     #[serde(default, rename = "settleAfterDoubt", deserialize_with = "figure")]
-    unknown_outcome_rest: f64,
+    unknown_outcome_delay: f64,
     #[serde(default, rename = "stopSendingWithin", deserialize_with = "figure")]
     drain_grace: f64,
 }
@@ -309,9 +309,9 @@
             slow_start_floor: self.slow_start_floor,
             slow_start_duration: self.slow_start_duration,
             overload_multiple: self.overload_multiple,
-            poll_within: self.poll_within,
+            max_poll_interval: self.max_poll_interval,
             idle_close_within: self.idle_close_within,
-            unknown_outcome_rest: self.unknown_outcome_rest,
+            unknown_outcome_delay: self.unknown_outcome_delay,
         }
     }
 }
--- a/crates/heathroad-balancer/src/validation.rs
+++ b/crates/heathroad-balancer/src/validation.rs
@@ -20,11 +20,11 @@
         ("guarantees.coldFrom", guarantees.slow_start_floor),
         ("guarantees.cold", guarantees.slow_start_duration),
         ("guarantees.fallMultiple", guarantees.overload_multiple),
-        ("guarantees.askWithin", guarantees.poll_within),
+        ("guarantees.askWithin", guarantees.max_poll_interval),
         ("guarantees.releaseWithin", guarantees.idle_close_within),
         (
             "guarantees.settleAfterDoubt",
-            guarantees.unknown_outcome_rest,
+            guarantees.unknown_outcome_delay,
         ),
         ("goal.worstClass", objectives.worst_class_weight),
         ("prices.crossZone", objectives.cross_zone_price),
--- a/crates/heathroad-balancer/tests/common/mod.rs
+++ b/crates/heathroad-balancer/tests/common/mod.rs
@@ -35,9 +35,9 @@
             slow_start_floor: 0.12,
             slow_start_duration: 20_000.0,
             overload_multiple: 3.0,
-            poll_within: 10_000.0,
+            max_poll_interval: 10_000.0,
             idle_close_within: 500.0,
-            unknown_outcome_rest: 300.0,
+            unknown_outcome_delay: 300.0,
         },
         ..Settings::default()
     }
@@ -163,7 +163,7 @@
             for s in &earlier.sends {
                 let rest = match s.outcome.expect("every attempt has its outcome") {
                     Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => {
-                        self.s.guarantees.unknown_outcome_rest
+                        self.s.guarantees.unknown_outcome_delay
                     }
                     _ => 0.0,
                 };
--- a/crates/heathroad-balancer/tests/golden_decisions.rs
+++ b/crates/heathroad-balancer/tests/golden_decisions.rs
@@ -407,9 +407,9 @@
             slow_start_floor: 0.12,
             slow_start_duration: 5000.0,
             overload_multiple: 3.0,
-            poll_within: 10_000.0,
+            max_poll_interval: 10_000.0,
             idle_close_within: 500.0,
-            unknown_outcome_rest: 300.0,
+            unknown_outcome_delay: 300.0,
         },
         objectives: Objectives {
             worst_class_weight: 0.2,
