--- a/crates/heathroad-balancer/src/backend.rs
+++ b/crates/heathroad-balancer/src/backend.rs
@@ -1,51 +1,51 @@
-//! The record that a replica keeps of one backend.
+//! The per-backend state of a replica.
 
 use crate::api::{Endpoint, RequestId};
 use std::collections::VecDeque;
 
-/// An attempt as its backend's record knows it.
+/// Identifies an attempt in its backend's state.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) struct SentAttempt {
     pub request: RequestId,
     pub sent_at: f64,
 }
 
-/// A backend, as the endpoint list and its responses show it.
+/// A backend with its endpoint and the statistics of its responses.
 #[derive(Default)]
 pub(crate) struct Backend {
     pub endpoint: Endpoint,
-    /// Attempts that have not ended, oldest first.
+    /// Attempts without an outcome, oldest first.
     pub in_flight: VecDeque<SentAttempt>,
-    /// Attempts that were given up and whose work goes on.
+    /// Attempts that timed out or were cancelled and may still be executing.
     pub abandoned: VecDeque<SentAttempt>,
-    /// The time of its last response, or of the first attempt after it had none.
+    /// The time of its last response, or of the last attempt sent while it was idle.
     pub last_response: f64,
-    /// Its latency over its class's mean.
+    /// Mean ratio of its latencies to the mean latencies of their classes.
     pub latency_ratio: f64,
-    /// Responses that the latency ratio covers.
+    /// Number of samples in `latency_ratio`, up to a maximum.
     pub latency_samples: f64,
     pub error_rate: f64,
     /// The end of its ejection; 0 while it is in service.
     pub ejected_until: f64,
-    /// Ejections since it was last in service.
+    /// Consecutive ejections without a return to service.
     pub ejections: u32,
-    /// Attempts that it may be sent in slow start; means nothing once it is warm.
+    /// Attempts that it may be sent during slow start; unused afterwards.
     pub slow_start_tokens: f64,
 }
 
 impl Backend {
-    /// Returns whether there is work of this replica at the backend.
-    pub fn has_work(&self) -> bool {
+    /// Returns whether the backend has in-flight or abandoned attempts of this replica.
+    pub fn has_attempts(&self) -> bool {
         !self.in_flight.is_empty() || !self.abandoned.is_empty()
     }
 
-    /// Moves an attempt that was given up from those in flight to the abandoned ones.
+    /// Moves an attempt from the in-flight to the abandoned ones.
     pub fn abandon(&mut self, attempt: SentAttempt) {
         self.in_flight.retain(|&other| other != attempt);
         self.abandoned.push_back(attempt);
     }
 
-    /// Removes an attempt whose work has ended.
+    /// Removes a completed attempt.
     pub fn remove(&mut self, attempt: SentAttempt) {
         if let Some(index) = self.in_flight.iter().position(|&other| other == attempt) {
             self.in_flight.remove(index);
--- a/crates/heathroad-balancer/src/balancer.rs
+++ b/crates/heathroad-balancer/src/balancer.rs
@@ -1,5 +1,5 @@
-//! The state of one replica and its events: which decision each event goes to, and what is done at
-//! regular intervals.
+//! The state of one replica: dispatches each event to the module that handles it, and runs
+//! periodic maintenance.
 
 use crate::api::{Action, BackendId, Event, Load, RequestId, Settings, SettingsError, SliceLoad};
 use crate::backend::Backend;
@@ -19,27 +19,26 @@
 
 /// The token of the maintenance timer.
 const TIMER_MAINTENANCE: u64 = 0;
-/// The token of the timer of the next poll for endpoints.
+/// The token of the endpoint poll timer.
 pub(crate) const TIMER_ENDPOINT_POLL: u64 = 1;
-/// Ticks between two rounds of maintenance: often enough for queued requests, rare enough to be
-/// cheap.
+/// Maintenance period in ticks; bounds how late a queued request expires.
 const MAINTENANCE_TICKS: f64 = 10.0;
-/// Time in which the peak of attempts in flight fades, in ms.
-const PEAK_FADE_MS: f64 = 5000.0;
+/// Time in which the peak of in-flight attempts decays to 0, in ms.
+const PEAK_DECAY_MS: f64 = 5000.0;
 
-/// One balancer replica. The crate's documentation shows how a proxy drives it.
+/// One balancer replica. The crate documentation shows how to embed it.
 #[derive(Default)]
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: fastrand::Rng,
     is_started: bool,
     pub(crate) backends: BTreeMap<BackendId, Backend>,
-    /// The ready backends in the order of their ids.
+    /// The ready backends, ordered by id.
     pub(crate) ring: Vec<BackendId>,
     pub(crate) subset: Subset,
     pub(crate) spillover: ZoneSpillover,
     pub(crate) mean_endpoint_weight: f64,
-    /// The requests by id. The map is never iterated: its order decides nothing.
+    /// The requests by id. Never iterated: the map's order must not affect decisions.
     pub(crate) requests: FxHashMap<RequestId, Request>,
     pub(crate) key_queues: BTreeMap<u64, KeyQueue>,
     pub(crate) limiter: Limiter,
@@ -54,18 +53,18 @@
     pub(crate) retry_tokens: RetryTokens,
     last_maintenance: f64,
     pub(crate) endpoint_poll: EndpointPoll,
-    /// The time for which requests are queued.
+    /// How long a request may be queued.
     pub(crate) queue_time: f64,
-    /// How many balancers of the proxy share the slow-start budget of a backend.
+    /// The number of balancers in this proxy that share a backend's slow-start budget.
     pub(crate) slow_start_sharers: f64,
 }
 
 impl Balancer {
-    /// Creates a replica that has learned nothing yet; `seed` feeds its only random numbers.
+    /// Creates a replica in its initial state. `seed` initializes its random number generator.
     ///
     /// # Errors
     ///
-    /// Returns the first setting that no decision could be made by.
+    /// Returns the first invalid setting.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         validation::validate(&settings)?;
         let objectives = settings.classes.iter().map(|c| c.latency_objective);
@@ -81,7 +80,7 @@
         })
     }
 
-    /// Takes one event at clock time `now` and appends the actions that it calls for.
+    /// Handles an event at time `now` and appends the resulting actions.
     pub fn handle_event(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         if !self.is_started {
             self.start(now, actions);
@@ -120,7 +119,7 @@
         }
     }
 
-    /// Returns the priority of a request as a share of its class's weight, to be forwarded with it.
+    /// Returns the priority of a request as a share of its class's weight, to forward downstream.
     pub fn priority_share(&self, request: RequestId) -> f64 {
         let request = self.requests.get(&request);
         let is_low = request.is_some_and(|r| r.slice != self.slices.index(r.class, false));
@@ -131,13 +130,13 @@
         }
     }
 
-    /// Sets how many balancers of one proxy send to some backend of this one's: each keeps to its
-    /// part of the slow-start budget.
+    /// Sets how many balancers of one proxy send to the same backends. Each uses an equal part of
+    /// a backend's slow-start budget.
     pub fn share_slow_start_budget(&mut self, sharers: usize) {
         self.slow_start_sharers = sharers.max(1) as f64;
     }
 
-    /// Raises the limit to at least `limit`: what was learned before of the backends to come.
+    /// Raises the limit to at least `limit`, for a value that was learned earlier.
     pub fn raise_limit_to(&mut self, limit: f64) {
         self.limiter.total = self.limiter.total.max(limit);
     }
@@ -163,10 +162,9 @@
         });
     }
 
-    /// A client that leaves with time to spare sends again: its tenant, charged twice for what it
-    /// wants once, would lose its own quota to impatience. This does not hold for requests that
-    /// were rejected or timed out: a client that repeats with short deadlines would never exceed
-    /// its quota.
+    /// Closes the request and refunds its quota token, since a client that disconnects early
+    /// usually sends the request again. Rejected and timed-out requests get no refund: otherwise
+    /// a client that retries with short deadlines would never exceed its quota.
     fn on_client_left(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.get_mut(&id);
         if let Some(tenant) = request.and_then(|r| r.charged_tenant.take()) {
@@ -177,19 +175,19 @@
 
     fn maintain(&mut self, now: f64, actions: &mut Vec<Action>) {
         self.schedule_maintenance(actions);
-        let passed = (now - self.last_maintenance).max(0.0);
+        let elapsed = (now - self.last_maintenance).max(0.0);
         self.last_maintenance = now;
-        self.limiter.advance(passed);
+        self.limiter.advance(elapsed);
         let price = self.settings.objectives.cross_zone_price;
-        self.spillover.advance(passed, price);
-        self.resize_subset(passed);
-        let faded = self.peak_in_flight * (1.0 - passed / PEAK_FADE_MS);
-        self.peak_in_flight = self.in_flight.max(faded);
+        self.spillover.advance(elapsed, price);
+        self.resize_subset(elapsed);
+        let decayed_peak = self.peak_in_flight * (1.0 - elapsed / PEAK_DECAY_MS);
+        self.peak_in_flight = self.in_flight.max(decayed_peak);
         self.reject_expired_in_key_queues(now, actions);
-        self.release_rested_keys(now);
-        self.uncount_long_attempts(now);
+        self.release_unblocked_keys(now);
+        self.stop_counting_long_attempts(now);
         self.sweep_queues(now, actions);
-        self.fill_slow_start_budgets(now, passed);
+        self.refill_slow_start_budgets(now, elapsed);
         self.eject_hung_backends(now);
     }
 }
--- a/crates/heathroad-balancer/src/dispatch.rs
+++ b/crates/heathroad-balancer/src/dispatch.rs
@@ -1,53 +1,52 @@
-//! Attempts: sending them, what their ends mean for their request, and what counts against the
-//! limit.
+//! Sends attempts, handles their outcomes and counts them against the concurrency limit.
 
 use crate::api::{Action, AttemptNumber, AttemptResult, BackendId, Outcome, RequestId};
 use crate::backend::SentAttempt;
 use crate::balancer::Balancer;
 use crate::request::Attempt;
 
-/// Mean latencies for which an attempt counts against the limit at most: even of an exponential
-/// tail 2 in 100 take longer.
+/// Maximum time that an attempt counts against the limit, in mean latencies of its class. With
+/// exponential latencies, 2 in 100 attempts take longer.
 const MAX_COUNTED_MEAN_LATENCIES: f64 = 4.0;
-/// Share of the limit in flight from which it counts as used.
-const USED_SHARE: f64 = 0.8;
+/// Share of the limit in flight at which it is considered saturated.
+const SATURATED_SHARE: f64 = 0.8;
 
-/// How far a request is after an attempt.
+/// The state of a request after one of its attempts has ended.
 #[derive(Clone, Copy)]
 struct Progress {
     /// The request has its final response, or its client left.
-    is_over: bool,
+    is_finished: bool,
     has_attempt_in_flight: bool,
     /// No attempt can have been executed.
     never_executed: bool,
 }
 
 impl Balancer {
-    /// Counts an attempt in against the limit.
-    fn count_in(&mut self, class: usize, slice: usize) {
+    /// Starts to count an attempt against the limit.
+    fn start_counting(&mut self, class: usize, slice: usize) {
         self.in_flight += 1.0;
         self.slices[slice].in_flight += 1.0;
         self.limiter.classes[class].in_flight += 1.0;
     }
 
-    /// Counts an attempt out again.
-    fn count_out(&mut self, class: usize, slice: usize) {
+    /// Stops counting an attempt against the limit.
+    fn stop_counting(&mut self, class: usize, slice: usize) {
         self.in_flight -= 1.0;
         self.slices[slice].in_flight -= 1.0;
         self.limiter.classes[class].in_flight -= 1.0;
     }
 
-    /// Sends the next attempt of a request if a backend can take it; returns whether it was sent.
+    /// Sends the next attempt of a request if a backend is available. Returns whether it was sent.
     pub(crate) fn send(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let request = self.requests.get(&id);
         if request.is_none_or(super::request::Request::is_retry_budget_spent) {
             return false;
         }
-        let Some(to) = self.select_backend(now, id) else {
+        let Some(selected) = self.select_backend(now, id) else {
             return false;
         };
         let (Some(request), Some(backend)) =
-            (self.requests.get_mut(&id), self.backends.get_mut(&to))
+            (self.requests.get_mut(&id), self.backends.get_mut(&selected))
         else {
             return false;
         };
@@ -59,7 +58,7 @@
             backend.last_response = now;
         }
         let attempt = Attempt {
-            backend: to,
+            backend: selected,
             zone: backend.endpoint.zone,
             cell: backend.endpoint.cell,
             sent_at: now,
@@ -73,14 +72,14 @@
         request.attempts.push(attempt);
         actions.push(Action::Send {
             request: id,
-            backend: to,
+            backend: selected,
             deadline: request.deadline,
         });
         let (class, slice) = (request.class, request.slice);
         if is_counted {
-            self.count_in(class, slice);
+            self.start_counting(class, slice);
             self.peak_in_flight = self.peak_in_flight.max(self.in_flight);
-            self.limiter.was_used |= self.in_flight >= USED_SHARE * self.limiter.total;
+            self.limiter.was_saturated |= self.in_flight >= SATURATED_SHARE * self.limiter.total;
         }
         true
     }
@@ -101,27 +100,25 @@
         };
         attempt.is_in_flight = false;
         attempt.never_executed = result.outcome.never_executed();
-        // A time-out or a cancellation ends the wait and not the work. Where the end of the work is
-        // seen, the attempt is load until then: were its capacity free at once, clients with short
-        // deadlines, who leave and send again, would fill it anew each time, and the backends jam
-        // with work that nobody counts. The same holds where upstream proxies restart or lose their
-        // connections. It can hurt where backends stop what is cancelled and don't say so, or fall
-        // silent: `uncount_long_attempts` bounds that.
+        // A backend may still be executing an attempt that timed out or was cancelled. If its
+        // completion can be observed, the attempt counts against the limit until then; otherwise
+        // clients that time out and retry would overload the backends with uncounted work.
+        // `stop_counting_long_attempts` bounds this for backends that never report completion.
         attempt.is_abandoned = self.settings.limits.late_completions
             && matches!(result.outcome, Outcome::Timeout | Outcome::Cancelled);
         let sent = attempt.as_sent(id);
         let is_abandoned = attempt.is_abandoned;
-        let is_uncounted_now = attempt.is_counted && !is_abandoned;
+        let stops_counting = attempt.is_counted && !is_abandoned;
         request.retries_left = result.retries_left.or(request.retries_left);
         let (key, class, slice) = (request.key, request.class, request.slice);
         let progress = Progress {
-            is_over: result.request_closed || request.is_finished,
+            is_finished: result.request_closed || request.is_finished,
             has_attempt_in_flight: request.has_attempt_in_flight(),
             never_executed: request.was_never_executed(),
         };
-        self.rest_key(now, key, result.outcome);
-        if is_uncounted_now {
-            self.count_out(class, slice);
+        self.block_key_if_outcome_unknown(now, key, result.outcome);
+        if stops_counting {
+            self.stop_counting(class, slice);
         }
         if is_abandoned && let Some(backend) = self.backends.get_mut(&result.backend) {
             backend.abandon(sent);
@@ -132,7 +129,7 @@
         self.continue_request(now, id, progress, actions);
     }
 
-    /// Closes a request after an attempt, retries it, queues it again or ends it.
+    /// Decides how a request continues after an attempt: closes, retries, requeues or ends it.
     fn continue_request(
         &mut self,
         now: f64,
@@ -140,25 +137,26 @@
         progress: Progress,
         actions: &mut Vec<Action>,
     ) {
-        if progress.is_over {
+        if progress.is_finished {
             return self.close(now, id, actions);
         }
         if progress.has_attempt_in_flight || self.retry(now, id, progress.never_executed, actions) {
             return;
         }
         let request = &self.requests[&id];
-        // A request is queued only with an attempt left: one past its bound would come back unsent
-        // for ever.
+        // A request without attempts left must not be requeued: it would never be sent and would
+        // block the head of its queue.
         let has_attempts =
             request.attempts.len() < self.max_attempts() && request.retries_left != Some(0);
         if progress.never_executed && now < request.queue_deadline && has_attempts {
             let slice = request.slice;
             return self.slices[slice].queue.push_back(id);
         }
-        self.finish(now, id, actions);
+        self.reject_or_fail(now, id, actions);
     }
 
-    /// The work of an abandoned attempt has ended: its backend is judged by that end.
+    /// Handles the completion of an abandoned attempt: records the outcome for its backend and
+    /// stops counting it against the limit.
     pub(crate) fn on_late_completion(
         &mut self,
         now: f64,
@@ -178,7 +176,7 @@
         let sent = attempt.as_sent(id);
         let (class, slice, is_finished) = (request.class, request.slice, request.is_finished);
         if was_counted {
-            self.count_out(class, slice);
+            self.stop_counting(class, slice);
         }
         self.record_outcome(now, result, class, sent);
         if is_finished {
@@ -186,8 +184,8 @@
         }
     }
 
-    /// Closes a request: nothing more is owed or sent, and attempts in flight are cancelled where
-    /// that is allowed. Its record goes once its work has ended.
+    /// Closes a request: no further response or attempt is sent, and in-flight attempts are
+    /// cancelled where allowed. The request is removed once all its attempts have completed.
     pub(crate) fn close(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -211,21 +209,21 @@
         self.leave_key_queue(now, key, id);
     }
 
-    /// Has attempts that have been out for too long count against the limit no more.
-    pub(crate) fn uncount_long_attempts(&mut self, now: f64) {
+    /// Stops counting attempts against the limit that have taken too long.
+    pub(crate) fn stop_counting_long_attempts(&mut self, now: f64) {
         let backends = self.backends.iter();
         let busy: Vec<BackendId> = backends
-            .filter(|(_, backend)| backend.has_work())
+            .filter(|(_, backend)| backend.has_attempts())
             .map(|(&id, _)| id)
             .collect();
         for id in busy {
-            self.uncount_attempts(now, id, MAX_COUNTED_MEAN_LATENCIES);
+            self.stop_counting_attempts(now, id, MAX_COUNTED_MEAN_LATENCIES);
         }
     }
 
-    /// Has the attempts at a backend that have been out for so many mean latencies of their class
-    /// count against the limit no more.
-    pub(crate) fn uncount_attempts(&mut self, now: f64, id: BackendId, mean_latencies: f64) {
+    /// Stops counting the attempts at a backend that have taken at least `mean_latencies` times
+    /// the mean latency of their class.
+    pub(crate) fn stop_counting_attempts(&mut self, now: f64, id: BackendId, mean_latencies: f64) {
         let backend = &self.backends[&id];
         let sent = backend.in_flight.iter().chain(&backend.abandoned);
         let sent: Vec<SentAttempt> = sent.copied().collect();
@@ -242,7 +240,7 @@
                 a.backend == id && a.sent_at == sent_at && (a.is_in_flight || a.is_abandoned)
             });
             if attempt.is_some_and(|a| std::mem::take(&mut a.is_counted)) {
-                self.count_out(class, slice);
+                self.stop_counting(class, slice);
             }
         }
     }
--- a/crates/heathroad-balancer/src/endpoints.rs
+++ b/crates/heathroad-balancer/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: its updates, the polls for it, and the close of idle connections to draining
+//! The endpoint list: handles updates, schedules polls and closes idle connections to draining
 //! backends.
 
 use crate::api::{Action, BackendId, Endpoint, EndpointState, UpdateKind};
@@ -6,19 +6,21 @@
 use crate::balancer::{Balancer, TIMER_ENDPOINT_POLL};
 use crate::policy::slow_start::initial_tokens;
 
-/// Attempts a member that the limit begins with: growing from too few takes seconds.
+/// Initial concurrency limit per subset member; growing from a lower value takes seconds.
 const INITIAL_ATTEMPTS_PER_MEMBER: f64 = 4.0;
-/// Share of the poll interval over which replicas that start together spread their first polls.
+/// Range of the random delay of a replica's first poll, as a share of the maximum poll interval.
 const FIRST_POLL_SPREAD: f64 = 0.4;
-/// Share of the poll interval after which a failed poll is repeated, before jitter and backoff.
+/// Delay before a failed poll is retried, as a share of the maximum poll interval, before jitter
+/// and backoff.
 const POLL_RETRY_SHARE: f64 = 0.1;
-/// The smallest part of that time that jitter leaves.
+/// The smallest jitter factor of that delay; the largest is greater by 1.
 const MIN_JITTER: f64 = 0.5;
-/// The backoff of failed polls, in first delays, at most.
+/// The maximum backoff factor of that delay.
 const MAX_POLL_BACKOFF: f64 = 8.0;
 
-/// The polls for the endpoint list.
+/// The schedule of endpoint list polls.
 pub(crate) struct EndpointPoll {
+    /// The backoff factor of the next retry.
     backoff: f64,
     is_scheduled: bool,
 }
@@ -33,14 +35,14 @@
 }
 
 impl Balancer {
-    /// Schedules the first poll. Replicas start together: their polls are spread so that discovery
-    /// is not overloaded.
+    /// Schedules the first poll after a random delay, so that replicas that start together don't
+    /// overload discovery.
     pub(crate) fn schedule_first_poll(&mut self, actions: &mut Vec<Action>) {
         let share = FIRST_POLL_SPREAD * self.rng.f64();
         self.schedule_poll(share, actions);
     }
 
-    /// Schedules a poll after a share of the poll interval, unless one is scheduled.
+    /// Schedules a poll after a share of the maximum poll interval, unless one is scheduled.
     fn schedule_poll(&mut self, share: f64, actions: &mut Vec<Action>) {
         if std::mem::replace(&mut self.endpoint_poll.is_scheduled, true) {
             return;
@@ -64,7 +66,7 @@
         actions: &mut Vec<Action>,
     ) {
         if kind == UpdateKind::Failed {
-            return self.repeat_poll(actions);
+            return self.retry_poll(actions);
         }
         self.endpoint_poll.backoff = 1.0;
         if kind != UpdateKind::Delta {
@@ -83,9 +85,9 @@
         self.rebuild_ring();
     }
 
-    /// Repeats a failed poll with jitter and backoff, so that replicas whose polls failed together
-    /// do not poll together again.
-    fn repeat_poll(&mut self, actions: &mut Vec<Action>) {
+    /// Retries a failed poll with jitter and backoff, so that replicas whose polls failed together
+    /// don't retry at the same time.
+    fn retry_poll(&mut self, actions: &mut Vec<Action>) {
         let jitter = MIN_JITTER + self.rng.f64();
         let share = POLL_RETRY_SHARE * self.endpoint_poll.backoff * jitter;
         self.endpoint_poll.backoff = (self.endpoint_poll.backoff * 2.0).min(MAX_POLL_BACKOFF);
@@ -98,7 +100,7 @@
         let is_same_process = known.is_some_and(|b| b.endpoint.started_at == endpoint.started_at);
         let backend = self.backends.entry(id).or_default();
         if !is_same_process {
-            // Nothing that was learned of the former process holds for a new one.
+            // Statistics of the previous process don't apply to a restarted one.
             *backend = Backend {
                 in_flight: std::mem::take(&mut backend.in_flight),
                 abandoned: std::mem::take(&mut backend.abandoned),
@@ -111,7 +113,7 @@
         backend.endpoint = endpoint;
     }
 
-    /// Takes the ready backends into the ring, and scales the limit with their number.
+    /// Rebuilds the ring from the ready backends and scales the limit with their number.
     fn rebuild_ring(&mut self) {
         let before = self.ring.len() as f64;
         let ready = self.backends.iter();
@@ -122,8 +124,8 @@
         let after = self.ring.len() as f64;
         let weights = self.ring.iter().map(|id| self.backends[id].endpoint.weight);
         self.mean_endpoint_weight = weights.sum::<f64>() / after.max(1.0);
-        // Both ways: where backends leave and return all day, one way alone would wear the limit
-        // down.
+        // Scaled both up and down: otherwise each backend that leaves and returns would lower the
+        // limit.
         if before > 0.0 && after > 0.0 {
             self.limiter.total = (self.limiter.total * after / before).max(1.0);
         }
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Closes idle connections to a draining backend: at the update, and after each attempt there.
+    /// Closes idle connections to a draining backend, on each update and after each attempt.
     pub(crate) fn close_idle_if_draining(&self, id: BackendId, actions: &mut Vec<Action>) {
         let backend = self.backends.get(&id);
         let is_draining = backend.is_some_and(|b| b.endpoint.state != EndpointState::Ready);
--- a/crates/heathroad-balancer/src/lib.rs
+++ b/crates/heathroad-balancer/src/lib.rs
@@ -1,13 +1,13 @@
 //! Load-balancing decisions for services that call services, as a library without I/O.
 //!
-//! Each [`Balancer`] is one replica in front of one tier of backends. It learns one concurrency
-//! limit for its own attempts, splits it into slices by priority, rejects low-priority requests
-//! first once the limit is reached, and selects backends inside a subset of the tier that is as
-//! large as its load. It is notified of what happens ([`api::Event`]) at a clock time and returns
-//! what is to be done ([`api::Action`]). It owns no clock, thread or socket: the same settings,
-//! seed and events give the same actions.
+//! Each [`Balancer`] is one replica in front of one tier of backends. It learns a concurrency limit
+//! for its attempts, divides it into slices by priority, rejects low-priority requests first when
+//! the limit is reached, and selects backends from a subset of the tier that is sized to its load.
+//! It receives events ([`api::Event`]) with the current time and returns actions
+//! ([`api::Action`]). It has no clock, threads or sockets and is deterministic: the same settings,
+//! seed and events produce the same actions.
 //!
-//! Each decision is a module of its own:
+//! Each decision has its own module:
 //!
 //! | module | decision |
 //! | --- | --- |
@@ -19,20 +19,20 @@
 //! | `policy::subset` | which backends the replica sends to |
 //! | `policy::zone_spillover` | which share of attempts leaves the zone |
 //! | `policy::selection` | which backend an attempt goes to |
-//! | `policy::slow_start` | what a backend that has just started is sent |
+//! | `policy::slow_start` | how much a recently started backend is sent |
 //! | `policy::outlier` | which backends are ejected, and for how long |
-//! | `policy::retry` | whether a request is sent again |
+//! | `policy::retry` | whether a request is retried |
 //!
-//! `dispatch` keeps account of attempts, `endpoints` of the endpoint list, and `balancer` holds the
-//! state and hands each event to its decision.
+//! `dispatch` sends and tracks attempts, `endpoints` maintains the endpoint list, and `balancer`
+//! holds the state and dispatches events.
 //!
-//! A proxy embeds it like this:
+//! Usage:
 //!
 //! ```
 //! use heathroad_balancer::Balancer;
 //! use heathroad_balancer::api::*;
 //!
-//! // Start: the settings, once.
+//! // Create the replica from its settings.
 //! let settings = Settings {
 //!     replica_index: 0,
 //!     replica_count: 1,
@@ -49,7 +49,7 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // The endpoint list. The first event also sets a timer.
+//! // Deliver the endpoint list. The first event also sets the maintenance timer.
 //! let endpoints = [1, 2].map(|backend| Endpoint { backend, weight: 1.0, ..Endpoint::default() });
 //! let update = Event::EndpointUpdate {
 //!     kind: UpdateKind::Snapshot,
@@ -58,7 +58,7 @@
 //! balancer.handle_event(0.0, update, &mut actions);
 //! let Some(&Action::SetTimer { delay, token }) = actions.first() else { panic!("no timer") };
 //!
-//! // A request: here it is sent at once.
+//! // Deliver a request, which is sent immediately here.
 //! actions.clear();
 //! let arrival = RequestArrival {
 //!     request: 7,
@@ -72,11 +72,11 @@
 //! balancer.handle_event(10.0, Event::RequestArrived(arrival), &mut actions);
 //! let Some(&Action::Send { backend, .. }) = actions.first() else { panic!("not sent") };
 //!
-//! // The timer, when it is due.
+//! // Fire the timer when it is due.
 //! actions.clear();
 //! balancer.handle_event(delay, Event::TimerFired { token }, &mut actions);
 //!
-//! // The outcome. The proxy has passed the response on, so the request is closed.
+//! // Report the outcome. The proxy has forwarded the response, so the request is closed.
 //! let result = AttemptResult {
 //!     request: 7,
 //!     attempt: 0,
@@ -92,20 +92,19 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 //!
-//! # What the proxy owes the replica
+//! # Requirements on the proxy
 //!
-//! - Every event, in order, with a clock that only goes forward; one
-//!   [`api::Event::TimerFired`] for every timer that was set.
-//! - One [`api::Event::AttemptEnded`] for every [`api::Action::Send`], also after the request's
-//!   end, and no later than the action's deadline.
-//! - With [`api::SiteLimits::late_completions`], one [`api::Event::LateCompletion`] for every
-//!   attempt that ended as timed out or cancelled, as soon as its work has ended or nothing more
-//!   can be seen of it.
-//! - `request_closed` set once the request is over: the first successful response goes to the
-//!   client by itself and closes it.
+//! - It delivers every event in order, with a monotonic clock, and one [`api::Event::TimerFired`]
+//!   for every timer that was set.
+//! - It delivers one [`api::Event::AttemptEnded`] for every [`api::Action::Send`], no later than
+//!   the action's deadline, even if the request has already been closed.
+//! - With [`api::SiteLimits::late_completions`], it delivers one [`api::Event::LateCompletion`] for
+//!   every attempt that timed out or was cancelled, as soon as the attempt has completed or can no
+//!   longer be observed.
+//! - It forwards the first successful response to the client without an action, and sets
+//!   `request_closed` from then on.
 //!
-//! Events about requests, attempts or backends that the replica does not know, or that are over,
-//! are ignored.
+//! Events about unknown or finished requests, attempts or backends are ignored.
 
 pub mod api;
 mod backend;
--- a/crates/heathroad-balancer/src/policy/admission.rs
+++ b/crates/heathroad-balancer/src/policy/admission.rs
@@ -75,7 +75,7 @@
         };
         self.requests.insert(id, request);
         if self.is_hopeless(now, arrival, class) {
-            return self.finish(now, id, actions);
+            return self.reject_or_fail(now, id, actions);
         }
         if is_free && self.send(now, id, actions) {
             return;
@@ -84,14 +84,14 @@
             // A client's last attempt may have less time left than a maintenance period: it is
             // never queued.
             if last <= now {
-                self.finish(now, id, actions);
+                self.reject_or_fail(now, id, actions);
             }
             return;
         }
-        self.limiter.was_used |= !is_free;
+        self.limiter.was_saturated |= !is_free;
         let is_queue_full = self.slices.queued() as f64 >= self.limiter.total;
         if is_queue_full || last <= now {
-            return self.finish(now, id, actions);
+            return self.reject_or_fail(now, id, actions);
         }
         self.slices[slice].queue.push_back(id);
     }
@@ -166,7 +166,7 @@
                 let queue_deadline = self.requests.get(&id).map(|r| r.queue_deadline);
                 let is_expired = queue_deadline.is_some_and(|deadline| now >= deadline);
                 if is_expired {
-                    self.finish(now, id, actions);
+                    self.reject_or_fail(now, id, actions);
                 }
                 let leaves = is_expired
                     || queue_deadline.is_none()
@@ -183,12 +183,12 @@
     /// Rejects the requests that have waited too long for their key.
     pub(crate) fn reject_expired_in_key_queues(&mut self, now: f64, actions: &mut Vec<Action>) {
         for id in self.expired_in_key_queues(now) {
-            self.finish(now, id, actions);
+            self.reject_or_fail(now, id, actions);
         }
     }
 
     /// Ends a request without a success: rejected where a retry is harmless, failed otherwise.
-    pub(crate) fn finish(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
+    pub(crate) fn reject_or_fail(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
--- a/crates/heathroad-balancer/src/policy/limiter.rs
+++ b/crates/heathroad-balancer/src/policy/limiter.rs
@@ -149,7 +149,7 @@
     /// Mean latency over all classes; 0 before the first response.
     pub mean_latency: f64,
     /// The limit was nearly full since it was last adjusted.
-    pub was_used: bool,
+    pub was_saturated: bool,
     window: Window,
 }
 
@@ -170,19 +170,19 @@
             return;
         }
         let window = std::mem::take(&mut self.window);
-        let was_used = std::mem::take(&mut self.was_used);
+        let was_saturated = std::mem::take(&mut self.was_saturated);
         self.throughput = window.responses / window.elapsed;
-        self.adjust(&window, was_used);
+        self.adjust(&window, was_saturated);
         self.move_baselines();
     }
 
     /// Growth needs both views, as a cut does: the first responses are the quick ones.
-    fn adjust(&mut self, window: &Window, was_used: bool) {
+    fn adjust(&mut self, window: &Window, was_saturated: bool) {
         let cut = window.cut();
         let load = window.load_in_flight().max(window.load_of_responses());
         if cut < 1.0 {
             self.total = (self.total * cut.max(MAX_CUT)).max(1.0);
-        } else if was_used && load < 1.0 {
+        } else if was_saturated && load < 1.0 {
             self.total *= (1.0 / load.max(MIN_LOAD).sqrt()).min(MAX_GROWTH);
         }
     }
--- a/crates/heathroad-balancer/src/policy/ordering.rs
+++ b/crates/heathroad-balancer/src/policy/ordering.rs
@@ -12,7 +12,7 @@
     /// The first request has been let through to its slice.
     pub first_released: bool,
     /// The key rests until this time after an attempt that may still be executing.
-    pub rest_until: f64,
+    pub blocked_until: f64,
 }
 
 impl Balancer {
@@ -34,7 +34,7 @@
         let Some(queue) = self.key_queues.get_mut(&key) else {
             return;
         };
-        if queue.first_released || now <= queue.rest_until {
+        if queue.first_released || now <= queue.blocked_until {
             return;
         }
         let first = queue.requests.front();
@@ -59,13 +59,13 @@
     }
 
     /// Has a key rest after an attempt that may still be executing.
-    pub(crate) fn rest_key(&mut self, now: f64, key: u64, outcome: Outcome) {
+    pub(crate) fn block_key_if_outcome_unknown(&mut self, now: f64, key: u64, outcome: Outcome) {
         let may_execute = matches!(
             outcome,
             Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
         );
         if let Some(queue) = self.key_queues.get_mut(&key).filter(|_| may_execute) {
-            queue.rest_until = now + self.settings.guarantees.unknown_outcome_delay;
+            queue.blocked_until = now + self.settings.guarantees.unknown_outcome_delay;
         }
     }
 
@@ -91,7 +91,7 @@
             .collect()
     }
 
-    pub(crate) fn release_rested_keys(&mut self, now: f64) {
+    pub(crate) fn release_unblocked_keys(&mut self, now: f64) {
         let keys: Vec<u64> = self.key_queues.keys().copied().collect();
         for key in keys {
             self.release_next_of_key(now, key);
--- a/crates/heathroad-balancer/src/policy/outlier.rs
+++ b/crates/heathroad-balancer/src/policy/outlier.rs
@@ -203,7 +203,7 @@
         let doublings = backend.ejections.min(MAX_DOUBLINGS);
         backend.ejected_until = now + EJECTION_MS * f64::from(1 << doublings);
         backend.ejections += 1;
-        self.uncount_attempts(now, id, 0.0);
+        self.stop_counting_attempts(now, id, 0.0);
     }
 
     /// Ejects backends that are silent while others respond, for longer than the missed responses
--- a/crates/heathroad-balancer/src/policy/selection.rs
+++ b/crates/heathroad-balancer/src/policy/selection.rs
@@ -129,7 +129,7 @@
     /// errors, slow start.
     fn expected_wait(&self, now: f64, backend: &Backend) -> f64 {
         let slowness = backend.latency_ratio * (1.0 + ERROR_WEIGHT * backend.error_rate)
-            / backend.warm_share(&self.settings.guarantees, now);
+            / backend.capacity_share(&self.settings.guarantees, now);
         let is_priced = self.settings.objectives.cross_zone_price > 0.0;
         let crossing = if is_priced && backend.endpoint.zone != self.settings.zone {
             CROSSING_WEIGHT
--- a/crates/heathroad-balancer/src/policy/slow_start.rs
+++ b/crates/heathroad-balancer/src/policy/slow_start.rs
@@ -16,7 +16,7 @@
 
 impl Backend {
     /// Returns the capacity that the backend surely has by now, as a share of its full one.
-    pub fn warm_share(&self, guarantees: &Guarantees, now: f64) -> f64 {
+    pub fn capacity_share(&self, guarantees: &Guarantees, now: f64) -> f64 {
         let started_at = self.endpoint.started_at;
         let progress = if started_at > 0.0 {
             ((now - started_at) / guarantees.slow_start_duration.max(1.0)).clamp(0.0, 1.0)
@@ -27,7 +27,7 @@
     }
 
     pub fn is_out_of_slow_start_tokens(&self, guarantees: &Guarantees, now: f64) -> bool {
-        self.warm_share(guarantees, now) < 1.0 && self.slow_start_tokens < 1.0
+        self.capacity_share(guarantees, now) < 1.0 && self.slow_start_tokens < 1.0
     }
 }
 
@@ -41,11 +41,11 @@
 impl Balancer {
     /// Fills the buckets with what this replica's backends prove to bear, at the share of capacity
     /// that each has surely reached.
-    pub(crate) fn fill_slow_start_budgets(&mut self, now: f64, passed: f64) {
+    pub(crate) fn refill_slow_start_budgets(&mut self, now: f64, passed: f64) {
         let guarantees = &self.settings.guarantees;
         let members = self.subset.members.iter();
         let warm: f64 = members
-            .map(|id| self.backends[id].warm_share(guarantees, now))
+            .map(|id| self.backends[id].capacity_share(guarantees, now))
             .sum();
         let margin =
             BUDGET_MARGIN * guarantees.overload_multiple.min(1.0) / self.slow_start_sharers;
@@ -54,7 +54,8 @@
             let Some(backend) = self.backends.get_mut(id) else {
                 continue;
             };
-            let filled = backend.slow_start_tokens + tokens * backend.warm_share(guarantees, now);
+            let filled =
+                backend.slow_start_tokens + tokens * backend.capacity_share(guarantees, now);
             backend.slow_start_tokens = filled.min(MAX_TOKENS);
         }
     }
