--- a/crates/heathroad-balancer/src/policy/admission.rs
+++ b/crates/heathroad-balancer/src/policy/admission.rs
@@ -1,30 +1,30 @@
-//! Admission: a new request is sent, queued for its slice or rejected; and queued requests are sent
-//! as the limit allows, highest priority first.
+//! Admission: sends, queues or rejects new requests, and sends queued requests as the concurrency
+//! limit allows, highest priority first.
 
 use crate::api::{Action, Class, DeduplicationScope, Idempotency, RequestArrival, RequestId};
 use crate::balancer::Balancer;
 use crate::request::Request;
 
-/// Time for which a request is queued at the tier that clients reach, in latency objectives.
+/// Maximum queueing time at the tier that clients call, in latency objectives.
 const QUEUE_TIME_AT_FIRST_TIER: f64 = 0.125;
-/// The same behind that tier.
-const QUEUE_TIME_BEHIND: f64 = 0.5;
-/// The advertised retry delay, in latency objectives, before its jitter of as much again.
+/// Maximum queueing time at the other tiers, in latency objectives.
+const QUEUE_TIME_AT_INNER_TIERS: f64 = 0.5;
+/// Minimum advertised retry delay, in latency objectives; jitter up to doubles it.
 const RETRY_DELAY: f64 = 0.125;
-/// Priority share below which a request goes with the low-priority ones.
+/// Priority share below which a request belongs to its class's low-priority slice.
 const LOW_PRIORITY_SHARE: f64 = 0.5;
-/// A request with less time left than this share of the baseline latency gets no response in time.
+/// Time that a request with a retry budget needs at least, as a share of the baseline latency.
 const MIN_SHARE_OF_BASELINE: f64 = 0.5;
-/// Maintenance periods before its deadline at which a queued request is rejected at the latest.
+/// Maintenance periods before its deadline by which a queued request is rejected.
 const PERIODS_BEFORE_DEADLINE: f64 = 2.0;
 
-/// Returns the time for which requests are queued. It is one for all classes: in a full queue the
-/// longer time would take every attempt of its slice.
+/// Returns the maximum queueing time. It is the same for all classes: in a full queue, a class
+/// with a longer time would starve the others in its slice.
 pub(crate) fn queue_time(tier: u32, classes: &[Class]) -> f64 {
     let share = if tier == 0 {
         QUEUE_TIME_AT_FIRST_TIER
     } else {
-        QUEUE_TIME_BEHIND
+        QUEUE_TIME_AT_INNER_TIERS
     };
     let objectives = classes.iter().map(|c| c.latency_objective);
     share * objectives.fold(f64::MAX, f64::min)
@@ -49,54 +49,54 @@
             return;
         };
         self.retry_tokens.deposit(self.limiter.total);
-        let charged_tenant = self.charge_tenant(now, arrival);
-        let slice = self.slice_of(arrival, charged_tenant);
+        let charge = self.charge_tenant(now, arrival);
+        let slice = self.slice_of(arrival, charge);
         let key = if ordered_by_key { arrival.key } else { 0 };
         let waits_for_key = self.join_key_queue(key, id);
-        let is_free = !waits_for_key && self.slices[slice].queue.is_empty() && self.admits(slice);
-        // A request that there is capacity for, but no backend or a key in use, is queued while a
-        // response can still be in time.
-        let queue_time = if is_free || waits_for_key {
+        let is_admitted =
+            !waits_for_key && self.slices[slice].queue.is_empty() && self.admits(slice);
+        // A request that waits for a backend or its key, not for capacity, may be queued as long
+        // as a response can still meet the latency objective.
+        let queue_time = if is_admitted || waits_for_key {
             latency_objective - self.limiter.mean_latency
         } else {
             self.queue_time
         };
-        let last = arrival.deadline - PERIODS_BEFORE_DEADLINE * self.maintenance_period();
+        let latest = arrival.deadline - PERIODS_BEFORE_DEADLINE * self.maintenance_period();
         let request = Request {
             key,
             class,
             slice,
-            charged_tenant: charged_tenant.to_refund(),
+            charged_tenant: charge.charged_tenant(),
             deadline: arrival.deadline,
-            queue_deadline: (now + queue_time).min(last),
+            queue_deadline: (now + queue_time).min(latest),
             is_finished: false,
             retries_left: arrival.retries_left,
             attempts: Vec::new(),
         };
         self.requests.insert(id, request);
-        if self.is_hopeless(now, arrival, class) {
+        if self.cannot_meet_deadline(now, arrival, class) {
             return self.reject_or_fail(now, id, actions);
         }
-        if is_free && self.send(now, id, actions) {
+        if is_admitted && self.send(now, id, actions) {
             return;
         }
         if waits_for_key {
-            // A client's last attempt may have less time left than a maintenance period: it is
-            // never queued.
-            if last <= now {
+            // Maintenance might not reject it before its deadline.
+            if latest <= now {
                 self.reject_or_fail(now, id, actions);
             }
             return;
         }
-        self.limiter.was_saturated |= !is_free;
+        self.limiter.was_saturated |= !is_admitted;
         let is_queue_full = self.slices.queued() as f64 >= self.limiter.total;
-        if is_queue_full || last <= now {
+        if is_queue_full || latest <= now {
             return self.reject_or_fail(now, id, actions);
         }
         self.slices[slice].queue.push_back(id);
     }
 
-    /// Charges the tenant's quota at the tier that clients reach.
+    /// Charges the tenant's quota. Only the tier that clients call enforces quotas.
     fn charge_tenant(&mut self, now: f64, arrival: &RequestArrival) -> QuotaCharge {
         if self.settings.tier != 0 {
             return QuotaCharge::NotCharged;
@@ -120,14 +120,14 @@
         self.slices.index(usize::from(arrival.class), is_low)
     }
 
-    /// Returns whether a request of a retry budget has less time left than even an idle backend
-    /// takes: its work would be for nobody.
-    fn is_hopeless(&self, now: f64, arrival: &RequestArrival, class: usize) -> bool {
-        let learned = &self.limiter.classes[class];
-        let left = arrival.deadline - now;
+    /// Returns whether a request with a retry budget has too little time left for a response, even
+    /// from an idle backend.
+    fn cannot_meet_deadline(&self, now: f64, arrival: &RequestArrival, class: usize) -> bool {
+        let latency = &self.limiter.classes[class];
+        let time_left = arrival.deadline - now;
         arrival.retries_left.is_some()
-            && learned.is_learned()
-            && left < MIN_SHARE_OF_BASELINE * learned.baseline
+            && latency.is_learned()
+            && time_left < MIN_SHARE_OF_BASELINE * latency.baseline
     }
 
     fn admits(&self, slice: usize) -> bool {
@@ -135,7 +135,7 @@
             .admits(slice, self.in_flight, self.limiter.total)
     }
 
-    /// Sends queued requests that the limit admits, highest priority first.
+    /// Sends queued requests as the limit allows, highest priority first.
     pub(crate) fn send_queued(&mut self, now: f64, actions: &mut Vec<Action>) {
         for slice in 0..self.slices.len() {
             for _ in 0..self.slices[slice].queue.len() {
@@ -145,8 +145,8 @@
                 let Some(&id) = self.slices[slice].queue.front() else {
                     break;
                 };
-                let is_gone = !self.requests.contains_key(&id);
-                if !is_gone && !self.send(now, id, actions) {
+                let is_open = self.requests.contains_key(&id);
+                if is_open && !self.send(now, id, actions) {
                     break;
                 }
                 self.slices[slice].queue.pop_front();
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Goes through all queues once: rejects the requests that have waited too long, and sends
-    /// those that the limit admits and some backend can take.
+    /// Goes through all queues once, rejects expired requests, and sends those that the limit
+    /// admits and that a backend is available for.
     pub(crate) fn sweep_queues(&mut self, now: f64, actions: &mut Vec<Action>) {
         for slice in 0..self.slices.len() {
             for _ in 0..self.slices[slice].queue.len() {
@@ -168,10 +168,10 @@
                 if is_expired {
                     self.reject_or_fail(now, id, actions);
                 }
-                let leaves = is_expired
+                let is_done = is_expired
                     || queue_deadline.is_none()
                     || admitted && self.send(now, id, actions);
-                if leaves {
+                if is_done {
                     self.slices[slice].queue.pop_front();
                 } else {
                     self.slices[slice].queue.rotate_left(1);
@@ -180,14 +180,15 @@
         }
     }
 
-    /// Rejects the requests that have waited too long for their key.
+    /// Rejects requests whose queue deadline passed while they waited for their key.
     pub(crate) fn reject_expired_in_key_queues(&mut self, now: f64, actions: &mut Vec<Action>) {
         for id in self.expired_in_key_queues(now) {
             self.reject_or_fail(now, id, actions);
         }
     }
 
-    /// Ends a request without a success: rejected where a retry is harmless, failed otherwise.
+    /// Ends a request without a successful response: rejects it if the client can safely retry,
+    /// otherwise fails it.
     pub(crate) fn reject_or_fail(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -214,7 +215,7 @@
         self.close(now, id, actions);
     }
 
-    /// Returns the retry delay advertised to a rejected client, with jitter; 0 is none.
+    /// Returns the retry delay advertised to a rejected client, with jitter; 0 means none.
     fn retry_delay(&mut self, latency_objective: f64) -> f64 {
         let delay = latency_objective * RETRY_DELAY * (1.0 + self.rng.f64());
         if self.settings.limits.retry_after {
@@ -225,20 +226,20 @@
     }
 }
 
-/// What became of a request at its tenant's quota.
+/// The result of charging a request to its tenant's quota.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum QuotaCharge {
-    /// The request took a token of this tenant.
+    /// The request took a token from this tenant.
     Charged(usize),
-    /// The tenant's tokens are used up.
+    /// The tenant has no tokens left.
     OverQuota,
-    /// No quota holds for the request here.
+    /// No quota applies.
     NotCharged,
 }
 
 impl QuotaCharge {
-    /// Returns the tenant that a refund would go to.
-    fn to_refund(self) -> Option<usize> {
+    /// Returns the tenant that was charged, if any.
+    fn charged_tenant(self) -> Option<usize> {
         match self {
             QuotaCharge::Charged(tenant) => Some(tenant),
             QuotaCharge::OverQuota | QuotaCharge::NotCharged => None,
--- a/crates/heathroad-balancer/src/policy/class_slices.rs
+++ b/crates/heathroad-balancer/src/policy/class_slices.rs
@@ -1,27 +1,26 @@
-//! The slices of the concurrency limit: each priority level has a share of the limit of its own,
-//! and the requests queued for it.
+//! Class slices: each priority level has its own share of the concurrency limit and its own queue.
 
 use crate::api::{Class, RequestId, Settings};
 use std::collections::VecDeque;
 
-/// Priority levels closer than this are one level.
-const SAME_LEVEL: f64 = 1e-9;
-/// The smallest sum or mean of weights that is divided by.
+/// Priorities that differ by less than this share a level.
+const LEVEL_TOLERANCE: f64 = 1e-9;
+/// Lower bound of a sum or mean of weights, to avoid division by zero.
 const MIN_WEIGHT: f64 = 1e-9;
 
-/// A slice of the limit.
+/// A slice of the concurrency limit.
 #[derive(Default)]
 pub(crate) struct Slice {
     /// Its share of the limit.
     pub share: f64,
     /// Its attempts that count against the limit.
     pub in_flight: f64,
-    /// The requests that wait for it, oldest first.
+    /// Its queued requests, oldest first.
     pub queue: VecDeque<RequestId>,
 }
 
 impl Slice {
-    /// Returns the slice's own limit, by the design's formula.
+    /// Returns the slice's limit: its share of the total, rounded up, at least one attempt.
     pub fn limit(&self, total: f64) -> f64 {
         (total * self.share).ceil().max(1.0)
     }
@@ -34,7 +33,7 @@
     low_priority: usize,
 }
 
-/// The priority of a class, and of its requests that are demoted.
+/// The priorities of a class's regular and demoted requests.
 struct ClassPriority {
     regular: f64,
     low: f64,
@@ -51,20 +50,20 @@
     pub fn new(settings: &Settings) -> Self {
         let priorities = class_priorities(settings);
         let levels = priority_levels(settings, &priorities);
-        // Requests beyond their tenant's quota are entitled to nothing but what is left over and
-        // the floor of one attempt.
-        let entitlement = |level: f64| {
-            let regular = priorities.iter().any(|p| is_same_level(p.regular, level));
-            if regular { level } else { 0.0 }
+        // A level with only demoted requests has no guaranteed share beyond the minimum of one
+        // attempt; it uses the capacity that other slices leave free.
+        let weight = |level: f64| {
+            let is_regular = priorities.iter().any(|p| is_same_level(p.regular, level));
+            if is_regular { level } else { 0.0 }
         };
-        let sum: f64 = levels.iter().map(|&l| entitlement(l)).sum();
+        let sum: f64 = levels.iter().map(|&l| weight(l)).sum();
         let sum = sum.max(MIN_WEIGHT);
         let index = |priority: f64| {
             let found = levels.iter().position(|&l| is_same_level(l, priority));
             found.unwrap_or(0)
         };
         let slice = |&level: &f64| Slice {
-            share: entitlement(level) / sum,
+            share: weight(level) / sum,
             ..Slice::default()
         };
         let of_class = |priority: &ClassPriority| SlicesOfClass {
@@ -77,7 +76,7 @@
         }
     }
 
-    /// Returns the index of the slice of a class's requests.
+    /// Returns the index of the slice for a class's regular or low-priority requests.
     pub fn index(&self, class: usize, low_priority: bool) -> usize {
         let slices = self.by_class[class];
         if low_priority {
@@ -95,13 +94,13 @@
         self.slices.iter()
     }
 
-    /// Returns how many requests wait in all queues.
+    /// Returns the number of requests in all queues.
     pub fn queued(&self) -> usize {
         self.slices.iter().map(|s| s.queue.len()).sum()
     }
 
-    /// Returns whether an attempt may be sent: it is refused only past both the total limit and the
-    /// slice's own.
+    /// Returns whether an attempt may be sent, which is the case until both the total limit and the
+    /// slice's limit are reached.
     pub fn admits(&self, index: usize, in_flight: f64, limit: f64) -> bool {
         let (slice, total) = (&self.slices[index], limit.floor());
         in_flight < total || slice.in_flight < slice.limit(total)
@@ -123,17 +122,18 @@
 }
 
 fn is_same_level(a: f64, b: f64) -> bool {
-    (a - b).abs() < SAME_LEVEL
+    (a - b).abs() < LEVEL_TOLERANCE
 }
 
-/// Returns the priority of each class. The objective's weight on the worst-served class is a
-/// priority that every class has alike.
+/// Returns the priorities of each class. The weight of the worst-served class is distributed
+/// equally over all classes, the rest by priority weight.
 fn class_priorities(settings: &Settings) -> Vec<ClassPriority> {
     let weights = settings.classes.iter().map(|c| c.priority_weight);
     let mean = weights.sum::<f64>() / settings.classes.len() as f64;
-    let even = settings.objectives.worst_class_weight;
+    let equal_part = settings.objectives.worst_class_weight;
     let priority = |class: &Class| {
-        let regular = (1.0 - even) * class.priority_weight / mean.max(MIN_WEIGHT) + even;
+        let weighted_part = (1.0 - equal_part) * class.priority_weight / mean.max(MIN_WEIGHT);
+        let regular = weighted_part + equal_part;
         ClassPriority {
             regular,
             low: regular * settings.over_quota_priority,
@@ -142,15 +142,15 @@
     settings.classes.iter().map(priority).collect()
 }
 
-/// Returns the distinct priorities, highest first; those of demoted requests where there can be
-/// any.
+/// Returns the distinct priorities, highest first. Priorities of demoted requests are included if
+/// requests can be demoted.
 fn priority_levels(settings: &Settings, priorities: &[ClassPriority]) -> Vec<f64> {
     let has_quotas = settings.tier == 0 && !settings.tenants.is_empty();
-    let demotes = has_quotas || settings.priority_forwarded;
+    let can_demote = has_quotas || settings.priority_forwarded;
     let mut levels = Vec::new();
     for priority in priorities {
         levels.push(priority.regular);
-        if demotes {
+        if can_demote {
             levels.push(priority.low);
         }
     }
--- a/crates/heathroad-balancer/src/policy/mod.rs
+++ b/crates/heathroad-balancer/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! The decisions, one module each, with the constants, the records and the source of its method.
+//! The balancer's decisions, one module each, with their constants and state.
 //!
-//! Records with methods of their own know nothing of the [`Balancer`](crate::Balancer). Decisions
-//! that need several of them are methods of the balancer in the module that they belong to.
+//! The state types don't depend on the [`Balancer`](crate::Balancer). Decisions that need several
+//! of them are methods of the balancer, implemented in the module of the decision.
 
 pub(crate) mod admission;
 pub(crate) mod class_slices;
--- a/crates/heathroad-balancer/src/policy/ordering.rs
+++ b/crates/heathroad-balancer/src/policy/ordering.rs
@@ -1,23 +1,24 @@
-//! Order by key: requests of an ordered class that share a key are executed one at a time, in the
-//! order of their arrival.
+//! Ordering by key: requests of ordered classes that share a key are executed one at a time, in
+//! order of arrival.
 
 use crate::api::{Outcome, RequestId};
 use crate::balancer::Balancer;
 use std::collections::VecDeque;
 
-/// The requests of one key, in the order of their arrival.
+/// The queue of one key.
 #[derive(Default)]
 pub(crate) struct KeyQueue {
+    /// The requests in order of arrival.
     pub requests: VecDeque<RequestId>,
-    /// The first request has been let through to its slice.
+    /// The first request has been passed on to its slice.
     pub first_released: bool,
-    /// The key rests until this time after an attempt that may still be executing.
+    /// No request is released before this time, since an attempt may still be executing.
     pub blocked_until: f64,
 }
 
 impl Balancer {
-    /// Adds a request to the queue of its key; returns whether it has to wait behind another. The
-    /// key 0 is none.
+    /// Adds a request to the queue of its key, unless the key is 0. Returns whether the request has
+    /// to wait for another one.
     pub(crate) fn join_key_queue(&mut self, key: u64, id: RequestId) -> bool {
         if key == 0 {
             return false;
@@ -29,7 +30,7 @@
         waits
     }
 
-    /// Lets the first request of a key's queue through to its slice, once the key has rested.
+    /// Passes the first request in a key's queue on to its slice, unless the key is blocked.
     pub(crate) fn release_next_of_key(&mut self, now: f64, key: u64) {
         let Some(queue) = self.key_queues.get_mut(&key) else {
             return;
@@ -47,8 +48,8 @@
         self.slices[slice].queue.push_back(id);
     }
 
-    /// Removes a finished request from the queue of its key. Only the first can have been sent, so
-    /// its position is kept until all its attempts have ended.
+    /// Removes a request from the queue of its key, and releases the next one if it was the first.
+    /// Must not be called while the request has an attempt in flight.
     pub(crate) fn leave_key_queue(&mut self, now: f64, key: u64, id: RequestId) {
         let Some(queue) = self.key_queues.get_mut(&key) else {
             return;
@@ -58,7 +59,7 @@
         self.release_next_of_key(now, key);
     }
 
-    /// Has a key rest after an attempt that may still be executing.
+    /// Blocks a key for a while after an attempt that may still be executing.
     pub(crate) fn block_key_if_outcome_unknown(&mut self, now: f64, key: u64, outcome: Outcome) {
         let may_execute = matches!(
             outcome,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Returns the requests that have waited too long for their key.
+    /// Returns the requests whose queue deadline passed while they waited for their key.
     pub(crate) fn expired_in_key_queues(&self, now: f64) -> Vec<RequestId> {
         let waiting = |queue: &KeyQueue| {
             let released = usize::from(queue.first_released);
--- a/crates/heathroad-balancer/src/policy/outlier.rs
+++ b/crates/heathroad-balancer/src/policy/outlier.rs
@@ -1,5 +1,6 @@
-//! Outlier detection: backends that fail, hang or are far slower than the others are ejected for a
-//! while, come back by a trial, and stay out longer with each trial that fails.
+//! Outlier detection: ejects backends that fail, hang or are much slower than the others. An
+//! ejected backend returns after a successful trial request; each failed trial extends its
+//! ejection.
 
 use crate::api::{AttemptResult, BackendId, Outcome};
 use crate::backend::{Backend, SentAttempt};
@@ -10,55 +11,55 @@
 const ERROR_STEP: f64 = 0.125;
 /// Weight of one success in the error rate of an ejected backend.
 const TRIAL_ERROR_STEP: f64 = 0.5;
-/// Weight of a failed connect, over that of another failure, in an error rate.
+/// Weight of a connect failure relative to other failures in an error rate.
 const CONNECT_FAILURE_WEIGHT: f64 = 3.0;
 /// Weight of one outcome in the tier's error rate.
 const TIER_ERROR_STEP: f64 = 0.02;
-/// Error rate at which a backend is ejected ...
+/// Minimum error rate at which a backend is ejected.
 const EJECTION_ERROR_RATE: f64 = 0.35;
-/// ... if it is so many times the tier's; else the fault is shared.
-const EJECTION_TIMES_TIER: f64 = 3.0;
+/// Minimum error rate at which a backend is ejected, as a multiple of the tier's error rate.
+const EJECTION_TIER_MULTIPLE: f64 = 3.0;
 /// Error rate below which an ejected backend may return.
 const RETURN_ERROR_RATE: f64 = 0.15;
-/// Mean latency, over that of all backends, at which one is ejected to recover.
+/// Latency ratio above which a backend is ejected.
 const EJECTION_LATENCY_RATIO: f64 = 2.5;
-/// Responses that the latency ratio of a backend covers.
-const LATENCY_DEPTH: f64 = 16.0;
-/// Responses after which its latency ratio may eject a backend.
+/// Maximum number of samples in the latency ratio of a backend.
+const MAX_LATENCY_SAMPLES: f64 = 16.0;
+/// Number of samples above which the latency ratio can eject a backend.
 const MIN_LATENCY_SAMPLES: f64 = 8.0;
-/// Responses that a new latency ratio begins with, so that the first ones move it little.
-const LATENCY_PRIOR: f64 = 4.0;
-/// The smallest mean latency that is divided by.
+/// Weight of the initial latency ratio, in samples; dampens the first measurements.
+const LATENCY_PRIOR_SAMPLES: f64 = 4.0;
+/// Lower bound of a mean latency in ms, to avoid division by zero.
 const MIN_MEAN_MS: f64 = 0.001;
-/// The first time out of service.
+/// Duration of the first ejection in ms.
 const EJECTION_MS: f64 = 2000.0;
-/// Doublings of that time at most.
+/// Maximum number of times that this duration is doubled.
 const MAX_DOUBLINGS: u32 = 3;
-/// Share of the endpoint list that may be ejected: beyond it the fault is nobody's own.
+/// Maximum share of the ready backends that may be ejected; beyond it the cause is likely shared.
 const MAX_EJECTED_SHARE: f64 = 0.5;
-/// Responses missed, by Little's law, before silence is a hang and not a pause.
+/// Number of missed responses, by Little's law, above which a backend may count as hung.
 const HANG_MISSED_RESPONSES: f64 = 8.0;
-/// Mean latencies of silence before it is a hang.
+/// Time without a response, in mean latencies, above which a backend may count as hung.
 const HANG_MEAN_LATENCIES: f64 = 2.0;
-/// Others have responded within this share of the silence, else the silence is shared.
-const OTHERS_HEARD_SHARE: f64 = 0.25;
+/// A backend is hung only if another one has responded within this share of its silence.
+const OTHERS_SILENCE_SHARE: f64 = 0.25;
 
 impl Backend {
     pub fn is_ejected(&self) -> bool {
         self.ejected_until > 0.0
     }
 
-    /// Returns whether an ejected backend's time is up and no trial is under way.
+    /// Returns whether an ejected backend's ejection has expired and no trial is in flight.
     pub fn is_due_for_trial(&self, now: f64) -> bool {
         now >= self.ejected_until && self.in_flight.is_empty()
     }
 
-    /// Records a latency relative to its class's mean; returns that ratio.
+    /// Records the ratio of a latency to its class's mean, and returns it.
     fn record_latency_ratio(&mut self, latency: f64, class_mean: f64) -> f64 {
         let ratio = (latency / class_mean.max(MIN_MEAN_MS)).min(MAX_LATENCY_RATIO);
-        self.latency_samples = (self.latency_samples + 1.0).min(LATENCY_DEPTH);
-        let weight = self.latency_samples + LATENCY_PRIOR;
-        self.latency_ratio += (ratio - self.latency_ratio) / weight;
+        self.latency_samples = (self.latency_samples + 1.0).min(MAX_LATENCY_SAMPLES);
+        let samples = self.latency_samples + LATENCY_PRIOR_SAMPLES;
+        self.latency_ratio += (ratio - self.latency_ratio) / samples;
         ratio
     }
 
@@ -93,8 +94,8 @@
         self.latency_samples = 0.0;
     }
 
-    /// Returns whether the backend is too slow. One that is overloaded recovers only when it is
-    /// left alone.
+    /// Returns whether the backend is slow enough to be ejected. An overloaded backend recovers
+    /// only without traffic.
     fn is_slow_outlier(&self, now: f64) -> bool {
         now >= self.ejected_until
             && self.latency_ratio > EJECTION_LATENCY_RATIO
@@ -103,7 +104,7 @@
 }
 
 impl Balancer {
-    /// Records what an outcome shows of its backend and of the limit.
+    /// Updates the statistics of the backend and the limiter with an outcome.
     pub(crate) fn record_outcome(
         &mut self,
         now: f64,
@@ -128,8 +129,8 @@
                 self.limiter.record_response();
                 self.record_latency(now, result, class);
             }
-            // An attempt that its client gave up took longer still. It shows something of its
-            // backend and zone, not of the limit, which silent backends would cut.
+            // A lower bound of the latency. It counts for the backend and its zone, but not for
+            // the limiter, which unresponsive backends would otherwise reduce.
             Outcome::Cancelled if result.elapsed > self.limiter.classes[class].mean => {
                 self.record_latency(now, result, class);
             }
@@ -174,14 +175,14 @@
             return;
         };
         let is_connect_failure = result.outcome == Outcome::ConnectFailed;
-        // A backend that is down says nothing of the load: only one that is otherwise well does.
+        // A connect failure indicates overload only at a backend that is otherwise healthy.
         if is_connect_failure && backend.error_rate < ERROR_STEP {
             self.limiter.record_drop();
         }
         backend.record_failure(is_connect_failure);
         self.tier_error_rate += (1.0 - self.tier_error_rate) * TIER_ERROR_STEP;
         let tier = self.tier_error_rate;
-        let threshold = (EJECTION_TIMES_TIER * tier)
+        let threshold = (EJECTION_TIER_MULTIPLE * tier)
             .min((1.0 + tier) / 2.0)
             .max(EJECTION_ERROR_RATE);
         if backend.is_ejected() || backend.error_rate > threshold {
@@ -189,15 +190,15 @@
         }
     }
 
-    /// Takes a backend out of service, unless so many are ejected that the fault must be shared.
+    /// Ejects a backend, unless the maximum share of backends is ejected already.
     fn eject(&mut self, now: f64, id: BackendId) {
         let is_ejected = |id: &&BackendId| self.backends[id].is_ejected();
         let ejected = self.ring.iter().filter(is_ejected).count() as f64;
-        let most = (self.ring.len() as f64 * MAX_EJECTED_SHARE).max(1.0);
+        let max_ejected = (self.ring.len() as f64 * MAX_EJECTED_SHARE).max(1.0);
         let Some(backend) = self.backends.get_mut(&id) else {
             return;
         };
-        if !backend.is_ejected() && ejected + 1.0 > most {
+        if !backend.is_ejected() && ejected + 1.0 > max_ejected {
             return;
         }
         let doublings = backend.ejections.min(MAX_DOUBLINGS);
@@ -206,8 +207,7 @@
         self.stop_counting_attempts(now, id, 0.0);
     }
 
-    /// Ejects backends that are silent while others respond, for longer than the missed responses
-    /// would take by Little's law.
+    /// Ejects the subset's members that have stopped responding while other backends respond.
     pub(crate) fn eject_hung_backends(&mut self, now: f64) {
         let is_hung = |id: &BackendId| {
             let backend = self.backends.get(id);
@@ -226,7 +226,7 @@
         let silence = now - backend.last_response.max(oldest_sent);
         let expected = (mean_latency * backend.latency_ratio).max(1.0);
         let missed = backend.in_flight.len() as f64 * silence / expected;
-        let others_respond = now - self.last_response < silence * OTHERS_HEARD_SHARE;
+        let others_respond = now - self.last_response < silence * OTHERS_SILENCE_SHARE;
         missed > HANG_MISSED_RESPONSES
             && silence > HANG_MEAN_LATENCIES * mean_latency
             && others_respond
--- a/crates/heathroad-balancer/src/policy/quota.rs
+++ b/crates/heathroad-balancer/src/policy/quota.rs
@@ -1,11 +1,11 @@
-//! Tenants' quotas: a token bucket for each tenant, refilled with this replica's part of the quota.
+//! Tenant quotas: one token bucket per tenant, refilled with this replica's part of the quota.
 //!
-//! A request beyond its quota is demoted to low priority; nothing is rejected by the quota itself.
+//! A request beyond its tenant's quota is demoted to low priority, not rejected.
 
 use crate::api::Settings;
 
-/// Tokens that a bucket holds at least, however small the quota.
-const MIN_DEPTH: f64 = 2.0;
+/// Minimum capacity of a bucket in tokens.
+const MIN_CAPACITY: f64 = 2.0;
 
 #[derive(Clone, Copy)]
 struct Bucket {
@@ -17,7 +17,7 @@
 #[derive(Default)]
 pub(crate) struct TenantQuotas {
     buckets: Vec<Bucket>,
-    /// Tokens a second of each tenant at this replica.
+    /// The refill rate of each tenant's bucket in tokens per second.
     rates: Vec<f64>,
 }
 
@@ -40,22 +40,22 @@
         tenant < self.buckets.len()
     }
 
-    /// Takes a token for a request of the tenant; returns whether there was one. A tenant without a
-    /// quota always has one.
+    /// Takes a token for a request of the tenant. Returns false if there is none; a tenant without
+    /// a quota always has one.
     pub fn try_charge(&mut self, now: f64, tenant: usize) -> bool {
         let Some(bucket) = self.buckets.get_mut(tenant) else {
             return true;
         };
         let rate = self.rates[tenant];
         let refilled = bucket.tokens + rate * (now - bucket.refilled_at) / 1000.0;
-        let tokens = refilled.min(rate.max(MIN_DEPTH));
+        let tokens = refilled.min(rate.max(MIN_CAPACITY));
         let charged = tokens >= 1.0;
         bucket.tokens = if charged { tokens - 1.0 } else { tokens };
         bucket.refilled_at = now;
         charged
     }
 
-    /// Gives a token back.
+    /// Returns a token to the tenant's bucket.
     pub fn refund(&mut self, tenant: usize) {
         self.buckets[tenant].tokens += 1.0;
     }
--- a/crates/heathroad-balancer/src/policy/retry.rs
+++ b/crates/heathroad-balancer/src/policy/retry.rs
@@ -1,34 +1,36 @@
-//! Retries: whether a further attempt of a request is allowed, and the retry budget of this
-//! replica.
+//! Retries: decides whether a request may be retried, and limits retries by a token bucket.
 //!
-//! The budget is a token bucket that each request fills by a fixed share of a token, as in
-//! Finagle's and linkerd's retry budgets: repeats of what may have been executed stay a small share
-//! of the requests, so that an outage causes no retry storm.
+//! Each request deposits a fixed fraction of a token, as in the retry budgets of Finagle and
+//! Linkerd. Retries of requests that may have been executed thus stay a small share of all
+//! requests, which prevents retry storms during an outage.
 
 use crate::api::{Action, Idempotency, RequestId};
 use crate::balancer::Balancer;
 
-/// Tokens that each request adds: retries as a share of the requests.
+/// Tokens deposited per request; the maximum ratio of retries to requests.
 const TOKENS_PER_REQUEST: f64 = 0.1;
-/// Tokens that the budget holds at least.
-const MIN_DEPTH: f64 = 10.0;
+/// Minimum capacity of the bucket in tokens.
+const MIN_CAPACITY: f64 = 10.0;
 
-/// The retry budget of this replica.
+/// The retry token bucket of this replica.
 pub(crate) struct RetryTokens {
     tokens: f64,
 }
 
 impl Default for RetryTokens {
     fn default() -> Self {
-        RetryTokens { tokens: MIN_DEPTH }
+        RetryTokens {
+            tokens: MIN_CAPACITY,
+        }
     }
 }
 
 impl RetryTokens {
-    /// Adds the share of a new request; the budget holds more where the limit is larger.
+    /// Deposits the tokens of a new request. The bucket's capacity grows with the concurrency
+    /// limit.
     pub fn deposit(&mut self, limit: f64) {
-        let most = MIN_DEPTH.max(limit * TOKENS_PER_REQUEST);
-        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(most);
+        let capacity = MIN_CAPACITY.max(limit * TOKENS_PER_REQUEST);
+        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(capacity);
     }
 
     fn is_available(&self) -> bool {
@@ -41,8 +43,9 @@
 }
 
 impl Balancer {
-    /// Sends another attempt, within the class's idempotency, the deadline and, for a request that
-    /// may have been executed, the retry budget. Returns whether it was sent.
+    /// Sends another attempt if the request's idempotency, attempt count and deadline allow it and,
+    /// for a request that may have been executed, if a retry token is available. Returns whether it
+    /// was sent.
     pub(crate) fn retry(
         &mut self,
         now: f64,
@@ -51,8 +54,8 @@
         actions: &mut Vec<Action>,
     ) -> bool {
         let request = &self.requests[&id];
-        // A request that carries a retry budget was granted its attempts where it entered, for the
-        // whole chain.
+        // The retries of a request that carries a retry budget were granted by the proxy where it
+        // entered.
         let is_free = never_executed || request.retries_left.is_some();
         let in_time = now + self.settings.tick < request.deadline;
         let has_attempts = request.attempts.len() < self.max_attempts();
@@ -67,11 +70,11 @@
         sent
     }
 
-    /// Returns whether the class of a request allows a repeat now.
+    /// Returns whether the idempotency of a request allows another attempt now.
     fn is_repeat_allowed(&self, now: f64, id: RequestId) -> bool {
         let request = &self.requests[&id];
         let idempotency = self.settings.classes[request.class].idempotency;
-        match (request.first_executed(), idempotency) {
+        match (request.first_possibly_executed(), idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => true,
             (Some(first), Idempotency::Deduplicated { window, .. }) => {
                 now < first.sent_at + window - self.settings.tick
--- a/crates/heathroad-balancer/src/policy/selection.rs
+++ b/crates/heathroad-balancer/src/policy/selection.rs
@@ -1,32 +1,32 @@
-//! Selection of a backend for an attempt: the power of two random choices (Mitzenmacher), compared
-//! by expected wait.
+//! Selects the backend for an attempt: the better of two random choices (Mitzenmacher), compared by
+//! expected wait.
 
 use crate::api::{BackendId, DeduplicationScope, EndpointState, Idempotency, RequestId};
 use crate::backend::Backend;
 use crate::balancer::Balancer;
 use crate::request::Request;
 
-/// Random draws from a set of candidates before the next set is tried.
+/// Maximum number of random draws from one set of candidates.
 const MAX_DRAWS: usize = 12;
-/// Weight of the error rate in the expected wait: a failed attempt costs more than a slow one.
+/// Weight of the error rate in the expected wait; a failed attempt costs more than a slow one.
 const ERROR_WEIGHT: f64 = 8.0;
-/// Attempts in flight that a crossing of zones counts like, where it has a price.
-const CROSSING_WEIGHT: f64 = 0.5;
-/// The smallest weight of an endpoint that is divided by.
+/// Cost of a cross-zone attempt in the expected wait, in attempts in flight.
+const CROSS_ZONE_PENALTY: f64 = 0.5;
+/// Lower bound of an endpoint's weight, to avoid division by zero.
 const MIN_ENDPOINT_WEIGHT: f64 = 0.01;
 
-/// Whether ejected backends are candidates.
+/// How to treat ejected backends among the candidates.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Ejected {
-    /// Only for a trial.
+    /// Consider them only for a trial.
     Excluded,
-    /// Like the others.
+    /// Consider them like the others.
     Included,
 }
 
 impl Balancer {
-    /// Returns the cheaper of two random members of the subset that are eligible. Backends outside
-    /// the subset are tried only if no member is, and ejected ones only if nothing else is left.
+    /// Returns the better of two random eligible members of the subset. Falls back to backends
+    /// outside the subset if no member is eligible, and then to ejected members.
     pub(crate) fn select_backend(&mut self, now: f64, id: RequestId) -> Option<BackendId> {
         let request = self.requests.get(&id)?;
         let mut rng = self.rng.clone();
@@ -71,12 +71,12 @@
         let Some((second, second_backend)) = others.find_map(eligible) else {
             return Some(first);
         };
-        let is_second_cheaper =
+        let is_second_better =
             self.expected_wait(now, second_backend) < self.expected_wait(now, first_backend);
-        Some(if is_second_cheaper { second } else { first })
+        Some(if is_second_better { second } else { first })
     }
 
-    /// Returns whether a backend may be sent an attempt of a request.
+    /// Returns whether a backend may receive an attempt of a request.
     fn is_eligible(
         &self,
         now: f64,
@@ -93,8 +93,8 @@
             && self.is_in_deduplication_scope(request, backend)
     }
 
-    /// Returns whether a backend is in service for a request. An ejected backend gets a trial, one
-    /// repeatable request, once its time is up.
+    /// Returns whether a backend is in service for a request. Once its ejection has expired, an
+    /// ejected backend receives one request at a time as a trial, which must be repeatable.
     fn is_in_service(
         &self,
         now: f64,
@@ -109,9 +109,10 @@
         idempotency != Idempotency::NonIdempotent && backend.is_due_for_trial(now)
     }
 
-    /// Returns whether a backend drops the repeats of a request that may have been executed.
+    /// Returns whether a backend may receive a repeat of a request: for deduplicated classes, it
+    /// must share deduplication state with the first backend that may have executed the request.
     fn is_in_deduplication_scope(&self, request: &Request, backend: &Backend) -> bool {
-        let Some(executed) = request.first_executed() else {
+        let Some(executed) = request.first_possibly_executed() else {
             return true;
         };
         let idempotency = self.settings.classes[request.class].idempotency;
@@ -125,19 +126,19 @@
         }
     }
 
-    /// Returns the expected wait at a backend relative to the others: own attempts, learned speed,
-    /// errors, slow start.
+    /// Returns the expected wait at a backend relative to others, from this replica's attempts, the
+    /// backend's latency, error rate and slow start, and zone crossing.
     fn expected_wait(&self, now: f64, backend: &Backend) -> f64 {
         let slowness = backend.latency_ratio * (1.0 + ERROR_WEIGHT * backend.error_rate)
             / backend.capacity_share(&self.settings.guarantees, now);
         let is_priced = self.settings.objectives.cross_zone_price > 0.0;
-        let crossing = if is_priced && backend.endpoint.zone != self.settings.zone {
-            CROSSING_WEIGHT
+        let zone_penalty = if is_priced && backend.endpoint.zone != self.settings.zone {
+            CROSS_ZONE_PENALTY
         } else {
             0.0
         };
         let attempts = (backend.in_flight.len() + backend.abandoned.len()) as f64;
         let weight = backend.endpoint.weight.max(MIN_ENDPOINT_WEIGHT);
-        (attempts * self.mean_endpoint_weight / weight + 1.0 + crossing) * slowness
+        (attempts * self.mean_endpoint_weight / weight + 1.0 + zone_penalty) * slowness
     }
 }
--- a/crates/heathroad-balancer/src/policy/subset.rs
+++ b/crates/heathroad-balancer/src/policy/subset.rs
@@ -1,42 +1,43 @@
 //! The subset of the tier that this replica sends to: a window on the ring of ready backends that
-//! begins at the replica's own position (deterministic subsetting) and is as wide as its load.
+//! starts at the replica's position (deterministic subsetting) and is sized to its load.
 
 use crate::api::BackendId;
 use crate::balancer::Balancer;
 
-/// Members at least, so that two can be compared when one or two are ejected.
+/// Minimum number of members, so that selection has a choice when some are ejected.
 const MIN_MEMBERS: f64 = 5.0;
-/// Replicas that share a backend at least, so that none depends on a single one.
+/// Minimum number of replicas that send to a backend, on average.
 const MIN_OVERLAP: f64 = 2.0;
-/// Own attempts that a member carries before the subset widens.
+/// Attempts in flight per member above which the subset widens.
 const ATTEMPTS_PER_MEMBER: f64 = 1.0;
-/// The part of its width that the subset loses a second at most: connections cost, so it does not
-/// follow every lull.
+/// Maximum share of its width by which the subset narrows per second. Narrowing is slow because
+/// new connections are expensive.
 const NARROWING_PER_S: f64 = 0.03;
 
 /// The backends that this replica sends to.
 #[derive(Default)]
 pub(crate) struct Subset {
-    /// The members; those of this replica's zone come first.
+    /// The members, local ones first.
     pub members: Vec<BackendId>,
-    /// How many of the members are in this replica's zone, or as near as any.
+    /// The number of local members: those in this replica's zone, or all where crossing zones has
+    /// no price.
     local: usize,
-    /// The wanted number of members.
+    /// The target number of members that are not ejected.
     pub width: f64,
 }
 
 impl Subset {
-    /// Returns the members in this replica's zone, and those beyond it.
+    /// Returns the local and the remote members.
     pub fn by_zone(&self) -> (&[BackendId], &[BackendId]) {
         self.members.split_at(self.local)
     }
 }
 
 impl Balancer {
-    /// Chooses the members anew: from this replica's position on the ring onwards until enough
-    /// backends that are not ejected are in. `passed` is the time since the last choice.
-    pub(crate) fn resize_subset(&mut self, passed: f64) {
-        self.subset.width = self.wanted_width(passed);
+    /// Selects the members again, from this replica's position on the ring onwards, until enough of
+    /// them are not ejected. `elapsed` is the time since the last call.
+    pub(crate) fn resize_subset(&mut self, elapsed: f64) {
+        self.subset.width = self.target_width(elapsed);
         let is_remote =
             |id: &&BackendId| self.is_cross_zone_priced() && self.is_in_other_zone(**id);
         let (remote, local): (Vec<BackendId>, Vec<BackendId>) =
@@ -52,17 +53,17 @@
         self.subset.members = members;
     }
 
-    fn wanted_width(&self, passed: f64) -> f64 {
+    fn target_width(&self, elapsed: f64) -> f64 {
         let size = self.ring.len() as f64;
         let replicas = f64::from(self.settings.replica_count);
-        let wanted = (self.peak_in_flight / ATTEMPTS_PER_MEMBER)
+        let required = (self.peak_in_flight / ATTEMPTS_PER_MEMBER)
             .max(MIN_OVERLAP * size / replicas)
             .max(MIN_MEMBERS);
-        let narrowed = self.subset.width * (1.0 - NARROWING_PER_S * passed / 1000.0);
-        wanted.max(narrowed).min(size)
+        let narrowed = self.subset.width * (1.0 - NARROWING_PER_S * elapsed / 1000.0);
+        required.max(narrowed).min(size)
     }
 
-    /// Returns the members of one part of the ring, which is to have a share of the width.
+    /// Returns the members from one part of the ring that provides a share of the width.
     fn members_of(&self, part: &[BackendId], share: f64) -> Vec<BackendId> {
         let replicas = f64::from(self.settings.replica_count);
         let position = f64::from(self.settings.replica_index) * part.len() as f64 / replicas;
--- a/crates/heathroad-balancer/src/policy/zone_spillover.rs
+++ b/crates/heathroad-balancer/src/policy/zone_spillover.rs
@@ -1,39 +1,39 @@
-//! Zone spillover: the share of attempts that leave this replica's zone, where crossing has a
+//! Zone spillover: the share of attempts that leave this replica's zone if crossing zones has a
 //! price.
 //!
-//! A proportional-integral controller weighs how much slower responses are in the zone than beyond
-//! it, less the price of crossing.
+//! A proportional-integral controller sets the share. Its error is the excess latency of the local
+//! zone over the other zones, minus the price of crossing.
 
 use crate::api::BackendId;
 use crate::balancer::Balancer;
 
-/// A price of crossing up to which pooling all zones is worth more.
+/// Price of crossing zones up to which all zones are treated as one.
 const NEGLIGIBLE_PRICE: f64 = 0.01;
-/// Latency objectives that a mean may grow by to save a crossing: the slowest grow by far more.
+/// Excess of the mean latency that equals a price of 1, in latency objectives. Tail latencies grow
+/// by far more than the mean.
 const OBJECTIVES_PER_PRICE: f64 = 0.25;
-/// Gain of the proportional part.
+/// Gain of the proportional term.
 const PROPORTIONAL_GAIN: f64 = 1.0;
-/// Gain of the integral part, a second: behind a queue, haste makes it swing.
+/// Gain of the integral term per second; higher gains oscillate because queues delay the feedback.
 const INTEGRAL_GAIN_PER_S: f64 = 0.4;
-/// Time in which a latency excess fades, in ms: a zone that was left altogether gives no responses
-/// and is tried again.
-const FADE_MS: f64 = 8000.0;
+/// Time in which a latency excess decays, in ms, so that a zone without traffic is tried again.
+const EXCESS_DECAY_MS: f64 = 8000.0;
 /// Weight of one response in a latency excess.
 const EXCESS_STEP: f64 = 0.1;
 
-/// How much of the load leaves the zone.
+/// The state of the spillover controller.
 #[derive(Default)]
 pub(crate) struct ZoneSpillover {
     share: f64,
     integral: f64,
-    /// Latency over the baseline, in latency objectives, of responses from the replica's zone.
+    /// Mean latency above the baseline in this replica's zone, in latency objectives.
     local_excess: f64,
-    /// The same of responses from other zones.
+    /// Mean latency above the baseline in other zones, in latency objectives.
     remote_excess: f64,
 }
 
 impl ZoneSpillover {
-    /// Returns the share of attempts that are to leave the zone.
+    /// Returns the share of attempts to send to other zones.
     pub fn share(&self) -> f64 {
         self.share
     }
@@ -48,13 +48,13 @@
         *mean += (excess - *mean) * EXCESS_STEP;
     }
 
-    /// Moves the share after some time has passed.
-    pub fn advance(&mut self, passed: f64, cross_zone_price: f64) {
-        self.local_excess -= self.local_excess * passed / FADE_MS;
-        self.remote_excess -= self.remote_excess * passed / FADE_MS;
+    /// Updates the share; `elapsed` is the time since the last call.
+    pub fn advance(&mut self, elapsed: f64, cross_zone_price: f64) {
+        self.local_excess -= self.local_excess * elapsed / EXCESS_DECAY_MS;
+        self.remote_excess -= self.remote_excess * elapsed / EXCESS_DECAY_MS;
         let error =
             self.local_excess - self.remote_excess - cross_zone_price * OBJECTIVES_PER_PRICE;
-        let step = INTEGRAL_GAIN_PER_S * error * passed / 1000.0;
+        let step = INTEGRAL_GAIN_PER_S * error * elapsed / 1000.0;
         self.integral = (self.integral + step).clamp(0.0, 1.0);
         self.share = (self.integral + PROPORTIONAL_GAIN * error).clamp(0.0, 1.0);
     }
@@ -65,7 +65,7 @@
         self.backends[&id].endpoint.zone != self.settings.zone
     }
 
-    /// Returns whether crossing zones costs enough to keep requests in the zone.
+    /// Returns whether the price of crossing zones is high enough to prefer the local zone.
     pub(crate) fn is_cross_zone_priced(&self) -> bool {
         self.settings.objectives.cross_zone_price > NEGLIGIBLE_PRICE
     }
--- a/crates/heathroad-balancer/src/request.rs
+++ b/crates/heathroad-balancer/src/request.rs
@@ -1,4 +1,4 @@
-//! The record that a replica keeps of one request and its attempts.
+//! The per-request state of a replica.
 
 use crate::api::{BackendId, RequestId};
 use crate::backend::SentAttempt;
@@ -6,12 +6,12 @@
 /// An attempt of a request.
 pub(crate) struct Attempt {
     pub backend: BackendId,
-    /// The zone and the cell that its backend had when the attempt was sent.
+    /// The zone and cell of the backend when the attempt was sent.
     pub zone: u16,
     pub cell: u16,
     pub sent_at: f64,
     pub is_in_flight: bool,
-    /// The attempt was given up and its work goes on.
+    /// The attempt timed out or was cancelled, and may still be executing.
     pub is_abandoned: bool,
     pub never_executed: bool,
     /// The attempt counts against the concurrency limit.
@@ -19,7 +19,7 @@
 }
 
 impl Attempt {
-    /// Returns the attempt as its backend's record knows it.
+    /// Returns the identification of the attempt in its backend's state.
     pub fn as_sent(&self, request: RequestId) -> SentAttempt {
         SentAttempt {
             request,
@@ -28,27 +28,27 @@
     }
 }
 
-/// A request that is owed a response, or has work under way.
+/// A request that has no final response yet or has attempts that have not completed.
 pub(crate) struct Request {
-    /// The key of an ordered class, else 0.
+    /// The ordering key; 0 means none.
     pub key: u64,
     pub class: usize,
     pub slice: usize,
-    /// The tenant whose quota the request was charged to.
+    /// The tenant whose quota was charged for the request.
     pub charged_tenant: Option<usize>,
     pub deadline: f64,
-    /// The time at which it is rejected if it still waits.
+    /// The time at which the request is rejected if it is still queued.
     pub queue_deadline: f64,
-    /// It has its final response, or its client left.
+    /// The request has its final response, or its client left.
     pub is_finished: bool,
-    /// Further attempts that its retry budget has.
+    /// The remaining retries, if the request carries a retry budget.
     pub retries_left: Option<u32>,
     pub attempts: Vec<Attempt>,
 }
 
 impl Request {
     /// Returns the first attempt that may have been executed.
-    pub fn first_executed(&self) -> Option<&Attempt> {
+    pub fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| !a.never_executed)
     }
 
--- a/crates/heathroad-balancer/src/settings.rs
+++ b/crates/heathroad-balancer/src/settings.rs
@@ -1,57 +1,55 @@
-//! The settings of an instance as they are written: a JSON object that comes with its start, on the
-//! simulator's wire as text and at a real proxy as a part of its configuration file.
+//! Parses the JSON settings of an instance. The simulator sends them when it starts an instance; a
+//! real proxy has them in its configuration file.
 //!
-//! The keys are those of the settings' specification; the private types below map them to the
-//! names that the code uses.
+//! The private types map the keys of the settings' specification to the names in the code.
 
 use crate::api;
 use serde::{Deserialize, Deserializer, de::Error};
 
-/// The settings of one instance, by who reads them.
+/// The settings of one instance.
 #[derive(Debug, Clone)]
 pub struct InstanceSettings {
-    /// What the decisions need.
+    /// The settings of the balancer.
     pub balancer: api::Settings,
-    /// What a proxy on real sockets needs besides.
+    /// Further settings for a proxy on real sockets.
     pub site: SiteSettings,
 }
 
-/// Names and figures that no decision needs; empty or 0 where the text leaves them out. Times are
-/// milliseconds.
+/// Settings that the balancer does not use; empty or 0 if missing. Times are milliseconds.
 #[derive(Debug, Clone, Default)]
 pub struct SiteSettings {
-    /// The names of the classes, in the order of the settings.
+    /// The names of the classes, by class index.
     pub classes: Vec<String>,
-    /// The names of the tenants.
+    /// The names of the tenants, by tenant index.
     pub tenants: Vec<String>,
-    /// The names of the zones.
+    /// The names of the zones, by zone index.
     pub zones: Vec<String>,
-    /// The time after which a backend closes an idle connection, at the latest.
+    /// The maximum time after which a backend closes an idle connection.
     pub idle_timeout: f64,
-    /// The time after which a connect has failed.
+    /// The time after which a connection attempt fails.
     pub connect_timeout: f64,
-    /// The most open requests of a replica.
+    /// The maximum number of open requests per replica.
     pub max_open_requests: usize,
     /// A request may have two attempts in flight at once.
     pub hedging_allowed: bool,
-    /// The time after the notice in which sends to a draining backend must end.
+    /// The time after a drain notice within which a proxy must stop sending to the backend.
     pub drain_grace: f64,
 }
 
-/// Why settings could not be read.
+/// An error in reading settings.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsReadError {
     /// A key is missing, or its value has a wrong type or is out of range.
     #[error("settings: {0}")]
     InvalidValue(#[source] serde_path_to_error::Error<serde_json::Error>),
-    /// Something follows the object.
+    /// Data follows the JSON object.
     #[error("settings: {0}")]
     TrailingData(#[source] serde_json::Error),
 }
 
 /// Deserializes a number that must be finite and not negative.
-fn figure<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+fn non_negative<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     let number = f64::deserialize(deserializer)?;
     if number.is_finite() && number >= 0.0 {
         Ok(number)
@@ -72,9 +70,9 @@
     zone: u16,
     #[serde(default, rename = "localities")]
     zones: Vec<String>,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     tick: f64,
-    #[serde(rename = "overShareWorth", deserialize_with = "figure")]
+    #[serde(rename = "overShareWorth", deserialize_with = "non_negative")]
     over_quota_priority: f64,
     discovery: DiscoveryText,
     classes: Vec<ClassText>,
@@ -101,15 +99,15 @@
 struct ClassText {
     #[serde(default)]
     name: String,
-    #[serde(rename = "aim", deserialize_with = "figure")]
+    #[serde(rename = "aim", deserialize_with = "non_negative")]
     latency_objective: f64,
-    #[serde(rename = "points", deserialize_with = "figure")]
+    #[serde(rename = "points", deserialize_with = "non_negative")]
     priority_weight: f64,
     #[serde(rename = "semantics")]
     idempotency: IdempotencyText,
     #[serde(rename = "group")]
     scope: ScopeText,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     window: f64,
     #[serde(default, rename = "fifoByKey")]
     ordered_by_key: bool,
@@ -138,7 +136,7 @@
 struct TenantText {
     #[serde(default)]
     name: String,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     quota_per_s: f64,
 }
 
@@ -148,7 +146,7 @@
     #[serde(rename = "cancelling")]
     cancellation: bool,
     retry_after: bool,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     max_retry_after: f64,
     #[serde(rename = "tryLimit")]
     max_attempts: u32,
@@ -156,42 +154,50 @@
     max_open_requests: usize,
     #[serde(default, rename = "mayDuplicate")]
     hedging_allowed: bool,
-    #[serde(default, rename = "connIdle", deserialize_with = "figure")]
+    #[serde(default, rename = "connIdle", deserialize_with = "non_negative")]
     idle_timeout: f64,
-    #[serde(default, deserialize_with = "figure")]
+    #[serde(default, deserialize_with = "non_negative")]
     connect_timeout: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct GuaranteesText {
-    #[serde(rename = "coldFrom", deserialize_with = "figure")]
+    #[serde(rename = "coldFrom", deserialize_with = "non_negative")]
     slow_start_floor: f64,
-    #[serde(rename = "cold", deserialize_with = "figure")]
+    #[serde(rename = "cold", deserialize_with = "non_negative")]
     slow_start_duration: f64,
-    #[serde(rename = "fallMultiple", deserialize_with = "figure")]
+    #[serde(rename = "fallMultiple", deserialize_with = "non_negative")]
     overload_multiple: f64,
-    #[serde(default, rename = "askWithin", deserialize_with = "figure")]
+    #[serde(default, rename = "askWithin", deserialize_with = "non_negative")]
     max_poll_interval: f64,
-    #[serde(default, rename = "releaseWithin", deserialize_with = "figure")]
+    #[serde(default, rename = "releaseWithin", deserialize_with = "non_negative")]
     idle_close_within: f64,
-    #[serde(default, rename = "settleAfterDoubt", deserialize_with = "figure")]
+    #[serde(
+        default,
+        rename = "settleAfterDoubt",
+        deserialize_with = "non_negative"
+    )]
     unknown_outcome_delay: f64,
-    #[serde(default, rename = "stopSendingWithin", deserialize_with = "figure")]
+    #[serde(
+        default,
+        rename = "stopSendingWithin",
+        deserialize_with = "non_negative"
+    )]
     drain_grace: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct GoalText {
-    #[serde(rename = "worstClass", deserialize_with = "figure")]
+    #[serde(rename = "worstClass", deserialize_with = "non_negative")]
     worst_class_weight: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct PricesText {
-    #[serde(rename = "crossZone", deserialize_with = "figure")]
+    #[serde(rename = "crossZone", deserialize_with = "non_negative")]
     cross_zone_price: f64,
 }
 
@@ -199,7 +205,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error that names the key, or says that something follows the object.
+/// Returns an error that names the invalid key, or reports data after the object.
 pub fn parse(text: &[u8]) -> Result<InstanceSettings, SettingsReadError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let settings = read(&mut json)?;
@@ -207,11 +213,11 @@
     Ok(settings)
 }
 
-/// Reads settings from a deserializer of JSON.
+/// Reads settings from a JSON deserializer.
 ///
 /// # Errors
 ///
-/// Returns an error that names the key.
+/// Returns an error that names the invalid key.
 pub fn read<'de, D>(json: D) -> Result<InstanceSettings, SettingsReadError>
 where
     D: Deserializer<'de, Error = serde_json::Error>,
@@ -249,7 +255,7 @@
             tier: self.tier,
             zone: self.zone,
             tick: self.tick,
-            // The embedding proxy knows.
+            // Set by the embedding proxy.
             priority_forwarded: false,
             polls_endpoints: matches!(self.discovery, DiscoveryText::Polled),
             over_quota_priority: self.over_quota_priority,
@@ -297,7 +303,7 @@
             retry_after: self.retry_after,
             max_retry_after: self.max_retry_after,
             max_attempts: self.max_attempts,
-            // The embedding proxy knows.
+            // Set by the embedding proxy.
             late_completions: false,
         }
     }
--- a/crates/heathroad-balancer/src/validation.rs
+++ b/crates/heathroad-balancer/src/validation.rs
@@ -1,20 +1,19 @@
-//! Validation of settings: every number that a decision divides or multiplies by has to be sound.
+//! Validates settings: every number must be finite and in its range.
 
 use crate::api::{Settings, SettingsError};
 
-/// The smallest latency objective, in ms.
+/// Minimum latency objective in ms.
 const MIN_LATENCY_OBJECTIVE_MS: f64 = 1e-3;
 
-/// Returns an error that names the first setting by which no decision could be made. A setting is
-/// named by the path of its key in the settings file.
+/// Returns an error that names the first invalid setting by its path in the settings file.
 pub(crate) fn validate(settings: &Settings) -> Result<(), SettingsError> {
     let replicas = f64::from(settings.replica_count);
-    let replicas_after_this = replicas - f64::from(settings.replica_index) - 1.0;
+    let replicas_after_index = replicas - f64::from(settings.replica_index) - 1.0;
     let guarantees = &settings.guarantees;
     let objectives = &settings.objectives;
-    let figures = [
+    let values = [
         ("peersTotal", replicas - 1.0),
-        ("slotNo", replicas_after_this),
+        ("slotNo", replicas_after_index),
         ("tick", settings.tick),
         ("overShareWorth", settings.over_quota_priority),
         ("guarantees.coldFrom", guarantees.slow_start_floor),
@@ -31,23 +30,23 @@
         ("caps.maxRetryAfter", settings.limits.max_retry_after),
         ("classes", settings.classes.len() as f64 - 1.0),
     ];
-    for (field, figure) in figures {
-        validate_figure(figure, || field.to_string())?;
+    for (field, value) in values {
+        validate_value(value, || field.to_string())?;
     }
     for (i, class) in settings.classes.iter().enumerate() {
         let above_minimum = class.latency_objective - MIN_LATENCY_OBJECTIVE_MS;
-        validate_figure(above_minimum, || format!("classes[{i}].aim"))?;
-        validate_figure(class.priority_weight, || format!("classes[{i}].points"))?;
+        validate_value(above_minimum, || format!("classes[{i}].aim"))?;
+        validate_value(class.priority_weight, || format!("classes[{i}].points"))?;
     }
     for (i, tenant) in settings.tenants.iter().enumerate() {
-        validate_figure(tenant.quota_per_s, || format!("tenants[{i}].quotaPerS"))?;
+        validate_value(tenant.quota_per_s, || format!("tenants[{i}].quotaPerS"))?;
     }
     Ok(())
 }
 
-/// Accepts a number that is finite and not negative.
-fn validate_figure(figure: f64, field: impl FnOnce() -> String) -> Result<(), SettingsError> {
-    if figure.is_finite() && figure >= 0.0 {
+/// Returns an error unless a number is finite and not negative.
+fn validate_value(value: f64, field: impl FnOnce() -> String) -> Result<(), SettingsError> {
+    if value.is_finite() && value >= 0.0 {
         return Ok(());
     }
     Err(SettingsError {
