--- a/crates/heathroad-balancer/src/bin/heathroad-adapter/main.rs
+++ b/crates/heathroad-balancer/src/bin/heathroad-adapter/main.rs
@@ -1,6 +1,6 @@
-//! `heathroad-adapter` hosts many balancer replicas on the simulator's wire: frames on standard
-//! input, one reply to each on standard output. Bad input is one line on standard error and a
-//! non-zero exit, with no reply written.
+//! `heathroad-adapter` runs balancer replicas for the simulator: it reads frames from standard
+//! input and writes one reply per frame to standard output. On invalid input it prints one line to
+//! standard error and exits with a failure, without a reply to the invalid frame.
 
 mod wire;
 
@@ -14,10 +14,10 @@
 use std::process::ExitCode;
 use wire::{Decoder, Record, Reply, WireError};
 
-/// The bytes of the input's buffer.
+/// Size of the input buffer.
 const INPUT_BUFFER_BYTES: usize = 1 << 16;
 
-/// Why the adapter ended early.
+/// An error that ends the adapter.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
     #[error(transparent)]
@@ -26,7 +26,7 @@
     Output(#[source] io::Error),
 }
 
-/// Why a well-formed record can't be carried out.
+/// An error in processing a well-formed record.
 #[derive(Debug, thiserror::Error)]
 enum RecordError {
     #[error("instance {0} is unknown")]
@@ -34,14 +34,15 @@
     #[error(transparent)]
     UnreadableSettings(#[from] SettingsReadError),
     #[error(transparent)]
-    UnsoundSettings(#[from] SettingsError),
+    InvalidSettings(#[from] SettingsError),
 }
 
-/// The replicas that run, by instance.
+/// The running replicas.
 #[derive(Default)]
 struct Host {
+    /// The replicas by instance number.
     replicas: HashMap<u16, Balancer>,
-    /// The actions of one event; a buffer that is used again.
+    /// Reusable buffer for the actions of one event.
     actions: Vec<Action>,
 }
 
@@ -62,9 +63,7 @@
     let mut host = Host::default();
     while let Some(frame) = wire::read_frame(&mut input)? {
         let mut reply = Reply::default();
-        decoder.decode(&frame, |record| {
-            host.carry_out(frame.now, record, &mut reply)
-        })?;
+        decoder.decode(&frame, |record| host.process(frame.now, record, &mut reply))?;
         output
             .write_all(&reply.into_bytes())
             .and_then(|()| output.flush())
@@ -74,15 +73,10 @@
 }
 
 impl Host {
-    fn carry_out(
-        &mut self,
-        now: f64,
-        record: Record,
-        reply: &mut Reply,
-    ) -> Result<(), RecordError> {
+    fn process(&mut self, now: f64, record: Record, reply: &mut Reply) -> Result<(), RecordError> {
         match record {
             Record::EndpointPage => Ok(()),
-            Record::Unused { instance } => self.replica(instance).map(drop),
+            Record::Ignored { instance } => self.replica(instance).map(drop),
             Record::Launch {
                 instance,
                 seed,
@@ -110,7 +104,8 @@
         Ok(())
     }
 
-    /// Hands an event to its replica. A panic there is reported in the reply and ends nothing else.
+    /// Delivers an event to its replica. A panic of the replica is reported in the reply; the other
+    /// replicas continue.
     fn handle_event(
         &mut self,
         now: f64,
@@ -124,15 +119,16 @@
         let run = AssertUnwindSafe(|| replica.handle_event(now, event, &mut actions));
         match catch_unwind(run) {
             Ok(()) => actions.iter().for_each(|a| reply.push(instance, a)),
-            Err(panic) => reply.push_fatal(instance, panic_text(&*panic)),
+            Err(panic) => reply.push_fatal(instance, panic_message(&*panic)),
         }
         self.actions = actions;
         Ok(())
     }
 }
 
-fn panic_text(panic: &(dyn Any + Send)) -> &str {
-    let text = panic.downcast_ref::<String>().map(String::as_str);
-    text.or_else(|| panic.downcast_ref::<&str>().copied())
-        .unwrap_or("panic without a text")
+fn panic_message(panic: &(dyn Any + Send)) -> &str {
+    let message = panic.downcast_ref::<String>().map(String::as_str);
+    message
+        .or_else(|| panic.downcast_ref::<&str>().copied())
+        .unwrap_or("panic without a message")
 }
--- a/crates/heathroad-balancer/src/bin/heathroad-adapter/wire/decoder.rs
+++ b/crates/heathroad-balancer/src/bin/heathroad-adapter/wire/decoder.rs
@@ -1,4 +1,4 @@
-//! Records: what a frame tells the instances.
+//! Decodes the records of a frame.
 
 use super::error::WireError;
 use super::frame::{Frame, HEADER_BYTES};
@@ -6,10 +6,10 @@
 use heathroad_balancer::api::{AttemptResult, Endpoint, Event, RequestArrival, UpdateKind};
 use std::error::Error;
 
-/// The numbered endpoint lists that a process may hold.
+/// Maximum number of endpoint pages.
 const MAX_PAGES: usize = 16;
 
-/// The codes of records.
+/// Record codes.
 mod code {
     pub const LAUNCH: u16 = 1;
     pub const ENDPOINT_UPDATE: u16 = 2;
@@ -24,26 +24,26 @@
     pub const ENDPOINT_PAGE: u16 = 11;
 }
 
-/// One record.
+/// A decoded record.
 pub enum Record {
-    /// An instance starts.
+    /// Start an instance.
     Launch {
         /// The instance.
         instance: u16,
-        /// The seed of its random numbers.
+        /// The seed of its random number generator.
         seed: u64,
-        /// Its settings, as JSON text.
+        /// Its settings as JSON text.
         settings: Vec<u8>,
     },
-    /// An instance was killed.
+    /// Remove an instance.
     Shutdown {
         /// The instance.
         instance: u16,
     },
-    /// A numbered endpoint list, which the decoder keeps.
+    /// An endpoint page, which the decoder has stored.
     EndpointPage,
-    /// Something that no decision uses; only its form was checked.
-    Unused {
+    /// A valid record that the balancer does not use.
+    Ignored {
         /// The instance.
         instance: u16,
     },
@@ -56,15 +56,15 @@
     },
 }
 
-/// Decodes records, and holds the numbered endpoint lists, which belong to the process and outlive
-/// a frame.
+/// Decodes records and stores endpoint pages: numbered endpoint lists that all instances share and
+/// that remain valid across frames.
 #[derive(Default)]
 pub struct Decoder {
     pages: [Option<Vec<Endpoint>>; MAX_PAGES],
 }
 
 impl Decoder {
-    /// Decodes a frame record by record and hands each to `handle`, in order.
+    /// Decodes the records of a frame and passes each to `handle`, in order.
     pub fn decode<E>(
         &mut self,
         frame: &Frame,
@@ -118,15 +118,15 @@
             },
             code::ATTEMPT_STARTED => {
                 skip_attempt_started(reader)?;
-                return Ok(Record::Unused { instance });
+                return Ok(Record::Ignored { instance });
             }
             code::HEALTH_CHECK => {
                 skip_health_check(reader)?;
-                return Ok(Record::Unused { instance });
+                return Ok(Record::Ignored { instance });
             }
             code::PEER_MESSAGE => {
                 skip_peer_message(reader)?;
-                return Ok(Record::Unused { instance });
+                return Ok(Record::Ignored { instance });
             }
             _ => return Ok(Record::Shutdown { instance }),
         };
--- a/crates/heathroad-balancer/src/bin/heathroad-adapter/wire/frame.rs
+++ b/crates/heathroad-balancer/src/bin/heathroad-adapter/wire/frame.rs
@@ -1,25 +1,25 @@
-//! Frames: one batch of records with its clock.
+//! Reads frames: batches of records with a clock time.
 
 use super::error::WireError;
 use super::reader::Reader;
 use std::io::Read;
 
-/// The bytes of a frame's header.
+/// Size of a frame's header.
 pub const HEADER_BYTES: usize = 16;
-/// The bytes of the clock, the part of the header that the frame's length counts.
+/// Size of the clock, which is part of the header but included in the frame's length.
 const CLOCK_BYTES: usize = 8;
 
-/// One batch as it came.
+/// A frame with undecoded records.
 pub struct Frame {
-    /// The clock, in milliseconds.
+    /// The clock time in milliseconds.
     pub now: f64,
     /// The number of records.
     pub count: u32,
-    /// The records.
+    /// The encoded records.
     pub body: Vec<u8>,
 }
 
-/// Reads a frame; `None` at a clean end of the input.
+/// Reads a frame. Returns `None` if the input ends before it.
 pub fn read_frame(input: &mut impl Read) -> Result<Option<Frame>, WireError> {
     let header = read_up_to(input, HEADER_BYTES)?;
     if header.is_empty() {
@@ -36,7 +36,7 @@
     let length = reader.u32("length")? as usize;
     let now = reader.f64("clock")?;
     let Some(length) = length.checked_sub(CLOCK_BYTES) else {
-        return Err(WireError::LengthWithoutClock { length });
+        return Err(WireError::LengthTooShort { length });
     };
     let body = read_up_to(input, length)?;
     if body.len() < length {
@@ -48,7 +48,7 @@
     Ok(Some(Frame { now, count, body }))
 }
 
-/// Reads so many bytes, or fewer at the end of the input.
+/// Reads `length` bytes, or fewer if the input ends.
 fn read_up_to(input: &mut impl Read, length: usize) -> Result<Vec<u8>, WireError> {
     let mut bytes = Vec::new();
     input
--- a/crates/heathroad-balancer/src/bin/heathroad-adapter/wire/mod.rs
+++ b/crates/heathroad-balancer/src/bin/heathroad-adapter/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The simulator's binary wire: frames in, replies out. It translates and decides nothing.
+//! The simulator's binary protocol: decodes frames and encodes replies.
 
 mod decoder;
 mod error;
--- a/crates/heathroad-balancer/src/bin/heathroad-adapter/wire/reader.rs
+++ b/crates/heathroad-balancer/src/bin/heathroad-adapter/wire/reader.rs
@@ -1,13 +1,13 @@
-//! Fields of the wire, read one after another; little-endian.
+//! Reads the little-endian fields of the protocol.
 
 use super::error::WireError;
 use heathroad_balancer::api::{Endpoint, EndpointState, Outcome};
 
-/// Reads fields from bytes, and knows its position for errors.
+/// Reads fields from a byte slice and tracks the position for error messages.
 pub struct Reader<'a> {
     bytes: &'a [u8],
     offset: usize,
-    /// The position of the first byte in the frame.
+    /// The position of the slice in the frame.
     start: usize,
 }
 
@@ -20,12 +20,12 @@
         }
     }
 
-    /// Returns the position in the frame.
+    /// Returns the current position in the frame.
     pub fn position(&self) -> usize {
         self.start + self.offset
     }
 
-    /// Returns how many bytes are left.
+    /// Returns the number of unread bytes.
     pub fn remaining(&self) -> usize {
         self.bytes.len() - self.offset
     }
@@ -43,7 +43,7 @@
 
     fn array<const N: usize>(&mut self, field: &'static str) -> Result<[u8; N], WireError> {
         let bytes = self.bytes(N, field)?;
-        Ok(bytes.try_into().expect("so many bytes were read"))
+        Ok(bytes.try_into().expect("exactly N bytes were read"))
     }
 
     pub fn u8(&mut self, field: &'static str) -> Result<u8, WireError> {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Skips a load report, which no decision uses.
+    /// Skips a load report, which the balancer does not use.
     pub fn skip_load_report(&mut self) -> Result<(), WireError> {
         let count = self.u8("healthInfo")?;
         for _ in 0..count {
--- a/crates/heathroad-balancer/src/bin/heathroad-adapter/wire/reply.rs
+++ b/crates/heathroad-balancer/src/bin/heathroad-adapter/wire/reply.rs
@@ -1,11 +1,11 @@
-//! Replies: the actions of the instances, in answer to a frame.
+//! Encodes replies: the actions of the instances in response to a frame.
 
 use heathroad_balancer::api::Action;
 
-/// The bytes of the reply's length, which stands in front.
+/// Size of the length prefix of a reply.
 const LENGTH_BYTES: usize = 4;
 
-/// The codes of actions.
+/// Action codes.
 mod code {
     pub const SEND: u16 = 1;
     pub const REJECT: u16 = 2;
@@ -17,7 +17,7 @@
     pub const WATCH_ENDPOINTS: u16 = 11;
 }
 
-/// A reply under construction; its length is set when it is finished.
+/// A reply under construction; the length prefix is set by [`into_bytes`](Self::into_bytes).
 pub struct Reply {
     bytes: Vec<u8>,
 }
@@ -31,15 +31,15 @@
 }
 
 impl Reply {
-    /// Reports that the decision code of an instance panicked.
-    pub fn push_fatal(&mut self, instance: u16, text: &str) {
-        self.push_head(code::FATAL, instance);
-        self.push_counted(text.as_bytes());
+    /// Adds a report that an instance panicked.
+    pub fn push_fatal(&mut self, instance: u16, message: &str) {
+        self.push_header(code::FATAL, instance);
+        self.push_length_prefixed(message.as_bytes());
     }
 
     /// Adds an action of an instance.
     pub fn push(&mut self, instance: u16, action: &Action) {
-        self.push_head(action_code(action), instance);
+        self.push_header(action_code(action), instance);
         let bytes = &mut self.bytes;
         match action {
             Action::Send {
@@ -72,20 +72,20 @@
         }
     }
 
-    /// Returns the whole reply.
+    /// Returns the encoded reply.
     pub fn into_bytes(mut self) -> Vec<u8> {
         let length = (self.bytes.len() - LENGTH_BYTES) as u32;
         self.bytes[..LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
         self.bytes
     }
 
-    fn push_head(&mut self, code: u16, instance: u16) {
+    fn push_header(&mut self, code: u16, instance: u16) {
         self.bytes.extend(code.to_le_bytes());
         self.bytes.extend(instance.to_le_bytes());
     }
 
-    /// Adds counted bytes, cut to what the count can hold.
-    fn push_counted(&mut self, bytes: &[u8]) {
+    /// Adds bytes with their length, truncated to the maximum length.
+    fn push_length_prefixed(&mut self, bytes: &[u8]) {
         let length = bytes.len().min(usize::from(u16::MAX));
         self.bytes.extend((length as u16).to_le_bytes());
         self.bytes.extend(&bytes[..length]);
