--- a/crates/heathroad-balancer/tests/wire.rs
+++ b/crates/heathroad-balancer/tests/wire.rs
@@ -1,42 +1,55 @@
-//! The adapter through the built binary: what it answers, and what bad input gets.
+//! Runs the built adapter on frames, and checks its replies and its errors on invalid input.
 
+use serde_json::{Value, json};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn host(input: &[u8]) -> Output {
+/// The instance that the records refer to.
+const INSTANCE: u16 = 3;
+/// The clock time of each frame, in ms.
+const CLOCK: f64 = 8256.25;
+
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_heathroad-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may end before it has read everything; that is its answer.
+    // Fails if the adapter exits before it has read all input.
     let _ = child.stdin.take().expect("piped").write_all(input);
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the adapter exits")
 }
 
-const CLOCK: f64 = 8256.25;
+fn assert_success(output: &Output) {
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+}
 
 fn frame(records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
-    let mut f = (records.len() as u32).to_le_bytes().to_vec();
-    f.extend((body.len() as u32 + 8).to_le_bytes());
-    f.extend(CLOCK.to_le_bytes());
-    f.extend(body);
-    f
+    let mut frame = (records.len() as u32).to_le_bytes().to_vec();
+    frame.extend((body.len() as u32 + 8).to_le_bytes());
+    frame.extend(CLOCK.to_le_bytes());
+    frame.extend(body);
+    frame
 }
 
-fn head(code: u16, instance: u16) -> Vec<u8> {
+/// Returns the header of a record or action.
+fn header(code: u16, instance: u16) -> Vec<u8> {
     [code.to_le_bytes(), instance.to_le_bytes()].concat()
 }
 
-fn with(mut record: Vec<u8>, fields: &[&[u8]]) -> Vec<u8> {
-    fields.iter().for_each(|f| record.extend(*f));
+fn with_fields(mut record: Vec<u8>, fields: &[&[u8]]) -> Vec<u8> {
+    fields.iter().for_each(|field| record.extend(*field));
     record
 }
 
-fn facts() -> serde_json::Value {
-    serde_json::json!({
+fn settings() -> Value {
+    json!({
         "slotNo": 0, "peersTotal": 1, "tier": 0, "locality": 0, "tick": 5.0, "overShareWorth": 0.05,
         "discovery": "automatic", "weights": "silent", "tenants": [{"quotaPerS": 10.0}], "someNewKey": -1,
         "classes": [{"aim": 500.0, "giveUp": 2000.0, "points": 1.0, "lateWorth": 0.0,
@@ -49,220 +62,229 @@
     })
 }
 
-fn launch(facts: &str) -> Vec<u8> {
-    with(
-        head(1, 3),
+fn launch(settings: &str) -> Vec<u8> {
+    with_fields(
+        header(1, INSTANCE),
         &[
             &7u64.to_le_bytes(),
-            &(facts.len() as u32).to_le_bytes(),
-            facts.as_bytes(),
+            &(settings.len() as u32).to_le_bytes(),
+            settings.as_bytes(),
         ],
     )
 }
 
-fn census(page: u32, backends: &[u32]) -> Vec<u8> {
-    let mut r = with(
+fn endpoint_page(page: u32, backends: &[u32]) -> Vec<u8> {
+    let mut record = with_fields(
         11u16.to_le_bytes().to_vec(),
         &[&page.to_le_bytes(), &(backends.len() as u32).to_le_bytes()],
     );
-    for b in backends {
-        let (zone, started, weight) = (0u16.to_le_bytes(), 0f64.to_le_bytes(), 1f32.to_le_bytes());
-        r = with(
-            r,
+    for backend in backends {
+        let state = [0];
+        let (zone, started_at, weight) =
+            (0u16.to_le_bytes(), 0f64.to_le_bytes(), 1f32.to_le_bytes());
+        let (cell, hardware) = ([0, 0], [0, 0]);
+        let backend = backend.to_le_bytes();
+        record = with_fields(
+            record,
             &[
-                &[0],
-                &b.to_le_bytes(),
+                &state,
+                &backend,
                 &zone,
-                &started,
+                &started_at,
                 &weight,
-                &[0, 0],
-                &[0, 0],
+                &cell,
+                &hardware,
             ],
         );
     }
-    r
+    record
 }
 
-fn discovery(page: u32, kind: u8) -> Vec<u8> {
-    with(
-        head(2, 3),
-        &[&page.to_le_bytes(), &[kind], &1u64.to_le_bytes()],
+fn endpoint_update(page: u32, kind: u8) -> Vec<u8> {
+    let serial = 1u64.to_le_bytes();
+    with_fields(
+        header(2, INSTANCE),
+        &[&page.to_le_bytes(), &[kind], &serial],
     )
 }
 
-fn ingress(xid: u64) -> Vec<u8> {
-    ingress_of(xid, 0)
+/// Returns a frame that launches the instance with backend 11 on page 1.
+fn launch_frame() -> Vec<u8> {
+    frame(&[
+        launch(&settings().to_string()),
+        endpoint_page(1, &[11]),
+        endpoint_update(1, 3),
+    ])
+}
+
+fn request(id: u64) -> Vec<u8> {
+    request_with_key(id, 0)
 }
 
-fn ingress_of(xid: u64, key: u64) -> Vec<u8> {
+fn request_with_key(id: u64, key: u64) -> Vec<u8> {
     let deadline = CLOCK + 2000.0;
-    let (key, hint) = (key.to_le_bytes(), 0f64.to_le_bytes());
-    with(
-        head(3, 3),
+    let (class, state_bits, tenant) = ([0, 0], [0], [0, 0]);
+    let (key, predicted) = (key.to_le_bytes(), 0f64.to_le_bytes());
+    with_fields(
+        header(3, INSTANCE),
         &[
-            &xid.to_le_bytes(),
+            &id.to_le_bytes(),
             &key,
-            &[0, 0],
-            &[0],
-            &hint,
-            &[0, 0],
+            &class,
+            &state_bits,
+            &predicted,
+            &tenant,
             &deadline.to_le_bytes(),
         ],
     )
 }
 
-fn replies(out: &[u8]) -> Vec<Vec<u8>> {
-    let (mut at, mut all) = (0, Vec::new());
-    while at < out.len() {
-        let n = u32::from_le_bytes(out[at..at + 4].try_into().unwrap()) as usize;
-        all.push(out[at + 4..at + 4 + n].to_vec());
-        at += 4 + n;
+/// Splits the output into replies.
+fn replies(output: &[u8]) -> Vec<Vec<u8>> {
+    let (mut at, mut replies) = (0, Vec::new());
+    while at < output.len() {
+        let length = u32::from_le_bytes(output[at..at + 4].try_into().unwrap()) as usize;
+        replies.push(output[at + 4..at + 4 + length].to_vec());
+        at += 4 + length;
     }
-    all
+    replies
 }
 
+/// A page may be redefined within a frame; an update uses the latest preceding definition.
 #[test]
-fn a_request_is_sent_to_the_backend_of_the_latest_page() {
-    let start = frame(&[
-        launch(&facts().to_string()),
-        census(1, &[11]),
-        discovery(1, 3),
-    ]);
-    // The page is used again within a batch: the number means the newer list from there on.
+fn endpoint_update_uses_the_latest_page() {
     let next = frame(&[
-        census(1, &[22]),
-        discovery(1, 0),
-        census(1, &[33]),
-        ingress(99),
+        endpoint_page(1, &[22]),
+        endpoint_update(1, 0),
+        endpoint_page(1, &[33]),
+        request(99),
     ]);
-    let out = host(&[start, next].concat());
-    assert!(
-        out.status.success(),
-        "{}",
-        String::from_utf8_lossy(&out.stderr)
+    let output = run_adapter(&[launch_frame(), next].concat());
+    assert_success(&output);
+    let replies = replies(&output.stdout);
+    assert_eq!(replies.len(), 2, "one reply per frame");
+    let mut send = with_fields(
+        header(1, INSTANCE),
+        &[&99u64.to_le_bytes(), &22u32.to_le_bytes()],
     );
-    let replies = replies(&out.stdout);
-    assert_eq!(replies.len(), 2, "one reply to each batch");
-    let mut sent = with(head(1, 3), &[&99u64.to_le_bytes(), &22u32.to_le_bytes()]);
-    sent.extend((CLOCK + 2000.0).to_le_bytes());
-    assert_eq!(replies[1], sent);
+    send.extend((CLOCK + 2000.0).to_le_bytes());
+    assert_eq!(replies[1], send);
 }
 
-/// The rules' further settings and the request's key reach the module: order per key, closing on
-/// drains.
+/// The request's key and the settings for ordering and for closing idle connections reach the
+/// balancer.
 #[test]
-fn order_and_closing_pass_through() {
-    let start = frame(&[
-        launch(&facts().to_string()),
-        census(1, &[11]),
-        discovery(1, 3),
-    ]);
-    let two = frame(&[ingress_of(1, 77), ingress_of(2, 77)]);
-    let mut drained = census(2, &[11]);
-    drained[10] = 2; // the phase of its only entry
-    let out = host(&[start, two, frame(&[drained, discovery(2, 1)])].concat());
-    assert!(
-        out.status.success(),
-        "{}",
-        String::from_utf8_lossy(&out.stderr)
-    );
-    let replies = replies(&out.stdout);
+fn ordering_and_idle_closing_take_effect() {
+    let same_key = frame(&[request_with_key(1, 77), request_with_key(2, 77)]);
+    let mut draining = endpoint_page(2, &[11]);
+    draining[10] = 2; // the state of the only endpoint
+    let drain = frame(&[draining, endpoint_update(2, 1)]);
+    let output = run_adapter(&[launch_frame(), same_key, drain].concat());
+    assert_success(&output);
+    let replies = replies(&output.stdout);
+    assert_eq!(replies[1].len(), 24, "a single attempt: {:?}", replies[1]);
     assert_eq!(
-        replies[1].len(),
-        24,
-        "one attempt and no more: {:?}",
-        replies[1]
+        replies[2],
+        with_fields(header(7, INSTANCE), &[&11u32.to_le_bytes()])
     );
-    assert_eq!(replies[2], with(head(7, 3), &[&11u32.to_le_bytes()]));
 }
 
 #[test]
-fn a_clean_end_of_input_exits_zero() {
-    let out = host(&[]);
-    assert!(out.status.success() && out.stdout.is_empty());
-    let out = host(&frame(&[]));
-    assert!(out.status.success());
-    assert_eq!(out.stdout, [0, 0, 0, 0]);
+fn end_of_input_exits_with_success() {
+    let output = run_adapter(&[]);
+    assert!(output.status.success() && output.stdout.is_empty());
+    let output = run_adapter(&frame(&[]));
+    assert!(output.status.success());
+    assert_eq!(output.stdout, [0, 0, 0, 0]);
+}
+
+/// Checks that the adapter rejects an input without a reply, with one line on standard error that
+/// contains all of `words`.
+fn assert_rejected(input: &[u8], words: &[&str]) {
+    let output = run_adapter(input);
+    let error = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(1), "{words:?}: {error}");
+    assert!(output.stdout.is_empty(), "{words:?}: a reply was written");
+    assert_eq!(error.lines().count(), 1, "{words:?}: {error}");
+    for word in words {
+        assert!(error.contains(word), "no '{word}' in the error: {error}");
+    }
 }
 
 #[test]
-fn bad_input_is_one_line_and_no_reply() {
-    let good = frame(&[
-        launch(&facts().to_string()),
-        census(1, &[11]),
-        discovery(1, 3),
-    ]);
-    let with_facts = |change: &dyn Fn(&mut serde_json::Value)| {
-        let mut f = facts();
-        change(&mut f);
-        frame(&[launch(&f.to_string())])
-    };
-    let mut long = frame(&[census(1, &[11])]);
-    long[4] += 4;
-    long.extend([0; 4]);
-    let mut short = frame(&[]);
-    short[4] = 3;
-    let mut clock = frame(&[]);
-    clock[8..16].copy_from_slice(&f64::NAN.to_le_bytes());
-    let cases: Vec<(Vec<u8>, &[&str])> = vec![
-        (good[..10].to_vec(), &["frame", "header", "10 of 16"]),
-        (good[..good.len() - 3].to_vec(), &["frame", "truncated"]),
-        (short, &["byte 4", "length 3"]),
-        (clock, &["byte 8", "clock"]),
-        (long, &["4 bytes left over"]),
-        (frame(&[head(44, 3)]), &["record 0", "byte 16", "event 44"]),
-        (frame(&[census(16, &[])]), &["page 16"]),
-        (
-            frame(&[with(head(6, 3), &[&[1, 2, 3]])]),
-            &["byte 20", "xid"],
-        ),
-        (frame(&[ingress(1)]), &["instance 3"]),
-        (frame(&[head(10, 3)]), &["instance 3"]),
-        (
-            frame(&[launch(&facts().to_string()), discovery(5, 0)]),
-            &["record 1", "page 5", "never defined"],
-        ),
-        (
-            frame(&[launch(&facts().to_string()), discovery(5, 9)]),
-            &["list kind 9"],
-        ),
-        (frame(&[launch("{nonsense")]), &["record 0", "settings"]),
-        (
-            with_facts(&|f| drop(f.as_object_mut().unwrap().remove("tick"))),
-            &["settings", "tick"],
-        ),
+fn malformed_frames_are_rejected() {
+    let valid = launch_frame();
+    let mut too_long = frame(&[endpoint_page(1, &[11])]);
+    too_long[4] += 4;
+    too_long.extend([0; 4]);
+    let mut too_short = frame(&[]);
+    too_short[4] = 3;
+    let mut nan_clock = frame(&[]);
+    nan_clock[8..16].copy_from_slice(&f64::NAN.to_le_bytes());
+    assert_rejected(&valid[..10], &["frame", "header", "10 of 16"]);
+    assert_rejected(&valid[..valid.len() - 3], &["frame", "truncated"]);
+    assert_rejected(&too_short, &["byte 4", "length 3"]);
+    assert_rejected(&nan_clock, &["byte 8", "clock"]);
+    assert_rejected(&too_long, &["4 bytes left over"]);
+}
+
+#[test]
+fn invalid_records_are_rejected() {
+    let launch = launch(&settings().to_string());
+    let cases: [(&[Vec<u8>], &[&str]); 7] = [
         (
-            with_facts(&|f| f["classes"][0]["aim"] = (-4.0).into()),
-            &["classes[0].aim", "negative"],
+            &[header(44, INSTANCE)],
+            &["record 0", "byte 16", "event 44"],
         ),
+        (&[endpoint_page(16, &[])], &["page 16"]),
         (
-            with_facts(&|f| f["guarantees"]["cold"] = "x".into()),
-            &["guarantees.cold"],
+            &[with_fields(header(6, INSTANCE), &[&[1, 2, 3]])],
+            &["byte 20", "xid"],
         ),
-        (with_facts(&|f| f["slotNo"] = 5.into()), &["slotNo"]),
+        (&[request(1)], &["instance 3"]),
+        (&[header(10, INSTANCE)], &["instance 3"]),
         (
-            frame(&[launch(&facts().to_string().replace("500.0", "1e999"))]),
-            &["settings"],
+            &[launch.clone(), endpoint_update(5, 0)],
+            &["record 1", "page 5", "never defined"],
         ),
+        (&[launch, endpoint_update(5, 9)], &["list kind 9"]),
     ];
-    for (input, words) in cases {
-        let out = host(&input);
-        let error = String::from_utf8_lossy(&out.stderr);
-        assert_eq!(out.status.code(), Some(1), "{words:?}: {error}");
-        assert!(out.stdout.is_empty(), "{words:?}: a reply was begun");
-        assert_eq!(error.lines().count(), 1, "{words:?}: {error}");
-        words
-            .iter()
-            .for_each(|w| assert!(error.contains(w), "'{w}' is not named: {error}"));
+    for (records, words) in cases {
+        assert_rejected(&frame(records), words);
     }
 }
 
-/// Events that no decision needs are read whole and passed over, for instances that run.
 #[test]
-fn unused_events_are_passed_over() {
-    let first_byte = |i| {
-        with(
-            head(4, i),
+fn invalid_settings_are_rejected() {
+    let launch_with = |change: &dyn Fn(&mut Value)| {
+        let mut settings = settings();
+        change(&mut settings);
+        frame(&[launch(&settings.to_string())])
+    };
+    assert_rejected(&frame(&[launch("{nonsense")]), &["record 0", "settings"]);
+    assert_rejected(
+        &launch_with(&|s| drop(s.as_object_mut().unwrap().remove("tick"))),
+        &["settings", "tick"],
+    );
+    assert_rejected(
+        &launch_with(&|s| s["classes"][0]["aim"] = (-4.0).into()),
+        &["classes[0].aim", "negative"],
+    );
+    assert_rejected(
+        &launch_with(&|s| s["guarantees"]["cold"] = "x".into()),
+        &["guarantees.cold"],
+    );
+    assert_rejected(&launch_with(&|s| s["slotNo"] = 5.into()), &["slotNo"]);
+    let infinite = settings().to_string().replace("500.0", "1e999");
+    assert_rejected(&frame(&[launch(&infinite)]), &["settings"]);
+}
+
+/// Records that the balancer does not use are read completely, for known instances only.
+#[test]
+fn unused_records_are_ignored() {
+    let attempt_started = |instance| {
+        with_fields(
+            header(4, instance),
             &[
                 &1u64.to_le_bytes(),
                 &[0],
@@ -271,29 +293,26 @@
             ],
         )
     };
-    let report = [&[1u8][..], &0.5f32.to_le_bytes()].concat();
-    let sampled = with(
-        head(8, 3),
-        &[&5f64.to_le_bytes(), &11u32.to_le_bytes(), &[0, 0], &report],
+    let load_report = [&[1u8][..], &0.5f32.to_le_bytes()].concat();
+    let health_check = with_fields(
+        header(8, INSTANCE),
+        &[
+            &5f64.to_le_bytes(),
+            &11u32.to_le_bytes(),
+            &[0, 0],
+            &load_report,
+        ],
     );
-    let datagram = with(
-        head(9, 3),
+    let peer_message = with_fields(
+        header(9, INSTANCE),
         &[&1u32.to_le_bytes(), &2u16.to_le_bytes(), b"hi"],
     );
-    let start = frame(&[
-        launch(&facts().to_string()),
-        census(1, &[11]),
-        discovery(1, 3),
-    ]);
-    let rest = frame(&[first_byte(3), sampled, datagram]);
-    let out = host(&[start.clone(), rest].concat());
-    assert!(
-        out.status.success(),
-        "{}",
-        String::from_utf8_lossy(&out.stderr)
-    );
-    assert_eq!(replies(&out.stdout)[1], Vec::<u8>::new());
-    let out = host(&[start, frame(&[first_byte(8)])].concat());
-    assert_eq!(out.status.code(), Some(1));
-    assert!(String::from_utf8_lossy(&out.stderr).contains("instance 8 is unknown"));
+    let unused = frame(&[attempt_started(INSTANCE), health_check, peer_message]);
+    let output = run_adapter(&[launch_frame(), unused].concat());
+    assert_success(&output);
+    assert_eq!(replies(&output.stdout)[1], Vec::<u8>::new());
+    let unknown = frame(&[attempt_started(8)]);
+    let output = run_adapter(&[launch_frame(), unknown].concat());
+    assert_eq!(output.status.code(), Some(1));
+    assert!(String::from_utf8_lossy(&output.stderr).contains("instance 8 is unknown"));
 }
