--- a/crates/heathroad-balancer/src/api.rs
+++ b/crates/heathroad-balancer/src/api.rs
@@ -26,7 +26,7 @@
     pub zone: u16,
     /// The shortest interval at which the proxy delivers events.
     pub tick: f64,
-    /// Requests may carry a priority share set by an upstream proxy.
+    /// Requests may carry a priority share set by the proxy that sent them.
     pub priority_forwarded: bool,
     /// The endpoint list is polled ([`Action::WatchEndpoints`]) instead of pushed.
     pub polls_endpoints: bool,
--- a/crates/heathroad-balancer/src/balancer.rs
+++ b/crates/heathroad-balancer/src/balancer.rs
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Returns the priority of a request as a share of its class's weight, to forward downstream.
+    /// Returns the priority of a request as a share of its class's weight, to be forwarded with it.
     pub fn priority_share(&self, request: RequestId) -> f64 {
         let request = self.requests.get(&request);
         let is_low = request.is_some_and(|r| r.slice != self.slices.index(r.class, false));
@@ -132,8 +132,8 @@
 
     /// Sets how many balancers of one proxy send to the same backends. Each uses an equal part of
     /// a backend's slow-start budget.
-    pub fn share_slow_start_budget(&mut self, sharers: usize) {
-        self.slow_start_sharers = sharers.max(1) as f64;
+    pub fn share_slow_start_budget(&mut self, balancers: usize) {
+        self.slow_start_sharers = balancers.max(1) as f64;
     }
 
     /// Raises the limit to at least `limit`, for a value that was learned earlier.
--- a/crates/heathroad-balancer/src/dispatch.rs
+++ b/crates/heathroad-balancer/src/dispatch.rs
@@ -144,11 +144,11 @@
             return;
         }
         let request = &self.requests[&id];
-        // A request without attempts left must not be requeued: it would never be sent and would
-        // block the head of its queue.
-        let has_attempts =
+        // A request without attempts left must not be requeued: it would never be sent, and would
+        // block its queue.
+        let has_attempts_left =
             request.attempts.len() < self.max_attempts() && request.retries_left != Some(0);
-        if progress.never_executed && now < request.queue_deadline && has_attempts {
+        if progress.never_executed && now < request.queue_deadline && has_attempts_left {
             let slice = request.slice;
             return self.slices[slice].queue.push_back(id);
         }
--- a/crates/heathroad-balancer/src/policy/admission.rs
+++ b/crates/heathroad-balancer/src/policy/admission.rs
@@ -9,7 +9,7 @@
 const QUEUE_TIME_AT_FIRST_TIER: f64 = 0.125;
 /// Maximum queueing time at the other tiers, in latency objectives.
 const QUEUE_TIME_AT_INNER_TIERS: f64 = 0.5;
-/// Minimum advertised retry delay, in latency objectives; jitter up to doubles it.
+/// Minimum advertised retry delay, in latency objectives; jitter adds up to as much again.
 const RETRY_DELAY: f64 = 0.125;
 /// Priority share below which a request belongs to its class's low-priority slice.
 const LOW_PRIORITY_SHARE: f64 = 0.5;
@@ -145,8 +145,8 @@
                 let Some(&id) = self.slices[slice].queue.front() else {
                     break;
                 };
-                let is_open = self.requests.contains_key(&id);
-                if is_open && !self.send(now, id, actions) {
+                let is_known = self.requests.contains_key(&id);
+                if is_known && !self.send(now, id, actions) {
                     break;
                 }
                 self.slices[slice].queue.pop_front();
--- a/crates/heathroad-balancer/src/policy/retry.rs
+++ b/crates/heathroad-balancer/src/policy/retry.rs
@@ -56,15 +56,15 @@
         let request = &self.requests[&id];
         // The retries of a request that carries a retry budget were granted by the proxy where it
         // entered.
-        let is_free = never_executed || request.retries_left.is_some();
+        let needs_no_token = never_executed || request.retries_left.is_some();
         let in_time = now + self.settings.tick < request.deadline;
-        let has_attempts = request.attempts.len() < self.max_attempts();
-        let allowed = has_attempts
+        let has_attempts_left = request.attempts.len() < self.max_attempts();
+        let allowed = has_attempts_left
             && in_time
             && self.is_repeat_allowed(now, id)
-            && (is_free || self.retry_tokens.is_available());
+            && (needs_no_token || self.retry_tokens.is_available());
         let sent = allowed && self.send(now, id, actions);
-        if sent && !is_free {
+        if sent && !needs_no_token {
             self.retry_tokens.withdraw();
         }
         sent
--- a/crates/heathroad-balancer/src/settings.rs
+++ b/crates/heathroad-balancer/src/settings.rs
@@ -60,7 +60,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct SettingsText {
+struct SettingsJson {
     #[serde(rename = "slotNo")]
     replica_index: u32,
     #[serde(rename = "peersTotal")]
@@ -74,20 +74,20 @@
     tick: f64,
     #[serde(rename = "overShareWorth", deserialize_with = "non_negative")]
     over_quota_priority: f64,
-    discovery: DiscoveryText,
-    classes: Vec<ClassText>,
-    tenants: Vec<TenantText>,
+    discovery: DiscoveryJson,
+    classes: Vec<ClassJson>,
+    tenants: Vec<TenantJson>,
     #[serde(rename = "caps")]
-    limits: LimitsText,
-    guarantees: GuaranteesText,
+    limits: LimitsJson,
+    guarantees: GuaranteesJson,
     #[serde(default)]
-    goal: GoalText,
+    goal: GoalJson,
     #[serde(default)]
-    prices: PricesText,
+    prices: PricesJson,
 }
 
 #[derive(Deserialize)]
-enum DiscoveryText {
+enum DiscoveryJson {
     #[serde(rename = "automatic")]
     Pushed,
     #[serde(rename = "subscribe")]
@@ -96,7 +96,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct ClassText {
+struct ClassJson {
     #[serde(default)]
     name: String,
     #[serde(rename = "aim", deserialize_with = "non_negative")]
@@ -104,9 +104,9 @@
     #[serde(rename = "points", deserialize_with = "non_negative")]
     priority_weight: f64,
     #[serde(rename = "semantics")]
-    idempotency: IdempotencyText,
+    idempotency: IdempotencyJson,
     #[serde(rename = "group")]
-    scope: ScopeText,
+    scope: ScopeJson,
     #[serde(deserialize_with = "non_negative")]
     window: f64,
     #[serde(default, rename = "fifoByKey")]
@@ -114,7 +114,7 @@
 }
 
 #[derive(Deserialize)]
-enum IdempotencyText {
+enum IdempotencyJson {
     #[serde(rename = "retryable")]
     Idempotent,
     #[serde(rename = "dedup")]
@@ -125,7 +125,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-enum ScopeText {
+enum ScopeJson {
     All,
     Zone,
     Cell,
@@ -133,7 +133,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct TenantText {
+struct TenantJson {
     #[serde(default)]
     name: String,
     #[serde(deserialize_with = "non_negative")]
@@ -142,7 +142,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct LimitsText {
+struct LimitsJson {
     #[serde(rename = "cancelling")]
     cancellation: bool,
     retry_after: bool,
@@ -162,7 +162,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct GuaranteesText {
+struct GuaranteesJson {
     #[serde(rename = "coldFrom", deserialize_with = "non_negative")]
     slow_start_floor: f64,
     #[serde(rename = "cold", deserialize_with = "non_negative")]
@@ -189,14 +189,14 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct GoalText {
+struct GoalJson {
     #[serde(rename = "worstClass", deserialize_with = "non_negative")]
     worst_class_weight: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct PricesText {
+struct PricesJson {
     #[serde(rename = "crossZone", deserialize_with = "non_negative")]
     cross_zone_price: f64,
 }
@@ -222,16 +222,16 @@
 where
     D: Deserializer<'de, Error = serde_json::Error>,
 {
-    let text: SettingsText =
+    let settings: SettingsJson =
         serde_path_to_error::deserialize(json).map_err(SettingsReadError::InvalidValue)?;
-    let site = text.site();
+    let site = settings.site();
     Ok(InstanceSettings {
-        balancer: text.into_balancer(),
+        balancer: settings.into_balancer(),
         site,
     })
 }
 
-impl SettingsText {
+impl SettingsJson {
     fn site(&self) -> SiteSettings {
         SiteSettings {
             classes: self.classes.iter().map(|c| c.name.clone()).collect(),
@@ -246,7 +246,7 @@
     }
 
     fn into_balancer(self) -> api::Settings {
-        let tenant = |t: &TenantText| api::Tenant {
+        let tenant = |t: &TenantJson| api::Tenant {
             quota_per_s: t.quota_per_s,
         };
         api::Settings {
@@ -257,13 +257,13 @@
             tick: self.tick,
             // Set by the embedding proxy.
             priority_forwarded: false,
-            polls_endpoints: matches!(self.discovery, DiscoveryText::Polled),
+            polls_endpoints: matches!(self.discovery, DiscoveryJson::Polled),
             over_quota_priority: self.over_quota_priority,
             tenants: self.tenants.iter().map(tenant).collect(),
             classes: self
                 .classes
                 .into_iter()
-                .map(ClassText::into_class)
+                .map(ClassJson::into_class)
                 .collect(),
             limits: self.limits.into_limits(),
             guarantees: self.guarantees.into_guarantees(),
@@ -275,12 +275,12 @@
     }
 }
 
-impl ClassText {
+impl ClassJson {
     fn into_class(self) -> api::Class {
         let scope = match self.scope {
-            ScopeText::All => api::DeduplicationScope::All,
-            ScopeText::Zone => api::DeduplicationScope::Zone,
-            ScopeText::Cell => api::DeduplicationScope::Cell,
+            ScopeJson::All => api::DeduplicationScope::All,
+            ScopeJson::Zone => api::DeduplicationScope::Zone,
+            ScopeJson::Cell => api::DeduplicationScope::Cell,
         };
         let window = self.window;
         api::Class {
@@ -288,15 +288,15 @@
             priority_weight: self.priority_weight,
             ordered_by_key: self.ordered_by_key,
             idempotency: match self.idempotency {
-                IdempotencyText::Idempotent => api::Idempotency::Idempotent,
-                IdempotencyText::NonIdempotent => api::Idempotency::NonIdempotent,
-                IdempotencyText::Deduplicated => api::Idempotency::Deduplicated { scope, window },
+                IdempotencyJson::Idempotent => api::Idempotency::Idempotent,
+                IdempotencyJson::NonIdempotent => api::Idempotency::NonIdempotent,
+                IdempotencyJson::Deduplicated => api::Idempotency::Deduplicated { scope, window },
             },
         }
     }
 }
 
-impl LimitsText {
+impl LimitsJson {
     fn into_limits(self) -> api::SiteLimits {
         api::SiteLimits {
             cancellation: self.cancellation,
@@ -309,7 +309,7 @@
     }
 }
 
-impl GuaranteesText {
+impl GuaranteesJson {
     fn into_guarantees(self) -> api::Guarantees {
         api::Guarantees {
             slow_start_floor: self.slow_start_floor,
