--- a/crates/heathroad-balancer/src/policy/admission.rs
+++ b/crates/heathroad-balancer/src/policy/admission.rs
@@ -145,8 +145,8 @@
                 let Some(&id) = self.slices[slice].queue.front() else {
                     break;
                 };
-                let is_known = self.requests.contains_key(&id);
-                if is_known && !self.send(now, id, actions) {
+                let is_removed = !self.requests.contains_key(&id);
+                if !is_removed && !self.send(now, id, actions) {
                     break;
                 }
                 self.slices[slice].queue.pop_front();
--- a/crates/heathroad-balancer/src/policy/class_slices.rs
+++ b/crates/heathroad-balancer/src/policy/class_slices.rs
@@ -132,8 +132,8 @@
     let mean = weights.sum::<f64>() / settings.classes.len() as f64;
     let equal_part = settings.objectives.worst_class_weight;
     let priority = |class: &Class| {
-        let weighted_part = (1.0 - equal_part) * class.priority_weight / mean.max(MIN_WEIGHT);
-        let regular = weighted_part + equal_part;
+        let regular =
+            (1.0 - equal_part) * class.priority_weight / mean.max(MIN_WEIGHT) + equal_part;
         ClassPriority {
             regular,
             low: regular * settings.over_quota_priority,
--- a/crates/heathroad-balancer/tests/common/mod.rs
+++ b/crates/heathroad-balancer/tests/common/mod.rs
@@ -67,14 +67,6 @@
     pub ended_at: f64,
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RequestEnd {
-    Served,
-    Rejected,
-    Failed,
-    ClientLeft,
-}
-
 /// A request as the proxy recorded it.
 #[derive(Debug, Clone)]
 pub struct Request {
@@ -82,22 +74,9 @@
     pub class: usize,
     pub deadline: f64,
     pub attempts: Vec<SentAttempt>,
-    /// When and how the request ended; `None` while it is open.
-    pub end: Option<(f64, RequestEnd)>,
-}
-
-impl Request {
-    pub fn is_open(&self) -> bool {
-        self.end.is_none()
-    }
-
-    pub fn is_served(&self) -> bool {
-        self.end.is_some_and(|(_, end)| end == RequestEnd::Served)
-    }
-
-    pub fn is_rejected(&self) -> bool {
-        self.end.is_some_and(|(_, end)| end == RequestEnd::Rejected)
-    }
+    /// When and how the request ended: served, rejected, failed or client left. `None` while it is
+    /// open.
+    pub end: Option<(f64, &'static str)>,
 }
 
 pub struct Proxy {
@@ -183,7 +162,7 @@
             .filter(|(_, r)| r.key == request.key && is_ordered(r.class))
         {
             assert!(
-                !earlier.is_open(),
+                earlier.end.is_some(),
                 "request {id} sent before request {earlier_id} with the same key ended"
             );
             for attempt in &earlier.attempts {
@@ -213,9 +192,12 @@
                     deadline,
                 } => self.on_send(request, backend, deadline),
                 Action::Reject { request, .. } => self.on_reject(request),
-                Action::Fail { request } => self.end_request(request, RequestEnd::Failed),
+                Action::Fail { request } => self.end_request(request, "failed"),
                 Action::SetTimer { delay, token } => {
-                    assert!(delay.is_finite() && delay > 0.0, "timer delay {delay}");
+                    assert!(
+                        delay.is_finite() && delay > 0.0,
+                        "a timer delay is not positive"
+                    );
                     self.timers.push((self.now + delay, token));
                 }
                 Action::CloseIdle { backend } => {
@@ -251,15 +233,51 @@
             EndpointState::Ready,
             "sent to a draining or removed backend"
         );
+        let (zone, cell) = (endpoint.zone, endpoint.cell);
         let request = self.requests.get_mut(&id).expect("sent an unknown request");
-        assert!(request.is_open(), "sent after the request ended");
+        assert!(request.end.is_none(), "sent after the request ended");
         assert!(deadline <= request.deadline);
         assert!(
             request.attempts.len() < self.settings.limits.max_attempts as usize,
             "too many attempts"
         );
-        let in_flight = request.attempts.iter().filter(|a| a.outcome.is_none());
-        assert_eq!(in_flight.count(), 0, "two attempts in flight at once");
+        let in_flight = request
+            .attempts
+            .iter()
+            .filter(|a| a.outcome.is_none())
+            .count();
+        assert_eq!(in_flight, 0, "two attempts in flight at once");
+        if let Some(executed) = request
+            .attempts
+            .iter()
+            .find(|a| a.outcome.is_none_or(|outcome| !outcome.never_executed()))
+        {
+            let location = self
+                .endpoints
+                .get(&executed.backend)
+                .map(|e| (e.zone, e.cell));
+            match self.settings.classes[request.class].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => {
+                    panic!("a non-idempotent request that may have been executed was sent again")
+                }
+                Idempotency::Deduplicated { scope, window } => {
+                    assert!(
+                        self.now < executed.sent_at + window,
+                        "repeated after the deduplication window"
+                    );
+                    let (first_zone, first_cell) = location.expect("a listed backend");
+                    assert!(
+                        scope != DeduplicationScope::Zone || first_zone == zone,
+                        "repeated in another zone"
+                    );
+                    assert!(
+                        scope != DeduplicationScope::Cell || first_cell == cell,
+                        "repeated in another cell"
+                    );
+                }
+            }
+        }
         request.attempts.push(SentAttempt {
             backend,
             sent_at: self.now,
@@ -267,51 +285,17 @@
             outcome: None,
             ended_at: 0.0,
         });
-        self.check_idempotency(id);
-    }
-
-    /// Checks that the last attempt of a request is allowed if an earlier one may have been
-    /// executed.
-    fn check_idempotency(&self, id: RequestId) {
-        let request = &self.requests[&id];
-        let (last, earlier) = request.attempts.split_last().expect("an attempt");
-        let may_have_executed =
-            |a: &&SentAttempt| a.outcome.is_none_or(|outcome| !outcome.never_executed());
-        let Some(executed) = earlier.iter().find(may_have_executed) else {
-            return;
-        };
-        match self.settings.classes[request.class].idempotency {
-            Idempotency::Idempotent => {}
-            Idempotency::NonIdempotent => {
-                panic!("a non-idempotent request that may have been executed was sent again")
-            }
-            Idempotency::Deduplicated { scope, window } => {
-                assert!(
-                    self.now < executed.sent_at + window,
-                    "repeated after the deduplication window"
-                );
-                let endpoint = &self.endpoints[&last.backend];
-                let first_endpoint = &self.endpoints[&executed.backend];
-                assert!(
-                    scope != DeduplicationScope::Zone || endpoint.zone == first_endpoint.zone,
-                    "repeated in another zone"
-                );
-                assert!(
-                    scope != DeduplicationScope::Cell || endpoint.cell == first_endpoint.cell,
-                    "repeated in another cell"
-                );
-            }
-        }
     }
 
     fn on_reject(&mut self, id: RequestId) {
         let request = &self.requests[&id];
+        let idempotency = self.settings.classes[request.class].idempotency;
         let never_executed = request
             .attempts
             .iter()
             .all(|a| a.outcome.is_some_and(Outcome::never_executed));
         let is_repeatable_anywhere = matches!(
-            self.settings.classes[request.class].idempotency,
+            idempotency,
             Idempotency::Idempotent
                 | Idempotency::Deduplicated {
                     scope: DeduplicationScope::All,
@@ -322,21 +306,21 @@
             never_executed || is_repeatable_anywhere,
             "rejected a request that may have been executed"
         );
-        self.end_request(id, RequestEnd::Rejected);
+        self.end_request(id, "rejected");
     }
 
-    pub fn end_request(&mut self, id: RequestId, end: RequestEnd) {
+    pub fn end_request(&mut self, id: RequestId, how: &'static str) {
         let request = self
             .requests
             .get_mut(&id)
             .expect("ended an unknown request");
-        assert!(request.is_open(), "second response");
+        assert!(request.end.is_none(), "second response");
         assert!(
             self.now <= request.deadline + RESPONSE_GRACE_MS,
             "response {} ms late",
             self.now - request.deadline
         );
-        request.end = Some((self.now, end));
+        request.end = Some((self.now, how));
     }
 
     /// Delivers a new request without a key; returns its id.
@@ -352,52 +336,39 @@
         tenant: u16,
         time_left: f64,
     ) -> RequestId {
-        self.request_with(RequestArrival {
-            request: 0,
-            key,
-            class: class as u16,
-            tenant,
-            deadline: self.now + time_left,
-            retries_left: None,
-            priority_share: 1.0,
-        })
+        self.request_with_budget(key, class, tenant, time_left, None, 1.0)
     }
 
-    /// Delivers a new request of class 0 with a retry budget and a priority; returns its id.
+    /// Delivers a new request with a retry budget and a priority; returns its id.
     pub fn request_with_budget(
         &mut self,
+        key: u64,
+        class: usize,
+        tenant: u16,
         time_left: f64,
         retries_left: Option<u32>,
         priority_share: f64,
     ) -> RequestId {
-        self.request_with(RequestArrival {
-            request: 0,
-            key: 0,
-            class: 0,
-            tenant: 0,
-            deadline: self.now + time_left,
-            retries_left,
-            priority_share,
-        })
-    }
-
-    /// Delivers a new request under the next id, and returns that id.
-    fn request_with(&mut self, arrival: RequestArrival) -> RequestId {
-        let id = self.next_request;
+        let (id, deadline) = (self.next_request, self.now + time_left);
         self.next_request += 1;
         self.requests.insert(
             id,
             Request {
-                key: arrival.key,
-                class: usize::from(arrival.class),
-                deadline: arrival.deadline,
+                key,
+                class,
+                deadline,
                 attempts: Vec::new(),
                 end: None,
             },
         );
         self.deliver(Event::RequestArrived(RequestArrival {
             request: id,
-            ..arrival
+            key,
+            class: class as u16,
+            tenant,
+            deadline,
+            retries_left,
+            priority_share,
         }));
         id
     }
@@ -408,13 +379,14 @@
         assert!(attempt.outcome.is_none());
         (attempt.outcome, attempt.ended_at) = (Some(outcome), self.now);
         let (backend, elapsed) = (attempt.backend, self.now - attempt.sent_at);
-        if outcome == Outcome::Success && request.is_open() {
-            self.end_request(id, RequestEnd::Served);
+        if outcome == Outcome::Success && request.end.is_none() {
+            self.end_request(id, "served");
         }
-        let request_closed = !self.requests[&id].is_open();
+        let request_closed = self.requests[&id].end.is_some();
+        let attempt = number as AttemptNumber;
         self.deliver(Event::AttemptEnded(AttemptResult {
             request: id,
-            attempt: number as AttemptNumber,
+            attempt,
             backend,
             outcome,
             elapsed,
@@ -424,9 +396,9 @@
         self.check_idle_closed(backend);
     }
 
-    pub fn disconnect_client(&mut self, id: RequestId) {
-        self.end_request(id, RequestEnd::ClientLeft);
-        self.deliver(Event::ClientLeft { request: id });
+    pub fn disconnect_client(&mut self, request: RequestId) {
+        self.end_request(request, "client left");
+        self.deliver(Event::ClientLeft { request });
     }
 
     /// Returns the attempts in flight with their request and number, ordered by request.
@@ -444,13 +416,6 @@
         self.requests.iter().flat_map(in_flight_of).collect()
     }
 
-    /// Ends all attempts in flight with a success.
-    pub fn complete_all(&mut self) {
-        for (id, number, _) in self.in_flight() {
-            self.end_attempt(id, number, Outcome::Success);
-        }
-    }
-
     /// Advances the clock, and delivers expired timers, timeouts and cancellations.
     pub fn advance_to(&mut self, time: f64) {
         while self.now < time {
@@ -475,8 +440,11 @@
                 .into_iter()
                 .for_each(|(id, number, _)| self.end_attempt(id, number, Outcome::Timeout));
             for (id, number) in std::mem::take(&mut self.cancelled) {
-                let request = self.requests.get(&id);
-                if request.is_some_and(|r| r.attempts[number].outcome.is_none()) {
+                if self
+                    .requests
+                    .get(&id)
+                    .is_some_and(|r| r.attempts[number].outcome.is_none())
+                {
                     self.end_attempt(id, number, Outcome::Cancelled);
                 }
             }
@@ -486,7 +454,7 @@
     /// Removes finished requests without attempts in flight, which keeps long tests fast.
     pub fn remove_finished(&mut self) {
         self.requests
-            .retain(|_, r| r.is_open() || r.attempts.iter().any(|a| a.outcome.is_none()));
+            .retain(|_, r| r.end.is_none() || r.attempts.iter().any(|a| a.outcome.is_none()));
     }
 
     /// Runs a steady load for `duration`: `per_tick` requests each tick, each served after
@@ -503,7 +471,11 @@
                     self.end_attempt(id, number, Outcome::Success);
                 }
             }
-            rejected += self.requests.values().filter(|r| r.is_rejected()).count();
+            rejected += self
+                .requests
+                .values()
+                .filter(|r| r.end.is_some_and(|end| end.1 == "rejected"))
+                .count();
             self.remove_finished();
         }
         rejected
--- a/crates/heathroad-balancer/tests/decisions.rs
+++ b/crates/heathroad-balancer/tests/decisions.rs
@@ -8,36 +8,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Settings with one idempotent class.
-fn one_class(replica_count: u32) -> Settings {
-    settings(
-        replica_count,
-        vec![class(1000.0, 1.0, Idempotency::Idempotent)],
-    )
-}
-
-/// Settings with one non-idempotent class.
-fn one_non_idempotent_class() -> Settings {
-    settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)])
+fn one_class(replicas: u32) -> Settings {
+    settings(replicas, vec![class(1000.0, 1.0, Idempotency::Idempotent)])
 }
 
 /// Delivers `requests` requests at once; returns the number of attempts in flight.
 fn saturate(proxy: &mut Proxy, class: usize, tenant: u16, requests: usize) -> usize {
-    for _ in 0..requests {
+    (0..requests).for_each(|_| {
         proxy.request(class, tenant, 1e5);
-    }
+    });
     proxy.in_flight().len()
 }
 
-/// Returns the initial limit with 10 backends, in attempts in flight.
-fn initial_limit() -> usize {
-    saturate(&mut Proxy::new(one_class(1), 1, endpoints(10)), 0, 0, 400)
-}
-
 fn attempts_by_backend(proxy: &Proxy) -> BTreeMap<BackendId, usize> {
     let mut attempts = BTreeMap::new();
-    for attempt in proxy.requests.values().flat_map(|r| &r.attempts) {
-        *attempts.entry(attempt.backend).or_default() += 1;
-    }
+    proxy
+        .requests
+        .values()
+        .flat_map(|r| &r.attempts)
+        .for_each(|attempt| *attempts.entry(attempt.backend).or_default() += 1);
     attempts
 }
 
@@ -51,7 +40,10 @@
     );
     for _ in 0..200 {
         proxy.advance_to(proxy.now + 50.0);
-        proxy.complete_all();
+        proxy
+            .in_flight()
+            .into_iter()
+            .for_each(|(id, number, _)| proxy.end_attempt(id, number, Outcome::Success));
         proxy.remove_finished();
         saturate(&mut proxy, 0, 0, 400);
     }
@@ -66,7 +58,7 @@
 #[test]
 fn limit_does_not_grow_while_unsaturated() {
     let mut proxy = Proxy::new(one_class(1), 1, endpoints(10));
-    let initial = initial_limit();
+    let initial = saturate(&mut Proxy::new(one_class(1), 1, endpoints(10)), 0, 0, 400);
     proxy.serve(10_000.0, 1, 0, 10.0);
     let after = saturate(&mut proxy, 0, 0, 400);
     assert!(
@@ -78,6 +70,7 @@
 /// Guards against a limit that a rolling restart of the backends reduces.
 #[test]
 fn limit_is_restored_when_backends_leave_and_return() {
+    let initial = saturate(&mut Proxy::new(one_class(1), 1, endpoints(10)), 0, 0, 400);
     let mut proxy = Proxy::new(one_class(1), 1, endpoints(10));
     for removed in 1..=10 {
         let remaining: Vec<Endpoint> = endpoints(10)
@@ -87,7 +80,7 @@
         proxy.update_endpoints(UpdateKind::Snapshot, remaining);
         proxy.update_endpoints(UpdateKind::Snapshot, endpoints(10));
     }
-    assert_eq!(saturate(&mut proxy, 0, 0, 400), initial_limit());
+    assert_eq!(saturate(&mut proxy, 0, 0, 400), initial);
 }
 
 #[test]
@@ -99,12 +92,15 @@
         for _ in 0..12 {
             proxy.advance_to(proxy.now + latency);
             for (i, (id, number, _)) in proxy.in_flight().into_iter().enumerate() {
-                let outcome = if i % 3 == 0 {
-                    outcome
-                } else {
-                    Outcome::Success
-                };
-                proxy.end_attempt(id, number, outcome);
+                proxy.end_attempt(
+                    id,
+                    number,
+                    if i % 3 == 0 {
+                        outcome
+                    } else {
+                        Outcome::Success
+                    },
+                );
             }
             proxy.remove_finished();
             saturate(&mut proxy, 0, 0, 400);
@@ -169,7 +165,10 @@
     assert_eq!(saturate(&mut proxy, 1, 0, 50), total + high);
     // High-priority load can't use up the low-priority slice either.
     proxy.advance_to(proxy.now + 1000.0);
-    proxy.complete_all();
+    proxy
+        .in_flight()
+        .into_iter()
+        .for_each(|(id, number, _)| proxy.end_attempt(id, number, Outcome::Success));
     proxy.remove_finished();
     let high = saturate(&mut proxy, 0, 0, 400);
     assert_eq!(
@@ -178,6 +177,7 @@
     );
 }
 
+/// A tenant over its quota is demoted, not rejected: it is served from spare capacity.
 #[test]
 fn tenant_over_quota_uses_only_spare_capacity() {
     let mut settings = one_class(1);
@@ -193,8 +193,8 @@
     // Quotas apply only at the tier that clients call.
     settings.tier = 1;
     let mut proxy = Proxy::new(settings, 1, endpoints(10));
-    let total = saturate(&mut proxy, 0, 0, 400);
-    assert_eq!(saturate(&mut proxy, 0, 1, 9), total);
+    let in_flight = saturate(&mut proxy, 0, 0, 400);
+    assert_eq!(saturate(&mut proxy, 0, 1, 9), in_flight);
 }
 
 #[test]
@@ -204,8 +204,7 @@
         class(1000.0, 1.0, Idempotency::NonIdempotent),
     ];
     let mut proxy = Proxy::new(settings(1, classes), 1, endpoints(5));
-    // The low-priority slice uses the total limit and queues 4 requests.
-    let in_flight = saturate(&mut proxy, 1, 0, 24);
+    let in_flight = saturate(&mut proxy, 1, 0, 24); // uses the total limit and queues 4
     let low: Vec<_> = proxy
         .requests
         .iter()
@@ -213,8 +212,7 @@
         .map(|(&id, _)| id)
         .collect();
     assert_eq!((in_flight, low.len()), (20, 4));
-    // The high-priority slice fills its own share beyond the total limit.
-    saturate(&mut proxy, 0, 0, 20);
+    saturate(&mut proxy, 0, 0, 20); // fills its own slice beyond the total limit
     let high = *proxy
         .requests
         .iter()
@@ -235,7 +233,8 @@
     );
     proxy.advance_to(proxy.now + 300.0);
     assert!(
-        low.iter().all(|id| proxy.requests[id].is_rejected()),
+        low.iter()
+            .all(|id| proxy.requests[id].end.is_some_and(|e| e.1 == "rejected")),
         "queued requests were not rejected in time"
     );
 }
@@ -244,13 +243,16 @@
 #[test]
 fn subsets_cover_the_tier() {
     for (replicas, backends) in [(10, 60), (40, 100), (3, 30)] {
-        let mut covered = BTreeSet::new();
+        let mut used_by: BTreeMap<BackendId, usize> = BTreeMap::new();
         for replica_index in 0..replicas {
-            let settings = Settings {
-                replica_index,
-                ..one_class(replicas)
-            };
-            let mut proxy = Proxy::new(settings, 1, endpoints(backends));
+            let mut proxy = Proxy::new(
+                Settings {
+                    replica_index,
+                    ..one_class(replicas)
+                },
+                1,
+                endpoints(backends),
+            );
             for _ in 0..400 {
                 let id = proxy.request(0, 0, 1e5);
                 proxy.advance_to(proxy.now + 5.0);
@@ -262,10 +264,11 @@
                 "replica {replica_index} of {replicas} used {} backends",
                 used.len()
             );
-            covered.extend(used.into_keys());
+            used.keys()
+                .for_each(|&b| *used_by.entry(b).or_default() += 1);
         }
         assert_eq!(
-            covered.len(),
+            used_by.len(),
             backends as usize,
             "{replicas} replicas don't cover all backends"
         );
@@ -278,9 +281,12 @@
         let mut used = BTreeSet::new();
         for _ in 0..(duration / 50.0) as usize {
             proxy.request(0, 0, 1e5);
-            used.extend(proxy.in_flight().iter().map(|(_, _, a)| a.backend));
+            used.extend(proxy.in_flight().iter().map(|a| a.2.backend));
             proxy.advance_to(proxy.now + 50.0);
-            proxy.complete_all();
+            proxy
+                .in_flight()
+                .into_iter()
+                .for_each(|(id, number, _)| proxy.end_attempt(id, number, Outcome::Success));
             proxy.remove_finished();
         }
         used.len()
@@ -304,24 +310,22 @@
 #[test]
 fn faster_backends_get_more_attempts() {
     let mut proxy = Proxy::new(one_class(1), 1, endpoints(10));
-    let (mut fast, mut slow) = (0, 0);
+    let mut responses: BTreeMap<bool, usize> = BTreeMap::new();
     for _ in 0..4000 {
         proxy.request(0, 0, 1e5);
         proxy.advance_to(proxy.now + 5.0);
         for (id, number, attempt) in proxy.in_flight() {
             let is_slow = attempt.backend <= 5;
-            let latency = if is_slow { 120.0 } else { 40.0 };
-            if proxy.now - attempt.sent_at >= latency {
-                let responses = if is_slow { &mut slow } else { &mut fast };
-                *responses += 1;
+            if proxy.now - attempt.sent_at >= if is_slow { 120.0 } else { 40.0 } {
+                *responses.entry(is_slow).or_default() += 1;
                 proxy.end_attempt(id, number, Outcome::Success);
             }
         }
         proxy.remove_finished();
     }
     assert!(
-        fast > 2 * slow,
-        "{fast} responses of fast backends, {slow} of slow ones"
+        responses[&false] > 2 * responses[&true],
+        "responses by whether the backend is slow: {responses:?}"
     );
 }
 
@@ -355,35 +359,40 @@
     (now - attempt.sent_at >= 50.0).then_some(Outcome::Success)
 }
 
-/// Checks that backend 2 receives traffic again, 30 s after it has recovered.
-fn assert_backend_2_returns(proxy: &mut Proxy) {
-    run(proxy, 30_000.0, healthy);
-    let sent = run(proxy, 3000.0, healthy);
-    assert!(
-        sent.get(&2).copied().unwrap_or(0) > 20,
-        "backend 2 has not returned to service: {sent:?}"
-    );
-}
-
 /// Guards against attempts that occupy a hung backend until they time out.
 #[test]
 fn hung_backend_is_ejected_and_returns() {
-    let hung = |attempt: &SentAttempt, now: f64| {
+    let mut proxy = Proxy::new(one_class(1), 1, endpoints(8));
+    run(&mut proxy, 3000.0, healthy);
+    run(&mut proxy, 3000.0, |attempt, now| {
         if attempt.backend == 2 {
             None
         } else {
             healthy(attempt, now)
         }
-    };
-    let mut proxy = Proxy::new(one_class(1), 1, endpoints(8));
-    run(&mut proxy, 3000.0, healthy);
-    run(&mut proxy, 3000.0, hung);
-    let sent = run(&mut proxy, 2000.0, hung);
+    });
+    let stuck = proxy
+        .in_flight()
+        .iter()
+        .filter(|(_, _, attempt)| attempt.backend == 2)
+        .count();
+    let sent = run(&mut proxy, 2000.0, |attempt, now| {
+        if attempt.backend == 2 {
+            None
+        } else {
+            healthy(attempt, now)
+        }
+    });
     assert!(
         sent.get(&2).copied().unwrap_or(0) <= 3,
-        "sent to a hung backend: {sent:?}"
+        "sent to a hung backend: {sent:?}, {stuck} attempts in flight there"
+    );
+    run(&mut proxy, 30_000.0, healthy);
+    let returned = run(&mut proxy, 3000.0, healthy);
+    assert!(
+        returned.get(&2).copied().unwrap_or(0) > 20,
+        "backend 2 has not returned to service: {returned:?}"
     );
-    assert_backend_2_returns(&mut proxy);
 }
 
 #[test]
@@ -403,9 +412,15 @@
         sent.get(&2).copied().unwrap_or(0) <= 3,
         "sent to a failing backend: {sent:?}"
     );
-    assert_backend_2_returns(&mut proxy);
+    run(&mut proxy, 30_000.0, healthy);
+    let returned = run(&mut proxy, 3000.0, healthy);
+    assert!(
+        returned.get(&2).copied().unwrap_or(0) > 20,
+        "backend 2 has not returned to service: {returned:?}"
+    );
 }
 
+/// Guards against the ejection of backends for a failure that all of them share.
 #[test]
 fn errors_of_all_backends_eject_none() {
     let mut proxy = Proxy::new(one_class(1), 1, endpoints(8));
@@ -440,6 +455,7 @@
     assert!(all > 700, "the limit was reduced: {all} attempts in 4 s");
 }
 
+/// Guards against the ejection of a backend after too few errors.
 #[test]
 fn two_errors_eject_no_backend() {
     let mut proxy = Proxy::new(one_class(1), 1, endpoints(6));
@@ -491,14 +507,18 @@
     );
 }
 
+/// Guards against replicas whose failed polls are repeated without backoff or all at once.
 #[test]
 fn failed_polls_are_retried_with_backoff_and_jitter() {
     let poll_times = |seed| {
-        let settings = Settings {
-            polls_endpoints: true,
-            ..one_class(4)
-        };
-        let mut proxy = Proxy::new(settings, seed, endpoints(6));
+        let mut proxy = Proxy::new(
+            Settings {
+                polls_endpoints: true,
+                ..one_class(4)
+            },
+            seed,
+            endpoints(6),
+        );
         let mut failed = 0;
         for _ in 0..100_000 {
             proxy.advance_to(proxy.now + 5.0);
@@ -568,6 +588,7 @@
     );
 }
 
+/// Guards against demoted requests that keep more than the minimum of one attempt under overload.
 #[test]
 fn demoted_requests_have_a_guaranteed_limit_of_one() {
     let mut settings = one_class(1);
@@ -591,26 +612,68 @@
 #[test]
 fn slow_outlier_is_ejected_and_returns() {
     let slow = |attempt: &SentAttempt, now: f64| {
-        let latency = if attempt.backend == 2 { 250.0 } else { 50.0 };
-        (now - attempt.sent_at >= latency).then_some(Outcome::Success)
+        (now - attempt.sent_at >= if attempt.backend == 2 { 250.0 } else { 50.0 })
+            .then_some(Outcome::Success)
     };
     let mut proxy = Proxy::new(one_class(1), 1, endpoints(8));
     run(&mut proxy, 3000.0, healthy);
     run(&mut proxy, 6000.0, slow);
-    let (mut idle_intervals, mut longest) = (0, 0);
-    for _ in 0..20 {
+    let longest = (0..20).fold((0, 0), |(idle_intervals, longest), _| {
         for _ in 0..4 {
             proxy.request(0, 0, 4000.0);
         }
         let is_idle = !run(&mut proxy, 250.0, slow).contains_key(&2);
-        idle_intervals = if is_idle { idle_intervals + 1 } else { 0 };
-        longest = longest.max(idle_intervals);
-    }
+        let idle_intervals = if is_idle { idle_intervals + 1 } else { 0 };
+        (idle_intervals, longest.max(idle_intervals))
+    });
     assert!(
-        longest >= 6,
-        "backend 2 was without traffic for only {longest} intervals of 250 ms"
+        longest.1 >= 6,
+        "backend 2 was never without traffic for 1.5 s: {longest:?}"
+    );
+    run(&mut proxy, 30_000.0, healthy);
+    let returned = run(&mut proxy, 3000.0, healthy);
+    assert!(
+        returned.get(&2).copied().unwrap_or(0) > 20,
+        "backend 2 has not returned to service: {returned:?}"
+    );
+}
+
+/// Returns the share of attempts that leave the zone after a while, if responses take
+/// `local_latency` in the zone and 50 ms in the other one.
+fn remote_share_at(price: f64, local_latency: f64) -> f64 {
+    let mut proxy = two_zones(price);
+    run(&mut proxy, 4000.0, healthy);
+    let outcome = |attempt: &SentAttempt, now: f64| {
+        (now - attempt.sent_at
+            >= if attempt.backend <= 5 {
+                local_latency
+            } else {
+                50.0
+            })
+        .then_some(Outcome::Success)
+    };
+    run(&mut proxy, 8000.0, outcome);
+    remote_share(&run(&mut proxy, 2000.0, outcome))
+}
+
+/// Attempts stay in the zone until its excess latency costs more than the price of crossing.
+#[test]
+fn attempts_leave_the_zone_only_for_more_than_the_price() {
+    assert_eq!(
+        remote_share_at(0.2, 50.0),
+        0.0,
+        "attempts leave a zone that is not slower"
+    );
+    let overloaded = remote_share_at(0.2, 700.0);
+    assert!(
+        overloaded > 0.5,
+        "{overloaded} left a zone that is slower by 0.65 latency objectives"
+    );
+    let unpriced = remote_share_at(0.0, 50.0);
+    assert!(
+        (0.3..0.7).contains(&unpriced),
+        "{unpriced} left the zone although crossing has no price"
     );
-    assert_backend_2_returns(&mut proxy);
 }
 
 /// A replica in a zone of five backends, with five more in another zone.
@@ -627,14 +690,6 @@
     Proxy::new(settings, 1, endpoints)
 }
 
-/// The outcome in [`two_zones`] with a latency for the local zone, and 50 ms in the other one.
-fn local_latency(latency: f64) -> impl Fn(&SentAttempt, f64) -> Option<Outcome> {
-    move |attempt, now| {
-        let latency = if attempt.backend <= 5 { latency } else { 50.0 };
-        (now - attempt.sent_at >= latency).then_some(Outcome::Success)
-    }
-}
-
 /// Returns the share of attempts in [`two_zones`] that left the zone.
 fn remote_share(sent: &BTreeMap<BackendId, usize>) -> f64 {
     let remote: usize = sent
@@ -645,39 +700,18 @@
     remote as f64 / sent.values().sum::<usize>().max(1) as f64
 }
 
-#[test]
-fn attempts_leave_the_zone_only_for_more_than_the_price() {
-    let remote_share_at = |price: f64, latency: f64| {
-        let mut proxy = two_zones(price);
-        run(&mut proxy, 4000.0, healthy);
-        run(&mut proxy, 8000.0, local_latency(latency));
-        remote_share(&run(&mut proxy, 2000.0, local_latency(latency)))
-    };
-    assert_eq!(
-        remote_share_at(0.2, 50.0),
-        0.0,
-        "attempts leave a zone that is not slower"
-    );
-    let overloaded = remote_share_at(0.2, 700.0);
-    assert!(
-        overloaded > 0.5,
-        "{overloaded} left a zone that is slower by 0.65 latency objectives"
-    );
-    let unpriced = remote_share_at(0.0, 50.0);
-    assert!(
-        (0.3..0.7).contains(&unpriced),
-        "{unpriced} left the zone although crossing has no price"
-    );
-}
-
 /// Guards against a zone that is never used again because it sends no responses that could correct
 /// its latency estimate.
 #[test]
 fn zone_without_traffic_is_tried_again() {
     let mut proxy = two_zones(0.2);
+    let slow = |attempt: &SentAttempt, now: f64| {
+        (now - attempt.sent_at >= if attempt.backend <= 5 { 1800.0 } else { 50.0 })
+            .then_some(Outcome::Success)
+    };
     run(&mut proxy, 3000.0, healthy);
-    run(&mut proxy, 15_000.0, local_latency(1800.0));
-    let overloaded = remote_share(&run(&mut proxy, 2000.0, local_latency(1800.0)));
+    run(&mut proxy, 15_000.0, slow);
+    let overloaded = remote_share(&run(&mut proxy, 2000.0, slow));
     assert!(
         overloaded > 0.8,
         "{overloaded} left a zone with a latency of 1.8 objectives"
@@ -700,18 +734,15 @@
         proxy.request(0, 0, 4000.0);
         proxy.advance_to(proxy.now + 5.0);
         for (id, number, attempt) in proxy.in_flight() {
-            let is_open = proxy.requests[&id].is_open();
-            let is_remote = attempt.backend > 5;
-            let elapsed = proxy.now - attempt.sent_at;
+            let is_open = proxy.requests[&id].end.is_none();
             // A third of the local attempts are fast, so that no local backend counts as hung.
-            if (is_remote || id % 3 == 0) && elapsed >= 50.0 {
+            if (attempt.backend > 5 || id % 3 == 0) && proxy.now - attempt.sent_at >= 50.0 {
                 proxy.end_attempt(id, number, Outcome::Success);
-            } else if is_open && !is_remote && elapsed >= 900.0 {
+            } else if is_open && attempt.backend <= 5 && proxy.now - attempt.sent_at >= 900.0 {
                 proxy.disconnect_client(id);
             }
             if attempt.sent_at >= proxy.now - 5.0 && proxy.now > end - 3000.0 {
-                remote += usize::from(is_remote);
-                all += 1;
+                (remote, all) = (remote + usize::from(attempt.backend > 5), all + 1);
             }
         }
         proxy.remove_finished();
@@ -730,7 +761,10 @@
     let initial = saturate(&mut proxy, 0, 0, 400);
     for _ in 0..30 {
         proxy.advance_to(proxy.now + 700.0);
-        proxy.complete_all();
+        proxy
+            .in_flight()
+            .into_iter()
+            .for_each(|(id, number, _)| proxy.end_attempt(id, number, Outcome::Success));
         proxy.remove_finished();
         saturate(&mut proxy, 0, 0, 100);
     }
@@ -745,7 +779,11 @@
 /// against lost attempts that count against the limit until their deadline.
 #[test]
 fn lost_responses_do_not_exhaust_the_limit() {
-    let mut proxy = Proxy::new(one_non_idempotent_class(), 1, endpoints(8));
+    let mut proxy = Proxy::new(
+        settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]),
+        1,
+        endpoints(8),
+    );
     let served = |attempt: &SentAttempt, now: f64| {
         (now - attempt.sent_at >= 150.0).then_some(Outcome::Success)
     };
@@ -758,22 +796,26 @@
             served(attempt, now)
         }
     };
-    let sent = run(&mut proxy, 30_000.0, lossy);
-    let sent: usize = sent.values().sum();
+    let sent_by_backend = run(&mut proxy, 30_000.0, lossy);
+    let sent: usize = sent_by_backend.values().sum();
     assert!(sent * 10 > 6000 * 9, "{sent} of 6000 requests sent");
 }
 
 /// Guards against lost attempts that count against the limit until their deadline.
 #[test]
 fn long_attempts_stop_counting_against_the_limit() {
-    let mut proxy = Proxy::new(one_non_idempotent_class(), 1, endpoints(8));
+    let mut proxy = Proxy::new(
+        settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]),
+        1,
+        endpoints(8),
+    );
     run(&mut proxy, 3000.0, healthy);
     let initial = saturate(&mut proxy, 0, 0, 400);
     proxy.advance_to(proxy.now + 150.0);
     assert_eq!(
         saturate(&mut proxy, 0, 0, 400),
         initial,
-        "attempts must count for three mean latencies"
+        "attempts do not count for three mean latencies"
     );
     proxy.advance_to(proxy.now + 150.0);
     assert!(
@@ -783,6 +825,7 @@
     );
 }
 
+/// Guards against balancers of one proxy that each use a backend's whole slow-start budget.
 #[test]
 fn balancers_of_one_proxy_share_the_slow_start_budget() {
     let sent_in_slow_start = |balancers| {
@@ -790,27 +833,37 @@
             started_at: 1000.0,
             ..endpoint(1)
         };
-        let endpoints = [vec![started], endpoints(10)[1..].to_vec()].concat();
-        let mut proxy = Proxy::new(one_class(1), 1, endpoints);
+        let mut proxy = Proxy::new(
+            one_class(1),
+            1,
+            [vec![started], endpoints(10)[1..].to_vec()].concat(),
+        );
         proxy.balancer.share_slow_start_budget(balancers);
         let mut sent = 0;
         for _ in 0..100 {
             saturate(&mut proxy, 0, 0, 30);
             proxy.advance_to(proxy.now + 50.0);
-            let in_flight = proxy.in_flight();
-            sent += in_flight.iter().filter(|(_, _, a)| a.backend == 1).count();
-            proxy.complete_all();
+            sent += proxy
+                .in_flight()
+                .iter()
+                .filter(|(_, _, attempt)| attempt.backend == 1)
+                .count();
+            proxy
+                .in_flight()
+                .into_iter()
+                .for_each(|(id, number, _)| proxy.end_attempt(id, number, Outcome::Success));
             proxy.remove_finished();
         }
         sent as f64
     };
-    let (one, quarter) = (sent_in_slow_start(1), sent_in_slow_start(4));
+    let (single, quarter) = (sent_in_slow_start(1), sent_in_slow_start(4));
     assert!(
-        one > 15.0 && quarter > 2.0 && quarter < 0.4 * one,
-        "{one} attempts by a single balancer, {quarter} by one of four"
+        single > 15.0 && quarter > 2.0 && quarter < 0.4 * single,
+        "{single} attempts by a single balancer, {quarter} by one of four"
     );
 }
 
+/// A limit that was learned earlier is used from the start, unless it is below the initial limit.
 #[test]
 fn initial_limit_is_raised_but_not_lowered() {
     let limit_from = |learned: f64| {
@@ -826,86 +879,90 @@
 }
 
 /// The retries of a request with a retry budget depend on that budget alone, not on this replica's
-/// retry tokens.
+/// retry tokens. A budget that an outcome reports as spent ends the request.
 #[test]
 fn retry_budget_limits_attempts() {
     for (retries_left, max_attempts) in [(Some(0), 1), (Some(2), 3), (None, 6)] {
         let mut proxy = Proxy::new(one_class(1), 1, endpoints(10));
-        let id = proxy.request_with_budget(1e5, retries_left, 1.0);
+        let id = proxy.request_with_budget(0, 0, 0, 1e5, retries_left, 1.0);
         while let Some((_, number, _)) = proxy.in_flight().into_iter().find(|(i, ..)| *i == id) {
             proxy.end_attempt(id, number, Outcome::Rejected);
         }
-        let attempts = proxy.requests[&id].attempts.len();
         assert!(
-            attempts <= max_attempts,
-            "{retries_left:?}: {attempts} attempts"
+            proxy.requests[&id].attempts.len() <= max_attempts,
+            "{retries_left:?}: {} attempts",
+            proxy.requests[&id].attempts.len()
         );
         assert!(
-            retries_left.is_none() || attempts == max_attempts,
-            "{retries_left:?}: {attempts} attempts"
+            retries_left.is_none() || proxy.requests[&id].attempts.len() == max_attempts,
+            "{retries_left:?}"
         );
         assert!(
-            !proxy.requests[&id].is_open(),
+            proxy.requests[&id].end.is_some(),
             "{retries_left:?}: queued without retries left"
         );
     }
-}
-
-/// An outcome that reports the retry budget as spent ends the request.
-#[test]
-fn retry_budget_spent_by_a_backend_ends_the_request() {
+    // The backend reports that it spent the remaining retries.
     let mut proxy = Proxy::new(one_class(1), 1, endpoints(10));
-    let id = proxy.request_with_budget(1e5, Some(3), 1.0);
+    let id = proxy.request_with_budget(0, 0, 0, 1e5, Some(3), 1.0);
     let backend = proxy.in_flight()[0].2.backend;
-    let outcome = Outcome::Error;
-    let request = proxy.requests.get_mut(&id).expect("the request");
-    request.attempts[0].outcome = Some(outcome);
+    let (outcome, elapsed, request_closed, retries_left) = (Outcome::Error, 1.0, false, Some(0));
+    proxy.requests.get_mut(&id).expect("the request").attempts[0].outcome = Some(outcome);
     proxy.deliver(Event::AttemptEnded(AttemptResult {
         request: id,
         attempt: 0,
         backend,
         outcome,
-        elapsed: 1.0,
-        request_closed: false,
-        retries_left: Some(0),
+        elapsed,
+        request_closed,
+        retries_left,
     }));
-    let request = &proxy.requests[&id];
-    assert_eq!((request.attempts.len(), request.is_open()), (1, false));
+    assert_eq!(
+        (
+            proxy.requests[&id].attempts.len(),
+            proxy.requests[&id].end.is_some()
+        ),
+        (1, true)
+    );
 }
 
+/// Guards against a forwarded low priority that is ignored: such requests are queued first.
 #[test]
 fn forwarded_low_priority_is_queued_first() {
     let mut settings = one_class(1);
-    settings.priority_forwarded = true;
-    settings.over_quota_priority = 0.05;
-    settings.tier = 1;
+    (
+        settings.priority_forwarded,
+        settings.over_quota_priority,
+        settings.tier,
+    ) = (true, 0.05, 1);
     let mut proxy = Proxy::new(settings, 1, endpoints(10));
     for _ in 0..400 {
-        proxy.request_with_budget(1e5, Some(1), 0.05);
+        proxy.request_with_budget(0, 0, 0, 1e5, Some(1), 0.05);
     }
     let low = proxy.in_flight().len();
-    let id = proxy.request_with_budget(1e5, Some(1), 1.0);
+    let id = proxy.request_with_budget(0, 0, 0, 1e5, Some(1), 1.0);
     assert_eq!(
         proxy.requests[&id].attempts.len(),
         1,
         "low-priority requests use up the slice of regular ones"
     );
-    let id = proxy.request_with_budget(1e5, Some(1), 0.05);
+    let id = proxy.request_with_budget(0, 0, 0, 1e5, Some(1), 0.05);
     assert!(
         proxy.requests[&id].attempts.is_empty() && low < 400,
         "{low} low-priority attempts in flight"
     );
 }
 
-/// A request with a retry budget is rejected if not even an idle backend could answer it in time.
+/// A request with a retry budget is rejected if not even an idle backend could answer it in time;
+/// without a budget it is sent.
 #[test]
 fn request_that_cannot_meet_its_deadline_is_rejected() {
     let mut proxy = Proxy::new(one_class(1), 1, endpoints(10));
     proxy.serve(2_000.0, 1, 0, 100.0);
-    let id = proxy.request_with_budget(20.0, Some(1), 1.0);
-    assert!(proxy.requests[&id].attempts.is_empty() && !proxy.requests[&id].is_open());
-    let id = proxy.request_with_budget(1_000.0, Some(1), 1.0);
+    let id = proxy.request_with_budget(0, 0, 0, 20.0, Some(1), 1.0);
+    assert!(proxy.requests[&id].attempts.is_empty() && proxy.requests[&id].end.is_some());
+    let id = proxy.request_with_budget(0, 0, 0, 1_000.0, Some(1), 1.0);
     assert_eq!(proxy.requests[&id].attempts.len(), 1);
-    let id = proxy.request_with_budget(20.0, None, 1.0);
+    let id = proxy.request_with_budget(0, 0, 0, 20.0, None, 1.0);
     assert_eq!(proxy.requests[&id].attempts.len(), 1);
 }
--- a/crates/heathroad-balancer/tests/golden_decisions.rs
+++ b/crates/heathroad-balancer/tests/golden_decisions.rs
@@ -85,9 +85,7 @@
     fn deliver(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle_event(self.now, event, &mut actions);
-        for action in actions {
-            self.perform(action);
-        }
+        actions.into_iter().for_each(|action| self.perform(action));
     }
 
     /// Performs an action, and adds its numbers and then its kind to the digest.
@@ -98,7 +96,19 @@
                 backend,
                 deadline,
             } => {
-                self.send(request, backend, deadline);
+                self.digest.add(request);
+                self.digest.add(u64::from(backend));
+                self.digest.add_float(deadline);
+                let record = self.requests.get_mut(&request).expect("a known request");
+                let number = record.attempts;
+                record.attempts += 1;
+                self.in_flight.push(Attempt {
+                    request,
+                    number,
+                    backend,
+                    sent_at: self.now,
+                    deadline,
+                });
                 1
             }
             Action::Reject {
@@ -107,14 +117,16 @@
             } => {
                 self.digest.add(request);
                 self.digest.add_float(retry_after);
-                let request = self.requests.get_mut(&request);
-                request.expect("a known request").is_closed = true;
+                self.requests
+                    .get_mut(&request)
+                    .expect("a known request")
+                    .is_closed = true;
                 2
             }
             Action::Fail { request } => {
                 self.digest.add(request);
-                if let Some(request) = self.requests.get_mut(&request) {
-                    request.is_closed = true;
+                if let Some(record) = self.requests.get_mut(&request) {
+                    record.is_closed = true;
                 }
                 3
             }
@@ -146,22 +158,6 @@
         self.action_counts[kind as usize - 1] += 1;
     }
 
-    fn send(&mut self, id: RequestId, backend: BackendId, deadline: f64) {
-        self.digest.add(id);
-        self.digest.add(u64::from(backend));
-        self.digest.add_float(deadline);
-        let request = self.requests.get_mut(&id).expect("a known request");
-        let number = request.attempts;
-        request.attempts += 1;
-        self.in_flight.push(Attempt {
-            request: id,
-            number,
-            backend,
-            sent_at: self.now,
-            deadline,
-        });
-    }
-
     fn update_endpoints(&mut self, kind: UpdateKind) {
         let size = if kind == UpdateKind::Delta {
             1 + self.rng.u32(..3)
@@ -239,8 +235,10 @@
 
     fn end_attempt(&mut self, index: usize, outcome: Outcome) {
         let attempt = self.in_flight.swap_remove(index);
-        let request = self.requests.get_mut(&attempt.request);
-        let request = request.expect("a known request");
+        let request = self
+            .requests
+            .get_mut(&attempt.request)
+            .expect("a known request");
         let request_closed = request.is_closed || outcome == Outcome::Success;
         request.is_closed = request_closed;
         if !request_closed && self.rng.u8(..3) == 0 {
@@ -257,17 +255,18 @@
 
     fn result(
         &self,
-        attempt: &Attempt,
+        sent: &Attempt,
         outcome: Outcome,
         request_closed: bool,
         retries_left: Option<u32>,
     ) -> AttemptResult {
+        let (request, attempt, backend) = (sent.request, sent.number, sent.backend);
         AttemptResult {
-            request: attempt.request,
-            attempt: attempt.number,
-            backend: attempt.backend,
+            request,
+            attempt,
+            backend,
             outcome,
-            elapsed: self.now - attempt.sent_at,
+            elapsed: self.now - sent.sent_at,
             request_closed,
             retries_left,
         }
@@ -282,29 +281,73 @@
             self.deliver(Event::TimerFired { token });
         }
         while let Some(index) = self.in_flight.iter().position(|a| a.deadline <= self.now) {
-            let outcome = if self.in_flight[index].deadline == f64::MIN {
-                Outcome::Cancelled
-            } else {
-                Outcome::Timeout
-            };
-            self.end_attempt(index, outcome);
+            let is_cancelled = self.in_flight[index].deadline == f64::MIN;
+            self.end_attempt(
+                index,
+                if is_cancelled {
+                    Outcome::Cancelled
+                } else {
+                    Outcome::Timeout
+                },
+            );
         }
     }
 
     fn step(&mut self) {
         self.advance();
         match self.rng.u8(..100) {
-            0 => self.update_endpoints_randomly(),
-            1..=3 => self.disconnect_client(),
-            4..=7 if !self.abandoned.is_empty() => self.complete_abandoned(),
+            0 => {
+                let kinds = [
+                    UpdateKind::Snapshot,
+                    UpdateKind::Delta,
+                    UpdateKind::Cached,
+                    UpdateKind::Failed,
+                ];
+                match kinds[self.rng.usize(..kinds.len())] {
+                    UpdateKind::Failed => {
+                        self.deliver(Event::EndpointUpdate {
+                            kind: UpdateKind::Failed,
+                            endpoints: Vec::new(),
+                        });
+                    }
+                    kind => self.update_endpoints(kind),
+                }
+            }
+            1..=3 => {
+                let open: Vec<_> = self
+                    .requests
+                    .iter()
+                    .filter(|(_, r)| !r.is_closed)
+                    .map(|(&id, _)| id)
+                    .collect();
+                if let Some(&request) = open.get(self.rng.usize(..open.len().max(1))) {
+                    self.requests
+                        .get_mut(&request)
+                        .expect("a known request")
+                        .is_closed = true;
+                    self.deliver(Event::ClientLeft { request });
+                }
+            }
+            4..=7 if !self.abandoned.is_empty() => {
+                let (attempt, outcome) = self
+                    .abandoned
+                    .swap_remove(self.rng.usize(..self.abandoned.len()));
+                let outcome = if self.rng.bool() {
+                    Outcome::Success
+                } else {
+                    outcome
+                };
+                let result = self.result(&attempt, outcome, true, None);
+                self.deliver(Event::LateCompletion(result));
+            }
             4..=50 => self.request(),
             _ if !self.in_flight.is_empty() => {
                 let index = self.rng.usize(..self.in_flight.len());
-                let backend = self.in_flight[index].backend;
                 // Backend 5 hangs at times, so that its attempts time out.
-                let is_hung = backend == 5 && (self.now / 5000.0) as u64 % 2 == 1;
+                let is_hung =
+                    self.in_flight[index].backend == 5 && (self.now / 5000.0) as u64 % 2 == 1;
                 if !is_hung {
-                    let outcome = self.outcome(backend);
+                    let outcome = self.outcome(self.in_flight[index].backend);
                     self.end_attempt(index, outcome);
                 }
             }
@@ -312,47 +355,6 @@
         }
     }
 
-    fn update_endpoints_randomly(&mut self) {
-        let kinds = [
-            UpdateKind::Snapshot,
-            UpdateKind::Delta,
-            UpdateKind::Cached,
-            UpdateKind::Failed,
-        ];
-        match kinds[self.rng.usize(..kinds.len())] {
-            UpdateKind::Failed => self.deliver(Event::EndpointUpdate {
-                kind: UpdateKind::Failed,
-                endpoints: Vec::new(),
-            }),
-            kind => self.update_endpoints(kind),
-        }
-    }
-
-    fn disconnect_client(&mut self) {
-        let requests = self.requests.iter();
-        let open: Vec<_> = requests
-            .filter(|(_, r)| !r.is_closed)
-            .map(|(&id, _)| id)
-            .collect();
-        if let Some(&request) = open.get(self.rng.usize(..open.len().max(1))) {
-            let record = self.requests.get_mut(&request);
-            record.expect("a known request").is_closed = true;
-            self.deliver(Event::ClientLeft { request });
-        }
-    }
-
-    fn complete_abandoned(&mut self) {
-        let index = self.rng.usize(..self.abandoned.len());
-        let (attempt, outcome) = self.abandoned.swap_remove(index);
-        let outcome = if self.rng.bool() {
-            Outcome::Success
-        } else {
-            outcome
-        };
-        let result = self.result(&attempt, outcome, true, None);
-        self.deliver(Event::LateCompletion(result));
-    }
-
     fn run(mut self) -> (u64, [u64; 7]) {
         self.update_endpoints(UpdateKind::Cached);
         for _ in 0..EVENTS {
@@ -387,16 +389,14 @@
     }
 }
 
-fn deduplicated(scope: DeduplicationScope) -> Idempotency {
-    Idempotency::Deduplicated {
+/// Returns named settings that together cover all branches of the decisions. The names are part of
+/// the golden file.
+fn settings() -> Vec<(&'static str, Settings)> {
+    let deduplicated = |scope| Idempotency::Deduplicated {
         scope,
         window: 400.0,
-    }
-}
-
-/// The tier that clients call, with tenants and a class of each idempotency.
-fn first_tier() -> Settings {
-    Settings {
+    };
+    let base = Settings {
         replica_index: 3,
         replica_count: 8,
         zone: 1,
@@ -430,13 +430,8 @@
             cross_zone_price: 0.0,
         },
         ..Settings::default()
-    }
-}
-
-/// Ordered classes, late completions and priced zone crossings.
-fn ordered() -> Settings {
-    let base = first_tier();
-    Settings {
+    };
+    let ordered = Settings {
         classes: vec![
             class(400.0, 1.0, deduplicated(DeduplicationScope::Zone), true),
             class(400.0, 3.0, deduplicated(DeduplicationScope::Cell), true),
@@ -450,14 +445,9 @@
             late_completions: true,
             ..base.limits.clone()
         },
-        ..base
-    }
-}
-
-/// Forwarded priorities and retry budgets, without cancellation and retry delays.
-fn second_tier() -> Settings {
-    let base = first_tier();
-    Settings {
+        ..base.clone()
+    };
+    let second_tier = Settings {
         tier: 1,
         priority_forwarded: true,
         tenants: Vec::new(),
@@ -467,14 +457,9 @@
             retry_after: false,
             ..base.limits.clone()
         },
-        ..base
-    }
-}
-
-/// A single replica that polls, without slow start and idle closing.
-fn polling() -> Settings {
-    let base = first_tier();
-    Settings {
+        ..base.clone()
+    };
+    let polling = Settings {
         replica_index: 0,
         replica_count: 1,
         polls_endpoints: true,
@@ -488,27 +473,27 @@
             worst_class_weight: 1.0,
             cross_zone_price: 0.05,
         },
-        ..base
-    }
+        ..base.clone()
+    };
+    vec![
+        ("base", base),
+        ("ordered", ordered),
+        ("second tier", second_tier),
+        ("asking", polling),
+    ]
 }
 
 #[test]
 fn actions_match_the_recorded_digests() {
-    let cases = [
-        ("first tier", first_tier()),
-        ("ordered", ordered()),
-        ("second tier", second_tier()),
-        ("polling", polling()),
-    ];
     let mut actual = String::new();
-    for (name, settings) in cases {
+    for (name, settings) in settings() {
         for seed in [1, 2] {
             let (digest, [send, reject, fail, cancel, timer, close, watch]) =
                 Driver::new(settings.clone(), seed).run();
             writeln!(
                 actual,
-                "{name}, seed {seed}: {digest:016x}, {send} sends, {reject} rejections, \
-                 {fail} failures, {cancel} cancels, {timer} timers, {close} closes, {watch} watches"
+                "{name}, seed {seed}: {digest:016x}, {send} sends, {reject} refusals, {fail} failures, \
+                 {cancel} cancels, {timer} timers, {close} closes, {watch} watches"
             )
             .expect("writing to a string succeeds");
         }
--- a/crates/heathroad-balancer/tests/rules.rs
+++ b/crates/heathroad-balancer/tests/rules.rs
@@ -16,12 +16,6 @@
     Outcome::ConnectFailed,
     Outcome::Reset,
 ];
-const STATES: [EndpointState; 4] = [
-    EndpointState::Ready,
-    EndpointState::Ready,
-    EndpointState::Draining,
-    EndpointState::Removed,
-];
 
 /// Returns classes of every idempotency, with and without ordering by key.
 fn all_classes() -> Vec<Class> {
@@ -43,135 +37,110 @@
     ]
 }
 
-/// A proxy that receives random events.
-struct RandomRun {
-    rng: fastrand::Rng,
-    proxy: Proxy,
-}
-
-fn with_random_location(rng: &mut fastrand::Rng, mut endpoint: Endpoint) -> Endpoint {
-    (endpoint.zone, endpoint.cell) = (rng.u16(..3), rng.u16(..4));
-    endpoint
-}
-
-impl RandomRun {
-    fn new(seed: u64, change: impl Fn(&mut Settings)) -> Self {
-        let mut rng = fastrand::Rng::with_seed(seed);
-        let mut settings = settings(1 + rng.u32(..4), all_classes());
-        settings.tier = rng.u32(..3);
-        settings.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 5.0 }];
-        settings.objectives.worst_class_weight = 0.3;
-        change(&mut settings);
-        let endpoints = endpoints(rng.u32(1..20))
-            .into_iter()
-            .map(|e| with_random_location(&mut rng, e))
-            .collect();
-        let proxy = Proxy::new(settings, seed, endpoints);
-        RandomRun { rng, proxy }
-    }
-
-    fn step(&mut self) {
-        match self.rng.u32(..100) {
-            0..40 => self.request(),
-            40..75 => self.end_attempt(),
-            75..78 => self.disconnect_client(),
-            78..84 => self.update_endpoint(),
-            84..85 => self.replace_endpoint_list(),
-            85..86 => self.proxy.update_endpoints(UpdateKind::Failed, vec![]),
-            86..88 => self.deliver_unknown_events(),
+/// Runs a random event sequence with requests of every class, every outcome and endpoint updates,
+/// and checks that every request gets a final response.
+fn run_random_events(seed: u64, change: impl Fn(&mut Settings)) {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let mut settings = settings(1 + rng.u32(..4), all_classes());
+    settings.tier = rng.u32(..3);
+    settings.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 5.0 }];
+    settings.objectives.worst_class_weight = 0.3;
+    change(&mut settings);
+    let with_random_location = |rng: &mut fastrand::Rng, mut endpoint: Endpoint| {
+        (endpoint.zone, endpoint.cell) = (rng.u16(..3), rng.u16(..4));
+        endpoint
+    };
+    let initial: Vec<Endpoint> = endpoints(rng.u32(1..20))
+        .into_iter()
+        .map(|e| with_random_location(&mut rng, e))
+        .collect();
+    let mut proxy = Proxy::new(settings, seed, initial);
+    for _ in 0..1500 {
+        match rng.u32(..100) {
+            0..40 => {
+                let (class, time_left) = (rng.usize(..7), 1.0 + rng.f64().powi(2) * 1500.0);
+                proxy.request_with_key(rng.u64(..12), class, rng.u16(..3), time_left);
+            }
+            40..75 => {
+                let in_flight = proxy.in_flight();
+                if !in_flight.is_empty() {
+                    let (id, number, _) = in_flight[rng.usize(..in_flight.len())].clone();
+                    proxy.end_attempt(id, number, OUTCOMES[rng.usize(..OUTCOMES.len())]);
+                }
+            }
+            75..78 => {
+                let open: Vec<_> = proxy
+                    .requests
+                    .iter()
+                    .filter(|(_, r)| r.end.is_none())
+                    .map(|(&id, _)| id)
+                    .collect();
+                if !open.is_empty() {
+                    proxy.disconnect_client(open[rng.usize(..open.len())]);
+                }
+            }
+            78..84 => {
+                let backend = rng.u32(1..25);
+                let mut endpoint = with_random_location(&mut rng, endpoint(backend));
+                if let Some(known) = proxy.endpoints.get(&endpoint.backend) {
+                    (endpoint.zone, endpoint.cell) = (known.zone, known.cell);
+                }
+                endpoint.state = [
+                    EndpointState::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ][rng.usize(..4)];
+                endpoint.started_at = if rng.bool() {
+                    0.0
+                } else {
+                    proxy.now - 500.0 * rng.f64()
+                };
+                proxy.update_endpoints(UpdateKind::Delta, vec![endpoint]);
+            }
+            84..85 => {
+                let kept: Vec<Endpoint> = proxy
+                    .endpoints
+                    .values()
+                    .filter(|e| e.state == EndpointState::Ready)
+                    .cloned()
+                    .collect();
+                let mut kept: Vec<Endpoint> =
+                    kept.into_iter().filter(|_| rng.u32(..5) > 0).collect();
+                kept.sort_by_key(|e| e.backend);
+                proxy.update_endpoints(UpdateKind::Snapshot, kept);
+            }
+            85..86 => proxy.update_endpoints(UpdateKind::Failed, vec![]),
+            86..88 => {
+                // Events about unknown requests and timers must be ignored.
+                proxy.deliver(Event::ClientLeft { request: 1 << 50 });
+                proxy.deliver(Event::TimerFired { token: 999 });
+                let (request, outcome) = (1 << 50, Outcome::Success);
+                let unknown = AttemptResult {
+                    request,
+                    attempt: 3,
+                    backend: 77,
+                    outcome,
+                    elapsed: 1.0,
+                    request_closed: true,
+                    retries_left: None,
+                };
+                proxy.deliver(Event::AttemptEnded(unknown));
+            }
             _ => {
-                let time = self.proxy.now + self.rng.f64() * 60.0;
-                self.proxy.advance_to(time);
+                let time = proxy.now + rng.f64() * 60.0;
+                proxy.advance_to(time);
             }
         }
     }
-
-    fn request(&mut self) {
-        let class = self.rng.usize(..7);
-        let time_left = 1.0 + self.rng.f64().powi(2) * 1500.0;
-        let (key, tenant) = (self.rng.u64(..12), self.rng.u16(..3));
-        self.proxy.request_with_key(key, class, tenant, time_left);
-    }
-
-    fn end_attempt(&mut self) {
-        let in_flight = self.proxy.in_flight();
-        if in_flight.is_empty() {
-            return;
-        }
-        let (id, number, _) = in_flight[self.rng.usize(..in_flight.len())];
-        let outcome = OUTCOMES[self.rng.usize(..OUTCOMES.len())];
-        self.proxy.end_attempt(id, number, outcome);
-    }
-
-    fn disconnect_client(&mut self) {
-        let requests = self.proxy.requests.iter();
-        let open: Vec<_> = requests
-            .filter(|(_, r)| r.is_open())
-            .map(|(&id, _)| id)
-            .collect();
-        if !open.is_empty() {
-            self.proxy
-                .disconnect_client(open[self.rng.usize(..open.len())]);
-        }
-    }
-
-    fn update_endpoint(&mut self) {
-        let backend = self.rng.u32(1..25);
-        let mut endpoint = with_random_location(&mut self.rng, endpoint(backend));
-        if let Some(known) = self.proxy.endpoints.get(&backend) {
-            (endpoint.zone, endpoint.cell) = (known.zone, known.cell);
-        }
-        endpoint.state = STATES[self.rng.usize(..STATES.len())];
-        endpoint.started_at = if self.rng.bool() {
-            0.0
-        } else {
-            self.proxy.now - 500.0 * self.rng.f64()
-        };
-        self.proxy
-            .update_endpoints(UpdateKind::Delta, vec![endpoint]);
-    }
-
-    /// Delivers a complete list that lacks some ready endpoints and all others.
-    fn replace_endpoint_list(&mut self) {
-        let known = self.proxy.endpoints.values();
-        let mut kept: Vec<Endpoint> = known
-            .filter(|e| e.state == EndpointState::Ready)
-            .filter(|_| self.rng.u32(..5) > 0)
-            .cloned()
-            .collect();
-        kept.sort_by_key(|e| e.backend);
-        self.proxy.update_endpoints(UpdateKind::Snapshot, kept);
-    }
-
-    /// Delivers events about an unknown request and timer, which must be ignored.
-    fn deliver_unknown_events(&mut self) {
-        let request = 1 << 50;
-        self.proxy.deliver(Event::ClientLeft { request });
-        self.proxy.deliver(Event::TimerFired { token: 999 });
-        self.proxy.deliver(Event::AttemptEnded(AttemptResult {
-            request,
-            attempt: 3,
-            backend: 77,
-            outcome: Outcome::Success,
-            elapsed: 1.0,
-            request_closed: true,
-            retries_left: None,
-        }));
-    }
-}
-
-/// Runs a random event sequence, and checks that every request gets a final response.
-fn run_random_events(seed: u64, change: impl Fn(&mut Settings)) {
-    let mut run = RandomRun::new(seed, change);
-    for _ in 0..1500 {
-        run.step();
-    }
-    let mut proxy = run.proxy;
     proxy.advance_to(proxy.now + 5000.0);
-    let open = proxy.requests.values().filter(|r| r.is_open()).count();
+    let open = proxy.requests.values().filter(|r| r.end.is_none()).count();
     assert_eq!(open, 0, "seed {seed}: requests without a final response");
     assert!(
-        proxy.requests.values().any(Request::is_served),
+        proxy
+            .requests
+            .values()
+            .any(|r| r.end.is_some_and(|e| e.1 == "served")),
         "seed {seed}: no request was served"
     );
 }
@@ -185,15 +154,14 @@
 fn rules_hold_without_cancellation() {
     (100..140).for_each(|seed| {
         run_random_events(seed, |settings| {
-            settings.limits.cancellation = false;
-            settings.limits.max_attempts = 2;
+            (settings.limits.cancellation, settings.limits.max_attempts) = (false, 2);
         });
     });
 }
 
 #[test]
 fn rules_hold_with_polled_endpoints() {
-    (200..230).for_each(|seed| run_random_events(seed, |s| s.polls_endpoints = true));
+    (200..230).for_each(|seed| run_random_events(seed, |settings| settings.polls_endpoints = true));
 }
 
 /// Guards against decisions that depend on a hash order or a clock.
@@ -220,53 +188,53 @@
         proxy.request(1, 0, time_left);
     }
     proxy.advance_to(proxy.now + 1000.0);
-    assert!(proxy.requests.values().all(Request::is_rejected));
-}
-
-/// Restarts backend 3 of a replica under load; returns the times since the
-/// start at which the replica sent to it.
-fn sends_to_started_backend(mut proxy: Proxy) -> Vec<f64> {
-    let mut sends = Vec::new();
-    let started_at = proxy.now;
-    proxy.update_endpoints(
-        UpdateKind::Delta,
-        vec![Endpoint {
-            started_at,
-            ..endpoint(3)
-        }],
+    assert!(
+        proxy
+            .requests
+            .values()
+            .all(|r| r.end.is_some_and(|e| e.1 == "rejected"))
     );
-    for _ in 0..600 {
-        proxy.request(0, 0, 1e5);
-        proxy.request(0, 0, 1e5);
-        proxy.advance_to(proxy.now + 5.0);
-        for (id, number, attempt) in proxy.in_flight() {
-            if attempt.backend == 3 && attempt.sent_at >= started_at {
-                sends.push(attempt.sent_at - started_at);
-            }
-            if proxy.now - attempt.sent_at >= 250.0 || attempt.backend == 3 {
-                proxy.end_attempt(id, number, Outcome::Success);
-            }
-        }
-        proxy.remove_finished();
-    }
-    sends
 }
 
 /// Guards against replicas that together overload a backend in slow start.
 #[test]
 fn all_replicas_together_do_not_overload_a_started_backend() {
-    let backends = 8;
     for replicas in [2, 10, 40] {
+        let backends = 8;
+        let proxies: Vec<Proxy> = (0..replicas)
+            .map(|replica_index| {
+                let mut settings =
+                    settings(replicas, vec![class(2000.0, 1.0, Idempotency::Idempotent)]);
+                settings.replica_index = replica_index;
+                let mut proxy = Proxy::new(settings, u64::from(replica_index), endpoints(backends));
+                proxy.serve(6000.0, 2, 0, 250.0);
+                proxy
+            })
+            .collect();
         let mut sends = Vec::new();
-        for replica_index in 0..replicas {
-            let classes = vec![class(2000.0, 1.0, Idempotency::Idempotent)];
-            let settings = Settings {
-                replica_index,
-                ..settings(replicas, classes)
-            };
-            let mut proxy = Proxy::new(settings, u64::from(replica_index), endpoints(backends));
-            proxy.serve(6000.0, 2, 0, 250.0);
-            sends.extend(sends_to_started_backend(proxy));
+        for mut proxy in proxies {
+            let started_at = proxy.now;
+            proxy.update_endpoints(
+                UpdateKind::Delta,
+                vec![Endpoint {
+                    started_at,
+                    ..endpoint(3)
+                }],
+            );
+            for _ in 0..600 {
+                proxy.request(0, 0, 1e5);
+                proxy.request(0, 0, 1e5);
+                proxy.advance_to(proxy.now + 5.0);
+                for (id, number, attempt) in proxy.in_flight() {
+                    if attempt.backend == 3 && attempt.sent_at >= started_at {
+                        sends.push(attempt.sent_at - started_at);
+                    }
+                    if proxy.now - attempt.sent_at >= 250.0 || attempt.backend == 3 {
+                        proxy.end_attempt(id, number, Outcome::Success);
+                    }
+                }
+                proxy.remove_finished();
+            }
         }
         sends.sort_by(f64::total_cmp);
         // Each replica sends 400 requests per second, which shows that a warm backend has at least
@@ -274,8 +242,10 @@
         let warm_capacity = 400.0 * f64::from(replicas) / f64::from(backends);
         for from in 0..2000 {
             let from = f64::from(from);
-            let in_window = sends.iter().filter(|&&t| t >= from && t < from + 1000.0);
-            let sent = in_window.count() as f64;
+            let sent = sends
+                .iter()
+                .filter(|&&t| t >= from && t < from + 1000.0)
+                .count() as f64;
             let capacity_share = 0.12 + 0.88 * from / 20_000.0;
             assert!(
                 sent <= 3.0 * capacity_share * warm_capacity,
@@ -307,10 +277,15 @@
         proxy.request(0, 0, 1000.0);
     }
     for backend in 1..=10 {
-        let in_flight = proxy.in_flight();
-        let sent = in_flight.iter().filter(|(_, _, a)| a.backend == backend);
-        let sent = sent.count();
-        assert!(sent <= 1, "{sent} attempts at once to a started backend");
+        let sent = proxy
+            .in_flight()
+            .iter()
+            .filter(|(_, _, attempt)| attempt.backend == backend)
+            .count();
+        assert!(
+            sent <= 1,
+            "{sent} attempts at once to a backend in slow start"
+        );
     }
 }
 
@@ -320,11 +295,17 @@
         scope: DeduplicationScope::Zone,
         window: 800.0,
     };
-    let class = Class {
-        ordered_by_key: true,
-        ..class(1000.0, 1.0, idempotency)
-    };
-    Proxy::new(settings(1, vec![class]), 1, endpoints(6))
+    Proxy::new(
+        settings(
+            1,
+            vec![Class {
+                ordered_by_key: true,
+                ..class(1000.0, 1.0, idempotency)
+            }],
+        ),
+        1,
+        endpoints(6),
+    )
 }
 
 /// The next request of a key is sent only when the first one has ended, has no attempt in flight
@@ -389,15 +370,18 @@
     assert!(
         same_key[1..]
             .iter()
-            .all(|id| proxy.requests[id].is_rejected())
+            .all(|id| proxy.requests[id].end.is_some_and(|e| e.1 == "rejected"))
     );
 }
 
 /// Idle connections are closed when a backend starts to drain, and again after a later outcome.
 #[test]
 fn idle_connections_to_a_draining_backend_are_closed() {
-    let classes = vec![class(1000.0, 1.0, Idempotency::NonIdempotent)];
-    let mut proxy = Proxy::new(settings(1, classes), 1, endpoints(1));
+    let mut proxy = Proxy::new(
+        settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]),
+        1,
+        endpoints(1),
+    );
     let id = proxy.request(0, 0, 3000.0);
     proxy.update_endpoints(
         UpdateKind::Delta,
--- a/crates/heathroad-balancer/tests/wire.rs
+++ b/crates/heathroad-balancer/tests/wire.rs
@@ -1,14 +1,8 @@
 //! Runs the built adapter on frames, and checks its replies and its errors on invalid input.
 
-use serde_json::{Value, json};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// The instance that the records refer to.
-const INSTANCE: u16 = 3;
-/// The clock time of each frame, in ms.
-const CLOCK: f64 = 8256.25;
-
 fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_heathroad-adapter"))
         .stdin(Stdio::piped())
@@ -21,13 +15,8 @@
     child.wait_with_output().expect("the adapter exits")
 }
 
-fn assert_success(output: &Output) {
-    assert!(
-        output.status.success(),
-        "{}",
-        String::from_utf8_lossy(&output.stderr)
-    );
-}
+/// The clock time of each frame, in ms.
+const CLOCK: f64 = 8256.25;
 
 fn frame(records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
@@ -48,8 +37,8 @@
     record
 }
 
-fn settings() -> Value {
-    json!({
+fn settings() -> serde_json::Value {
+    serde_json::json!({
         "slotNo": 0, "peersTotal": 1, "tier": 0, "locality": 0, "tick": 5.0, "overShareWorth": 0.05,
         "discovery": "automatic", "weights": "silent", "tenants": [{"quotaPerS": 10.0}], "someNewKey": -1,
         "classes": [{"aim": 500.0, "giveUp": 2000.0, "points": 1.0, "lateWorth": 0.0,
@@ -64,7 +53,7 @@
 
 fn launch(settings: &str) -> Vec<u8> {
     with_fields(
-        header(1, INSTANCE),
+        header(1, 3),
         &[
             &7u64.to_le_bytes(),
             &(settings.len() as u32).to_le_bytes(),
@@ -79,21 +68,18 @@
         &[&page.to_le_bytes(), &(backends.len() as u32).to_le_bytes()],
     );
     for backend in backends {
-        let state = [0];
         let (zone, started_at, weight) =
             (0u16.to_le_bytes(), 0f64.to_le_bytes(), 1f32.to_le_bytes());
-        let (cell, hardware) = ([0, 0], [0, 0]);
-        let backend = backend.to_le_bytes();
         record = with_fields(
             record,
             &[
-                &state,
-                &backend,
+                &[0],
+                &backend.to_le_bytes(),
                 &zone,
                 &started_at,
                 &weight,
-                &cell,
-                &hardware,
+                &[0, 0],
+                &[0, 0],
             ],
         );
     }
@@ -101,39 +87,28 @@
 }
 
 fn endpoint_update(page: u32, kind: u8) -> Vec<u8> {
-    let serial = 1u64.to_le_bytes();
     with_fields(
-        header(2, INSTANCE),
-        &[&page.to_le_bytes(), &[kind], &serial],
+        header(2, 3),
+        &[&page.to_le_bytes(), &[kind], &1u64.to_le_bytes()],
     )
 }
 
-/// Returns a frame that launches the instance with backend 11 on page 1.
-fn launch_frame() -> Vec<u8> {
-    frame(&[
-        launch(&settings().to_string()),
-        endpoint_page(1, &[11]),
-        endpoint_update(1, 3),
-    ])
-}
-
 fn request(id: u64) -> Vec<u8> {
     request_with_key(id, 0)
 }
 
 fn request_with_key(id: u64, key: u64) -> Vec<u8> {
     let deadline = CLOCK + 2000.0;
-    let (class, state_bits, tenant) = ([0, 0], [0], [0, 0]);
     let (key, predicted) = (key.to_le_bytes(), 0f64.to_le_bytes());
     with_fields(
-        header(3, INSTANCE),
+        header(3, 3),
         &[
             &id.to_le_bytes(),
             &key,
-            &class,
-            &state_bits,
+            &[0, 0],
+            &[0],
             &predicted,
-            &tenant,
+            &[0, 0],
             &deadline.to_le_bytes(),
         ],
     )
@@ -153,20 +128,26 @@
 /// A page may be redefined within a frame; an update uses the latest preceding definition.
 #[test]
 fn endpoint_update_uses_the_latest_page() {
+    let start = frame(&[
+        launch(&settings().to_string()),
+        endpoint_page(1, &[11]),
+        endpoint_update(1, 3),
+    ]);
     let next = frame(&[
         endpoint_page(1, &[22]),
         endpoint_update(1, 0),
         endpoint_page(1, &[33]),
         request(99),
     ]);
-    let output = run_adapter(&[launch_frame(), next].concat());
-    assert_success(&output);
+    let output = run_adapter(&[start, next].concat());
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let replies = replies(&output.stdout);
     assert_eq!(replies.len(), 2, "one reply per frame");
-    let mut send = with_fields(
-        header(1, INSTANCE),
-        &[&99u64.to_le_bytes(), &22u32.to_le_bytes()],
-    );
+    let mut send = with_fields(header(1, 3), &[&99u64.to_le_bytes(), &22u32.to_le_bytes()]);
     send.extend((CLOCK + 2000.0).to_le_bytes());
     assert_eq!(replies[1], send);
 }
@@ -175,17 +156,26 @@
 /// balancer.
 #[test]
 fn ordering_and_idle_closing_take_effect() {
+    let start = frame(&[
+        launch(&settings().to_string()),
+        endpoint_page(1, &[11]),
+        endpoint_update(1, 3),
+    ]);
     let same_key = frame(&[request_with_key(1, 77), request_with_key(2, 77)]);
     let mut draining = endpoint_page(2, &[11]);
     draining[10] = 2; // the state of the only endpoint
-    let drain = frame(&[draining, endpoint_update(2, 1)]);
-    let output = run_adapter(&[launch_frame(), same_key, drain].concat());
-    assert_success(&output);
+    let output =
+        run_adapter(&[start, same_key, frame(&[draining, endpoint_update(2, 1)])].concat());
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let replies = replies(&output.stdout);
     assert_eq!(replies[1].len(), 24, "a single attempt: {:?}", replies[1]);
     assert_eq!(
         replies[2],
-        with_fields(header(7, INSTANCE), &[&11u32.to_le_bytes()])
+        with_fields(header(7, 3), &[&11u32.to_le_bytes()])
     );
 }
 
@@ -198,22 +188,18 @@
     assert_eq!(output.stdout, [0, 0, 0, 0]);
 }
 
-/// Checks that the adapter rejects an input without a reply, with one line on standard error that
-/// contains all of `words`.
-fn assert_rejected(input: &[u8], words: &[&str]) {
-    let output = run_adapter(input);
-    let error = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(1), "{words:?}: {error}");
-    assert!(output.stdout.is_empty(), "{words:?}: a reply was written");
-    assert_eq!(error.lines().count(), 1, "{words:?}: {error}");
-    for word in words {
-        assert!(error.contains(word), "no '{word}' in the error: {error}");
-    }
-}
-
 #[test]
-fn malformed_frames_are_rejected() {
-    let valid = launch_frame();
+fn invalid_input_is_one_line_and_no_reply() {
+    let valid = frame(&[
+        launch(&settings().to_string()),
+        endpoint_page(1, &[11]),
+        endpoint_update(1, 3),
+    ]);
+    let launch_with = |change: &dyn Fn(&mut serde_json::Value)| {
+        let mut settings = settings();
+        change(&mut settings);
+        frame(&[launch(&settings.to_string())])
+    };
     let mut too_long = frame(&[endpoint_page(1, &[11])]);
     too_long[4] += 4;
     too_long.extend([0; 4]);
@@ -221,64 +207,65 @@
     too_short[4] = 3;
     let mut nan_clock = frame(&[]);
     nan_clock[8..16].copy_from_slice(&f64::NAN.to_le_bytes());
-    assert_rejected(&valid[..10], &["frame", "header", "10 of 16"]);
-    assert_rejected(&valid[..valid.len() - 3], &["frame", "truncated"]);
-    assert_rejected(&too_short, &["byte 4", "length 3"]);
-    assert_rejected(&nan_clock, &["byte 8", "clock"]);
-    assert_rejected(&too_long, &["4 bytes left over"]);
-}
-
-#[test]
-fn invalid_records_are_rejected() {
-    let launch = launch(&settings().to_string());
-    let cases: [(&[Vec<u8>], &[&str]); 7] = [
+    let cases: Vec<(Vec<u8>, &[&str])> = vec![
+        (valid[..10].to_vec(), &["frame", "header", "10 of 16"]),
+        (valid[..valid.len() - 3].to_vec(), &["frame", "truncated"]),
+        (too_short, &["byte 4", "length 3"]),
+        (nan_clock, &["byte 8", "clock"]),
+        (too_long, &["4 bytes left over"]),
         (
-            &[header(44, INSTANCE)],
+            frame(&[header(44, 3)]),
             &["record 0", "byte 16", "event 44"],
         ),
-        (&[endpoint_page(16, &[])], &["page 16"]),
+        (frame(&[endpoint_page(16, &[])]), &["page 16"]),
         (
-            &[with_fields(header(6, INSTANCE), &[&[1, 2, 3]])],
+            frame(&[with_fields(header(6, 3), &[&[1, 2, 3]])]),
             &["byte 20", "xid"],
         ),
-        (&[request(1)], &["instance 3"]),
-        (&[header(10, INSTANCE)], &["instance 3"]),
+        (frame(&[request(1)]), &["instance 3"]),
+        (frame(&[header(10, 3)]), &["instance 3"]),
         (
-            &[launch.clone(), endpoint_update(5, 0)],
+            frame(&[launch(&settings().to_string()), endpoint_update(5, 0)]),
             &["record 1", "page 5", "never defined"],
         ),
-        (&[launch, endpoint_update(5, 9)], &["list kind 9"]),
+        (
+            frame(&[launch(&settings().to_string()), endpoint_update(5, 9)]),
+            &["list kind 9"],
+        ),
+        (frame(&[launch("{nonsense")]), &["record 0", "settings"]),
+        (
+            launch_with(&|settings| drop(settings.as_object_mut().unwrap().remove("tick"))),
+            &["settings", "tick"],
+        ),
+        (
+            launch_with(&|settings| settings["classes"][0]["aim"] = (-4.0).into()),
+            &["classes[0].aim", "negative"],
+        ),
+        (
+            launch_with(&|settings| settings["guarantees"]["cold"] = "x".into()),
+            &["guarantees.cold"],
+        ),
+        (
+            launch_with(&|settings| settings["slotNo"] = 5.into()),
+            &["slotNo"],
+        ),
+        (
+            frame(&[launch(&settings().to_string().replace("500.0", "1e999"))]),
+            &["settings"],
+        ),
     ];
-    for (records, words) in cases {
-        assert_rejected(&frame(records), words);
+    for (input, words) in cases {
+        let output = run_adapter(&input);
+        let error = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(1), "{words:?}: {error}");
+        assert!(output.stdout.is_empty(), "{words:?}: a reply was written");
+        assert_eq!(error.lines().count(), 1, "{words:?}: {error}");
+        words
+            .iter()
+            .for_each(|word| assert!(error.contains(word), "no '{word}' in the error: {error}"));
     }
 }
 
-#[test]
-fn invalid_settings_are_rejected() {
-    let launch_with = |change: &dyn Fn(&mut Value)| {
-        let mut settings = settings();
-        change(&mut settings);
-        frame(&[launch(&settings.to_string())])
-    };
-    assert_rejected(&frame(&[launch("{nonsense")]), &["record 0", "settings"]);
-    assert_rejected(
-        &launch_with(&|s| drop(s.as_object_mut().unwrap().remove("tick"))),
-        &["settings", "tick"],
-    );
-    assert_rejected(
-        &launch_with(&|s| s["classes"][0]["aim"] = (-4.0).into()),
-        &["classes[0].aim", "negative"],
-    );
-    assert_rejected(
-        &launch_with(&|s| s["guarantees"]["cold"] = "x".into()),
-        &["guarantees.cold"],
-    );
-    assert_rejected(&launch_with(&|s| s["slotNo"] = 5.into()), &["slotNo"]);
-    let infinite = settings().to_string().replace("500.0", "1e999");
-    assert_rejected(&frame(&[launch(&infinite)]), &["settings"]);
-}
-
 /// Records that the balancer does not use are read completely, for known instances only.
 #[test]
 fn unused_records_are_ignored() {
@@ -295,7 +282,7 @@
     };
     let load_report = [&[1u8][..], &0.5f32.to_le_bytes()].concat();
     let health_check = with_fields(
-        header(8, INSTANCE),
+        header(8, 3),
         &[
             &5f64.to_le_bytes(),
             &11u32.to_le_bytes(),
@@ -304,15 +291,23 @@
         ],
     );
     let peer_message = with_fields(
-        header(9, INSTANCE),
+        header(9, 3),
         &[&1u32.to_le_bytes(), &2u16.to_le_bytes(), b"hi"],
     );
-    let unused = frame(&[attempt_started(INSTANCE), health_check, peer_message]);
-    let output = run_adapter(&[launch_frame(), unused].concat());
-    assert_success(&output);
+    let start = frame(&[
+        launch(&settings().to_string()),
+        endpoint_page(1, &[11]),
+        endpoint_update(1, 3),
+    ]);
+    let unused = frame(&[attempt_started(3), health_check, peer_message]);
+    let output = run_adapter(&[start.clone(), unused].concat());
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     assert_eq!(replies(&output.stdout)[1], Vec::<u8>::new());
-    let unknown = frame(&[attempt_started(8)]);
-    let output = run_adapter(&[launch_frame(), unknown].concat());
+    let output = run_adapter(&[start, frame(&[attempt_started(8)])].concat());
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stderr).contains("instance 8 is unknown"));
 }
