--- a/crates/heathroad-membership/tests/golden_json.rs
+++ b/crates/heathroad-membership/tests/golden_json.rs
@@ -1,4 +1,4 @@
-//! What operators read of the protocol as JSON stays as it is.
+//! Golden test of the JSON that operators read.
 
 mod common;
 
@@ -11,12 +11,12 @@
 use heathroad_membership::version::Digest;
 use serde::Serialize;
 
-fn line(value: &impl Serialize) -> String {
-    serde_json::to_string(value).expect("plain") + "\n"
+fn json_line(value: &impl Serialize) -> String {
+    serde_json::to_string(value).expect("the value is serializable") + "\n"
 }
 
 #[test]
-fn what_is_told_as_json_is_told_as_before() {
+fn json_output_matches_the_golden_file() {
     let [one, other] = [Digest([0x11; 8]), Digest([0x22; 8])];
     let mut text = String::new();
     for event in [
@@ -49,24 +49,24 @@
         Event::Isolated,
         Event::Reconnected,
     ] {
-        text += &line(&event);
+        text += &json_line(&event);
     }
-    for standing in [
+    for state in [
         MemberState::Unknown,
         MemberState::Alive,
         MemberState::Suspect,
         MemberState::Left,
         MemberState::Dead,
     ] {
-        text += &line(&standing);
+        text += &json_line(&state);
     }
-    text += &line(&Desired::Unset);
-    text += &line(&Desired::Version(DesiredVersion {
+    text += &json_line(&Desired::Unset);
+    text += &json_line(&Desired::Version(DesiredVersion {
         generation: 9,
         digest: one,
         origin: 2,
     }));
-    text += &line(&Desired::Conflict(VersionConflict {
+    text += &json_line(&Desired::Conflict(VersionConflict {
         generation: 10,
         digests: [one, other],
     }));
@@ -76,7 +76,7 @@
         digest: one,
         deadline: 12
     }));
-    text += &line(&required);
+    text += &json_line(&required);
     let dropped = DropCounters {
         malformed: 1,
         other_fleet: 2,
@@ -86,7 +86,7 @@
         stale: 6,
         replayed: 7,
     };
-    text += &line(&TrafficCounters {
+    text += &json_line(&TrafficCounters {
         sent: 1,
         sent_bytes: 2,
         received: 3,
