--- a/crates/heathroad-retry-budget/src/open_allowances.rs
+++ b/crates/heathroad-retry-budget/src/open_allowances.rs
@@ -1,5 +1,5 @@
-//! The allowances of one proxy's open requests: the retries granted to each, delegated to downstream
-//! calls and reported to the upstream tier.
+//! The allowances of one proxy's open requests: the retries granted to each, delegated to
+//! downstream calls and reported to the upstream tier.
 //!
 //! All calls of one parent request carry a copy of its budget and share its retries by delegation
 //! id. The first call creates the allowance and the others draw on it. The allowance is kept until
@@ -38,7 +38,8 @@
     /// Maximum number of identical requests without a path that trusted peers may have open at
     /// once; 0 disables the check.
     pub max_identical: usize,
-    /// Whether retries are delegated to backends, whose own calls pass proxies that support budgets.
+    /// Whether retries are delegated to backends, whose own calls pass proxies that support
+    /// budgets.
     pub delegates: bool,
 }
 
--- a/crates/heathroad-retry-budget/tests/open_allowances.rs
+++ b/crates/heathroad-retry-budget/tests/open_allowances.rs
@@ -1,5 +1,5 @@
-//! Tests of the open allowances of several proxies in a chain: with shared, lost and forged budgets,
-//! no more retries are sent than were granted at the chain's entry.
+//! Tests of the open allowances of several proxies in a chain: with shared, lost and forged
+//! budgets, no more retries are sent than were granted at the chain's entry.
 
 use heathroad_retry_budget::allowance::Delegation;
 use heathroad_retry_budget::loop_detection::{Rejection, RequestFingerprint};
--- a/crates/heathroad/src/backend/http/mod.rs
+++ b/crates/heathroad/src/backend/http/mod.rs
@@ -174,8 +174,8 @@
     }
 }
 
-/// Classifies a response that arrived before the request was fully written. It is only accepted as a
-/// rejection, which a backend may send after the request head.
+/// Classifies a response that arrived before the request was fully written. It is only accepted as
+/// a rejection, which a backend may send after the request head.
 fn classify_early_response(connection: &Connection, response: &Response<Incoming>) -> AttemptEnd {
     match classify_status(response.status(), response::is_declined(response)) {
         result @ (AttemptEnd::Rejected | AttemptEnd::NotServed(Outcome::Rejected)) => result,
--- a/crates/heathroad/src/backend/jsonrpc/connection.rs
+++ b/crates/heathroad/src/backend/jsonrpc/connection.rs
@@ -1,5 +1,5 @@
-//! The state of a JSON-RPC connection: its pending calls, the messages to write, and the matching of
-//! responses to calls. It does no I/O.
+//! The state of a JSON-RPC connection: its pending calls, the messages to write, and the matching
+//! of responses to calls. It does no I/O.
 
 use super::Call;
 use crate::backend::attempt::AttemptControl;
--- a/crates/heathroad/src/backend/jsonrpc/mod.rs
+++ b/crates/heathroad/src/backend/jsonrpc/mod.rs
@@ -1,5 +1,5 @@
-//! Attempts over JSON-RPC. A connection carries several calls concurrently, with ids assigned by the
-//! proxy. A call counts as never executed only if its message was not fully written.
+//! Attempts over JSON-RPC. A connection carries several calls concurrently, with ids assigned by
+//! the proxy. A call counts as never executed only if its message was not fully written.
 
 mod connection;
 mod io;
--- a/crates/heathroad/src/backend/pool.rs
+++ b/crates/heathroad/src/backend/pool.rs
@@ -47,8 +47,8 @@
 pub struct Pool {
     pub(super) limits: Limits,
     next_target_id: Cell<u64>,
-    /// The processes in use by name, address and start time. Engines that use the same process share
-    /// its connections.
+    /// The processes in use by name, address and start time. Engines that use the same process
+    /// share its connections.
     targets: RefCell<HashMap<(String, SocketAddr, u64), Weak<Target>>>,
     /// Idle HTTP connections by target id, longest idle first.
     pub(super) idle_http: RefCell<FxHashMap<u64, Vec<http::IdleConnection>>>,
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Returns the target of a backend process. Engines share the target of a process that is in use
-    /// and not draining.
+    /// Returns the target of a backend process. Engines share the target of a process that is in
+    /// use and not draining.
     pub fn target(&self, name: &str, address: SocketAddr, started_ms: f64) -> Rc<Target> {
         let mut targets = self.targets.borrow_mut();
         let key = (name.to_string(), address, started_ms.to_bits());
--- a/crates/heathroad/src/engine/attempt.rs
+++ b/crates/heathroad/src/engine/attempt.rs
@@ -1,5 +1,5 @@
-//! The attempts of open requests: checking them against the safety rules, sending them and recording
-//! their results.
+//! The attempts of open requests: checking them against the safety rules, sending them and
+//! recording their results.
 
 use super::endpoints::KnownEndpoint;
 use super::pending_response::RunningAttempt;
@@ -200,8 +200,8 @@
         })
     }
 
-    /// Records a denied attempt and reports it to the decision module as not sent. If the client has
-    /// disconnected, that is reported first.
+    /// Records a denied attempt and reports it to the decision module as not sent. If the client
+    /// has disconnected, that is reported first.
     fn deny_attempt(
         &self,
         state: &mut State,
--- a/crates/heathroad/src/engine/clock.rs
+++ b/crates/heathroad/src/engine/clock.rs
@@ -8,8 +8,8 @@
 
 /// Converts between instants and the decision module's time in milliseconds.
 ///
-/// The clock is monotonic and starts at the Unix time of its creation, so that it is comparable with
-/// the Unix start times of backends in discovery.
+/// The clock is monotonic and starts at the Unix time of its creation, so that it is comparable
+/// with the Unix start times of backends in discovery.
 pub(super) struct Clock {
     start: Instant,
     /// Unix time of `start`.
--- a/crates/heathroad/src/engine/mod.rs
+++ b/crates/heathroad/src/engine/mod.rs
@@ -256,8 +256,8 @@
     }
 }
 
-/// Returns the decision module's settings. Its deduplication windows are shortened, since an attempt
-/// is written some time after the decision.
+/// Returns the decision module's settings. Its deduplication windows are shortened, since an
+/// attempt is written some time after the decision.
 fn balancer_settings(settings: &InstanceSettings) -> Settings {
     let mut settings = settings.balancer.clone();
     for class in &mut settings.classes {
--- a/crates/heathroad/src/engine/pending_response.rs
+++ b/crates/heathroad/src/engine/pending_response.rs
@@ -1,6 +1,6 @@
 //! Waiting for a request's response. The waiting task also polls the request's attempts, so that an
-//! attempt needs no task of its own and its response wakes the client's task directly. Attempts that
-//! outlive the wait, such as those of a disconnected client, are moved to their own tasks.
+//! attempt needs no task of its own and its response wakes the client's task directly. Attempts
+//! that outlive the wait, such as those of a disconnected client, are moved to their own tasks.
 
 use crate::backend::{AttemptControl, store_waker};
 use crate::runtime_accounting::{sleep_until, spawn_local};
--- a/crates/heathroad/src/engine/request.rs
+++ b/crates/heathroad/src/engine/request.rs
@@ -67,8 +67,8 @@
     }
 }
 
-/// A request from its arrival at the decision module until its response is sent and its last attempt
-/// has ended.
+/// A request from its arrival at the decision module until its response is sent and its last
+/// attempt has ended.
 pub(super) struct OpenRequest {
     pub(super) call: Rc<Call>,
     pub(super) class: u16,
@@ -156,8 +156,9 @@
 }
 
 impl Engine {
-    /// Handles a client's request and waits for its final response. `client` detects that the client
-    /// has disconnected. Dropping the future before the response also counts as a disconnect.
+    /// Handles a client's request and waits for its final response. `client` detects that the
+    /// client has disconnected. Dropping the future before the response also counts as a
+    /// disconnect.
     pub async fn handle_request(
         self: &Rc<Self>,
         incoming: IncomingRequest,
--- a/crates/heathroad/src/engine/timers.rs
+++ b/crates/heathroad/src/engine/timers.rs
@@ -19,8 +19,8 @@
 pub(super) const MAX_DEADLINE_MARGIN: Duration = stall_detector::MAX_TOLERATED_STALL
     .saturating_add(stall_detector::DETECTION_THRESHOLD)
     .saturating_sub(CLIENT_GRACE);
-/// The margin is at most the client's timeout divided by this, so that short timeouts leave time for
-/// attempts.
+/// The margin is at most the client's timeout divided by this, so that short timeouts leave time
+/// for attempts.
 const DEADLINE_MARGIN_DIVISOR: u32 = 2;
 /// The watchdog deadline precedes the client's deadline by the margin divided by this.
 const WATCHDOG_MARGIN_DIVISOR: u32 = 2;
--- a/crates/heathroad/src/safety/violations.rs
+++ b/crates/heathroad/src/safety/violations.rs
@@ -1,5 +1,5 @@
-//! Counters and log lines of denials and violations. The counters are per thread; the daemon runs on
-//! one thread.
+//! Counters and log lines of denials and violations. The counters are per thread; the daemon runs
+//! on one thread.
 
 use super::{DENIAL_KINDS, Denial};
 use std::cell::Cell;
--- a/crates/heathroad/src/stall_detector.rs
+++ b/crates/heathroad/src/stall_detector.rs
@@ -21,8 +21,8 @@
 const TICK_TOLERANCE: Duration = Duration::from_millis(10);
 /// Shorter stalls may remain undetected.
 pub const DETECTION_THRESHOLD: Duration = TICK_INTERVAL.saturating_add(TICK_TOLERANCE);
-/// The longest stall between reading the clock and a time-critical action that deadlines and windows
-/// allow for.
+/// The longest stall between reading the clock and a time-critical action that deadlines and
+/// windows allow for.
 pub const MAX_TOLERATED_STALL: Duration = Duration::from_millis(150);
 
 /// Statistics of the detected stalls.
--- a/crates/heathroad/src/stream.rs
+++ b/crates/heathroad/src/stream.rs
@@ -1,5 +1,5 @@
-//! A stream wrapper that tracks how much of a request is written, detects stalled writes, and records
-//! when data arrived.
+//! A stream wrapper that tracks how much of a request is written, detects stalled writes, and
+//! records when data arrived.
 
 use crate::runtime_accounting::{self, sleep};
 use crate::stall_detector;
