--- a/crates/heathroad-balancer/src/settings.rs
+++ b/crates/heathroad-balancer/src/settings.rs
@@ -1,57 +1,55 @@
-//! The settings of an instance as they are written: a JSON object that comes with its start, on the
-//! simulator's wire as text and at a real proxy as a part of its configuration file.
+//! Parses the JSON settings of an instance. The simulator sends them when it starts an instance; a
+//! real proxy has them in its configuration file.
 //!
-//! The keys are those of the settings' specification; the private types below map them to the
-//! names that the code uses.
+//! The private types map the keys of the settings' specification to the names in the code.
 
 use crate::api;
 use serde::{Deserialize, Deserializer, de::Error};
 
-/// The settings of one instance, by who reads them.
+/// The settings of one instance.
 #[derive(Debug, Clone)]
 pub struct InstanceSettings {
-    /// What the decisions need.
+    /// The settings of the balancer.
     pub balancer: api::Settings,
-    /// What a proxy on real sockets needs besides.
+    /// Further settings for a proxy on real sockets.
     pub site: SiteSettings,
 }
 
-/// Names and figures that no decision needs; empty or 0 where the text leaves them out. Times are
-/// milliseconds.
+/// Settings that the balancer does not use; empty or 0 if missing. Times are milliseconds.
 #[derive(Debug, Clone, Default)]
 pub struct SiteSettings {
-    /// The names of the classes, in the order of the settings.
+    /// The names of the classes, by class index.
     pub classes: Vec<String>,
-    /// The names of the tenants.
+    /// The names of the tenants, by tenant index.
     pub tenants: Vec<String>,
-    /// The names of the zones.
+    /// The names of the zones, by zone index.
     pub zones: Vec<String>,
-    /// The time after which a backend closes an idle connection, at the latest.
+    /// The maximum time after which a backend closes an idle connection.
     pub idle_timeout: f64,
-    /// The time after which a connect has failed.
+    /// The time after which a connection attempt fails.
     pub connect_timeout: f64,
-    /// The most open requests of a replica.
+    /// The maximum number of open requests per replica.
     pub max_open_requests: usize,
     /// A request may have two attempts in flight at once.
     pub hedging_allowed: bool,
-    /// The time after the notice in which sends to a draining backend must end.
+    /// The time after a drain notice within which a proxy must stop sending to the backend.
     pub drain_grace: f64,
 }
 
-/// Why settings could not be read.
+/// An error in reading settings.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsReadError {
     /// A key is missing, or its value has a wrong type or is out of range.
     #[error("settings: {0}")]
     InvalidValue(#[source] serde_path_to_error::Error<serde_json::Error>),
-    /// Something follows the object.
+    /// Data follows the JSON object.
     #[error("settings: {0}")]
     TrailingData(#[source] serde_json::Error),
 }
 
 /// Deserializes a number that must be finite and not negative.
-fn figure<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+fn non_negative<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     let number = f64::deserialize(deserializer)?;
     if number.is_finite() && number >= 0.0 {
         Ok(number)
@@ -62,7 +60,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct SettingsText {
+struct SettingsJson {
     #[serde(rename = "slotNo")]
     replica_index: u32,
     #[serde(rename = "peersTotal")]
@@ -72,24 +70,24 @@
     zone: u16,
     #[serde(default, rename = "localities")]
     zones: Vec<String>,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     tick: f64,
-    #[serde(rename = "overShareWorth", deserialize_with = "figure")]
+    #[serde(rename = "overShareWorth", deserialize_with = "non_negative")]
     over_quota_priority: f64,
-    discovery: DiscoveryText,
-    classes: Vec<ClassText>,
-    tenants: Vec<TenantText>,
+    discovery: DiscoveryJson,
+    classes: Vec<ClassJson>,
+    tenants: Vec<TenantJson>,
     #[serde(rename = "caps")]
-    limits: LimitsText,
-    guarantees: GuaranteesText,
+    limits: LimitsJson,
+    guarantees: GuaranteesJson,
     #[serde(default)]
-    goal: GoalText,
+    goal: GoalJson,
     #[serde(default)]
-    prices: PricesText,
+    prices: PricesJson,
 }
 
 #[derive(Deserialize)]
-enum DiscoveryText {
+enum DiscoveryJson {
     #[serde(rename = "automatic")]
     Pushed,
     #[serde(rename = "subscribe")]
@@ -98,25 +96,25 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct ClassText {
+struct ClassJson {
     #[serde(default)]
     name: String,
-    #[serde(rename = "aim", deserialize_with = "figure")]
+    #[serde(rename = "aim", deserialize_with = "non_negative")]
     latency_objective: f64,
-    #[serde(rename = "points", deserialize_with = "figure")]
+    #[serde(rename = "points", deserialize_with = "non_negative")]
     priority_weight: f64,
     #[serde(rename = "semantics")]
-    idempotency: IdempotencyText,
+    idempotency: IdempotencyJson,
     #[serde(rename = "group")]
-    scope: ScopeText,
-    #[serde(deserialize_with = "figure")]
+    scope: ScopeJson,
+    #[serde(deserialize_with = "non_negative")]
     window: f64,
     #[serde(default, rename = "fifoByKey")]
     ordered_by_key: bool,
 }
 
 #[derive(Deserialize)]
-enum IdempotencyText {
+enum IdempotencyJson {
     #[serde(rename = "retryable")]
     Idempotent,
     #[serde(rename = "dedup")]
@@ -127,7 +125,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-enum ScopeText {
+enum ScopeJson {
     All,
     Zone,
     Cell,
@@ -135,20 +133,20 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct TenantText {
+struct TenantJson {
     #[serde(default)]
     name: String,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     quota_per_s: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct LimitsText {
+struct LimitsJson {
     #[serde(rename = "cancelling")]
     cancellation: bool,
     retry_after: bool,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     max_retry_after: f64,
     #[serde(rename = "tryLimit")]
     max_attempts: u32,
@@ -156,42 +154,50 @@
     max_open_requests: usize,
     #[serde(default, rename = "mayDuplicate")]
     hedging_allowed: bool,
-    #[serde(default, rename = "connIdle", deserialize_with = "figure")]
+    #[serde(default, rename = "connIdle", deserialize_with = "non_negative")]
     idle_timeout: f64,
-    #[serde(default, deserialize_with = "figure")]
+    #[serde(default, deserialize_with = "non_negative")]
     connect_timeout: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct GuaranteesText {
-    #[serde(rename = "coldFrom", deserialize_with = "figure")]
+struct GuaranteesJson {
+    #[serde(rename = "coldFrom", deserialize_with = "non_negative")]
     slow_start_floor: f64,
-    #[serde(rename = "cold", deserialize_with = "figure")]
+    #[serde(rename = "cold", deserialize_with = "non_negative")]
     slow_start_duration: f64,
-    #[serde(rename = "fallMultiple", deserialize_with = "figure")]
+    #[serde(rename = "fallMultiple", deserialize_with = "non_negative")]
     overload_multiple: f64,
-    #[serde(default, rename = "askWithin", deserialize_with = "figure")]
-    poll_within: f64,
-    #[serde(default, rename = "releaseWithin", deserialize_with = "figure")]
+    #[serde(default, rename = "askWithin", deserialize_with = "non_negative")]
+    max_poll_interval: f64,
+    #[serde(default, rename = "releaseWithin", deserialize_with = "non_negative")]
     idle_close_within: f64,
-    #[serde(default, rename = "settleAfterDoubt", deserialize_with = "figure")]
-    unknown_outcome_rest: f64,
-    #[serde(default, rename = "stopSendingWithin", deserialize_with = "figure")]
+    #[serde(
+        default,
+        rename = "settleAfterDoubt",
+        deserialize_with = "non_negative"
+    )]
+    unknown_outcome_delay: f64,
+    #[serde(
+        default,
+        rename = "stopSendingWithin",
+        deserialize_with = "non_negative"
+    )]
     drain_grace: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct GoalText {
-    #[serde(rename = "worstClass", deserialize_with = "figure")]
+struct GoalJson {
+    #[serde(rename = "worstClass", deserialize_with = "non_negative")]
     worst_class_weight: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct PricesText {
-    #[serde(rename = "crossZone", deserialize_with = "figure")]
+struct PricesJson {
+    #[serde(rename = "crossZone", deserialize_with = "non_negative")]
     cross_zone_price: f64,
 }
 
@@ -199,7 +205,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error that names the key, or says that something follows the object.
+/// Returns an error that names the invalid key, or reports data after the object.
 pub fn parse(text: &[u8]) -> Result<InstanceSettings, SettingsReadError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let settings = read(&mut json)?;
@@ -207,25 +213,25 @@
     Ok(settings)
 }
 
-/// Reads settings from a deserializer of JSON.
+/// Reads settings from a JSON deserializer.
 ///
 /// # Errors
 ///
-/// Returns an error that names the key.
+/// Returns an error that names the invalid key.
 pub fn read<'de, D>(json: D) -> Result<InstanceSettings, SettingsReadError>
 where
     D: Deserializer<'de, Error = serde_json::Error>,
 {
-    let text: SettingsText =
+    let settings: SettingsJson =
         serde_path_to_error::deserialize(json).map_err(SettingsReadError::InvalidValue)?;
-    let site = text.site();
+    let site = settings.site();
     Ok(InstanceSettings {
-        balancer: text.into_balancer(),
+        balancer: settings.into_balancer(),
         site,
     })
 }
 
-impl SettingsText {
+impl SettingsJson {
     fn site(&self) -> SiteSettings {
         SiteSettings {
             classes: self.classes.iter().map(|c| c.name.clone()).collect(),
@@ -240,7 +246,7 @@
     }
 
     fn into_balancer(self) -> api::Settings {
-        let tenant = |t: &TenantText| api::Tenant {
+        let tenant = |t: &TenantJson| api::Tenant {
             quota_per_s: t.quota_per_s,
         };
         api::Settings {
@@ -249,15 +255,15 @@
             tier: self.tier,
             zone: self.zone,
             tick: self.tick,
-            // The embedding proxy knows.
+            // Set by the embedding proxy.
             priority_forwarded: false,
-            polls_endpoints: matches!(self.discovery, DiscoveryText::Polled),
+            polls_endpoints: matches!(self.discovery, DiscoveryJson::Polled),
             over_quota_priority: self.over_quota_priority,
             tenants: self.tenants.iter().map(tenant).collect(),
             classes: self
                 .classes
                 .into_iter()
-                .map(ClassText::into_class)
+                .map(ClassJson::into_class)
                 .collect(),
             limits: self.limits.into_limits(),
             guarantees: self.guarantees.into_guarantees(),
@@ -269,12 +275,12 @@
     }
 }
 
-impl ClassText {
+impl ClassJson {
     fn into_class(self) -> api::Class {
         let scope = match self.scope {
-            ScopeText::All => api::DeduplicationScope::All,
-            ScopeText::Zone => api::DeduplicationScope::Zone,
-            ScopeText::Cell => api::DeduplicationScope::Cell,
+            ScopeJson::All => api::DeduplicationScope::All,
+            ScopeJson::Zone => api::DeduplicationScope::Zone,
+            ScopeJson::Cell => api::DeduplicationScope::Cell,
         };
         let window = self.window;
         api::Class {
@@ -282,36 +288,36 @@
             priority_weight: self.priority_weight,
             ordered_by_key: self.ordered_by_key,
             idempotency: match self.idempotency {
-                IdempotencyText::Idempotent => api::Idempotency::Idempotent,
-                IdempotencyText::NonIdempotent => api::Idempotency::NonIdempotent,
-                IdempotencyText::Deduplicated => api::Idempotency::Deduplicated { scope, window },
+                IdempotencyJson::Idempotent => api::Idempotency::Idempotent,
+                IdempotencyJson::NonIdempotent => api::Idempotency::NonIdempotent,
+                IdempotencyJson::Deduplicated => api::Idempotency::Deduplicated { scope, window },
             },
         }
     }
 }
 
-impl LimitsText {
+impl LimitsJson {
     fn into_limits(self) -> api::SiteLimits {
         api::SiteLimits {
             cancellation: self.cancellation,
             retry_after: self.retry_after,
             max_retry_after: self.max_retry_after,
             max_attempts: self.max_attempts,
-            // The embedding proxy knows.
+            // Set by the embedding proxy.
             late_completions: false,
         }
     }
 }
 
-impl GuaranteesText {
+impl GuaranteesJson {
     fn into_guarantees(self) -> api::Guarantees {
         api::Guarantees {
             slow_start_floor: self.slow_start_floor,
             slow_start_duration: self.slow_start_duration,
             overload_multiple: self.overload_multiple,
-            poll_within: self.poll_within,
+            max_poll_interval: self.max_poll_interval,
             idle_close_within: self.idle_close_within,
-            unknown_outcome_rest: self.unknown_outcome_rest,
+            unknown_outcome_delay: self.unknown_outcome_delay,
         }
     }
 }
