--- a/crates/heathroad/tests/unit/membership_audit.rs
+++ b/crates/heathroad/tests/unit/membership_audit.rs
@@ -84,7 +84,7 @@
 #[test]
 fn a_member_that_was_reached_is_reported_with_its_record() {
     let report = RecordReport::new(AuditQuery::default(), &record(), OFFSET);
-    let audited = AuditedMember::new(member(), AuditedRecord::Reached(report));
+    let audited = AuditedMember::new(member(), AuditedRecord::Fetched(report));
     let mut expected = record_json(true);
     expected["place"] = 3.into();
     expected["address"] = "127.0.0.1:9".into();
@@ -96,11 +96,11 @@
 
 #[test]
 fn a_member_that_was_not_reached_is_reported_with_what_is_known() {
-    let report = UnreachedReport::new(&view(), "it did not answer", None);
+    let report = MissingRecordReport::new(&view(), "it did not answer", None);
     let expected = json!({"reached": false, "why": "it did not answer", "last_heard_ms": 20,
         "last_acts": ["1111111111111111", 4], "last_version": null, "unknown_until": null,
         "collected": null});
-    assert_eq!(to_json(AuditedRecord::Unreached(report)), expected);
+    assert_eq!(to_json(AuditedRecord::Missing(report)), expected);
 }
 
 #[test]
