--- a/crates/heathroad/src/admin/configuration.rs
+++ b/crates/heathroad/src/admin/configuration.rs
@@ -42,8 +42,8 @@
         return reply::method_not_allowed(allowed);
     }
     match (path, &*state.router) {
-        ("/metrics", router) => reply::open_metrics(router.counts_text(state.max_descriptors)),
-        ("/counts", router) => reply::json(router.counts_json(state.max_descriptors)),
+        ("/metrics", router) => reply::open_metrics(router.metrics_text(state.max_descriptors)),
+        ("/counts", router) => reply::json(router.metrics_json(state.max_descriptors)),
         (_, Router::SinglePool(_)) => reply::text(
             StatusCode::NOT_FOUND,
             "no routes: the daemon serves the one pool of its settings",
--- a/crates/heathroad/src/daemon/frontends.rs
+++ b/crates/heathroad/src/daemon/frontends.rs
@@ -35,7 +35,7 @@
         let budgets = config.budget.as_ref();
         let budgets = budgets.map(|settings| RetryBudgets::new(settings, process_seed()));
         if let Some(budgets) = &budgets {
-            router.meter().export_retry_budgets(budgets);
+            router.metrics().export_retry_budgets(budgets);
         }
         let (stop, stop_requested) = watch::channel(false);
         let max_connections = capacity.client_connections;
--- a/crates/heathroad/src/daemon/shutdown.rs
+++ b/crates/heathroad/src/daemon/shutdown.rs
@@ -46,7 +46,11 @@
         membership.leave();
     }
     // The reader of standard output may be gone; that is no reason to fail.
-    let _ = writeln!(std::io::stdout(), "{}", router.counts_json(max_descriptors));
+    let _ = writeln!(
+        std::io::stdout(),
+        "{}",
+        router.metrics_json(max_descriptors)
+    );
     match ended {
         Ok(served) => served.map_err(DaemonError::Frontend),
         Err(_) => Ok(()),
--- a/crates/heathroad/src/frontend/http/connection.rs
+++ b/crates/heathroad/src/frontend/http/connection.rs
@@ -171,7 +171,7 @@
                 let reply = error.into_reply(&self.settings);
                 let status = reply.status().as_u16();
                 tracing::debug!(connection = connection.number, status, "request unusable");
-                self.router.meter().record_unusable(status);
+                self.router.metrics().record_unusable(status);
                 return reply;
             }
         };
--- a/crates/heathroad/src/frontend/jsonrpc/call.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/call.rs
@@ -245,7 +245,7 @@
             LOOP_DETECTED => 508,
             _ => 400,
         };
-        self.frontend().pools.meter().record_unusable(status);
+        self.frontend().pools.metrics().record_unusable(status);
         answer::malformed(wrong)
     }
 }
--- a/crates/heathroad/src/frontend/jsonrpc/connection.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/connection.rs
@@ -280,7 +280,11 @@
     fn end_broken_input(&mut self, last_answer: Bytes, status: u16) {
         self.last_answer = Some(last_answer);
         self.is_input_over = true;
-        self.client.frontend().pools.meter().record_unusable(status);
+        self.client
+            .frontend()
+            .pools
+            .metrics()
+            .record_unusable(status);
     }
 
     fn is_quiet(&self) -> bool {
--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -134,38 +134,38 @@
     }
 
     /// Returns the counters over all pools.
-    pub fn meter(&self) -> Rc<MetricsRegistry> {
+    pub fn metrics(&self) -> Rc<MetricsRegistry> {
         match self {
             Router::SinglePool(engine) => engine.metrics().registry().clone(),
-            Router::Routed(pools) => pools.meter().clone(),
+            Router::Routed(pools) => pools.metrics().clone(),
         }
     }
 
     /// Returns all counters as Prometheus text. `max_descriptors` is the limit of the process.
-    pub fn counts_text(&self, max_descriptors: usize) -> String {
+    pub fn metrics_text(&self, max_descriptors: usize) -> String {
         let descriptors = Descriptors {
             open: count_open_descriptors(),
             max: max_descriptors,
         };
-        self.with_moments(|meter, snapshots| meter.to_text(snapshots, descriptors))
+        self.with_snapshots(|metrics, snapshots| metrics.to_text(snapshots, descriptors))
     }
 
     /// Returns all counters as one line of JSON. `max_descriptors` is the limit of the process.
-    pub fn counts_json(&self, max_descriptors: usize) -> String {
+    pub fn metrics_json(&self, max_descriptors: usize) -> String {
         let descriptors = Descriptors {
             open: count_open_descriptors(),
             max: max_descriptors,
         };
-        self.with_moments(|meter, snapshots| meter.to_json(snapshots, descriptors))
+        self.with_snapshots(|metrics, snapshots| metrics.to_json(snapshots, descriptors))
     }
 
-    fn with_moments<T>(
+    fn with_snapshots<T>(
         &self,
         report: impl FnOnce(&MetricsRegistry, &[PoolSnapshot<'_>]) -> T,
     ) -> T {
         let engines = self.engines();
         let snapshots: Vec<PoolSnapshot<'_>> = engines.iter().map(|e| e.snapshot()).collect();
-        report(&self.meter(), &snapshots)
+        report(&self.metrics(), &snapshots)
     }
 }
 
--- a/crates/heathroad/src/router/pool_run.rs
+++ b/crates/heathroad/src/router/pool_run.rs
@@ -72,7 +72,7 @@
 
     fn start_engine(&self, pool: &Pool, key: &str) -> Result<Rc<Engine>, RouterError> {
         let settings = pool_settings(&self.config.settings, pool);
-        let counts = PoolMetrics::new(&self.meter, &pool.name, &settings.site);
+        let counts = PoolMetrics::new(&self.metrics, &pool.name, &settings.site);
         // The router itself decides which registries to watch.
         let (watching, _) = watch::channel(false);
         let engine = Engine::new(
--- a/crates/heathroad/src/router/routed_pools.rs
+++ b/crates/heathroad/src/router/routed_pools.rs
@@ -73,7 +73,7 @@
 pub struct RoutedPools {
     pub(super) config: RoutedPoolsConfig,
     pub(super) default_registry: Cell<SocketAddr>,
-    pub(super) meter: Rc<MetricsRegistry>,
+    pub(super) metrics: Rc<MetricsRegistry>,
     pub(super) active: RefCell<Rc<ActivePools>>,
     /// The runs that a generation names which is in force, staged, or kept for a rollback.
     pub(super) kept_runs: RefCell<BTreeMap<String, Rc<PoolRun>>>,
@@ -121,7 +121,7 @@
         let pools = Rc::new(RoutedPools {
             default_registry: Cell::new(config.default_registry),
             config,
-            meter: Rc::new(MetricsRegistry::new()),
+            metrics: Rc::new(MetricsRegistry::new()),
             active: RefCell::new(active),
             kept_runs: RefCell::default(),
             all_runs: RefCell::default(),
@@ -193,8 +193,8 @@
     }
 
     /// Returns the counters over all pools.
-    pub fn meter(&self) -> &Rc<MetricsRegistry> {
-        &self.meter
+    pub fn metrics(&self) -> &Rc<MetricsRegistry> {
+        &self.metrics
     }
 
     /// Returns the generation that new requests bind to.
