--- a/crates/heathroad/src/discovery/client.rs
+++ b/crates/heathroad/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! Requests to discovery, hedged on further connections when a response is overdue.
+//! Requests to discovery, which are hedged on further connections when a response is overdue.
 
 use super::endpoint_list::EndpointList;
 use super::timing::WatchTiming;
@@ -19,7 +19,7 @@
 
 /// The path of the endpoint list.
 const LIST_PATH: &str = "/registry/instances";
-/// A connection must be established within this time.
+/// The time within which a connection must be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// The maximum size of a response in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
@@ -30,9 +30,9 @@
 /// Why a request to discovery failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DiscoveryError {
-    #[error("no answer in time")]
+    #[error("no response in time")]
     Overdue,
-    #[error("{address}: no connection in time")]
+    #[error("{address}: connect timeout")]
     ConnectTimeout { address: SocketAddr },
     #[error("{address}: {source}")]
     Connect {
@@ -43,20 +43,20 @@
     Http(#[from] hyper::Error),
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    #[error("answered {0}")]
+    #[error("unexpected status {0}")]
     Status(StatusCode),
     #[error(transparent)]
     Body(Box<dyn Error + Send + Sync>),
-    #[error("list: {0}")]
+    #[error("invalid list: {0}")]
     List(#[from] serde_json::Error),
 }
 
-/// What is requested: the whole list, or the changes after a version.
+/// What a request asks for.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Query {
     /// The whole list.
     List,
-    /// The changes after a version, for which discovery waits.
+    /// The changes after a version. Discovery responds once there is one, or after `wait`.
     Watch { version: u64, wait: Duration },
 }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Returns the same query for a hedged request, which does not wait.
+    /// Returns the same query without a wait, for hedged requests.
     fn without_wait(self) -> Query {
         match self {
             Query::List => Query::List,
@@ -90,11 +90,11 @@
     }
 }
 
-/// Requests an endpoint list, and returns the first response. When it is overdue, hedged requests
-/// are sent on connections of their own.
+/// Requests an endpoint list. While the response is overdue, hedged requests are sent on new
+/// connections, and the first successful response is returned.
 ///
-/// `connection` is used for the first request if there is one, and replaced by that of the response
-/// if it can be reused.
+/// The first request uses `connection` if there is one. Afterwards `connection` is that of the
+/// response, if it can be reused.
 pub(super) async fn fetch_hedged(
     connection: &mut Option<Connection>,
     address: SocketAddr,
@@ -167,7 +167,7 @@
     stream.set_nodelay(true).map_err(connect_error)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await?;
     spawn_local(async move {
-        // The sender shows the end of the connection.
+        // The sender reports errors of the connection.
         let _ = connection.await;
     });
     Ok(sender)
--- a/crates/heathroad/src/discovery/endpoint_list.rs
+++ b/crates/heathroad/src/discovery/endpoint_list.rs
@@ -1,59 +1,59 @@
-//! The endpoint list in the form in which discovery sends it. The engine decides on its content.
+//! The endpoint list, as discovery sends it.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// An endpoint list, or a change of it.
+/// An endpoint list, or a change of one.
 #[derive(Deserialize)]
 pub struct EndpointList {
     /// The version of the list.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether this is the whole list, and not a change of it.
+    /// Whether this is the whole list, not a change.
     #[serde(rename = "whole")]
     pub is_complete: bool,
-    /// The entries, which are parsed one by one.
+    /// The entries. Each is parsed separately, so that an invalid one does not affect the others.
     #[serde(rename = "hosts")]
     pub entries: Vec<serde_json::Value>,
 }
 
-/// A backend process of an endpoint list.
+/// A backend process in an endpoint list.
 #[derive(Deserialize, Clone)]
 pub struct Instance {
-    /// The name of the backend.
+    /// The backend's name.
     #[serde(rename = "host")]
     pub name: String,
-    /// The address. An endpoint that takes no requests needs none.
+    /// The address. Only instances that take new requests must have one.
     #[serde(rename = "dial")]
     pub address: Option<SocketAddr>,
-    /// The site.
+    /// The backend's site.
     #[serde(default)]
     pub site: String,
     /// The kind of machine.
     #[serde(default)]
     pub class: String,
-    /// The block: a small group of backends that share deduplication.
+    /// The block, a small group of backends that share deduplication.
     #[serde(default)]
     pub block: u16,
-    /// Whether the endpoint takes new requests.
+    /// Whether the instance takes new requests.
     pub health: InstanceHealth,
-    /// The capacity relative to that of the other endpoints.
+    /// The capacity relative to that of other instances.
     #[serde(default, rename = "share")]
     pub weight: f64,
-    /// The start of the process in milliseconds of Unix time, or 0 if it is unknown.
+    /// The start time of the process in milliseconds of Unix time, or 0 if unknown.
     #[serde(default, rename = "born_ms")]
     pub started_ms: f64,
 }
 
-/// Whether an endpoint takes new requests.
+/// Whether an instance takes new requests.
 #[derive(Deserialize, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum InstanceHealth {
-    /// It takes new requests.
+    /// Takes new requests.
     Serving,
-    /// It finishes the requests that it has.
+    /// Takes no new requests, and finishes those that it has.
     Draining,
-    /// It is gone.
+    /// Is gone.
     Deleted,
 }
 
@@ -70,14 +70,14 @@
 }
 
 impl EndpointList {
-    /// Parses the entries. Those that are not valid are skipped and logged in one line.
+    /// Parses the entries. Invalid ones are skipped, and logged in one line.
     pub fn into_instances(self) -> Vec<Instance> {
-        let mut endpoints = Vec::new();
+        let mut instances = Vec::new();
         let mut skipped = 0;
         let mut example = None;
         for entry in &self.entries {
             match parse_entry(entry) {
-                Ok(endpoint) => endpoints.push(endpoint),
+                Ok(instance) => instances.push(instance),
                 Err(error) => {
                     skipped += 1;
                     example = Some(error);
@@ -85,21 +85,21 @@
             }
         }
         if let Some(example) = example {
-            tracing::warn!("discovery: {skipped} entries passed over, such as {example}");
+            tracing::warn!("discovery: {skipped} invalid entries skipped, for example {example}");
         }
-        endpoints
+        instances
     }
 }
 
 fn parse_entry(entry: &serde_json::Value) -> Result<Instance, EntryError> {
-    let endpoint = Instance::deserialize(entry).map_err(|source| EntryError::Malformed {
+    let instance = Instance::deserialize(entry).map_err(|source| EntryError::Malformed {
         entry: entry.to_string(),
         source,
     })?;
-    if endpoint.health == InstanceHealth::Serving && endpoint.address.is_none() {
+    if instance.health == InstanceHealth::Serving && instance.address.is_none() {
         return Err(EntryError::NoAddress {
-            name: endpoint.name,
+            name: instance.name,
         });
     }
-    Ok(endpoint)
+    Ok(instance)
 }
--- a/crates/heathroad/src/discovery/mod.rs
+++ b/crates/heathroad/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery: follows the endpoint list of a registry and its changes.
+//! Discovery of backends: follows the endpoint list of a registry.
 
 mod client;
 pub mod endpoint_list;
@@ -17,22 +17,23 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The pause after an empty response that came at once. Discovery keeps a watch for 200 ms.
-const EMPTY_RESPONSE_PAUSE: Duration = Duration::from_millis(100);
+/// The pause after a response without news, so that a registry that doesn't hold watch requests is
+/// not polled in a busy loop.
+const UNCHANGED_LIST_PAUSE: Duration = Duration::from_millis(100);
 
 /// An event of an endpoint list.
 pub enum DiscoveryEvent {
-    /// The whole list, or a change of it.
+    /// The list, or a change of it, was received.
     Update(EndpointUpdate),
     /// A poll on demand failed.
     PollFailed,
 }
 
-/// A whole endpoint list, or a change of it.
+/// An endpoint list, or a change of one.
 pub struct EndpointUpdate {
-    /// Whether this is the whole list.
+    /// Whether this is the whole list or a change.
     pub kind: UpdateKind,
-    /// The instances of the list.
+    /// The instances of the list, or those that changed.
     pub instances: Vec<Instance>,
     /// The version of the list.
     pub version: u64,
@@ -45,26 +46,27 @@
     }
 }
 
-/// Follows an endpoint list forever and passes its events on.
+/// Follows an endpoint list, and passes its updates to `on_event`.
 ///
-/// If `on_demand`, the list is polled only while `wanted` says so, and failures are passed on.
-/// Otherwise it is watched all the time, and late by less than `drain_grace`.
+/// If `on_demand`, the list is polled only while `watch_requested` is true, and failed polls are
+/// passed on too. Otherwise it is watched all the time, and a silent watch is detected within
+/// `drain_grace`.
 pub async fn follow(
     on_event: impl Fn(DiscoveryEvent),
     address: SocketAddr,
     on_demand: bool,
     drain_grace: Duration,
-    mut wanted: watch::Receiver<bool>,
+    mut watch_requested: watch::Receiver<bool>,
 ) {
     let timing = if on_demand {
         WatchTiming::ON_DEMAND
     } else {
-        WatchTiming::pushed(drain_grace)
+        WatchTiming::for_agent(drain_grace)
     };
     let mut follower = Follower::new(address, on_demand, timing);
     loop {
-        if on_demand && !*wanted.borrow_and_update() {
-            if wanted.changed().await.is_err() {
+        if on_demand && !*watch_requested.borrow_and_update() {
+            if watch_requested.changed().await.is_err() {
                 return;
             }
             continue;
@@ -79,7 +81,7 @@
     on_demand: bool,
     timing: WatchTiming,
     connection: Option<client::Connection>,
-    /// The version that was last passed on. `None` requests the whole list.
+    /// The version last passed on, or `None` if the whole list is to be requested.
     version: Option<u64>,
     backoff: Duration,
     is_failing: bool,
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Sends one request, and passes its result on.
+    /// Requests the list or its changes once, and passes the result on.
     async fn poll(&mut self, on_event: &impl Fn(DiscoveryEvent)) {
         let sent = Instant::now();
         let query = self.next_query();
@@ -106,7 +108,7 @@
         match response {
             Ok(list) if self.is_stale(&list) => {
                 self.version = None;
-                sleep(EMPTY_RESPONSE_PAUSE).await;
+                sleep(UNCHANGED_LIST_PAUSE).await;
             }
             Ok(list) => self.handle_list(list, sent, on_event).await,
             Err(error) => {
@@ -114,7 +116,7 @@
                     tracing::warn!("discovery: {error}");
                 }
                 if self.on_demand {
-                    // The balancer decides when to poll again.
+                    // The balancer decides whether to poll again.
                     on_event(DiscoveryEvent::PollFailed);
                 }
                 sleep(self.backoff).await;
@@ -127,7 +129,8 @@
         let Some(version) = self.version else {
             return Query::List;
         };
-        // A request that waits since before an outage would miss the changes at its end.
+        // After a failure, discovery must not hold the request: one sent during an outage may hang,
+        // and the changes at the outage's end would be missed.
         let wait = if self.is_failing && !self.on_demand {
             Duration::ZERO
         } else {
@@ -136,11 +139,11 @@
         Query::Watch { version, wait }
     }
 
-    /// Whether a change is older than the version that was passed on. It would bring a draining
-    /// backend back.
+    /// Returns whether a change is older than the version last passed on. Applying it could make a
+    /// draining backend serve again.
     ///
-    /// A whole list is never stale: discovery may have restarted with lower versions. After a stale
-    /// change the whole list is therefore requested.
+    /// A whole list is never stale, since versions start again when discovery restarts. Therefore
+    /// the whole list is requested after a stale change.
     fn is_stale(&self, list: &EndpointList) -> bool {
         !list.is_complete && self.version.is_some_and(|version| list.version < version)
     }
@@ -166,8 +169,8 @@
                 instances: list.into_instances(),
                 version,
             }));
-        } else if sent.elapsed() < EMPTY_RESPONSE_PAUSE {
-            sleep(EMPTY_RESPONSE_PAUSE).await;
+        } else if sent.elapsed() < UNCHANGED_LIST_PAUSE {
+            sleep(UNCHANGED_LIST_PAUSE).await;
         }
     }
 }
--- a/crates/heathroad/src/discovery/tests.rs
+++ b/crates/heathroad/src/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the timing, and of following a list over a socket.
+//! Tests of the timing, and of following an endpoint list over a socket.
 
 use super::*;
 use crate::runtime_accounting::timeout;
@@ -9,58 +9,60 @@
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 
-fn page(seq: u64, whole: bool, health: &str) -> String {
+fn list_json(seq: u64, whole: bool, health: &str) -> String {
     format!(
         r#"{{"seq":{seq},"whole":{whole},"hosts":[{{"host":"a","dial":"127.0.0.1:9","health":"{health}"}}]}}"#
     )
 }
 
-/// Answers each call with the next page, and tells what was asked.
-async fn registry(listener: TcpListener, pages: Vec<String>) -> Vec<String> {
-    let (mut stream, _) = listener.accept().await.expect("it comes");
-    let mut asked = Vec::new();
-    for page in pages {
+/// Responds to each request with the next body, and returns the targets of the requests.
+async fn serve_lists(listener: TcpListener, bodies: Vec<String>) -> Vec<String> {
+    let (mut stream, _) = listener.accept().await.expect("a connection");
+    let mut targets = Vec::new();
+    for body in bodies {
         let mut bytes = vec![0; 1024];
-        let n = stream.read(&mut bytes).await.expect("open");
+        let n = stream.read(&mut bytes).await.expect("a request");
         let head = String::from_utf8_lossy(&bytes[..n]).into_owned();
-        asked.push(
+        targets.push(
             head.split_whitespace()
                 .nth(1)
-                .expect("a target")
+                .expect("a request target")
                 .to_string(),
         );
-        let answer = format!(
-            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{page}",
-            page.len()
+        let response = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
         );
-        stream.write_all(answer.as_bytes()).await.expect("open");
+        stream
+            .write_all(response.as_bytes())
+            .await
+            .expect("an open connection");
     }
-    asked
+    targets
 }
 
-/// A change that a silent watch misses counts as announced 6 s after the watch fell silent, at its
-/// very beginning at worst, or 2 s after its long poll. On demand one hedged request fits in
-/// before. What an agent has counts as announced at once, and sends end within the drain grace:
-/// whenever the agent falls silent or recovers, a later request is answered by then, also if
-/// another one hangs.
+/// Guards against requests to a draining backend after a missed change counts as announced: on
+/// demand, 6 s after the watch fell silent or 2 s after its long poll; with an agent, at once, and
+/// attempts may then go on for the drain grace.
 #[test]
-fn a_silent_watch_is_noticed_in_time() {
+fn a_silent_watch_is_detected_in_time() {
     let on_demand = WatchTiming::ON_DEMAND;
     let announced = Duration::from_secs(6).max(on_demand.long_poll + Duration::from_secs(2));
     let hedges = on_demand.max_requests as u32 - 1;
-    let once = on_demand.long_poll + on_demand.watch_overdue + on_demand.hedge_interval * hedges;
-    assert!(once + on_demand.min_backoff < announced, "{once:?}");
+    let detected =
+        on_demand.long_poll + on_demand.watch_overdue + on_demand.hedge_interval * hedges;
+    assert!(detected + on_demand.min_backoff < announced, "{detected:?}");
     for ms in [200, 500, 1000, 2000, 60_000] {
         let grace = Duration::from_millis(ms);
-        let timing = WatchTiming::pushed(grace);
+        let timing = WatchTiming::for_agent(grace);
         let watch = timing.long_poll + timing.watch_overdue + timing.hedge_interval;
-        // Between two requests of one round, and from the last of a round to the second of the
-        // next.
-        let round = timing
+        // The longest interval between two requests, in a round of hedged requests or from the last
+        // of a round to the first of the next.
+        let interval = timing
             .watch_overdue
             .max(timing.list_overdue)
             .max(timing.hedge_interval + timing.max_backoff);
-        let outage = round + timing.hedge_interval.max(timing.watch_overdue);
+        let outage = interval + timing.hedge_interval.max(timing.watch_overdue);
         assert!(
             watch < grace && outage < grace,
             "{grace:?}: {watch:?}, {outage:?}"
@@ -68,49 +70,60 @@
     }
 }
 
+/// Guards against a stale change that makes a draining backend serve again.
 #[tokio::test]
 async fn a_stale_change_is_skipped_and_the_whole_list_requested() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("bound");
-    let pages = [
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("bound");
+    let bodies = [
         (5, true, "SERVING"),
         (7, false, "DRAINING"),
         (6, false, "SERVING"),
         (2, true, "SERVING"),
     ];
-    let pages = pages.map(|(seq, whole, health)| page(seq, whole, health));
-    let (_want, wanted) = watch::channel(true);
-    let heard = Rc::new(RefCell::new(Vec::new()));
-    let hears = heard.clone();
-    let hear = move |event| {
+    let bodies = bodies.map(|(seq, whole, health)| list_json(seq, whole, health));
+    let (_sender, watch_requested) = watch::channel(true);
+    let updates = Rc::new(RefCell::new(Vec::new()));
+    let received = updates.clone();
+    let on_event = move |event| {
         let DiscoveryEvent::Update(update) = event else {
-            panic!("no request fails")
+            panic!("a poll failed")
         };
-        hears
+        received
             .borrow_mut()
             .push((update.kind, update.instances[0].health));
     };
     LocalSet::new()
         .run_until(async move {
-            let following = spawn_local(follow(hear, addr, false, Duration::from_secs(1), wanted));
-            let asked = timeout(Duration::from_secs(20), registry(listener, pages.to_vec())).await;
-            let asked = asked.expect("it asks on");
-            let versions: Vec<_> = asked
+            let following = spawn_local(follow(
+                on_event,
+                address,
+                false,
+                Duration::from_secs(1),
+                watch_requested,
+            ));
+            let targets = timeout(
+                Duration::from_secs(20),
+                serve_lists(listener, bodies.to_vec()),
+            )
+            .await;
+            let targets = targets.expect("a request for each list");
+            let versions: Vec<_> = targets
                 .iter()
-                .map(|a| a.split(['=', '&']).nth(1).unwrap_or("").to_string())
+                .map(|target| target.split(['=', '&']).nth(1).unwrap_or("").to_string())
                 .collect();
-            // The old state is passed over, and what holds instead is asked for.
+            // After the stale change, the whole list is requested.
             assert_eq!(versions, ["", "5", "7", ""]);
             timeout(Duration::from_secs(20), async {
-                while heard.borrow().len() < 3 {
+                while updates.borrow().len() < 3 {
                     tokio::task::yield_now().await;
                 }
             })
             .await
-            .expect("the last page is heard");
+            .expect("an update for the last list");
             following.abort();
-            // A whole list of a lower version is one of a registry that has begun anew.
-            let all = [
+            // A whole list with a lower version is accepted: the registry has restarted.
+            let kinds = [
                 UpdateKind::Snapshot,
                 UpdateKind::Delta,
                 UpdateKind::Snapshot,
@@ -120,15 +133,16 @@
                 InstanceHealth::Draining,
                 InstanceHealth::Serving,
             ];
-            let heard: Vec<_> = heard
+            let updates: Vec<_> = updates
                 .borrow()
                 .iter()
-                .map(|(k, h)| (*k, *h == InstanceHealth::Serving))
+                .map(|(kind, health)| (*kind, *health == InstanceHealth::Serving))
                 .collect();
             assert_eq!(
-                heard,
-                all.into_iter()
-                    .zip(healths.map(|h| h == InstanceHealth::Serving))
+                updates,
+                kinds
+                    .into_iter()
+                    .zip(healths.map(|health| health == InstanceHealth::Serving))
                     .collect::<Vec<_>>()
             );
         })
