--- a/crates/heathroad/src/router/error.rs
+++ b/crates/heathroad/src/router/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the router.
+//! Errors of the router.
 
 use crate::configuration::routes::{RoutesError, SelfLoop};
 use crate::configuration::verification_gate::GateError;
@@ -7,11 +7,11 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why pools can't be started or put in force.
+/// Why pools can't be started or a generation can't be put in force.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum RouterError {
-    /// The file of routes can't be used.
+    /// The routes file can't be used.
     #[error(transparent)]
     Routes(#[from] RoutesError),
     /// A pool would send requests back to the daemon.
@@ -20,18 +20,18 @@
     /// Expectations can't be read or verified.
     #[error(transparent)]
     Gate(#[from] GateError),
-    /// Expectations do not hold.
+    /// Expectations are not met.
     #[error("{}", failures.join("\n"))]
     ExpectationsFail {
-        /// One line for each of them.
+        /// One line for each expectation that is not met.
         failures: Vec<String>,
     },
     /// The committed generation does not parse.
     #[error("state: generation {number}: {source}")]
     Committed {
-        /// The number of the generation.
+        /// The generation's number.
         number: u64,
-        /// The errors of its text.
+        /// The errors in its text.
         source: ConfigErrors,
     },
     /// The journal can't be read.
@@ -48,9 +48,9 @@
     /// A listener can't be opened.
     #[error("listener {name}: {address}: {source}")]
     Listen {
-        /// The name of the listener.
+        /// The listener's name.
         name: String,
-        /// Its address.
+        /// The listener's address.
         address: SocketAddr,
         /// The error of the operating system.
         source: io::Error,
@@ -58,15 +58,15 @@
     /// The settings of a pool are not valid.
     #[error("pool {pool}: {source}")]
     Pool {
-        /// The name of the pool.
+        /// The pool's name.
         pool: String,
-        /// The error of its settings.
+        /// What is wrong with its settings.
         source: SettingsError,
     },
 }
 
 impl From<RouterError> for String {
-    /// Returns the text of the error, as the start of the daemon reports it.
+    /// Returns the error's message, as the daemon reports it at startup.
     fn from(error: RouterError) -> Self {
         error.to_string()
     }
@@ -79,26 +79,27 @@
     /// The text has errors.
     #[error(transparent)]
     Config(#[from] ConfigErrors),
-    /// The configuration can't be put in force here.
+    /// The configuration can't be put in force on this proxy.
     #[error(transparent)]
     Router(#[from] RouterError),
-    /// A change is required of the cluster, but this proxy is not a member of one.
-    #[error("a change is required of a fleet, and this daemon's file names none")]
+    /// The change is to be required of the cluster, but this proxy is not a member of one.
+    #[error("a change can't be required of the fleet: the daemon's file configures none")]
     NoCluster,
-    /// A change is required of the cluster, but this proxy is fenced.
+    /// The change is to be required of the cluster, but this proxy is fenced.
     #[error(
-        "this proxy is fenced, or sees no more than half of the fleet: it can require nothing of others"
+        "a change can't be required of the fleet: this proxy is fenced, or reaches no majority of \
+         the fleet"
     )]
     Fenced,
-    /// A change is required of the cluster too soon for all members to learn of it.
+    /// The change is to be required of the cluster before every member can know of it.
     #[error(
-        "required within {within_ms} ms; expected {min_ms} at least, after which proxies know of it \
-         or fence themselves"
+        "required within {within_ms} ms; expected {min_ms} at least, the time after which every \
+         proxy knows of the change or is fenced"
     )]
     RequiredTooSoon {
-        /// The time that the operator named.
+        /// The time within which the change is required.
         within_ms: u64,
-        /// The shortest time that is possible.
+        /// The shortest time that is accepted.
         min_ms: u64,
     },
 }
--- a/crates/heathroad/src/router/listeners.rs
+++ b/crates/heathroad/src/router/listeners.rs
@@ -1,4 +1,4 @@
-//! The sockets of the JSON-RPC listeners that a configuration names.
+//! Sockets of the JSON-RPC listeners in the configuration.
 
 use super::RouterError;
 use super::routed_pools::RoutedPools;
@@ -22,7 +22,7 @@
         listeners.filter_map(with_socket).collect()
     }
 
-    /// Subscribes to changes of the listeners.
+    /// Returns a receiver that is notified when the listeners may have changed.
     pub fn listener_changes(&self) -> watch::Receiver<()> {
         self.listeners_changed.subscribe()
     }
@@ -47,8 +47,8 @@
         Ok(())
     }
 
-    /// Closes the listeners that the generation in force does not name.
-    pub(super) fn close_unnamed_listeners(&self) {
+    /// Closes the listeners that the generation in force does not have.
+    pub(super) fn close_unused_listeners(&self) {
         let generation = self.current_generation();
         self.sockets.borrow_mut().retain(|(name, address), _| {
             let mut listeners = generation.config.listeners.iter();
@@ -57,6 +57,7 @@
     }
 }
 
+/// Binds a non-blocking socket, and returns it with the address that it is bound to.
 fn open_socket(address: SocketAddr) -> io::Result<(TcpListener, SocketAddr)> {
     let socket = std::net::TcpListener::bind(address)?;
     socket.set_nonblocking(true)?;
--- a/crates/heathroad/src/router/mod.rs
+++ b/crates/heathroad/src/router/mod.rs
@@ -1,15 +1,15 @@
-//! The router, which binds each request to a pool.
+//! Binds each request to a pool.
 //!
-//! Without routes there is one pool, that of the settings. With routes each pool has an engine of
-//! its own, and a request binds to the generation in force when it arrives: it keeps that
-//! generation and its pool to its final response.
+//! Without routes there is a single pool, which the settings define. With routes, each pool has its
+//! own engine, and a request uses the generation in force at its arrival, and its pool there, until
+//! its final response.
 
 mod error;
 mod listeners;
-mod pool_run;
 mod proposal;
 mod registry;
 pub mod routed_pools;
+mod running_pool;
 pub mod stale_routes;
 pub mod startup;
 mod transactions;
@@ -24,58 +24,58 @@
 use heathroad_routing::generation::Generation;
 use hyper::StatusCode;
 use hyper::header::HeaderMap;
-use pool_run::PoolRun;
 use routed_pools::RoutedPools;
+use running_pool::RunningPool;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The attributes of a request that decide its pool.
+/// The attributes of a request by which its pool is selected.
 pub struct RoutingRequest<'a> {
     /// The name of the listener that accepted the request.
     pub listener: &'a str,
-    /// The method name of a JSON-RPC call.
+    /// The method name, for a JSON-RPC call.
     pub method: &'a str,
-    /// The host as the client sent it.
+    /// The host as the client sent it, which may include a port.
     pub host: &'a str,
-    /// The path without a query.
+    /// The path without the query.
     pub path: &'a str,
     /// The name of the request class.
     pub class: &'a str,
     /// The name of the tenant.
     pub tenant: &'a str,
-    /// The headers.
+    /// The headers of the request.
     pub headers: &'a HeaderMap,
-    /// The key of a traffic split: requests with the same key go to the same pool.
+    /// The key for traffic splits: requests with the same key go to the same pool.
     pub key: &'a [u8],
 }
 
-/// What a request is bound to, to its final response.
+/// What a request is bound to until its final response.
 pub struct BoundRequest {
-    /// The engine that decides on the request.
+    /// The engine that handles the request.
     pub engine: Rc<Engine>,
     /// The index of the request class in the engine's settings.
     pub class: u16,
     /// Whether the request may run more than once.
     pub idempotency: Idempotency,
-    /// The maximum duration of a request of the class, where the pool limits it.
+    /// The time limit that the pool sets for requests of the class.
     pub deadline: Option<Duration>,
-    /// How the backends of the pool speak JSON-RPC, where they do.
+    /// The transport to the pool's backends, if they speak JSON-RPC.
     pub transport: Option<Transport>,
-    /// The activity record of the request, where records are kept.
+    /// The activity record of the request, if this proxy keeps an activity log.
     pub activity: Option<activity_log::RequestActivity>,
-    /// Keeps the generation and the pool that the request is bound to.
-    _route: Option<(Rc<Generation>, Rc<PoolRun>)>,
+    /// Keeps the generation and the running pool alive.
+    _route: Option<(Rc<Generation>, Rc<RunningPool>)>,
 }
 
 /// The pools that requests go to.
 pub enum Router {
-    /// The one pool of the settings.
+    /// The single pool that the settings define.
     SinglePool(Rc<Engine>),
     /// The pools of a configuration with routes.
     Routed(Rc<RoutedPools>),
 }
 
-/// Binds a request of a class to an engine that serves the class.
+/// Binds a request to an engine. Returns `None` if the engine does not serve the class.
 fn bind_to_engine(engine: &Rc<Engine>, class: &str) -> Option<BoundRequest> {
     let settings = engine.settings();
     let index = settings.site.classes.iter().position(|c| c == class)?;
@@ -91,7 +91,7 @@
 }
 
 impl Router {
-    /// Whether requests are accepted: some pool has backends, and this proxy is not fenced.
+    /// Returns whether requests are accepted: a pool has backends, and this proxy is not fenced.
     pub fn ready(&self) -> bool {
         let is_fenced = match self {
             Router::SinglePool(engine) => engine.is_fenced(),
@@ -104,7 +104,7 @@
         has_backends && !is_fenced
     }
 
-    /// Whether any pool in force serves a class.
+    /// Returns whether a pool in force serves a class.
     pub fn serves(&self, class: &str) -> bool {
         match self {
             Router::SinglePool(engine) => engine.settings().site.classes.iter().any(|c| c == class),
@@ -116,7 +116,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the status of the rejection if no route matches or no pool serves the class.
+    /// Returns the status of the rejection if no route matches or the pool does not serve the
+    /// class.
     pub fn bind(&self, request: &RoutingRequest<'_>) -> Result<BoundRequest, StatusCode> {
         let bound = match self {
             Router::SinglePool(engine) => bind_to_engine(engine, request.class),
@@ -125,7 +126,7 @@
         bound.ok_or(StatusCode::NOT_FOUND)
     }
 
-    /// Returns all engines that may have requests.
+    /// Returns all engines that may have open requests.
     pub fn engines(&self) -> Vec<Rc<Engine>> {
         match self {
             Router::SinglePool(engine) => vec![engine.clone()],
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Returns the counters over all pools.
+    /// Returns the metrics of all pools.
     pub fn metrics(&self) -> Rc<MetricsRegistry> {
         match self {
             Router::SinglePool(engine) => engine.metrics().registry().clone(),
@@ -141,7 +142,8 @@
         }
     }
 
-    /// Returns all counters as Prometheus text. `max_descriptors` is the limit of the process.
+    /// Returns all metrics as Prometheus text. `max_descriptors` is the process's limit of file
+    /// descriptors.
     pub fn metrics_text(&self, max_descriptors: usize) -> String {
         let descriptors = Descriptors {
             open: count_open_descriptors(),
@@ -150,7 +152,8 @@
         self.with_snapshots(|metrics, snapshots| metrics.to_text(snapshots, descriptors))
     }
 
-    /// Returns all counters as one line of JSON. `max_descriptors` is the limit of the process.
+    /// Returns all metrics as one line of JSON. `max_descriptors` is the process's limit of file
+    /// descriptors.
     pub fn metrics_json(&self, max_descriptors: usize) -> String {
         let descriptors = Descriptors {
             open: count_open_descriptors(),
@@ -170,6 +173,6 @@
 }
 
 fn count_open_descriptors() -> usize {
-    // One of them is that of the folder itself.
+    // Reading the folder opens one descriptor more.
     std::fs::read_dir("/proc/self/fd").map_or(0, |entries| entries.count().saturating_sub(1))
 }
--- a/crates/heathroad/src/router/proposal.rs
+++ b/crates/heathroad/src/router/proposal.rs
@@ -1,4 +1,4 @@
-//! Proposals of configuration changes: their checks before a transaction is opened.
+//! Proposals of configuration changes, and the checks before a transaction is opened.
 
 use super::routed_pools::{RequiredChange, RoutedPools};
 use super::{ProposalError, RouterError};
@@ -9,8 +9,9 @@
 use std::rc::Rc;
 
 impl RoutedPools {
-    /// Proposes a text as a change. `file` is its name in error messages. If `required_within_ms`
-    /// is given, the whole cluster must act on the change within this time once it is committed.
+    /// Proposes a configuration text as a change. `file` names it in error messages. With
+    /// `required_within_ms`, every member of the cluster must apply the change within this time
+    /// after it is committed.
     ///
     /// # Errors
     ///
@@ -22,7 +23,7 @@
         required_within_ms: Option<u64>,
     ) -> Result<Vec<TransactionReport>, ProposalError> {
         if let Some(within_ms) = required_within_ms {
-            self.check_requirement(within_ms)?;
+            self.check_required_within(within_ms)?;
         }
         let reports = self.propose_numbered(file, text, 0).await?;
         if let Some(within_ms) = required_within_ms.filter(|_| is_staged(&reports)) {
@@ -33,8 +34,8 @@
         Ok(reports)
     }
 
-    /// Checks whether this proxy can require a change of the whole cluster.
-    fn check_requirement(&self, within_ms: u64) -> Result<(), ProposalError> {
+    /// Checks that this proxy can require a change of the cluster within some time.
+    fn check_required_within(&self, within_ms: u64) -> Result<(), ProposalError> {
         let activity_log = self
             .config
             .activity_log
@@ -50,8 +51,8 @@
         Ok(())
     }
 
-    /// Proposes a text under the number by which the cluster knows it, or under a new number if
-    /// `number` is 0.
+    /// Proposes a configuration text under a generation number of the cluster, or under a new
+    /// number if `number` is 0.
     ///
     /// # Errors
     ///
@@ -71,7 +72,8 @@
             self.release_unused();
         }
         opened?;
-        // If another change is under way, this one is rejected, and the other keeps its own.
+        // A proposal during another transaction is rejected and must not replace the expectations
+        // of that transaction.
         if self.transactions.borrow().open_transaction().is_none() {
             self.expectations.replace(expectations);
         }
@@ -79,10 +81,10 @@
         Ok(self.handle(Event::Propose(generation)))
     }
 
-    /// Verifies a text against the expectations as they are now, and returns these.
+    /// Verifies a configuration text against the current expectations, and returns these.
     ///
-    /// Nodes that no registry has announced yet may be announced while the change is staged, so
-    /// that only failures that no announcement can mend are a rejection here.
+    /// Rejects only failures that hold whatever nodes the registries announce, since missing nodes
+    /// may still be announced while the change is staged.
     async fn check_expectations(
         &self,
         text: &str,
@@ -101,8 +103,8 @@
         Ok(expectations)
     }
 
-    /// Reserves the numbers that the cluster has assigned, since a number means one text in all of
-    /// it.
+    /// Reserves the generation numbers that the cluster has assigned: a number identifies one text
+    /// in the whole cluster.
     fn reserve_cluster_numbers(&self, number: u64) {
         if let Some(activity_log) = &self.config.activity_log {
             let assigned = if number > 0 {
@@ -117,7 +119,7 @@
     }
 }
 
-/// Whether a proposal was accepted.
+/// Returns whether a proposal was accepted and staged.
 pub(super) fn is_staged(reports: &[TransactionReport]) -> bool {
     let mut reports = reports.iter();
     reports.any(|report| matches!(report, TransactionReport::Staged { .. }))
--- a/crates/heathroad/src/router/registry.rs
+++ b/crates/heathroad/src/router/registry.rs
@@ -1,7 +1,7 @@
-//! Backends of routed pools: the lists of the configuration, and the endpoint lists of registries.
+//! Backends of routed pools, from the configuration and from the endpoint lists of registries.
 
-use super::pool_run::PoolRun;
 use super::routed_pools::RoutedPools;
+use super::running_pool::RunningPool;
 use crate::discovery::endpoint_list::{Instance, InstanceHealth};
 use crate::discovery::{self, DiscoveryEvent};
 use crate::runtime_accounting::spawn_local;
@@ -16,14 +16,14 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-/// A registry that pools take their backends from.
+/// A registry whose endpoint list is watched for the pools that use it.
 pub(super) struct RegistryWatch {
-    /// The endpoints of the list, by name.
-    endpoints: BTreeMap<String, Instance>,
+    /// The instances of the endpoint list, by name.
+    instances: BTreeMap<String, Instance>,
     task: AbortHandle,
 }
 
-/// An endpoint whose labels an update changes.
+/// An instance whose labels an update changes.
 struct RelabeledInstance {
     before: Instance,
     after: Instance,
@@ -32,7 +32,7 @@
 /// What an update of an endpoint list changes.
 #[derive(Default)]
 struct UpdateEffects {
-    /// The backends whose state was announced.
+    /// The backends whose availability was announced.
     announced: BTreeSet<SocketAddr>,
     relabeled: Vec<RelabeledInstance>,
 }
@@ -41,26 +41,26 @@
     fn announce(
         &mut self,
         states: &mut BackendStates,
-        endpoint: &Instance,
+        instance: &Instance,
         address: Option<SocketAddr>,
     ) {
-        let accepts_requests = endpoint.health == InstanceHealth::Serving;
-        self.announce_as(states, endpoint, address, accepts_requests);
+        let accepts_requests = instance.health == InstanceHealth::Serving;
+        self.announce_as(states, instance, address, accepts_requests);
     }
 
-    fn announce_removed(&mut self, states: &mut BackendStates, endpoint: &Instance) {
-        self.announce_as(states, endpoint, endpoint.address, false);
+    fn announce_removed(&mut self, states: &mut BackendStates, instance: &Instance) {
+        self.announce_as(states, instance, instance.address, false);
     }
 
     fn announce_as(
         &mut self,
         states: &mut BackendStates,
-        endpoint: &Instance,
+        instance: &Instance,
         address: Option<SocketAddr>,
         accepts_requests: bool,
     ) {
         let Some(address) = address else { return };
-        let process_start = endpoint.started_ms.max(0.0) as u64;
+        let process_start = instance.started_ms.max(0.0) as u64;
         states.record_announcement(address, process_start, accepts_requests);
         if accepts_requests {
             states.restore(address, process_start);
@@ -70,68 +70,68 @@
 }
 
 impl RegistryWatch {
-    /// Takes an update of the endpoint list over.
+    /// Applies an update of the endpoint list.
     fn update(
         &mut self,
         kind: UpdateKind,
-        endpoints: &[Instance],
+        instances: &[Instance],
         states: &mut BackendStates,
     ) -> UpdateEffects {
         let mut effects = UpdateEffects::default();
         if kind != UpdateKind::Delta {
-            self.remove_unnamed(endpoints, states, &mut effects);
+            self.remove_unlisted(instances, states, &mut effects);
         }
-        for endpoint in endpoints {
-            let known = self.endpoints.get(&endpoint.name);
-            if let Some(known) = known.filter(|known| labels(known) != labels(endpoint)) {
+        for instance in instances {
+            let known = self.instances.get(&instance.name);
+            if let Some(known) = known.filter(|known| labels(known) != labels(instance)) {
                 effects.relabeled.push(RelabeledInstance {
                     before: known.clone(),
-                    after: endpoint.clone(),
+                    after: instance.clone(),
                 });
             }
-            // A change need not repeat the address.
+            // A delta may leave out an address that is known.
             let known_address = known
                 .filter(|_| kind == UpdateKind::Delta)
                 .and_then(|k| k.address);
-            effects.announce(states, endpoint, endpoint.address.or(known_address));
-            if endpoint.health == InstanceHealth::Deleted {
-                self.endpoints.remove(&endpoint.name);
+            effects.announce(states, instance, instance.address.or(known_address));
+            if instance.health == InstanceHealth::Deleted {
+                self.instances.remove(&instance.name);
             } else {
-                self.endpoints
-                    .insert(endpoint.name.clone(), endpoint.clone());
+                self.instances
+                    .insert(instance.name.clone(), instance.clone());
             }
         }
         effects
     }
 
-    fn remove_unnamed(
+    fn remove_unlisted(
         &mut self,
-        endpoints: &[Instance],
+        instances: &[Instance],
         states: &mut BackendStates,
         effects: &mut UpdateEffects,
     ) {
-        let names: BTreeSet<&String> = endpoints.iter().map(|endpoint| &endpoint.name).collect();
-        self.endpoints.retain(|name, endpoint| {
-            let is_named = names.contains(name);
-            if !is_named {
-                effects.announce_removed(states, endpoint);
+        let names: BTreeSet<&String> = instances.iter().map(|instance| &instance.name).collect();
+        self.instances.retain(|name, instance| {
+            let is_listed = names.contains(name);
+            if !is_listed {
+                effects.announce_removed(states, instance);
             }
-            is_named
+            is_listed
         });
     }
 }
 
 impl RoutedPools {
-    /// Tells the engine of a pool its listed backends, as available as they are known to be.
-    pub(super) fn announce_listed_backends(&self, run: &PoolRun) {
-        let BackendSource::List(backends) = &run.pool.source else {
+    /// Passes the backends that a pool lists to its engine, with their current availability.
+    pub(super) fn update_listed_backends(&self, pool: &RunningPool) {
+        let BackendSource::List(backends) = &pool.definition.source else {
             return;
         };
         let settings = &self.config.settings;
         let own_site = settings.site.zones.get(usize::from(settings.balancer.zone));
         let own_site = own_site.cloned().unwrap_or_default();
         let states = self.backend_states.borrow();
-        let endpoint = |backend: &ListedBackend| Instance {
+        let instance = |backend: &ListedBackend| Instance {
             name: backend.address.to_string(),
             address: Some(backend.address),
             site: match backend.site.as_str() {
@@ -147,20 +147,20 @@
             weight: backend.weight,
             started_ms: 0.0,
         };
-        run.engine.update_endpoints(
+        pool.engine.update_endpoints(
             UpdateKind::Snapshot,
-            backends.iter().map(endpoint).collect(),
+            backends.iter().map(instance).collect(),
         );
     }
 
-    /// Returns the endpoints of a registry that is watched.
-    pub(super) fn known_endpoints(&self, registry: SocketAddr) -> Option<Vec<Instance>> {
+    /// Returns the instances of a registry, or `None` if the registry is not watched.
+    pub(super) fn known_instances(&self, registry: SocketAddr) -> Option<Vec<Instance>> {
         let registries = self.registries.borrow();
         let watch = registries.get(&registry)?;
-        Some(watch.endpoints.values().cloned().collect())
+        Some(watch.instances.values().cloned().collect())
     }
 
-    /// Begins to watch a registry.
+    /// Starts to watch the endpoint list of a registry.
     pub(super) fn watch_registry(self: &Rc<Self>, address: SocketAddr) {
         let pools = Rc::downgrade(self);
         let on_event = move |event| {
@@ -168,12 +168,13 @@
                 pools.handle_registry_event(address, event);
             }
         };
-        // The registry pushes its list, so that no poll is ever requested.
-        let (_, wanted) = watch::channel(true);
+        // The list is watched all the time, so polls on demand are never requested.
+        let (_, watch_requested) = watch::channel(true);
         let grace = millis(self.config.settings.site.drain_grace);
-        let task = spawn_local(discovery::follow(on_event, address, false, grace, wanted));
+        let following = discovery::follow(on_event, address, false, grace, watch_requested);
+        let task = spawn_local(following);
         let watch = RegistryWatch {
-            endpoints: BTreeMap::new(),
+            instances: BTreeMap::new(),
             task: task.abort_handle(),
         };
         self.registries.borrow_mut().insert(address, watch);
@@ -186,15 +187,15 @@
         if let Some(activity_log) = &self.config.activity_log {
             activity_log.endpoint_list_received(registry, update.version);
         }
-        self.update_endpoints(registry, update.kind, &update.instances);
+        self.update_instances(registry, update.kind, &update.instances);
     }
 
-    /// Passes an endpoint list of a registry, or a change of it, on to the pools.
-    fn update_endpoints(
+    /// Applies an update of a registry's endpoint list to all pools that it concerns.
+    fn update_instances(
         self: &Rc<Self>,
         registry: SocketAddr,
         kind: UpdateKind,
-        endpoints: &[Instance],
+        instances: &[Instance],
     ) {
         self.endpoint_updates.set(self.endpoint_updates.get() + 1);
         let effects = {
@@ -202,72 +203,72 @@
             let Some(watch) = registries.get_mut(&registry) else {
                 return;
             };
-            watch.update(kind, endpoints, &mut self.backend_states.borrow_mut())
+            watch.update(kind, instances, &mut self.backend_states.borrow_mut())
         };
-        let runs = self.present_runs();
-        let is_watching =
-            |run: &PoolRun| run.registry(self.default_registry.get()) == Some(registry);
-        // A relabeled endpoint first leaves its old pool, which withdraws its process for all
-        // pools, and only then joins the new one.
-        for run in runs.iter().filter(|run| is_watching(run)) {
-            remove_relabeled(run, &effects.relabeled);
+        let pools = self.live_pools();
+        let uses_registry =
+            |pool: &RunningPool| pool.registry(self.default_registry.get()) == Some(registry);
+        // Removal from a pool withdraws the instance's process in all pools, so relabeled instances
+        // are removed from their old pools before any pool adds them.
+        for pool in pools.iter().filter(|pool| uses_registry(pool)) {
+            remove_relabeled(pool, &effects.relabeled);
         }
-        for run in &runs {
-            match &run.pool.source {
-                BackendSource::Registry { select, .. } if is_watching(run) => {
-                    let list = endpoints.iter().map(|e| deselected(e, select));
-                    run.engine.update_endpoints(kind, list.collect());
+        for pool in &pools {
+            match &pool.definition.source {
+                BackendSource::Registry { select, .. } if uses_registry(pool) => {
+                    let list = instances.iter().map(|i| deleted_unless_selected(i, select));
+                    pool.engine.update_endpoints(kind, list.collect());
                 }
-                // A backend that a registry announces is the same one where a list names it.
+                // The availability that a registry announces also applies to listed backends.
                 BackendSource::List(backends)
                     if backends
                         .iter()
                         .any(|b| effects.announced.contains(&b.address)) =>
                 {
-                    self.announce_listed_backends(run);
+                    self.update_listed_backends(pool);
                 }
                 _ => {}
             }
         }
     }
 
-    /// Divides the warm-up budget of a backend among all runs that send to it.
-    pub(super) fn share_warmup_budgets(&self) {
-        let runs = self.present_runs();
-        let addresses = |run: &Rc<PoolRun>| -> BTreeSet<SocketAddr> {
-            run.engine
+    /// Divides the slow-start budget of each backend among the pools that send to it.
+    pub(super) fn share_slow_start_budgets(&self) {
+        let pools = self.live_pools();
+        let addresses = |pool: &Rc<RunningPool>| -> BTreeSet<SocketAddr> {
+            pool.engine
                 .available_targets()
                 .iter()
                 .map(|target| target.address)
                 .collect()
         };
-        let pools: Vec<BTreeSet<SocketAddr>> = runs.iter().map(addresses).collect();
-        for (run, sharing_pools) in runs.iter().zip(count_sharing_pools(&pools)) {
-            run.engine.share_slow_start_budget(sharing_pools);
+        let backends: Vec<BTreeSet<SocketAddr>> = pools.iter().map(addresses).collect();
+        for (pool, sharing_pools) in pools.iter().zip(count_sharing_pools(&backends)) {
+            pool.engine.share_slow_start_budget(sharing_pools);
         }
     }
 
-    /// Changes the address of the default registry. The whole list is requested there.
+    /// Changes the address of the default registry. Its whole endpoint list is requested, unless it
+    /// is watched already.
     pub fn set_default_registry(self: &Rc<Self>, address: SocketAddr) {
         let previous = self.default_registry.replace(address);
         if previous == address || !self.registries.borrow().contains_key(&previous) {
             return;
         }
-        match self.known_endpoints(address) {
-            // Some pool watches it already.
-            Some(endpoints) => self.update_endpoints(address, UpdateKind::Snapshot, &endpoints),
+        match self.known_instances(address) {
+            Some(instances) => self.update_instances(address, UpdateKind::Snapshot, &instances),
             None => self.watch_registry(address),
         }
         self.release_unused();
     }
 
-    /// Ends the watches of registries that no pool takes its backends from.
+    /// Stops watching the registries that no live pool takes its backends from.
     pub(super) fn release_unused_registries(&self) {
         let default_registry = self.default_registry.get();
-        let runs = self.present_runs();
-        let used: BTreeSet<SocketAddr> = runs
+        let pools = self.live_pools();
+        let used: BTreeSet<SocketAddr> = pools
             .iter()
-            .filter_map(|run| run.registry(default_registry))
+            .filter_map(|pool| pool.registry(default_registry))
             .collect();
         self.registries.borrow_mut().retain(|address, watch| {
             let is_used = used.contains(address);
@@ -281,73 +282,73 @@
         });
     }
 
-    /// Returns the nodes that registries announce, and the withdrawn ones that only lists name.
+    /// Returns the nodes that registries announce, and withdrawn nodes that none announces.
     pub fn known_nodes(&self) -> Vec<Node> {
         let withdrawn: BTreeSet<SocketAddr> = self.backend_states.borrow().withdrawn().collect();
         let mut nodes = Vec::new();
         for (registry, watch) in &*self.registries.borrow() {
-            let node = |endpoint: &Instance| {
-                let address = endpoint.address?;
+            let node = |instance: &Instance| {
+                let address = instance.address?;
                 Some(Node {
                     address,
                     registry: Some(*registry),
-                    site: endpoint.site.clone(),
-                    class: endpoint.class.clone(),
-                    block: endpoint.block,
-                    is_available: endpoint.health == InstanceHealth::Serving
+                    site: instance.site.clone(),
+                    class: instance.class.clone(),
+                    block: instance.block,
+                    is_available: instance.health == InstanceHealth::Serving
                         && !withdrawn.contains(&address),
                 })
             };
-            nodes.extend(watch.endpoints.values().filter_map(node));
+            nodes.extend(watch.instances.values().filter_map(node));
         }
         let announced: BTreeSet<SocketAddr> = nodes.iter().map(|node| node.address).collect();
-        let only_listed = withdrawn.difference(&announced);
-        nodes.extend(only_listed.map(|address| Node::withdrawn(*address)));
+        let unannounced = withdrawn.difference(&announced);
+        nodes.extend(unannounced.map(|address| Node::withdrawn(*address)));
         nodes
     }
 }
 
-/// Removes the endpoints from a run that its pool does not select any more.
-fn remove_relabeled(run: &PoolRun, relabeled: &[RelabeledInstance]) {
-    let BackendSource::Registry { select, .. } = &run.pool.source else {
+/// Removes relabeled instances that a pool no longer selects from its engine.
+fn remove_relabeled(pool: &RunningPool, relabeled: &[RelabeledInstance]) {
+    let BackendSource::Registry { select, .. } = &pool.definition.source else {
         return;
     };
-    let leaving = relabeled.iter().filter(|endpoint| {
-        is_selected(&endpoint.before, select) && !is_selected(&endpoint.after, select)
+    let leaving = relabeled.iter().filter(|instance| {
+        is_selected(&instance.before, select) && !is_selected(&instance.after, select)
     });
     let removed: Vec<Instance> = leaving
-        .map(|endpoint| Instance {
+        .map(|instance| Instance {
             health: InstanceHealth::Deleted,
-            ..endpoint.after.clone()
+            ..instance.after.clone()
         })
         .collect();
     if !removed.is_empty() {
-        run.engine.update_endpoints(UpdateKind::Delta, removed);
+        pool.engine.update_endpoints(UpdateKind::Delta, removed);
     }
 }
 
-/// Returns an endpoint as a pool sees it: deleted if the pool does not select it.
-fn deselected(endpoint: &Instance, select: &BTreeMap<String, String>) -> Instance {
-    let health = match is_selected(endpoint, select) {
-        true => endpoint.health,
+/// Returns an instance as a pool's engine gets it: deleted if the pool does not select it.
+fn deleted_unless_selected(instance: &Instance, select: &BTreeMap<String, String>) -> Instance {
+    let health = match is_selected(instance, select) {
+        true => instance.health,
         false => InstanceHealth::Deleted,
     };
     Instance {
         health,
-        ..endpoint.clone()
+        ..instance.clone()
     }
 }
 
-/// Returns the labels by which a pool can select an endpoint.
-fn labels(endpoint: &Instance) -> (&str, &str, u16) {
-    (&endpoint.site, &endpoint.class, endpoint.block)
+/// Returns the labels by which pools select instances: site, class and block.
+fn labels(instance: &Instance) -> (&str, &str, u16) {
+    (&instance.site, &instance.class, instance.block)
 }
 
-/// Whether an endpoint has the labels that a pool selects.
-pub(super) fn is_selected(endpoint: &Instance, select: &BTreeMap<String, String>) -> bool {
-    select.iter().all(|(label, wanted)| match label.as_str() {
-        "site" => endpoint.site == *wanted,
-        "class" => endpoint.class == *wanted,
-        _ => endpoint.block.to_string() == *wanted,
+/// Returns whether an instance has all the label values that a pool selects.
+pub(super) fn is_selected(instance: &Instance, select: &BTreeMap<String, String>) -> bool {
+    select.iter().all(|(label, value)| match label.as_str() {
+        "site" => instance.site == *value,
+        "class" => instance.class == *value,
+        _ => instance.block.to_string() == *value,
     })
 }
--- a/crates/heathroad/src/router/routed_pools.rs
+++ b/crates/heathroad/src/router/routed_pools.rs
@@ -1,7 +1,7 @@
-//! The pools of a configuration with routes: which of them run, and which new requests bind to.
+//! The pools of a configuration with routes: those that run, and those that new requests bind to.
 
-use super::pool_run::{PoolRun, jsonrpc_transport};
 use super::registry::RegistryWatch;
+use super::running_pool::{RunningPool, jsonrpc_transport};
 use super::{BoundRequest, RouterError, RoutingRequest, bind_to_engine};
 use crate::backend::Pool as Connections;
 use crate::configuration::state_folder::StateFolder;
@@ -27,95 +27,97 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// A probation is divided into so many samples of each pool, as far as the interval allows.
+/// The number of samples of each pool in a probation, if the bounds of the interval allow it.
 const SAMPLES_PER_PROBATION: u64 = 4;
 /// The shortest interval between two samples.
 const MIN_SAMPLE_INTERVAL: Duration = Duration::from_millis(5);
 /// The longest interval between two samples.
 const MAX_SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What all pools have in common.
+/// The configuration that all routed pools share.
 pub struct RoutedPoolsConfig {
-    /// The settings of the daemon. Each pool has its own classes.
+    /// The settings of the daemon. Their classes are replaced by those of each pool.
     pub settings: InstanceSettings,
-    /// The seed of the engines' random numbers.
+    /// The seed of the engines' random number generators.
     pub seed: u64,
     /// The connections to all backends.
     pub connections: Rc<Connections>,
-    /// The registry of pools that name none.
+    /// The registry of pools that don't set one.
     pub default_registry: SocketAddr,
     /// The limits of transactions.
     pub transactions: TransactionConfig,
-    /// The expectations that a change must meet, if there are any.
+    /// Verifies that changes meet the expectations, if there are any.
     pub gate: Option<VerificationGate>,
-    /// The address that the daemon listens on for HTTP.
+    /// The daemon's HTTP listen address.
     pub listen_address: SocketAddr,
-    /// The activity log of this proxy, where one is kept.
+    /// The activity log of this proxy, if it keeps one.
     pub activity_log: Option<Rc<ActivityLog>>,
 }
 
 /// The generation and the pools that new requests bind to.
 pub(super) struct ActivePools {
     pub(super) generation: Rc<Generation>,
-    /// The run of each pool, by its index in the configuration.
-    pub(super) runs: Vec<Rc<PoolRun>>,
-    /// All classes that some pool serves.
+    /// The running pools, in the order of the configuration.
+    pub(super) pools: Vec<Rc<RunningPool>>,
+    /// The classes that at least one pool serves.
     pub(super) classes: HashSet<String>,
 }
 
-/// A change that an operator requires of the whole cluster once it is committed.
+/// A change that the whole cluster is required to apply once it is committed.
 pub(super) struct RequiredChange {
+    /// The digest of the change's text.
     pub(super) digest: String,
     pub(super) within_ms: u64,
 }
 
-/// The pools of a configuration with routes, which transactions change.
+/// The pools of a configuration with routes, which transactions modify.
 pub struct RoutedPools {
     pub(super) config: RoutedPoolsConfig,
     pub(super) default_registry: Cell<SocketAddr>,
     pub(super) metrics: Rc<MetricsRegistry>,
     pub(super) active: RefCell<Rc<ActivePools>>,
-    /// The runs that a generation names which is in force, staged, or kept for a rollback.
-    pub(super) kept_runs: RefCell<BTreeMap<String, Rc<PoolRun>>>,
-    /// All runs that requests may be bound to. They too must learn of drains.
-    pub(super) all_runs: RefCell<Vec<(String, Weak<PoolRun>)>>,
-    /// The engines of all runs. Attempts in flight may keep an engine longer than its run.
+    /// The pools of the generations that are in force, staged, or kept for a rollback, by key.
+    pub(super) retained_pools: RefCell<BTreeMap<String, Rc<RunningPool>>>,
+    /// All pools that requests may be bound to, with their keys. Endpoint updates apply to pools
+    /// that are no longer retained too, while they have requests.
+    pub(super) all_pools: RefCell<Vec<(String, Weak<RunningPool>)>>,
+    /// The engines of all pools. Attempts in flight may keep an engine alive after its pool.
     pub(super) engines: RefCell<Vec<Weak<Engine>>>,
     pub(super) registries: RefCell<BTreeMap<SocketAddr, RegistryWatch>>,
-    /// The sockets of JSON-RPC listeners, by the name and address in the configuration.
+    /// The sockets of JSON-RPC listeners, by configured name and address.
     pub(super) sockets: RefCell<BTreeMap<(String, SocketAddr), Rc<TcpListener>>>,
     pub(super) listeners_changed: watch::Sender<()>,
     pub(super) backend_states: RefCell<BackendStates>,
     pub(super) transactions: RefCell<TransactionManager>,
     pub(super) journal: RefCell<Option<Journal<StateFolder>>>,
-    /// The expectations that the change under way must meet.
+    /// The expectations that the open transaction must meet.
     pub(super) expectations: RefCell<Option<LoadedExpectations>>,
     pub(super) required_change: RefCell<Option<RequiredChange>>,
-    /// The number of endpoint list updates. A verdict on older ones is stale.
+    /// The number of endpoint list updates. A verification that started before the last is stale.
     pub(super) endpoint_updates: Cell<u64>,
-    /// The latest messages about changes, for operators.
+    /// The latest messages about changes, oldest first.
     pub(super) messages: RefCell<VecDeque<String>>,
     pub(super) started: Instant,
 }
 
 impl RoutedPools {
-    /// Starts the pools of a committed generation. `highest_number` is the highest number of a
-    /// generation that was ever assigned.
+    /// Starts the pools of a committed generation. `highest_number` is the highest generation
+    /// number ever assigned.
     ///
     /// # Errors
     ///
     /// Fails if a listener can't be opened or the settings of a pool are not valid.
     pub fn start(
         config: RoutedPoolsConfig,
-        first: &Rc<Generation>,
+        initial: &Rc<Generation>,
         highest_number: u64,
         journal: Option<Journal<StateFolder>>,
     ) -> Result<Rc<RoutedPools>, RouterError> {
         let limits = config.transactions.clone();
-        let transactions = TransactionManager::new(limits, first.clone(), highest_number);
+        let transactions = TransactionManager::new(limits, initial.clone(), highest_number);
         let active = Rc::new(ActivePools {
-            generation: first.clone(),
-            runs: Vec::new(),
+            generation: initial.clone(),
+            pools: Vec::new(),
             classes: HashSet::new(),
         });
         let pools = Rc::new(RoutedPools {
@@ -123,8 +125,8 @@
             config,
             metrics: Rc::new(MetricsRegistry::new()),
             active: RefCell::new(active),
-            kept_runs: RefCell::default(),
-            all_runs: RefCell::default(),
+            retained_pools: RefCell::default(),
+            all_pools: RefCell::default(),
             engines: RefCell::default(),
             registries: RefCell::default(),
             sockets: RefCell::default(),
@@ -138,16 +140,16 @@
             messages: RefCell::default(),
             started: Instant::now(),
         });
-        pools.open_listeners(first)?;
-        pools.activate(first)?;
+        pools.open_listeners(initial)?;
+        pools.activate(initial)?;
         if let Some(activity_log) = &pools.config.activity_log {
-            activity_log.announce_commit(first.number, &first.text, None);
+            activity_log.announce_commit(initial.number, &initial.text, None);
         }
         pools.spawn_sampling();
         Ok(pools)
     }
 
-    /// Samples all pools and advances the transaction at regular intervals.
+    /// Samples the active pools and advances the open transaction at regular intervals.
     fn spawn_sampling(self: &Rc<Self>) {
         let probation = self.config.transactions.probation;
         let interval = Duration::from_millis(probation / SAMPLES_PER_PROBATION);
@@ -162,7 +164,8 @@
         });
     }
 
-    /// Binds a request, if some route takes it to a pool that serves its class.
+    /// Binds a request to the pool that its route selects. Returns `None` if no route matches or
+    /// the pool does not serve the class.
     pub fn bind(&self, request: &RoutingRequest<'_>) -> Option<BoundRequest> {
         let active = self.active.borrow().clone();
         let host_name = request
@@ -181,18 +184,19 @@
             tenant: request.tenant,
             header: &header,
         })?;
-        let run = &active.runs[table.select_pool(route, stable_hash(request.key))?];
-        let class = run.pool.classes.iter().find(|c| c.name == request.class)?;
-        let bound = bind_to_engine(&run.engine, request.class)?;
+        let pool = &active.pools[table.select_pool(route, stable_hash(request.key))?];
+        let mut classes = pool.definition.classes.iter();
+        let class = classes.find(|c| c.name == request.class)?;
+        let bound = bind_to_engine(&pool.engine, request.class)?;
         Some(BoundRequest {
             deadline: Some(millis(class.deadline_ms)),
-            transport: run.pool.jsonrpc.as_ref().map(jsonrpc_transport),
-            _route: Some((active.generation.clone(), run.clone())),
+            transport: pool.definition.jsonrpc.as_ref().map(jsonrpc_transport),
+            _route: Some((active.generation.clone(), pool.clone())),
             ..bound
         })
     }
 
-    /// Returns the counters over all pools.
+    /// Returns the metrics of all pools.
     pub fn metrics(&self) -> &Rc<MetricsRegistry> {
         &self.metrics
     }
@@ -202,7 +206,8 @@
         self.active.borrow().generation.clone()
     }
 
-    /// Whether this proxy is fenced: it activity_log on an older generation than the cluster requires.
+    /// Returns whether this proxy is fenced: it must not bind requests, since its generation is not
+    /// the one that the cluster requires, or it can't know the requirement.
     pub(super) fn is_fenced(&self) -> bool {
         self.config
             .activity_log
@@ -213,9 +218,9 @@
     pub(super) fn has_backends(&self) -> bool {
         self.active
             .borrow()
-            .runs
+            .pools
             .iter()
-            .any(|run| run.engine.is_ready())
+            .any(|pool| pool.engine.is_ready())
     }
 
     pub(super) fn serves(&self, class: &str) -> bool {
@@ -228,53 +233,58 @@
         engines.iter().filter_map(Weak::upgrade).collect()
     }
 
-    /// Returns all runs that are kept or still have requests.
-    pub(super) fn present_runs(&self) -> Vec<Rc<PoolRun>> {
-        let runs = self.all_runs.borrow();
-        runs.iter().filter_map(|(_, run)| run.upgrade()).collect()
+    /// Returns the pools that are retained or still have requests.
+    pub(super) fn live_pools(&self) -> Vec<Rc<RunningPool>> {
+        let pools = self.all_pools.borrow();
+        pools
+            .iter()
+            .filter_map(|(_, pool)| pool.upgrade())
+            .collect()
     }
 
-    /// Binds new requests to a generation from now on.
+    /// Puts a generation in force: new requests bind to it.
     pub(super) fn activate(
         self: &Rc<Self>,
         generation: &Rc<Generation>,
     ) -> Result<(), RouterError> {
-        let pools = generation.config.pools.iter();
-        let runs = pools
-            .map(|pool| self.ensure_run(pool))
+        let definitions = generation.config.pools.iter();
+        let pools = definitions
+            .map(|definition| self.ensure_running(definition))
             .collect::<Result<Vec<_>, _>>()?;
-        let classes = runs.iter().flat_map(|run| &run.pool.classes);
+        let classes = pools.iter().flat_map(|pool| &pool.definition.classes);
         let classes = classes.map(|class| class.name.clone()).collect();
         self.active.replace(Rc::new(ActivePools {
             generation: generation.clone(),
-            runs,
+            pools,
             classes,
         }));
         if let Some(activity_log) = &self.config.activity_log {
             activity_log.set_routes(generation.number, &generation.text);
         }
-        self.share_warmup_budgets();
+        self.share_slow_start_budgets();
         self.listeners_changed.send_replace(());
         Ok(())
     }
 
-    /// Releases the runs, listeners and registries that no generation in force needs.
+    /// Releases the pools, listeners and registries that are no longer used. During a transaction,
+    /// pools and listeners are kept for a commit or a rollback.
     pub(super) fn release_unused(&self) {
         if self.transactions.borrow().open_transaction().is_none() {
             let active = self.active.borrow().clone();
-            let keys: BTreeSet<&str> = active.runs.iter().map(|run| run.key.as_str()).collect();
-            let mut kept_runs = self.kept_runs.borrow_mut();
-            kept_runs.retain(|key, _| keys.contains(key.as_str()));
-            drop(kept_runs);
-            self.close_unnamed_listeners();
+            let pools = active.pools.iter();
+            let keys: BTreeSet<&str> = pools.map(|pool| pool.key.as_str()).collect();
+            let mut retained_pools = self.retained_pools.borrow_mut();
+            retained_pools.retain(|key, _| keys.contains(key.as_str()));
+            drop(retained_pools);
+            self.close_unused_listeners();
         }
-        self.all_runs.borrow_mut().retain(|(key, run)| {
-            let is_present = run.strong_count() > 0;
-            if !is_present {
+        self.all_pools.borrow_mut().retain(|(key, pool)| {
+            let is_live = pool.strong_count() > 0;
+            if !is_live {
                 let mut states = self.backend_states.borrow_mut();
                 states.set_pool_backends(key, &BTreeSet::new());
             }
-            is_present
+            is_live
         });
         self.release_unused_registries();
     }
--- a/crates/heathroad/src/router/running_pool.rs
+++ b/crates/heathroad/src/router/running_pool.rs
@@ -1,7 +1,8 @@
-//! Running pools: a definition of a pool with an engine of its own.
+//! Running pools, each of which has an engine of its own.
 //!
-//! A pool that a change defines otherwise gets a new run, so that no request sees a mixture of
-//! both. A pool that no change touches goes on with all that its engine has learned.
+//! When a change modifies the definition of a pool, a new running pool replaces the old one, and no
+//! request is handled by a mixture of both definitions. A pool that a change does not modify keeps
+//! its engine, with the engine's concurrency limit and statistics.
 
 use super::RouterError;
 use super::registry::is_selected;
@@ -22,26 +23,26 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// A running pool.
-pub struct PoolRun {
-    /// The name of the pool and a hash of its definition.
+/// A pool that runs: a pool definition with its engine.
+pub struct RunningPool {
+    /// The pool's name and a hash of its definition.
     pub(super) key: String,
-    pub(super) pool: Pool,
+    pub(super) definition: Pool,
     pub(super) engine: Rc<Engine>,
-    /// The counters of the engine when the last sample was taken.
+    /// The engine's response counters at the last sample.
     pub(super) sampled_totals: Cell<ResponseTotals>,
 }
 
-impl Drop for PoolRun {
+impl Drop for RunningPool {
     fn drop(&mut self) {
         self.engine.close();
     }
 }
 
-impl PoolRun {
-    /// Returns the registry that the pool takes its backends from, if it does.
+impl RunningPool {
+    /// Returns the registry that the pool takes its backends from, or `None` if they are listed.
     pub(super) fn registry(&self, default_registry: SocketAddr) -> Option<SocketAddr> {
-        match &self.pool.source {
+        match &self.definition.source {
             BackendSource::Registry { address, .. } => Some(address.unwrap_or(default_registry)),
             BackendSource::List(_) => None,
         }
@@ -49,86 +50,90 @@
 }
 
 impl RoutedPools {
-    /// Returns the run of a pool, and starts it if there is none.
-    pub(super) fn ensure_run(self: &Rc<Self>, pool: &Pool) -> Result<Rc<PoolRun>, RouterError> {
-        let key = run_key(pool);
-        if let Some(run) = self.kept_runs.borrow().get(&key) {
-            return Ok(run.clone());
+    /// Returns the running pool of a definition, and starts it if there is none.
+    pub(super) fn ensure_running(
+        self: &Rc<Self>,
+        definition: &Pool,
+    ) -> Result<Rc<RunningPool>, RouterError> {
+        let key = pool_key(definition);
+        if let Some(pool) = self.retained_pools.borrow().get(&key) {
+            return Ok(pool.clone());
         }
-        let engine = self.start_engine(pool, &key)?;
-        self.carry_limit_over(&engine, pool);
-        let run = Rc::new(PoolRun {
+        let engine = self.start_engine(definition, &key)?;
+        self.inherit_concurrency_limit(&engine, definition);
+        let pool = Rc::new(RunningPool {
             key: key.clone(),
-            pool: pool.clone(),
+            definition: definition.clone(),
             engine,
             sampled_totals: Cell::default(),
         });
-        let weak = Rc::downgrade(&run);
-        self.all_runs.borrow_mut().push((key.clone(), weak));
-        self.kept_runs.borrow_mut().insert(key, run.clone());
-        self.announce_backends(&run);
-        Ok(run)
+        let weak = Rc::downgrade(&pool);
+        self.all_pools.borrow_mut().push((key.clone(), weak));
+        self.retained_pools.borrow_mut().insert(key, pool.clone());
+        self.set_initial_backends(&pool);
+        Ok(pool)
     }
 
-    fn start_engine(&self, pool: &Pool, key: &str) -> Result<Rc<Engine>, RouterError> {
-        let settings = pool_settings(&self.config.settings, pool);
-        let counts = PoolMetrics::new(&self.metrics, &pool.name, &settings.site);
-        // The router itself decides which registries to watch.
-        let (watching, _) = watch::channel(false);
+    fn start_engine(&self, definition: &Pool, key: &str) -> Result<Rc<Engine>, RouterError> {
+        let settings = pool_settings(&self.config.settings, definition);
+        let metrics = PoolMetrics::new(&self.metrics, &definition.name, &settings.site);
+        // The router decides which registries are watched, so nothing receives engine requests.
+        let (watch_requested, _) = watch::channel(false);
         let engine = Engine::new(
             settings,
             self.config.seed ^ stable_hash(key.as_bytes()),
             self.config.connections.clone(),
-            counts,
+            metrics,
             self.config.activity_log.clone(),
-            watching,
+            watch_requested,
         );
         let engine = engine.map_err(|source| RouterError::Pool {
-            pool: pool.name.clone(),
+            pool: definition.name.clone(),
             source,
         })?;
         self.engines.borrow_mut().push(Rc::downgrade(&engine));
         Ok(engine)
     }
 
-    /// Starts the engine of a pool that is defined otherwise at the concurrency limit of its
-    /// predecessor, scaled by the part of the backends that it keeps: the limit belongs to the
-    /// backends and not to the definition.
-    fn carry_limit_over(&self, engine: &Rc<Engine>, pool: &Pool) {
+    /// Starts the engine of a modified pool at the concurrency limit of the pool that it replaces,
+    /// scaled by the fraction of backends that both have: the limit depends on the backends, not on
+    /// the definition.
+    fn inherit_concurrency_limit(&self, engine: &Rc<Engine>, definition: &Pool) {
         let active = self.active.borrow().clone();
-        let predecessor = active.runs.iter().find(|run| run.pool.name == pool.name);
+        let mut active_pools = active.pools.iter();
+        let predecessor = active_pools.find(|pool| pool.definition.name == definition.name);
         let Some(predecessor) = predecessor else {
             return;
         };
         let targets = predecessor.engine.available_targets();
-        let kept = match (&pool.source, &predecessor.pool.source) {
+        let kept = match (&definition.source, &predecessor.definition.source) {
             (BackendSource::List(backends), _) => targets
                 .iter()
                 .filter(|target| backends.iter().any(|b| b.address == target.address))
                 .count(),
-            (now, before) if now == before => targets.len(),
+            (new, old) if new == old => targets.len(),
             _ => 0,
         };
         let limit = predecessor.engine.snapshot().load.limit;
         engine.set_initial_limit(limit * kept as f64 / targets.len().max(1) as f64);
     }
 
-    /// Tells the engine of a new run its backends, as far as they are known.
-    fn announce_backends(self: &Rc<Self>, run: &PoolRun) {
-        match &run.pool.source {
+    /// Passes the backends of a new pool to its engine, as far as they are known.
+    fn set_initial_backends(self: &Rc<Self>, pool: &RunningPool) {
+        match &pool.definition.source {
             BackendSource::List(backends) => {
                 let addresses: BTreeSet<SocketAddr> = backends.iter().map(|b| b.address).collect();
                 let mut states = self.backend_states.borrow_mut();
-                states.set_pool_backends(&run.key, &addresses);
+                states.set_pool_backends(&pool.key, &addresses);
                 drop(states);
-                self.announce_listed_backends(run);
+                self.update_listed_backends(pool);
             }
             BackendSource::Registry { address, select } => {
                 let registry = address.unwrap_or(self.default_registry.get());
-                match self.known_endpoints(registry) {
-                    Some(endpoints) => {
-                        let selected = endpoints.into_iter().filter(|e| is_selected(e, select));
-                        run.engine
+                match self.known_instances(registry) {
+                    Some(instances) => {
+                        let selected = instances.into_iter().filter(|i| is_selected(i, select));
+                        pool.engine
                             .update_endpoints(UpdateKind::Snapshot, selected.collect());
                     }
                     None => self.watch_registry(registry),
@@ -138,14 +143,14 @@
     }
 }
 
-/// Returns the key of a run: the name of the pool and a hash of its definition.
-fn run_key(pool: &Pool) -> String {
-    // A pool is plain data, so that it always has a JSON form.
-    let definition = serde_json::to_string(pool).unwrap_or_default();
-    format!("{}/{:016x}", pool.name, stable_hash(definition.as_bytes()))
+/// Returns the key of a running pool: the pool's name and a hash of its definition.
+fn pool_key(definition: &Pool) -> String {
+    // Serialization can't fail: a pool definition has string keys only.
+    let json = serde_json::to_string(definition).unwrap_or_default();
+    format!("{}/{:016x}", definition.name, stable_hash(json.as_bytes()))
 }
 
-/// Returns how the backends of a pool speak JSON-RPC.
+/// Returns the transport to the backends of a JSON-RPC pool.
 pub(super) fn jsonrpc_transport(settings: &JsonRpcSettings) -> Transport {
     Transport {
         port: settings.port,
@@ -156,13 +161,13 @@
     }
 }
 
-/// Returns the settings of a pool: those of the daemon, with the classes of the pool.
-fn pool_settings(daemon: &InstanceSettings, pool: &Pool) -> InstanceSettings {
+/// Returns the settings of a pool's engine: those of the daemon, with the pool's classes and limit.
+fn pool_settings(daemon: &InstanceSettings, definition: &Pool) -> InstanceSettings {
     let mut settings = daemon.clone();
-    settings.balancer.classes = pool.classes.iter().map(class_settings).collect();
-    settings.site.classes = pool.classes.iter().map(|c| c.name.clone()).collect();
+    settings.balancer.classes = definition.classes.iter().map(class_settings).collect();
+    settings.site.classes = definition.classes.iter().map(|c| c.name.clone()).collect();
     settings.balancer.polls_endpoints = false;
-    if let Some(max_open_requests) = pool.max_open_requests {
+    if let Some(max_open_requests) = definition.max_open_requests {
         settings.site.max_open_requests = settings
             .site
             .max_open_requests
--- a/crates/heathroad/src/router/startup.rs
+++ b/crates/heathroad/src/router/startup.rs
@@ -1,4 +1,4 @@
-//! Start and reload of routed pools. The last committed generation takes precedence over the file.
+//! Startup and reload of routed pools. A committed generation takes precedence over the file.
 
 use super::RouterError;
 use super::routed_pools::{RoutedPools, RoutedPoolsConfig};
@@ -14,18 +14,19 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The number of the first generation of a proxy without history.
-const FIRST_NUMBER: u64 = 1;
+/// The number of the first generation.
+const FIRST_GENERATION: u64 = 1;
 
-/// The journal of a state folder, and what it records.
-struct OpenedState {
-    /// `None` if the folder holds something that is not a journal: changes are then not recorded.
+/// The journal of the state folder, and what was recovered from it.
+struct StoredState {
+    /// `None` if no state folder is configured or its journal has another format. Changes are then
+    /// not recorded.
     journal: Option<Journal<StateFolder>>,
     committed: Option<Rc<Generation>>,
     highest_number: u64,
 }
 
-/// Starts the pools of the last committed generation, or of the file if there is none.
+/// Starts the pools of the last committed generation, or of the routes file if there is none.
 ///
 /// # Errors
 ///
@@ -39,12 +40,12 @@
 ) -> Result<Rc<RoutedPools>, RouterError> {
     let mut state = open_state(config)?;
     let gate = config.expectations.as_deref().map(VerificationGate::new);
-    let first = match state.committed.take() {
+    let initial = match state.committed.take() {
         Some(committed) => {
-            log_difference(file, &committed);
+            log_if_different(file, &committed);
             committed
         }
-        None => read_first(file, config, gate.as_ref(), &mut state)?,
+        None => commit_file(file, config, gate.as_ref(), &mut state)?,
     };
     let probation = u64::try_from(config.probation.as_millis()).unwrap_or(u64::MAX);
     let pools_config = RoutedPoolsConfig {
@@ -61,14 +62,14 @@
         listen_address: config.listen,
         activity_log,
     };
-    RoutedPools::start(pools_config, &first, state.highest_number, state.journal)
+    RoutedPools::start(pools_config, &initial, state.highest_number, state.journal)
 }
 
-fn open_state(config: &Config) -> Result<OpenedState, RouterError> {
-    let mut state = OpenedState {
+fn open_state(config: &Config) -> Result<StoredState, RouterError> {
+    let mut state = StoredState {
         journal: None,
         committed: None,
-        highest_number: FIRST_NUMBER,
+        highest_number: FIRST_GENERATION,
     };
     let Some(path) = &config.state else {
         return Ok(state);
@@ -78,11 +79,11 @@
         Ok((journal, recovered)) => {
             log_recovery(&folder, &recovered);
             state.journal = Some(journal);
-            state.highest_number = recovered.highest_number.max(FIRST_NUMBER);
+            state.highest_number = recovered.highest_number.max(FIRST_GENERATION);
             state.committed = parse_committed(&folder, recovered.committed)?;
         }
         Err(OpenError::Format(error)) => tracing::info!(
-            "state: {folder}: {error}; it is left as it is, and changes will not be kept"
+            "state: {folder}: {error}; it is left as it is, and changes are not recorded"
         ),
         Err(OpenError::Storage(source)) => {
             return Err(RouterError::ReadState { folder, source });
@@ -111,48 +112,50 @@
     let generation = Generation::parse(number, folder, &text)
         .map_err(|source| RouterError::Committed { number, source })?;
     let digest = &generation.digest;
-    tracing::info!("state: {folder}: starting on generation {number}, digest {digest}");
+    tracing::info!("state: {folder}: starting with generation {number}, digest {digest}");
     Ok(Some(generation))
 }
 
-fn log_difference(file: &Path, committed: &Generation) {
+fn log_if_different(file: &Path, committed: &Generation) {
     if std::fs::read_to_string(file).is_ok_and(|text| text != committed.text) {
         let file = file.display();
-        tracing::info!("routes: {file} differs from what is committed; apply it to change that");
+        tracing::info!(
+            "routes: {file} differs from what is committed; apply it to put it in force"
+        );
     }
 }
 
-/// Reads the file of routes, checks it and records it as committed.
-fn read_first(
+/// Reads and checks the routes file, and records it as committed.
+fn commit_file(
     file: &Path,
     config: &Config,
     gate: Option<&VerificationGate>,
-    state: &mut OpenedState,
+    state: &mut StoredState,
 ) -> Result<Rc<Generation>, RouterError> {
-    let first = routes::read(file, state.highest_number)?;
-    check_self_loop(&first, config.listen)?;
+    let generation = routes::read(file, state.highest_number)?;
+    check_self_loop(&generation, config.listen)?;
     if let Some(gate) = gate {
-        check_expectations(gate, &first, config)?;
+        check_expectations(gate, &generation, config)?;
     }
     if let Some(journal) = &mut state.journal {
-        let (number, text) = (first.number, first.text.clone());
+        let (number, text) = (generation.number, generation.text.clone());
         let committed = Record::Committed { number, text };
         journal.write(committed).map_err(RouterError::WriteState)?;
     }
-    Ok(first)
+    Ok(generation)
 }
 
-/// Checks what can be verified of the first generation before a registry has announced any node. A
-/// committed generation was verified before, and stays whatever has become of its nodes.
+/// Verifies the generation of the routes file as far as possible before registries have announced
+/// nodes. A committed generation is not verified again, so that lost nodes don't prevent a start.
 fn check_expectations(
     gate: &VerificationGate,
-    first: &Generation,
+    generation: &Generation,
     config: &Config,
 ) -> Result<(), RouterError> {
     let expectations = verification_gate::read(gate.file())?;
     let environment =
         verification_gate::environment(&config.settings, config.discovery, Vec::new());
-    let report = heathroad_verifier::verify(first, &expectations, &environment);
+    let report = heathroad_verifier::verify(generation, &expectations, &environment);
     let failures = report.map_err(GateError::from)?.certain_failures();
     if !failures.is_empty() {
         return Err(RouterError::ExpectationsFail { failures });
@@ -160,7 +163,8 @@
     Ok(())
 }
 
-/// Proposes a file that may have changed. Errors are logged and change nothing.
+/// Proposes the routes file, which may have changed. On an error, which is logged, the generation
+/// in force stays.
 pub async fn reload(file: PathBuf, pools: Rc<RoutedPools>) {
     let name = file.display().to_string();
     let text = match std::fs::read_to_string(&file) {
--- a/crates/heathroad/src/router/transactions.rs
+++ b/crates/heathroad/src/router/transactions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the transaction manager decides.
+//! Carries out the actions of the transaction manager.
 
 use super::RouterError;
 use super::routed_pools::RoutedPools;
@@ -6,7 +6,7 @@
 use crate::backend::jsonrpc::Transport;
 use crate::configuration::verification_gate;
 use crate::engine::Engine;
-use crate::router::pool_run::{PoolRun, jsonrpc_transport};
+use crate::router::running_pool::{RunningPool, jsonrpc_transport};
 use crate::runtime_accounting::{sleep, spawn_local, timeout};
 use heathroad_membership::activity_record::Activity;
 use heathroad_routing::generation::Generation;
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// The interval between attempts to connect to the backends of a staged pool.
-const WARMUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// The number of messages about changes that are kept for operators.
 const MAX_MESSAGES: usize = 50;
 
@@ -29,14 +29,14 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Handles an event, carries out the actions that it leads to, and returns the reports.
+    /// Handles an event, carries out the resulting actions, and returns the reports among them.
     pub fn handle(self: &Rc<Self>, event: Event) -> Vec<TransactionReport> {
-        let mut decided = Vec::new();
+        let mut initial_actions = Vec::new();
         let now = self.elapsed_ms();
         self.transactions
             .borrow_mut()
-            .handle(now, event, &mut decided);
-        let mut actions = VecDeque::from(decided);
+            .handle(now, event, &mut initial_actions);
+        let mut actions = VecDeque::from(initial_actions);
         let mut reports = Vec::new();
         while let Some(action) = actions.pop_front() {
             match action {
@@ -57,7 +57,7 @@
                 },
                 Action::Verify(generation) => self.spawn_verification(&generation),
                 Action::Apply(generation) => self.activate_or_report(&generation),
-                // A run ends by itself with its last request.
+                // A pool stops by itself with its last request.
                 Action::Retire(_) => {}
                 Action::Report(report) => {
                     self.publish(&report);
@@ -65,7 +65,7 @@
                 }
             }
         }
-        self.align_active_pools();
+        self.sync_active_pools();
         self.release_unused();
         reports
     }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Returns the actions that replace the remaining ones after a record was not persisted.
+    /// Returns the actions that replace the remaining ones after a record could not be persisted.
     fn actions_after_failure(&self, record: &Record, error: &RouterError) -> VecDeque<Action> {
         let mut actions = Vec::new();
         let mut transactions = self.transactions.borrow_mut();
@@ -91,15 +91,15 @@
         }
     }
 
-    /// Binds new requests to the manager's current generation, if they do not already.
-    fn align_active_pools(self: &Rc<Self>) {
+    /// Puts the transaction manager's current generation in force, if it is not.
+    fn sync_active_pools(self: &Rc<Self>) {
         let current = self.transactions.borrow().current().clone();
         if !Rc::ptr_eq(&self.current_generation(), &current) {
             self.activate_or_report(&current);
         }
     }
 
-    /// Records a report in the activity log and in the messages for operators.
+    /// Passes a report to the activity log, and adds it to the messages about changes.
     fn publish(&self, report: &TransactionReport) {
         if let Some(activity_log) = &self.config.activity_log {
             match report {
@@ -138,48 +138,52 @@
         }
     }
 
-    /// Starts the new pools of a generation, and reports each as ready once it has backends and a
-    /// warm connection.
+    /// Starts the new pools of a generation. Each is reported as ready once it is connected to a
+    /// backend.
     fn stage(self: &Rc<Self>, generation: &Generation, pool_names: &[String]) {
-        for pool in pool_names.iter().filter_map(|name| generation.pool(name)) {
-            match self.ensure_run(pool) {
-                Ok(run) => self.spawn_warmup(run, generation.number),
-                // The pool is never ready, so that the change is aborted in time with its name.
+        let definitions = pool_names.iter().filter_map(|name| generation.pool(name));
+        for definition in definitions {
+            match self.ensure_running(definition) {
+                Ok(pool) => self.spawn_connecting(pool, generation.number),
+                // Without a report that the pool is ready, the change is aborted at the staging
+                // timeout.
                 Err(error) => self.add_message(error.to_string()),
             }
         }
     }
 
-    fn spawn_warmup(self: &Rc<Self>, run: Rc<PoolRun>, number: u64) {
+    /// Connects to the backends of a staged pool, and reports it as ready.
+    fn spawn_connecting(self: &Rc<Self>, pool: Rc<RunningPool>, number: u64) {
         let pools = Rc::downgrade(self);
-        let limit = Duration::from_millis(self.config.transactions.staging_timeout);
+        let staging_timeout = Duration::from_millis(self.config.transactions.staging_timeout);
         let connections = self.config.connections.clone();
         spawn_local(async move {
-            let pool = run.pool.name.clone();
-            let transport = run.pool.jsonrpc.as_ref().map(jsonrpc_transport);
-            let warm = timeout(limit, warm_up(&connections, &run.engine, transport)).await;
-            drop(run);
-            if let (Ok(()), Some(pools)) = (warm, pools.upgrade()) {
-                pools.handle(Event::PoolReady { number, pool });
+            let name = pool.definition.name.clone();
+            let transport = pool.definition.jsonrpc.as_ref().map(jsonrpc_transport);
+            let connecting = connect_any(&connections, &pool.engine, transport);
+            let connected = timeout(staging_timeout, connecting).await;
+            drop(pool);
+            if let (Ok(()), Some(pools)) = (connected, pools.upgrade()) {
+                pools.handle(Event::PoolReady { number, pool: name });
             }
         });
     }
 
-    /// Samples all pools in force, and lets the manager check its deadlines.
+    /// Samples all pools in force, and lets the transaction manager check its deadlines.
     pub(super) fn sample(self: &Rc<Self>) {
-        let runs = self.active.borrow().runs.clone();
-        for run in runs {
-            if let Some(sample) = take_sample(&run) {
-                let pool = run.pool.name.clone();
-                self.handle(Event::PoolSampled { pool, sample });
+        let pools = self.active.borrow().pools.clone();
+        for pool in pools {
+            if let Some(sample) = take_sample(&pool) {
+                let name = pool.definition.name.clone();
+                self.handle(Event::PoolSampled { pool: name, sample });
             }
         }
         self.handle(Event::Tick);
-        self.share_warmup_budgets();
+        self.share_slow_start_budgets();
     }
 
-    /// Verifies a staged change that is ready, as things stand when it is applied. If endpoints
-    /// change meanwhile, it is verified again; if they change all the time, it is aborted in time.
+    /// Verifies a staged change whose pools are ready. If endpoints change meanwhile, it is
+    /// verified again, so that the verdict holds when the change is applied.
     fn spawn_verification(self: &Rc<Self>, generation: &Generation) {
         let (pools, number) = (Rc::downgrade(self), generation.number);
         let text = generation.text.clone();
@@ -195,7 +199,7 @@
                 let rejection = match expectations {
                     Some(expectations) => {
                         let report = expectations.verify(text.clone(), environment).await;
-                        report.map_or_else(|e| Some(e.to_string()), |r| describe_failures(&r))
+                        report.map_or_else(|e| Some(e.to_string()), |r| join_failures(&r))
                     }
                     None => None,
                 };
@@ -217,8 +221,8 @@
         });
     }
 
-    /// Verifies the generation in force against the expectations as they are now. Returns `None`
-    /// if there are none.
+    /// Verifies the generation in force against the current expectations. Returns `None` if there
+    /// are none.
     ///
     /// # Errors
     ///
@@ -232,13 +236,13 @@
         Ok(Some(report))
     }
 
-    /// Returns what verification has to know of this daemon.
+    /// Returns what verification needs to know of this daemon.
     pub(super) fn environment(&self) -> Environment {
         let registry = self.default_registry.get();
         verification_gate::environment(&self.config.settings, registry, self.known_nodes())
     }
 
-    /// Returns the generation in force, the transaction under way and the latest messages.
+    /// Returns the generation in force, the open transaction and the latest messages, as JSON.
     pub fn status(&self) -> Value {
         let mut transactions = self.transactions.borrow_mut();
         let generations_in_use = transactions.count_generations_in_use();
@@ -262,14 +266,14 @@
     }
 }
 
-/// Returns the outcomes of a pool's requests since the last sample, if there were any.
-fn take_sample(run: &PoolRun) -> Option<PoolSample> {
-    let mut totals = run.engine.metrics().response_totals();
-    // Requests that were rejected while this proxy was fenced say nothing of a change.
+/// Returns the outcomes of a pool's requests since the last sample, or `None` if there were none.
+fn take_sample(pool: &RunningPool) -> Option<PoolSample> {
+    let mut totals = pool.engine.metrics().response_totals();
+    // Rejections because this proxy is fenced are not an effect of the change.
     totals.rejected = totals
         .rejected
-        .saturating_sub(run.engine.fenced_rejections());
-    let previous = run.sampled_totals.replace(totals);
+        .saturating_sub(pool.engine.fenced_rejections());
+    let previous = pool.sampled_totals.replace(totals);
     let new = totals.since(previous);
     let (served, rejected) = (new.served as f64, new.rejected as f64);
     let failed = new.failed as f64 + new.timed_out as f64;
@@ -280,27 +284,31 @@
         failed,
         rejected,
         late,
-        // No proxy can see how much of its warm-up budget a backend has used.
+        // A proxy doesn't know how much of a backend's slow-start budget other proxies have used.
         warmup_budget_used: 0.0,
     })
 }
 
-/// Joins the failures of a verification, or returns `None` if there are none.
-fn describe_failures(report: &Report) -> Option<String> {
+/// Joins the failures of a verification. Returns `None` if there are none.
+fn join_failures(report: &Report) -> Option<String> {
     Some(report.failures().join("; ")).filter(|failures| !failures.is_empty())
 }
 
-/// Waits until an engine has backends, and a connection to at least one of them.
-async fn warm_up(connections: &Rc<Connections>, engine: &Rc<Engine>, transport: Option<Transport>) {
+/// Waits until an engine has backends, and there is a connection to at least one of them.
+async fn connect_any(
+    connections: &Rc<Connections>,
+    engine: &Rc<Engine>,
+    transport: Option<Transport>,
+) {
     loop {
-        let mut warm_connections = 0;
+        let mut connected = 0;
         for target in &engine.available_targets() {
-            let is_warm = connections.ensure_connection(target, transport).await;
-            warm_connections += usize::from(is_warm);
+            let is_connected = connections.ensure_connection(target, transport).await;
+            connected += usize::from(is_connected);
         }
-        if warm_connections > 0 {
+        if connected > 0 {
             return;
         }
-        sleep(WARMUP_POLL_INTERVAL).await;
+        sleep(CONNECT_RETRY_INTERVAL).await;
     }
 }
