--- a/crates/heathroad/src/router/running_pool.rs
+++ b/crates/heathroad/src/router/running_pool.rs
@@ -77,7 +77,7 @@
     fn start_engine(&self, definition: &Pool, key: &str) -> Result<Rc<Engine>, RouterError> {
         let settings = pool_settings(&self.config.settings, definition);
         let metrics = PoolMetrics::new(&self.metrics, &definition.name, &settings.site);
-        // The router decides which registries are watched, so nothing receives engine requests.
+        // The router decides which registries are watched; nothing receives the engine's requests.
         let (watch_requested, _) = watch::channel(false);
         let engine = Engine::new(
             settings,
@@ -145,7 +145,7 @@
 
 /// Returns the key of a running pool: the pool's name and a hash of its definition.
 fn pool_key(definition: &Pool) -> String {
-    // Serialization can't fail: a pool definition has string keys only.
+    // Serialization can't fail: a pool definition is plain data with string keys.
     let json = serde_json::to_string(definition).unwrap_or_default();
     format!("{}/{:016x}", definition.name, stable_hash(json.as_bytes()))
 }
--- a/crates/heathroad/src/router/stale_routes.rs
+++ b/crates/heathroad/src/router/stale_routes.rs
@@ -64,7 +64,7 @@
     (is_newer && !peers.activity_log().was_rejected(version.digest)).then_some(version)
 }
 
-/// Proposes the text of a version, and records a rejection, an abort or a rollback.
+/// Proposes the text of a version, and records why if it is rejected, aborted or rolled back.
 async fn update(
     pools: &Rc<RoutedPools>,
     peers: &MembershipService,
