--- a/crates/heathroad/src/backend/outcome.rs
+++ b/crates/heathroad/src/backend/outcome.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use heathroad_balancer::api::Outcome;
-use heathroad_jsonrpc::Answer;
+use heathroad_jsonrpc::Response;
 use heathroad_jsonrpc::message::INTERNAL_ERROR;
 use hyper::StatusCode;
 
@@ -52,8 +52,8 @@
 
 /// Classifies a JSON-RPC response. Application errors are served to the client; an internal error
 /// also counts as an error of the backend.
-pub(super) fn classify_response(answer: Answer, declined_code: Option<i64>) -> AttemptEnd {
-    match answer.code {
+pub(super) fn classify_response(answer: Response, declined_code: Option<i64>) -> AttemptEnd {
+    match answer.error_code {
         Some(code) if Some(code) == declined_code => AttemptEnd::NotServed(Outcome::Rejected),
         Some(INTERNAL_ERROR) => AttemptEnd::ServedWithError(answer.member),
         _ => AttemptEnd::Served(answer.member),
