--- a/crates/heathroad-harness/src/audited.rs
+++ b/crates/heathroad-harness/src/audit_check.rs
@@ -2,16 +2,16 @@
 //! not is nobody's.
 
 use crate::clock::Micros;
-use crate::ledger::{Did, ProxyNo};
-use crate::stage::Seen;
+use crate::event_log::{ProcessEventKind, ProxyIndex};
+use crate::runner::RunRecord;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
 /// Beyond a bound: the way of a message, and of an attempt to the backend.
 pub const SLACK: Micros = 500_000;
 
-fn members(seen: &Seen) -> impl Iterator<Item = &Value> {
-    seen.audit
+fn members(seen: &RunRecord) -> impl Iterator<Item = &Value> {
+    seen.fleet_audit
         .iter()
         .flat_map(|a| a["members"].as_array().into_iter().flatten())
 }
@@ -21,8 +21,8 @@
 }
 
 /// A figure of the fleet; none where there is no audit.
-pub fn figure(seen: &Seen, name: &str) -> Option<f64> {
-    seen.audit.as_ref()?;
+pub fn figure(seen: &RunRecord, name: &str) -> Option<f64> {
+    seen.fleet_audit.as_ref()?;
     let count = match name {
         "fleet_unreached" => members(seen).filter(|m| m["reached"] != true).count() as u64,
         "fleet_unaccounted" => unaccounted(seen),
@@ -43,14 +43,14 @@
 
 /// Attempts that backends saw and no page tells of under their version, and the other way round.
 /// What a killed proxy had not written down yet may be missing from its pages.
-fn unaccounted(seen: &Seen) -> u64 {
+fn unaccounted(seen: &RunRecord) -> u64 {
     let mut apart = 0;
     for (no, member) in members(seen).enumerate() {
         let killed = seen
-            .ledgers
-            .acts
+            .event_log
+            .process_events
             .iter()
-            .any(|a| usize::from(a.proxy) == no && a.what == Did::Killed);
+            .any(|a| usize::from(a.proxy) == no && a.kind == ProcessEventKind::Killed);
         let mut told: BTreeMap<&str, u64> = BTreeMap::new();
         for page in pages(member) {
             *told
@@ -59,7 +59,7 @@
         }
         let mut saw: BTreeMap<&str, u64> = BTreeMap::new();
         for a in seen
-            .ledgers
+            .event_log
             .arrivals
             .iter()
             .filter(|a| usize::from(a.proxy) == no)
@@ -76,7 +76,7 @@
             let (told, saw) = (of(&told), of(&saw));
             // An attempt whose connection failed was sent by the record and came to nobody.
             let lost = seen
-                .counts
+                .proxy_counts
                 .iter()
                 .filter(|c| usize::from(c.proxy) == no)
                 .filter_map(unsent)
@@ -92,12 +92,12 @@
 }
 
 /// Attempts of a process that never came whole to a backend.
-fn unsent(counted: &crate::stage::Counted) -> Option<u64> {
+fn unsent(counted: &crate::runner::ProxyCounts) -> Option<u64> {
     counted.counts.as_ref()?["attempts"]["unsent"].as_u64()
 }
 
 /// Proxies that act on an older generation than another one does.
-fn behind(seen: &Seen) -> u64 {
+fn behind(seen: &RunRecord) -> u64 {
     let now = |m: &Value| {
         pages(m)
             .last()
@@ -108,7 +108,7 @@
 }
 
 /// Attempts on an older generation than was required by then.
-fn past_bound(seen: &Seen) -> u64 {
+fn past_bound(seen: &RunRecord) -> u64 {
     let mut generations: BTreeMap<&str, u64> = BTreeMap::new();
     for page in members(seen).flat_map(pages) {
         if let (Some(digest), Some(n)) = (
@@ -118,14 +118,14 @@
             generations.insert(digest, n);
         }
     }
-    let fleet = |proxy: ProxyNo| seen.proxy_tier.get(usize::from(proxy)) == Some(&0);
-    let past = |a: &&crate::ledger::Arrival| {
+    let fleet = |proxy: ProxyIndex| seen.proxy_tiers.get(usize::from(proxy)) == Some(&0);
+    let past = |a: &&crate::event_log::Arrival| {
         let generation = a.version.as_deref().and_then(|v| generations.get(v));
-        seen.bounds.iter().any(|(required, bound)| {
-            a.first_byte > bound + SLACK && generation.is_none_or(|g| g < required)
+        seen.required_generations.iter().any(|(required, bound)| {
+            a.first_byte_at > bound + SLACK && generation.is_none_or(|g| g < required)
         })
     };
-    seen.ledgers
+    seen.event_log
         .arrivals
         .iter()
         .filter(|a| fleet(a.proxy))
--- a/crates/heathroad-harness/src/judge/client.rs
+++ b/crates/heathroad-harness/src/checker/client.rs
@@ -3,8 +3,8 @@
 
 use super::Terms;
 use super::rules::{Breach, Rule, SLACK, describe};
-use crate::clock::{Micros, show};
-use crate::ledger::{Arrival, End, Ledgers, Try};
+use crate::clock::{Micros, format_seconds};
+use crate::event_log::{Arrival, Attempt, AttemptEnd, EventLog};
 use std::collections::HashMap;
 
 /// An attempt may begin so long after its client has closed its connection.
@@ -15,11 +15,11 @@
 /// Attempts that were begun for a client who had left, or with more time than theirs.
 pub(super) fn breaches(
     terms: &Terms,
-    ledgers: &Ledgers,
+    event_log: &EventLog,
     by_id: &HashMap<u64, Vec<&Arrival>>,
 ) -> Vec<Breach> {
     let mut breaches = Vec::new();
-    for t in &ledgers.tries {
+    for t in &event_log.attempts {
         let arrivals = by_id.get(&t.id).map(Vec::as_slice).unwrap_or_default();
         for arrival in arrivals.iter().filter(|a| a.tier == t.tier) {
             let wrongs = [begun_for_nobody(t, arrival), told_too_much(t, arrival)];
@@ -27,7 +27,7 @@
                 let proof = format!("{wrong}: {}", describe(terms, arrival));
                 breaches.push(Breach {
                     rule: Rule::Lost,
-                    at: arrival.first_byte,
+                    at: arrival.first_byte_at,
                     id: Some(t.id),
                     proof,
                 });
@@ -37,30 +37,30 @@
     breaches
 }
 
-fn begun_for_nobody(t: &Try, arrival: &Arrival) -> Option<String> {
-    let left = t.ended;
-    let begun = arrival.first_byte;
-    let late = t.end == End::HungUp && begun > left + AFTER_CLOSE + SLACK;
+fn begun_for_nobody(t: &Attempt, arrival: &Arrival) -> Option<String> {
+    let left = t.ended_at;
+    let begun = arrival.first_byte_at;
+    let late = t.end == AttemptEnd::Cancelled && begun > left + AFTER_CLOSE + SLACK;
     late.then(|| {
         format!(
             "an attempt was begun at {}, after its client had left at {}",
-            show(begun),
-            show(left)
+            format_seconds(begun),
+            format_seconds(left)
         )
     })
 }
 
-fn told_too_much(t: &Try, arrival: &Arrival) -> Option<String> {
-    let (sent, told) = (t.sent?, arrival.told?);
+fn told_too_much(t: &Attempt, arrival: &Arrival) -> Option<String> {
+    let (sent, told) = (t.sent_at?, arrival.announced_limit?);
     // A request that was sent once more is timed from its second sending.
-    let sent = t.crossed.map_or(sent, |crossed| crossed.max(sent));
-    let left = (sent + t.patience).saturating_sub(arrival.first_byte);
+    let sent = t.resent_at.map_or(sent, |crossed| crossed.max(sent));
+    let left = (sent + t.time_limit).saturating_sub(arrival.first_byte_at);
     let much = told > left + TOLD_SLACK + SLACK;
     much.then(|| {
         format!(
             "its backend was told {}, and its client had {} left",
-            show(told),
-            show(left)
+            format_seconds(told),
+            format_seconds(left)
         )
     })
 }
--- a/crates/heathroad-harness/src/judge/mod.rs
+++ b/crates/heathroad-harness/src/checker/mod.rs
@@ -2,36 +2,36 @@
 //! can be tried against proxies that break each rule, without a socket.
 
 mod client;
-mod effort;
 mod rules;
+mod wasted_work;
 mod worth;
 
 pub use rules::{Breach, Rule};
 pub use worth::Worth;
 
 use crate::clock::Micros;
-use crate::ledger::{HostNo, Ledgers};
-use crate::plan::Plan;
-use crate::stand_in::machine::Make;
+use crate::emulator::host::HostSpec;
+use crate::event_log::{BackendIndex, EventLog};
+use crate::schedule::Schedule;
 
 /// What the judge must know beside the ledgers.
 pub struct Terms<'a> {
     /// What was planned.
-    pub plan: &'a Plan,
+    pub schedule: &'a Schedule,
     /// Names of the proxies.
     pub proxies: &'a [String],
     /// Names of the hosts.
-    pub hosts: &'a [String],
+    pub backends: &'a [String],
     /// Cells of the hosts, beside their tier's others.
     pub cells: &'a [u16],
     /// Makes of the hosts' machines.
-    pub makes: &'a [Make],
+    pub host_specs: &'a [HostSpec],
 }
 
 impl Terms<'_> {
-    fn host(&self, host: HostNo) -> &str {
-        self.hosts
-            .get(usize::from(host))
+    fn backend(&self, backend: BackendIndex) -> &str {
+        self.backends
+            .get(usize::from(backend))
             .map_or("?", String::as_str)
     }
 
@@ -109,37 +109,42 @@
 }
 
 /// Judges the ledgers.
-pub fn judge(terms: &Terms, ledgers: &Ledgers) -> Verdict {
-    use crate::ledger::{End, Try};
-    let (breaches, by_clients, resends) = rules::all(terms, ledgers);
+pub fn check(terms: &Terms, event_log: &EventLog) -> Verdict {
+    use crate::event_log::{Attempt, AttemptEnd};
+    let (breaches, by_clients, resends) = rules::all(terms, event_log);
     let mut tries = [0; 4];
-    for t in ledgers.tries.iter().filter(|t| t.of_client()) {
+    for t in event_log.attempts.iter().filter(|t| t.is_from_client()) {
         let kind = match t.end {
-            End::Served(_) => 0,
-            End::Refused { .. } => 1,
-            End::Failed(_) => 2,
+            AttemptEnd::Served(_) => 0,
+            AttemptEnd::Refused { .. } => 1,
+            AttemptEnd::Failed(_) => 2,
             _ => 3,
         };
         tries[kind] += 1;
     }
-    let left = ledgers
-        .rude
+    let left = event_log
+        .malformed_clients
         .iter()
         .filter(|r| rules::left_with_nothing(r))
         .count();
-    let remote = |t: &&Try| {
-        t.of_client()
+    let remote = |t: &&Attempt| {
+        t.is_from_client()
             && terms
-                .plan
-                .tries
-                .get(t.first as usize)
-                .is_some_and(|f| f.remote)
+                .schedule
+                .requests
+                .get(t.request_index as usize)
+                .is_some_and(|f| f.uses_jsonrpc)
     };
-    let remote = ledgers.tries.iter().filter(remote);
-    let remote_served = remote.filter(|t| matches!(t.end, End::Served(_))).count() as u64;
-    let (worth, latencies) = worth::of(terms.plan, &ledgers.tries);
-    let rude = [ledgers.rude.len() as u64, left as u64];
-    let (loops_open, work_for_nobody) = (effort::loops_open(ledgers), effort::for_nobody(ledgers));
+    let remote = event_log.attempts.iter().filter(remote);
+    let remote_served = remote
+        .filter(|t| matches!(t.end, AttemptEnd::Served(_)))
+        .count() as u64;
+    let (worth, latencies) = worth::of(terms.schedule, &event_log.attempts);
+    let rude = [event_log.malformed_clients.len() as u64, left as u64];
+    let (loops_open, work_for_nobody) = (
+        wasted_work::loops_open(event_log),
+        wasted_work::for_nobody(event_log),
+    );
     Verdict {
         worth,
         breaches,
--- a/crates/heathroad-harness/src/judge/rules.rs
+++ b/crates/heathroad-harness/src/checker/rules.rs
@@ -2,11 +2,14 @@
 //! Each breach is told with the events that prove it.
 
 use super::{Terms, client};
-use crate::clock::{Micros, show};
-use crate::ledger::{Act, Arrival, Did, End, Fate, Health, Ledgers, ProxyNo, Rude, Told, Try};
-use crate::load::RUDE_OWED;
+use crate::clock::{Micros, format_seconds};
+use crate::emulator::host::Pressure;
+use crate::event_log::{
+    Arrival, Attempt, AttemptEnd, Disposition, EventLog, Health, MalformedClient, ProcessEvent,
+    ProcessEventKind, ProxyIndex, RegistryUpdate,
+};
+use crate::load_generator::MALFORMED_REQUEST_TIMEOUT;
 use crate::scenario::{Effect, Group};
-use crate::stand_in::machine::Pressure;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// On real sockets each limit is so much longer.
@@ -57,37 +60,38 @@
 }
 
 /// Whether a client that sent what can't be used was owed more than it got.
-pub fn left_with_nothing(r: &Rude) -> bool {
-    r.ended.is_none_or(|ended| ended > r.at + RUDE_OWED + SLACK)
+pub fn left_with_nothing(r: &MalformedClient) -> bool {
+    r.ended_at
+        .is_none_or(|ended| ended > r.at + MALFORMED_REQUEST_TIMEOUT + SLACK)
 }
 
 /// Every breach, the claims that clients ran twice, and how many requests backends saw again under
 /// their id.
-pub fn all(terms: &Terms, ledgers: &Ledgers) -> (Vec<Breach>, Vec<String>, u64) {
+pub fn all(terms: &Terms, event_log: &EventLog) -> (Vec<Breach>, Vec<String>, u64) {
     let mut by_id: HashMap<u64, Vec<&Arrival>> = HashMap::new();
-    ledgers
+    event_log
         .arrivals
         .iter()
         .for_each(|a| by_id.entry(a.id).or_default().push(a));
     by_id
         .values_mut()
-        .for_each(|arrivals| arrivals.sort_by_key(|a| a.whole));
-    let mut breaches = lost(terms, ledgers, &by_id);
-    breaches.extend(client::breaches(terms, ledgers, &by_id));
+        .for_each(|arrivals| arrivals.sort_by_key(|a| a.received_at));
+    let mut breaches = lost(terms, event_log, &by_id);
+    breaches.extend(client::breaches(terms, event_log, &by_id));
     let resends = by_id.values().map(|a| a.len() as u64 - 1).sum();
-    breaches.extend(double(terms, ledgers, &by_id));
-    breaches.extend(drain(terms, ledgers));
-    breaches.extend(cold(terms, ledgers));
+    breaches.extend(double(terms, event_log, &by_id));
+    breaches.extend(drain(terms, event_log));
+    breaches.extend(cold(terms, event_log));
     breaches.sort_by_key(|b| (b.at, b.rule));
-    (breaches, run_twice(ledgers), resends)
+    (breaches, run_twice(event_log), resends)
 }
 
 /// Whether a proxy's process was killed, or had crashed, at some time in a span. What it held is
 /// its clients'.
-fn died(acts: &[Act], proxy: ProxyNo, from: Micros, to: Micros) -> bool {
+fn died(acts: &[ProcessEvent], proxy: ProxyIndex, from: Micros, to: Micros) -> bool {
     let killed = acts
         .iter()
-        .filter(|a| a.proxy == proxy && a.what == Did::Killed);
+        .filter(|a| a.proxy == proxy && a.kind == ProcessEventKind::Killed);
     killed
         .into_iter()
         .any(|a| a.at <= to + SLACK && a.until >= from)
@@ -95,76 +99,98 @@
 
 /// Whether a proxy's process was held still at some time in a span: nothing is owed by one that is
 /// given no time.
-fn stalled(acts: &[Act], proxy: ProxyNo, from: Micros, to: Micros) -> bool {
+fn stalled(acts: &[ProcessEvent], proxy: ProxyIndex, from: Micros, to: Micros) -> bool {
     let held = acts
         .iter()
-        .filter(|a| a.proxy == proxy && a.what == Did::Stalled);
+        .filter(|a| a.proxy == proxy && a.kind == ProcessEventKind::Stalled);
     held.into_iter()
         .any(|a| a.at <= to + SLACK && a.until >= from)
 }
 
-fn lost(terms: &Terms, ledgers: &Ledgers, by_id: &HashMap<u64, Vec<&Arrival>>) -> Vec<Breach> {
-    let grace = (terms.plan.scenario.rules.answer_grace_ms * 1000.0) as Micros + SLACK;
+fn lost(terms: &Terms, event_log: &EventLog, by_id: &HashMap<u64, Vec<&Arrival>>) -> Vec<Breach> {
+    let grace = (terms.schedule.scenario.rules.answer_grace_ms * 1000.0) as Micros + SLACK;
     let mut breaches = Vec::new();
-    for t in &ledgers.tries {
-        let Some(sent) = t.sent else { continue };
+    for t in &event_log.attempts {
+        let Some(sent) = t.sent_at else { continue };
         let arrivals = by_id.get(&t.id).map(Vec::as_slice).unwrap_or_default();
         let who = terms.proxy(t.proxy);
-        let took = t.ended.saturating_sub(sent + t.slow);
-        let still = stalled(&ledgers.acts, t.proxy, sent, t.ended);
-        let late = took > t.patience + grace && !still;
+        let took = t.ended_at.saturating_sub(sent + t.read_delay);
+        let still = stalled(&event_log.process_events, t.proxy, sent, t.ended_at);
+        let late = took > t.time_limit + grace && !still;
         let owed = || {
             format!(
                 "sent to {who} at {}, owed an answer within {}",
-                show(sent),
-                show(t.patience)
+                format_seconds(sent),
+                format_seconds(t.time_limit)
             )
         };
         let wrong = match &t.end {
-            End::Served(mark) => {
+            AttemptEnd::Served(mark) => {
                 // Made for this request, and made before it was passed on.
-                let made =
-                    |a: &&&Arrival| a.mark == *mark && a.tier == t.tier && a.whole <= t.ended;
+                let made = |a: &&&Arrival| {
+                    a.marker == *mark && a.tier == t.tier && a.received_at <= t.ended_at
+                };
                 match arrivals.iter().find(made) {
                     None => Some(format!(
                         "served with mark {mark:x}, which no backend made for it"
                     )),
-                    Some(_) if late => Some(format!("served after {}", show(took))),
+                    Some(_) if late => Some(format!("served after {}", format_seconds(took))),
                     Some(_) => None,
                 }
             }
-            End::Alien(text) => Some(format!(
+            AttemptEnd::UnknownBody(text) => Some(format!(
                 "served with {text:?}, which no backend made for it"
             )),
-            End::Refused { .. } | End::Failed(_) if late => {
-                Some(format!("answered after {}", show(took)))
+            AttemptEnd::Refused { .. } | AttemptEnd::Failed(_) if late => {
+                Some(format!("answered after {}", format_seconds(took)))
             }
-            End::Refused { .. } | End::Failed(_) | End::HungUp | End::Unsent => None,
+            AttemptEnd::Refused { .. }
+            | AttemptEnd::Failed(_)
+            | AttemptEnd::Cancelled
+            | AttemptEnd::Unsent => None,
             // An answer that breaks off where the client can tell has failed and is not lost.
-            End::Broken(true) => None,
-            End::Broken(false) if died(&ledgers.acts, t.proxy, sent, t.ended) => None,
-            End::Broken(false) => Some(format!(
+            AttemptEnd::Truncated(true) => None,
+            AttemptEnd::Truncated(false)
+                if died(&event_log.process_events, t.proxy, sent, t.ended_at) =>
+            {
+                None
+            }
+            AttemptEnd::Truncated(false) => Some(format!(
                 "the connection was closed without an answer at {}",
-                show(t.ended)
+                format_seconds(t.ended_at)
             )),
-            End::Garbled => Some(format!(
+            AttemptEnd::Malformed => Some(format!(
                 "an answer that can't be read came at {}",
-                show(t.ended)
+                format_seconds(t.ended_at)
+            )),
+            AttemptEnd::NoResponse if still => None,
+            AttemptEnd::NoResponse
+                if died(&event_log.process_events, t.proxy, sent, t.ended_at) =>
+            {
+                None
+            }
+            AttemptEnd::NoResponse => Some(format!(
+                "no answer had come by {}",
+                format_seconds(t.ended_at)
             )),
-            End::Silence if still => None,
-            End::Silence if died(&ledgers.acts, t.proxy, sent, t.ended) => None,
-            End::Silence => Some(format!("no answer had come by {}", show(t.ended))),
         };
         let twice = t
-            .extra
+            .unexpected_data
             .then(|| "a second answer came behind the first on its connection".to_string());
         // A close between requests may cross one that was not read; what was passed on had been
         // read.
         let taken = t
-            .crossed
-            .and_then(|at| arrivals.iter().find(|a| a.whole <= at));
+            .resent_at
+            .and_then(|at| arrivals.iter().find(|a| a.received_at <= at));
         let taken = taken
-            .filter(|a| !died(&ledgers.acts, t.proxy, a.whole, t.ended))
+            .filter(|a| {
+                !died(
+                    &event_log.process_events,
+                    t.proxy,
+                    a.received_at,
+                    t.ended_at,
+                )
+            })
             .map(|a| {
                 format!(
                     "its connection was closed without an answer after it had been passed on: {}",
@@ -175,18 +201,26 @@
             let proof = format!("{}; {wrong}", owed());
             breaches.push(Breach {
                 rule: Rule::Lost,
-                at: t.ended,
+                at: t.ended_at,
                 id: Some(t.id),
                 proof,
             });
         }
     }
-    for r in ledgers.rude.iter().filter(|r| r.status == Some(200)) {
-        let proof = format!("a client that sent {} at {} was served", r.kind, show(r.at));
+    for r in event_log
+        .malformed_clients
+        .iter()
+        .filter(|r| r.status == Some(200))
+    {
+        let proof = format!(
+            "a client that sent {} at {} was served",
+            r.kind,
+            format_seconds(r.at)
+        );
         breaches.push(Breach {
             rule: Rule::Lost,
             at: r.at,
-            id: r.hidden,
+            id: r.smuggled_id,
             proof,
         });
     }
@@ -194,32 +228,34 @@
 }
 
 pub(super) fn describe(terms: &Terms, a: &Arrival) -> String {
-    let what = match a.fate {
-        Fate::Ran => "ran",
-        Fate::Repeat => "dropped as a repeat",
-        Fate::Declined => "declined",
+    let what = match a.disposition {
+        Disposition::Executed => "ran",
+        Disposition::Duplicate => "dropped as a repeat",
+        Disposition::Declined => "declined",
     };
     format!(
         "at {} from {} to {}: {what}",
-        show(a.whole),
+        format_seconds(a.received_at),
         terms.proxy(a.proxy),
-        terms.host(a.host)
+        terms.backend(a.backend)
     )
 }
 
-fn double(terms: &Terms, ledgers: &Ledgers, by_id: &HashMap<u64, Vec<&Arrival>>) -> Vec<Breach> {
+fn double(terms: &Terms, event_log: &EventLog, by_id: &HashMap<u64, Vec<&Arrival>>) -> Vec<Breach> {
     let mut breaches = Vec::new();
-    let classes = &terms.plan.scenario.class;
+    let classes = &terms.schedule.scenario.class;
     // What its sender sent once more, since its connection was closed, is not the proxy's second
     // try.
-    let crossed: HashMap<u64, Micros> = ledgers
-        .tries
+    let crossed: HashMap<u64, Micros> = event_log
+        .attempts
         .iter()
-        .filter_map(|t| Some((t.id, t.crossed?)))
+        .filter_map(|t| Some((t.id, t.resent_at?)))
         .collect();
     for (&id, arrivals) in by_id {
         // What was declined never ran, and is sent again freely.
-        let mut may_have_run = arrivals.iter().filter(|a| a.fate != Fate::Declined);
+        let mut may_have_run = arrivals
+            .iter()
+            .filter(|a| a.disposition != Disposition::Declined);
         let Some(first) = may_have_run.next() else {
             continue;
         };
@@ -227,13 +263,13 @@
             continue;
         };
         let window = (class.window_ms * 1000.0) as Micros + SLACK;
-        let cell = |a: &Arrival| terms.cells.get(usize::from(a.host));
-        let again = crossed.get(&id).filter(|at| first.whole <= **at);
-        for a in may_have_run.filter(|a| again.is_none_or(|at| a.whole <= *at)) {
+        let cell = |a: &Arrival| terms.cells.get(usize::from(a.backend));
+        let again = crossed.get(&id).filter(|at| first.received_at <= **at);
+        for a in may_have_run.filter(|a| again.is_none_or(|at| a.received_at <= *at)) {
             let wrong = match class.effect {
                 Effect::Safe => None,
                 Effect::Unsafe => Some("an unsafe request was sent again though it may have run"),
-                Effect::Keyed if a.whole > first.whole + window => {
+                Effect::Keyed if a.received_at > first.received_at + window => {
                     Some("a keyed request was sent again outside its window")
                 }
                 Effect::Keyed if class.group == Group::Cell && cell(a) != cell(first) => {
@@ -249,7 +285,7 @@
                 );
                 breaches.push(Breach {
                     rule: Rule::Double,
-                    at: a.whole,
+                    at: a.received_at,
                     id: Some(id),
                     proof,
                 });
@@ -257,30 +293,37 @@
         }
     }
     // A refusal promises that trying again is harmless.
-    for t in ledgers
-        .tries
+    for t in event_log
+        .attempts
         .iter()
-        .filter(|t| matches!(t.end, End::Refused { .. }))
+        .filter(|t| matches!(t.end, AttemptEnd::Refused { .. }))
     {
         let class = &classes[usize::from(t.class)];
         let free = class.effect == Effect::Safe
             || class.effect == Effect::Keyed && class.group == Group::All;
         let arrivals = by_id.get(&t.id).map(Vec::as_slice).unwrap_or_default();
-        if let Some(ran) = arrivals.iter().find(|a| a.fate != Fate::Declined && !free) {
+        if let Some(ran) = arrivals
+            .iter()
+            .find(|a| a.disposition != Disposition::Declined && !free)
+        {
             let proof = format!(
                 "refused at {} though it may have run: {}",
-                show(t.ended),
+                format_seconds(t.ended_at),
                 describe(terms, ran)
             );
             breaches.push(Breach {
                 rule: Rule::Double,
-                at: t.ended,
+                at: t.ended_at,
                 id: Some(t.id),
                 proof,
             });
         }
     }
-    for hidden in ledgers.rude.iter().filter_map(|r| r.hidden) {
+    for hidden in event_log
+        .malformed_clients
+        .iter()
+        .filter_map(|r| r.smuggled_id)
+    {
         if let Some(a) = by_id.get(&hidden).and_then(|a| a.first()) {
             let proof = format!(
                 "a request hidden in another's body was passed on: {}",
@@ -288,7 +331,7 @@
             );
             breaches.push(Breach {
                 rule: Rule::Double,
-                at: a.whole,
+                at: a.received_at,
                 id: Some(hidden),
                 proof,
             });
@@ -299,63 +342,65 @@
 
 /// Claims that ran twice at the first tier under different ids: the client asked again later than
 /// the backends remember. (Under one id it is the proxy's doing, and a breach.)
-fn run_twice(ledgers: &Ledgers) -> Vec<String> {
+fn run_twice(event_log: &EventLog) -> Vec<String> {
     let mut by_key: BTreeMap<u64, Vec<&Arrival>> = BTreeMap::new();
-    for a in ledgers
+    for a in event_log
         .arrivals
         .iter()
-        .filter(|a| a.tier == 0 && a.fate == Fate::Ran)
+        .filter(|a| a.tier == 0 && a.disposition == Disposition::Executed)
     {
         if let Some(key) = a.key {
             by_key.entry(key).or_default().push(a);
         }
     }
-    let tries: HashMap<u64, &Try> = ledgers
-        .tries
+    let tries: HashMap<u64, &Attempt> = event_log
+        .attempts
         .iter()
-        .filter(|t| t.of_client())
+        .filter(|t| t.is_from_client())
         .map(|t| (t.id, t))
         .collect();
     let mut twice = Vec::new();
     for (key, mut runs) in by_key {
-        runs.sort_by_key(|a| a.whole);
+        runs.sort_by_key(|a| a.received_at);
         let ids: HashSet<u64> = runs.iter().map(|a| a.id).collect();
         let ([first, .., last], true) = (&runs[..], ids.len() > 1) else {
             continue;
         };
-        let sent = tries.get(&last.id).map_or(last.first_byte, |t| t.due);
+        let sent = tries
+            .get(&last.id)
+            .map_or(last.first_byte_at, |t| t.scheduled_at);
         twice.push(format!(
             "key {key:016x} ran at {} as {:016x} and at {} as {:016x}: its client sent it again at {}, {} later",
-            show(first.whole),
+            format_seconds(first.received_at),
             first.id,
-            show(last.whole),
+            format_seconds(last.received_at),
             last.id,
-            show(sent),
-            show(last.whole.saturating_sub(first.whole)),
+            format_seconds(sent),
+            format_seconds(last.received_at.saturating_sub(first.received_at)),
         ));
     }
     twice
 }
 
-fn drain(terms: &Terms, ledgers: &Ledgers) -> Vec<Breach> {
-    let grace = (terms.plan.scenario.rules.drain_grace_ms * 1000.0) as Micros + SLACK;
-    let mut told: HashMap<(ProxyNo, u16), Vec<&Told>> = HashMap::new();
-    ledgers
-        .told
+fn drain(terms: &Terms, event_log: &EventLog) -> Vec<Breach> {
+    let grace = (terms.schedule.scenario.rules.drain_grace_ms * 1000.0) as Micros + SLACK;
+    let mut told: HashMap<(ProxyIndex, u16), Vec<&RegistryUpdate>> = HashMap::new();
+    event_log
+        .registry_updates
         .iter()
-        .for_each(|t| told.entry((t.proxy, t.host)).or_default().push(t));
+        .for_each(|t| told.entry((t.proxy, t.backend)).or_default().push(t));
     told.values_mut()
         .for_each(|list| list.sort_by_key(|t| t.at));
     let mut breaches = Vec::new();
-    for a in &ledgers.arrivals {
-        let Some(list) = told.get(&(a.proxy, a.host)) else {
+    for a in &event_log.arrivals {
+        let Some(list) = told.get(&(a.proxy, a.backend)) else {
             continue;
         };
         // An older state that comes behind a newer one changes nothing.
         let (mut newest, mut since) = (0, None);
         for t in list
             .iter()
-            .filter(|t| t.at <= a.first_byte && t.life == a.life)
+            .filter(|t| t.at <= a.first_byte_at && t.incarnation == a.incarnation)
         {
             if t.version < newest {
                 continue;
@@ -366,19 +411,19 @@
                 _ => since.or(Some((t.at, t.health))),
             };
         }
-        if let Some((at, health)) = since.filter(|(at, _)| a.first_byte > at + grace) {
+        if let Some((at, health)) = since.filter(|(at, _)| a.first_byte_at > at + grace) {
             let proof = format!(
                 "{} was told at {} that {} is {}, and its first byte came there at {}, {} later",
                 terms.proxy(a.proxy),
-                show(at),
-                terms.host(a.host),
-                health.word(),
-                show(a.first_byte),
-                show(a.first_byte - at)
+                format_seconds(at),
+                terms.backend(a.backend),
+                health.as_str(),
+                format_seconds(a.first_byte_at),
+                format_seconds(a.first_byte_at - at)
             );
             breaches.push(Breach {
                 rule: Rule::Drain,
-                at: a.first_byte,
+                at: a.first_byte_at,
                 id: Some(a.id),
                 proof,
             });
@@ -388,35 +433,37 @@
 }
 
 /// A cold backend's load over each span, by all proxies together, as the rule words it.
-fn cold(terms: &Terms, ledgers: &Ledgers) -> Vec<Breach> {
+fn cold(terms: &Terms, event_log: &EventLog) -> Vec<Breach> {
     let mut breaches = Vec::new();
-    for life in ledgers.lives.iter().filter(|l| !l.warm) {
-        let Some(make) = terms.makes.get(usize::from(life.host)) else {
+    for life in event_log.incarnations.iter().filter(|l| !l.warm) {
+        let Some(spec) = terms.host_specs.get(usize::from(life.backend)) else {
             continue;
         };
-        let mut sent: Vec<&Arrival> = ledgers
+        let mut sent: Vec<&Arrival> = event_log
             .arrivals
             .iter()
-            .filter(|a| (a.host, a.life) == (life.host, life.life))
+            .filter(|a| (a.backend, a.incarnation) == (life.backend, life.number))
             .collect();
-        sent.sort_by_key(|a| a.whole);
+        sent.sort_by_key(|a| a.received_at);
         let (mut pressure, mut ran) = (Pressure::default(), 0);
         for (i, a) in sent.iter().enumerate() {
-            let warmth = make.warmth(a.whole.saturating_sub(life.started), ran);
-            ran += u32::from(a.fate == Fate::Ran);
-            let multiple = pressure.sent(make, a.whole, a.work, warmth);
-            if warmth >= 1.0 || multiple <= make.fall_multiple {
+            let warmth = spec.warmth(a.received_at.saturating_sub(life.started_at), ran);
+            ran += u32::from(a.disposition == Disposition::Executed);
+            let multiple = pressure.sent(spec, a.received_at, a.work, warmth);
+            if warmth >= 1.0 || multiple <= spec.overload_multiple {
                 continue;
             }
-            let span = sent[..=i].iter().filter(|s| s.whole + make.fall > a.whole);
+            let span = sent[..=i]
+                .iter()
+                .filter(|s| s.received_at + spec.overload_window > a.received_at);
             let (mut all, mut knowing, mut by) = (0, 0, BTreeMap::<&str, u64>::new());
             for s in span {
-                let knew = |t: &&Told| {
-                    (t.proxy, t.host, t.life) == (s.proxy, life.host, life.life)
-                        && t.at <= s.first_byte
+                let knew = |t: &&RegistryUpdate| {
+                    (t.proxy, t.backend, t.incarnation) == (s.proxy, life.backend, life.number)
+                        && t.at <= s.first_byte_at
                 };
                 all += s.work;
-                knowing += if ledgers.told.iter().any(|t| knew(&t)) {
+                knowing += if event_log.registry_updates.iter().any(|t| knew(&t)) {
                     s.work
                 } else {
                     0
@@ -433,16 +480,16 @@
             let proof = format!(
                 "{} started at {}; by {} it was sent {multiple:.2} times what it can do at that moment over {} \
                  (at most {}): {}",
-                terms.host(life.host),
-                show(life.started),
-                show(a.whole),
-                show(make.fall),
-                make.fall_multiple,
+                terms.backend(life.backend),
+                format_seconds(life.started_at),
+                format_seconds(a.received_at),
+                format_seconds(spec.overload_window),
+                spec.overload_multiple,
                 by.join(", ")
             );
             breaches.push(Breach {
                 rule: Rule::Cold,
-                at: a.whole,
+                at: a.received_at,
                 id: Some(a.id),
                 proof,
             });
--- a/crates/heathroad-harness/src/judge/worth.rs
+++ b/crates/heathroad-harness/src/checker/worth.rs
@@ -3,9 +3,9 @@
 //! a client ask counts as asked.
 
 use crate::clock::{Micros, SECOND};
-use crate::ledger::{End, Try};
-use crate::load::PLANNED_REPEAT;
-use crate::plan::Plan;
+use crate::event_log::{Attempt, AttemptEnd};
+use crate::load_generator::PLANNED_REPEAT;
+use crate::schedule::Schedule;
 
 /// The window of the worst stretch.
 const WINDOW: Micros = 10 * SECOND;
@@ -46,28 +46,29 @@
 }
 
 /// Worth by the plan and the tries, and the sorted latencies of what was served.
-pub fn of(plan: &Plan, tries: &[Try]) -> (Worth, Vec<Micros>) {
-    let mut served = vec![None; plan.tries.len()];
+pub fn of(schedule: &Schedule, tries: &[Attempt]) -> (Worth, Vec<Micros>) {
+    let mut served = vec![None; schedule.requests.len()];
     for t in tries
         .iter()
-        .filter(|t| t.of_client() && t.number != PLANNED_REPEAT)
+        .filter(|t| t.is_from_client() && t.retry != PLANNED_REPEAT)
     {
-        if let (End::Served(_), Some(s)) = (&t.end, served.get_mut(t.first as usize)) {
+        if let (AttemptEnd::Served(_), Some(s)) = (&t.end, served.get_mut(t.request_index as usize))
+        {
             // A slow reader's own time is not the service's.
-            let at = t.ended.saturating_sub(t.slow);
+            let at = t.ended_at.saturating_sub(t.read_delay);
             *s = Some(s.map_or(at, |before: Micros| before.min(at)));
         }
     }
-    let s = &plan.scenario;
-    let seconds = plan.length.div_ceil(SECOND).max(1) as usize;
+    let s = &schedule.scenario;
+    let seconds = schedule.duration.div_ceil(SECOND).max(1) as usize;
     let mut by_second = vec![[0.0; 2]; seconds];
     let mut by_class = vec![[0.0; 2]; s.class.len()];
     let mut by_tenant = vec![[0.0; 2]; s.tenant.len()];
     let (mut whole, mut late, mut latencies) = ([0.0; 2], 0.0, Vec::new());
-    for (first, served) in plan.tries.iter().zip(&served) {
-        let class = plan.class(first.class);
+    for (first, served) in schedule.requests.iter().zip(&served) {
+        let class = schedule.class(first.class);
         let asked = class.worth
-            * if first.over {
+            * if first.over_share {
                 s.run.over_share_worth
             } else {
                 1.0
@@ -89,12 +90,12 @@
             }
             None => 0.0,
         };
-        let second = (first.at.saturating_sub(plan.start) / SECOND) as usize;
+        let second = (first.at.saturating_sub(schedule.start) / SECOND) as usize;
         let add = |sum: &mut [f64; 2]| *sum = [sum[0] + asked, sum[1] + earned];
         add(&mut whole);
         add(&mut by_second[second.min(seconds - 1)]);
         add(&mut by_class[usize::from(first.class)]);
-        if !first.over {
+        if !first.over_share {
             add(&mut by_tenant[usize::from(first.tenant)]);
         }
     }
--- a/crates/heathroad-harness/src/cli.rs
+++ b/crates/heathroad-harness/src/cli.rs
@@ -1,11 +1,11 @@
 //! The command line of `heathroad-harness`.
 
-use crate::load::Progress;
-use crate::outcome::{Code, Outcome};
-use crate::plan;
+use crate::load_generator::Progress;
 use crate::report;
-use crate::scenario::{self, SHIPPED, Scenario};
-use crate::stage::{self, Setting};
+use crate::runner::{self, RunOptions};
+use crate::scenario::{self, BUILT_IN, Scenario};
+use crate::schedule;
+use crate::summary::{Code, Summary};
 use clap::{Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::path::{Path, PathBuf};
@@ -102,7 +102,7 @@
 }
 
 fn list() -> Result<Code, String> {
-    for (name, _) in SHIPPED {
+    for (name, _) in BUILT_IN {
         say(&format!("{name:16} {}", scenario::load(name)?.title));
     }
     Ok(Code::Kept)
@@ -175,7 +175,7 @@
         s.run.seconds = seconds;
         for f in &mut s.fault {
             let ends = f.at_s.ends().map(|t| t * by);
-            (f.at_s, f.for_s) = (scenario::Span::Between(ends), f.for_s * by.min(1.0));
+            (f.at_s, f.for_s) = (scenario::TimeOrRange::Between(ends), f.for_s * by.min(1.0));
         }
         s.repeat.iter_mut().for_each(|r| r.at_s *= by);
     }
@@ -212,7 +212,7 @@
 fn rehearse(run: &Run) -> Result<Code, String> {
     let name = run.scenario.as_deref().unwrap_or(DEFAULT);
     let program = program(run.heathroad.as_deref())?;
-    let plan = Arc::new(plan::draw(scaled(run, name)?, run.seed));
+    let schedule = Arc::new(schedule::generate(scaled(run, name)?, run.seed));
     for file in [&run.json, &run.report]
         .into_iter()
         .flatten()
@@ -224,30 +224,30 @@
     let progress = Arc::<Progress>::default();
     let (stop, stopped) = watch::channel(false);
     std::thread::spawn(move || wait_for_signals(&stop));
-    let bar = show_progress(&plan, &progress);
-    let setting = Setting {
+    let bar = show_progress(&schedule, &progress);
+    let options = RunOptions {
         program,
-        plan,
+        schedule,
         progress,
         stop: stopped,
     };
-    let seen = stage::run(setting);
+    let seen = runner::run(options);
     bar.finish_and_clear();
-    let outcome = Outcome::of(seen?);
-    let json = outcome.json(name);
+    let summary = Summary::of(seen?);
+    let json = summary.json(name);
     match &run.json {
         Some(file) if file.as_os_str() == "-" => say(&json),
         Some(file) => {
             std::fs::write(file, json + "\n").map_err(|e| format!("{}: {e}", file.display()))?;
-            say(outcome.table().trim_end());
+            say(summary.table().trim_end());
         }
-        None => say(outcome.table().trim_end()),
+        None => say(summary.table().trim_end()),
     }
     if let Some(file) = &run.report {
-        let page = report::page(&outcome)?;
+        let page = report::page(&summary)?;
         std::fs::write(file, page).map_err(|e| format!("{}: {e}", file.display()))?;
     }
-    Ok(outcome.code())
+    Ok(summary.code())
 }
 
 /// Sets `stop` on Ctrl-C or SIGTERM: everything is ended in order, and what was seen is reported.
@@ -275,17 +275,17 @@
     });
 }
 
-fn show_progress(plan: &plan::Plan, progress: &Arc<Progress>) -> ProgressBar {
-    let bar = ProgressBar::new(plan.tries.len() as u64);
+fn show_progress(schedule: &schedule::Schedule, progress: &Arc<Progress>) -> ProgressBar {
+    let bar = ProgressBar::new(schedule.requests.len() as u64);
     let style = ProgressStyle::with_template("{msg} [{bar:40}] {pos}/{len} requests, {elapsed}");
     if let Ok(style) = style {
         bar.set_style(style.progress_chars("=> "));
     }
-    bar.set_message(format!("rehearsing, plan {}", plan.digest));
+    bar.set_message(format!("rehearsing, plan {}", schedule.digest));
     let (shown, progress) = (bar.clone(), progress.clone());
     std::thread::spawn(move || {
         while !shown.is_finished() {
-            shown.set_position(progress.begun.load(Ordering::Relaxed));
+            shown.set_position(progress.started.load(Ordering::Relaxed));
             std::thread::sleep(Duration::from_millis(200));
         }
     });
--- a/crates/heathroad-harness/src/caller.rs
+++ b/crates/heathroad-harness/src/client.rs
@@ -2,9 +2,9 @@
 //! end classified. Shared by the load driver, for clients from outside, and by stand-in backends,
 //! which call the next tier.
 
-use crate::clock::{Clock, Micros, seconds};
-use crate::http::{Broken, Buffer};
-use crate::ledger::End;
+use crate::clock::{Clock, Micros, micros_from_seconds};
+use crate::event_log::AttemptEnd;
+use crate::http::{Buffer, ReadError};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 const PAST: Duration = Duration::from_millis(150);
 
 /// What is asked.
-pub struct Ask {
+pub struct ClientRequest {
     /// `Req-Id`.
     pub id: u64,
     /// The path, its first part the class.
@@ -34,29 +34,29 @@
     /// Whether it is safe, and so a GET.
     pub safe: bool,
     /// How long it is waited for.
-    pub patience: Micros,
+    pub time_limit: Micros,
     /// It is marked as a client's retry.
     pub retry: bool,
     /// It hangs up after so long.
-    pub hang_up: Option<Micros>,
+    pub cancel_after: Option<Micros>,
     /// So long is taken for reading.
-    pub slow: Micros,
+    pub read_delay: Micros,
     /// `Req-Budget` and `Req-Path`, copied from the request that it is made for.
-    pub carried: [Option<String>; 2],
+    pub budget_headers: [Option<String>; 2],
 }
 
 /// How a call went.
-pub struct Told {
+pub struct CallResult {
     /// When its last byte was written.
-    pub sent: Option<Micros>,
+    pub sent_at: Option<Micros>,
     /// When the proxy's close was found to have crossed it, so that it was sent once more.
-    pub crossed: Option<Micros>,
+    pub resent_at: Option<Micros>,
     /// How it ended.
-    pub end: End,
+    pub end: AttemptEnd,
     /// When.
-    pub ended: Micros,
+    pub ended_at: Micros,
     /// `Req-Spent`, as it came.
-    pub spent: Option<String>,
+    pub budget_spent: Option<String>,
 }
 
 struct Kept {
@@ -67,8 +67,8 @@
 
 /// Connections kept between calls.
 #[derive(Default)]
-pub struct Caller {
-    kept: RefCell<HashMap<SocketAddr, Vec<Kept>>>,
+pub struct Client {
+    idle: RefCell<HashMap<SocketAddr, Vec<Kept>>>,
     /// Requests behind whose answer something came.
     extra: RefCell<Vec<u64>>,
 }
@@ -82,11 +82,11 @@
     }
 }
 
-impl Caller {
+impl Client {
     /// The requests behind whose answer something came on their connections; those still kept are
     /// looked at now.
-    pub fn extras(&self) -> Vec<u64> {
-        for kept in self.kept.borrow_mut().drain().flat_map(|(_, k)| k) {
+    pub fn take_unexpected(&self) -> Vec<u64> {
+        for kept in self.idle.borrow_mut().drain().flat_map(|(_, k)| k) {
             if resting(&kept.stream) == Err(true) {
                 self.extra.borrow_mut().push(kept.last);
             }
@@ -95,7 +95,7 @@
     }
 
     fn reuse(&self, to: SocketAddr) -> Option<TcpStream> {
-        let mut kept = self.kept.borrow_mut();
+        let mut kept = self.idle.borrow_mut();
         let streams = kept.get_mut(&to)?;
         while let Some(Kept { stream, last }) = streams.pop() {
             match resting(&stream) {
@@ -108,20 +108,25 @@
     }
 
     fn keep(&self, to: SocketAddr, stream: TcpStream, last: u64) {
-        let mut kept = self.kept.borrow_mut();
+        let mut kept = self.idle.borrow_mut();
         if kept.values().map(Vec::len).sum::<usize>() < MAX_KEPT {
             kept.entry(to).or_default().push(Kept { stream, last });
         }
     }
 
     /// Makes one call.
-    pub async fn call(self: &Rc<Self>, clock: Clock, to: SocketAddr, ask: &Ask) -> Told {
+    pub async fn call(
+        self: &Rc<Self>,
+        clock: Clock,
+        to: SocketAddr,
+        ask: &ClientRequest,
+    ) -> CallResult {
         let (sent, crossed, spent) = (Cell::new(None), Cell::new(None), Cell::new(None));
-        let patience = Duration::from_micros(ask.patience);
-        let limit = patience + Duration::from_micros(ask.slow) + PAST + CONNECT;
+        let patience = Duration::from_micros(ask.time_limit);
+        let limit = patience + Duration::from_micros(ask.read_delay) + PAST + CONNECT;
         let call = async {
             let hang_up = async {
-                match ask.hang_up {
+                match ask.cancel_after {
                     Some(after) => sleep(Duration::from_micros(after)).await,
                     None => std::future::pending().await,
                 }
@@ -129,22 +134,22 @@
             tokio::select! {
                 biased;
                 end = self.exchange(clock, to, ask, &sent, &crossed, &spent) => end,
-                () = hang_up => if sent.get().is_some() { End::HungUp } else { End::Unsent },
+                () = hang_up => if sent.get().is_some() { AttemptEnd::Cancelled } else { AttemptEnd::Unsent },
             }
         };
         let end = timeout(limit, call).await;
         let (sent, crossed) = (sent.get(), crossed.get());
         let end = end.unwrap_or(if sent.is_some() {
-            End::Silence
+            AttemptEnd::NoResponse
         } else {
-            End::Unsent
+            AttemptEnd::Unsent
         });
-        Told {
-            sent,
-            crossed,
+        CallResult {
+            sent_at: sent,
+            resent_at: crossed,
             end,
-            ended: clock.now(),
-            spent: spent.take(),
+            ended_at: clock.now(),
+            budget_spent: spent.take(),
         }
     }
 
@@ -152,11 +157,11 @@
         &self,
         clock: Clock,
         to: SocketAddr,
-        ask: &Ask,
+        ask: &ClientRequest,
         sent: &Cell<Option<Micros>>,
         crossed: &Cell<Option<Micros>>,
         spent: &Cell<Option<String>>,
-    ) -> End {
+    ) -> AttemptEnd {
         let mut reused = self.reuse(to);
         loop {
             let kept = reused.is_some();
@@ -164,7 +169,7 @@
                 Some(stream) => stream,
                 None => match timeout(CONNECT, TcpStream::connect(to)).await {
                     Ok(Ok(stream)) => stream,
-                    Ok(Err(_)) | Err(_) => return End::Unsent,
+                    Ok(Err(_)) | Err(_) => return AttemptEnd::Unsent,
                 },
             };
             if stream.set_nodelay(true).is_err()
@@ -173,34 +178,34 @@
                 if kept {
                     continue;
                 }
-                return End::Unsent;
+                return AttemptEnd::Unsent;
             }
             sent.set(Some(clock.now()));
-            if ask.slow > 0 {
-                sleep(Duration::from_micros(ask.slow)).await;
+            if ask.read_delay > 0 {
+                sleep(Duration::from_micros(ask.read_delay)).await;
             }
             let mut buffer = Buffer::default();
-            let patience = Duration::from_micros(ask.patience + ask.slow) + PAST;
+            let patience = Duration::from_micros(ask.time_limit + ask.read_delay) + PAST;
             let response = match timeout(patience, buffer.response(&mut stream)).await {
-                Err(_) => return End::Silence,
-                Ok(Err(Broken::Garbled)) => return End::Garbled,
+                Err(_) => return AttemptEnd::NoResponse,
+                Ok(Err(ReadError::Malformed)) => return AttemptEnd::Malformed,
                 // The proxy's close has crossed the request: it is sent once more on a new
                 // connection.
-                Ok(Err(Broken::Ended(false))) if kept => {
+                Ok(Err(ReadError::Closed(false))) if kept => {
                     sent.set(None);
                     crossed.set(Some(clock.now()));
                     continue;
                 }
-                Ok(Err(Broken::Ended(begun))) => return End::Broken(begun),
+                Ok(Err(ReadError::Closed(begun))) => return AttemptEnd::Truncated(begun),
                 Ok(Ok(response)) => response,
             };
-            spent.set(response.spent);
+            spent.set(response.budget_spent);
             let end = match response.status {
-                200 => served(ask.id, &response.body),
-                429 | 503 => End::Refused {
-                    after: response.retry_after.map(seconds),
+                200 => parse_response_body(ask.id, &response.body),
+                429 | 503 => AttemptEnd::Refused {
+                    after: response.retry_after.map(micros_from_seconds),
                 },
-                status => End::Failed(status),
+                status => AttemptEnd::Failed(status),
             };
             if !buffer.is_empty() {
                 self.extra.borrow_mut().push(ask.id);
@@ -213,23 +218,23 @@
 }
 
 /// The body that a backend makes for a request: its id and the mark of the work done.
-pub fn body(id: u64, mark: u64) -> String {
+pub fn response_body(id: u64, mark: u64) -> String {
     format!("{id:016x} {mark:016x}")
 }
 
 /// Reads such a body.
-pub fn served(id: u64, body: &[u8]) -> End {
+pub fn parse_response_body(id: u64, body: &[u8]) -> AttemptEnd {
     let text = String::from_utf8_lossy(body);
     let mark = text
         .split_once(' ')
         .filter(|(of, _)| u64::from_str_radix(of, 16) == Ok(id));
     match mark.and_then(|(_, mark)| u64::from_str_radix(mark, 16).ok()) {
-        Some(mark) => End::Served(mark),
-        None => End::Alien(text.chars().take(80).collect()),
+        Some(mark) => AttemptEnd::Served(mark),
+        None => AttemptEnd::UnknownBody(text.chars().take(80).collect()),
     }
 }
 
-impl Ask {
+impl ClientRequest {
     /// The request as it goes out; it has no body.
     fn head(&self) -> String {
         let method = if self.safe { "GET" } else { "POST" };
@@ -237,7 +242,7 @@
             "{method} {} HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: {:016x}\r\nReq-Deadline-Ms: {}\r\n",
             self.path,
             self.id,
-            self.patience / 1000
+            self.time_limit / 1000
         );
         if let Some(tenant) = &self.tenant {
             head += &format!("Req-Owner: {tenant}\r\n");
@@ -248,7 +253,7 @@
         if self.retry {
             head += "Req-Retry: 1\r\n";
         }
-        for (name, value) in ["Req-Budget", "Req-Path"].iter().zip(&self.carried) {
+        for (name, value) in ["Req-Budget", "Req-Path"].iter().zip(&self.budget_headers) {
             head += &value
                 .as_ref()
                 .map_or(String::new(), |v| format!("{name}: {v}\r\n"));
--- a/crates/heathroad-harness/src/clock.rs
+++ b/crates/heathroad-harness/src/clock.rs
@@ -46,14 +46,14 @@
     }
 
     /// Waits until a time has come.
-    pub async fn until(&self, at: Micros) {
+    pub async fn sleep_until(&self, at: Micros) {
         tokio::time::sleep_until(self.instant(at).into()).await;
     }
 }
 
 /// Seconds as microseconds. What is no sensible number of seconds counts as none; a day is the
 /// most.
-pub fn seconds(s: f64) -> Micros {
+pub fn micros_from_seconds(s: f64) -> Micros {
     if s.is_finite() {
         (s.clamp(0.0, 86_400.0) * SECOND as f64) as Micros
     } else {
@@ -62,6 +62,6 @@
 }
 
 /// Microseconds as text in seconds.
-pub fn show(at: Micros) -> String {
+pub fn format_seconds(at: Micros) -> String {
     format!("{:.3} s", at as f64 / SECOND as f64)
 }
--- a/crates/heathroad-harness/src/fleet.rs
+++ b/crates/heathroad-harness/src/cluster.rs
@@ -4,8 +4,8 @@
 
 use crate::clock::{Clock, Micros};
 use crate::daemon::{self, Daemon};
+use crate::emulator::network::Network;
 use crate::http::{self, Buffer};
-use crate::stand_in::network::Network;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -41,14 +41,14 @@
     /// A proxy that can't know what is required fences itself after so long.
     pub fence_unsure_after_ms: Option<u64>,
     /// What the fleet's file says of duties.
-    pub duties: String,
+    pub leases: String,
     /// A change is watched for so long, in milliseconds; 200 where nothing is said.
     pub probation_ms: Option<u64>,
 }
 
 /// An attempt that came to the backend.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Noted {
+pub struct BackendRequest {
     /// When.
     pub at: Micros,
     /// Which proxy sent it, by the request's id.
@@ -58,13 +58,13 @@
 }
 
 /// Several daemons, a network and a backend. All end when it is dropped.
-pub struct Fleet {
+pub struct Cluster {
     /// What is between them.
     pub network: Network,
     /// The clock of what is noted.
     pub clock: Clock,
     daemons: Vec<Option<Daemon>>,
-    noted: Arc<Mutex<Vec<Noted>>>,
+    backend_requests: Arc<Mutex<Vec<BackendRequest>>>,
     backend: SocketAddr,
     serving: JoinHandle<()>,
     held: watch::Sender<bool>,
@@ -74,7 +74,7 @@
     calls: u64,
 }
 
-impl Drop for Fleet {
+impl Drop for Cluster {
     fn drop(&mut self) {
         self.daemons.clear();
         self.serving.abort();
@@ -86,7 +86,7 @@
 async fn serve(
     listener: TcpListener,
     clock: Clock,
-    noted: Arc<Mutex<Vec<Noted>>>,
+    noted: Arc<Mutex<Vec<BackendRequest>>>,
     held: watch::Receiver<bool>,
 ) {
     while let Ok((mut stream, _)) = listener.accept().await {
@@ -96,7 +96,7 @@
             while let Ok(request) = buffer.request(&mut stream).await {
                 let (at, proxy) = (clock.now(), (request.id.unwrap_or(0) >> 32) as u16);
                 if let Ok(mut noted) = noted.lock() {
-                    noted.push(Noted {
+                    noted.push(BackendRequest {
                         at,
                         proxy,
                         version: request.version,
@@ -107,7 +107,7 @@
                 let waited = !hold || held.wait_for(|hold| !hold).await.is_ok();
                 if !waited
                     || stream
-                        .write_all(&http::answer(200, "", "done"))
+                        .write_all(&http::encode_response(200, "", "done"))
                         .await
                         .is_err()
                 {
@@ -119,27 +119,27 @@
 }
 
 fn write(folder: &Path, options: &Options) -> std::io::Result<()> {
-    daemon::fleet_files(
+    daemon::write_fleet_files(
         folder,
         options.period_ms,
         options.fence_unsure_after_ms,
-        &options.duties,
+        &options.leases,
     )
 }
 
-impl Fleet {
+impl Cluster {
     /// Starts so many, with what a seed draws.
-    pub async fn begin(
+    pub async fn start_all(
         program: &Path,
         proxies: u16,
         seed: u64,
         options: Options,
-    ) -> Result<Fleet, String> {
+    ) -> Result<Cluster, String> {
         println!("fleet of {proxies}, seed {seed}");
         let clock = Clock::starting_in(Duration::ZERO);
-        let ip = crate::stage::network();
+        let ip = crate::runner::unique_loopback_network();
         let network =
-            Network::begin(ip, proxies, seed, clock).map_err(|e| format!("network: {e}"))?;
+            Network::start(ip, proxies, seed, clock).map_err(|e| format!("network: {e}"))?;
         let name = format!(
             "heathroad-membership-{}-{:x}",
             std::process::id(),
@@ -152,16 +152,16 @@
             .await
             .map_err(|e| format!("backend: {e}"))?;
         let backend = listener.local_addr().map_err(|e| format!("backend: {e}"))?;
-        let noted = Arc::<Mutex<Vec<Noted>>>::default();
+        let noted = Arc::<Mutex<Vec<BackendRequest>>>::default();
         let held = watch::Sender::new(false);
         let serving = tokio::spawn(serve(listener, clock, noted.clone(), held.subscribe()));
         let daemons = (0..proxies).map(|_| None).collect();
         let program = program.to_path_buf();
-        let mut fleet = Fleet {
+        let mut cluster = Cluster {
             network,
             clock,
             daemons,
-            noted,
+            backend_requests: noted,
             backend,
             serving,
             held,
@@ -170,14 +170,14 @@
             options,
             calls: 0,
         };
-        if let Some(routes) = &fleet.options.routes {
-            let text = fleet.routes(routes);
-            std::fs::write(fleet.folder.join("routes.toml"), text).map_err(|e| e.to_string())?;
+        if let Some(routes) = &cluster.options.routes {
+            let text = cluster.routes(routes);
+            std::fs::write(cluster.folder.join("routes.toml"), text).map_err(|e| e.to_string())?;
         }
         // Together: where each waits for more than half of the others, none is ready alone.
         let mut starting = JoinSet::new();
         for proxy in 0..proxies {
-            let (program, file, config) = fleet.launch(proxy)?;
+            let (program, file, config) = cluster.launch(proxy)?;
             starting.spawn(async move {
                 (
                     proxy,
@@ -187,9 +187,9 @@
         }
         while let Some(started) = starting.join_next().await {
             let (proxy, daemon) = started.map_err(|e| e.to_string())?;
-            fleet.daemons[usize::from(proxy)] = Some(daemon?);
+            cluster.daemons[usize::from(proxy)] = Some(daemon?);
         }
-        Ok(fleet)
+        Ok(cluster)
     }
 
     /// A text of routes with the backend's address in it.
@@ -215,7 +215,7 @@
             // Nobody tells lists here; the one that was known last names the backend.
             "discovery": "127.0.0.1:9", "seed": format!("{:x}", self.network.seed.wrapping_add(u64::from(proxy))),
             "limits": {"cores": 1.0, "memory_mb": 32, "sockets": SOCKETS},
-            "peer_listen": self.network.listens(proxy).to_string(), "peers": peers,
+            "peer_listen": self.network.listen_address(proxy).to_string(), "peers": peers,
             "fleet": path("fleet.toml"), "state": self.state(proxy).display().to_string(),
             "routes": routes, "probation_ms": self.options.probation_ms.unwrap_or(200),
             "known": {"seq": 1, "whole": true, "hosts": [{"host": "b", "dial": self.backend.to_string(), "site": "a",
@@ -253,15 +253,15 @@
     }
 
     /// Has the fleet's file say something else of duties to whoever starts from now on.
-    pub fn duties(&mut self, duties: String) -> Result<(), String> {
-        self.options.duties = duties;
+    pub fn set_leases(&mut self, duties: String) -> Result<(), String> {
+        self.options.leases = duties;
         write(&self.folder, &self.options).map_err(|e| e.to_string())
     }
 
     /// Asks one to let go of a duty.
-    pub async fn resign(&self, proxy: u16, duty: &str) -> Result<(), String> {
+    pub async fn release_lease(&self, proxy: u16, duty: &str) -> Result<(), String> {
         let path = format!("/duty/resign?name={duty}");
-        let told = daemon::post(self.daemon(proxy)?.admin, &path, "")
+        let told = daemon::post(self.daemon(proxy)?.admin_address, &path, "")
             .await
             .map_err(|e| e.to_string())?;
         if told.0 == 200 {
@@ -288,7 +288,7 @@
             return Ok(());
         };
         daemon.terminate().map_err(|e| e.to_string())?;
-        let (_, well) = daemon.finish(STOP).await;
+        let (_, well) = daemon.wait(STOP).await;
         if well {
             Ok(())
         } else {
@@ -297,7 +297,7 @@
     }
 
     /// Takes away all that one has kept.
-    pub fn forget(&self, proxy: u16) -> std::io::Result<()> {
+    pub fn delete_state(&self, proxy: u16) -> std::io::Result<()> {
         std::fs::remove_dir_all(self.state(proxy))
     }
 
@@ -312,16 +312,16 @@
     }
 
     /// Puts an old copy back in place of what it has kept since.
-    pub fn put_back(&self, proxy: u16, copy: &[(PathBuf, Vec<u8>)]) -> std::io::Result<()> {
-        self.forget(proxy)?;
+    pub fn restore_state(&self, proxy: u16, copy: &[(PathBuf, Vec<u8>)]) -> std::io::Result<()> {
+        self.delete_state(proxy)?;
         std::fs::create_dir(self.state(proxy))?;
         copy.iter()
             .try_for_each(|(path, bytes)| std::fs::write(path, bytes))
     }
 
     /// Asks one at its admin address.
-    pub async fn ask(&self, proxy: u16, path: &str) -> Result<Value, String> {
-        let admin = self.daemon(proxy)?.admin;
+    pub async fn query(&self, proxy: u16, path: &str) -> Result<Value, String> {
+        let admin = self.daemon(proxy)?.admin_address;
         let (status, body) = daemon::get_within(admin, path, ANSWER)
             .await
             .map_err(|e| format!("{path}: {e}"))?;
@@ -335,7 +335,7 @@
     }
 
     /// Waits until what one answers is as wanted.
-    pub async fn until(
+    pub async fn wait_until(
         &self,
         proxy: u16,
         path: &str,
@@ -344,7 +344,7 @@
         let mut last = Err("it did not answer".into());
         let look = async {
             loop {
-                last = self.ask(proxy, path).await;
+                last = self.query(proxy, path).await;
                 if let Ok(told) = &last
                     && wanted(told)
                 {
@@ -362,24 +362,24 @@
     }
 
     /// Waits until one takes another to stand like this.
-    pub async fn until_stands(
+    pub async fn wait_for_standing(
         &self,
         proxy: u16,
         other: u16,
         standing: &str,
     ) -> Result<Value, String> {
         let stands = |told: &Value| told["members"][usize::from(other)]["standing"] == standing;
-        self.until(proxy, "/fleet/members", stands).await
+        self.wait_until(proxy, "/fleet/members", stands).await
     }
 
     /// Waits until all that run take each other for there.
-    pub async fn until_all_there(&self) -> Result<(), String> {
+    pub async fn wait_for_all_alive(&self) -> Result<(), String> {
         let there: Vec<u16> = (0..self.daemons.len() as u16)
             .filter(|p| self.daemon(*p).is_ok())
             .collect();
         for at in &there {
             for of in &there {
-                self.until_stands(*at, *of, "alive").await?;
+                self.wait_for_standing(*at, *of, "alive").await?;
             }
         }
         Ok(())
@@ -387,18 +387,18 @@
 
     /// One request to one; its status.
     pub async fn call(&mut self, proxy: u16) -> Result<u16, String> {
-        self.calling(proxy)?.await
+        self.start_call(proxy)?.await
     }
 
     /// The same as something that goes on by itself.
-    pub fn calling(
+    pub fn start_call(
         &mut self,
         proxy: u16,
     ) -> Result<impl Future<Output = Result<u16, String>> + use<>, String> {
         self.calls += 1;
         let (id, at) = (
             u64::from(proxy) << 32 | self.calls,
-            self.daemon(proxy)?.listens,
+            self.daemon(proxy)?.listen_address,
         );
         let call = async move {
             let mut stream = TcpStream::connect(at).await?;
@@ -424,7 +424,12 @@
     }
 
     /// The same, required of all within so many milliseconds from its commit on.
-    pub async fn require(&self, proxy: u16, text: &str, within_ms: u64) -> Result<(), String> {
+    pub async fn apply_required(
+        &self,
+        proxy: u16,
+        text: &str,
+        within_ms: u64,
+    ) -> Result<(), String> {
         self.propose(
             proxy,
             &format!("/config/apply?required_ms={within_ms}"),
@@ -434,25 +439,28 @@
     }
 
     async fn propose(&self, proxy: u16, path: &str, text: &str) -> Result<(), String> {
-        let admin = self.daemon(proxy)?.admin;
+        let admin = self.daemon(proxy)?.admin_address;
         let told = daemon::post(admin, path, &self.routes(text))
             .await
             .map_err(|e| e.to_string())?;
         if told.0 != 200 {
             return Err(String::from_utf8_lossy(&told.1).into_owned());
         }
-        self.until(proxy, "/config/status", |s| s["open"].is_null())
+        self.wait_until(proxy, "/config/status", |s| s["open"].is_null())
             .await
             .map(drop)
     }
 
     /// The backend holds what comes from now on, to answer it once it holds no more.
-    pub fn hold(&self, hold: bool) {
+    pub fn hold_responses(&self, hold: bool) {
         self.held.send_replace(hold);
     }
 
     /// What came to the backend so far.
-    pub fn noted(&self) -> Vec<Noted> {
-        self.noted.lock().map(|n| n.clone()).unwrap_or_default()
+    pub fn backend_requests(&self) -> Vec<BackendRequest> {
+        self.backend_requests
+            .lock()
+            .map(|n| n.clone())
+            .unwrap_or_default()
     }
 }
--- a/crates/heathroad-harness/src/daemon.rs
+++ b/crates/heathroad-harness/src/daemon.rs
@@ -28,7 +28,7 @@
 
 /// Writes what daemons of one fleet are told of it: `fleet.toml`, ending with what it says of
 /// duties, and a key beside it.
-pub fn fleet_files(
+pub fn write_fleet_files(
     folder: &Path,
     period_ms: u64,
     fence_unsure_after_ms: Option<u64>,
@@ -73,11 +73,11 @@
     /// Reads standard output to its end and keeps the last line.
     out: Option<JoinHandle<String>>,
     /// Where callers connect.
-    pub listens: SocketAddr,
+    pub listen_address: SocketAddr,
     /// Where it tells its counts.
-    pub admin: SocketAddr,
+    pub admin_address: SocketAddr,
     /// Where it takes calls over JSON-RPC, if it does.
-    pub remote: Option<SocketAddr>,
+    pub jsonrpc_address: Option<SocketAddr>,
     file: PathBuf,
 }
 
@@ -121,9 +121,9 @@
         heard,
         log,
         out,
-        listens: nowhere,
-        admin: nowhere,
-        remote: None,
+        listen_address: nowhere,
+        admin_address: nowhere,
+        jsonrpc_address: None,
         file,
     };
     match timeout(READY, daemon.ready()).await {
@@ -172,7 +172,11 @@
                 Err(_) => return Err("its log can't be read".into()),
             };
             if let (Some(listens), Some(admin)) = (listens, admin) {
-                (self.listens, self.admin, self.remote) = (listens, admin, remote);
+                (
+                    self.listen_address,
+                    self.admin_address,
+                    self.jsonrpc_address,
+                ) = (listens, admin, remote);
                 if get(listens, "/health/ready")
                     .await
                     .is_ok_and(|(status, _)| status == 200)
@@ -226,12 +230,12 @@
     }
 
     /// Stalls it: it does nothing until it is woken.
-    pub fn stall(&self) -> io::Result<()> {
+    pub fn suspend(&self) -> io::Result<()> {
         self.signal(Signal::STOP)
     }
 
     /// Lets a stalled one go on.
-    pub fn wake(&self) -> io::Result<()> {
+    pub fn resume(&self) -> io::Result<()> {
         self.signal(Signal::CONT)
     }
 
@@ -242,7 +246,7 @@
 
     /// Waits until it has ended; kills it if that takes too long. Its last line on standard output,
     /// which tells its counts, and whether it ended by itself and well.
-    pub async fn finish(mut self, most: Duration) -> (Option<Value>, bool) {
+    pub async fn wait(mut self, most: Duration) -> (Option<Value>, bool) {
         let until = Instant::now() + most;
         let status = loop {
             match self.ended() {
@@ -294,11 +298,11 @@
 }
 
 /// A call to a daemon that takes longer is not coming to an end.
-const PATIENCE: Duration = Duration::from_secs(1);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A plain GET on a connection of its own.
 pub async fn get(addr: SocketAddr, path: &str) -> io::Result<(u16, Vec<u8>)> {
-    get_within(addr, path, PATIENCE).await
+    get_within(addr, path, REQUEST_TIMEOUT).await
 }
 
 /// The same where an answer may take so long.
@@ -320,7 +324,7 @@
     let length = body.len();
     let head =
         format!("POST {path} HTTP/1.1\r\nHost: heathroad\r\nContent-Length: {length}\r\n\r\n");
-    call(addr, head + body, PATIENCE).await
+    call(addr, head + body, REQUEST_TIMEOUT).await
 }
 
 async fn call(addr: SocketAddr, request: String, most: Duration) -> io::Result<(u16, Vec<u8>)> {
--- a/crates/heathroad-harness/src/stand_in/backend.rs
+++ b/crates/heathroad-harness/src/emulator/backend.rs
@@ -2,14 +2,17 @@
 //! it, so that every request's sender is known. It works, waits for the next tier, answers, and
 //! fails where it is told to.
 
-use crate::caller::{Ask, Caller, body};
+use crate::client::{Client, ClientRequest, response_body};
 use crate::clock::{Clock, Micros};
-use crate::http::{Broken, Buffer, Request, answer, reply};
-use crate::ledger::{Answer, Arrival, End, Fate, HostNo, Ledgers, Life, ProxyNo, Try};
-use crate::plan::Plan;
+use crate::emulator::dedup_cache::DedupCache;
+use crate::emulator::host::Host;
+use crate::event_log::{
+    Arrival, Attempt, AttemptEnd, BackendIndex, Disposition, EventLog, Incarnation, ProxyIndex,
+    ResponseKind,
+};
+use crate::http::{Buffer, ReadError, Request, encode_reply, encode_response};
 use crate::scenario::{Effect, Group};
-use crate::stand_in::machine::Machine;
-use crate::stand_in::memory::Memory;
+use crate::schedule::Schedule;
 use fastrand::Rng;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -35,26 +38,26 @@
 const REBINDS: usize = 100;
 
 /// What all stand-ins of a rehearsal share.
-pub struct World {
+pub struct RunContext {
     /// The clock of all ledgers.
     pub clock: Clock,
     /// What is rehearsed.
-    pub plan: Arc<Plan>,
+    pub schedule: Arc<Schedule>,
     /// What is written down.
-    pub ledgers: RefCell<Ledgers>,
+    pub event_log: RefCell<EventLog>,
     /// Connections that could not be taken for want of descriptors here.
-    pub starved: Cell<u64>,
+    pub descriptor_failures: Cell<u64>,
     marks: Cell<u64>,
 }
 
-impl World {
+impl RunContext {
     /// A world in which nothing has happened.
-    pub fn new(clock: Clock, plan: Arc<Plan>) -> Rc<Self> {
-        Rc::new(World {
+    pub fn new(clock: Clock, schedule: Arc<Schedule>) -> Rc<Self> {
+        Rc::new(RunContext {
             clock,
-            plan,
-            ledgers: RefCell::default(),
-            starved: Cell::new(0),
+            schedule,
+            event_log: RefCell::default(),
+            descriptor_failures: Cell::new(0),
             marks: Cell::new(0),
         })
     }
@@ -87,7 +90,7 @@
 /// A stand-in backend.
 pub struct Backend {
     /// Its place in the list of hosts.
-    pub no: HostNo,
+    pub index: BackendIndex,
     /// Its name.
     pub name: String,
     /// Its tier.
@@ -97,11 +100,11 @@
     /// Its kind, as the registry tells it.
     pub kind: RefCell<String>,
     /// Its machine.
-    pub machine: Machine,
-    world: Rc<World>,
-    memory: Rc<RefCell<Memory>>,
+    pub host: Host,
+    context: Rc<RunContext>,
+    dedup_cache: Rc<RefCell<DedupCache>>,
     /// Where each proxy of its tier reaches it.
-    doors: Vec<(ProxyNo, SocketAddr)>,
+    addresses: Vec<(ProxyIndex, SocketAddr)>,
     state: watch::Sender<State>,
     accepting: RefCell<Vec<JoinHandle<()>>>,
     /// Sockets that fill the queues of a machine that has vanished.
@@ -115,25 +118,25 @@
     /// Nothing new is taken.
     pub draining: Cell<bool>,
     /// Odds that an answer breaks off, is noise, or is a decline.
-    pub odds: Cell<[f64; 3]>,
+    pub fault_probabilities: Cell<[f64; 3]>,
     /// Gone astray, it calls this proxy of the first tier in place of the next tier.
-    pub astray: Cell<Option<(ProxyNo, SocketAddr)>>,
+    pub misrouted_to: Cell<Option<(ProxyIndex, SocketAddr)>>,
     /// The proxy through which it calls the next tier, and where that listens.
-    pub side: Cell<Option<(ProxyNo, SocketAddr)>>,
-    caller: Rc<Caller>,
+    pub sidecar: Cell<Option<(ProxyIndex, SocketAddr)>>,
+    client: Rc<Client>,
 }
 
 /// A count that goes back when dropped.
-struct Counted<'a>(&'a Cell<usize>);
+struct CountGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Counted<'a> {
+impl<'a> CountGuard<'a> {
     fn one(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
-        Counted(count)
+        CountGuard(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -147,7 +150,10 @@
 }
 
 /// Binds an address of one's own for each proxy, and tells the ports.
-pub fn doors(ip: std::net::IpAddr, proxies: &[ProxyNo]) -> io::Result<Vec<(ProxyNo, SocketAddr)>> {
+pub fn allocate_addresses(
+    ip: std::net::IpAddr,
+    proxies: &[ProxyIndex],
+) -> io::Result<Vec<(ProxyIndex, SocketAddr)>> {
     let held: Vec<_> = proxies
         .iter()
         .map(|p| Ok((*p, listen(SocketAddr::new(ip, 0))?)))
@@ -160,23 +166,23 @@
 impl Backend {
     /// A backend that is down yet.
     pub fn new(
-        world: &Rc<World>,
-        (no, name, tier, cell): (HostNo, String, usize, u16),
-        machine: Machine,
-        memory: Rc<RefCell<Memory>>,
-        doors: Vec<(ProxyNo, SocketAddr)>,
+        context: &Rc<RunContext>,
+        (no, name, tier, cell): (BackendIndex, String, usize, u16),
+        host: Host,
+        dedup_cache: Rc<RefCell<DedupCache>>,
+        doors: Vec<(ProxyIndex, SocketAddr)>,
     ) -> Rc<Self> {
-        let slots = usize::from(world.plan.scenario.tier[tier].slots);
+        let slots = usize::from(context.schedule.scenario.tier[tier].slots);
         Rc::new(Backend {
-            no,
+            index: no,
             name,
             tier,
             cell,
             kind: RefCell::new("std".into()),
-            machine,
-            world: world.clone(),
-            memory,
-            doors,
+            host,
+            context: context.clone(),
+            dedup_cache,
+            addresses: doors,
             state: watch::Sender::new(State {
                 life: 0,
                 mode: Mode::Down,
@@ -188,35 +194,37 @@
             in_work: Cell::default(),
             connections: Cell::default(),
             report: Cell::default(),
-            rng: RefCell::new(Rng::with_seed(world.plan.seed ^ (u64::from(no) << 32))),
+            rng: RefCell::new(Rng::with_seed(
+                context.schedule.seed ^ (u64::from(no) << 32),
+            )),
             draining: Cell::new(false),
-            odds: Cell::new([0.0; 3]),
-            astray: Cell::new(None),
-            side: Cell::new(None),
-            caller: Rc::default(),
+            fault_probabilities: Cell::new([0.0; 3]),
+            misrouted_to: Cell::new(None),
+            sidecar: Cell::new(None),
+            client: Rc::default(),
         })
     }
 
     /// Where a proxy reaches it.
-    pub fn door(&self, proxy: ProxyNo) -> Option<SocketAddr> {
-        self.doors
+    pub fn address_for(&self, proxy: ProxyIndex) -> Option<SocketAddr> {
+        self.addresses
             .iter()
             .find(|(p, _)| *p == proxy)
             .map(|(_, addr)| *addr)
     }
 
     /// What it remembers of keyed requests, with those of its group.
-    pub fn memory(&self) -> Rc<RefCell<Memory>> {
-        self.memory.clone()
+    pub fn dedup_cache(&self) -> Rc<RefCell<DedupCache>> {
+        self.dedup_cache.clone()
     }
 
     /// All its addresses.
-    pub fn doors(&self) -> Vec<(ProxyNo, SocketAddr)> {
-        self.doors.clone()
+    pub fn addresses(&self) -> Vec<(ProxyIndex, SocketAddr)> {
+        self.addresses.clone()
     }
 
     /// Which of its processes is the present one.
-    pub fn life(&self) -> u16 {
+    pub fn incarnation(&self) -> u16 {
         self.state.borrow().life
     }
 
@@ -227,24 +235,28 @@
 
     /// Starts a process: one that has long been warm, or a cold one.
     pub async fn start(self: &Rc<Self>, warm: bool) -> io::Result<()> {
-        let life = if warm { 0 } else { self.life() + 1 };
+        let life = if warm { 0 } else { self.incarnation() + 1 };
         if !warm {
-            self.machine.restart();
+            self.host.restart();
         }
-        let started = self.machine.started.get();
-        self.world.ledgers.borrow_mut().lives.push(Life {
-            host: self.no,
-            life,
-            started,
-            warm,
-            fell: None,
-        });
+        let started = self.host.started.get();
+        self.context
+            .event_log
+            .borrow_mut()
+            .incarnations
+            .push(Incarnation {
+                backend: self.index,
+                number: life,
+                started_at: started,
+                warm,
+                overloaded_at: None,
+            });
         self.draining.set(false);
         self.state.send_replace(State {
             life,
             mode: Mode::Up,
         });
-        for (proxy, addr) in self.doors.clone() {
+        for (proxy, addr) in self.addresses.clone() {
             let mut tries = 0;
             let listener = loop {
                 match listen(addr) {
@@ -272,10 +284,10 @@
     }
 
     /// Its process goes on as told; a machine that vanishes takes no new connection either.
-    pub async fn turn(&self, mode: Mode) {
+    pub async fn set_mode(&self, mode: Mode) {
         self.state.send_modify(|s| s.mode = mode);
         if mode == Mode::Silent {
-            for (_, addr) in &self.doors {
+            for (_, addr) in &self.addresses {
                 // The queue was cut to one place: with that taken, further connects hang.
                 if let Ok(Ok(stream)) = timeout(REBIND, TcpStream::connect(addr)).await {
                     self.stuffing.borrow_mut().push(stream);
@@ -284,7 +296,7 @@
         }
     }
 
-    async fn accept(self: Rc<Self>, proxy: ProxyNo, listener: TcpListener, life: u16) {
+    async fn accept(self: Rc<Self>, proxy: ProxyIndex, listener: TcpListener, life: u16) {
         let mut state = self.state.subscribe();
         loop {
             let accepted = tokio::select! {
@@ -300,15 +312,17 @@
             match accepted {
                 Ok((stream, _)) => drop(spawn_local(self.clone().connection(proxy, stream, life))),
                 Err(_) => {
-                    self.world.starved.set(self.world.starved.get() + 1);
+                    self.context
+                        .descriptor_failures
+                        .set(self.context.descriptor_failures.get() + 1);
                     sleep(REBIND).await;
                 }
             }
         }
     }
 
-    async fn connection(self: Rc<Self>, proxy: ProxyNo, mut stream: TcpStream, life: u16) {
-        let _open = Counted::one(&self.connections);
+    async fn connection(self: Rc<Self>, proxy: ProxyIndex, mut stream: TcpStream, life: u16) {
+        let _open = CountGuard::one(&self.connections);
         let mut state = self.state.subscribe();
         let reset = tokio::select! {
             biased;
@@ -329,32 +343,33 @@
     }
 
     /// Serves a connection until it ends; whether it is to be reset.
-    async fn serve(&self, proxy: ProxyNo, stream: &mut TcpStream, life: u16) -> bool {
+    async fn serve(&self, proxy: ProxyIndex, stream: &mut TcpStream, life: u16) -> bool {
         if stream.set_nodelay(true).is_err() {
             return true;
         }
         let (mut buffer, mut fresh) = (Buffer::default(), true);
-        let idle = Duration::from_secs_f64(self.world.plan.scenario.run.conn_idle_ms / 1000.0);
+        let idle =
+            Duration::from_secs_f64(self.context.schedule.scenario.run.conn_idle_ms / 1000.0);
         loop {
-            if !matches!(timeout(idle, buffer.begun(stream)).await, Ok(true)) {
+            if !matches!(timeout(idle, buffer.wait_for_data(stream)).await, Ok(true)) {
                 self.present().await;
                 return false;
             }
             self.present().await;
-            let first_byte = self.world.clock.now();
-            let read = match buffer.speaks_rpc() {
-                true => buffer.call(stream).await,
+            let first_byte = self.context.clock.now();
+            let read = match buffer.is_jsonrpc() {
+                true => buffer.jsonrpc_call(stream).await,
                 false => buffer.request(stream).await,
             };
             let request = match read {
                 Ok(request) => request,
-                Err(Broken::Garbled) => {
+                Err(ReadError::Malformed) => {
                     let _ = stream
-                        .write_all(&answer(400, "Connection: close\r\n", ""))
+                        .write_all(&encode_response(400, "Connection: close\r\n", ""))
                         .await;
                     return false;
                 }
-                Err(Broken::Ended(_)) => return false,
+                Err(ReadError::Closed(_)) => return false,
             };
             self.present().await;
             let Some(id) = request.id else {
@@ -364,7 +379,7 @@
                 continue;
             };
             let Some(class) = self.class(&request) else {
-                let _ = stream.write_all(&reply(&request, 404, "", "")).await;
+                let _ = stream.write_all(&encode_reply(&request, 404, "", "")).await;
                 continue;
             };
             let handshake = if std::mem::take(&mut fresh) {
@@ -373,15 +388,15 @@
                 0
             };
             let arrival = self.arrival(proxy, life, id, class, &request, first_byte, handshake);
-            let (mark, at) = (arrival.mark, self.note(arrival));
-            let work = self.world.ledgers.borrow().arrivals[at].work;
-            if self.machine.falls(work) {
+            let (mark, at) = (arrival.marker, self.note(arrival));
+            let work = self.context.event_log.borrow().arrivals[at].work;
+            if self.host.falls(work) {
                 self.fall_over(life);
                 return true;
             }
             let (bytes, kind) = self.process(at, id, mark, class, &request, work).await;
             self.present().await;
-            let cut = kind == Answer::Cut;
+            let cut = kind == ResponseKind::Truncated;
             let whole = stream
                 .write_all(if cut {
                     &bytes[..bytes.len() / 2]
@@ -391,16 +406,16 @@
                 .await
                 .is_ok();
             {
-                let arrival = &mut self.world.ledgers.borrow_mut().arrivals[at];
-                arrival.answer = kind;
-                arrival.done = (whole && !cut).then(|| self.world.clock.now());
+                let arrival = &mut self.context.event_log.borrow_mut().arrivals[at];
+                arrival.response = kind;
+                arrival.responded_at = (whole && !cut).then(|| self.context.clock.now());
             }
             if cut {
                 // The half that was written must not be taken back by the reset behind it.
                 sleep(REBIND).await;
                 return true;
             }
-            if kind == Answer::Spoilt {
+            if kind == ResponseKind::Malformed {
                 // It stays open and is of no further use.
                 while stream.read(&mut [0; 1024]).await.is_ok_and(|n| n > 0) {}
                 return false;
@@ -414,9 +429,9 @@
     /// The answer to what is no request of a class: probes, and what has no id.
     fn plain(&self, request: &Request) -> Vec<u8> {
         match request.target.as_str() {
-            "/health/live" => answer(200, "", ""),
-            "/stats" => answer(200, "", &self.load()),
-            _ => answer(404, "", ""),
+            "/health/live" => encode_response(200, "", ""),
+            "/stats" => encode_response(200, "", &self.load()),
+            _ => encode_response(404, "", ""),
         }
     }
 
@@ -426,7 +441,7 @@
             .trim_start_matches('/')
             .split(['/', '?'])
             .next()?;
-        let classes = &self.world.plan.scenario.class;
+        let classes = &self.context.schedule.scenario.class;
         classes
             .iter()
             .position(|c| c.name == name)
@@ -434,14 +449,14 @@
     }
 
     fn handshake(&self) -> u64 {
-        (self.world.plan.scenario.tier[self.tier].handshake_ms * 1000.0) as u64
+        (self.context.schedule.scenario.tier[self.tier].handshake_ms * 1000.0) as u64
     }
 
     /// What a request brings. Its work follows from its id: one seed, one day.
     #[allow(clippy::too_many_arguments, reason = "each is a column of the ledger")]
     fn arrival(
         &self,
-        proxy: ProxyNo,
+        proxy: ProxyIndex,
         life: u16,
         id: u64,
         class: u16,
@@ -449,51 +464,51 @@
         first_byte: Micros,
         handshake: u64,
     ) -> Arrival {
-        let (plan, clock) = (&self.world.plan, &self.world.clock);
-        let mean = plan.class(class).work_ms * 1000.0 * plan.scenario.tier[self.tier].work;
+        let (schedule, clock) = (&self.context.schedule, &self.context.clock);
+        let mean = schedule.class(class).work_ms * 1000.0 * schedule.scenario.tier[self.tier].work;
         // Work has a tail, and none of it is endless.
-        let drawn = -(1.0 - Rng::with_seed(id ^ plan.seed).f64()).ln();
+        let drawn = -(1.0 - Rng::with_seed(id ^ schedule.seed).f64()).ln();
         let work = (mean * (0.5 + 0.5 * drawn.min(6.0))) as u64 + handshake;
         Arrival {
-            host: self.no,
-            life,
+            backend: self.index,
+            incarnation: life,
             tier: self.tier as u8,
             proxy,
             id,
             class,
             key: request.key,
             version: request.version.clone(),
-            first_byte,
-            told: request.deadline_ms.map(|ms| ms.saturating_mul(1000)),
-            whole: clock.now(),
+            first_byte_at: first_byte,
+            announced_limit: request.deadline_ms.map(|ms| ms.saturating_mul(1000)),
+            received_at: clock.now(),
             work,
-            fate: Fate::Ran,
-            mark: self.world.mark(),
-            answer: Answer::None,
-            done: None,
+            disposition: Disposition::Executed,
+            marker: self.context.mark(),
+            response: ResponseKind::None,
+            responded_at: None,
         }
     }
 
     fn note(&self, arrival: Arrival) -> usize {
-        let arrivals = &mut self.world.ledgers.borrow_mut().arrivals;
+        let arrivals = &mut self.context.event_log.borrow_mut().arrivals;
         arrivals.push(arrival);
         arrivals.len() - 1
     }
 
     fn fall_over(&self, life: u16) {
-        let now = self.world.clock.now();
-        let lives = &mut self.world.ledgers.borrow_mut().lives;
+        let now = self.context.clock.now();
+        let lives = &mut self.context.event_log.borrow_mut().incarnations;
         if let Some(life) = lives
             .iter_mut()
-            .find(|l| (l.host, l.life) == (self.no, life))
+            .find(|l| (l.backend, l.number) == (self.index, life))
         {
-            life.fell.get_or_insert(now);
+            life.overloaded_at.get_or_insert(now);
         }
         self.kill();
     }
 
     fn load(&self) -> String {
-        let (at, now) = (self.report.get().0, self.world.clock.now());
+        let (at, now) = (self.report.get().0, self.context.clock.now());
         if now >= at + REPORT || at == 0 {
             self.report
                 .set((now.max(1), self.in_work.get(), self.waiting.get()));
@@ -511,30 +526,30 @@
         class: u16,
         request: &Request,
         work: u64,
-    ) -> (Vec<u8>, Answer) {
-        let fate = |fate| self.world.ledgers.borrow_mut().arrivals[at].fate = fate;
-        let [cut, spoil, decline] = self.odds.get();
+    ) -> (Vec<u8>, ResponseKind) {
+        let fate = |fate| self.context.event_log.borrow_mut().arrivals[at].disposition = fate;
+        let [cut, spoil, decline] = self.fault_probabilities.get();
         let drawn = self.rng.borrow_mut().f64();
-        let tier = &self.world.plan.scenario.tier[self.tier];
+        let tier = &self.context.schedule.scenario.tier[self.tier];
         let full = self.waiting.get() >= usize::from(tier.queue)
             && self.slots.available_permits() == 0
             || self.connections.get() > usize::from(tier.connections);
         if self.draining.get() || full || drawn < decline {
-            fate(Fate::Declined);
+            fate(Disposition::Declined);
             return (
-                reply(request, 503, "Srv-Declined: 1\r\n", ""),
-                Answer::Declined,
+                encode_reply(request, 503, "Srv-Declined: 1\r\n", ""),
+                ResponseKind::Declined,
             );
         }
-        let (plan, now) = (&self.world.plan, self.world.clock.now());
+        let (schedule, now) = (&self.context.schedule, self.context.clock.now());
         let head = || format!("Srv-Load: {}\r\n", self.load());
-        if let Some(key) = request.key.filter(|_| plan.keyed(class)) {
-            let window = (plan.class(class).window_ms * 1000.0) as Micros;
-            if self.memory.borrow_mut().repeats(now, key, window) {
-                fate(Fate::Repeat);
+        if let Some(key) = request.key.filter(|_| schedule.is_keyed(class)) {
+            let window = (schedule.class(class).window_ms * 1000.0) as Micros;
+            if self.dedup_cache.borrow_mut().repeats(now, key, window) {
+                fate(Disposition::Duplicate);
                 return (
-                    reply(request, 200, &head(), &body(id, mark)),
-                    Answer::Served,
+                    encode_reply(request, 200, &head(), &response_body(id, mark)),
+                    ResponseKind::Served,
                 );
             }
         }
@@ -544,15 +559,15 @@
             std::future::pending::<()>().await;
         }
         let _slot = {
-            let _waits = Counted::one(&self.waiting);
+            let _waits = CountGuard::one(&self.waiting);
             // It is never closed.
             self.slots.acquire().await
         };
-        let _works = Counted::one(&self.in_work);
-        self.machine.work(work as f64 / 2.0).await;
+        let _works = CountGuard::one(&self.in_work);
+        self.host.work(work as f64 / 2.0).await;
         let mut spent = None;
         // One of the last tier, which calls nobody else, goes astray as well.
-        let calls = if self.astray.get().is_some() {
+        let calls = if self.misrouted_to.get().is_some() {
             tier.calls.max(1)
         } else {
             tier.calls
@@ -562,21 +577,25 @@
             spent = told.or(spent);
             if !served {
                 return (
-                    reply(request, 500, &with(head(), &spent), ""),
-                    Answer::Error,
+                    encode_reply(request, 500, &with(head(), &spent), ""),
+                    ResponseKind::Error,
                 );
             }
         }
         let head = || with(head(), &spent);
-        self.machine.work(work as f64 / 2.0).await;
+        self.host.work(work as f64 / 2.0).await;
         match drawn {
-            d if d < decline + cut => (reply(request, 200, &head(), &body(id, mark)), Answer::Cut),
-            d if d < decline + cut + spoil => {
-                (b"\x07\x00 noise 200 \r\n\r\n".to_vec(), Answer::Spoilt)
-            }
+            d if d < decline + cut => (
+                encode_reply(request, 200, &head(), &response_body(id, mark)),
+                ResponseKind::Truncated,
+            ),
+            d if d < decline + cut + spoil => (
+                b"\x07\x00 noise 200 \r\n\r\n".to_vec(),
+                ResponseKind::Malformed,
+            ),
             _ => (
-                reply(request, 200, &head(), &body(id, mark)),
-                Answer::Served,
+                encode_reply(request, 200, &head(), &response_body(id, mark)),
+                ResponseKind::Served,
             ),
         }
     }
@@ -592,34 +611,34 @@
         of: &Request,
         since: Micros,
     ) -> (bool, Option<String>) {
-        let astray = self.astray.get();
-        let Some((proxy, addr)) = astray.or(self.side.get()) else {
+        let astray = self.misrouted_to.get();
+        let Some((proxy, addr)) = astray.or(self.sidecar.get()) else {
             return (false, None);
         };
-        let (plan, clock) = (&self.world.plan, self.world.clock);
+        let (schedule, clock) = (&self.context.schedule, self.context.clock);
         let passed = clock.now().saturating_sub(since) + HOP;
         let patience = (of.deadline_ms.unwrap_or(0) * 1000).saturating_sub(passed);
         let id = mix(mix(parent, mark), u64::from(number) + 1);
         // One claim has one key at each tier, however often this tier runs it.
         let key = of.key.map(|key| mix(key, u64::from(number) + 1));
-        let of_class = plan.class(class);
-        let ask = Ask {
+        let of_class = schedule.class(class);
+        let ask = ClientRequest {
             id,
             path: format!("/{}?k={parent:x}", of_class.name),
             // The first tier serves tenants; whose request it was, no backend is told.
-            tenant: astray.map(|_| plan.scenario.tenant[0].name.clone()),
+            tenant: astray.map(|_| schedule.scenario.tenant[0].name.clone()),
             key: key.filter(|_| of_class.effect == Effect::Keyed),
             safe: of_class.effect == Effect::Safe,
-            patience,
+            time_limit: patience,
             retry: false,
-            hang_up: None,
-            slow: 0,
-            carried: of.carried.clone(),
+            cancel_after: None,
+            read_delay: 0,
+            budget_headers: of.budget_headers.clone(),
         };
         let due = clock.now();
-        let told = self.caller.call(clock, addr, &ask).await;
-        let served = matches!(told.end, End::Served(_));
-        self.world.ledgers.borrow_mut().tries.push(Try {
+        let told = self.client.call(clock, addr, &ask).await;
+        let served = matches!(told.end, AttemptEnd::Served(_));
+        self.context.event_log.borrow_mut().attempts.push(Attempt {
             id,
             tier: if astray.is_some() {
                 0
@@ -627,27 +646,27 @@
                 self.tier as u8 + 1
             },
             parent: Some(parent),
-            first: 0,
-            number: 0,
+            request_index: 0,
+            retry: 0,
             class,
             tenant: 0,
             key: ask.key,
             proxy,
-            due,
-            sent: told.sent,
-            crossed: told.crossed,
-            patience,
-            slow: 0,
+            scheduled_at: due,
+            sent_at: told.sent_at,
+            resent_at: told.resent_at,
+            time_limit: patience,
+            read_delay: 0,
             end: told.end,
-            ended: told.ended,
-            extra: false,
+            ended_at: told.ended_at,
+            unexpected_data: false,
         });
-        (served, told.spent)
+        (served, told.budget_spent)
     }
 
     /// The requests behind whose answer something came on its connections to the next tier's proxy.
-    pub fn extras(&self) -> Vec<u64> {
-        self.caller.extras()
+    pub fn take_unexpected(&self) -> Vec<u64> {
+        self.client.take_unexpected()
     }
 }
 
@@ -667,13 +686,13 @@
 }
 
 /// The memories of a tier: one for all its backends, or one for each cell.
-pub fn memories(plan: &Plan, cells: u16) -> Vec<Rc<RefCell<Memory>>> {
-    let apart = plan
+pub fn dedup_caches(schedule: &Schedule, cells: u16) -> Vec<Rc<RefCell<DedupCache>>> {
+    let apart = schedule
         .scenario
         .class
         .iter()
         .any(|c| c.effect == Effect::Keyed && c.group == Group::Cell);
-    let one = Rc::<RefCell<Memory>>::default();
+    let one = Rc::<RefCell<DedupCache>>::default();
     (0..cells.max(1))
         .map(|_| if apart { Rc::default() } else { one.clone() })
         .collect()
--- a/crates/heathroad-harness/src/stand_in/memory.rs
+++ b/crates/heathroad-harness/src/emulator/dedup_cache.rs
@@ -6,13 +6,13 @@
 
 /// The keys seen by a group of backends.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct DedupCache {
     seen: HashMap<u64, Micros>,
     /// By age, to forget.
     order: VecDeque<(Micros, u64)>,
 }
 
-impl Memory {
+impl DedupCache {
     /// Takes note of a key at a time, to be remembered for `window`; whether it is a repeat of one
     /// remembered. A repeat does not make it remembered for longer.
     pub fn repeats(&mut self, now: Micros, key: u64, window: Micros) -> bool {
@@ -46,17 +46,20 @@
 
     #[test]
     fn a_repeat_is_dropped_inside_the_window_and_runs_after_it() {
-        let mut memory = Memory::default();
-        assert!(!memory.repeats(0, 7, 10));
-        assert!(memory.repeats(9, 7, 10), "inside the window");
-        assert!(!memory.repeats(10, 7, 10), "the repeat did not lengthen it");
-        assert!(memory.repeats(19, 7, 10));
-        assert!(!memory.repeats(12, 8, 100));
+        let mut dedup_cache = DedupCache::default();
+        assert!(!dedup_cache.repeats(0, 7, 10));
+        assert!(dedup_cache.repeats(9, 7, 10), "inside the window");
         assert!(
-            !memory.repeats(25, 9, 1),
+            !dedup_cache.repeats(10, 7, 10),
+            "the repeat did not lengthen it"
+        );
+        assert!(dedup_cache.repeats(19, 7, 10));
+        assert!(!dedup_cache.repeats(12, 8, 100));
+        assert!(
+            !dedup_cache.repeats(25, 9, 1),
             "shorter windows end behind longer ones"
         );
-        assert!(!memory.repeats(26, 9, 1));
-        assert_eq!(memory.seen.len(), 2, "what is past is forgotten");
+        assert!(!dedup_cache.repeats(26, 9, 1));
+        assert_eq!(dedup_cache.seen.len(), 2, "what is past is forgotten");
     }
 }
--- a/crates/heathroad-harness/src/stand_in/gate.rs
+++ b/crates/heathroad-harness/src/emulator/fencing_server.rs
@@ -22,7 +22,7 @@
 
 /// An act that came.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Act {
+pub struct LeaseCall {
     /// When it was taken or refused.
     pub at: Micros,
     /// By which token.
@@ -32,12 +32,12 @@
     /// Its number.
     pub number: u64,
     /// Whether it was taken.
-    pub taken: bool,
+    pub accepted: bool,
 }
 
-impl Act {
+impl LeaseCall {
     /// Whose it was.
-    pub fn place(&self) -> u16 {
+    pub fn member(&self) -> u16 {
         self.token as u16
     }
 }
@@ -46,33 +46,33 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
     /// It looks at tokens.
-    pub checks: bool,
+    pub check_tokens: bool,
     /// A share of acts comes late,
-    pub late: f64,
+    pub delayed_share: f64,
     /// by up to so much.
-    pub by: Duration,
+    pub max_delay: Duration,
     /// The seed of that.
     pub seed: u64,
 }
 
 /// An address that duties act on. It ends when it is dropped.
-pub struct Gate {
+pub struct FencingServer {
     /// Where it is.
     pub address: SocketAddr,
-    acts: Arc<Mutex<Vec<Act>>>,
+    calls: Arc<Mutex<Vec<LeaseCall>>>,
     answers: Arc<Mutex<Option<u16>>>,
     serving: JoinHandle<()>,
 }
 
-impl Drop for Gate {
+impl Drop for FencingServer {
     fn drop(&mut self) {
         self.serving.abort();
     }
 }
 
-impl Gate {
+impl FencingServer {
     /// Opens one.
-    pub async fn open(clock: Clock, options: Options) -> io::Result<Gate> {
+    pub async fn start(clock: Clock, options: Options) -> io::Result<FencingServer> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (acts, answers) = (Arc::default(), Arc::default());
@@ -83,9 +83,9 @@
             Arc::clone(&acts),
             Arc::clone(&answers),
         ));
-        Ok(Gate {
+        Ok(FencingServer {
             address,
-            acts,
+            calls: acts,
             answers,
             serving,
         })
@@ -93,7 +93,7 @@
 
     /// What the fleet's file says of a duty `tick` that acts here, the first three places being its
     /// voters.
-    pub fn duty(&self, lease_ms: u64, every: Duration) -> String {
+    pub fn lease_config(&self, lease_ms: u64, every: Duration) -> String {
         format!(
             "[duties]\nvoters = [0, 1, 2]\nlease_ms = {lease_ms}\n[[duty]]\nname = \"tick\"\nwork = \"call\"\n\
              address = \"{}\"\nevery_ms = {}\n",
@@ -103,12 +103,12 @@
     }
 
     /// What came so far.
-    pub fn acts(&self) -> Vec<Act> {
-        self.acts.lock().map(|a| a.clone()).unwrap_or_default()
+    pub fn calls(&self) -> Vec<LeaseCall> {
+        self.calls.lock().map(|a| a.clone()).unwrap_or_default()
     }
 
     /// Answers all with this status from now on, and takes none; or does as it should.
-    pub fn answer(&self, status: Option<u16>) {
+    pub fn set_status(&self, status: Option<u16>) {
         if let Ok(mut answers) = self.answers.lock() {
             *answers = status;
         }
@@ -119,14 +119,14 @@
     listener: TcpListener,
     clock: Clock,
     options: Options,
-    acts: Arc<Mutex<Vec<Act>>>,
+    acts: Arc<Mutex<Vec<LeaseCall>>>,
     answers: Arc<Mutex<Option<u16>>>,
 ) {
     let mut rng = Rng::with_seed(options.seed);
     let highest = Arc::new(AtomicU64::new(0));
     while let Ok((mut stream, _)) = listener.accept().await {
-        let late = if rng.f64() < options.late {
-            options.by.mul_f64(rng.f64())
+        let late = if rng.f64() < options.delayed_share {
+            options.max_delay.mul_f64(rng.f64())
         } else {
             Duration::ZERO
         };
@@ -134,7 +134,7 @@
         tokio::spawn(async move {
             let mut buffer = Buffer::default();
             while let Ok(request) = buffer.request(&mut stream).await {
-                let Some((token, holder, number)) = request.duty else {
+                let Some((token, holder, number)) = request.lease_headers else {
                     return;
                 };
                 sleep(late).await;
@@ -143,22 +143,22 @@
                     let Ok(mut acts) = acts.lock() else {
                         return 500;
                     };
-                    let taken =
-                        token >= highest.fetch_max(token, Ordering::Relaxed) || !options.checks;
+                    let taken = token >= highest.fetch_max(token, Ordering::Relaxed)
+                        || !options.check_tokens;
                     if acts.len() < MAX_ACTS {
-                        acts.push(Act {
+                        acts.push(LeaseCall {
                             at: clock.now(),
                             token,
                             holder,
                             number,
-                            taken,
+                            accepted: taken,
                         });
                     }
                     if taken { 200 } else { 412 }
                 });
                 let seen = format!("Duty-Token: {:016x}\r\n", highest.load(Ordering::Relaxed));
                 if stream
-                    .write_all(&http::answer(status, &seen, ""))
+                    .write_all(&http::encode_response(status, &seen, ""))
                     .await
                     .is_err()
                 {
@@ -171,11 +171,11 @@
 
 /// What is wrong with what was taken: acts out of the order of their tokens, and tokens that two
 /// held.
-pub fn judge(acts: &[Act]) -> Vec<String> {
+pub fn check(acts: &[LeaseCall]) -> Vec<String> {
     let mut wrong = Vec::new();
-    let mut last: Option<&Act> = None;
+    let mut last: Option<&LeaseCall> = None;
     let mut holders = std::collections::BTreeMap::new();
-    for act in acts.iter().filter(|a| a.taken) {
+    for act in acts.iter().filter(|a| a.accepted) {
         if last.is_some_and(|l| l.token > act.token) {
             wrong.push(format!("{act:?} after {last:?}"));
         }
@@ -191,8 +191,8 @@
 }
 
 /// A figure of what was done.
-pub fn figure(acts: &[Act], name: &str) -> Option<f64> {
-    let taken: Vec<&Act> = acts.iter().filter(|a| a.taken).collect();
+pub fn figure(acts: &[LeaseCall], name: &str) -> Option<f64> {
+    let taken: Vec<&LeaseCall> = acts.iter().filter(|a| a.accepted).collect();
     let figure = match name {
         "duty_acts" => taken.len() as f64,
         "duty_holds" => taken
@@ -201,7 +201,7 @@
             .collect::<std::collections::BTreeSet<_>>()
             .len() as f64,
         "duty_refused" => (acts.len() - taken.len()) as f64,
-        "duty_out_of_order" => judge(acts).len() as f64,
+        "duty_out_of_order" => check(acts).len() as f64,
         "duty_pause_s" => {
             let pauses = taken.windows(2).map(|w| w[1].at.saturating_sub(w[0].at));
             pauses.max().unwrap_or(0) as f64 / 1e6
@@ -217,12 +217,12 @@
 
     #[test]
     fn what_is_wrong_is_found() {
-        let act = |token, holder: &str, taken| Act {
+        let act = |token, holder: &str, taken| LeaseCall {
             at: 0,
             token,
             holder: holder.into(),
             number: 1,
-            taken,
+            accepted: taken,
         };
         let good = [
             act(1, "a", true),
@@ -230,8 +230,8 @@
             act(1, "a", false),
             act(2, "b", true),
         ];
-        assert_eq!(judge(&good), Vec::<String>::new());
-        assert_eq!(judge(&[act(2, "b", true), act(1, "a", true)]).len(), 1);
-        assert_eq!(judge(&[act(2, "b", true), act(2, "a", true)]).len(), 1);
+        assert_eq!(check(&good), Vec::<String>::new());
+        assert_eq!(check(&[act(2, "b", true), act(1, "a", true)]).len(), 1);
+        assert_eq!(check(&[act(2, "b", true), act(2, "a", true)]).len(), 1);
     }
 }
--- a/crates/heathroad-harness/src/stand_in/machine.rs
+++ b/crates/heathroad-harness/src/emulator/host.rs
@@ -15,31 +15,31 @@
 
 /// What a machine is made of.
 #[derive(Debug, Clone)]
-pub struct Make {
+pub struct HostSpec {
     /// Cores.
     pub cores: u16,
     /// Speed of each; 1 is standard.
     pub speed: f64,
     /// Share of its capacity at which it starts.
-    pub cold_from: f64,
+    pub cold_capacity: f64,
     /// Time after which it is warm.
-    pub cold: Micros,
+    pub warm_up: Micros,
     /// Requests after which it is warm, in place of time, if not 0.
     pub warm_requests: u32,
     /// It falls over when sent this multiple of what it can do ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for so long.
-    pub fall: Micros,
+    pub overload_window: Micros,
 }
 
-impl Make {
+impl HostSpec {
     /// Share of its capacity so long after its start, having run so many requests.
     pub fn warmth(&self, age: Micros, ran: u32) -> f64 {
         let grown = match self.warm_requests {
-            0 => age as f64 / self.cold.max(1) as f64,
+            0 => age as f64 / self.warm_up.max(1) as f64,
             n => f64::from(ran) / f64::from(n),
         };
-        self.cold_from + (1.0 - self.cold_from) * grown.min(1.0)
+        self.cold_capacity + (1.0 - self.cold_capacity) * grown.min(1.0)
     }
 
     /// Work a second that it can do when warm, as a share of a standard core's.
@@ -59,26 +59,26 @@
 impl Pressure {
     /// Takes note of work that came, and tells the multiple of what the machine can do at that
     /// moment, over the span that ends there.
-    pub fn sent(&mut self, make: &Make, at: Micros, work: u64, warmth: f64) -> f64 {
+    pub fn sent(&mut self, spec: &HostSpec, at: Micros, work: u64, warmth: f64) -> f64 {
         self.recent.push_back((at, work));
         self.sum += work;
         while let Some((_, work)) = self
             .recent
             .front()
             .copied()
-            .filter(|(t, _)| *t + make.fall <= at)
+            .filter(|(t, _)| *t + spec.overload_window <= at)
         {
             self.recent.pop_front();
             self.sum -= work;
         }
-        self.sum as f64 / (make.capacity() * warmth * make.fall as f64).max(1.0)
+        self.sum as f64 / (spec.capacity() * warmth * spec.overload_window as f64).max(1.0)
     }
 }
 
 /// A machine with what is wrong with it at the moment.
-pub struct Machine {
+pub struct Host {
     /// What it is made of.
-    pub make: Make,
+    pub spec: HostSpec,
     clock: Clock,
     cores: Semaphore,
     /// When its process started.
@@ -88,27 +88,27 @@
     ran: Cell<u32>,
     pressure: RefCell<Pressure>,
     /// So many times slower.
-    pub crawl: Cell<f64>,
+    pub slowdown: Cell<f64>,
     /// Share that a neighbour takes, when it does.
-    pub neighbour: Cell<f64>,
+    pub stolen_share: Cell<f64>,
 }
 
-impl Machine {
+impl Host {
     /// A machine that has long been warm.
-    pub fn new(make: Make, clock: Clock) -> Self {
-        let cores = Semaphore::new(usize::from(make.cores));
+    pub fn new(spec: HostSpec, clock: Clock) -> Self {
+        let cores = Semaphore::new(usize::from(spec.cores));
         let (started, warm, ran) = (Cell::new(0), Cell::new(true), Cell::new(0));
         let (crawl, neighbour) = (Cell::new(1.0), Cell::new(0.0));
-        Machine {
-            make,
+        Host {
+            spec,
             clock,
             cores,
             started,
             warm,
             ran,
             pressure: RefCell::default(),
-            crawl,
-            neighbour,
+            slowdown: crawl,
+            stolen_share: neighbour,
         }
     }
 
@@ -125,7 +125,7 @@
         if self.warm.get() {
             return 1.0;
         }
-        self.make.warmth(
+        self.spec.warmth(
             self.clock.now().saturating_sub(self.started.get()),
             self.ran.get(),
         )
@@ -137,14 +137,18 @@
         let pressure = self
             .pressure
             .borrow_mut()
-            .sent(&self.make, now, work, warmth);
-        warmth < 1.0 && pressure > self.make.fall_multiple
+            .sent(&self.spec, now, work, warmth);
+        warmth < 1.0 && pressure > self.spec.overload_multiple
     }
 
     fn speed(&self) -> f64 {
         let on = (self.clock.now() / NEIGHBOUR).is_multiple_of(2);
-        let left = if on { 1.0 - self.neighbour.get() } else { 1.0 };
-        (self.make.speed * self.warmth() * left / self.crawl.get()).max(1e-3)
+        let left = if on {
+            1.0 - self.stolen_share.get()
+        } else {
+            1.0
+        };
+        (self.spec.speed * self.warmth() * left / self.slowdown.get()).max(1e-3)
     }
 
     /// Does work, in microseconds of a standard core, once a core is free. The time that a piece
@@ -169,28 +173,28 @@
 mod tests {
     use super::*;
 
-    fn make() -> Make {
-        Make {
+    fn spec() -> HostSpec {
+        HostSpec {
             cores: 2,
             speed: 0.5,
-            cold_from: 0.25,
-            cold: 10 * SECOND,
+            cold_capacity: 0.25,
+            warm_up: 10 * SECOND,
             warm_requests: 0,
-            fall_multiple: 3.0,
-            fall: 2 * SECOND,
+            overload_multiple: 3.0,
+            overload_window: 2 * SECOND,
         }
     }
 
     #[test]
     fn it_warms_by_time_or_by_requests() {
-        let by_time = make();
+        let by_time = spec();
         assert_eq!(
             [0, 5, 10, 20].map(|s| by_time.warmth(s * SECOND, 0)),
             [0.25, 0.625, 1.0, 1.0]
         );
-        let by_requests = Make {
+        let by_requests = HostSpec {
             warm_requests: 10,
-            ..make()
+            ..spec()
         };
         assert_eq!(
             [0, 5, 10, 20].map(|n| by_requests.warmth(0, n)),
@@ -201,8 +205,8 @@
     /// A tenth of a second's work at a time: 3 x 0.2 x 2 s of one standard core in all are borne.
     #[test]
     fn pressure_is_the_work_of_the_last_span_over_what_could_be_done() {
-        let (make, mut pressure) = (make(), Pressure::default());
-        let sent = |p: &mut Pressure, at| p.sent(&make, at, SECOND / 10, 0.2);
+        let (spec, mut pressure) = (spec(), Pressure::default());
+        let sent = |p: &mut Pressure, at| p.sent(&spec, at, SECOND / 10, 0.2);
         let multiples: Vec<f64> = (0..13).map(|i| sent(&mut pressure, i * 1000)).collect();
         assert!(multiples[11] <= 3.0 && multiples[12] > 3.0, "{multiples:?}");
         assert!(
@@ -213,24 +217,24 @@
 
     #[tokio::test]
     async fn cores_are_shared_and_a_crawl_slows_them() {
-        let machine = Machine::new(
-            Make {
+        let host = Host::new(
+            HostSpec {
                 speed: 1.0,
-                ..make()
+                ..spec()
             },
             Clock::starting_in(Duration::ZERO),
         );
         let begun = Instant::now();
-        let three = async { tokio::join!(machine.work(2e4), machine.work(2e4), machine.work(2e4)) };
+        let three = async { tokio::join!(host.work(2e4), host.work(2e4), host.work(2e4)) };
         three.await;
         let calm = begun.elapsed();
         assert!(
             calm >= Duration::from_millis(40),
             "three calls on two cores: {calm:?}"
         );
-        machine.crawl.set(4.0);
+        host.slowdown.set(4.0);
         let begun = Instant::now();
-        machine.work(2e4).await;
+        host.work(2e4).await;
         assert!(begun.elapsed() >= Duration::from_millis(80));
     }
 }
--- a/crates/heathroad-harness/src/stand_in/mod.rs
+++ b/crates/heathroad-harness/src/emulator/mod.rs
@@ -2,8 +2,8 @@
 //! They follow the protocol that the daemon speaks, and fail where they are told to.
 
 pub mod backend;
-pub mod gate;
-pub mod machine;
-pub mod memory;
+pub mod dedup_cache;
+pub mod fencing_server;
+pub mod host;
 pub mod network;
 pub mod registry;
--- a/crates/heathroad-harness/src/stand_in/network.rs
+++ b/crates/heathroad-harness/src/emulator/network.rs
@@ -28,7 +28,7 @@
 
 /// What a way does to messages. All shares are from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Way {
+pub struct Link {
     /// Share lost.
     pub loss: f64,
     /// Least time.
@@ -36,48 +36,48 @@
     /// Further time, drawn anew for each: messages overtake each other.
     pub jitter: Duration,
     /// Share that comes twice.
-    pub twice: f64,
+    pub duplication: f64,
     /// Share of which half comes.
-    pub torn: f64,
+    pub truncation: f64,
     /// Bytes a second, where that is bounded.
     pub rate: Option<f64>,
     /// Nothing comes through.
-    pub cut: bool,
+    pub blocked: bool,
     /// It is cut and whole by turns of this length.
-    pub flaps: Option<Duration>,
+    pub flap_period: Option<Duration>,
 }
 
-impl Default for Way {
+impl Default for Link {
     fn default() -> Self {
         let none = Duration::ZERO;
-        Way {
+        Link {
             loss: 0.0,
             delay: none,
             jitter: none,
-            twice: 0.0,
-            torn: 0.0,
+            duplication: 0.0,
+            truncation: 0.0,
             rate: None,
-            cut: false,
-            flaps: None,
+            blocked: false,
+            flap_period: None,
         }
     }
 }
 
 /// What was done to a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum Delivery {
     /// It went on.
-    Passed,
+    Delivered,
     /// It went on, and a second time.
-    Twice,
+    Duplicated,
     /// Half of it went on.
-    Torn,
+    Truncated,
     /// It was lost by chance.
     Lost,
     /// The way was cut.
-    Cut,
+    Blocked,
     /// Too many were under way.
-    Crowded,
+    QueueFull,
     /// It was longer than may be, and did not go on.
     TooLong,
 }
@@ -94,19 +94,19 @@
     /// Its bytes.
     pub length: u16,
     /// What was done to it.
-    pub fate: Fate,
+    pub delivery: Delivery,
     /// How much later it went on.
-    pub later: Micros,
+    pub delay: Micros,
 }
 
-struct Ways {
-    all: Vec<Way>,
+struct Links {
+    all: Vec<Link>,
     proxies: u16,
     record: Vec<Message>,
     unrecorded: u64,
 }
 
-impl Ways {
+impl Links {
     fn place(&self, from: u16, to: u16) -> usize {
         usize::from(from) * usize::from(self.proxies) + usize::from(to)
     }
@@ -116,8 +116,8 @@
 pub struct Network {
     /// The seed of its chance.
     pub seed: u64,
-    ways: Arc<Mutex<Ways>>,
-    listens: Vec<SocketAddr>,
+    ways: Arc<Mutex<Links>>,
+    listen_address: Vec<SocketAddr>,
     /// By who is told, the addresses of all.
     peers: Vec<Vec<SocketAddr>>,
     _stop: watch::Sender<()>,
@@ -156,7 +156,7 @@
 impl Network {
     /// Begins a network for so many proxies (64 at most), on a loopback network `ip` that nobody
     /// else uses.
-    pub fn begin(ip: [u8; 3], proxies: u16, seed: u64, clock: Clock) -> io::Result<Network> {
+    pub fn start(ip: [u8; 3], proxies: u16, seed: u64, clock: Clock) -> io::Result<Network> {
         if proxies > 64 {
             return Err(io::Error::other("64 proxies at most"));
         }
@@ -180,8 +180,8 @@
                 .collect()
         });
         let peers = peers.collect();
-        let ways = vec![Way::default(); n * n];
-        let ways = Arc::new(Mutex::new(Ways {
+        let ways = vec![Link::default(); n * n];
+        let ways = Arc::new(Mutex::new(Links {
             all: ways,
             proxies,
             record: Vec::new(),
@@ -194,22 +194,22 @@
         Ok(Network {
             seed,
             ways,
-            listens,
+            listen_address: listens,
             peers,
             _stop: stop,
             thread: Some(thread),
         })
     }
 
-    fn ways(&self) -> MutexGuard<'_, Ways> {
+    fn ways(&self) -> MutexGuard<'_, Links> {
         self.ways
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Where a proxy is to listen.
-    pub fn listens(&self, proxy: u16) -> SocketAddr {
-        self.listens[usize::from(proxy)]
+    pub fn listen_address(&self, proxy: u16) -> SocketAddr {
+        self.listen_address[usize::from(proxy)]
     }
 
     /// The addresses of all, as a proxy is told them.
@@ -218,7 +218,7 @@
     }
 
     /// Changes what the way from one to another does.
-    pub fn way(&self, from: u16, to: u16, change: impl FnOnce(&mut Way)) {
+    pub fn configure_link(&self, from: u16, to: u16, change: impl FnOnce(&mut Link)) {
         let mut ways = self.ways();
         let place = ways.place(from, to);
         if let Some(way) = ways.all.get_mut(place) {
@@ -227,44 +227,44 @@
     }
 
     /// Changes what all ways do.
-    pub fn all(&self, change: impl FnMut(&mut Way)) {
+    pub fn configure_all(&self, change: impl FnMut(&mut Link)) {
         self.ways().all.iter_mut().for_each(change);
     }
 
     /// Changes the ways from and to one.
-    pub fn around(&self, proxy: u16, mut change: impl FnMut(&mut Way)) {
-        for other in (0..self.listens.len() as u16).filter(|o| *o != proxy) {
-            self.way(proxy, other, &mut change);
-            self.way(other, proxy, &mut change);
+    pub fn configure_links_of(&self, proxy: u16, mut change: impl FnMut(&mut Link)) {
+        for other in (0..self.listen_address.len() as u16).filter(|o| *o != proxy) {
+            self.configure_link(proxy, other, &mut change);
+            self.configure_link(other, proxy, &mut change);
         }
     }
 
     /// Nothing comes from one group to another any more. Who is in none is a group with the others
     /// that are in none.
-    pub fn cut(&self, groups: &[&[u16]]) {
+    pub fn partition(&self, groups: &[&[u16]]) {
         let group = |p: u16| groups.iter().position(|g| g.contains(&p));
-        let n = self.listens.len() as u16;
+        let n = self.listen_address.len() as u16;
         for (from, to) in (0..n).flat_map(|f| (0..n).map(move |t| (f, t))) {
             if group(from) != group(to) {
-                self.way(from, to, |w| w.cut = true);
+                self.configure_link(from, to, |w| w.blocked = true);
             }
         }
     }
 
     /// Every way is whole again, and does nothing to messages.
     pub fn heal(&self) {
-        self.all(|w| *w = Way::default());
+        self.configure_all(|w| *w = Link::default());
     }
 
     /// What was done to each message so far, and how many more there were than are kept.
-    pub fn record(&self) -> (Vec<Message>, u64) {
+    pub fn messages(&self) -> (Vec<Message>, u64) {
         let ways = self.ways();
         (ways.record.clone(), ways.unrecorded)
     }
 }
 
 /// When a way's last byte is through, where its rate is bounded.
-struct Link {
+struct LinkState {
     free: Instant,
     under_way: Rc<RefCell<usize>>,
 }
@@ -272,7 +272,7 @@
 fn relay(
     relays: Vec<std::net::UdpSocket>,
     listens: &[SocketAddr],
-    ways: &Arc<Mutex<Ways>>,
+    ways: &Arc<Mutex<Links>>,
     seed: u64,
     clock: Clock,
     mut stopped: watch::Receiver<()>,
@@ -318,7 +318,7 @@
     to: u16,
     seed: u64,
     listens: SocketAddr,
-    ways: Arc<Mutex<Ways>>,
+    ways: Arc<Mutex<Links>>,
     clock: Clock,
 }
 
@@ -326,7 +326,7 @@
     async fn carry(self, socket: Rc<UdpSocket>, out: Rc<UdpSocket>) {
         let mut rng = Rng::with_seed(self.seed);
         let (begun, mut bytes) = (Instant::now(), [0; 2048]);
-        let mut link = Link {
+        let mut link = LinkState {
             free: begun,
             under_way: Rc::default(),
         };
@@ -351,8 +351,8 @@
                 from: self.from,
                 to: self.to,
                 length: length as u16,
-                fate,
-                later: later.as_micros() as Micros,
+                delivery: fate,
+                delay: later.as_micros() as Micros,
             };
             {
                 let mut ways = self
@@ -366,11 +366,11 @@
                 }
             }
             let copies = match fate {
-                Fate::Passed | Fate::Torn => 1,
-                Fate::Twice => 2,
+                Delivery::Delivered | Delivery::Truncated => 1,
+                Delivery::Duplicated => 2,
                 _ => continue,
             };
-            let half = if fate == Fate::Torn {
+            let half = if fate == Delivery::Truncated {
                 length / 2
             } else {
                 length
@@ -397,37 +397,37 @@
 /// What is done to a message, and when it goes on. Each message draws as many numbers, so that what
 /// is done to one does not hang on what the way did before.
 fn fate(
-    way: &Way,
+    way: &Link,
     rng: &mut Rng,
-    link: &mut Link,
+    link: &mut LinkState,
     begun: Instant,
     length: usize,
-) -> (Fate, Instant) {
+) -> (Delivery, Instant) {
     let (now, [loss, twice, torn, jitter]) = (Instant::now(), [(); 4].map(|()| rng.f64()));
     let down = |every: Duration| (begun.elapsed().as_nanos() / every.as_nanos().max(1)) % 2 == 1;
     if length > MAX_DATAGRAM {
-        return (Fate::TooLong, now);
+        return (Delivery::TooLong, now);
     }
-    if way.cut || way.flaps.is_some_and(down) {
-        return (Fate::Cut, now);
+    if way.blocked || way.flap_period.is_some_and(down) {
+        return (Delivery::Blocked, now);
     }
     if loss < way.loss {
-        return (Fate::Lost, now);
+        return (Delivery::Lost, now);
     }
     if *link.under_way.borrow() >= UNDER_WAY {
-        return (Fate::Crowded, now);
+        return (Delivery::QueueFull, now);
     }
     let mut at = now + way.delay + way.jitter.mul_f64(jitter);
     if let Some(rate) = way.rate {
         link.free = link.free.max(now) + Duration::from_secs_f64(length as f64 / rate.max(1.0));
         at = at.max(link.free + way.delay);
     }
-    let fate = if torn < way.torn {
-        Fate::Torn
-    } else if twice < way.twice {
-        Fate::Twice
+    let fate = if torn < way.truncation {
+        Delivery::Truncated
+    } else if twice < way.duplication {
+        Delivery::Duplicated
     } else {
-        Fate::Passed
+        Delivery::Delivered
     };
     (fate, at)
 }
--- a/crates/heathroad-harness/src/stand_in/registry.rs
+++ b/crates/heathroad-harness/src/emulator/registry.rs
@@ -2,9 +2,9 @@
 //! own. It can be late, down, out of order, or wrong about the time.
 
 use crate::clock::{Clock, Micros};
-use crate::http::{Buffer, answer};
-use crate::ledger::{Health, HostNo, Ledgers, ProxyNo, Told};
-use crate::stand_in::backend::{Backend, World};
+use crate::emulator::backend::{Backend, RunContext};
+use crate::event_log::{BackendIndex, EventLog, Health, ProxyIndex, RegistryUpdate};
+use crate::http::{Buffer, encode_response};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -27,7 +27,7 @@
 /// One state of one host.
 #[derive(Debug, Clone)]
 struct Entry {
-    host: HostNo,
+    backend: BackendIndex,
     life: u16,
     version: u64,
     health: Health,
@@ -48,7 +48,7 @@
     fn since(&self, after: u64) -> Vec<Entry> {
         let mut newest: Vec<Entry> = Vec::new();
         for e in self.changes.iter().skip(after as usize) {
-            newest.retain(|n| n.host != e.host);
+            newest.retain(|n| n.backend != e.backend);
             newest.push(e.clone());
         }
         newest
@@ -60,48 +60,48 @@
             .iter()
             .rev()
             .skip(1)
-            .find(|e| e.host == last.host)
+            .find(|e| e.backend == last.backend)
             .cloned()
     }
 }
 
 /// The registry of all tiers.
 pub struct Registry {
-    world: Rc<World>,
+    context: Rc<RunContext>,
     lists: RefCell<Vec<List>>,
-    hosts: RefCell<Vec<Rc<Backend>>>,
+    backends: RefCell<Vec<Rc<Backend>>>,
     changed: watch::Sender<u64>,
     down: watch::Sender<bool>,
     /// Changes are told so much later.
     pub delay: Cell<Micros>,
     /// Old states are told behind new ones.
-    pub disorder: Cell<bool>,
+    pub out_of_order: Cell<bool>,
     /// Its clock is off by so many milliseconds.
-    pub off_ms: Cell<f64>,
+    pub clock_offset_ms: Cell<f64>,
     /// Hosts whose old state was told out of order, by proxy and list version, so that each is told
     /// once.
-    repeated: RefCell<Vec<(ProxyNo, u64)>>,
+    repeated: RefCell<Vec<(ProxyIndex, u64)>>,
 }
 
 impl Registry {
     /// A registry of so many tiers that lists nothing.
-    pub fn new(world: &Rc<World>, tiers: usize) -> Rc<Self> {
+    pub fn new(context: &Rc<RunContext>, tiers: usize) -> Rc<Self> {
         Rc::new(Registry {
-            world: world.clone(),
+            context: context.clone(),
             lists: RefCell::new((0..tiers).map(|_| List::default()).collect()),
-            hosts: RefCell::default(),
+            backends: RefCell::default(),
             changed: watch::Sender::new(0),
             down: watch::Sender::new(false),
             delay: Cell::new(0),
-            disorder: Cell::new(false),
-            off_ms: Cell::new(0.0),
+            out_of_order: Cell::new(false),
+            clock_offset_ms: Cell::new(0.0),
             repeated: RefCell::default(),
         })
     }
 
     /// Takes a host in, so that its addresses are known; it is not listed by that.
-    pub fn know(&self, host: &Rc<Backend>) {
-        self.hosts.borrow_mut().push(host.clone());
+    pub fn add_backend(&self, backend: &Rc<Backend>) {
+        self.backends.borrow_mut().push(backend.clone());
     }
 
     /// Goes down, or comes back. Watches end with a reset when it goes.
@@ -110,21 +110,21 @@
     }
 
     /// A host's state changes; it is told once the registry has heard of it.
-    pub fn publish(self: &Rc<Self>, host: &Rc<Backend>, health: Health) {
-        let started = host.machine.started.get();
-        let clock: Clock = self.world.clock;
-        let born_ms = if host.machine.warm.get() {
+    pub fn publish(self: &Rc<Self>, backend: &Rc<Backend>, health: Health) {
+        let started = backend.host.started.get();
+        let clock: Clock = self.context.clock;
+        let born_ms = if backend.host.warm.get() {
             0.0
         } else {
-            clock.unix_ms(started) + self.off_ms.get()
+            clock.unix_ms(started) + self.clock_offset_ms.get()
         };
-        let (no, life, tier) = (host.no, host.life(), host.tier);
+        let (no, life, tier) = (backend.index, backend.incarnation(), backend.tier);
         let (registry, delay) = (self.clone(), self.delay.get());
         let list = move || {
             let list = &mut registry.lists.borrow_mut()[tier];
             let version = list.seq() + 1;
             list.changes.push(Entry {
-                host: no,
+                backend: no,
                 life,
                 version,
                 health,
@@ -146,7 +146,7 @@
     pub fn serve(
         self: &Rc<Self>,
         tier: usize,
-        proxy: ProxyNo,
+        proxy: ProxyIndex,
         listener: TcpListener,
     ) -> JoinHandle<()> {
         let registry = self.clone();
@@ -165,13 +165,13 @@
         })
     }
 
-    async fn connection(self: Rc<Self>, tier: usize, proxy: ProxyNo, mut stream: TcpStream) {
+    async fn connection(self: Rc<Self>, tier: usize, proxy: ProxyIndex, mut stream: TcpStream) {
         let mut buffer = Buffer::default();
         let mut down = self.down.subscribe();
         while let Ok(request) = buffer.request(&mut stream).await {
             if *down.borrow() {
                 let _ = stream
-                    .write_all(&answer(503, "Connection: close\r\n", ""))
+                    .write_all(&encode_response(503, "Connection: close\r\n", ""))
                     .await;
                 return;
             }
@@ -200,7 +200,7 @@
         let mut changed = self.changed.subscribe();
         let newer = changed.wait_for(|_| {
             let lists = self.lists.borrow();
-            lists[tier].seq() > after || self.disorder.get() && !lists[tier].changes.is_empty()
+            lists[tier].seq() > after || self.out_of_order.get() && !lists[tier].changes.is_empty()
         });
         // Without news the answer says so.
         let _ = timeout(wait, newer).await;
@@ -210,7 +210,7 @@
     async fn tell(
         &self,
         tier: usize,
-        proxy: ProxyNo,
+        proxy: ProxyIndex,
         after: Option<u64>,
         stream: &mut TcpStream,
     ) -> io::Result<()> {
@@ -221,7 +221,7 @@
             let again = (proxy, seq);
             match (after, list.old()) {
                 (Some(after), Some(old))
-                    if self.disorder.get()
+                    if self.out_of_order.get()
                         && after == seq
                         && !self.repeated.borrow().contains(&again) =>
                 {
@@ -232,47 +232,49 @@
                 _ => (seq, list.since(after.unwrap_or(0))),
             }
         };
-        if after == Some(seq) && entries.is_empty() && self.disorder.get() {
+        if after == Some(seq) && entries.is_empty() && self.out_of_order.get() {
             // Disorder makes waits end early; news must not be asked for in a circle.
             sleep(Duration::from_millis(100)).await;
         }
         let whole = after.is_none();
-        let hosts = self.hosts.borrow().clone();
+        let backends = self.backends.borrow().clone();
         let mut lines = Vec::new();
         for e in &entries {
-            let Some(host) = hosts.iter().find(|h| h.no == e.host) else {
+            let Some(backend) = backends.iter().find(|h| h.index == e.backend) else {
                 continue;
             };
             if whole && e.health == Health::Deleted {
                 continue;
             }
-            let Some(dial) = host.door(proxy) else {
+            let Some(dial) = backend.address_for(proxy) else {
                 continue;
             };
-            lines.push(json!({"host": host.name, "dial": dial.to_string(), "site": ZONE, "class": *host.kind.borrow(),
-                "block": host.cell, "health": e.health.word(), "share": 1.0, "born_ms": e.born_ms}));
+            lines.push(json!({"host": backend.name, "dial": dial.to_string(), "site": ZONE, "class": *backend.kind.borrow(),
+                "block": backend.cell, "health": e.health.as_str(), "share": 1.0, "born_ms": e.born_ms}));
         }
         let text = json!({"seq": seq, "whole": whole, "hosts": lines}).to_string();
-        let told = stream.write_all(&answer(200, "", &text)).await;
-        let at = self.world.clock.now();
+        let told = stream.write_all(&encode_response(200, "", &text)).await;
+        let at = self.context.clock.now();
         let told_entry = |e: &Entry| {
-            let (host, life, version, health) = (e.host, e.life, e.version, e.health);
-            Told {
+            let (backend, life, version, health) = (e.backend, e.life, e.version, e.health);
+            RegistryUpdate {
                 at,
                 proxy,
-                host,
-                life,
+                backend,
+                incarnation: life,
                 version,
                 health,
             }
         };
-        let ledgers: &mut Ledgers = &mut self.world.ledgers.borrow_mut();
-        ledgers.told.extend(entries.iter().map(told_entry));
+        let event_log: &mut EventLog = &mut self.context.event_log.borrow_mut();
+        event_log
+            .registry_updates
+            .extend(entries.iter().map(told_entry));
         told
     }
 
     /// A new address for a proxy.
-    pub async fn address(ip: std::net::IpAddr) -> io::Result<(TcpListener, SocketAddr)> {
+    pub async fn bind(ip: std::net::IpAddr) -> io::Result<(TcpListener, SocketAddr)> {
         let listener = TcpListener::bind(SocketAddr::new(ip, 0)).await?;
         let addr = listener.local_addr()?;
         Ok((listener, addr))
--- a/crates/heathroad-harness/src/http.rs
+++ b/crates/heathroad-harness/src/http.rs
@@ -27,16 +27,16 @@
     /// `Req-Deadline-Ms`.
     pub deadline_ms: Option<u64>,
     /// Its body's length.
-    pub body: usize,
+    pub body_length: usize,
     /// Its id as it stands, where it is a call over JSON-RPC.
-    pub rpc: Option<String>,
+    pub jsonrpc_id: Option<String>,
     /// `Req-Budget` and `Req-Path`, to be copied as they are.
-    pub carried: [Option<String>; 2],
+    pub budget_headers: [Option<String>; 2],
     /// `Req-Version`: by which version it was bound.
     pub version: Option<String>,
     /// `Duty-Token`, a hexadecimal number, `Duty-Holder` and `Duty-Number`, of a call that a duty
     /// makes.
-    pub duty: Option<(u64, String, u64)>,
+    pub lease_headers: Option<(u64, String, u64)>,
 }
 
 /// An answer as a client reads it.
@@ -47,7 +47,7 @@
     /// `Retry-After`, in seconds.
     pub retry_after: Option<f64>,
     /// `Req-Spent`, to be copied as it is.
-    pub spent: Option<String>,
+    pub budget_spent: Option<String>,
     /// The connection ends with it.
     pub close: bool,
     /// Its body.
@@ -56,16 +56,16 @@
 
 /// Why no message came.
 #[derive(Debug)]
-pub enum Broken {
+pub enum ReadError {
     /// The connection ended; whether part of a message had come.
-    Ended(bool),
+    Closed(bool),
     /// It can't be read.
-    Garbled,
+    Malformed,
 }
 
-impl From<io::Error> for Broken {
+impl From<io::Error> for ReadError {
     fn from(_: io::Error) -> Self {
-        Broken::Ended(true)
+        ReadError::Closed(true)
     }
 }
 
@@ -80,11 +80,11 @@
     }
 
     /// Reads on; whether something came.
-    async fn fill(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> Result<(), Broken> {
+    async fn fill(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> Result<(), ReadError> {
         match stream.read_buf(&mut self.0).await {
-            Ok(0) => Err(Broken::Ended(!self.0.is_empty())),
+            Ok(0) => Err(ReadError::Closed(!self.0.is_empty())),
             Ok(_) => Ok(()),
-            Err(_) => Err(Broken::Ended(!self.0.is_empty())),
+            Err(_) => Err(ReadError::Closed(!self.0.is_empty())),
         }
     }
 
@@ -92,17 +92,17 @@
     async fn take<T>(
         &mut self,
         stream: &mut (impl AsyncRead + Unpin),
-        parse: impl Fn(&[u8]) -> Result<Option<(T, usize, usize)>, Broken>,
-    ) -> Result<(T, Vec<u8>), Broken> {
+        parse: impl Fn(&[u8]) -> Result<Option<(T, usize, usize)>, ReadError>,
+    ) -> Result<(T, Vec<u8>), ReadError> {
         let (message, head, body) = loop {
             match parse(&self.0)? {
                 Some(parsed) => break parsed,
-                None if self.0.len() > MAX_HEAD => return Err(Broken::Garbled),
+                None if self.0.len() > MAX_HEAD => return Err(ReadError::Malformed),
                 None => self.fill(stream).await?,
             }
         };
         if body > MAX_BODY {
-            return Err(Broken::Garbled);
+            return Err(ReadError::Malformed);
         }
         while self.0.len() < head + body {
             self.fill(stream).await?;
@@ -113,7 +113,7 @@
     }
 
     /// Waits for the first byte of the next message; false if the connection ends before.
-    pub async fn begun(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> bool {
+    pub async fn wait_for_data(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> bool {
         !self.is_empty() || self.fill(stream).await.is_ok()
     }
 
@@ -121,30 +121,33 @@
     pub async fn request(
         &mut self,
         stream: &mut (impl AsyncRead + Unpin),
-    ) -> Result<Request, Broken> {
+    ) -> Result<Request, ReadError> {
         let (mut request, body) = self.take(stream, parse_request).await?;
-        request.body = body.len();
+        request.body_length = body.len();
         Ok(request)
     }
 
     /// Whether what lies there begins a text and no head.
-    pub fn speaks_rpc(&self) -> bool {
+    pub fn is_jsonrpc(&self) -> bool {
         self.0.first() == Some(&b'{')
     }
 
     /// Reads a call over JSON-RPC, a text a line. What tells it apart and its key stand in its
     /// parameters.
-    pub async fn call(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> Result<Request, Broken> {
+    pub async fn jsonrpc_call(
+        &mut self,
+        stream: &mut (impl AsyncRead + Unpin),
+    ) -> Result<Request, ReadError> {
         let end = loop {
             match self.0.iter().position(|b| *b == b'\n') {
                 Some(end) => break end,
-                None if self.0.len() > MAX_BODY => return Err(Broken::Garbled),
+                None if self.0.len() > MAX_BODY => return Err(ReadError::Malformed),
                 None => self.fill(stream).await?,
             }
         };
         let rest = self.0.split_off(end + 1);
         let line = std::mem::replace(&mut self.0, rest);
-        let call: Value = serde_json::from_slice(&line).map_err(|_| Broken::Garbled)?;
+        let call: Value = serde_json::from_slice(&line).map_err(|_| ReadError::Malformed)?;
         let hex = |name: &str| u64::from_str_radix(call["params"][name].as_str()?, 16).ok();
         Ok(Request {
             method: "POST".into(),
@@ -152,11 +155,11 @@
             id: hex("id"),
             key: hex("key"),
             deadline_ms: None,
-            body: line.len(),
-            rpc: Some(call["id"].to_string()),
-            carried: [None, None],
+            body_length: line.len(),
+            jsonrpc_id: Some(call["id"].to_string()),
+            budget_headers: [None, None],
             version: None,
-            duty: None,
+            lease_headers: None,
         })
     }
 
@@ -164,7 +167,7 @@
     pub async fn response(
         &mut self,
         stream: &mut (impl AsyncRead + Unpin),
-    ) -> Result<Response, Broken> {
+    ) -> Result<Response, ReadError> {
         loop {
             let (mut response, body) = self.take(stream, parse_response).await?;
             if response.status >= 200 {
@@ -197,30 +200,30 @@
 }
 
 /// The length that a head tells: none is 0, two are wrong, and codings are not spoken here.
-fn length(headers: &[httparse::Header]) -> Result<usize, Broken> {
+fn length(headers: &[httparse::Header]) -> Result<usize, ReadError> {
     if text(headers, "transfer-encoding").is_some() {
-        return Err(Broken::Garbled);
+        return Err(ReadError::Malformed);
     }
     let mut lengths = headers
         .iter()
         .filter(|h| h.name.eq_ignore_ascii_case("content-length"));
     let first = lengths.next();
     if lengths.next().is_some() {
-        return Err(Broken::Garbled);
+        return Err(ReadError::Malformed);
     }
     match first {
         None => Ok(0),
         Some(h) => std::str::from_utf8(h.value)
             .ok()
             .and_then(|v| v.trim().parse().ok())
-            .ok_or(Broken::Garbled),
+            .ok_or(ReadError::Malformed),
     }
 }
 
-fn parse_request(bytes: &[u8]) -> Result<Option<(Request, usize, usize)>, Broken> {
+fn parse_request(bytes: &[u8]) -> Result<Option<(Request, usize, usize)>, ReadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
-    let end = match head.parse(bytes).map_err(|_| Broken::Garbled)? {
+    let end = match head.parse(bytes).map_err(|_| ReadError::Malformed)? {
         httparse::Status::Partial => return Ok(None),
         httparse::Status::Complete(end) => end,
     };
@@ -230,27 +233,27 @@
         id: number(head.headers, "req-id"),
         key: number(head.headers, "idempotency-key"),
         deadline_ms: text(head.headers, "req-deadline-ms").and_then(|v| v.parse().ok()),
-        body: 0,
-        rpc: None,
-        carried: ["req-budget", "req-path"]
+        body_length: 0,
+        jsonrpc_id: None,
+        budget_headers: ["req-budget", "req-path"]
             .map(|name| text(head.headers, name).map(str::to_string)),
         version: text(head.headers, "req-version").map(str::to_string),
-        duty: duty(head.headers),
+        lease_headers: duty(head.headers),
     };
     Ok(Some((request, end, length(head.headers)?)))
 }
 
-fn parse_response(bytes: &[u8]) -> Result<Option<(Response, usize, usize)>, Broken> {
+fn parse_response(bytes: &[u8]) -> Result<Option<(Response, usize, usize)>, ReadError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let end = match head.parse(bytes).map_err(|_| Broken::Garbled)? {
+    let end = match head.parse(bytes).map_err(|_| ReadError::Malformed)? {
         httparse::Status::Partial => return Ok(None),
         httparse::Status::Complete(end) => end,
     };
     let status = head.code.unwrap_or_default();
     let response = Response {
         status,
-        spent: text(head.headers, "req-spent").map(str::to_string),
+        budget_spent: text(head.headers, "req-spent").map(str::to_string),
         retry_after: text(head.headers, "retry-after").and_then(|v| v.parse().ok()),
         close: text(head.headers, "connection").is_some_and(|v| v.eq_ignore_ascii_case("close")),
         body: Vec::new(),
@@ -267,9 +270,9 @@
 const DECLINED: i64 = -32050;
 
 /// An answer as bytes, in the words of the request.
-pub fn reply(to: &Request, status: u16, headers: &str, body: &str) -> Vec<u8> {
-    let Some(id) = &to.rpc else {
-        return answer(status, headers, body);
+pub fn encode_reply(to: &Request, status: u16, headers: &str, body: &str) -> Vec<u8> {
+    let Some(id) = &to.jsonrpc_id else {
+        return encode_response(status, headers, body);
     };
     let error = |code: i64| json!({"code": code, "message": format!("status {status}")});
     let member = match status {
@@ -282,7 +285,7 @@
 }
 
 /// An answer as bytes.
-pub fn answer(status: u16, headers: &str, body: &str) -> Vec<u8> {
+pub fn encode_response(status: u16, headers: &str, body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 {status} \r\nContent-Length: {}\r\n{headers}\r\n{body}",
         body.len()
@@ -302,7 +305,7 @@
         let mut buffer = Buffer::default();
         let one = buffer.request(&mut bytes).await.expect("whole");
         assert_eq!(
-            (one.method.as_str(), one.target.as_str(), one.body),
+            (one.method.as_str(), one.target.as_str(), one.body_length),
             ("POST", "/a?k=1", 3)
         );
         assert_eq!((one.id, one.key), (Some(0x1f), Some(2)));
@@ -310,7 +313,7 @@
         assert_eq!((two.target.as_str(), two.id), ("/b", None));
         assert!(matches!(
             buffer.request(&mut bytes).await,
-            Err(Broken::Ended(false))
+            Err(ReadError::Closed(false))
         ));
     }
 
@@ -319,45 +322,45 @@
         let mut bytes: &[u8] =
             b"{\"jsonrpc\":\"2.0\",\"method\":\"payout\",\"params\":{\"id\":\"1f\",\"key\":\"2\"},\"id\":7}\n{\"half";
         let mut buffer = Buffer::default();
-        assert!(buffer.begun(&mut bytes).await && buffer.speaks_rpc());
-        let call = buffer.call(&mut bytes).await.expect("whole");
+        assert!(buffer.wait_for_data(&mut bytes).await && buffer.is_jsonrpc());
+        let call = buffer.jsonrpc_call(&mut bytes).await.expect("whole");
         assert_eq!(
             (call.target.as_str(), call.id, call.key),
             ("/payout", Some(0x1f), Some(2))
         );
         assert_eq!(
-            reply(&call, 200, "", "done"),
+            encode_reply(&call, 200, "", "done"),
             b"{\"jsonrpc\":\"2.0\",\"result\":\"done\",\"id\":7}\n"
         );
-        let declined = reply(&call, 503, "", "");
+        let declined = encode_reply(&call, 503, "", "");
         assert!(String::from_utf8_lossy(&declined).contains("\"code\":-32050"));
         assert!(matches!(
-            buffer.call(&mut bytes).await,
-            Err(Broken::Ended(true))
+            buffer.jsonrpc_call(&mut bytes).await,
+            Err(ReadError::Closed(true))
         ));
     }
 
     #[tokio::test]
     async fn broken_and_unreadable_answers_are_told_apart() {
-        async fn read(mut bytes: &[u8]) -> Result<Response, Broken> {
+        async fn read(mut bytes: &[u8]) -> Result<Response, ReadError> {
             Buffer::default().response(&mut bytes).await
         }
-        assert!(matches!(read(b"").await, Err(Broken::Ended(false))));
+        assert!(matches!(read(b"").await, Err(ReadError::Closed(false))));
         assert!(matches!(
             read(b"HTTP/1.1 200 OK\r\nConte").await,
-            Err(Broken::Ended(true))
+            Err(ReadError::Closed(true))
         ));
         assert!(matches!(
             read(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf").await,
-            Err(Broken::Ended(true))
+            Err(ReadError::Closed(true))
         ));
         assert!(matches!(
             read(b"\x01noise\r\n\r\n").await,
-            Err(Broken::Garbled)
+            Err(ReadError::Malformed)
         ));
         assert!(matches!(
             read(b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n").await,
-            Err(Broken::Garbled)
+            Err(ReadError::Malformed)
         ));
         let good =
             read(b"HTTP/1.1 100 \r\n\r\nHTTP/1.1 503 \r\nRetry-After: 0.25\r\nContent-Length: 2\r\n\r\nno")
--- a/crates/heathroad-harness/src/remote.rs
+++ b/crates/heathroad-harness/src/jsonrpc_client.rs
@@ -1,8 +1,8 @@
 //! Calls to a proxy over JSON-RPC, as older finance systems make them: one connection to each
 //! proxy, calls pipelined or gathered into batches, each call's end classified.
 
-use crate::clock::{Clock, Micros, seconds};
-use crate::ledger::End;
+use crate::clock::{Clock, Micros, micros_from_seconds};
+use crate::event_log::AttemptEnd;
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -36,22 +36,22 @@
     /// Its key.
     pub key: Option<u64>,
     /// How long it is waited for.
-    pub patience: Micros,
+    pub time_limit: Micros,
 }
 
 /// How a call went.
-pub struct Told {
+pub struct CallResult {
     /// When the last byte of its text was written.
-    pub sent: Option<Micros>,
+    pub sent_at: Option<Micros>,
     /// When the proxy's close was found to have crossed it, so that it was sent once more.
-    pub crossed: Option<Micros>,
+    pub resent_at: Option<Micros>,
     /// How it ended.
-    pub end: End,
+    pub end: AttemptEnd,
     /// When.
-    pub ended: Micros,
+    pub ended_at: Micros,
 }
 
-type Waiters = Rc<RefCell<HashMap<u64, oneshot::Sender<End>>>>;
+type Waiters = Rc<RefCell<HashMap<u64, oneshot::Sender<AttemptEnd>>>>;
 
 struct Wire {
     writer: Mutex<OwnedWriteHalf>,
@@ -68,7 +68,7 @@
 }
 
 /// One connection to each proxy.
-pub struct Remote {
+pub struct JsonRpcClient {
     clock: Clock,
     /// Members of a batch; 1 is no batches.
     batch: usize,
@@ -86,25 +86,25 @@
 }
 
 /// What an answer means.
-fn meaning(id: u64, answer: &Value) -> End {
+fn meaning(id: u64, answer: &Value) -> AttemptEnd {
     if let Some(result) = answer.get("result") {
         return match result.as_str() {
-            Some(body) => crate::caller::served(id, body.as_bytes()),
-            None => End::Alien(result.to_string().chars().take(80).collect()),
+            Some(body) => crate::client::parse_response_body(id, body.as_bytes()),
+            None => AttemptEnd::UnknownBody(result.to_string().chars().take(80).collect()),
         };
     }
     let error = &answer["error"];
     match error["code"].as_i64() {
         Some(code) if code == CODES[0] => {
             let after = error["data"]["retry_after_ms"].as_f64();
-            End::Refused {
-                after: after.map(|ms| seconds(ms / 1000.0)),
+            AttemptEnd::Refused {
+                after: after.map(|ms| micros_from_seconds(ms / 1000.0)),
             }
         }
-        Some(code) if code == CODES[1] => End::Failed(502),
-        Some(code) if code == CODES[2] => End::Failed(504),
-        Some(_) => End::Failed(400),
-        None => End::Garbled,
+        Some(code) if code == CODES[1] => AttemptEnd::Failed(502),
+        Some(code) if code == CODES[2] => AttemptEnd::Failed(504),
+        Some(_) => AttemptEnd::Failed(400),
+        None => AttemptEnd::Malformed,
     }
 }
 
@@ -112,11 +112,11 @@
     u64::from_str_radix(answer["id"].as_str()?, 16).ok()
 }
 
-impl Remote {
+impl JsonRpcClient {
     /// Connects to nobody yet.
-    pub fn new(clock: Clock, batch: usize) -> Rc<Remote> {
+    pub fn new(clock: Clock, batch: usize) -> Rc<JsonRpcClient> {
         let (wires, extra) = Default::default();
-        Rc::new(Remote {
+        Rc::new(JsonRpcClient {
             clock,
             batch: batch.max(1),
             wires,
@@ -125,7 +125,7 @@
     }
 
     /// Calls to whose answer another came, or that were never made.
-    pub fn extras(&self) -> Vec<u64> {
+    pub fn take_unexpected(&self) -> Vec<u64> {
         self.extra.take()
     }
 
@@ -173,17 +173,17 @@
         waiters
             .borrow_mut()
             .drain()
-            .for_each(|(_, w)| drop(w.send(End::Broken(false))));
+            .for_each(|(_, w)| drop(w.send(AttemptEnd::Truncated(false))));
     }
 
     /// Makes one call.
-    pub async fn call(self: &Rc<Self>, to: SocketAddr, call: &Call) -> Told {
+    pub async fn call(self: &Rc<Self>, to: SocketAddr, call: &Call) -> CallResult {
         let told = self.once(to, call).await;
         match told.end {
-            End::Broken(false) => {
-                let crossed = Some(told.ended);
-                Told {
-                    crossed,
+            AttemptEnd::Truncated(false) => {
+                let crossed = Some(told.ended_at);
+                CallResult {
+                    resent_at: crossed,
                     ..self.once(to, call).await
                 }
             }
@@ -191,28 +191,30 @@
         }
     }
 
-    async fn once(self: &Rc<Self>, to: SocketAddr, call: &Call) -> Told {
-        let told = |sent, end| Told {
-            sent,
-            crossed: None,
+    async fn once(self: &Rc<Self>, to: SocketAddr, call: &Call) -> CallResult {
+        let told = |sent, end| CallResult {
+            sent_at: sent,
+            resent_at: None,
             end,
-            ended: self.clock.now(),
+            ended_at: self.clock.now(),
         };
         let Some(wire) = self.wire(to).await else {
-            return told(None, End::Unsent);
+            return told(None, AttemptEnd::Unsent);
         };
         let (waiter, end) = oneshot::channel();
         wire.waiters.borrow_mut().insert(call.id, waiter);
         let Some(sent) = self.send(&wire, text(call)).await else {
             wire.waiters.borrow_mut().remove(&call.id);
-            return told(None, End::Unsent);
+            return told(None, AttemptEnd::Unsent);
         };
-        let patience = Duration::from_micros(call.patience) + PAST;
+        let patience = Duration::from_micros(call.time_limit) + PAST;
         // Its waiter stays: an answer after that is a late one, and no extra.
         let end = timeout(patience, end).await;
         told(
             Some(sent),
-            end.map_or(End::Silence, |end| end.unwrap_or(End::Broken(false))),
+            end.map_or(AttemptEnd::NoResponse, |end| {
+                end.unwrap_or(AttemptEnd::Truncated(false))
+            }),
         )
     }
 
@@ -272,33 +274,36 @@
         let of = |text: &str| meaning(0x1f, &serde_json::from_str(text).expect("JSON"));
         assert_eq!(
             of(r#"{"result":"000000000000001f 0000000000000002"}"#),
-            End::Served(2)
+            AttemptEnd::Served(2)
         );
         assert!(matches!(
             of(r#"{"result":"0000000000000020 0000000000000002"}"#),
-            End::Alien(_)
+            AttemptEnd::UnknownBody(_)
         ));
-        assert!(matches!(of(r#"{"result":7}"#), End::Alien(_)));
+        assert!(matches!(of(r#"{"result":7}"#), AttemptEnd::UnknownBody(_)));
         let refused = r#"{"error":{"code":-32001,"message":"","data":{"retry_after_ms":250}}}"#;
         assert_eq!(
             of(refused),
-            End::Refused {
+            AttemptEnd::Refused {
                 after: Some(250_000)
             }
         );
         assert_eq!(
             of(r#"{"error":{"code":-32001,"message":""}}"#),
-            End::Refused { after: None }
+            AttemptEnd::Refused { after: None }
         );
         assert_eq!(
             of(r#"{"error":{"code":-32002,"message":""}}"#),
-            End::Failed(502)
+            AttemptEnd::Failed(502)
         );
         assert_eq!(
             of(r#"{"error":{"code":-32003,"message":""}}"#),
-            End::Failed(504)
+            AttemptEnd::Failed(504)
         );
-        assert_eq!(of(r#"{"error":{"code":7,"message":""}}"#), End::Failed(400));
-        assert_eq!(of(r#"{"id":1}"#), End::Garbled);
+        assert_eq!(
+            of(r#"{"error":{"code":7,"message":""}}"#),
+            AttemptEnd::Failed(400)
+        );
+        assert_eq!(of(r#"{"id":1}"#), AttemptEnd::Malformed);
     }
 }
--- a/crates/heathroad-harness/src/lib.rs
+++ b/crates/heathroad-harness/src/lib.rs
@@ -1,19 +1,20 @@
-//! A rehearsal kit for heathroad: real daemon processes between stand-in backends, a stand-in
-//! registry and an open-loop load, all on loopback, and a judge that says what service was worth
-//! and which of the four rules broke.
+//! Fault-injection tests of heathroad: real daemon processes between emulated backends, an emulated
+//! registry and an open-loop load generator, all on loopback, and an invariant checker that
+//! measures the service and reports violations of the four rules.
 //!
-//! A rehearsal goes one way through the modules:
+//! A run passes through these modules:
 //!
-//! - [`scenario`]: what is rehearsed, read from a checked TOML file.
-//! - [`plan`]: everything that will happen, drawn ahead from a seed, with a digest.
-//! - [`stage`]: puts it on. [`daemon`] runs the real processes, [`stand_in`] plays backends and
-//!   registry, [`load`] the clients (both over [`caller`] and [`http`], clients also over
-//!   [`remote`]). All write [`ledger`]s by one [`clock`].
-//! - [`fleet`]: several daemons with a network between them, for plain tests, without a stage.
-//! - [`judge`]: a pure function from ledgers to a verdict. [`agreement`] sets it beside the
-//!   daemon's own counts, [`audited`] sets the fleet's audit beside what backends saw.
-//! - [`outcome`]: the two together with the void rules, as table, JSON and exit code; [`report`] as
-//!   a page.
+//! - [`scenario`]: the description of a run, read from a validated TOML file.
+//! - [`schedule`]: all requests and faults of a run, generated from a seed, with a digest.
+//! - [`runner`]: executes the schedule. [`daemon`] manages the real processes, [`emulator`] provides
+//!   backends and registry, [`load_generator`] the clients (through [`client`], [`http`] and
+//!   [`jsonrpc_client`]). All of them write to the [`event_log`] with one [`clock`].
+//! - [`cluster`]: several daemons with an emulated network between them, for tests without a
+//!   scenario.
+//! - [`checker`]: a pure function from the event log to a verdict. [`metrics_check`] compares the log
+//!   with the daemons' own counters, [`audit_check`] with the fleet's audit.
+//! - [`summary`]: the results and whether the run is valid, as table, JSON and exit code; [`report`]
+//!   as an HTML page.
 
 #![allow(
     clippy::too_many_lines,
@@ -21,21 +22,21 @@
     reason = "the package is still to be split, see docs/ROADMAP.md"
 )]
 
-pub mod agreement;
-pub mod audited;
-pub mod caller;
+pub mod audit_check;
+pub mod checker;
 pub mod cli;
+pub mod client;
 pub mod clock;
+pub mod cluster;
 pub mod daemon;
-pub mod fleet;
+pub mod emulator;
+pub mod event_log;
 pub mod http;
-pub mod judge;
-pub mod ledger;
-pub mod load;
-pub mod outcome;
-pub mod plan;
-pub mod remote;
+pub mod jsonrpc_client;
+pub mod load_generator;
+pub mod metrics_check;
 pub mod report;
+pub mod runner;
 pub mod scenario;
-pub mod stage;
-pub mod stand_in;
+pub mod schedule;
+pub mod summary;
--- a/crates/heathroad-harness/src/load.rs
+++ b/crates/heathroad-harness/src/load_generator.rs
@@ -2,13 +2,13 @@
 //! nobody, so that a slow proxy delays no request but its own; how late the driver itself is gets
 //! measured, and voids what it can't vouch for.
 
-use crate::caller::{Ask, Caller, Told};
+use crate::client::{CallResult, Client, ClientRequest};
 use crate::clock::{Clock, Micros};
-use crate::ledger::{End, ProxyNo, Rude, Try};
-use crate::plan::{FirstTry, Plan, RUDE_KINDS, RudeTry};
-use crate::remote::{self, Call, Remote};
+use crate::emulator::backend::mix;
+use crate::event_log::{Attempt, AttemptEnd, MalformedClient, ProxyIndex};
+use crate::jsonrpc_client::{self, Call, JsonRpcClient};
 use crate::scenario::{Class, Effect, Group};
-use crate::stand_in::backend::mix;
+use crate::schedule::{MALFORMED_REQUEST_KINDS, MalformedRequest, Schedule, ScheduledRequest};
 use hdrhistogram::Histogram;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -31,18 +31,18 @@
 const SLOW: Micros = 150_000;
 /// A client that sends what can't be used is owed an answer or a close within this (and is waited
 /// for a bit more).
-pub const RUDE_OWED: Micros = 3_000_000;
+pub const MALFORMED_REQUEST_TIMEOUT: Micros = 3_000_000;
 /// The number of a repeat that the plan orders, in place of a retry's.
 pub const PLANNED_REPEAT: u8 = u8::MAX;
 
 /// The layer before the first tier's proxies: it knows those that were ready, and notices a death
 /// late.
 #[derive(Default)]
-pub struct Front(Mutex<Vec<(ProxyNo, SocketAddr, Option<SocketAddr>)>>);
+pub struct LoadBalancer(Mutex<Vec<(ProxyIndex, SocketAddr, Option<SocketAddr>)>>);
 
-impl Front {
+impl LoadBalancer {
     /// Takes a proxy in, in place of what was known under its number.
-    pub fn put(&self, proxy: ProxyNo, addr: SocketAddr, remote: Option<SocketAddr>) {
+    pub fn add(&self, proxy: ProxyIndex, addr: SocketAddr, remote: Option<SocketAddr>) {
         if let Ok(mut list) = self.0.lock() {
             list.retain(|(p, ..)| *p != proxy);
             list.push((proxy, addr, remote));
@@ -51,13 +51,13 @@
     }
 
     /// Sends nothing to a proxy any more.
-    pub fn take(&self, proxy: ProxyNo) {
+    pub fn remove(&self, proxy: ProxyIndex) {
         if let Ok(mut list) = self.0.lock() {
             list.retain(|(p, ..)| *p != proxy);
         }
     }
 
-    fn pick(&self, by: u64) -> Option<(ProxyNo, SocketAddr, Option<SocketAddr>)> {
+    fn pick(&self, by: u64) -> Option<(ProxyIndex, SocketAddr, Option<SocketAddr>)> {
         let list = self.0.lock().ok()?;
         let n = list.len() as u64;
         list.get(by.checked_rem(n)? as usize).copied()
@@ -65,73 +65,73 @@
 }
 
 /// What the driver has seen.
-pub struct Driven {
+pub struct LoadResult {
     /// Every try.
-    pub tries: Vec<Try>,
+    pub attempts: Vec<Attempt>,
     /// Those who send what can't be used.
-    pub rude: Vec<Rude>,
+    pub malformed_clients: Vec<MalformedClient>,
     /// How late first tries were begun, in microseconds.
     pub lateness: Histogram<u64>,
     /// First tries that were not begun at all, for want of room here.
     pub dropped: u64,
     /// Tries that failed for want of descriptors here.
-    pub starved: u64,
+    pub descriptor_failures: u64,
 }
 
 /// How far the driver is, for those who wait.
 #[derive(Default)]
 pub struct Progress {
     /// First tries begun.
-    pub begun: AtomicU64,
+    pub started: AtomicU64,
 }
 
-struct Driver {
-    plan: Arc<Plan>,
+struct LoadGenerator {
+    schedule: Arc<Schedule>,
     clock: Clock,
-    front: Arc<Front>,
-    caller: Rc<Caller>,
-    remote: Rc<Remote>,
-    tries: RefCell<Vec<Try>>,
-    rude: RefCell<Vec<Rude>>,
+    front: Arc<LoadBalancer>,
+    client: Rc<Client>,
+    remote: Rc<JsonRpcClient>,
+    tries: RefCell<Vec<Attempt>>,
+    rude: RefCell<Vec<MalformedClient>>,
     starved: Cell<u64>,
 }
 
 /// Drives the plan's load on a thread of its own, until its end or until `stop` is set.
 pub fn start(
-    plan: Arc<Plan>,
+    schedule: Arc<Schedule>,
     clock: Clock,
-    front: Arc<Front>,
+    front: Arc<LoadBalancer>,
     progress: Arc<Progress>,
     stop: watch::Receiver<bool>,
-) -> JoinHandle<Result<Driven, String>> {
+) -> JoinHandle<Result<LoadResult, String>> {
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
         let runtime = runtime.map_err(|e| format!("the driver's runtime: {e}"))?;
-        LocalSet::new().block_on(&runtime, drive(plan, clock, front, progress, stop))
+        LocalSet::new().block_on(&runtime, drive(schedule, clock, front, progress, stop))
     })
 }
 
 async fn drive(
-    plan: Arc<Plan>,
+    schedule: Arc<Schedule>,
     clock: Clock,
-    front: Arc<Front>,
+    front: Arc<LoadBalancer>,
     progress: Arc<Progress>,
     mut stop: watch::Receiver<bool>,
-) -> Result<Driven, String> {
-    let (caller, tries, rude, starved) = (
+) -> Result<LoadResult, String> {
+    let (client, tries, rude, starved) = (
         Rc::default(),
         RefCell::default(),
         RefCell::default(),
         Cell::new(0),
     );
-    let remote = Remote::new(clock, usize::from(plan.scenario.clients.batch));
-    let driver = Rc::new(Driver {
-        plan: plan.clone(),
+    let remote = JsonRpcClient::new(clock, usize::from(schedule.scenario.clients.batch));
+    let driver = Rc::new(LoadGenerator {
+        schedule: schedule.clone(),
         clock,
         front,
-        caller,
+        client,
         remote,
         tries,
         rude,
@@ -139,16 +139,16 @@
     });
     let mut lateness = Histogram::new_with_max(600_000_000, 3).map_err(|e| e.to_string())?;
     let (mut open, mut dropped) = (JoinSet::new(), 0);
-    let mut rude = plan.rude.iter().peekable();
-    for (number, first) in plan.tries.iter().enumerate() {
+    let mut rude = schedule.malformed_requests.iter().peekable();
+    for (number, first) in schedule.requests.iter().enumerate() {
         while let Some(next) = rude.next_if(|r| r.at <= first.at) {
-            clock.until(next.at).await;
+            clock.sleep_until(next.at).await;
             open.spawn_local(driver.clone().rude(next.clone()));
         }
         tokio::select! {
             biased;
             _ = stop.wait_for(|stop| *stop) => break,
-            () = clock.until(first.at) => {}
+            () = clock.sleep_until(first.at) => {}
         }
         // What has ended is taken away as the load goes on.
         while open.try_join_next().is_some() {}
@@ -157,7 +157,7 @@
             continue;
         }
         lateness.saturating_record(clock.now().saturating_sub(first.at));
-        progress.begun.fetch_add(1, Ordering::Relaxed);
+        progress.started.fetch_add(1, Ordering::Relaxed);
         open.spawn_local(driver.clone().first(number as u32, first.clone()));
     }
     loop {
@@ -168,27 +168,27 @@
         }
     }
     open.shutdown().await;
-    let mut extras = driver.caller.extras();
-    extras.extend(driver.remote.extras());
+    let mut extras = driver.client.take_unexpected();
+    extras.extend(driver.remote.take_unexpected());
     let mut tries = driver.tries.take();
     tries
         .iter_mut()
-        .for_each(|t| t.extra = extras.contains(&t.id));
-    tries.sort_by_key(|t| (t.first, t.number));
-    Ok(Driven {
-        tries,
-        rude: driver.rude.take(),
+        .for_each(|t| t.unexpected_data = extras.contains(&t.id));
+    tries.sort_by_key(|t| (t.request_index, t.retry));
+    Ok(LoadResult {
+        attempts: tries,
+        malformed_clients: driver.rude.take(),
         lateness,
         dropped,
-        starved: driver.starved.get(),
+        descriptor_failures: driver.starved.get(),
     })
 }
 
 /// Whether a client may ask again by itself after such an end, so long after its first try.
-fn may_retry(class: &Class, end: &End, passed: Micros) -> bool {
+fn may_retry(class: &Class, end: &AttemptEnd, passed: Micros) -> bool {
     match end {
-        End::Served(_) | End::HungUp => false,
-        End::Refused { .. } | End::Unsent => true,
+        AttemptEnd::Served(_) | AttemptEnd::Cancelled => false,
+        AttemptEnd::Refused { .. } | AttemptEnd::Unsent => true,
         _ => match class.effect {
             Effect::Safe => true,
             Effect::Keyed => {
@@ -199,11 +199,11 @@
     }
 }
 
-impl Driver {
-    async fn first(self: Rc<Self>, number: u32, first: FirstTry) {
-        let class = self.plan.class(first.class);
+impl LoadGenerator {
+    async fn first(self: Rc<Self>, number: u32, first: ScheduledRequest) {
+        let class = self.schedule.class(first.class);
         let whole = (class.deadline_ms * 1000.0) as Micros;
-        let clients = &self.plan.scenario.clients;
+        let clients = &self.schedule.scenario.clients;
         let mut pause = (clients.backoff_ms * 1000.0) as Micros;
         for retry in 0..=clients.retries {
             let passed = self.clock.now().saturating_sub(first.at);
@@ -213,10 +213,10 @@
             }
             // A call over JSON-RPC doesn't say how long it waits: its class's time is taken for it,
             // of retries too.
-            let patience = if first.remote {
+            let patience = if first.uses_jsonrpc {
                 whole
             } else {
-                ((first.patience * whole as f64) as Micros).min(left)
+                ((first.time_limit_share * whole as f64) as Micros).min(left)
             };
             if patience < LEAST {
                 break;
@@ -227,22 +227,28 @@
                 break;
             }
             let wait = match end {
-                End::Refused { after: Some(after) } if first.heeds => after,
+                AttemptEnd::Refused { after: Some(after) } if first.honours_retry_after => after,
                 _ => pause,
             };
             pause *= 2;
             sleep(Duration::from_micros(wait)).await;
         }
-        if let Some(after) = first.repeat {
-            self.clock.until(first.at + after).await;
+        if let Some(after) = first.repeat_after {
+            self.clock.sleep_until(first.at + after).await;
             self.attempt(number, &first, PLANNED_REPEAT, whole).await;
         }
     }
 
-    async fn attempt(&self, number: u32, first: &FirstTry, retry: u8, patience: Micros) -> End {
-        let class = self.plan.class(first.class);
+    async fn attempt(
+        &self,
+        number: u32,
+        first: &ScheduledRequest,
+        retry: u8,
+        patience: Micros,
+    ) -> AttemptEnd {
+        let class = self.schedule.class(first.class);
         let id = mix(
-            mix(self.plan.seed, u64::from(number) + 1),
+            mix(self.schedule.seed, u64::from(number) + 1),
             u64::from(retry) + 1,
         );
         let due = if retry == 0 {
@@ -250,12 +256,12 @@
         } else {
             self.clock.now()
         };
-        let slow = if first.slow { SLOW } else { 0 };
-        let key = self.plan.keyed(first.class).then_some(first.key);
+        let slow = if first.reads_slowly { SLOW } else { 0 };
+        let key = self.schedule.is_keyed(first.class).then_some(first.key);
         let told = match self.front.pick(id) {
             None => (0, None),
-            Some((proxy, _, Some(addr))) if first.remote => {
-                let tenant = self.plan.scenario.tenant[usize::from(first.tenant)]
+            Some((proxy, _, Some(addr))) if first.uses_jsonrpc => {
+                let tenant = self.schedule.scenario.tenant[usize::from(first.tenant)]
                     .name
                     .clone();
                 let call = Call {
@@ -263,87 +269,88 @@
                     method: class.name.clone(),
                     tenant,
                     key,
-                    patience,
+                    time_limit: patience,
                 };
-                let remote::Told {
-                    sent,
-                    crossed,
+                let jsonrpc_client::CallResult {
+                    sent_at: sent,
+                    resent_at: crossed,
                     end,
-                    ended,
+                    ended_at: ended,
                 } = self.remote.call(addr, &call).await;
                 (
                     proxy,
-                    Some(Told {
-                        sent,
-                        crossed,
+                    Some(CallResult {
+                        sent_at: sent,
+                        resent_at: crossed,
                         end,
-                        ended,
-                        spent: None,
+                        ended_at: ended,
+                        budget_spent: None,
                     }),
                 )
             }
             Some((proxy, addr, _)) => {
-                let ask = Ask {
+                let ask = ClientRequest {
                     id,
                     path: format!("/{}?k={:x}", class.name, first.key),
                     tenant: Some(
-                        self.plan.scenario.tenant[usize::from(first.tenant)]
+                        self.schedule.scenario.tenant[usize::from(first.tenant)]
                             .name
                             .clone(),
                     ),
                     key,
                     safe: class.effect == Effect::Safe,
-                    patience,
+                    time_limit: patience,
                     retry: retry > 0,
-                    hang_up: first
-                        .hang_up
+                    cancel_after: first
+                        .cancel_after
                         .filter(|_| retry == 0)
                         .map(|h| (h * patience as f64) as Micros),
-                    slow,
-                    carried: [None, None],
+                    read_delay: slow,
+                    budget_headers: [None, None],
                 };
-                (proxy, Some(self.caller.call(self.clock, addr, &ask).await))
+                (proxy, Some(self.client.call(self.clock, addr, &ask).await))
             }
         };
         let (proxy, told) = told;
         let (sent, crossed, end, ended) = match told {
-            Some(told) => (told.sent, told.crossed, told.end, told.ended),
-            None => (None, None, End::Unsent, self.clock.now()),
+            Some(told) => (told.sent_at, told.resent_at, told.end, told.ended_at),
+            None => (None, None, AttemptEnd::Unsent, self.clock.now()),
         };
-        if end == End::Unsent && out_of_descriptors() {
+        if end == AttemptEnd::Unsent && out_of_descriptors() {
             self.starved.set(self.starved.get() + 1);
         }
-        self.tries.borrow_mut().push(Try {
+        self.tries.borrow_mut().push(Attempt {
             id,
             tier: 0,
             parent: None,
-            first: number,
-            number: retry,
+            request_index: number,
+            retry,
             class: first.class,
             tenant: first.tenant,
             key,
             proxy,
-            due,
-            sent,
-            crossed,
-            patience,
-            slow,
+            scheduled_at: due,
+            sent_at: sent,
+            resent_at: crossed,
+            time_limit: patience,
+            read_delay: slow,
             end: end.clone(),
-            ended,
-            extra: false,
+            ended_at: ended,
+            unexpected_data: false,
         });
         end
     }
 
     /// Sends what can't be used, and sees what comes.
-    async fn rude(self: Rc<Self>, order: RudeTry) {
+    async fn rude(self: Rc<Self>, order: MalformedRequest) {
         let at = self.clock.now();
-        let id = mix(mix(self.plan.seed, order.at), 0x52_55_44_45);
+        let id = mix(mix(self.schedule.seed, order.at), 0x52_55_44_45);
         let Some((_, addr, _)) = self.front.pick(id) else {
             return;
         };
         let (kind, bytes, hidden) = self.noise(order.kind, id);
-        let owed = Duration::from_micros(RUDE_OWED + RUDE_OWED / 10);
+        let owed =
+            Duration::from_micros(MALFORMED_REQUEST_TIMEOUT + MALFORMED_REQUEST_TIMEOUT / 10);
         let status = Cell::new(None);
         let talk = async {
             let mut stream = TcpStream::connect(addr).await?;
@@ -369,17 +376,17 @@
             return;
         }
         let ended = done.is_ok().then(|| self.clock.now());
-        self.rude.borrow_mut().push(Rude {
+        self.rude.borrow_mut().push(MalformedClient {
             kind,
-            hidden,
+            smuggled_id: hidden,
             at,
             status: status.get(),
-            ended,
+            ended_at: ended,
         });
     }
 
     fn noise(&self, kind: usize, id: u64) -> (&'static str, Vec<u8>, Option<u64>) {
-        let scenario = &self.plan.scenario;
+        let scenario = &self.schedule.scenario;
         let owner = &scenario.tenant[0].name;
         let safe = scenario
             .class
@@ -392,7 +399,7 @@
         let sound = format!("Req-Id: {id:016x}\r\nReq-Deadline-Ms: 1000\r\n");
         let get = format!("GET /{}?k=1", safe.name);
         let post = format!("POST /{}?k=1", safe.name);
-        let (name, text, hidden) = match kind % RUDE_KINDS {
+        let (name, text, hidden) = match kind % MALFORMED_REQUEST_KINDS {
             0 => (
                 "noise",
                 "\u{1}\u{2} not a request at all\r\n\r\n".to_string(),
--- a/crates/heathroad-harness/src/agreement.rs
+++ b/crates/heathroad-harness/src/metrics_check.rs
@@ -1,8 +1,8 @@
 //! Agreement: what the ledgers hold beside what the daemon itself counted, line by line. A daemon
 //! that miscounts is found out here, and so is a judge that missed something.
 
-use crate::ledger::{Answer, End, Fate};
-use crate::stage::{Counted, Seen};
+use crate::event_log::{AttemptEnd, Disposition, ResponseKind};
+use crate::runner::{ProxyCounts, RunRecord};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -28,8 +28,8 @@
     }
 }
 
-fn count(counts: &[&Counted], path: &[&str]) -> u64 {
-    let of = |c: &&Counted| {
+fn count(counts: &[&ProxyCounts], path: &[&str]) -> u64 {
+    let of = |c: &&ProxyCounts| {
         let mut value = c.counts.as_ref()?;
         for name in path {
             value = value.get(name)?;
@@ -40,10 +40,10 @@
 }
 
 /// The answer to what comes round.
-const LOOPED: End = End::Failed(508);
+const LOOPED: AttemptEnd = AttemptEnd::Failed(508);
 
 /// Final answers by class, tenant and kind, over all processes.
-fn finals(counts: &[&Counted]) -> BTreeMap<(String, String, String), u64> {
+fn finals(counts: &[&ProxyCounts]) -> BTreeMap<(String, String, String), u64> {
     let mut sums = BTreeMap::new();
     for row in counts
         .iter()
@@ -66,11 +66,15 @@
 
 /// Sets the ledgers beside the daemons' counts: the first tier's answers by class and tenant, and
 /// every tier's attempts by what backends did with them.
-pub fn compare(seen: &Seen) -> Vec<Line> {
+pub fn compare(seen: &RunRecord) -> Vec<Line> {
     let mut lines = Vec::new();
-    for tier in 0..seen.plan.scenario.tier.len() as u8 {
-        let of_tier = |proxy: u16| seen.proxy_tier.get(usize::from(proxy)) == Some(&tier);
-        let counts: Vec<&Counted> = seen.counts.iter().filter(|c| of_tier(c.proxy)).collect();
+    for tier in 0..seen.schedule.scenario.tier.len() as u8 {
+        let of_tier = |proxy: u16| seen.proxy_tiers.get(usize::from(proxy)) == Some(&tier);
+        let counts: Vec<&ProxyCounts> = seen
+            .proxy_counts
+            .iter()
+            .filter(|c| of_tier(c.proxy))
+            .collect();
         let killed = counts.iter().any(|c| c.counts.is_none());
         if tier == 0 {
             lines.extend(answers(seen, &counts, killed));
@@ -83,12 +87,17 @@
 
 /// Calls that came round, ended by 508 wherever that was. Who lost its connection can't tell
 /// whether it was.
-fn came_round(seen: &Seen) -> Line {
-    let all: Vec<&Counted> = seen.counts.iter().collect();
-    let round = || seen.ledgers.tries.iter().filter(|t| t.came_round());
+fn came_round(seen: &RunRecord) -> Line {
+    let all: Vec<&ProxyCounts> = seen.proxy_counts.iter().collect();
+    let round = || seen.event_log.attempts.iter().filter(|t| t.is_looped());
     let sure = round().filter(|t| t.end == LOOPED).count() as u64;
     let unsure = round()
-        .filter(|t| matches!(t.end, End::HungUp | End::Broken(_) | End::Silence))
+        .filter(|t| {
+            matches!(
+                t.end,
+                AttemptEnd::Cancelled | AttemptEnd::Truncated(_) | AttemptEnd::NoResponse
+            )
+        })
         .count() as u64;
     Line {
         what: "calls that came round, ended".into(),
@@ -98,31 +107,35 @@
     }
 }
 
-fn answers(seen: &Seen, counts: &[&Counted], killed: bool) -> Vec<Line> {
+fn answers(seen: &RunRecord, counts: &[&ProxyCounts], killed: bool) -> Vec<Line> {
     let finals = finals(counts);
-    let s = &seen.plan.scenario;
+    let s = &seen.schedule.scenario;
     let mut lines = Vec::new();
     for (c, class) in s.class.iter().enumerate() {
         for (t, tenant) in s.tenant.iter().enumerate() {
-            let of = |try_: &&crate::ledger::Try| {
+            let of = |try_: &&crate::event_log::Attempt| {
                 // What came round is answered before it is anybody's, and has a line of its own.
                 let ours = try_.tier == 0 && try_.end != LOOPED;
                 ours && (usize::from(try_.class), usize::from(try_.tenant)) == (c, t)
             };
-            let tries: Vec<_> = seen.ledgers.tries.iter().filter(of).collect();
-            let ends =
-                |is: &dyn Fn(&End) -> bool| tries.iter().filter(|t| is(&t.end)).count() as u64;
+            let tries: Vec<_> = seen.event_log.attempts.iter().filter(of).collect();
+            let ends = |is: &dyn Fn(&AttemptEnd) -> bool| {
+                tries.iter().filter(|t| is(&t.end)).count() as u64
+            };
             // Who left or lost its connection can't tell what the proxy had done with it, or
             // whether it was read.
-            let unclear = |e: &End| {
+            let unclear = |e: &AttemptEnd| {
                 matches!(
                     e,
-                    End::HungUp | End::Broken(_) | End::Silence | End::Garbled
+                    AttemptEnd::Cancelled
+                        | AttemptEnd::Truncated(_)
+                        | AttemptEnd::NoResponse
+                        | AttemptEnd::Malformed
                 )
             };
             let unsure = tries
                 .iter()
-                .filter(|t| unclear(&t.end) || t.crossed.is_some())
+                .filter(|t| unclear(&t.end) || t.resent_at.is_some())
                 .count() as u64;
             let said = |kinds: &[&str]| {
                 let key = |k: &&str| (class.name.clone(), tenant.name.clone(), (*k).to_string());
@@ -134,17 +147,17 @@
             let kinds: [(&str, u64, u64); 4] = [
                 (
                     "served",
-                    ends(&|e| matches!(e, End::Served(_) | End::Alien(_))),
+                    ends(&|e| matches!(e, AttemptEnd::Served(_) | AttemptEnd::UnknownBody(_))),
                     said(&["served"]),
                 ),
                 (
                     "refused",
-                    ends(&|e| matches!(e, End::Refused { .. })),
+                    ends(&|e| matches!(e, AttemptEnd::Refused { .. })),
                     said(&["refused"]),
                 ),
                 (
                     "failed",
-                    ends(&|e| matches!(e, End::Failed(_))),
+                    ends(&|e| matches!(e, AttemptEnd::Failed(_))),
                     said(&["failed", "timed_out"]),
                 ),
                 ("left", 0, said(&["left"])),
@@ -163,19 +176,19 @@
     lines
 }
 
-fn attempts(seen: &Seen, tier: u8, counts: &[&Counted], killed: bool) -> Vec<Line> {
-    let name = &seen.plan.scenario.tier[usize::from(tier)].name;
+fn attempts(seen: &RunRecord, tier: u8, counts: &[&ProxyCounts], killed: bool) -> Vec<Line> {
+    let name = &seen.schedule.scenario.tier[usize::from(tier)].name;
     let arrivals: Vec<_> = seen
-        .ledgers
+        .event_log
         .arrivals
         .iter()
         .filter(|a| a.tier == tier)
         .collect();
-    let tally = |is: &dyn Fn(&crate::ledger::Arrival) -> bool| {
+    let tally = |is: &dyn Fn(&crate::event_log::Arrival) -> bool| {
         arrivals.iter().filter(|a| is(a)).count() as u64
     };
-    let ended = |outcome: &str| count(counts, &["attempts", outcome]);
-    let late = |outcome: &str| count(counts, &["late_ends", outcome]);
+    let ended = |summary: &str| count(counts, &["attempts", summary]);
+    let late = |summary: &str| count(counts, &["late_ends", summary]);
     let all: u64 = [
         "served",
         "error",
@@ -191,7 +204,7 @@
     // What timed out or was cancelled may never have left, or have gone to a machine that no longer
     // reads.
     let unsure = ended("timeout") + ended("cancelled") + ended("reset");
-    let whole = |kind: Answer| tally(&|a| a.answer == kind && a.done.is_some());
+    let whole = |kind: ResponseKind| tally(&|a| a.response == kind && a.responded_at.is_some());
     let line = |what: &str, seen: [u64; 2], counted: u64| Line {
         what: format!("{name}: {what}"),
         seen,
@@ -210,24 +223,24 @@
         line(
             "attempts served",
             [
-                whole(Answer::Served).saturating_sub(unsure),
-                whole(Answer::Served),
+                whole(ResponseKind::Served).saturating_sub(unsure),
+                whole(ResponseKind::Served),
             ],
             ended("served") + late("served"),
         ),
         line(
             "attempts declined",
             [
-                whole(Answer::Declined).saturating_sub(unsure),
-                whole(Answer::Declined),
+                whole(ResponseKind::Declined).saturating_sub(unsure),
+                whole(ResponseKind::Declined),
             ],
             ended("declined") + late("declined"),
         ),
         line(
             "attempts answered with an error",
             [
-                whole(Answer::Error).saturating_sub(unsure),
-                whole(Answer::Error),
+                whole(ResponseKind::Error).saturating_sub(unsure),
+                whole(ResponseKind::Error),
             ],
             ended("error") + late("error"),
         ),
@@ -241,10 +254,10 @@
                 let again = by_id.values().map(|n| n - 1).sum::<u64>();
                 // Those that their senders sent once more may have come twice with nobody's resend.
                 let crossed = seen
-                    .ledgers
-                    .tries
+                    .event_log
+                    .attempts
                     .iter()
-                    .filter(|t| t.tier == tier && t.crossed.is_some());
+                    .filter(|t| t.tier == tier && t.resent_at.is_some());
                 let least = again.saturating_sub(crossed.count() as u64);
                 // Those before or behind which nothing arrived are seen by the daemon alone.
                 let unseen = ended("connect_failed") + ended("unsent") + unsure;
@@ -267,8 +280,8 @@
         ),
         line(
             "repeats dropped, of attempts served",
-            [0, whole(Answer::Served)],
-            tally(&|a| a.fate == Fate::Repeat && a.done.is_some()),
+            [0, whole(ResponseKind::Served)],
+            tally(&|a| a.disposition == Disposition::Duplicate && a.responded_at.is_some()),
         ),
     ]
 }
--- a/crates/heathroad-harness/src/report.rs
+++ b/crates/heathroad-harness/src/report.rs
@@ -1,10 +1,10 @@
 //! The report: one self-contained page with the verdict, plots through time and what was counted on
 //! both sides. The plots are SVG inside the page; it asks for nothing from anywhere.
 
-use crate::clock::{Micros, SECOND, show};
-use crate::ledger::End;
-use crate::load::PLANNED_REPEAT;
-use crate::outcome::{Code, Outcome};
+use crate::clock::{Micros, SECOND, format_seconds};
+use crate::event_log::AttemptEnd;
+use crate::load_generator::PLANNED_REPEAT;
+use crate::summary::{Code, Summary};
 use plotters::prelude::*;
 use std::fmt::Write;
 
@@ -39,38 +39,38 @@
     breaches: Vec<f64>,
 }
 
-fn seconds(at: Micros, start: Micros) -> f64 {
+fn micros_from_seconds(at: Micros, start: Micros) -> f64 {
     at as f64 / SECOND as f64 - start as f64 / SECOND as f64
 }
 
 /// The page.
-pub fn page(outcome: &Outcome) -> Result<String, String> {
-    let plan = &outcome.seen.plan;
-    let at = |t: Micros| seconds(t, plan.start);
-    let changes = plan
+pub fn page(summary: &Summary) -> Result<String, String> {
+    let schedule = &summary.record.schedule;
+    let at = |t: Micros| micros_from_seconds(t, schedule.start);
+    let changes = schedule
         .scenario
         .change
         .iter()
         .map(|c| (c.at_s, c.at_s, "change of routes".to_string()));
     let back = Backdrop {
-        length: plan.length as f64 / SECOND as f64,
-        bands: plan
+        length: schedule.duration as f64 / SECOND as f64,
+        bands: schedule
             .faults
             .iter()
-            .map(|f| (at(f.at), at(f.until), f.label(&plan.scenario)))
+            .map(|f| (at(f.at), at(f.until), f.label(&schedule.scenario)))
             .chain(changes)
             .collect(),
-        breaches: outcome.verdict.breaches.iter().map(|b| at(b.at)).collect(),
+        breaches: summary.verdict.breaches.iter().map(|b| at(b.at)).collect(),
     };
     let mut out = String::new();
-    write_page(&mut out, outcome, &back).map_err(|e| format!("report: {e}"))?;
+    write_page(&mut out, summary, &back).map_err(|e| format!("report: {e}"))?;
     Ok(out)
 }
 
-fn write_page(out: &mut String, outcome: &Outcome, back: &Backdrop) -> Result<(), String> {
+fn write_page(out: &mut String, summary: &Summary, back: &Backdrop) -> Result<(), String> {
     let text = |e: std::fmt::Error| e.to_string();
-    let title = escape(&outcome.seen.plan.title());
-    let (word, colour) = match outcome.code() {
+    let title = escape(&summary.record.schedule.title());
+    let (word, colour) = match summary.code() {
         Code::Kept => ("all kept", "#00704f"),
         Code::Void => ("void: no verdict", "#8a6100"),
         _ => ("broken", "#b00000"),
@@ -84,24 +84,24 @@
          font-variant-numeric:tabular-nums}}tr.off td{{background:#fde8e4}}svg{{width:100%;height:auto}}\
          .verdict{{color:#fff;background:{colour};padding:.15em .6em;border-radius:.2em}}</style>\
          <h1>{title}</h1><p><span class=\"verdict\">{word}</span></p><p>{}</p><pre>{}</pre>",
-        escape(outcome.seen.plan.scenario.about.trim()),
-        escape(&outcome.table()),
+        escape(summary.record.schedule.scenario.about.trim()),
+        escape(&summary.table()),
     )
     .map_err(text)?;
     out.push_str("<h2>Worth by second, against what was asked</h2>");
-    out.push_str(&chart(back, "worth", &worth(outcome))?);
+    out.push_str(&chart(back, "worth", &worth(summary))?);
     out.push_str("<h2>Latency of what was served, retries folded in</h2>");
-    out.push_str(&chart(back, "ms", &latency(outcome))?);
+    out.push_str(&chart(back, "ms", &latency(summary))?);
     out.push_str("<h2>Limit and calls in flight, by proxy of the first tier</h2>");
-    out.push_str(&chart(back, "calls", &limits(outcome))?);
+    out.push_str(&chart(back, "calls", &limits(summary))?);
     out.push_str("<p>Grey bands are faults, red lines are breaches.</p><h2>Breaches</h2>");
-    if outcome.verdict.breaches.is_empty() {
+    if summary.verdict.breaches.is_empty() {
         out.push_str("<p>None.</p>");
     } else {
         out.push_str("<table><tr><th>Rule<th>At<th>Request<th>Proof</tr>");
-        for b in &outcome.verdict.breaches {
+        for b in &summary.verdict.breaches {
             let id = b.id.map(|id| format!("{id:016x}")).unwrap_or_default();
-            let (rule, at, proof) = (b.rule.name(), show(b.at), escape(&b.proof));
+            let (rule, at, proof) = (b.rule.name(), format_seconds(b.at), escape(&b.proof));
             write!(
                 out,
                 "<tr><td>{rule}<td class=n>{at}<td>{id}<td>{proof}</tr>"
@@ -113,7 +113,7 @@
     out.push_str(
         "<h2>Ledgers beside the daemons' own counts</h2><table><tr><th>Figure<th>Seen<th>Counted</tr>",
     );
-    for l in &outcome.lines {
+    for l in &summary.lines {
         let [least, most] = l.seen;
         let seen = if least == most {
             least.to_string()
@@ -147,8 +147,8 @@
     out
 }
 
-fn worth(outcome: &Outcome) -> Vec<Series> {
-    let by_second = &outcome.verdict.worth.by_second;
+fn worth(summary: &Summary) -> Vec<Series> {
+    let by_second = &summary.verdict.worth.by_second;
     let points = |i: usize| {
         by_second
             .iter()
@@ -171,22 +171,24 @@
     vec![earned, asked]
 }
 
-fn latency(outcome: &Outcome) -> Vec<Series> {
-    let plan = &outcome.seen.plan;
-    let mut seconds = vec![Vec::new(); plan.length.div_ceil(SECOND).max(1) as usize];
+fn latency(summary: &Summary) -> Vec<Series> {
+    let schedule = &summary.record.schedule;
+    let mut seconds = vec![Vec::new(); schedule.duration.div_ceil(SECOND).max(1) as usize];
     let last = seconds.len() - 1;
-    for t in outcome
-        .seen
-        .ledgers
-        .tries
+    for t in summary
+        .record
+        .event_log
+        .attempts
         .iter()
-        .filter(|t| t.of_client() && t.number != PLANNED_REPEAT)
+        .filter(|t| t.is_from_client() && t.retry != PLANNED_REPEAT)
     {
-        let (End::Served(_), Some(first)) = (&t.end, plan.tries.get(t.first as usize)) else {
+        let (AttemptEnd::Served(_), Some(first)) =
+            (&t.end, schedule.requests.get(t.request_index as usize))
+        else {
             continue;
         };
-        let second = (first.at.saturating_sub(plan.start) / SECOND) as usize;
-        seconds[second.min(last)].push(t.ended.saturating_sub(t.slow + first.at));
+        let second = (first.at.saturating_sub(schedule.start) / SECOND) as usize;
+        seconds[second.min(last)].push(t.ended_at.saturating_sub(t.read_delay + first.at));
     }
     seconds.iter_mut().for_each(|s| s.sort_unstable());
     let percentile = |share: f64| {
@@ -216,10 +218,10 @@
     .collect()
 }
 
-fn limits(outcome: &Outcome) -> Vec<Series> {
-    let seen = &outcome.seen;
+fn limits(summary: &Summary) -> Vec<Series> {
+    let seen = &summary.record;
     let mut series = Vec::new();
-    let of_first = |i: &usize| seen.proxy_tier.get(*i) == Some(&0);
+    let of_first = |i: &usize| seen.proxy_tiers.get(*i) == Some(&0);
     for (n, no) in (0..seen.proxies.len()).filter(of_first).enumerate() {
         let colour = COLOURS[n % COLOURS.len()];
         let samples = || {
@@ -227,7 +229,7 @@
                 .iter()
                 .filter(move |s| usize::from(s.proxy) == no)
         };
-        let at = |t| seconds(t, seen.plan.start).max(0.0);
+        let at = |t| micros_from_seconds(t, seen.schedule.start).max(0.0);
         let limit = samples().map(|s| (at(s.at), s.limit)).collect();
         let in_flight = samples().map(|s| (at(s.at), s.in_flight)).collect();
         let name = &seen.proxies[no];
