--- a/crates/heathroad-harness/src/stage.rs
+++ b/crates/heathroad-harness/src/runner.rs
@@ -4,16 +4,18 @@
 
 use crate::clock::{Clock, Micros, SECOND};
 use crate::daemon::{self, Daemon, Usage};
-use crate::ledger::{Act, Did, Health, HostNo, Ledgers, ProxyNo};
-use crate::load::{self, Driven, Front, Progress};
-use crate::plan::{Plan, Planned, quotas};
-use crate::scenario::{Effect, Group, What};
-use crate::stand_in::backend::{Backend, Mode, World, doors, memories};
-use crate::stand_in::gate::{self, Gate};
-use crate::stand_in::machine::{Machine, Make};
-use crate::stand_in::memory::Memory;
-use crate::stand_in::network::Network;
-use crate::stand_in::registry::{self, Registry, ZONE};
+use crate::emulator::backend::{Backend, Mode, RunContext, allocate_addresses, dedup_caches};
+use crate::emulator::dedup_cache::DedupCache;
+use crate::emulator::fencing_server::{self, FencingServer};
+use crate::emulator::host::{Host, HostSpec};
+use crate::emulator::network::Network;
+use crate::emulator::registry::{self, Registry, ZONE};
+use crate::event_log::{
+    BackendIndex, EventLog, Health, ProcessEvent, ProcessEventKind, ProxyIndex,
+};
+use crate::load_generator::{self, LoadBalancer, LoadResult, Progress};
+use crate::scenario::{Effect, FaultKind, Group};
+use crate::schedule::{Schedule, ScheduledFault, tenant_quotas};
 use fastrand::Rng;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
@@ -43,10 +45,10 @@
 /// Work that nobody waits for any more gets so long to end by itself after the load.
 const SETTLE: Duration = Duration::from_millis(500);
 /// The gate looks at tokens, and one act in fifty comes late, by up to two seconds.
-const GATE: gate::Options = gate::Options {
-    checks: true,
-    late: 0.02,
-    by: Duration::from_secs(2),
+const FENCING_SERVER_OPTIONS: fencing_server::Options = fencing_server::Options {
+    check_tokens: true,
+    delayed_share: 0.02,
+    max_delay: Duration::from_secs(2),
     seed: 1,
 };
 /// A duty's holder acts so often.
@@ -59,11 +61,11 @@
 const STARTS: usize = 8;
 
 /// What a rehearsal is put on with.
-pub struct Setting {
+pub struct RunOptions {
     /// The daemon's program.
     pub program: PathBuf,
     /// What is rehearsed.
-    pub plan: Arc<Plan>,
+    pub schedule: Arc<Schedule>,
     /// How far the load is.
     pub progress: Arc<Progress>,
     /// Ends it early.
@@ -71,52 +73,52 @@
 }
 
 /// What was seen.
-pub struct Seen {
+pub struct RunRecord {
     /// What was planned, by the ledgers' clock.
-    pub plan: Arc<Plan>,
+    pub schedule: Arc<Schedule>,
     /// The ledgers.
-    pub ledgers: Ledgers,
+    pub event_log: EventLog,
     /// Names of the proxies, by number.
     pub proxies: Vec<String>,
     /// The tier that each sends to.
-    pub proxy_tier: Vec<u8>,
+    pub proxy_tiers: Vec<u8>,
     /// Names of the hosts, by number.
-    pub hosts: Vec<String>,
+    pub backends: Vec<String>,
     /// Cells of the hosts.
     pub cells: Vec<u16>,
     /// Makes of the hosts' machines.
-    pub makes: Vec<Make>,
+    pub host_specs: Vec<HostSpec>,
     /// Every process' last counts, with its proxy.
-    pub counts: Vec<Counted>,
+    pub proxy_counts: Vec<ProxyCounts>,
     /// The limit, calls in flight and descriptors of the first tier's proxies, through time.
     pub samples: Vec<Sample>,
     /// What became of changes of routes, with the proxy.
-    pub changes: Vec<(ProxyNo, String)>,
+    pub route_changes: Vec<(ProxyIndex, String)>,
     /// The fleet's audit at the end, asked of its first proxy, where there is a fleet.
-    pub audit: Option<Value>,
+    pub fleet_audit: Option<Value>,
     /// What the duty's holders did, where there is one.
-    pub duty: Option<Vec<gate::Act>>,
+    pub lease_calls: Option<Vec<fencing_server::LeaseCall>>,
     /// Generations that were required, and from when on.
-    pub bounds: Vec<(u64, Micros)>,
+    pub required_generations: Vec<(u64, Micros)>,
     /// How late the driver began first tries.
-    pub driver_late: Histogram<u64>,
+    pub generator_lateness: Histogram<u64>,
     /// How late the stage itself was.
-    pub stage_late: Histogram<u64>,
+    pub runner_lateness: Histogram<u64>,
     /// First tries that the driver could not begin.
     pub dropped: u64,
     /// Tries and connections that failed for want of descriptors at the driver and the stand-ins.
-    pub starved: u64,
+    pub descriptor_failures: u64,
     /// It was ended early.
     pub interrupted: bool,
     /// What went wrong with the rehearsal itself.
-    pub troubles: Vec<String>,
+    pub errors: Vec<String>,
 }
 
 /// The last word of one daemon process.
 #[derive(Debug, Clone)]
-pub struct Counted {
+pub struct ProxyCounts {
     /// Whose.
-    pub proxy: ProxyNo,
+    pub proxy: ProxyIndex,
     /// Its counts; none if it was killed or has crashed.
     pub counts: Option<Value>,
     /// What it used.
@@ -129,7 +131,7 @@
     /// When.
     pub at: Micros,
     /// Which.
-    pub proxy: ProxyNo,
+    pub proxy: ProxyIndex,
     /// Its limit.
     pub limit: f64,
     /// Its calls in flight.
@@ -141,7 +143,7 @@
     name: String,
     tier: usize,
     /// The backend that it belongs to; none in the first tier.
-    owner: Option<HostNo>,
+    owner: Option<BackendIndex>,
     copy: usize,
     copies: usize,
     file: PathBuf,
@@ -152,18 +154,18 @@
     away: Cell<bool>,
 }
 
-struct Stage {
-    setting: Setting,
-    world: Rc<World>,
-    hosts: RefCell<Vec<Rc<Backend>>>,
+struct Runner {
+    options: RunOptions,
+    context: Rc<RunContext>,
+    backends: RefCell<Vec<Rc<Backend>>>,
     slots: Vec<Slot>,
     registry: Rc<Registry>,
-    front: Arc<Front>,
-    counts: RefCell<Vec<Counted>>,
+    front: Arc<LoadBalancer>,
+    counts: RefCell<Vec<ProxyCounts>>,
     samples: RefCell<Vec<Sample>>,
-    changes: RefCell<Vec<(ProxyNo, String)>>,
+    changes: RefCell<Vec<(ProxyIndex, String)>>,
     network: Option<Network>,
-    gate: Option<Gate>,
+    fencing_server: Option<FencingServer>,
     audit: RefCell<Option<Value>>,
     bounds: RefCell<Vec<(u64, Micros)>>,
     stage_late: RefCell<Histogram<u64>>,
@@ -173,7 +175,7 @@
 
 /// A loopback network of this process's own, so that a port that a stand-in has left is taken by
 /// nobody else.
-pub fn network() -> [u8; 3] {
+pub fn unique_loopback_network() -> [u8; 3] {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let id =
         std::process::id().wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed).wrapping_mul(7919));
@@ -181,7 +183,7 @@
 }
 
 /// Puts a rehearsal on. What can't be put on is an error in one line.
-pub fn run(setting: Setting) -> Result<Seen, String> {
+pub fn run(options: RunOptions) -> Result<RunRecord, String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -193,41 +195,41 @@
             Rng::new().u32(..)
         ));
         std::fs::create_dir(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let done = put_on(setting, folder.clone()).await;
+        let done = put_on(options, folder.clone()).await;
         // Nothing stays behind; what can't be removed was not written.
         let _ = std::fs::remove_dir_all(&folder);
         done
     })
 }
 
-async fn put_on(setting: Setting, folder: PathBuf) -> Result<Seen, String> {
-    let plan = setting.plan.clone();
+async fn put_on(options: RunOptions, folder: PathBuf) -> Result<RunRecord, String> {
+    let schedule = options.schedule.clone();
     let clock = Clock::starting_in(Duration::ZERO);
-    let world = World::new(clock, plan.clone());
-    let gate = match plan.scenario.fleet.as_ref().and_then(|f| f.lease_ms) {
+    let context = RunContext::new(clock, schedule.clone());
+    let fencing_server = match schedule.scenario.fleet.as_ref().and_then(|f| f.lease_ms) {
         Some(_) => Some(
-            Gate::open(clock, GATE)
+            FencingServer::start(clock, FENCING_SERVER_OPTIONS)
                 .await
                 .map_err(|e| format!("gate: {e}"))?,
         ),
         None => None,
     };
-    let stage = Rc::new(Stage::build(setting, world, folder, gate)?);
-    stage.start_backends().await?;
-    stage.start_proxies().await?;
-    let plan = Arc::new(plan.starting_at(clock.now() + WARM_UP.as_micros() as Micros));
-    let driven = stage.play(&plan).await?;
-    stage.end(plan, driven).await
+    let runner = Rc::new(Runner::build(options, context, folder, fencing_server)?);
+    runner.start_backends().await?;
+    runner.start_proxies().await?;
+    let schedule = Arc::new(schedule.starting_at(clock.now() + WARM_UP.as_micros() as Micros));
+    let driven = runner.play(&schedule).await?;
+    runner.end(schedule, driven).await
 }
 
-impl Stage {
+impl Runner {
     fn build(
-        setting: Setting,
-        world: Rc<World>,
+        options: RunOptions,
+        context: Rc<RunContext>,
         folder: PathBuf,
-        gate: Option<Gate>,
-    ) -> Result<Stage, String> {
-        let scenario = &setting.plan.scenario;
+        fencing_server: Option<FencingServer>,
+    ) -> Result<Runner, String> {
+        let scenario = &options.schedule.scenario;
         let mut slots = Vec::new();
         let mut slot = |name: String, tier, owner, copy: usize, copies| {
             let file = folder.join(format!("{name}.json"));
@@ -261,33 +263,33 @@
         let between = match &scenario.fleet {
             None => None,
             Some(fleet) => {
-                let duty = gate
+                let duty = fencing_server
                     .as_ref()
                     .zip(fleet.lease_ms)
-                    .map(|(gate, lease)| gate.duty(lease, ACTS));
+                    .map(|(fencing_server, lease)| fencing_server.lease_config(lease, ACTS));
                 let duties = duty.unwrap_or_default();
-                daemon::fleet_files(
+                daemon::write_fleet_files(
                     &folder,
                     fleet.period_ms,
                     fleet.fence_unsure_after_ms,
                     &duties,
                 )
                 .map_err(|e| format!("{}: {e}", folder.display()))?;
-                let network = Network::begin(
-                    network(),
+                let network = Network::start(
+                    unique_loopback_network(),
                     scenario.run.proxies,
-                    setting.plan.seed,
-                    world.clock,
+                    options.schedule.seed,
+                    context.clock,
                 );
                 Some(network.map_err(|e| format!("network: {e}"))?)
             }
         };
-        let registry = Registry::new(&world, scenario.tier.len());
+        let registry = Registry::new(&context, scenario.tier.len());
         let stage_late = Histogram::new_with_max(600_000_000, 3).map_err(|e| e.to_string())?;
-        let stage = Stage {
-            setting,
-            world,
-            hosts: RefCell::default(),
+        let runner = Runner {
+            options,
+            context,
+            backends: RefCell::default(),
             slots,
             registry,
             front: Arc::default(),
@@ -295,123 +297,132 @@
             samples: RefCell::default(),
             changes: RefCell::default(),
             network: between,
-            gate,
+            fencing_server,
             audit: RefCell::default(),
             bounds: RefCell::default(),
             stage_late: RefCell::new(stage_late),
             troubles: RefCell::default(),
-            ip: Cell::new(network()),
+            ip: Cell::new(unique_loopback_network()),
         };
-        stage.build_hosts()?;
-        Ok(stage)
+        runner.build_hosts()?;
+        Ok(runner)
     }
 
     fn build_hosts(&self) -> Result<(), String> {
-        let plan = self.world.plan.clone();
-        for (tier, t) in plan.scenario.tier.iter().enumerate() {
-            let memories = memories(&plan, t.backends.div_ceil(2));
-            let senders: Vec<ProxyNo> = self.senders(tier);
+        let schedule = self.context.schedule.clone();
+        for (tier, t) in schedule.scenario.tier.iter().enumerate() {
+            let dedup_caches = dedup_caches(&schedule, t.backends.div_ceil(2));
+            let senders: Vec<ProxyIndex> = self.senders(tier);
             for i in 0..t.backends {
                 let ip = self.ip();
-                let doors = doors(ip, &senders).map_err(|e| format!("{ip}: {e}"))?;
+                let doors = allocate_addresses(ip, &senders).map_err(|e| format!("{ip}: {e}"))?;
                 let name = format!("{}-{}", t.name, i + 1);
-                let host = self.host(
+                let backend = self.backend(
                     tier,
                     name,
                     i / 2,
-                    memories[usize::from(i / 2)].clone(),
+                    dedup_caches[usize::from(i / 2)].clone(),
                     doors,
                 );
-                host.kind.replace(plan.scenario.kind(tier, i).to_string());
+                backend
+                    .kind
+                    .replace(schedule.scenario.kind(tier, i).to_string());
             }
         }
         // Those that will come up at another's address, down until then.
-        for (n, fault) in plan
+        for (n, fault) in schedule
             .faults
             .iter()
             .enumerate()
-            .filter(|(_, f)| f.what == What::Replace)
+            .filter(|(_, f)| f.kind == FaultKind::Replace)
         {
-            for v in &fault.victims {
+            for v in &fault.targets {
                 let old = self.victim(fault.tier, *v);
-                self.host(
+                self.backend(
                     old.tier,
                     format!("{}-new{}", old.name, n + 1),
                     old.cell,
-                    old.memory(),
-                    old.doors(),
+                    old.dedup_cache(),
+                    old.addresses(),
                 );
             }
         }
         Ok(())
     }
 
-    fn host(
+    fn backend(
         &self,
         tier: usize,
         name: String,
         cell: u16,
-        memory: Rc<RefCell<Memory>>,
-        doors: Vec<(ProxyNo, std::net::SocketAddr)>,
+        dedup_cache: Rc<RefCell<DedupCache>>,
+        doors: Vec<(ProxyIndex, std::net::SocketAddr)>,
     ) -> Rc<Backend> {
-        let plan = &self.world.plan;
-        let (t, rules) = (&plan.scenario.tier[tier], &plan.scenario.rules);
-        let no = self.hosts.borrow().len() as HostNo;
+        let schedule = &self.context.schedule;
+        let (t, rules) = (&schedule.scenario.tier[tier], &schedule.scenario.rules);
+        let no = self.backends.borrow().len() as BackendIndex;
         // Machines of one kind are not alike.
-        let unlike = 0.9 + 0.2 * Rng::with_seed(plan.seed ^ u64::from(no)).f64();
+        let unlike = 0.9 + 0.2 * Rng::with_seed(schedule.seed ^ u64::from(no)).f64();
         let micros = |ms: f64| (ms * 1000.0) as Micros;
-        let make = Make {
+        let spec = HostSpec {
             cores: t.cores,
             speed: t.speed * unlike,
-            cold_from: t.cold_from,
-            cold: micros(t.cold_s * 1000.0),
+            cold_capacity: t.cold_from,
+            warm_up: micros(t.cold_s * 1000.0),
             warm_requests: t.warm_requests,
-            fall_multiple: rules.fall_multiple,
-            fall: micros(rules.fall_ms),
+            overload_multiple: rules.fall_multiple,
+            overload_window: micros(rules.fall_ms),
         };
-        let machine = Machine::new(make, self.world.clock);
-        let host = Backend::new(&self.world, (no, name, tier, cell), machine, memory, doors);
-        self.registry.know(&host);
-        self.hosts.borrow_mut().push(host.clone());
-        host
+        let host = Host::new(spec, self.context.clock);
+        let backend = Backend::new(
+            &self.context,
+            (no, name, tier, cell),
+            host,
+            dedup_cache,
+            doors,
+        );
+        self.registry.add_backend(&backend);
+        self.backends.borrow_mut().push(backend.clone());
+        backend
     }
 
     fn ip(&self) -> IpAddr {
         let [a, b, c] = self.ip.get();
-        let host = self.hosts.borrow().len() as u8 % 250 + 1;
-        IpAddr::V4(Ipv4Addr::new(a, b, c, host))
+        let backend = self.backends.borrow().len() as u8 % 250 + 1;
+        IpAddr::V4(Ipv4Addr::new(a, b, c, backend))
     }
 
     /// The proxies that send to a tier.
-    fn senders(&self, tier: usize) -> Vec<ProxyNo> {
+    fn senders(&self, tier: usize) -> Vec<ProxyIndex> {
         (0..self.slots.len())
             .filter(|i| self.slots[*i].tier == tier)
-            .map(|i| i as ProxyNo)
+            .map(|i| i as ProxyIndex)
             .collect()
     }
 
     fn victim(&self, tier: usize, number: u16) -> Rc<Backend> {
-        let hosts = self.hosts.borrow();
-        let of_tier = hosts
+        let backends = self.backends.borrow();
+        let of_tier = backends
             .iter()
             .filter(|h| h.tier == tier)
             .nth(usize::from(number));
-        of_tier.unwrap_or(&hosts[0]).clone()
+        of_tier.unwrap_or(&backends[0]).clone()
     }
 
     async fn start_backends(&self) -> Result<(), String> {
-        let hosts: Vec<_> = self
-            .hosts
+        let backends: Vec<_> = self
+            .backends
             .borrow()
             .iter()
             .filter(|h| !h.name.contains("-new"))
             .cloned()
             .collect();
-        for host in hosts {
-            host.start(true)
+        for backend in backends {
+            backend
+                .start(true)
                 .await
-                .map_err(|e| format!("{}: {e}", host.name))?;
-            self.registry.publish(&host, Health::Serving);
+                .map_err(|e| format!("{}: {e}", backend.name))?;
+            self.registry.publish(&backend, Health::Serving);
         }
         Ok(())
     }
@@ -424,8 +435,8 @@
             // Together: where each waits for more than half of its fellows, none is ready alone.
             let mut starting = JoinSet::new();
             for i in some {
-                let (stage, no) = (self.clone(), *i as ProxyNo);
-                starting.spawn_local(async move { stage.start_proxy(no).await });
+                let (runner, no) = (self.clone(), *i as ProxyIndex);
+                starting.spawn_local(async move { runner.start_proxy(no).await });
             }
             while let Some(started) = starting.join_next().await {
                 started.map_err(|e| e.to_string())??;
@@ -434,11 +445,11 @@
         Ok(())
     }
 
-    async fn registry_address(&self, no: ProxyNo) -> Result<std::net::SocketAddr, String> {
+    async fn registry_address(&self, no: ProxyIndex) -> Result<std::net::SocketAddr, String> {
         let slot = &self.slots[usize::from(no)];
         let [a, b, c] = self.ip.get();
         let ip = IpAddr::V4(Ipv4Addr::new(a, b, c, 254));
-        let (listener, addr) = Registry::address(ip)
+        let (listener, addr) = Registry::bind(ip)
             .await
             .map_err(|e| format!("registry: {e}"))?;
         let task = self.registry.serve(slot.tier, no, listener);
@@ -451,7 +462,7 @@
         Ok(addr)
     }
 
-    async fn start_proxy(&self, no: ProxyNo) -> Result<(), String> {
+    async fn start_proxy(&self, no: ProxyIndex) -> Result<(), String> {
         let slot = &self.slots[usize::from(no)];
         // Where faults overlap, another one's end has started it.
         if slot.daemon.borrow().is_some() {
@@ -462,11 +473,11 @@
             Some(addr) => addr,
             None => self.registry_address(no).await?,
         };
-        let sockets = self.world.plan.scenario.run.sockets;
+        let sockets = self.context.schedule.scenario.run.sockets;
         let mut config = self.config(slot, registry);
         if let Some(text) = self
-            .world
-            .plan
+            .context
+            .schedule
             .scenario
             .routes
             .as_ref()
@@ -476,7 +487,7 @@
             std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
             config["routes"] = file.display().to_string().into();
             config["probation_ms"] =
-                ((self.world.plan.scenario.run.probation_s * 1000.0) as u64).into();
+                ((self.context.schedule.scenario.run.probation_s * 1000.0) as u64).into();
         }
         if let Some(network) = self.network.as_ref().filter(|_| slot.tier == 0) {
             let state = slot.file.with_extension("state");
@@ -490,45 +501,49 @@
                 .display()
                 .to_string()
                 .into();
-            config["peer_listen"] = network.listens(no).to_string().into();
+            config["peer_listen"] = network.listen_address(no).to_string().into();
             config["peers"] = peers.into();
             config["state"] = state.display().to_string().into();
         }
-        let daemon = daemon::start(&self.setting.program, &slot.file, &config, sockets).await?;
+        let daemon = daemon::start(&self.options.program, &slot.file, &config, sockets).await?;
         if slot.daemon.borrow().is_some() {
             // Started twice at once: this one has served nobody yet.
             return Ok(());
         }
-        let (listens, remote) = (daemon.listens, daemon.remote);
+        let (listens, remote) = (daemon.listen_address, daemon.jsonrpc_address);
         slot.daemon.replace(Some(daemon));
         slot.away.set(false);
-        self.act(no, Did::Started);
+        self.act(no, ProcessEventKind::Started);
         match slot.owner {
-            None => self.front.put(no, listens, remote),
-            Some(owner) => self.hosts.borrow()[usize::from(owner)]
-                .side
+            None => self.front.add(no, listens, remote),
+            Some(owner) => self.backends.borrow()[usize::from(owner)]
+                .sidecar
                 .set(Some((no, listens))),
         }
         Ok(())
     }
 
-    fn act(&self, proxy: ProxyNo, what: Did) {
-        self.acted(self.world.clock.now(), proxy, what);
+    fn act(&self, proxy: ProxyIndex, what: ProcessEventKind) {
+        self.acted(self.context.clock.now(), proxy, what);
     }
 
     /// An act that was begun at a time is done.
-    fn acted(&self, at: Micros, proxy: ProxyNo, what: Did) {
-        let until = self.world.clock.now();
-        self.world.ledgers.borrow_mut().acts.push(Act {
-            at,
-            until,
-            proxy,
-            what,
-        });
+    fn acted(&self, at: Micros, proxy: ProxyIndex, what: ProcessEventKind) {
+        let until = self.context.clock.now();
+        self.context
+            .event_log
+            .borrow_mut()
+            .process_events
+            .push(ProcessEvent {
+                at,
+                until,
+                proxy,
+                kind: what,
+            });
     }
 
     fn config(&self, slot: &Slot, registry: std::net::SocketAddr) -> Value {
-        let (plan, s) = (&self.world.plan, &self.world.plan.scenario);
+        let (schedule, s) = (&self.context.schedule, &self.context.schedule.scenario);
         let class = |c: &crate::scenario::Class| {
             let semantics = match c.effect {
                 Effect::Safe => "retryable",
@@ -543,7 +558,7 @@
             0 => s
                 .tenant
                 .iter()
-                .zip(quotas(s))
+                .zip(tenant_quotas(s))
                 .map(|(t, q)| json!({"name": t.name, "quotaPerS": q}))
                 .collect(),
             _ => Vec::new(),
@@ -560,7 +575,7 @@
             "budget": budget,
             "name": slot.name, "listen": "127.0.0.1:0", "admin": "127.0.0.1:0",
             "discovery": registry.to_string(),
-            "seed": format!("{:x}", crate::stand_in::backend::mix(plan.seed, slot.copy as u64 + 1)),
+            "seed": format!("{:x}", crate::emulator::backend::mix(schedule.seed, slot.copy as u64 + 1)),
             "limits": {"cores": 1.0, "memory_mb": s.run.memory_mb, "sockets": s.run.sockets},
             "settings": {
                 "slotNo": slot.copy, "peersTotal": slot.copies, "tier": slot.tier, "locality": 0,
@@ -579,43 +594,44 @@
     }
 
     /// Drives the load while faults strike.
-    async fn play(self: &Rc<Self>, plan: &Arc<Plan>) -> Result<Driven, String> {
+    async fn play(self: &Rc<Self>, schedule: &Arc<Schedule>) -> Result<LoadResult, String> {
         let mut beside = JoinSet::new();
         beside.spawn_local(self.clone().sample());
         beside.spawn_local(self.clone().beat());
         beside.spawn_local(self.clone().watch());
         let (front, progress, stop) = (
             self.front.clone(),
-            self.setting.progress.clone(),
-            self.setting.stop.clone(),
+            self.options.progress.clone(),
+            self.options.stop.clone(),
         );
-        let driver = load::start(plan.clone(), self.world.clock, front, progress, stop);
+        let driver =
+            load_generator::start(schedule.clone(), self.context.clock, front, progress, stop);
         let mut faults = JoinSet::new();
-        for fault in &plan.faults {
-            let (stage, fault) = (self.clone(), fault.clone());
+        for fault in &schedule.faults {
+            let (runner, fault) = (self.clone(), fault.clone());
             faults.spawn_local(async move {
-                stage.world.clock.until(fault.at).await;
-                if let Err(e) = stage.strike(&fault).await {
-                    stage.troubles.borrow_mut().push(e);
+                runner.context.clock.sleep_until(fault.at).await;
+                if let Err(e) = runner.strike(&fault).await {
+                    runner.troubles.borrow_mut().push(e);
                 }
             });
         }
-        for (n, change) in plan.scenario.change.iter().enumerate() {
-            let named = |no: &ProxyNo| {
+        for (n, change) in schedule.scenario.change.iter().enumerate() {
+            let named = |no: &ProxyIndex| {
                 change
                     .on
                     .as_ref()
                     .is_none_or(|on| self.slots[usize::from(*no)].name == *on)
             };
             for no in self.senders(0).into_iter().filter(named) {
-                let (stage, at) = (
+                let (runner, at) = (
                     self.clone(),
-                    plan.start + (change.at_s * SECOND as f64) as Micros,
+                    schedule.start + (change.at_s * SECOND as f64) as Micros,
                 );
                 beside.spawn_local(async move {
-                    stage.world.clock.until(at).await;
-                    let became = stage.change(n, no).await.unwrap_or_else(|e| e);
-                    stage.changes.borrow_mut().push((no, became));
+                    runner.context.clock.sleep_until(at).await;
+                    let became = runner.change(n, no).await.unwrap_or_else(|e| e);
+                    runner.changes.borrow_mut().push((no, became));
                 });
             }
         }
@@ -625,7 +641,7 @@
         let driven = driver
             .join()
             .map_err(|_| "the driver panicked".to_string())?;
-        let mut stop = self.setting.stop.clone();
+        let mut stop = self.options.stop.clone();
         let last = Instant::now() + STOP;
         // What has begun to strike is let end, so that no start is left half-way.
         while !*stop.borrow_and_update() {
@@ -650,7 +666,7 @@
                     .borrow()
                     .as_ref()
                     .filter(|_| !slot.away.get())
-                    .map(|d| d.admin);
+                    .map(|d| d.admin_address);
                 let Some(admin) = admin else { continue };
                 let Ok((200, body)) = daemon::get(admin, "/counts").await else {
                     continue;
@@ -659,8 +675,11 @@
                     continue;
                 };
                 let figure = |name: &str| counts[name].as_f64().unwrap_or(0.0);
-                let (at, limit, in_flight) =
-                    (self.world.clock.now(), figure("limit"), figure("in_flight"));
+                let (at, limit, in_flight) = (
+                    self.context.clock.now(),
+                    figure("limit"),
+                    figure("in_flight"),
+                );
                 self.samples.borrow_mut().push(Sample {
                     at,
                     proxy: no,
@@ -673,15 +692,15 @@
     }
 
     /// Proposes a change to a proxy, and waits for what becomes of it.
-    async fn change(&self, n: usize, no: ProxyNo) -> Result<String, String> {
+    async fn change(&self, n: usize, no: ProxyIndex) -> Result<String, String> {
         let admin = self.slots[usize::from(no)]
             .daemon
             .borrow()
             .as_ref()
-            .map(|d| d.admin);
+            .map(|d| d.admin_address);
         let admin = admin.ok_or("given up: the proxy was away")?;
-        let begun = self.world.clock.now();
-        let change = &self.world.plan.scenario.change[n];
+        let begun = self.context.clock.now();
+        let change = &self.context.schedule.scenario.change[n];
         let path = change
             .required_ms
             .map(|ms| format!("/config/apply?required_ms={ms}"));
@@ -710,9 +729,9 @@
                 {
                     self.bounds
                         .borrow_mut()
-                        .push((generation, self.world.clock.now() + ms * 1000));
+                        .push((generation, self.context.clock.now() + ms * 1000));
                 }
-                let after = self.world.clock.now().saturating_sub(begun) as f64 / SECOND as f64;
+                let after = self.context.clock.now().saturating_sub(begun) as f64 / SECOND as f64;
                 return Ok(format!("{last}, {after:.1} s after it was proposed"));
             }
         }
@@ -739,8 +758,8 @@
                 let ended = slot.daemon.borrow_mut().as_mut().and_then(Daemon::ended);
                 if let Some(status) = ended {
                     slot.away.set(true);
-                    self.act(no as ProxyNo, Did::Crashed);
-                    self.front.take(no as ProxyNo);
+                    self.act(no as ProxyIndex, ProcessEventKind::Crashed);
+                    self.front.remove(no as ProxyIndex);
                     self.troubles
                         .borrow_mut()
                         .push(format!("{} ended by itself: {status}", slot.name));
@@ -750,22 +769,22 @@
     }
 
     /// The proxy that belongs to a backend.
-    fn side(&self, host: &Backend) -> Option<ProxyNo> {
+    fn side(&self, backend: &Backend) -> Option<ProxyIndex> {
         self.slots
             .iter()
-            .position(|s| s.owner == Some(host.no))
-            .map(|i| i as ProxyNo)
+            .position(|s| s.owner == Some(backend.index))
+            .map(|i| i as ProxyIndex)
     }
 
-    fn kill_proxy(&self, no: ProxyNo) {
+    fn kill_proxy(&self, no: ProxyIndex) {
         let slot = &self.slots[usize::from(no)];
         slot.away.set(true);
         let daemon = slot.daemon.take();
         if let Some(mut daemon) = daemon {
-            let (usage, begun) = (daemon.usage(), self.world.clock.now());
+            let (usage, begun) = (daemon.usage(), self.context.clock.now());
             daemon.kill();
-            self.acted(begun, no, Did::Killed);
-            self.counts.borrow_mut().push(Counted {
+            self.acted(begun, no, ProcessEventKind::Killed);
+            self.counts.borrow_mut().push(ProxyCounts {
                 proxy: no,
                 counts: None,
                 usage,
@@ -773,27 +792,27 @@
         }
     }
 
-    async fn stop_proxy(&self, no: ProxyNo) {
+    async fn stop_proxy(&self, no: ProxyIndex) {
         let slot = &self.slots[usize::from(no)];
         slot.away.set(true);
         let daemon = slot.daemon.take();
         if let Some(daemon) = daemon {
-            self.act(no, Did::Stopped);
+            self.act(no, ProcessEventKind::Stopped);
             // One that a pause holds up could not take the signal.
-            if let Err(e) = daemon.wake().and_then(|()| daemon.terminate()) {
+            if let Err(e) = daemon.resume().and_then(|()| daemon.terminate()) {
                 self.troubles
                     .borrow_mut()
                     .push(format!("{}: {e}", slot.name));
             }
             let usage = daemon.usage();
-            let (counts, well) = daemon.finish(STOP).await;
+            let (counts, well) = daemon.wait(STOP).await;
             if !well {
-                self.act(no, Did::Crashed);
+                self.act(no, ProcessEventKind::Crashed);
                 self.troubles
                     .borrow_mut()
                     .push(format!("{} did not stop as planned", slot.name));
             }
-            self.counts.borrow_mut().push(Counted {
+            self.counts.borrow_mut().push(ProxyCounts {
                 proxy: no,
                 counts,
                 usage,
@@ -801,87 +820,87 @@
         }
     }
 
-    async fn strike(self: &Rc<Self>, fault: &Planned) -> Result<(), String> {
+    async fn strike(self: &Rc<Self>, fault: &ScheduledFault) -> Result<(), String> {
         let until = fault.until;
-        let clock = self.world.clock;
-        match fault.what {
-            What::StallProxy => {
+        let clock = self.context.clock;
+        match fault.kind {
+            FaultKind::StallProxy => {
                 let begun = clock.now();
-                self.still(&fault.victims, Daemon::stall)?;
-                clock.until(until).await;
-                self.still(&fault.victims, Daemon::wake)?;
+                self.still(&fault.targets, Daemon::suspend)?;
+                clock.sleep_until(until).await;
+                self.still(&fault.targets, Daemon::resume)?;
                 fault
-                    .victims
+                    .targets
                     .iter()
-                    .for_each(|no| self.acted(begun, *no, Did::Stalled));
+                    .for_each(|no| self.acted(begun, *no, ProcessEventKind::Stalled));
             }
-            What::PauseProxy => {
+            FaultKind::PauseProxy => {
                 let mut pausing = JoinSet::new();
-                for no in fault.victims.iter().copied() {
-                    let (stage, longest) = (self.clone(), fault.size);
+                for no in fault.targets.iter().copied() {
+                    let (runner, longest) = (self.clone(), fault.size);
                     pausing.spawn_local(async move {
-                        stage.pause_again_and_again(no, longest, until).await
+                        runner.pause_again_and_again(no, longest, until).await
                     });
                 }
                 while let Some(ended) = pausing.join_next().await {
                     ended.map_err(|e| e.to_string())??;
                 }
             }
-            What::CutProxy | What::DeafProxy => {
+            FaultKind::CutProxy | FaultKind::DeafProxy => {
                 let cut = |cut: bool| {
                     let Some(network) = &self.network else { return };
                     let others = self
                         .senders(0)
                         .into_iter()
-                        .filter(|no| !fault.victims.contains(no));
+                        .filter(|no| !fault.targets.contains(no));
                     for (other, victim) in
-                        others.flat_map(|o| fault.victims.iter().map(move |v| (o, *v)))
+                        others.flat_map(|o| fault.targets.iter().map(move |v| (o, *v)))
                     {
-                        network.way(other, victim, |w| w.cut = cut);
-                        if fault.what == What::CutProxy {
-                            network.way(victim, other, |w| w.cut = cut);
+                        network.configure_link(other, victim, |w| w.blocked = cut);
+                        if fault.kind == FaultKind::CutProxy {
+                            network.configure_link(victim, other, |w| w.blocked = cut);
                         }
                     }
                 };
                 cut(true);
-                clock.until(until).await;
+                clock.sleep_until(until).await;
                 cut(false);
             }
-            What::KillProxy | What::StopProxy | What::ReloadProxy => {
-                for no in &fault.victims {
-                    self.strike_proxy(fault.what, *no, until).await?;
+            FaultKind::KillProxy | FaultKind::StopProxy | FaultKind::ReloadProxy => {
+                for no in &fault.targets {
+                    self.strike_proxy(fault.kind, *no, until).await?;
                 }
             }
-            What::RegistryLate => {
+            FaultKind::RegistryLate => {
                 self.registry
                     .delay
                     .set((fault.size * SECOND as f64) as Micros);
-                clock.until(until).await;
+                clock.sleep_until(until).await;
                 self.registry.delay.set(0);
             }
-            What::RegistryDown => {
+            FaultKind::RegistryDown => {
                 self.registry.set_down(true);
-                clock.until(until).await;
+                clock.sleep_until(until).await;
                 self.registry.set_down(false);
             }
-            What::RegistryDisorder => {
-                self.registry.disorder.set(true);
-                clock.until(until).await;
-                self.registry.disorder.set(false);
+            FaultKind::RegistryDisorder => {
+                self.registry.out_of_order.set(true);
+                clock.sleep_until(until).await;
+                self.registry.out_of_order.set(false);
             }
-            What::RegistryClock => {
-                self.registry.off_ms.set(fault.size * 1000.0);
-                clock.until(until).await;
-                self.registry.off_ms.set(0.0);
+            FaultKind::RegistryClock => {
+                self.registry.clock_offset_ms.set(fault.size * 1000.0);
+                clock.sleep_until(until).await;
+                self.registry.clock_offset_ms.set(0.0);
             }
             _ => {
                 let mut struck = JoinSet::new();
-                for v in &fault.victims {
-                    let (stage, fault) = (self.clone(), fault.clone());
-                    let host = self.victim(fault.tier, *v);
-                    struck.spawn_local(
-                        async move { stage.strike_backend(&fault, &host, until).await },
-                    );
+                for v in &fault.targets {
+                    let (runner, fault) = (self.clone(), fault.clone());
+                    let backend = self.victim(fault.tier, *v);
+                    struck.spawn_local(async move {
+                        runner.strike_backend(&fault, &backend, until).await
+                    });
                 }
                 while let Some(ended) = struck.join_next().await {
                     ended.map_err(|e| e.to_string())??;
@@ -894,19 +913,19 @@
     /// Holds a process up, lets it run for a while, and so on until a time.
     async fn pause_again_and_again(
         &self,
-        no: ProxyNo,
+        no: ProxyIndex,
         longest_ms: f64,
         until: Micros,
     ) -> Result<(), String> {
-        let clock = self.world.clock;
-        let mut rng = Rng::with_seed(self.world.plan.seed ^ until ^ u64::from(no));
+        let clock = self.context.clock;
+        let mut rng = Rng::with_seed(self.context.schedule.seed ^ until ^ u64::from(no));
         let drawn = |rng: &mut Rng, [from, to]: [f64; 2]| {
             Duration::from_secs_f64((from + (to - from) * rng.f64()) / 1e3)
         };
         while clock.now() < until {
-            self.still(&[no], Daemon::stall)?;
+            self.still(&[no], Daemon::suspend)?;
             sleep(drawn(&mut rng, [longest_ms / 15.0, longest_ms])).await;
-            self.still(&[no], Daemon::wake)?;
+            self.still(&[no], Daemon::resume)?;
             sleep(drawn(&mut rng, RUNS_BETWEEN_PAUSES_MS)).await;
         }
         Ok(())
@@ -915,7 +934,7 @@
     /// Holds processes still, or lets them go on.
     fn still(
         &self,
-        proxies: &[ProxyNo],
+        proxies: &[ProxyIndex],
         how: fn(&Daemon) -> std::io::Result<()>,
     ) -> Result<(), String> {
         for no in proxies {
@@ -929,7 +948,11 @@
 
     /// The fleet's audit once all are reached, or as it is in the end.
     async fn audit(&self) {
-        let admin = self.slots[0].daemon.borrow().as_ref().map(|d| d.admin);
+        let admin = self.slots[0]
+            .daemon
+            .borrow()
+            .as_ref()
+            .map(|d| d.admin_address);
         let Some(admin) = admin.filter(|_| self.network.is_some()) else {
             return;
         };
@@ -954,33 +977,35 @@
 
     async fn strike_proxy(
         self: &Rc<Self>,
-        what: What,
-        no: ProxyNo,
+        what: FaultKind,
+        no: ProxyIndex,
         until: Micros,
     ) -> Result<(), String> {
         match what {
-            What::ReloadProxy => {
+            FaultKind::ReloadProxy => {
                 let addr = self.registry_address(no).await?;
                 let slot = &self.slots[usize::from(no)];
                 let config = self.config(slot, addr);
-                self.act(no, Did::Reloaded);
+                self.act(no, ProcessEventKind::Reloaded);
                 let told = slot.daemon.borrow().as_ref().map(|d| d.reload(&config));
                 return told
                     .unwrap_or(Ok(()))
                     .map_err(|e| format!("{}: {e}", slot.name));
             }
-            What::KillProxy => {
+            FaultKind::KillProxy => {
                 self.kill_proxy(no);
                 let (front, notice) = (self.front.clone(), sleep(NOTICE));
                 spawn_local(async move {
                     notice.await;
-                    front.take(no);
+                    front.remove(no);
                 });
                 // It comes back once that is noticed; before, the old address would be taken out
                 // late.
-                self.world
+                self.context
                     .clock
-                    .until(until.max(self.world.clock.now() + 2 * NOTICE.as_micros() as Micros))
+                    .sleep_until(
+                        until.max(self.context.clock.now() + 2 * NOTICE.as_micros() as Micros),
+                    )
                     .await;
             }
             _ => {
@@ -988,10 +1013,10 @@
                 let front = self.front.clone();
                 spawn_local(async move {
                     sleep(Duration::from_millis(300)).await;
-                    front.take(no);
+                    front.remove(no);
                 });
                 self.stop_proxy(no).await;
-                self.world.clock.until(until).await;
+                self.context.clock.sleep_until(until).await;
             }
         }
         self.start_proxy(no).await
@@ -999,84 +1024,84 @@
 
     async fn strike_backend(
         self: &Rc<Self>,
-        fault: &Planned,
-        host: &Rc<Backend>,
+        fault: &ScheduledFault,
+        backend: &Rc<Backend>,
         until: Micros,
     ) -> Result<(), String> {
-        let clock = self.world.clock;
+        let clock = self.context.clock;
         let odd = |i: usize, size| {
-            let mut odds = host.odds.get();
+            let mut odds = backend.fault_probabilities.get();
             odds[i] = size;
-            host.odds.set(odds);
+            backend.fault_probabilities.set(odds);
         };
-        match fault.what {
-            What::Crawl => {
-                host.machine.crawl.set(fault.size);
-                clock.until(until).await;
-                host.machine.crawl.set(1.0);
+        match fault.kind {
+            FaultKind::Crawl => {
+                backend.host.slowdown.set(fault.size);
+                clock.sleep_until(until).await;
+                backend.host.slowdown.set(1.0);
             }
-            What::Starve => {
-                host.machine.neighbour.set(fault.size);
-                clock.until(until).await;
-                host.machine.neighbour.set(0.0);
+            FaultKind::Starve => {
+                backend.host.stolen_share.set(fault.size);
+                clock.sleep_until(until).await;
+                backend.host.stolen_share.set(0.0);
             }
-            What::Reset | What::Spoil | What::Decline => {
-                let i = [What::Reset, What::Spoil, What::Decline]
+            FaultKind::Reset | FaultKind::Spoil | FaultKind::Decline => {
+                let i = [FaultKind::Reset, FaultKind::Spoil, FaultKind::Decline]
                     .iter()
-                    .position(|w| *w == fault.what);
+                    .position(|w| *w == fault.kind);
                 let i = i.unwrap_or(0);
                 odd(i, fault.size);
-                clock.until(until).await;
+                clock.sleep_until(until).await;
                 odd(i, 0.0);
             }
-            What::Loop => {
+            FaultKind::Loop => {
                 // Each to one of them; where that is away, its calls find nobody.
-                let no = host.no % self.world.plan.scenario.run.proxies;
+                let no = backend.index % self.context.schedule.scenario.run.proxies;
                 let at = self.slots[usize::from(no)]
                     .daemon
                     .borrow()
                     .as_ref()
-                    .map(|d| d.listens);
-                host.astray.set(at.map(|at| (no, at)));
-                clock.until(until).await;
-                host.astray.set(None);
+                    .map(|d| d.listen_address);
+                backend.misrouted_to.set(at.map(|at| (no, at)));
+                clock.sleep_until(until).await;
+                backend.misrouted_to.set(None);
             }
-            What::Hang => {
-                host.turn(Mode::Hang).await;
-                clock.until(until).await;
+            FaultKind::Hang => {
+                backend.set_mode(Mode::Hang).await;
+                clock.sleep_until(until).await;
                 // What hung stays unanswered; the process is started anew.
-                self.restart(host, 0).await?;
+                self.restart(backend, 0).await?;
             }
-            What::Silent => {
-                host.turn(Mode::Silent).await;
-                clock.until(until).await;
-                self.restart(host, 0).await?;
+            FaultKind::Silent => {
+                backend.set_mode(Mode::Silent).await;
+                clock.sleep_until(until).await;
+                self.restart(backend, 0).await?;
             }
-            What::Restart => self.restart(host, until).await?,
-            What::Drain => {
-                self.registry.publish(host, Health::Draining);
-                clock.until(until).await;
-                self.registry.publish(host, Health::Deleted);
-                self.leave(host);
+            FaultKind::Restart => self.restart(backend, until).await?,
+            FaultKind::Drain => {
+                self.registry.publish(backend, Health::Draining);
+                clock.sleep_until(until).await;
+                self.registry.publish(backend, Health::Deleted);
+                self.leave(backend);
             }
-            What::Delete => {
-                self.registry.publish(host, Health::Deleted);
-                self.leave(host);
+            FaultKind::Delete => {
+                self.registry.publish(backend, Health::Deleted);
+                self.leave(backend);
             }
             _ => {
-                self.registry.publish(host, Health::Deleted);
-                self.leave(host);
-                clock.until(until).await;
-                let hosts = self.hosts.borrow().clone();
-                let heir = format!("{}-new", host.name);
-                let heir = hosts
+                self.registry.publish(backend, Health::Deleted);
+                self.leave(backend);
+                clock.sleep_until(until).await;
+                let backends = self.backends.borrow().clone();
+                let heir = format!("{}-new", backend.name);
+                let heir = backends
                     .iter()
                     .find(|h| h.name.starts_with(&heir) && h.mode() == Mode::Down);
                 if let Some(heir) = heir {
                     heir.start(false)
                         .await
                         .map_err(|e| format!("{}: {e}", heir.name))?;
-                    self.hand_over(host, heir).await?;
+                    self.hand_over(backend, heir).await?;
                     self.registry.publish(heir, Health::Serving);
                 }
             }
@@ -1085,79 +1110,85 @@
     }
 
     /// The proxy at a backend's side serves the one that comes up in its place.
-    async fn hand_over(&self, host: &Backend, heir: &Backend) -> Result<(), String> {
-        if let Some(side) = self.side(host) {
+    async fn hand_over(&self, backend: &Backend, heir: &Backend) -> Result<(), String> {
+        if let Some(side) = self.side(backend) {
             self.start_proxy(side).await?;
-            heir.side.set(host.side.take());
+            heir.sidecar.set(backend.sidecar.take());
         }
         Ok(())
     }
 
     /// A backend's process ends, with the proxy at its side.
-    fn leave(&self, host: &Backend) {
-        host.kill();
-        if let Some(side) = self.side(host) {
+    fn leave(&self, backend: &Backend) {
+        backend.kill();
+        if let Some(side) = self.side(backend) {
             self.kill_proxy(side);
         }
     }
 
     /// A backend's process dies and comes up again, cold.
-    async fn restart(&self, host: &Rc<Backend>, until: Micros) -> Result<(), String> {
-        self.leave(host);
-        self.world.clock.until(until).await;
-        if let Some(side) = self.side(host) {
+    async fn restart(&self, backend: &Rc<Backend>, until: Micros) -> Result<(), String> {
+        self.leave(backend);
+        self.context.clock.sleep_until(until).await;
+        if let Some(side) = self.side(backend) {
             self.start_proxy(side).await?;
         }
         // Where faults overlap, another one's end has brought it up again.
-        if host.mode() != Mode::Down {
+        if backend.mode() != Mode::Down {
             return Ok(());
         }
-        host.start(false)
+        backend
+            .start(false)
             .await
-            .map_err(|e| format!("{}: {e}", host.name))?;
-        self.registry.publish(host, Health::Serving);
+            .map_err(|e| format!("{}: {e}", backend.name))?;
+        self.registry.publish(backend, Health::Serving);
         Ok(())
     }
 
     /// Ends everything and puts together what was seen.
-    async fn end(self: &Rc<Self>, plan: Arc<Plan>, driven: Driven) -> Result<Seen, String> {
+    async fn end(
+        self: &Rc<Self>,
+        schedule: Arc<Schedule>,
+        driven: LoadResult,
+    ) -> Result<RunRecord, String> {
         self.audit().await;
         let mut stopping = JoinSet::new();
-        for no in 0..self.slots.len() as ProxyNo {
-            let stage = self.clone();
-            stopping.spawn_local(async move { stage.stop_proxy(no).await });
+        for no in 0..self.slots.len() as ProxyIndex {
+            let runner = self.clone();
+            stopping.spawn_local(async move { runner.stop_proxy(no).await });
         }
         while stopping.join_next().await.is_some() {}
-        let hosts = self.hosts.borrow().clone();
-        hosts.iter().for_each(|h| h.kill());
-        let mut ledgers = self.world.ledgers.take();
-        let extras: Vec<u64> = hosts.iter().flat_map(|h| h.extras()).collect();
-        ledgers
-            .tries
+        let backends = self.backends.borrow().clone();
+        backends.iter().for_each(|h| h.kill());
+        let mut event_log = self.context.event_log.take();
+        let extras: Vec<u64> = backends.iter().flat_map(|h| h.take_unexpected()).collect();
+        event_log
+            .attempts
             .iter_mut()
-            .for_each(|t| t.extra = extras.contains(&t.id));
-        ledgers.tries.extend(driven.tries);
-        ledgers.rude = driven.rude;
-        Ok(Seen {
-            plan,
-            ledgers,
+            .for_each(|t| t.unexpected_data = extras.contains(&t.id));
+        event_log.attempts.extend(driven.attempts);
+        event_log.malformed_clients = driven.malformed_clients;
+        Ok(RunRecord {
+            schedule,
+            event_log,
             proxies: self.slots.iter().map(|s| s.name.clone()).collect(),
-            proxy_tier: self.slots.iter().map(|s| s.tier as u8).collect(),
-            hosts: hosts.iter().map(|h| h.name.clone()).collect(),
-            cells: hosts.iter().map(|h| h.cell).collect(),
-            makes: hosts.iter().map(|h| h.machine.make.clone()).collect(),
-            counts: self.counts.take(),
+            proxy_tiers: self.slots.iter().map(|s| s.tier as u8).collect(),
+            backends: backends.iter().map(|h| h.name.clone()).collect(),
+            cells: backends.iter().map(|h| h.cell).collect(),
+            host_specs: backends.iter().map(|h| h.host.spec.clone()).collect(),
+            proxy_counts: self.counts.take(),
             samples: self.samples.take(),
-            changes: self.changes.take(),
-            audit: self.audit.take(),
-            duty: self.gate.as_ref().map(Gate::acts),
-            bounds: self.bounds.take(),
-            driver_late: driven.lateness,
-            stage_late: self.stage_late.borrow().clone(),
+            route_changes: self.changes.take(),
+            fleet_audit: self.audit.take(),
+            lease_calls: self.fencing_server.as_ref().map(FencingServer::calls),
+            required_generations: self.bounds.take(),
+            generator_lateness: driven.lateness,
+            runner_lateness: self.stage_late.borrow().clone(),
             dropped: driven.dropped,
-            starved: driven.starved + self.world.starved.get(),
-            interrupted: *self.setting.stop.borrow(),
-            troubles: self.troubles.take(),
+            descriptor_failures: driven.descriptor_failures
+                + self.context.descriptor_failures.get(),
+            interrupted: *self.options.stop.borrow(),
+            errors: self.troubles.take(),
         })
     }
 }
--- a/crates/heathroad-harness/src/scenario.rs
+++ b/crates/heathroad-harness/src/scenario.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 /// The scenarios that come with the kit, by name.
-pub const SHIPPED: &[(&str, &str)] = &[
+pub const BUILT_IN: &[(&str, &str)] = &[
     (
         "peak-load",
         include_str!("../../../scenarios/peak-load.toml"),
@@ -144,7 +144,7 @@
     pub fault: Vec<Fault>,
     /// Faults drawn by the seed, beside those written down.
     #[serde(default)]
-    pub drawn: Option<Drawn>,
+    pub drawn: Option<RandomFaults>,
     /// Keyed requests that are repeated whatever their answer was.
     #[serde(default)]
     pub repeat: Vec<Repeat>,
@@ -381,9 +381,9 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// What.
-    pub what: What,
+    pub what: FaultKind,
     /// When it begins, in seconds: a time, or two to draw one between.
-    pub at_s: Span,
+    pub at_s: TimeOrRange,
     /// How long it lasts.
     #[serde(default)]
     pub for_s: f64,
@@ -405,11 +405,11 @@
 /// Faults that the seed draws: kind, time, length and victim.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Drawn {
+pub struct RandomFaults {
     /// How many: 1 to 100.
     pub count: u16,
     /// Of which kinds.
-    pub kinds: Vec<What>,
+    pub kinds: Vec<FaultKind>,
     /// How long they last, between these.
     pub for_s: [f64; 2],
 }
@@ -417,7 +417,7 @@
 /// What can go wrong.
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum FaultKind {
     /// The machine vanishes: connections stay open, nothing comes, and it returns cold.
     Silent,
     /// Takes requests and answers none.
@@ -468,73 +468,73 @@
     RegistryClock,
 }
 
-impl What {
+impl FaultKind {
     /// Whether it strikes backends; else proxies or the registry.
-    pub fn strikes_backends(self) -> bool {
-        self <= What::Loop
+    pub fn affects_backends(self) -> bool {
+        self <= FaultKind::Loop
     }
     /// Whether it strikes proxies.
-    pub fn strikes_proxies(self) -> bool {
+    pub fn affects_proxies(self) -> bool {
         matches!(
             self,
-            What::KillProxy
-                | What::StopProxy
-                | What::ReloadProxy
-                | What::StallProxy
-                | What::PauseProxy
-                | What::CutProxy
-                | What::DeafProxy
+            FaultKind::KillProxy
+                | FaultKind::StopProxy
+                | FaultKind::ReloadProxy
+                | FaultKind::StallProxy
+                | FaultKind::PauseProxy
+                | FaultKind::CutProxy
+                | FaultKind::DeafProxy
         )
     }
     /// Its name in scenarios.
     pub fn name(self) -> &'static str {
         match self {
-            What::Silent => "silent",
-            What::Hang => "hang",
-            What::Crawl => "crawl",
-            What::Restart => "restart",
-            What::Starve => "starve",
-            What::Drain => "drain",
-            What::Delete => "delete",
-            What::Replace => "replace",
-            What::Reset => "reset",
-            What::Spoil => "spoil",
-            What::Decline => "decline",
-            What::Loop => "loop",
-            What::KillProxy => "kill-proxy",
-            What::StopProxy => "stop-proxy",
-            What::ReloadProxy => "reload-proxy",
-            What::StallProxy => "stall-proxy",
-            What::PauseProxy => "pause-proxy",
-            What::CutProxy => "cut-proxy",
-            What::DeafProxy => "deaf-proxy",
-            What::RegistryLate => "registry-late",
-            What::RegistryDown => "registry-down",
-            What::RegistryDisorder => "registry-disorder",
-            What::RegistryClock => "registry-clock",
+            FaultKind::Silent => "silent",
+            FaultKind::Hang => "hang",
+            FaultKind::Crawl => "crawl",
+            FaultKind::Restart => "restart",
+            FaultKind::Starve => "starve",
+            FaultKind::Drain => "drain",
+            FaultKind::Delete => "delete",
+            FaultKind::Replace => "replace",
+            FaultKind::Reset => "reset",
+            FaultKind::Spoil => "spoil",
+            FaultKind::Decline => "decline",
+            FaultKind::Loop => "loop",
+            FaultKind::KillProxy => "kill-proxy",
+            FaultKind::StopProxy => "stop-proxy",
+            FaultKind::ReloadProxy => "reload-proxy",
+            FaultKind::StallProxy => "stall-proxy",
+            FaultKind::PauseProxy => "pause-proxy",
+            FaultKind::CutProxy => "cut-proxy",
+            FaultKind::DeafProxy => "deaf-proxy",
+            FaultKind::RegistryLate => "registry-late",
+            FaultKind::RegistryDown => "registry-down",
+            FaultKind::RegistryDisorder => "registry-disorder",
+            FaultKind::RegistryClock => "registry-clock",
         }
     }
     /// The size that a drawn fault of this kind has.
-    pub fn usual_size(self) -> f64 {
+    pub fn default_size(self) -> f64 {
         match self {
-            What::Crawl => 5.0,
-            What::Starve => 0.6,
-            What::Reset | What::Spoil => 0.1,
-            What::Decline => 0.3,
-            What::RegistryLate => 2.0,
-            What::RegistryClock => 3600.0,
-            What::PauseProxy => LONGEST_PAUSE_MS,
+            FaultKind::Crawl => 5.0,
+            FaultKind::Starve => 0.6,
+            FaultKind::Reset | FaultKind::Spoil => 0.1,
+            FaultKind::Decline => 0.3,
+            FaultKind::RegistryLate => 2.0,
+            FaultKind::RegistryClock => 3600.0,
+            FaultKind::PauseProxy => LONGEST_PAUSE_MS,
             _ => 0.0,
         }
     }
     fn size_bounds(self) -> Option<[f64; 2]> {
         match self {
-            What::Crawl => Some([1.0, 1000.0]),
-            What::Starve => Some([0.0, 0.99]),
-            What::Reset | What::Spoil | What::Decline => Some([0.0, 1.0]),
-            What::RegistryLate => Some([0.0, 60.0]),
-            What::RegistryClock => Some([-86_400.0, 86_400.0]),
-            What::PauseProxy => Some([1.0, LONGEST_PAUSE_MS]),
+            FaultKind::Crawl => Some([1.0, 1000.0]),
+            FaultKind::Starve => Some([0.0, 0.99]),
+            FaultKind::Reset | FaultKind::Spoil | FaultKind::Decline => Some([0.0, 1.0]),
+            FaultKind::RegistryLate => Some([0.0, 60.0]),
+            FaultKind::RegistryClock => Some([-86_400.0, 86_400.0]),
+            FaultKind::PauseProxy => Some([1.0, LONGEST_PAUSE_MS]),
             _ => None,
         }
     }
@@ -543,19 +543,19 @@
 /// A time, or two between which one is drawn.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(untagged)]
-pub enum Span {
+pub enum TimeOrRange {
     /// At this second.
     At(f64),
     /// Between these.
     Between([f64; 2]),
 }
 
-impl Span {
+impl TimeOrRange {
     /// Its ends.
     pub fn ends(self) -> [f64; 2] {
         match self {
-            Span::At(at) => [at, at],
-            Span::Between(ends) => ends,
+            TimeOrRange::At(at) => [at, at],
+            TimeOrRange::Between(ends) => ends,
         }
     }
 }
@@ -632,7 +632,7 @@
 
 /// Reads a scenario by its shipped name or its file.
 pub fn load(name: &str) -> Result<Scenario, String> {
-    if let Some((name, text)) = SHIPPED.iter().find(|(n, _)| *n == name) {
+    if let Some((name, text)) = BUILT_IN.iter().find(|(n, _)| *n == name) {
         return parse(&format!("scenarios/{name}.toml"), text);
     }
     let path = Path::new(name);
@@ -938,7 +938,7 @@
                         .ok_or_else(|| format!("fault[{i}].tier: {name:?} is no tier"))?,
                 ),
             };
-            if f.what.strikes_backends() && f.on.is_empty() && tier.is_none() {
+            if f.what.affects_backends() && f.on.is_empty() && tier.is_none() {
                 return Err(format!(
                     "fault[{i}]: {} needs `tier` or `on`",
                     f.what.name()
@@ -948,7 +948,7 @@
                 let proxy = name
                     .strip_prefix("proxy-")
                     .and_then(|n| n.parse::<u16>().ok());
-                let known = if f.what.strikes_proxies() {
+                let known = if f.what.affects_proxies() {
                     proxy.is_some_and(|n| (1..=self.run.proxies).contains(&n))
                 } else {
                     self.names_backend(name, tier)
@@ -979,7 +979,7 @@
         {
             return Err("clients.remote: `routes` have no listener \"remote\"".into());
         }
-        let ways = |f: &Fault| matches!(f.what, What::CutProxy | What::DeafProxy);
+        let ways = |f: &Fault| matches!(f.what, FaultKind::CutProxy | FaultKind::DeafProxy);
         if let Some(i) = self
             .fault
             .iter()
--- a/crates/heathroad-harness/src/outcome.rs
+++ b/crates/heathroad-harness/src/summary.rs
@@ -1,12 +1,12 @@
 //! A rehearsal's outcome: verdict, agreement and expectations, and whether the machine kept up so
 //! that they mean anything.
 
-use crate::agreement::{self, Line};
-use crate::audited;
-use crate::clock::{Micros, show};
-use crate::judge::{self, Rule, Terms, Verdict};
-use crate::stage::Seen;
-use crate::stand_in::gate;
+use crate::audit_check;
+use crate::checker::{self, Rule, Terms, Verdict};
+use crate::clock::{Micros, format_seconds};
+use crate::emulator::fencing_server;
+use crate::metrics_check::{self, Line};
+use crate::runner::RunRecord;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::fmt::Write;
@@ -43,9 +43,9 @@
 }
 
 /// A rehearsal judged.
-pub struct Outcome {
+pub struct Summary {
     /// What was seen.
-    pub seen: Seen,
+    pub record: RunRecord,
     /// What the judge says.
     pub verdict: Verdict,
     /// What the daemon's counts say beside it.
@@ -86,22 +86,22 @@
     peak_rss_mb: f64,
 }
 
-impl Outcome {
+impl Summary {
     /// Judges what was seen.
-    pub fn of(seen: Seen) -> Outcome {
+    pub fn of(seen: RunRecord) -> Summary {
         let terms = Terms {
-            plan: &seen.plan,
+            schedule: &seen.schedule,
             proxies: &seen.proxies,
-            hosts: &seen.hosts,
+            backends: &seen.backends,
             cells: &seen.cells,
-            makes: &seen.makes,
+            host_specs: &seen.host_specs,
         };
-        let verdict = judge::judge(&terms, &seen.ledgers);
-        let lines = agreement::compare(&seen);
+        let verdict = checker::check(&terms, &seen.event_log);
+        let lines = metrics_check::compare(&seen);
         let expectations = expectations(&seen, &verdict);
         let void = void(&seen);
-        Outcome {
-            seen,
+        Summary {
+            record: seen,
             verdict,
             lines,
             expectations,
@@ -119,7 +119,7 @@
         let sound = self.verdict.breaches.is_empty()
             && self.agrees()
             && self.expectations.iter().all(|e| e.ok)
-            && self.seen.troubles.is_empty();
+            && self.record.errors.is_empty();
         match (self.void.is_empty(), sound) {
             (false, _) => Code::Void,
             (true, true) => Code::Kept,
@@ -130,7 +130,7 @@
     /// CPU time that the daemons took for each request that they answered, in microseconds.
     pub fn cpu_per_request(&self) -> f64 {
         let (mut cpu, mut answered) = (0, 0);
-        for c in &self.seen.counts {
+        for c in &self.record.proxy_counts {
             // A process that was killed took its count with it; its time would be nobody's.
             let Some(rows) = c
                 .counts
@@ -150,8 +150,8 @@
 
     /// Most memory that any daemon held, in MB.
     pub fn peak_rss_mb(&self) -> f64 {
-        self.seen
-            .counts
+        self.record
+            .proxy_counts
             .iter()
             .map(|c| c.usage.peak_kb)
             .max()
@@ -165,8 +165,8 @@
         let [p50, p99] = [0.5, 0.99].map(|p| self.verdict.latency(p));
         let json = Json {
             scenario,
-            seed: self.seen.plan.seed,
-            digest: &self.seen.plan.digest,
+            seed: self.record.schedule.seed,
+            digest: &self.record.schedule.digest,
             void: !self.void.is_empty(),
             asked: self.verdict.worth.asked,
             earned: self.verdict.worth.earned,
@@ -196,7 +196,7 @@
 
     fn write_table(&self, out: &mut String) -> std::fmt::Result {
         let (v, w) = (&self.verdict, &self.verdict.worth);
-        writeln!(out, "{}", self.seen.plan.title())?;
+        writeln!(out, "{}", self.record.schedule.title())?;
         writeln!(
             out,
             "  worth      {:.3}   asked {:.1}, earned {:.1}, of it {:.1} late",
@@ -215,8 +215,8 @@
         writeln!(
             out,
             "  latency    median {}, 99th percentile {}",
-            show(v.latency(0.5)),
-            show(v.latency(0.99))
+            format_seconds(v.latency(0.5)),
+            format_seconds(v.latency(0.99))
         )?;
         writeln!(
             out,
@@ -268,11 +268,11 @@
                 l.what, l.counted
             )?;
         }
-        for (no, became) in &self.seen.changes {
+        for (no, became) in &self.record.route_changes {
             writeln!(
                 out,
                 "  change     {}: {became}",
-                self.seen.proxies[usize::from(*no)]
+                self.record.proxies[usize::from(*no)]
             )?;
         }
         for e in &self.expectations {
@@ -283,7 +283,7 @@
                 e.name, e.bound, e.figure
             )?;
         }
-        for trouble in &self.seen.troubles {
+        for trouble in &self.record.errors {
             writeln!(out, "  trouble    {trouble}")?;
         }
         for why in &self.void {
@@ -299,11 +299,11 @@
     }
 }
 
-fn expectations(seen: &Seen, verdict: &Verdict) -> Vec<Expectation> {
+fn expectations(seen: &RunRecord, verdict: &Verdict) -> Vec<Expectation> {
     let mut list = Vec::new();
-    for e in &seen.plan.scenario.expect {
+    for e in &seen.schedule.scenario.expect {
         let changes = |word: &str| {
-            seen.changes
+            seen.route_changes
                 .iter()
                 .filter(|(_, became)| became.contains(word))
                 .count() as f64
@@ -314,10 +314,11 @@
             "changes_given_up" => Some(changes("given up")),
             "attempts_multiple" => Some(multiple(seen)),
             "loops_ended" => Some(counted(seen, |v| v["budget"]["loops"].as_f64())),
-            other if other.starts_with("fleet_") => audited::figure(seen, other),
-            other if other.starts_with("duty_") => {
-                seen.duty.as_ref().and_then(|d| gate::figure(d, other))
-            }
+            other if other.starts_with("fleet_") => audit_check::figure(seen, other),
+            other if other.starts_with("duty_") => seen
+                .lease_calls
+                .as_ref()
+                .and_then(|d| fencing_server::figure(d, other)),
             other => verdict.figure(other),
         };
         let Some(figure) = figure else { continue };
@@ -338,8 +339,8 @@
 }
 
 /// A figure of the daemons' own counts, summed.
-fn counted(seen: &Seen, of: impl Fn(&serde_json::Value) -> Option<f64>) -> f64 {
-    seen.counts
+fn counted(seen: &RunRecord, of: impl Fn(&serde_json::Value) -> Option<f64>) -> f64 {
+    seen.proxy_counts
         .iter()
         .filter_map(|c| of(c.counts.as_ref()?))
         .sum()
@@ -347,7 +348,7 @@
 
 /// Attempts over all tiers, as the daemons counted them, beside one for each tier and request that
 /// came to the first.
-fn multiple(seen: &Seen) -> f64 {
+fn multiple(seen: &RunRecord) -> f64 {
     let attempts = |v: &serde_json::Value| {
         let by = v["attempts"].as_object()?;
         Some(
@@ -357,7 +358,8 @@
                 .sum::<f64>(),
         )
     };
-    let first = |c: &&crate::stage::Counted| seen.proxy_tier.get(usize::from(c.proxy)) == Some(&0);
+    let first =
+        |c: &&crate::runner::ProxyCounts| seen.proxy_tiers.get(usize::from(c.proxy)) == Some(&0);
     let rows = |v: &serde_json::Value| {
         Some(
             v["requests"]
@@ -368,29 +370,29 @@
         )
     };
     let asked: f64 = seen
-        .counts
+        .proxy_counts
         .iter()
         .filter(first)
         .filter_map(|c| rows(c.counts.as_ref()?))
         .sum();
-    counted(seen, attempts) / (asked * seen.plan.scenario.tier.len() as f64).max(1.0)
+    counted(seen, attempts) / (asked * seen.schedule.scenario.tier.len() as f64).max(1.0)
 }
 
 /// Why a rehearsal means nothing: who was to measure did not keep up.
-fn void(seen: &Seen) -> Vec<String> {
+fn void(seen: &RunRecord) -> Vec<String> {
     let mut why = Vec::new();
-    why.extend(late("the driver", &seen.driver_late));
-    why.extend(late("the stand-ins", &seen.stage_late));
+    why.extend(late("the driver", &seen.generator_lateness));
+    why.extend(late("the stand-ins", &seen.runner_lateness));
     if seen.dropped > 0 {
         why.push(format!(
             "{} first tries could not be begun by the driver",
             seen.dropped
         ));
     }
-    if seen.starved > 0 {
+    if seen.descriptor_failures > 0 {
         why.push(format!(
             "descriptors ran out at the driver or the stand-ins, {} times",
-            seen.starved
+            seen.descriptor_failures
         ));
     }
     if seen.interrupted {
@@ -404,8 +406,8 @@
     (p99 > LATE || most > STALLED).then(|| {
         format!(
             "{who} ran late: {} in the 99th percentile, {} at most",
-            show(p99),
-            show(most)
+            format_seconds(p99),
+            format_seconds(most)
         )
     })
 }
--- a/crates/heathroad-harness/tests/judge.rs
+++ b/crates/heathroad-harness/tests/checker.rs
@@ -3,110 +3,110 @@
 
 mod common;
 
+use heathroad_harness::checker::{Rule, Terms, Verdict, check};
 use heathroad_harness::clock::{Micros, SECOND};
-use heathroad_harness::judge::{Rule, Terms, Verdict, judge};
-use heathroad_harness::ledger::*;
-use heathroad_harness::plan::Plan;
-use heathroad_harness::stand_in::machine::Make;
+use heathroad_harness::emulator::host::HostSpec;
+use heathroad_harness::event_log::*;
+use heathroad_harness::schedule::Schedule;
 
 const SAFE: u16 = 0;
 const KEYED: u16 = 2;
 const UNSAFE: u16 = 3;
 const MS: Micros = 1000;
 
-fn plan() -> Plan {
-    common::plan(common::SMALL, 1)
+fn schedule() -> Schedule {
+    common::schedule(common::SMALL, 1)
 }
 
-fn try_of(id: u64, class: u16) -> Try {
-    Try {
+fn try_of(id: u64, class: u16) -> Attempt {
+    Attempt {
         id,
         tier: 0,
         parent: None,
-        first: 0,
-        number: 0,
+        request_index: 0,
+        retry: 0,
         class,
         tenant: 0,
         key: (class == KEYED).then_some(99),
         proxy: 0,
-        due: 0,
-        sent: Some(SECOND),
-        crossed: None,
-        patience: SECOND,
-        slow: 0,
-        end: End::Served(id),
-        ended: SECOND + 100 * MS,
-        extra: false,
+        scheduled_at: 0,
+        sent_at: Some(SECOND),
+        resent_at: None,
+        time_limit: SECOND,
+        read_delay: 0,
+        end: AttemptEnd::Served(id),
+        ended_at: SECOND + 100 * MS,
+        unexpected_data: false,
     }
 }
 
 fn arrival(id: u64, class: u16, whole: Micros) -> Arrival {
     Arrival {
-        host: 0,
-        life: 0,
+        backend: 0,
+        incarnation: 0,
         tier: 0,
         proxy: 0,
         id,
         class,
         key: (class == KEYED).then_some(99),
         version: None,
-        first_byte: whole,
-        told: None,
-        whole,
+        first_byte_at: whole,
+        announced_limit: None,
+        received_at: whole,
         work: 1000,
-        fate: Fate::Ran,
-        mark: id,
-        answer: Answer::Served,
-        done: Some(whole + 50 * MS),
+        disposition: Disposition::Executed,
+        marker: id,
+        response: ResponseKind::Served,
+        responded_at: Some(whole + 50 * MS),
     }
 }
 
-fn judged(ledgers: &Ledgers) -> Verdict {
-    judged_by(&plan(), ledgers)
+fn judged(event_log: &EventLog) -> Verdict {
+    judged_by(&schedule(), event_log)
 }
 
-fn judged_by(plan: &Plan, ledgers: &Ledgers) -> Verdict {
-    let make = Make {
+fn judged_by(schedule: &Schedule, event_log: &EventLog) -> Verdict {
+    let spec = HostSpec {
         cores: 1,
         speed: 1.0,
-        cold_from: 0.1,
-        cold: 60 * SECOND,
+        cold_capacity: 0.1,
+        warm_up: 60 * SECOND,
         warm_requests: 0,
-        fall_multiple: 3.0,
-        fall: 2 * SECOND,
+        overload_multiple: 3.0,
+        overload_window: 2 * SECOND,
     };
-    let [proxies, hosts] =
+    let [proxies, backends] =
         [["proxy-1", "proxy-2"], ["a", "b"]].map(|names| names.map(String::from));
-    judge(
+    check(
         &Terms {
-            plan,
+            schedule,
             proxies: &proxies,
-            hosts: &hosts,
+            backends: &backends,
             cells: &[0, 1],
-            makes: &[make.clone(), make],
+            host_specs: &[spec.clone(), spec],
         },
-        ledgers,
+        event_log,
     )
 }
 
 /// The one breach, and its proof; none.
-fn breach(ledgers: &Ledgers) -> Option<(Rule, String)> {
-    let v = judged(ledgers);
+fn breach(event_log: &EventLog) -> Option<(Rule, String)> {
+    let v = judged(event_log);
     assert!(v.breaches.len() <= 1, "{:?}", v.breaches);
     v.breaches.into_iter().next().map(|b| (b.rule, b.proof))
 }
 
-fn one(t: Try, arrivals: Vec<Arrival>) -> Ledgers {
-    Ledgers {
-        tries: vec![t],
+fn one(t: Attempt, arrivals: Vec<Arrival>) -> EventLog {
+    EventLog {
+        attempts: vec![t],
         arrivals,
-        ..Ledgers::default()
+        ..EventLog::default()
     }
 }
 
-fn with_end(end: End) -> Ledgers {
+fn with_end(end: AttemptEnd) -> EventLog {
     one(
-        Try {
+        Attempt {
             end,
             ..try_of(7, SAFE)
         },
@@ -114,8 +114,8 @@
     )
 }
 
-fn is_lost(ledgers: &Ledgers, says: &str) {
-    let (rule, proof) = breach(ledgers).expect("a breach");
+fn is_lost(event_log: &EventLog, says: &str) {
+    let (rule, proof) = breach(event_log).expect("a breach");
     assert!(
         rule == Rule::Lost && proof.contains(says),
         "{rule:?}: {proof}"
@@ -125,28 +125,31 @@
 #[test]
 fn one_answer_in_time_made_by_a_backend_for_this_request() {
     for fine in [
-        End::Served(7),
-        End::Refused { after: None },
-        End::Failed(502),
-        End::HungUp,
-        End::Broken(true),
+        AttemptEnd::Served(7),
+        AttemptEnd::Refused { after: None },
+        AttemptEnd::Failed(502),
+        AttemptEnd::Cancelled,
+        AttemptEnd::Truncated(true),
     ] {
         assert_eq!(breach(&with_end(fine)), None);
     }
-    is_lost(&with_end(End::Served(8)), "no backend made for it");
+    is_lost(&with_end(AttemptEnd::Served(8)), "no backend made for it");
     is_lost(
-        &with_end(End::Alien("hello".into())),
+        &with_end(AttemptEnd::UnknownBody("hello".into())),
         "no backend made for it",
     );
-    is_lost(&with_end(End::Broken(false)), "closed without an answer");
-    is_lost(&with_end(End::Garbled), "can't be read");
-    is_lost(&with_end(End::Silence), "no answer had come");
+    is_lost(
+        &with_end(AttemptEnd::Truncated(false)),
+        "closed without an answer",
+    );
+    is_lost(&with_end(AttemptEnd::Malformed), "can't be read");
+    is_lost(&with_end(AttemptEnd::NoResponse), "no answer had come");
     // The mark of another request's answer, though a backend made it.
-    let mut mixed = with_end(End::Served(8));
+    let mut mixed = with_end(AttemptEnd::Served(8));
     mixed.arrivals.push(arrival(8, SAFE, SECOND));
     is_lost(&mixed, "no backend made for it");
-    let twice = Try {
-        extra: true,
+    let twice = Attempt {
+        unexpected_data: true,
         ..try_of(7, SAFE)
     };
     is_lost(&one(twice, vec![arrival(7, SAFE, SECOND)]), "second answer");
@@ -155,8 +158,8 @@
 #[test]
 fn an_answer_may_be_late_by_the_grace_and_no_more() {
     let at = |took: Micros| {
-        let t = Try {
-            ended: SECOND + took,
+        let t = Attempt {
+            ended_at: SECOND + took,
             ..try_of(7, SAFE)
         };
         breach(&one(t, vec![arrival(7, SAFE, SECOND)]))
@@ -165,9 +168,9 @@
     assert_eq!(at(SECOND + 70 * MS), None);
     assert!(at(SECOND + 71 * MS).is_some());
     // A slow reader's own time is not the proxy's.
-    let t = Try {
-        ended: 2 * SECOND + 150 * MS,
-        slow: 100 * MS,
+    let t = Attempt {
+        ended_at: 2 * SECOND + 150 * MS,
+        read_delay: 100 * MS,
         ..try_of(7, SAFE)
     };
     assert_eq!(breach(&one(t, vec![arrival(7, SAFE, SECOND)])), None);
@@ -178,13 +181,13 @@
 #[test]
 fn a_close_that_crosses_a_request_takes_nothing_that_was_read() {
     let crossed = |before: &[Micros]| {
-        let t = Try {
-            crossed: Some(SECOND),
-            sent: Some(SECOND + MS),
+        let t = Attempt {
+            resent_at: Some(SECOND),
+            sent_at: Some(SECOND + MS),
             ..try_of(7, UNSAFE)
         };
         let first = before.iter().map(|at| Arrival {
-            mark: 6,
+            marker: 6,
             ..arrival(7, UNSAFE, *at)
         });
         breach(&one(
@@ -202,44 +205,44 @@
 
 #[test]
 fn what_a_killed_proxy_held_is_not_lost() {
-    for end in [End::Broken(false), End::Silence] {
-        let mut ledgers = with_end(end.clone());
-        let act = |proxy, at| Act {
+    for end in [AttemptEnd::Truncated(false), AttemptEnd::NoResponse] {
+        let mut event_log = with_end(end.clone());
+        let act = |proxy, at| ProcessEvent {
             at,
             until: at + 5 * MS,
             proxy,
-            what: Did::Killed,
+            kind: ProcessEventKind::Killed,
         };
-        ledgers.acts = vec![act(1, SECOND + 50 * MS), act(0, SECOND / 2)];
+        event_log.process_events = vec![act(1, SECOND + 50 * MS), act(0, SECOND / 2)];
         assert!(
-            breach(&ledgers).is_some(),
+            breach(&event_log).is_some(),
             "another's kill, or an earlier one, explains nothing"
         );
-        ledgers.acts.push(act(0, SECOND + 50 * MS));
-        assert_eq!(breach(&ledgers), None);
+        event_log.process_events.push(act(0, SECOND + 50 * MS));
+        assert_eq!(breach(&event_log), None);
         // Sent while it was dying.
-        ledgers.acts = vec![act(0, SECOND - 4 * MS)];
-        assert_eq!(breach(&ledgers), None);
-        ledgers.acts = vec![act(0, SECOND - 6 * MS)];
-        assert!(breach(&ledgers).is_some());
+        event_log.process_events = vec![act(0, SECOND - 4 * MS)];
+        assert_eq!(breach(&event_log), None);
+        event_log.process_events = vec![act(0, SECOND - 6 * MS)];
+        assert!(breach(&event_log).is_some());
     }
     // A planned stop is no excuse.
-    let mut ledgers = with_end(End::Broken(false));
-    ledgers.acts = vec![Act {
+    let mut event_log = with_end(AttemptEnd::Truncated(false));
+    event_log.process_events = vec![ProcessEvent {
         at: SECOND + 50 * MS,
         until: 2 * SECOND,
         proxy: 0,
-        what: Did::Stopped,
+        kind: ProcessEventKind::Stopped,
     }];
-    assert!(breach(&ledgers).is_some());
+    assert!(breach(&event_log).is_some());
 }
 
 fn doubled(class: u16, later: Micros, change: impl Fn(&mut Arrival)) -> Option<(Rule, String)> {
     let mut again = arrival(7, class, SECOND + later);
     change(&mut again);
-    let t = Try {
-        patience: 60 * SECOND,
-        ended: 30 * SECOND,
+    let t = Attempt {
+        time_limit: 60 * SECOND,
+        ended_at: 30 * SECOND,
         ..try_of(7, class)
     };
     breach(&one(t, vec![arrival(7, class, SECOND), again]))
@@ -248,13 +251,13 @@
 #[test]
 fn what_may_have_run_is_sent_again_only_as_its_class_allows() {
     assert_eq!(doubled(SAFE, SECOND, |_| {}), None);
-    let (rule, proof) = doubled(UNSAFE, SECOND, |a| a.host = 1).expect("a breach");
+    let (rule, proof) = doubled(UNSAFE, SECOND, |a| a.backend = 1).expect("a breach");
     assert!(
         rule == Rule::Double && proof.contains("to a: ran; then") && proof.contains("to b"),
         "{proof}"
     );
     assert_eq!(
-        doubled(UNSAFE, SECOND, |a| a.fate = Fate::Declined),
+        doubled(UNSAFE, SECOND, |a| a.disposition = Disposition::Declined),
         None,
         "what was declined never ran"
     );
@@ -269,21 +272,21 @@
 
 #[test]
 fn a_keyed_request_stays_in_its_group() {
-    let mut plan = plan();
-    plan.scenario.class[usize::from(KEYED)].group = heathroad_harness::scenario::Group::Cell;
+    let mut schedule = schedule();
+    schedule.scenario.class[usize::from(KEYED)].group = heathroad_harness::scenario::Group::Cell;
     let again = Arrival {
-        host: 1,
+        backend: 1,
         ..arrival(7, KEYED, SECOND + MS)
     };
-    let ledgers = one(try_of(7, KEYED), vec![arrival(7, KEYED, SECOND), again]);
-    let v = judged_by(&plan, &ledgers);
+    let event_log = one(try_of(7, KEYED), vec![arrival(7, KEYED, SECOND), again]);
+    let v = judged_by(&schedule, &event_log);
     assert!(
         v.breaches[0].proof.contains("outside its group"),
         "{:?}",
         v.breaches
     );
     assert_eq!(
-        breach(&ledgers),
+        breach(&event_log),
         None,
         "where the group is all, it is not left"
     );
@@ -292,26 +295,26 @@
 #[test]
 fn a_refusal_promises_that_trying_again_is_harmless() {
     let refused = |class, fate| {
-        let t = Try {
-            end: End::Refused { after: None },
+        let t = Attempt {
+            end: AttemptEnd::Refused { after: None },
             ..try_of(7, class)
         };
         breach(&one(
             t,
             vec![Arrival {
-                fate,
+                disposition: fate,
                 ..arrival(7, class, SECOND)
             }],
         ))
     };
-    assert_eq!(refused(SAFE, Fate::Ran), None);
+    assert_eq!(refused(SAFE, Disposition::Executed), None);
     assert_eq!(
-        refused(KEYED, Fate::Ran),
+        refused(KEYED, Disposition::Executed),
         None,
         "its group is all: repeats are dropped"
     );
-    assert_eq!(refused(UNSAFE, Fate::Declined), None);
-    let (rule, proof) = refused(UNSAFE, Fate::Ran).expect("a breach");
+    assert_eq!(refused(UNSAFE, Disposition::Declined), None);
+    let (rule, proof) = refused(UNSAFE, Disposition::Executed).expect("a breach");
     assert!(
         rule == Rule::Double && proof.contains("refused at"),
         "{proof}"
@@ -321,24 +324,24 @@
 /// Eleven seconds later the backends have forgotten it: whoever sent it then has run it twice.
 #[test]
 fn who_ran_a_claim_twice_is_named() {
-    let late = Try {
+    let late = Attempt {
         id: 8,
-        number: u8::MAX,
-        due: 12 * SECOND,
-        sent: Some(12 * SECOND),
+        retry: u8::MAX,
+        scheduled_at: 12 * SECOND,
+        sent_at: Some(12 * SECOND),
         ..try_of(8, KEYED)
     };
-    let late = Try {
-        ended: 12 * SECOND + 100 * MS,
+    let late = Attempt {
+        ended_at: 12 * SECOND + 100 * MS,
         ..late
     };
     let arrivals = vec![arrival(7, KEYED, SECOND), arrival(8, KEYED, 12 * SECOND)];
-    let ledgers = Ledgers {
-        tries: vec![try_of(7, KEYED), late],
+    let event_log = EventLog {
+        attempts: vec![try_of(7, KEYED), late],
         arrivals,
-        ..Ledgers::default()
+        ..EventLog::default()
     };
-    let v = judged(&ledgers);
+    let v = judged(&event_log);
     assert!(v.breaches.is_empty(), "the proxy sent each once");
     let [client] = &v.by_clients[..] else {
         panic!("{:?}", v.by_clients)
@@ -348,9 +351,9 @@
         "{client}"
     );
     // Under one id it is the proxy's doing, and no client's.
-    let mut by_proxy = ledgers;
+    let mut by_proxy = event_log;
     by_proxy.arrivals[1].id = 7;
-    by_proxy.tries.truncate(1);
+    by_proxy.attempts.truncate(1);
     let v = judged(&by_proxy);
     assert_eq!(
         (v.breaches_of(Rule::Double), v.by_clients.len()),
@@ -362,34 +365,34 @@
 
 #[test]
 fn a_hidden_request_that_is_passed_on_and_a_bad_client_that_is_served() {
-    let rude = |status, hidden| Rude {
+    let rude = |status, hidden| MalformedClient {
         kind: "x",
-        hidden,
+        smuggled_id: hidden,
         at: SECOND,
         status,
-        ended: Some(SECOND),
+        ended_at: Some(SECOND),
     };
-    let mut ledgers = Ledgers {
-        rude: vec![rude(Some(400), Some(7))],
-        ..Ledgers::default()
+    let mut event_log = EventLog {
+        malformed_clients: vec![rude(Some(400), Some(7))],
+        ..EventLog::default()
     };
-    assert_eq!(breach(&ledgers), None);
-    ledgers.arrivals = vec![arrival(7, SAFE, SECOND)];
-    assert_eq!(breach(&ledgers).expect("a breach").0, Rule::Double);
-    let served = Ledgers {
-        rude: vec![rude(Some(200), None)],
-        ..Ledgers::default()
+    assert_eq!(breach(&event_log), None);
+    event_log.arrivals = vec![arrival(7, SAFE, SECOND)];
+    assert_eq!(breach(&event_log).expect("a breach").0, Rule::Double);
+    let served = EventLog {
+        malformed_clients: vec![rude(Some(200), None)],
+        ..EventLog::default()
     };
     assert_eq!(breach(&served).expect("a breach").0, Rule::Lost);
     // Owed an answer or a close within 3 s.
     let left = |ended| {
-        let rude = vec![Rude {
-            ended,
+        let rude = vec![MalformedClient {
+            ended_at: ended,
             ..rude(None, None)
         }];
-        judged(&Ledgers {
-            rude,
-            ..Ledgers::default()
+        judged(&EventLog {
+            malformed_clients: rude,
+            ..EventLog::default()
         })
         .rude[1]
     };
@@ -399,26 +402,26 @@
     );
 }
 
-fn told(at: Micros, version: u64, health: Health) -> Told {
-    Told {
+fn told(at: Micros, version: u64, health: Health) -> RegistryUpdate {
+    RegistryUpdate {
         at,
         proxy: 0,
-        host: 0,
-        life: 0,
+        backend: 0,
+        incarnation: 0,
         version,
         health,
     }
 }
 
-fn sent_at(at: Micros, told: Vec<Told>) -> Option<(Rule, String)> {
-    let t = Try {
-        sent: Some(at),
-        ended: at + MS,
+fn sent_at(at: Micros, told: Vec<RegistryUpdate>) -> Option<(Rule, String)> {
+    let t = Attempt {
+        sent_at: Some(at),
+        ended_at: at + MS,
         ..try_of(7, SAFE)
     };
     breach(
-        &Ledgers {
-            told,
+        &EventLog {
+            registry_updates: told,
             ..one(t, vec![arrival(7, SAFE, at)])
         }
         .clone(),
@@ -454,9 +457,9 @@
     assert!(sent_at(3 * SECOND, old).is_some());
     // Another proxy, another host, another process.
     for change in [
-        |t: &mut Told| t.proxy = 1,
-        |t: &mut Told| t.host = 1,
-        |t: &mut Told| t.life = 1,
+        |t: &mut RegistryUpdate| t.proxy = 1,
+        |t: &mut RegistryUpdate| t.backend = 1,
+        |t: &mut RegistryUpdate| t.incarnation = 1,
     ] {
         let mut others = draining();
         others.iter_mut().for_each(change);
@@ -467,22 +470,22 @@
 /// Two proxies each send a cold backend less than it falls over by, and more together.
 #[test]
 fn a_cold_backend_is_pushed_over_by_all_proxies_together() {
-    let life = Life {
-        host: 0,
-        life: 1,
-        started: SECOND,
+    let life = Incarnation {
+        backend: 0,
+        number: 1,
+        started_at: SECOND,
         warm: false,
-        fell: None,
+        overloaded_at: None,
     };
-    let told = |proxy| Told {
+    let told = |proxy| RegistryUpdate {
         proxy,
-        life: 1,
+        incarnation: 1,
         ..told(SECOND, 1, Health::Serving)
     };
     // 10% of one core, three times over, for 2 s: 600 ms of work and a little more as it warms.
     let burst = |proxy: u16, n: u64| {
         (0..n).map(move |i| Arrival {
-            life: 1,
+            incarnation: 1,
             proxy,
             work: 10 * MS,
             ..arrival(
@@ -492,13 +495,13 @@
             )
         })
     };
-    let by = |first: u64, second: u64, told: Vec<Told>| {
+    let by = |first: u64, second: u64, told: Vec<RegistryUpdate>| {
         let arrivals = burst(0, first).chain(burst(1, second)).collect();
-        breach(&Ledgers {
-            lives: vec![life.clone()],
+        breach(&EventLog {
+            incarnations: vec![life.clone()],
             arrivals,
-            told,
-            ..Ledgers::default()
+            registry_updates: told,
+            ..EventLog::default()
         })
     };
     let all = || vec![told(0), told(1)];
@@ -513,17 +516,17 @@
     // It is the proxies' only where two thirds of the work came from those who knew of the start.
     assert_eq!(by(45, 45, vec![told(0)]), None);
     // The same spread over time is borne, and a warm one has no such budget.
-    let warm = Life {
+    let warm = Incarnation {
         warm: true,
         ..life.clone()
     };
     let arrivals = burst(0, 45).chain(burst(1, 45)).collect::<Vec<_>>();
     assert_eq!(
-        breach(&Ledgers {
-            lives: vec![warm],
+        breach(&EventLog {
+            incarnations: vec![warm],
             arrivals,
-            told: all(),
-            ..Ledgers::default()
+            registry_updates: all(),
+            ..EventLog::default()
         }),
         None
     );
@@ -533,28 +536,29 @@
 /// part.
 #[test]
 fn worth_folds_retries_into_the_first_try() {
-    let mut plan = plan();
-    plan.tries.truncate(4);
-    plan.tries
+    let mut schedule = schedule();
+    schedule.requests.truncate(4);
+    schedule
+        .requests
         .iter_mut()
-        .for_each(|t| (t.class, t.over, t.at) = (SAFE, false, SECOND));
-    plan.tries[3].over = true;
+        .for_each(|t| (t.class, t.over_share, t.at) = (SAFE, false, SECOND));
+    schedule.requests[3].over_share = true;
     let served = |first: u32, number: u8, after: Micros| {
         let id = 10 * u64::from(first + 1) + u64::from(number);
         let sent = Some(SECOND + after - 10 * MS);
-        Try {
+        Attempt {
             id,
-            first,
-            number,
-            sent,
-            ended: SECOND + after,
-            end: End::Served(id),
+            request_index: first,
+            retry: number,
+            sent_at: sent,
+            ended_at: SECOND + after,
+            end: AttemptEnd::Served(id),
             ..try_of(id, SAFE)
         }
     };
     // In time at the second try; late, for half; never; beyond the share, in time.
-    let failed = Try {
-        end: End::Failed(502),
+    let failed = Attempt {
+        end: AttemptEnd::Failed(502),
         ..served(0, 0, 100 * MS)
     };
     let tries = vec![
@@ -565,11 +569,11 @@
     ];
     let arrivals = tries.iter().map(|t| arrival(t.id, SAFE, SECOND)).collect();
     let v = judged_by(
-        &plan,
-        &Ledgers {
-            tries,
+        &schedule,
+        &EventLog {
+            attempts: tries,
             arrivals,
-            ..Ledgers::default()
+            ..EventLog::default()
         },
     );
     assert_eq!(
@@ -586,30 +590,30 @@
 /// a backend there, it goes round.
 #[test]
 fn calls_that_come_round_are_told_from_clients() {
-    let round = |end: End, reached: bool| {
-        let first = Try {
-            end: End::Failed(502),
+    let round = |end: AttemptEnd, reached: bool| {
+        let first = Attempt {
+            end: AttemptEnd::Failed(502),
             ..try_of(7, SAFE)
         };
-        let again = Try {
+        let again = Attempt {
             parent: Some(7),
             end,
             ..try_of(8, SAFE)
         };
         let mut arrivals = vec![arrival(7, SAFE, SECOND)];
         arrivals.extend(reached.then(|| arrival(8, SAFE, SECOND + MS)));
-        judged(&Ledgers {
-            tries: vec![first, again],
+        judged(&EventLog {
+            attempts: vec![first, again],
             arrivals,
-            ..Ledgers::default()
+            ..EventLog::default()
         })
     };
-    let ended = round(End::Failed(508), false);
+    let ended = round(AttemptEnd::Failed(508), false);
     assert_eq!(
         (ended.loops_open, ended.tries, ended.worth.earned),
         (0, [0, 0, 1, 0], 0.0)
     );
-    let open = round(End::Served(8), true);
+    let open = round(AttemptEnd::Served(8), true);
     assert_eq!(
         (open.loops_open, open.tries, open.worth.earned),
         (1, [0, 0, 1, 0], 0.0)
@@ -622,16 +626,16 @@
 fn work_that_begins_when_its_client_has_gone_is_for_nobody() {
     let share = |at: Micros| {
         // Its client gave up after 100 ms; what was done for it before had its use.
-        let mut all = vec![Try {
-            end: End::HungUp,
+        let mut all = vec![Attempt {
+            end: AttemptEnd::Cancelled,
             ..try_of(7, SAFE)
         }];
-        all.push(Try {
+        all.push(Attempt {
             tier: 1,
             parent: Some(7),
             ..try_of(8, SAFE)
         });
-        all.push(Try {
+        all.push(Attempt {
             tier: 2,
             parent: Some(8),
             ..try_of(9, SAFE)
@@ -649,28 +653,28 @@
             // Of nobody known, and turned away unseen: neither counts.
             arrival(77, SAFE, at),
             Arrival {
-                fate: Fate::Declined,
+                disposition: Disposition::Declined,
                 ..arrival(8, SAFE, at)
             },
         ];
-        judged(&Ledgers {
-            tries: all,
+        judged(&EventLog {
+            attempts: all,
             arrivals,
-            ..Ledgers::default()
+            ..EventLog::default()
         })
         .work_for_nobody
     };
     assert_eq!(share(SECOND + 100 * MS), 0.0);
     assert_eq!(share(SECOND + 101 * MS), 0.25);
     // Ids that lead in a circle lead to nobody, and to an end.
-    let circle = [(7, 8), (8, 7)].map(|(id, parent)| Try {
+    let circle = [(7, 8), (8, 7)].map(|(id, parent)| Attempt {
         parent: Some(parent),
         ..try_of(id, SAFE)
     });
-    let ledgers = Ledgers {
-        tries: circle.into(),
+    let event_log = EventLog {
+        attempts: circle.into(),
         arrivals: vec![arrival(7, SAFE, SECOND)],
-        ..Ledgers::default()
+        ..EventLog::default()
     };
-    assert_eq!(judged(&ledgers).work_for_nobody, 0.0);
+    assert_eq!(judged(&event_log).work_for_nobody, 0.0);
 }
--- a/crates/heathroad-harness/tests/fleet.rs
+++ b/crates/heathroad-harness/tests/cluster.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{daemon, routes};
-use heathroad_harness::fleet::{Fleet, Options};
-use heathroad_harness::stand_in::network::Fate;
+use heathroad_harness::cluster::{Cluster, Options};
+use heathroad_harness::emulator::network::Delivery;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::UdpSocket;
@@ -14,7 +14,7 @@
 
 const PERIOD_MS: u64 = 300;
 
-async fn fleet(proxies: u16, seed: u64, with_routes: bool) -> Fleet {
+async fn cluster(proxies: u16, seed: u64, with_routes: bool) -> Cluster {
     let routes = with_routes.then(|| routes(1));
     let options = Options {
         routes,
@@ -22,11 +22,11 @@
         fence_unsure_after_ms: None,
         ..Options::default()
     };
-    let fleet = Fleet::begin(&daemon(), proxies, seed, options)
+    let cluster = Cluster::start_all(&daemon(), proxies, seed, options)
         .await
         .expect("it starts");
-    fleet.until_all_there().await.expect("all know all");
-    fleet
+    cluster.wait_for_all_alive().await.expect("all know all");
+    cluster
 }
 
 fn member(told: &Value, place: u16) -> &Value {
@@ -45,9 +45,13 @@
 }
 
 /// What the backend saw of a proxy, by version.
-fn seen(fleet: &Fleet, proxy: u16) -> BTreeMap<String, u64> {
+fn seen(cluster: &Cluster, proxy: u16) -> BTreeMap<String, u64> {
     let mut seen = BTreeMap::new();
-    for noted in fleet.noted().into_iter().filter(|n| n.proxy == proxy) {
+    for noted in cluster
+        .backend_requests()
+        .into_iter()
+        .filter(|n| n.proxy == proxy)
+    {
         *seen
             .entry(noted.version.expect("every attempt tells its version"))
             .or_insert(0) += 1;
@@ -57,17 +61,17 @@
 
 #[tokio::test]
 async fn a_killed_proxy_is_gone_for_all_and_comes_back_in_a_new_life() {
-    let mut fleet = fleet(4, 1, false).await;
+    let mut cluster = cluster(4, 1, false).await;
     let life = |told: &Value| {
         member(told, 2)["incarnation"]["life"]
             .as_u64()
             .expect("a life")
     };
-    let before = life(&fleet.ask(0, "/fleet/members").await.expect("told"));
-    fleet.kill(2);
+    let before = life(&cluster.query(0, "/fleet/members").await.expect("told"));
+    cluster.kill(2);
     for at in [0, 1, 3] {
-        let told = fleet
-            .until_stands(at, 2, "gone")
+        let told = cluster
+            .wait_for_standing(at, 2, "gone")
             .await
             .expect("its death is known");
         assert!(
@@ -78,7 +82,7 @@
         );
     }
     // Nobody is left to say what it did: that is told, and not guessed.
-    let audit = fleet.ask(0, "/fleet/audit").await.expect("told");
+    let audit = cluster.query(0, "/fleet/audit").await.expect("told");
     assert_eq!(
         (
             &member(&audit, 2)["reached"],
@@ -86,12 +90,12 @@
         ),
         (&false.into(), &Value::Null)
     );
-    fleet.start(2).await.expect("it starts again");
-    fleet.until_all_there().await.expect("all know all");
-    let after = life(&fleet.ask(0, "/fleet/members").await.expect("told"));
+    cluster.start(2).await.expect("it starts again");
+    cluster.wait_for_all_alive().await.expect("all know all");
+    let after = life(&cluster.query(0, "/fleet/members").await.expect("told"));
     assert!(after > before);
     // Its record was on disk: its former life is known again, and where it is torn.
-    let told = fleet.ask(0, "/fleet/audit").await.expect("told");
+    let told = cluster.query(0, "/fleet/audit").await.expect("told");
     let pages = member(&told, 2)["pages"]
         .as_array()
         .expect("reached")
@@ -103,11 +107,11 @@
         "{pages:?}"
     );
     // With nothing kept, the loss shows as a record that begins anew.
-    fleet.kill(2);
-    fleet.forget(2).expect("its state is taken away");
-    fleet.start(2).await.expect("it starts again");
-    fleet.until_all_there().await.expect("all know all");
-    let told = fleet.ask(0, "/fleet/audit").await.expect("told");
+    cluster.kill(2);
+    cluster.delete_state(2).expect("its state is taken away");
+    cluster.start(2).await.expect("it starts again");
+    cluster.wait_for_all_alive().await.expect("all know all");
+    let told = cluster.query(0, "/fleet/audit").await.expect("told");
     let pages = member(&told, 2)["pages"]
         .as_array()
         .expect("reached")
@@ -121,20 +125,28 @@
 /// A stalled proxy that wakes knows that it stalled, accuses nobody, and is among the others again.
 #[tokio::test]
 async fn a_stalled_proxy_wakes() {
-    let fleet = fleet(4, 2, false).await;
-    fleet.daemon(1).expect("it runs").stall().expect("stopped");
-    fleet
-        .until_stands(0, 1, "gone")
+    let cluster = cluster(4, 2, false).await;
+    cluster
+        .daemon(1)
+        .expect("it runs")
+        .suspend()
+        .expect("stopped");
+    cluster
+        .wait_for_standing(0, 1, "gone")
         .await
         .expect("it says nothing");
-    fleet.daemon(1).expect("it runs").wake().expect("goes on");
-    fleet.until_all_there().await.expect("all know all");
-    let told = fleet.ask(1, "/fleet/members").await.expect("told");
+    cluster
+        .daemon(1)
+        .expect("it runs")
+        .resume()
+        .expect("goes on");
+    cluster.wait_for_all_alive().await.expect("all know all");
+    let told = cluster.query(1, "/fleet/members").await.expect("told");
     let news = told["news"].as_array().expect("a list");
     assert!(news.iter().any(|n| n["news"]["what"] == "woke"), "{news:?}");
     let accused = |n: &&Value| n["news"]["what"] == "suspected" && n["news"]["by"] == 1;
     assert_eq!(news.iter().filter(accused).count(), 0, "{news:?}");
-    let audit = fleet.ask(3, "/fleet/audit").await.expect("told");
+    let audit = cluster.query(3, "/fleet/audit").await.expect("told");
     let spells = member(&audit, 1)["spells"]
         .as_array()
         .expect("reached")
@@ -149,21 +161,21 @@
 /// the gap and contradicts nothing.
 #[tokio::test]
 async fn an_audit_during_a_cut_and_after_it() {
-    let mut fleet = fleet(4, 3, true).await;
+    let mut cluster = cluster(4, 3, true).await;
     for proxy in 0..4 {
-        assert_eq!(fleet.call(proxy).await, Ok(200));
+        assert_eq!(cluster.call(proxy).await, Ok(200));
     }
-    fleet.network.cut(&[&[0, 1], &[2, 3]]);
-    fleet
-        .until_stands(0, 2, "gone")
+    cluster.network.partition(&[&[0, 1], &[2, 3]]);
+    cluster
+        .wait_for_standing(0, 2, "gone")
         .await
         .expect("the other side is out of reach");
-    fleet
+    cluster
         .apply(2, &routes(2))
         .await
         .expect("a change on the other side");
-    assert_eq!(fleet.call(2).await, Ok(200));
-    let during = fleet.ask(0, "/fleet/audit").await.expect("told");
+    assert_eq!(cluster.call(2).await, Ok(200));
+    let during = cluster.query(0, "/fleet/audit").await.expect("told");
     assert_eq!(member(&during, 1)["reached"], true);
     let unknown = member(&during, 2);
     assert_eq!(
@@ -175,9 +187,9 @@
         unknown["last_acts"][0].is_string(),
         "what was heard last is told"
     );
-    fleet.network.heal();
-    fleet.until_all_there().await.expect("all know all");
-    let after = fleet.ask(0, "/fleet/audit").await.expect("told");
+    cluster.network.heal();
+    cluster.wait_for_all_alive().await.expect("all know all");
+    let after = cluster.query(0, "/fleet/audit").await.expect("told");
     for place in [0, 1] {
         let pages = |told: &Value| {
             let pages = member(told, place)["pages"]
@@ -198,7 +210,7 @@
         assert!(was.iter().zip(&is).all(near), "{was:?} {is:?}");
     }
     let known = member(&after, 2);
-    assert_eq!(sent(known), seen(&fleet, 2));
+    assert_eq!(sent(known), seen(&cluster, 2));
     let last = member(&during, 2)["last_acts"][0]
         .as_str()
         .expect("a digest")
@@ -212,12 +224,14 @@
 /// A proxy that hears and is not heard, or the other way round, accuses nobody who is there.
 #[tokio::test]
 async fn a_cut_one_way() {
-    let fleet = fleet(3, 4, false).await;
+    let cluster = cluster(3, 4, false).await;
     for other in [0, 1] {
-        fleet.network.way(other, 2, |w| w.cut = true);
+        cluster
+            .network
+            .configure_link(other, 2, |w| w.blocked = true);
     }
-    let cut = fleet
-        .until(2, "/fleet/members", |t| t["cut_off"] == true)
+    let cut = cluster
+        .wait_until(2, "/fleet/members", |t| t["cut_off"] == true)
         .await
         .expect("it hears nobody");
     assert_eq!(
@@ -225,11 +239,11 @@
         ["alive", "alive"],
         "{cut}"
     );
-    let others = fleet.ask(0, "/fleet/members").await.expect("told");
+    let others = cluster.query(0, "/fleet/members").await.expect("told");
     assert_eq!(member(&others, 1)["standing"], "alive");
-    fleet.network.heal();
-    fleet.until_all_there().await.expect("all know all");
-    let audit = fleet.ask(0, "/fleet/audit").await.expect("told");
+    cluster.network.heal();
+    cluster.wait_for_all_alive().await.expect("all know all");
+    let audit = cluster.query(0, "/fleet/audit").await.expect("told");
     let spells = member(&audit, 2)["spells"]
         .as_array()
         .expect("reached")
@@ -247,46 +261,51 @@
 /// was told, and no other.
 #[tokio::test]
 async fn the_audit_equals_what_the_backend_saw() {
-    let mut fleet = fleet(3, 5, true).await;
-    fleet.network.all(|w| {
-        (w.loss, w.twice, w.torn) = (0.2, 0.1, 0.05);
+    let mut cluster = cluster(3, 5, true).await;
+    cluster.network.configure_all(|w| {
+        (w.loss, w.duplication, w.truncation) = (0.2, 0.1, 0.05);
         w.jitter = Duration::from_millis(30);
     });
     for round in 0..3 {
         let next = 2 + u64::from(round);
-        fleet
+        cluster
             .apply(round, &routes(next))
             .await
             .expect("it is taken");
         // Each is brought up in its own time, under calls.
         for proxy in 0..3 {
             let there = |s: &Value| s["generation"] == next && s["open"].is_null();
-            while !there(&fleet.ask(proxy, "/config/status").await.expect("told")) {
-                assert_eq!(fleet.call(proxy).await, Ok(200));
+            while !there(&cluster.query(proxy, "/config/status").await.expect("told")) {
+                assert_eq!(cluster.call(proxy).await, Ok(200));
                 sleep(Duration::from_millis(20)).await;
             }
-            assert_eq!(fleet.call(proxy).await, Ok(200));
+            assert_eq!(cluster.call(proxy).await, Ok(200));
         }
     }
-    fleet.until_all_there().await.expect("all know all");
+    cluster.wait_for_all_alive().await.expect("all know all");
     let all_reached = |t: &Value| (0..3).all(|p| member(t, p)["reached"] == true);
-    let audit = fleet
-        .until(0, "/fleet/audit", all_reached)
+    let audit = cluster
+        .wait_until(0, "/fleet/audit", all_reached)
         .await
         .expect("told");
     for proxy in 0..3 {
         assert_eq!(
             sent(member(&audit, proxy)),
-            seen(&fleet, proxy),
+            seen(&cluster, proxy),
             "proxy {proxy}: {}",
             member(&audit, proxy)
         );
-        assert!(seen(&fleet, proxy).len() >= 3, "several versions");
+        assert!(seen(&cluster, proxy).len() >= 3, "several versions");
     }
-    let (record, _) = fleet.network.record();
-    for fate in [Fate::Passed, Fate::Twice, Fate::Torn, Fate::Lost] {
+    let (record, _) = cluster.network.messages();
+    for fate in [
+        Delivery::Delivered,
+        Delivery::Duplicated,
+        Delivery::Truncated,
+        Delivery::Lost,
+    ] {
         assert!(
-            record.iter().any(|m| m.fate == fate),
+            record.iter().any(|m| m.delivery == fate),
             "{fate:?} was done to none of {}",
             record.len()
         );
@@ -294,11 +313,11 @@
     assert!(
         record
             .iter()
-            .all(|m| m.fate != Fate::TooLong && m.length <= 256)
+            .all(|m| m.delivery != Delivery::TooLong && m.length <= 256)
     );
     let mut dropped = [0, 0];
     for proxy in 0..3 {
-        let told = fleet.ask(proxy, "/fleet/members").await.expect("told");
+        let told = cluster.query(proxy, "/fleet/members").await.expect("told");
         let count = |why: &str| told["traffic"]["dropped"][why].as_u64().expect("a count");
         dropped[0] += count("torn") + count("forged");
         dropped[1] += count("replayed");
@@ -313,16 +332,16 @@
 /// it was bound to.
 #[tokio::test]
 async fn an_act_long_after_the_change_is_under_what_it_was_bound_to() {
-    let mut fleet = fleet(2, 6, true).await;
-    fleet.hold(true);
-    let call = tokio::spawn(fleet.calling(0).expect("it runs"));
-    while fleet.noted().is_empty() {
+    let mut cluster = cluster(2, 6, true).await;
+    cluster.hold_responses(true);
+    let call = tokio::spawn(cluster.start_call(0).expect("it runs"));
+    while cluster.backend_requests().is_empty() {
         sleep(Duration::from_millis(10)).await;
     }
-    fleet.apply(0, &routes(2)).await.expect("it is taken");
-    fleet.hold(false);
+    cluster.apply(0, &routes(2)).await.expect("it is taken");
+    cluster.hold_responses(false);
     assert_eq!(call.await.expect("no panic"), Ok(200));
-    let audit = fleet.ask(1, "/fleet/audit").await.expect("told");
+    let audit = cluster.query(1, "/fleet/audit").await.expect("told");
     let pages = member(&audit, 0)["pages"]
         .as_array()
         .expect("reached")
@@ -355,8 +374,13 @@
     let at = port.local_addr().expect("bound").to_string();
     let folder = std::env::temp_dir().join(format!("heathroad-alone-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let plan = common::plan(common::SMALL, 1);
-    let classes: Vec<_> = plan.scenario.class.iter().map(|c| c.name.clone()).collect();
+    let schedule = common::schedule(common::SMALL, 1);
+    let classes: Vec<_> = schedule
+        .scenario
+        .class
+        .iter()
+        .map(|c| c.name.clone())
+        .collect();
     let config = serde_json::json!({
         "listen": "127.0.0.1:0", "admin": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 256}, "peer_listen": at, "peers": [at, at],
@@ -379,7 +403,7 @@
     let mut bytes = [0; 512];
     let heard = port.recv_from(&mut bytes).map_err(|e| e.kind());
     assert_eq!(heard.err(), Some(std::io::ErrorKind::WouldBlock));
-    let told = heathroad_harness::daemon::get(alone.admin, "/fleet/members")
+    let told = heathroad_harness::daemon::get(alone.admin_address, "/fleet/members")
         .await
         .expect("it answers");
     assert_eq!(told.0, 404);
--- a/crates/heathroad-harness/tests/common/mod.rs
+++ b/crates/heathroad-harness/tests/common/mod.rs
@@ -1,11 +1,11 @@
 //! What the kit's tests share: small scenarios, and the programs to put them on with.
 #![allow(dead_code, reason = "each test file uses its part of it")]
 
-use heathroad_harness::load::Progress;
-use heathroad_harness::outcome::Outcome;
-use heathroad_harness::plan::{self, Plan};
+use heathroad_harness::load_generator::Progress;
+use heathroad_harness::runner::{self, RunOptions};
 use heathroad_harness::scenario;
-use heathroad_harness::stage::{self, Setting};
+use heathroad_harness::schedule::{self, Schedule};
+use heathroad_harness::summary::Summary;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::{Arc, Mutex, OnceLock};
@@ -128,31 +128,31 @@
     link
 }
 
-pub fn plan(text: &str, seed: u64) -> Plan {
-    plan::draw(
+pub fn schedule(text: &str, seed: u64) -> Schedule {
+    schedule::generate(
         scenario::parse("test.toml", text).expect("a good scenario"),
         seed,
     )
 }
 
 /// Puts a rehearsal on and judges it.
-pub fn rehearse(program: &Path, text: &str, seed: u64) -> Outcome {
+pub fn rehearse(program: &Path, text: &str, seed: u64) -> Summary {
     let _turn = TURN
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
     let (_stop, stop) = watch::channel(false);
-    let (program, plan) = (program.to_path_buf(), Arc::new(plan(text, seed)));
-    let setting = Setting {
+    let (program, schedule) = (program.to_path_buf(), Arc::new(schedule(text, seed)));
+    let options = RunOptions {
         program,
-        plan,
+        schedule,
         progress: Arc::<Progress>::default(),
         stop,
     };
-    Outcome::of(stage::run(setting).expect("it can be put on"))
+    Summary::of(runner::run(options).expect("it can be put on"))
 }
 
 /// The same with the daemon, on a machine that was not late: a late one is given two more chances.
-pub fn sound(text: &str, seed: u64) -> Outcome {
+pub fn sound(text: &str, seed: u64) -> Summary {
     let daemon = daemon();
     for _ in 0..2 {
         let o = rehearse(&daemon, text, seed);
--- a/crates/heathroad-harness/tests/stragglers.rs
+++ b/crates/heathroad-harness/tests/configuration_propagation.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{daemon, routes};
-use heathroad_harness::fleet::{Fleet, Options};
+use heathroad_harness::cluster::{Cluster, Options};
 use heathroad_harness::http::{self, Buffer};
 use serde_json::Value;
 use std::time::Duration;
@@ -13,86 +13,86 @@
 
 const PERIOD_MS: u64 = 300;
 
-async fn fleet(proxies: u16, seed: u64, fence_unsure_after_ms: Option<u64>) -> Fleet {
+async fn cluster(proxies: u16, seed: u64, fence_unsure_after_ms: Option<u64>) -> Cluster {
     let options = Options {
         routes: Some(routes(1)),
         period_ms: PERIOD_MS,
         fence_unsure_after_ms,
         ..Options::default()
     };
-    let fleet = Fleet::begin(&daemon(), proxies, seed, options)
+    let cluster = Cluster::start_all(&daemon(), proxies, seed, options)
         .await
         .expect("it starts");
-    fleet.until_all_there().await.expect("all know all");
-    fleet
+    cluster.wait_for_all_alive().await.expect("all know all");
+    cluster
 }
 
 fn generation(status: &Value) -> u64 {
     status["generation"].as_u64().unwrap_or(0)
 }
 
-async fn until_at(fleet: &Fleet, proxy: u16, number: u64) {
+async fn until_at(cluster: &Cluster, proxy: u16, number: u64) {
     let there = |s: &Value| generation(s) == number && s["open"].is_null();
-    fleet
-        .until(proxy, "/config/status", there)
+    cluster
+        .wait_until(proxy, "/config/status", there)
         .await
         .expect("it is brought up");
 }
 
 #[tokio::test]
 async fn a_straggler_is_brought_up() {
-    let mut fleet = fleet(4, 11, None).await;
-    let old = fleet.copy_state(3).expect("it is there");
+    let mut cluster = cluster(4, 11, None).await;
+    let old = cluster.copy_state(3).expect("it is there");
     // One is cut off while a change is made elsewhere: the others are brought up, it is once it is
     // heard again.
-    fleet.network.cut(&[&[2]]);
-    fleet.apply(0, &routes(2)).await.expect("it is taken");
+    cluster.network.partition(&[&[2]]);
+    cluster.apply(0, &routes(2)).await.expect("it is taken");
     for proxy in [1, 3] {
-        until_at(&fleet, proxy, 2).await;
+        until_at(&cluster, proxy, 2).await;
     }
     assert_eq!(
-        generation(&fleet.ask(2, "/config/status").await.expect("told")),
+        generation(&cluster.query(2, "/config/status").await.expect("told")),
         1
     );
     assert_eq!(
-        fleet.call(2).await,
+        cluster.call(2).await,
         Ok(200),
         "it is not required: who is cut off serves on"
     );
-    fleet.network.heal();
-    until_at(&fleet, 2, 2).await;
+    cluster.network.heal();
+    until_at(&cluster, 2, 2).await;
     // One comes back with an old copy of its state.
-    fleet.kill(3);
-    fleet.put_back(3, &old).expect("it is put back");
-    fleet.start(3).await.expect("it starts");
-    until_at(&fleet, 3, 2).await;
+    cluster.kill(3);
+    cluster.restore_state(3, &old).expect("it is put back");
+    cluster.start(3).await.expect("it starts");
+    until_at(&cluster, 3, 2).await;
     // A change by hand at another gets a number above all that are known.
-    fleet.apply(1, &routes(3)).await.expect("it is taken");
+    cluster.apply(1, &routes(3)).await.expect("it is taken");
     for proxy in 0..4 {
-        until_at(&fleet, proxy, 3).await;
+        until_at(&cluster, proxy, 3).await;
     }
 }
 
 /// The ones that a straggler would pull from die; another has the text.
 #[tokio::test]
 async fn sources_that_die() {
-    let mut fleet = fleet(4, 12, None).await;
-    fleet.network.cut(&[&[3]]);
-    fleet.apply(0, &routes(2)).await.expect("it is taken");
+    let mut cluster = cluster(4, 12, None).await;
+    cluster.network.partition(&[&[3]]);
+    cluster.apply(0, &routes(2)).await.expect("it is taken");
     for proxy in [1, 2] {
-        until_at(&fleet, proxy, 2).await;
+        until_at(&cluster, proxy, 2).await;
     }
-    fleet.network.all(|w| w.loss = 0.2);
-    fleet.network.around(3, |w| w.cut = false);
-    fleet.kill(0);
-    fleet.kill(1);
-    until_at(&fleet, 3, 2).await;
+    cluster.network.configure_all(|w| w.loss = 0.2);
+    cluster.network.configure_links_of(3, |w| w.blocked = false);
+    cluster.kill(0);
+    cluster.kill(1);
+    until_at(&cluster, 3, 2).await;
 }
 
 /// What a proxy can't take it turns down, once, and the audit says why.
 #[tokio::test]
 async fn a_change_that_some_turn_down() {
-    let fleet = fleet(3, 13, None).await;
+    let cluster = cluster(3, 13, None).await;
     // On one machine only one can listen there.
     let port = std::net::TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
@@ -103,7 +103,7 @@
         "{pool}[[listener]]\nname = \"remote\"\nprotocol = \"json-rpc\"\nlisten = \"127.0.0.1:{port}\"\nframing = \"lines\"\n\
          [[listener.method]]\nname = \"look\"\nclass = \"look\"\n"
     );
-    fleet
+    cluster
         .apply(0, &door)
         .await
         .expect("it is taken where it was proposed");
@@ -114,8 +114,8 @@
                 .is_some_and(|t| !t.is_empty())
         })
     };
-    let audit = fleet
-        .until(0, "/fleet/audit", down)
+    let audit = cluster
+        .wait_until(0, "/fleet/audit", down)
         .await
         .expect("both turn it down");
     for proxy in 1..3 {
@@ -133,13 +133,13 @@
         );
     }
     assert_eq!(
-        generation(&fleet.ask(1, "/config/status").await.expect("told")),
+        generation(&cluster.query(1, "/config/status").await.expect("told")),
         1
     );
     // Numbers are the fleet's: a change made where the second one was not taken is the third.
-    fleet.apply(1, &routes(3)).await.expect("it is taken");
+    cluster.apply(1, &routes(3)).await.expect("it is taken");
     for proxy in 0..3 {
-        until_at(&fleet, proxy, 3).await;
+        until_at(&cluster, proxy, 3).await;
     }
 }
 
@@ -155,10 +155,10 @@
         probation_ms,
         ..Options::default()
     };
-    let mut fleet = Fleet::begin(&daemon(), 3, 15, options)
+    let mut cluster = Cluster::start_all(&daemon(), 3, 15, options)
         .await
         .expect("it starts");
-    fleet.until_all_there().await.expect("all know all");
+    cluster.wait_for_all_alive().await.expect("all know all");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let harmful = common::routes(2).replace(
         "BACKEND",
@@ -169,29 +169,33 @@
             tokio::spawn(async move {
                 let mut buffer = Buffer::default();
                 while buffer.request(&mut stream).await.is_ok() {
-                    if stream.write_all(&http::answer(500, "", "")).await.is_err() {
+                    if stream
+                        .write_all(&http::encode_response(500, "", ""))
+                        .await
+                        .is_err()
+                    {
                         return;
                     }
                 }
             });
         }
     });
-    let admin = fleet.daemon(0).expect("it runs").admin;
+    let admin = cluster.daemon(0).expect("it runs").admin_address;
     for n in 0..100 {
         if n == 60 {
             let told = heathroad_harness::daemon::post(admin, "/config/apply", &harmful).await;
             assert_eq!(told.expect("an answer").0, 200);
         }
         for proxy in 1..3 {
-            assert_eq!(fleet.call(proxy).await, Ok(200));
+            assert_eq!(cluster.call(proxy).await, Ok(200));
         }
     }
     let end = tokio::time::Instant::now() + Duration::from_secs(60);
     let audit = loop {
         for proxy in [1, 2].repeat(30) {
-            let _ = fleet.call(proxy).await;
+            let _ = cluster.call(proxy).await;
         }
-        let audit = fleet.ask(0, "/fleet/audit").await.expect("told");
+        let audit = cluster.query(0, "/fleet/audit").await.expect("told");
         let down = |p: usize| {
             audit["members"][p]["turned_down"]
                 .as_array()
@@ -225,7 +229,7 @@
             .sum();
         assert_eq!(undone, 1, "{audit}");
         assert_ne!(generations[proxy], 2);
-        assert_eq!(fleet.call(proxy as u16).await, Ok(200));
+        assert_eq!(cluster.call(proxy as u16).await, Ok(200));
     }
 }
 
@@ -233,24 +237,24 @@
 /// conflict has a name.
 #[tokio::test]
 async fn two_changes_under_one_number() {
-    let fleet = fleet(4, 14, None).await;
-    fleet.network.cut(&[&[0, 1], &[2, 3]]);
-    fleet.apply(0, &routes(2)).await.expect("it is taken");
-    fleet.apply(3, &routes(3)).await.expect("it is taken");
+    let cluster = cluster(4, 14, None).await;
+    cluster.network.partition(&[&[0, 1], &[2, 3]]);
+    cluster.apply(0, &routes(2)).await.expect("it is taken");
+    cluster.apply(3, &routes(3)).await.expect("it is taken");
     for proxy in [1, 2] {
-        until_at(&fleet, proxy, 2).await;
+        until_at(&cluster, proxy, 2).await;
     }
-    fleet.network.heal();
+    cluster.network.heal();
     for proxy in 0..4 {
         let both = |t: &Value| t["wanted"]["is"] == "both" && t["wanted"]["number"] == 2;
-        fleet
-            .until(proxy, "/fleet/members", both)
+        cluster
+            .wait_until(proxy, "/fleet/members", both)
             .await
             .expect("the conflict is known");
     }
-    fleet.apply(2, &routes(4)).await.expect("it is taken");
+    cluster.apply(2, &routes(4)).await.expect("it is taken");
     for proxy in 0..4 {
-        until_at(&fleet, proxy, 3).await;
+        until_at(&cluster, proxy, 3).await;
     }
 }
 
@@ -260,48 +264,60 @@
 async fn no_act_on_an_old_version_past_its_bound() {
     // Where a proxy fences itself when it can't know, and where it has heard before it stalled.
     for (seed, unsure) in [(15, Some(5 * PERIOD_MS)), (16, None)] {
-        let mut fleet = fleet(3, seed, unsure).await;
-        assert_eq!(fleet.call(1).await, Ok(200));
-        let old = fleet
-            .noted()
+        let mut cluster = cluster(3, seed, unsure).await;
+        assert_eq!(cluster.call(1).await, Ok(200));
+        let old = cluster
+            .backend_requests()
             .last()
             .and_then(|n| n.version.clone())
             .expect("told");
         let within = 3000;
         if unsure.is_some() {
-            fleet.daemon(1).expect("it runs").stall().expect("stopped");
-            fleet
-                .require(0, &routes(2), within)
+            cluster
+                .daemon(1)
+                .expect("it runs")
+                .suspend()
+                .expect("stopped");
+            cluster
+                .apply_required(0, &routes(2), within)
                 .await
                 .expect("it is taken");
         } else {
             // It hears of the change before it stalls.
-            fleet
-                .require(0, &routes(2), within)
+            cluster
+                .apply_required(0, &routes(2), within)
                 .await
                 .expect("it is taken");
             let known = |t: &Value| t["required"][0]["number"] == 2;
-            fleet
-                .until(1, "/fleet/members", known)
+            cluster
+                .wait_until(1, "/fleet/members", known)
                 .await
                 .expect("it hears of it");
-            fleet.daemon(1).expect("it runs").stall().expect("stopped");
+            cluster
+                .daemon(1)
+                .expect("it runs")
+                .suspend()
+                .expect("stopped");
         }
-        let bound = fleet.clock.now() + within * 1000;
+        let bound = cluster.clock.now() + within * 1000;
         let calls: Vec<_> = (0..20)
-            .map(|_| tokio::spawn(fleet.calling(1).expect("it runs")))
+            .map(|_| tokio::spawn(cluster.start_call(1).expect("it runs")))
             .collect();
         sleep(Duration::from_millis(within + 1500)).await;
-        assert!(fleet.clock.now() > bound);
-        fleet.daemon(1).expect("it runs").wake().expect("goes on");
+        assert!(cluster.clock.now() > bound);
+        cluster
+            .daemon(1)
+            .expect("it runs")
+            .resume()
+            .expect("goes on");
         let mut refused = 0;
         for call in calls {
             let status = call.await.expect("no panic").expect("each is answered");
             assert!(status == 200 || status == 503, "{status}");
             refused += usize::from(status == 503);
         }
-        let late: Vec<_> = fleet
-            .noted()
+        let late: Vec<_> = cluster
+            .backend_requests()
             .into_iter()
             .filter(|n| n.proxy == 1 && n.at > bound)
             .collect();
@@ -314,14 +330,14 @@
             20,
             "refused at once, or decided on what is required"
         );
-        until_at(&fleet, 1, 2).await;
+        until_at(&cluster, 1, 2).await;
         let served = |t: &Value| t["fenced"] == false;
-        fleet
-            .until(1, "/fleet/members", served)
+        cluster
+            .wait_until(1, "/fleet/members", served)
             .await
             .expect("it is no longer fenced");
-        assert_eq!(fleet.call(1).await, Ok(200));
-        let audit = fleet.ask(2, "/fleet/audit").await.expect("told");
+        assert_eq!(cluster.call(1).await, Ok(200));
+        let audit = cluster.query(2, "/fleet/audit").await.expect("told");
         let spells = audit["members"][1]["spells"]
             .as_array()
             .expect("reached")
@@ -335,37 +351,37 @@
 /// is back when it is heard.
 #[tokio::test]
 async fn who_cannot_know_fences_itself() {
-    let mut fleet = fleet(3, 17, Some(5 * PERIOD_MS)).await;
-    fleet.network.cut(&[&[2]]);
-    fleet
-        .until(2, "/fleet/members", |t| t["fenced"] == true)
+    let mut cluster = cluster(3, 17, Some(5 * PERIOD_MS)).await;
+    cluster.network.partition(&[&[2]]);
+    cluster
+        .wait_until(2, "/fleet/members", |t| t["fenced"] == true)
         .await
         .expect("it can't know");
-    assert_eq!(fleet.call(2).await, Ok(503));
-    let listens = fleet.daemon(2).expect("it runs").listens;
+    assert_eq!(cluster.call(2).await, Ok(503));
+    let listens = cluster.daemon(2).expect("it runs").listen_address;
     let ready = heathroad_harness::daemon::get(listens, "/health/ready")
         .await
         .expect("it answers");
     assert_eq!(ready.0, 503);
-    assert_eq!(fleet.call(0).await, Ok(200), "two of three know");
-    let short = fleet
-        .require(0, &routes(2), 1000)
+    assert_eq!(cluster.call(0).await, Ok(200), "two of three know");
+    let short = cluster
+        .apply_required(0, &routes(2), 1000)
         .await
         .expect_err("sooner than anybody could know");
     assert!(short.contains("expected 1500 at least"), "{short}");
-    fleet.network.heal();
-    fleet
-        .until(2, "/fleet/members", |t| t["fenced"] == false)
+    cluster.network.heal();
+    cluster
+        .wait_until(2, "/fleet/members", |t| t["fenced"] == false)
         .await
         .expect("it knows again");
-    assert_eq!(fleet.call(2).await, Ok(200));
+    assert_eq!(cluster.call(2).await, Ok(200));
 }
 
 /// One that stalls costs the others nothing: most of the fleet is there, and asks each other often
 /// enough to be sure.
 #[tokio::test]
 async fn the_others_are_not_fenced() {
-    let fleet = fleet(3, 18, Some(5 * PERIOD_MS)).await;
+    let cluster = cluster(3, 18, Some(5 * PERIOD_MS)).await;
     let fenced = |audit: &Value, p: usize| {
         let spells = audit["members"][p]["spells"]
             .as_array()
@@ -373,14 +389,18 @@
             .clone();
         spells.iter().filter(|s| s["trouble"] == "fenced").count()
     };
-    let before = fleet.ask(0, "/fleet/audit").await.expect("told");
-    fleet.daemon(2).expect("it runs").stall().expect("stopped");
+    let before = cluster.query(0, "/fleet/audit").await.expect("told");
+    cluster
+        .daemon(2)
+        .expect("it runs")
+        .suspend()
+        .expect("stopped");
     sleep(Duration::from_millis(30 * PERIOD_MS)).await;
-    fleet
-        .until_stands(0, 2, "gone")
+    cluster
+        .wait_for_standing(0, 2, "gone")
         .await
         .expect("it says nothing");
-    let after = fleet.ask(0, "/fleet/audit").await.expect("told");
+    let after = cluster.query(0, "/fleet/audit").await.expect("told");
     for proxy in [0, 1] {
         assert_eq!(
             fenced(&after, proxy),
--- a/crates/heathroad-harness/tests/stand_ins.rs
+++ b/crates/heathroad-harness/tests/emulators.rs
@@ -3,13 +3,13 @@
 
 mod common;
 
-use heathroad_harness::caller::{Ask, Caller};
+use heathroad_harness::client::{Client, ClientRequest};
 use heathroad_harness::clock::Clock;
 use heathroad_harness::daemon::get;
-use heathroad_harness::ledger::{Answer, End, Fate, Health};
-use heathroad_harness::stand_in::backend::{Backend, Mode, World, doors};
-use heathroad_harness::stand_in::machine::{Machine, Make};
-use heathroad_harness::stand_in::registry::Registry;
+use heathroad_harness::emulator::backend::{Backend, Mode, RunContext, allocate_addresses};
+use heathroad_harness::emulator::host::{Host, HostSpec};
+use heathroad_harness::emulator::registry::Registry;
+use heathroad_harness::event_log::{AttemptEnd, Disposition, Health, ResponseKind};
 use serde_json::Value;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -25,73 +25,74 @@
 
 /// A backend alone on a stage.
 struct Scene {
-    world: Rc<World>,
-    host: Rc<Backend>,
+    context: Rc<RunContext>,
+    backend: Rc<Backend>,
     addr: SocketAddr,
-    caller: Rc<Caller>,
+    client: Rc<Client>,
     next: Cell<u64>,
 }
 
 impl Scene {
     async fn new() -> Scene {
         let clock = Clock::starting_in(Duration::ZERO);
-        let world = World::new(clock, Arc::new(common::plan(common::SMALL, 1)));
-        let make = Make {
+        let context = RunContext::new(clock, Arc::new(common::schedule(common::SMALL, 1)));
+        let spec = HostSpec {
             cores: 1,
             speed: 1.0,
-            cold_from: 0.2,
-            cold: 30_000_000,
+            cold_capacity: 0.2,
+            warm_up: 30_000_000,
             warm_requests: 0,
-            fall_multiple: 3.0,
-            fall: 2_000_000,
+            overload_multiple: 3.0,
+            overload_window: 2_000_000,
         };
-        let doors = doors("127.0.0.1".parse().expect("an address"), &[0]).expect("a port");
-        let machine = Machine::new(make, clock);
-        let host = Backend::new(&world, (0, "a".into(), 0, 0), machine, Rc::default(), doors);
-        host.start(true).await.expect("its port is free");
-        let addr = host.door(0).expect("its one door");
+        let doors =
+            allocate_addresses("127.0.0.1".parse().expect("an address"), &[0]).expect("a port");
+        let host = Host::new(spec, clock);
+        let backend = Backend::new(&context, (0, "a".into(), 0, 0), host, Rc::default(), doors);
+        backend.start(true).await.expect("its port is free");
+        let addr = backend.address_for(0).expect("its one door");
         Scene {
-            world,
-            host,
+            context,
+            backend,
             addr,
-            caller: Rc::default(),
+            client: Rc::default(),
             next: Cell::new(1),
         }
     }
 
     /// Calls a class by its place; the backends answer as they do to proxies.
-    async fn call(&self, class: usize, key: Option<u64>, patience_ms: u64) -> End {
+    async fn call(&self, class: usize, key: Option<u64>, patience_ms: u64) -> AttemptEnd {
         self.next.set(self.next.get() + 1);
-        let ask = Ask {
+        let ask = ClientRequest {
             id: self.next.get(),
-            path: format!("/{}", self.world.plan.scenario.class[class].name),
+            path: format!("/{}", self.context.schedule.scenario.class[class].name),
             tenant: None,
             key,
             safe: class == 0,
-            patience: patience_ms * 1000,
+            time_limit: patience_ms * 1000,
             retry: false,
-            hang_up: None,
-            slow: 0,
-            carried: [None, None],
+            cancel_after: None,
+            read_delay: 0,
+            budget_headers: [None, None],
         };
-        timeout(LONG, self.caller.call(self.world.clock, self.addr, &ask))
+        timeout(LONG, self.client.call(self.context.clock, self.addr, &ask))
             .await
             .expect("it ends")
             .end
     }
 
-    async fn read(&self) -> End {
+    async fn read(&self) -> AttemptEnd {
         self.call(0, None, 10_000).await
     }
 
-    fn last(&self) -> (Fate, Answer) {
-        let ledgers = self.world.ledgers.borrow();
-        let last = ledgers.arrivals.last().expect("something came");
-        (last.fate, last.answer)
+    fn last(&self) -> (Disposition, ResponseKind) {
+        let event_log = self.context.event_log.borrow();
+        let last = event_log.arrivals.last().expect("something came");
+        (last.disposition, last.response)
     }
 }
 
-async fn on_stage(play: impl AsyncFnOnce(Scene)) {
+async fn with_scene(play: impl AsyncFnOnce(Scene)) {
     LocalSet::new()
         .run_until(async { play(Scene::new().await).await })
         .await;
@@ -106,26 +107,26 @@
 
 #[tokio::test]
 async fn a_sound_backend_serves_what_it_made_and_writes_it_down() {
-    on_stage(async |s| {
-        let End::Served(mark) = s.read().await else {
+    with_scene(async |s| {
+        let AttemptEnd::Served(mark) = s.read().await else {
             panic!("served")
         };
-        let ledgers = s.world.ledgers.borrow();
-        let [a] = &ledgers.arrivals[..] else {
+        let event_log = s.context.event_log.borrow();
+        let [a] = &event_log.arrivals[..] else {
             panic!("one arrival")
         };
         assert_eq!(
-            (a.id, a.mark, a.fate, a.answer),
-            (2, mark, Fate::Ran, Answer::Served)
+            (a.id, a.marker, a.disposition, a.response),
+            (2, mark, Disposition::Executed, ResponseKind::Served)
         );
-        assert!(a.done.is_some() && a.work > 0 && a.first_byte <= a.whole);
+        assert!(a.responded_at.is_some() && a.work > 0 && a.first_byte_at <= a.received_at);
     })
     .await;
 }
 
 #[tokio::test]
 async fn probes_are_answered_and_no_id_is_not() {
-    on_stage(async |s| {
+    with_scene(async |s| {
         assert_eq!(get(s.addr, "/health/live").await.expect("an answer").0, 200);
         let (status, load) = get(s.addr, "/stats").await.expect("an answer");
         assert_eq!(
@@ -142,10 +143,10 @@
 
 #[tokio::test]
 async fn a_silent_machine_says_nothing_on_old_connections_and_takes_no_new_ones() {
-    on_stage(async |s| {
-        assert!(matches!(s.read().await, End::Served(_)));
+    with_scene(async |s| {
+        assert!(matches!(s.read().await, AttemptEnd::Served(_)));
         let mut old = TcpStream::connect(s.addr).await.expect("it listens");
-        s.host.turn(Mode::Silent).await;
+        s.backend.set_mode(Mode::Silent).await;
         old.write_all(b"GET /health/live HTTP/1.1\r\n\r\n")
             .await
             .expect("its connection stays open");
@@ -156,7 +157,7 @@
         );
         assert_eq!(
             s.call(0, None, 100).await,
-            End::Silence,
+            AttemptEnd::NoResponse,
             "nor on a kept connection"
         );
         let new = [connects(s.addr).await, connects(s.addr).await];
@@ -165,51 +166,55 @@
             "new ones hang: {new:?}"
         );
         assert_eq!(
-            s.world.ledgers.borrow().arrivals.len(),
+            s.context.event_log.borrow().arrivals.len(),
             1,
             "what lay unread never came"
         );
         // It comes back as another process: the old connection is reset.
-        s.host.kill();
-        s.host.start(false).await.expect("its port is free");
+        s.backend.kill();
+        s.backend.start(false).await.expect("its port is free");
         assert!(
             timeout(LONG, old.read(&mut [0; 9]))
                 .await
                 .expect("it ends")
                 .is_err()
         );
-        assert!(matches!(s.read().await, End::Served(_)));
+        assert!(matches!(s.read().await, AttemptEnd::Served(_)));
     })
     .await;
 }
 
 #[tokio::test]
 async fn one_that_hangs_takes_requests_and_answers_none() {
-    on_stage(async |s| {
-        s.host.turn(Mode::Hang).await;
-        assert_eq!(s.call(0, None, 100).await, End::Silence);
+    with_scene(async |s| {
+        s.backend.set_mode(Mode::Hang).await;
+        assert_eq!(s.call(0, None, 100).await, AttemptEnd::NoResponse);
         assert!(connects(s.addr).await.is_ok());
-        assert_eq!(s.last(), (Fate::Ran, Answer::None), "it may have run");
+        assert_eq!(
+            s.last(),
+            (Disposition::Executed, ResponseKind::None),
+            "it may have run"
+        );
     })
     .await;
 }
 
 #[tokio::test]
 async fn one_that_crawls_or_shares_its_processor_is_slower() {
-    on_stage(async |s| {
+    with_scene(async |s| {
         let time = async || {
             let begun = Instant::now();
             for _ in 0..3 {
-                assert!(matches!(s.read().await, End::Served(_)));
+                assert!(matches!(s.read().await, AttemptEnd::Served(_)));
             }
             begun.elapsed()
         };
         let well = time().await;
-        s.host.machine.crawl.set(8.0);
+        s.backend.host.slowdown.set(8.0);
         let crawling = time().await;
         assert!(crawling > 2 * well, "{well:?}, then {crawling:?}");
-        s.host.machine.crawl.set(1.0);
-        s.host.machine.neighbour.set(0.95);
+        s.backend.host.slowdown.set(1.0);
+        s.backend.host.stolen_share.set(0.95);
         // The neighbour is there in every other second.
         let slowest = [time().await, {
             sleep(Duration::from_secs(1)).await;
@@ -225,11 +230,11 @@
 
 #[tokio::test]
 async fn one_that_restarts_resets_refuses_and_comes_back_cold() {
-    on_stage(async |s| {
+    with_scene(async |s| {
         let held = connects(s.addr).await.expect("it listens");
         // Its connection is accepted before it dies.
-        assert!(matches!(s.read().await, End::Served(_)));
-        s.host.kill();
+        assert!(matches!(s.read().await, AttemptEnd::Served(_)));
+        s.backend.kill();
         let mut held = held;
         assert!(
             timeout(LONG, held.read(&mut [0; 1]))
@@ -242,11 +247,15 @@
             connects(s.addr).await.expect_err("refused"),
             Some(std::io::ErrorKind::ConnectionRefused)
         );
-        s.host.start(false).await.expect("its port is free");
-        assert!(s.host.machine.warmth() < 0.25);
-        assert!(matches!(s.read().await, End::Served(_)));
-        let ledgers = s.world.ledgers.borrow();
-        let lives: Vec<_> = ledgers.lives.iter().map(|l| (l.life, l.warm)).collect();
+        s.backend.start(false).await.expect("its port is free");
+        assert!(s.backend.host.warmth() < 0.25);
+        assert!(matches!(s.read().await, AttemptEnd::Served(_)));
+        let event_log = s.context.event_log.borrow();
+        let lives: Vec<_> = event_log
+            .incarnations
+            .iter()
+            .map(|l| (l.number, l.warm))
+            .collect();
         assert_eq!(lives, [(0, true), (1, false)]);
     })
     .await;
@@ -254,25 +263,25 @@
 
 #[tokio::test]
 async fn a_cold_one_that_is_sent_too_much_falls_over_and_stays_down() {
-    on_stage(async |s| {
-        s.host.kill();
-        s.host.start(false).await.expect("its port is free");
+    with_scene(async |s| {
+        s.backend.kill();
+        s.backend.start(false).await.expect("its port is free");
         let calls = (0..150).map(|_| {
-            let (caller, clock, addr) = (s.caller.clone(), s.world.clock, s.addr);
+            let (client, clock, addr) = (s.client.clone(), s.context.clock, s.addr);
             s.next.set(s.next.get() + 1);
-            let ask = Ask {
+            let ask = ClientRequest {
                 id: s.next.get(),
                 path: "/claim-status".into(),
                 tenant: None,
                 key: None,
                 safe: true,
-                patience: 3_000_000,
+                time_limit: 3_000_000,
                 retry: false,
-                hang_up: None,
-                slow: 0,
-                carried: [None, None],
+                cancel_after: None,
+                read_delay: 0,
+                budget_headers: [None, None],
             };
-            tokio::task::spawn_local(async move { caller.call(clock, addr, &ask).await.end })
+            tokio::task::spawn_local(async move { client.call(clock, addr, &ask).await.end })
         });
         let calls: Vec<_> = calls.collect();
         for call in calls {
@@ -281,8 +290,12 @@
                 .expect("it ends")
                 .expect("no panic");
         }
-        assert_eq!(s.host.mode(), Mode::Down);
-        assert!(s.world.ledgers.borrow().lives[1].fell.is_some());
+        assert_eq!(s.backend.mode(), Mode::Down);
+        assert!(
+            s.context.event_log.borrow().incarnations[1]
+                .overloaded_at
+                .is_some()
+        );
         assert_eq!(
             connects(s.addr).await.expect_err("refused"),
             Some(std::io::ErrorKind::ConnectionRefused)
@@ -293,13 +306,13 @@
 
 #[tokio::test]
 async fn one_that_drains_or_declines_says_so_and_runs_nothing() {
-    on_stage(async |s| {
-        s.host.draining.set(true);
-        assert_eq!(s.read().await, End::Refused { after: None });
-        assert_eq!(s.last(), (Fate::Declined, Answer::Declined));
-        s.host.draining.set(false);
-        s.host.odds.set([0.0, 0.0, 1.0]);
-        assert_eq!(s.read().await, End::Refused { after: None });
+    with_scene(async |s| {
+        s.backend.draining.set(true);
+        assert_eq!(s.read().await, AttemptEnd::Refused { after: None });
+        assert_eq!(s.last(), (Disposition::Declined, ResponseKind::Declined));
+        s.backend.draining.set(false);
+        s.backend.fault_probabilities.set([0.0, 0.0, 1.0]);
+        assert_eq!(s.read().await, AttemptEnd::Refused { after: None });
         let mut stream = connects(s.addr).await.expect("it listens");
         stream
             .write_all(b"GET /claim-status HTTP/1.1\r\nReq-Id: ff\r\n\r\n")
@@ -317,26 +330,35 @@
 
 #[tokio::test]
 async fn answers_break_off_or_are_noise() {
-    on_stage(async |s| {
-        s.host.odds.set([1.0, 0.0, 0.0]);
-        assert_eq!(s.read().await, End::Broken(true));
-        assert_eq!(s.last(), (Fate::Ran, Answer::Cut));
-        s.host.odds.set([0.0, 1.0, 0.0]);
-        assert_eq!(s.read().await, End::Garbled);
-        assert_eq!(s.last(), (Fate::Ran, Answer::Spoilt));
+    with_scene(async |s| {
+        s.backend.fault_probabilities.set([1.0, 0.0, 0.0]);
+        assert_eq!(s.read().await, AttemptEnd::Truncated(true));
+        assert_eq!(s.last(), (Disposition::Executed, ResponseKind::Truncated));
+        s.backend.fault_probabilities.set([0.0, 1.0, 0.0]);
+        assert_eq!(s.read().await, AttemptEnd::Malformed);
+        assert_eq!(s.last(), (Disposition::Executed, ResponseKind::Malformed));
     })
     .await;
 }
 
 #[tokio::test]
 async fn repeats_of_a_key_are_dropped_and_answered() {
-    on_stage(async |s| {
-        assert!(matches!(s.call(2, Some(5), 10_000).await, End::Served(_)));
-        assert_eq!(s.last().0, Fate::Ran);
-        assert!(matches!(s.call(2, Some(5), 10_000).await, End::Served(_)));
-        assert_eq!(s.last().0, Fate::Repeat);
-        assert!(matches!(s.call(2, Some(6), 10_000).await, End::Served(_)));
-        assert_eq!(s.last().0, Fate::Ran, "another key");
+    with_scene(async |s| {
+        assert!(matches!(
+            s.call(2, Some(5), 10_000).await,
+            AttemptEnd::Served(_)
+        ));
+        assert_eq!(s.last().0, Disposition::Executed);
+        assert!(matches!(
+            s.call(2, Some(5), 10_000).await,
+            AttemptEnd::Served(_)
+        ));
+        assert_eq!(s.last().0, Disposition::Duplicate);
+        assert!(matches!(
+            s.call(2, Some(6), 10_000).await,
+            AttemptEnd::Served(_)
+        ));
+        assert_eq!(s.last().0, Disposition::Executed, "another key");
     })
     .await;
 }
@@ -359,18 +381,18 @@
 
 #[tokio::test]
 async fn the_registry_is_late_down_out_of_order_and_off_the_time() {
-    on_stage(async |s| {
-        let registry = Registry::new(&s.world, 1);
-        registry.know(&s.host);
+    with_scene(async |s| {
+        let registry = Registry::new(&s.context, 1);
+        registry.add_backend(&s.backend);
         let ip = "127.0.0.1".parse().expect("an address");
-        let (listener, addr) = Registry::address(ip).await.expect("a port");
+        let (listener, addr) = Registry::bind(ip).await.expect("a port");
         let _serving = registry.serve(0, 0, listener);
         let words = |words: &[&str]| words.iter().map(|w| (*w).to_string()).collect::<Vec<_>>();
-        registry.publish(&s.host, Health::Serving);
+        registry.publish(&s.backend, Health::Serving);
         assert_eq!(list(addr, "").await, Some((1, words(&["SERVING"]))));
         // Late: a change is told once its time has come.
         registry.delay.set(300_000);
-        registry.publish(&s.host, Health::Draining);
+        registry.publish(&s.backend, Health::Draining);
         assert_eq!(list(addr, "?after=1&wait_ms=50").await, Some((1, vec![])));
         assert_eq!(
             list(addr, "?after=1&wait_ms=900").await,
@@ -379,17 +401,17 @@
         registry.delay.set(0);
         // Out of order: the old state again, under its old version, and the ledger says which it
         // was.
-        registry.disorder.set(true);
+        registry.out_of_order.set(true);
         assert_eq!(
             list(addr, "?after=2&wait_ms=900").await,
             Some((1, words(&["SERVING"])))
         );
-        registry.disorder.set(false);
+        registry.out_of_order.set(false);
         let told: Vec<_> = s
-            .world
-            .ledgers
+            .context
+            .event_log
             .borrow()
-            .told
+            .registry_updates
             .iter()
             .map(|t| (t.version, t.health))
             .collect();
@@ -406,10 +428,10 @@
         assert_eq!(list(addr, "").await, None);
         registry.set_down(false);
         // Off the time: a cold start is told an hour ahead.
-        s.host.kill();
-        s.host.start(false).await.expect("its port is free");
-        registry.off_ms.set(3.6e6);
-        registry.publish(&s.host, Health::Serving);
+        s.backend.kill();
+        s.backend.start(false).await.expect("its port is free");
+        registry.clock_offset_ms.set(3.6e6);
+        registry.publish(&s.backend, Health::Serving);
         let (_, body) = get(addr, "/registry/instances").await.expect("an answer");
         let page: Value = serde_json::from_slice(&body).expect("JSON");
         let unix = std::time::SystemTime::UNIX_EPOCH
--- a/crates/heathroad-harness/tests/golden_scenarios.rs
+++ b/crates/heathroad-harness/tests/golden_scenarios.rs
@@ -2,8 +2,8 @@
 //! the copies are those of the file, whatever the fields are called in the code.
 
 use heathroad_harness::scenario::{
-    Class, Clients, Drawn, Effect, Expect, FIGURES, Fault, FleetRun, Group, Rules, Run, SHIPPED,
-    Scenario, Span, Tier, What, load, parse,
+    BUILT_IN, Class, Clients, Effect, Expect, FIGURES, Fault, FaultKind, FleetRun, Group,
+    RandomFaults, Rules, Run, Scenario, Tier, TimeOrRange, load, parse,
 };
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -105,38 +105,38 @@
     })
 }
 
-fn what(what: What) -> &'static str {
+fn what(what: FaultKind) -> &'static str {
     match what {
-        What::Silent => "silent",
-        What::Hang => "hang",
-        What::Crawl => "crawl",
-        What::Restart => "restart",
-        What::Starve => "starve",
-        What::Drain => "drain",
-        What::Delete => "delete",
-        What::Replace => "replace",
-        What::Reset => "reset",
-        What::Spoil => "spoil",
-        What::Decline => "decline",
-        What::Loop => "loop",
-        What::KillProxy => "kill-proxy",
-        What::StopProxy => "stop-proxy",
-        What::ReloadProxy => "reload-proxy",
-        What::StallProxy => "stall-proxy",
-        What::PauseProxy => "pause-proxy",
-        What::CutProxy => "cut-proxy",
-        What::DeafProxy => "deaf-proxy",
-        What::RegistryLate => "registry-late",
-        What::RegistryDown => "registry-down",
-        What::RegistryDisorder => "registry-disorder",
-        What::RegistryClock => "registry-clock",
+        FaultKind::Silent => "silent",
+        FaultKind::Hang => "hang",
+        FaultKind::Crawl => "crawl",
+        FaultKind::Restart => "restart",
+        FaultKind::Starve => "starve",
+        FaultKind::Drain => "drain",
+        FaultKind::Delete => "delete",
+        FaultKind::Replace => "replace",
+        FaultKind::Reset => "reset",
+        FaultKind::Spoil => "spoil",
+        FaultKind::Decline => "decline",
+        FaultKind::Loop => "loop",
+        FaultKind::KillProxy => "kill-proxy",
+        FaultKind::StopProxy => "stop-proxy",
+        FaultKind::ReloadProxy => "reload-proxy",
+        FaultKind::StallProxy => "stall-proxy",
+        FaultKind::PauseProxy => "pause-proxy",
+        FaultKind::CutProxy => "cut-proxy",
+        FaultKind::DeafProxy => "deaf-proxy",
+        FaultKind::RegistryLate => "registry-late",
+        FaultKind::RegistryDown => "registry-down",
+        FaultKind::RegistryDisorder => "registry-disorder",
+        FaultKind::RegistryClock => "registry-clock",
     }
 }
 
 fn fault(f: &Fault) -> Value {
     let at_s = match f.at_s {
-        Span::At(at) => json!(at),
-        Span::Between(ends) => json!(ends),
+        TimeOrRange::At(at) => json!(at),
+        TimeOrRange::Between(ends) => json!(ends),
     };
     json!({
         "what": what(f.what),
@@ -149,7 +149,7 @@
     })
 }
 
-fn drawn(d: &Drawn) -> Value {
+fn drawn(d: &RandomFaults) -> Value {
     let kinds: Vec<&str> = d.kinds.iter().map(|k| what(*k)).collect();
     json!({"count": d.count, "kinds": kinds, "for_s": d.for_s})
 }
@@ -243,7 +243,7 @@
 /// `title` and `about` are texts for readers: they may be worded anew.
 #[test]
 fn the_shipped_scenarios_are_read_as_before() {
-    let scenarios = SHIPPED
+    let scenarios = BUILT_IN
         .iter()
         .map(|(name, _)| (*name, load(name).expect("it is shipped")))
         .collect();
@@ -253,7 +253,7 @@
 
 #[test]
 fn the_shipped_scenarios_and_the_figures_keep_their_names() {
-    let shipped: Vec<&str> = SHIPPED.iter().map(|(name, _)| *name).collect();
+    let shipped: Vec<&str> = BUILT_IN.iter().map(|(name, _)| *name).collect();
     let text = format!("{}\n\n{}\n", shipped.join("\n"), FIGURES.join("\n"));
     assert_golden(include_str!("golden/scenario_names.txt"), &text);
 }
--- a/crates/heathroad-harness/tests/judged.rs
+++ b/crates/heathroad-harness/tests/invariants.rs
@@ -4,10 +4,10 @@
 mod common;
 
 use common::*;
-use heathroad_harness::judge::Rule;
-use heathroad_harness::outcome::{Code, Outcome};
+use heathroad_harness::checker::Rule;
+use heathroad_harness::summary::{Code, Summary};
 
-fn breaches(o: &Outcome) -> Vec<Rule> {
+fn breaches(o: &Summary) -> Vec<Rule> {
     let mut rules: Vec<Rule> = o.verdict.breaches.iter().map(|b| b.rule).collect();
     rules.sort_unstable();
     rules.dedup();
@@ -59,7 +59,12 @@
         "{}",
         breach.proof
     );
-    let fell = o.seen.ledgers.lives.iter().any(|l| l.fell.is_some());
+    let fell = o
+        .record
+        .event_log
+        .incarnations
+        .iter()
+        .any(|l| l.overloaded_at.is_some());
     assert!(
         fell,
         "the stand-in fell over by it, and the judge says so from the ledgers alone"
@@ -67,7 +72,14 @@
     // The same day with the daemon: its two proxies together stay within the budget.
     let sound = sound(PUSHED, 7);
     assert_eq!(breaches(&sound), [], "{}", sound.table());
-    assert!(sound.seen.ledgers.lives.iter().all(|l| l.fell.is_none()));
+    assert!(
+        sound
+            .record
+            .event_log
+            .incarnations
+            .iter()
+            .all(|l| l.overloaded_at.is_none())
+    );
 }
 
 /// Bad clients among the others: the bad proxy takes any length and deadline, and is named for it.
@@ -123,15 +135,15 @@
         let o = sound(SMALL, 3);
         assert_eq!(o.code() as u8, Code::Kept as u8, "{}", o.table());
         assert!(
-            o.seen.ledgers.arrivals.len() > 100 && o.verdict.tries[0] > 100,
+            o.record.event_log.arrivals.len() > 100 && o.verdict.tries[0] > 100,
             "{}",
             o.table()
         );
-        digests.push(o.seen.plan.digest.clone());
+        digests.push(o.record.schedule.digest.clone());
     }
     digests.dedup();
     assert_eq!(digests.len(), 1);
-    assert_ne!(plan(SMALL, 4).digest, digests[0]);
+    assert_ne!(schedule(SMALL, 4).digest, digests[0]);
 }
 
 /// Calls over JSON-RPC, one by one and in batches, into the pool that HTTP goes to, while a node
@@ -151,7 +163,7 @@
             + "[[fault]]\nwhat = \"reset\"\ntier = \"store\"\nat_s = 1.0\nfor_s = 2.0\nsize = 0.5\n";
         let o = sound(&remote, 9);
         assert!(
-            o.verdict.breaches.is_empty() && o.agrees() && o.seen.troubles.is_empty(),
+            o.verdict.breaches.is_empty() && o.agrees() && o.record.errors.is_empty(),
             "{}",
             o.table()
         );
@@ -182,12 +194,12 @@
 fn loops_are_ended_by_budgets_and_seen_without() {
     let tier = SMALL[SMALL.find("[[tier]]").expect("one")..SMALL.find("[[fault]]").expect("one")]
         .to_string();
-    let gate = tier
+    let gate_tier = tier
         .replace("store", "gate")
         .replace("cold_s", "calls = 1\ncold_s");
     let head = &SMALL[..SMALL.find("[[tier]]").expect("one")];
     let astray = "[[fault]]\nwhat = \"loop\"\ntier = \"store\"\non = [\"store-1\"]\nat_s = 1.0\nfor_s = 1.0\n";
-    let chain = format!("{head}{gate}{tier}{astray}");
+    let chain = format!("{head}{gate_tier}{tier}{astray}");
     let without = sound(&chain, 5);
     assert!(without.verdict.loops_open > 0, "{}", without.table());
     let with = sound(
--- a/crates/heathroad-harness/tests/duties.rs
+++ b/crates/heathroad-harness/tests/leases.rs
@@ -5,8 +5,8 @@
 
 use common::daemon;
 use heathroad_harness::clock::Clock;
-use heathroad_harness::fleet::{Fleet, Options};
-use heathroad_harness::stand_in::gate::{self, Gate};
+use heathroad_harness::cluster::{Cluster, Options};
+use heathroad_harness::emulator::fencing_server::{self, FencingServer};
 use serde_json::Value;
 use std::time::Duration;
 use tokio::sync::Mutex;
@@ -19,50 +19,50 @@
 /// lost its duty.
 static TURN: Mutex<()> = Mutex::const_new(());
 
-fn duties(gate: &Gate, voters: &str) -> String {
+fn duties(fencing_server: &FencingServer, voters: &str) -> String {
     format!(
         "[duties]\nvoters = {voters}\nlease_ms = {LEASE_MS}\n[[duty]]\nname = \"tick\"\nwork = \"call\"\naddress = \"{}\"\n\
          every_ms = 20\n[[duty]]\nname = \"collector\"\nwork = \"collect\"\nevery_ms = 500\n",
-        gate.address
+        fencing_server.address
     )
 }
 
-async fn gate() -> Gate {
-    let options = gate::Options {
-        checks: true,
-        late: 0.0,
-        by: Duration::ZERO,
+async fn fencing_server() -> FencingServer {
+    let options = fencing_server::Options {
+        check_tokens: true,
+        delayed_share: 0.0,
+        max_delay: Duration::ZERO,
         seed: 1,
     };
-    Gate::open(Clock::starting_in(Duration::ZERO), options)
+    FencingServer::start(Clock::starting_in(Duration::ZERO), options)
         .await
         .expect("a port")
 }
 
-async fn fleet(proxies: u16, seed: u64, gate: &Gate) -> Fleet {
+async fn cluster(proxies: u16, seed: u64, fencing_server: &FencingServer) -> Cluster {
     let options = Options {
         period_ms: PERIOD_MS,
-        duties: duties(gate, "[0, 1, 2]"),
+        leases: duties(fencing_server, "[0, 1, 2]"),
         ..Options::default()
     };
-    let fleet = Fleet::begin(&daemon(), proxies, seed, options)
+    let cluster = Cluster::start_all(&daemon(), proxies, seed, options)
         .await
         .expect("it starts");
-    fleet.until_all_there().await.expect("all know all");
-    fleet
+    cluster.wait_for_all_alive().await.expect("all know all");
+    cluster
 }
 
 /// Waits until somebody has acted by a token above this one: its place and token.
-async fn acted(gate: &Gate, above: u64) -> (u16, u64) {
+async fn acted(fencing_server: &FencingServer, above: u64) -> (u16, u64) {
     let look = async {
         loop {
-            if let Some(act) = gate
-                .acts()
+            if let Some(act) = fencing_server
+                .calls()
                 .iter()
                 .rev()
-                .find(|a| a.taken && a.token > above)
+                .find(|a| a.accepted && a.token > above)
             {
-                return (act.place(), act.token);
+                return (act.member(), act.token);
             }
             sleep(Duration::from_millis(20)).await;
         }
@@ -90,50 +90,53 @@
 #[tokio::test]
 async fn a_duty_is_handed_on() {
     let _turn = TURN.lock().await;
-    let gate = gate().await;
-    let mut fleet = fleet(5, 41, &gate).await;
-    let (first, one) = acted(&gate, 0).await;
+    let fencing_server = fencing_server().await;
+    let mut cluster = cluster(5, 41, &fencing_server).await;
+    let (first, one) = acted(&fencing_server, 0).await;
     let held = |t: &Value| duty(t, "tick")["holder"] == first;
-    fleet
-        .until((first + 1) % 5, "/duty/list", held)
+    cluster
+        .wait_until((first + 1) % 5, "/duty/list", held)
         .await
         .expect("voters say who holds it");
-    fleet.kill(first);
-    let (second, two) = acted(&gate, one).await;
-    fleet.start(first).await.expect("it starts again");
-    fleet.until_all_there().await.expect("all are there");
+    cluster.kill(first);
+    let (second, two) = acted(&fencing_server, one).await;
+    cluster.start(first).await.expect("it starts again");
+    cluster.wait_for_all_alive().await.expect("all are there");
 
-    fleet
+    cluster
         .daemon(second)
         .expect("it runs")
-        .stall()
+        .suspend()
         .expect("stopped");
-    let (third, three) = acted(&gate, two).await;
-    fleet
+    let (third, three) = acted(&fencing_server, two).await;
+    cluster
         .daemon(second)
         .expect("it runs")
-        .wake()
+        .resume()
         .expect("goes on");
     let lapsed = |t: &Value| {
         spells(t)
             .iter()
             .any(|s| s["place"] == second && s["why"] == "lapsed")
     };
-    fleet
-        .until(second, "/duty/history", lapsed)
+    cluster
+        .wait_until(second, "/duty/history", lapsed)
         .await
         .expect("it knows that its time was over");
 
-    fleet.resign(third, "tick").await.expect("it lets go");
-    let (fourth, four) = acted(&gate, three).await;
+    cluster
+        .release_lease(third, "tick")
+        .await
+        .expect("it lets go");
+    let (fourth, four) = acted(&fencing_server, three).await;
     assert_ne!(third, fourth);
-    fleet.stop(fourth).await.expect("it stops as planned");
-    let (fifth, _) = acted(&gate, four).await;
+    cluster.stop(fourth).await.expect("it stops as planned");
+    let (fifth, _) = acted(&fencing_server, four).await;
 
     let all =
         |t: &Value| t["unreached"].as_array().is_some_and(Vec::is_empty) && spells(t).len() >= 5;
-    let told = fleet
-        .until(fifth, "/duty/history", all)
+    let told = cluster
+        .wait_until(fifth, "/duty/history", all)
         .await
         .expect("all who are there are asked");
     let of = |token: u64| {
@@ -155,11 +158,14 @@
         "{told}"
     );
     assert_eq!(of(four)["resigned"], true, "{told}");
-    assert_eq!(gate::judge(&gate.acts()), Vec::<String>::new());
-    let numbers: Vec<u64> = gate
-        .acts()
+    assert_eq!(
+        fencing_server::check(&fencing_server.calls()),
+        Vec::<String>::new()
+    );
+    let numbers: Vec<u64> = fencing_server
+        .calls()
         .iter()
-        .filter(|a| a.taken)
+        .filter(|a| a.accepted)
         .map(|a| a.number)
         .collect();
     assert!(
@@ -168,7 +174,11 @@
     );
 
     let picture = std::env::temp_dir().join(format!("duties-{}.svg", std::process::id()));
-    let admin = fleet.daemon(fifth).expect("it runs").admin.to_string();
+    let admin = cluster
+        .daemon(fifth)
+        .expect("it runs")
+        .admin_address
+        .to_string();
     let said = |args: &[&str]| {
         let mut command = std::process::Command::new(daemon());
         let done = command
@@ -208,29 +218,32 @@
 #[tokio::test]
 async fn a_holder_that_is_of_no_use_is_replaced() {
     let _turn = TURN.lock().await;
-    let gate = gate().await;
-    let fleet = fleet(4, 42, &gate).await;
-    let (first, _) = acted(&gate, 0).await;
-    gate.answer(Some(500));
+    let fencing_server = fencing_server().await;
+    let cluster = cluster(4, 42, &fencing_server).await;
+    let (first, _) = acted(&fencing_server, 0).await;
+    fencing_server.set_status(Some(500));
     let given_back = |t: &Value| {
         duty(t, "tick")["unfit"]
             .as_str()
             .is_some_and(|w| w.contains("3 calls in a row"))
     };
-    fleet
-        .until(first, "/duty/list", given_back)
+    cluster
+        .wait_until(first, "/duty/list", given_back)
         .await
         .expect("it gives it back, and says why");
-    gate.answer(None);
+    fencing_server.set_status(None);
     let look = async {
-        while !gate.acts().iter().any(|a| a.place() != first) {
+        while !fencing_server.calls().iter().any(|a| a.member() != first) {
             sleep(Duration::from_millis(20)).await;
         }
     };
     tokio::time::timeout(Duration::from_secs(60), look)
         .await
         .expect("another one acts");
-    assert_eq!(gate::judge(&gate.acts()), Vec::<String>::new());
+    assert_eq!(
+        fencing_server::check(&fencing_server.calls()),
+        Vec::<String>::new()
+    );
 }
 
 /// Without a majority of voters nothing is granted, and it says so; what is in hand is served all
@@ -239,38 +252,41 @@
 #[tokio::test]
 async fn voters_are_cut_apart_and_killed_at_once() {
     let _turn = TURN.lock().await;
-    let gate = gate().await;
-    let mut fleet = fleet(5, 43, &gate).await;
-    let (_, mut last) = acted(&gate, 0).await;
-    fleet.network.cut(&[&[0], &[1], &[2]]);
+    let fencing_server = fencing_server().await;
+    let mut cluster = cluster(5, 43, &fencing_server).await;
+    let (_, mut last) = acted(&fencing_server, 0).await;
+    cluster.network.partition(&[&[0], &[1], &[2]]);
     let nobody = |t: &Value| {
         duty(t, "tick")["majority_reached"] == false && duty(t, "tick")["held_here"].is_null()
     };
     for proxy in 0..5 {
-        fleet
-            .until(proxy, "/duty/list", nobody)
+        cluster
+            .wait_until(proxy, "/duty/list", nobody)
             .await
             .expect("it says that no majority is there");
     }
-    let before = gate.acts().len();
+    let before = fencing_server.calls().len();
     for proxy in 0..5 {
-        assert_eq!(fleet.call(proxy).await, Ok(200));
+        assert_eq!(cluster.call(proxy).await, Ok(200));
     }
     sleep(Duration::from_millis(LEASE_MS)).await;
-    assert_eq!(gate.acts().len(), before, "nobody acts");
-    fleet.network.heal();
+    assert_eq!(fencing_server.calls().len(), before, "nobody acts");
+    cluster.network.heal();
     for forget in [false, true] {
-        (_, last) = acted(&gate, last).await;
-        (0..3).for_each(|p| fleet.kill(p));
+        (_, last) = acted(&fencing_server, last).await;
+        (0..3).for_each(|p| cluster.kill(p));
         for p in 0..3 {
             if forget {
-                fleet.forget(p).expect("it is taken away");
+                cluster.delete_state(p).expect("it is taken away");
             }
-            fleet.start(p).await.expect("it starts again");
+            cluster.start(p).await.expect("it starts again");
         }
     }
-    acted(&gate, last).await;
-    assert_eq!(gate::judge(&gate.acts()), Vec::<String>::new());
+    acted(&fencing_server, last).await;
+    assert_eq!(
+        fencing_server::check(&fencing_server.calls()),
+        Vec::<String>::new()
+    );
 }
 
 /// The audit answers for a member that is gone for good, by what the collector kept; and once that
@@ -278,41 +294,41 @@
 #[tokio::test]
 async fn the_audit_of_a_member_that_is_gone_for_good() {
     let _turn = TURN.lock().await;
-    let gate = gate().await;
-    let mut fleet = fleet(5, 44, &gate).await;
+    let fencing_server = fencing_server().await;
+    let mut cluster = cluster(5, 44, &fencing_server).await;
     let holder = |t: &Value| duty(t, "collector")["holder"].as_u64();
-    let told = fleet
-        .until(0, "/duty/list", |t| holder(t).is_some())
+    let told = cluster
+        .wait_until(0, "/duty/list", |t| holder(t).is_some())
         .await
         .expect("somebody collects");
     let collector = holder(&told).expect("somebody") as u16;
     let lost = (3..5).find(|p| *p != collector).expect("two are no voters");
     for _ in 0..4 {
-        assert_eq!(fleet.call(lost).await, Ok(200));
+        assert_eq!(cluster.call(lost).await, Ok(200));
     }
     let asked = (0..3).find(|p| *p != collector).expect("another voter");
     // It is mirrored by those who vote, a round or two later.
     let mirrored = |t: &Value| t["members"][usize::from(lost)]["collected"]["pages"].is_array();
     sleep(Duration::from_millis(2500)).await;
-    fleet.kill(lost);
-    fleet.forget(lost).expect("it is taken away");
-    fleet
-        .until_stands(asked, lost, "gone")
+    cluster.kill(lost);
+    cluster.delete_state(lost).expect("it is taken away");
+    cluster
+        .wait_for_standing(asked, lost, "gone")
         .await
         .expect("its death is known");
-    fleet
-        .until(asked, "/fleet/audit", mirrored)
+    cluster
+        .wait_until(asked, "/fleet/audit", mirrored)
         .await
         .expect("what it did is told all the same");
-    fleet.kill(collector);
-    fleet.forget(collector).expect("it is taken away");
+    cluster.kill(collector);
+    cluster.delete_state(collector).expect("it is taken away");
     for proxy in (0..5).filter(|p| *p != collector && *p != lost) {
-        fleet
-            .until_stands(proxy, collector, "gone")
+        cluster
+            .wait_for_standing(proxy, collector, "gone")
             .await
             .expect("its death is known");
-        let audit = fleet
-            .until(proxy, "/fleet/audit", mirrored)
+        let audit = cluster
+            .wait_until(proxy, "/fleet/audit", mirrored)
             .await
             .expect("it is told by a mirror");
         let member = &audit["members"][usize::from(lost)];
@@ -330,8 +346,8 @@
     }
     // Its successor begins with all of it, and goes on.
     let next = |t: &Value| holder(t).is_some_and(|h| h != u64::from(collector));
-    fleet
-        .until(asked, "/duty/list", next)
+    cluster
+        .wait_until(asked, "/duty/list", next)
         .await
         .expect("another one collects");
 }
@@ -340,29 +356,34 @@
 #[tokio::test]
 async fn voters_are_exchanged() {
     let _turn = TURN.lock().await;
-    let gate = gate().await;
-    let mut fleet = fleet(5, 45, &gate).await;
-    let (_, mut last) = acted(&gate, 0).await;
+    let fencing_server = fencing_server().await;
+    let mut cluster = cluster(5, 45, &fencing_server).await;
+    let (_, mut last) = acted(&fencing_server, 0).await;
     let sets = [
         "[2, 3, 4]\ngeneration = 1\nprevious = [0, 1, 2]",
         "[2, 3, 4]\ngeneration = 2",
     ];
     for set in sets {
-        fleet.duties(duties(&gate, set)).expect("written");
+        cluster
+            .set_leases(duties(&fencing_server, set))
+            .expect("written");
         for proxy in 0..5 {
-            fleet.stop(proxy).await.expect("it stops as planned");
-            fleet.start(proxy).await.expect("it starts again");
-            fleet.until_all_there().await.expect("all are there");
+            cluster.stop(proxy).await.expect("it stops as planned");
+            cluster.start(proxy).await.expect("it starts again");
+            cluster.wait_for_all_alive().await.expect("all are there");
         }
-        (_, last) = acted(&gate, last).await;
+        (_, last) = acted(&fencing_server, last).await;
     }
     let voters = |t: &Value| {
         t["voters"] == serde_json::json!([2, 3, 4]) && duty(t, "tick")["holder"].is_u64()
     };
-    let told = fleet
-        .until(0, "/duty/list", voters)
+    let told = cluster
+        .wait_until(0, "/duty/list", voters)
         .await
         .expect("the new ones vote");
     assert_eq!(told["votes"], false);
-    assert_eq!(gate::judge(&gate.acts()), Vec::<String>::new());
+    assert_eq!(
+        fencing_server::check(&fencing_server.calls()),
+        Vec::<String>::new()
+    );
 }
--- a/crates/heathroad-harness/tests/nights.rs
+++ b/crates/heathroad-harness/tests/random_cluster_faults.rs
@@ -9,7 +9,7 @@
 use common::{daemon, number, routes};
 use fastrand::Rng;
 use heathroad_harness::clock::Micros;
-use heathroad_harness::fleet::{Fleet, Options};
+use heathroad_harness::cluster::{Cluster, Options};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 /// What a night does to proxies 1 and 2; proxy 0, where changes are made, is spared, so that it is
 /// known when they were made.
 struct Night {
-    fleet: Fleet,
+    cluster: Cluster,
     rng: Rng,
     killed: [bool; 3],
     /// Killed or put back at least once: what it did since it wrote last is on no record.
@@ -50,42 +50,53 @@
                     self.rng.f64() * 0.1,
                 );
                 let jitter = Duration::from_millis(self.rng.u64(0..80));
-                self.fleet
-                    .network
-                    .all(|w| (w.loss, w.twice, w.torn, w.jitter) = (loss, twice, torn, jitter));
+                self.cluster.network.configure_all(|w| {
+                    (w.loss, w.duplication, w.truncation, w.jitter) = (loss, twice, torn, jitter);
+                });
             }
-            1 => self.fleet.network.cut(&[&[who]]),
-            2 => self.fleet.network.way(0, who, |w| w.cut = true),
+            1 => self.cluster.network.partition(&[&[who]]),
+            2 => self
+                .cluster
+                .network
+                .configure_link(0, who, |w| w.blocked = true),
             3 => {
                 let every = Duration::from_millis(self.rng.u64(100..800));
-                self.fleet.network.around(who, |w| w.flaps = Some(every));
+                self.cluster
+                    .network
+                    .configure_links_of(who, |w| w.flap_period = Some(every));
             }
-            4 => self.fleet.network.around(who, |w| w.rate = Some(2000.0)),
-            5 => self.fleet.network.heal(),
+            4 => self
+                .cluster
+                .network
+                .configure_links_of(who, |w| w.rate = Some(2000.0)),
+            5 => self.cluster.network.heal(),
             6 if !self.killed[at] => {
                 let stalled = self.stalled[at];
                 self.stalled[at] = !stalled;
-                let daemon = self.fleet.daemon(who)?;
+                let daemon = self.cluster.daemon(who)?;
                 let done = if stalled {
-                    daemon.wake()
+                    daemon.resume()
                 } else {
-                    daemon.stall()
+                    daemon.suspend()
                 };
                 done.map_err(|e| e.to_string())?;
             }
             7 if !self.killed[at] => {
-                self.copies[at] = self.copies[at].take().or(self.fleet.copy_state(who).ok());
-                self.fleet.kill(who);
+                self.copies[at] = self.copies[at].take().or(self.cluster.copy_state(who).ok());
+                self.cluster.kill(who);
                 (self.killed[at], self.torn[at], self.stalled[at]) = (true, true, false);
             }
             8 if self.killed[at] => {
                 match (self.rng.u32(0..3), &self.copies[at]) {
-                    (0, Some(copy)) => self.fleet.put_back(who, copy).map_err(|e| e.to_string())?,
-                    (1, _) => self.fleet.forget(who).map_err(|e| e.to_string())?,
+                    (0, Some(copy)) => self
+                        .cluster
+                        .restore_state(who, copy)
+                        .map_err(|e| e.to_string())?,
+                    (1, _) => self.cluster.delete_state(who).map_err(|e| e.to_string())?,
                     _ => {}
                 }
-                self.fleet.network.heal();
-                self.fleet.start(who).await?;
+                self.cluster.network.heal();
+                self.cluster.start(who).await?;
                 self.killed[at] = false;
             }
             _ => {}
@@ -97,15 +108,15 @@
         self.changes += 1;
         let text = routes(1 + self.changes);
         if self.rng.bool() {
-            return self.fleet.apply(0, &text).await;
+            return self.cluster.apply(0, &text).await;
         }
         // A proxy that does not see most of the fleet is not asked to require anything of it.
-        match self.fleet.require(0, &text, WITHIN_MS).await {
+        match self.cluster.apply_required(0, &text, WITHIN_MS).await {
             Err(why) if why.contains("more than half") => return Ok(()),
             done => done?,
         }
-        let bound = self.fleet.clock.now() + WITHIN_MS * 1000;
-        let status = self.fleet.ask(0, "/config/status").await?;
+        let bound = self.cluster.clock.now() + WITHIN_MS * 1000;
+        let status = self.cluster.query(0, "/config/status").await?;
         self.bounds
             .push((status["generation"].as_u64().unwrap_or(0), bound));
         Ok(())
@@ -115,7 +126,7 @@
         for _ in 0..self.rng.u32(3..12) {
             let who = self.rng.u16(0..3);
             if !self.killed[usize::from(who)] {
-                calls.spawn(self.fleet.calling(who)?);
+                calls.spawn(self.cluster.start_call(who)?);
             }
         }
         Ok(())
@@ -123,21 +134,26 @@
 
     /// All is well again, and is waited for.
     async fn dawn(&mut self) -> Result<(), String> {
-        self.fleet.network.heal();
+        self.cluster.network.heal();
         for who in 1..3 {
             let at = usize::from(who);
             if std::mem::take(&mut self.stalled[at]) {
-                self.fleet.daemon(who)?.wake().map_err(|e| e.to_string())?;
+                self.cluster
+                    .daemon(who)?
+                    .resume()
+                    .map_err(|e| e.to_string())?;
             }
             if std::mem::take(&mut self.killed[at]) {
-                self.fleet.start(who).await?;
+                self.cluster.start(who).await?;
             }
         }
-        self.fleet.until_all_there().await?;
-        let last = self.fleet.ask(0, "/config/status").await?["generation"].clone();
+        self.cluster.wait_for_all_alive().await?;
+        let last = self.cluster.query(0, "/config/status").await?["generation"].clone();
         for who in 0..3 {
             let there = |s: &Value| s["generation"] == last && s["open"].is_null();
-            self.fleet.until(who, "/config/status", there).await?;
+            self.cluster
+                .wait_until(who, "/config/status", there)
+                .await?;
         }
         Ok(())
     }
@@ -150,12 +166,12 @@
         fence_unsure_after_ms: Some(5 * PERIOD_MS),
         ..Options::default()
     };
-    let fleet = Fleet::begin(&daemon(), 3, seed, options).await?;
-    fleet.until_all_there().await?;
+    let cluster = Cluster::start_all(&daemon(), 3, seed, options).await?;
+    cluster.wait_for_all_alive().await?;
     let (rng, none) = (Rng::with_seed(seed), [false; 3]);
     let (copies, bounds) = ([const { None }; 3], Vec::new());
     let mut night = Night {
-        fleet,
+        cluster,
         rng,
         killed: none,
         torn: none,
@@ -187,13 +203,13 @@
         }
     }
     let reached = |t: &Value| (0..3).all(|p| t["members"][p]["reached"] == true);
-    let audit = night.fleet.until(1, "/fleet/audit", reached).await?;
-    judge(&night, &audit);
+    let audit = night.cluster.wait_until(1, "/fleet/audit", reached).await?;
+    check(&night, &audit);
     Ok(())
 }
 
-fn judge(night: &Night, audit: &Value) {
-    let noted = night.fleet.noted();
+fn check(night: &Night, audit: &Value) {
+    let noted = night.cluster.backend_requests();
     let mut generations: BTreeMap<String, u64> = BTreeMap::new();
     for proxy in 0..3_u16 {
         let (mut told, mut torn) = (BTreeMap::<String, u64>::new(), false);
--- a/crates/heathroad-harness/tests/plans.rs
+++ b/crates/heathroad-harness/tests/random_lease_faults.rs
@@ -11,8 +11,8 @@
 use common::{daemon, number};
 use fastrand::Rng;
 use heathroad_harness::clock::Clock;
-use heathroad_harness::fleet::{Fleet, Options};
-use heathroad_harness::stand_in::gate::{self, Gate};
+use heathroad_harness::cluster::{Cluster, Options};
+use heathroad_harness::emulator::fencing_server::{self, FencingServer};
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
@@ -26,8 +26,8 @@
 type State = Vec<(std::path::PathBuf, Vec<u8>)>;
 
 struct Plan {
-    fleet: Fleet,
-    gate: Gate,
+    cluster: Cluster,
+    fencing_server: FencingServer,
     rng: Rng,
     proxies: u16,
     stalled: Vec<bool>,
@@ -40,12 +40,12 @@
 impl Plan {
     /// Whoever acted last: faults are of most use there.
     fn holder(&self) -> Option<u16> {
-        self.gate
-            .acts()
+        self.fencing_server
+            .calls()
             .iter()
             .rev()
-            .find(|a| a.taken)
-            .map(gate::Act::place)
+            .find(|a| a.accepted)
+            .map(fencing_server::LeaseCall::member)
     }
 
     fn hold_or_any(&mut self) -> u16 {
@@ -68,36 +68,42 @@
                     self.rng.f64() * 0.1,
                 );
                 let jitter = Duration::from_millis(self.rng.u64(0..150));
-                self.fleet
-                    .network
-                    .all(|w| (w.loss, w.twice, w.torn, w.jitter) = (loss, twice, torn, jitter));
+                self.cluster.network.configure_all(|w| {
+                    (w.loss, w.duplication, w.truncation, w.jitter) = (loss, twice, torn, jitter);
+                });
             }
-            1 => self.fleet.network.cut(&[&[who]]),
+            1 => self.cluster.network.partition(&[&[who]]),
             2 => {
                 let other = (who + 1 + self.rng.u16(0..self.proxies - 1)) % self.proxies;
-                self.fleet.network.way(who, other, |w| w.cut = true);
+                self.cluster
+                    .network
+                    .configure_link(who, other, |w| w.blocked = true);
             }
             3 => {
                 let every = Duration::from_millis(self.rng.u64(100..900));
-                self.fleet.network.around(who, |w| w.flaps = Some(every));
+                self.cluster
+                    .network
+                    .configure_links_of(who, |w| w.flap_period = Some(every));
             }
-            4 => self.fleet.network.heal(),
+            4 => self.cluster.network.heal(),
             5 | 6 if !self.killed[at] => {
-                let daemon = self.fleet.daemon(who)?;
+                let daemon = self.cluster.daemon(who)?;
                 let done = if self.stalled[at] {
-                    daemon.wake()
+                    daemon.resume()
                 } else {
-                    daemon.stall()
+                    daemon.suspend()
                 };
                 done.map_err(|e| e.to_string())?;
                 (self.stalled[at], self.hurt) = (!self.stalled[at], true);
             }
             7 if !self.killed[at] => {
-                self.copies[at] = self.copies[at].take().or(self.fleet.copy_state(who).ok());
-                self.fleet.kill(who);
+                self.copies[at] = self.copies[at].take().or(self.cluster.copy_state(who).ok());
+                self.cluster.kill(who);
                 (self.killed[at], self.stalled[at], self.hurt) = (true, false, true);
             }
-            8 if !self.killed[at] && !self.stalled[at] => self.fleet.resign(who, "tick").await?,
+            8 if !self.killed[at] && !self.stalled[at] => {
+                self.cluster.release_lease(who, "tick").await?;
+            }
             _ => {
                 for who in 0..self.proxies {
                     if self.killed[usize::from(who)] {
@@ -113,11 +119,14 @@
     async fn back(&mut self, who: u16) -> Result<(), String> {
         let at = usize::from(who);
         match (self.rng.u32(0..3), &self.copies[at]) {
-            (0, Some(copy)) => self.fleet.put_back(who, copy).map_err(|e| e.to_string())?,
-            (1, _) => self.fleet.forget(who).map_err(|e| e.to_string())?,
+            (0, Some(copy)) => self
+                .cluster
+                .restore_state(who, copy)
+                .map_err(|e| e.to_string())?,
+            (1, _) => self.cluster.delete_state(who).map_err(|e| e.to_string())?,
             _ => {}
         }
-        self.fleet.start(who).await?;
+        self.cluster.start(who).await?;
         self.killed[at] = false;
         Ok(())
     }
@@ -125,31 +134,34 @@
     fn calls(&mut self, calls: &mut JoinSet<Result<u16, String>>) -> Result<(), String> {
         for who in 0..self.proxies {
             if !self.killed[usize::from(who)] && self.rng.bool() {
-                calls.spawn(self.fleet.calling(who)?);
+                calls.spawn(self.cluster.start_call(who)?);
             }
         }
         Ok(())
     }
 
     async fn all_well(&mut self) -> Result<Duration, String> {
-        self.fleet.network.heal();
+        self.cluster.network.heal();
         for who in 0..self.proxies {
             let at = usize::from(who);
             if std::mem::take(&mut self.stalled[at]) {
-                self.fleet.daemon(who)?.wake().map_err(|e| e.to_string())?;
+                self.cluster
+                    .daemon(who)?
+                    .resume()
+                    .map_err(|e| e.to_string())?;
             }
             if self.killed[at] {
                 self.back(who).await?;
             }
         }
-        let (well, before) = (Instant::now(), self.gate.acts().len());
+        let (well, before) = (Instant::now(), self.fencing_server.calls().len());
         // One that was under way may come yet: a few are waited for.
         while self
-            .gate
-            .acts()
+            .fencing_server
+            .calls()
             .iter()
             .skip(before)
-            .filter(|a| a.taken)
+            .filter(|a| a.accepted)
             .count()
             < 5
         {
@@ -157,8 +169,8 @@
                 let mut told = Vec::new();
                 for who in 0..self.proxies {
                     told.push(
-                        self.fleet
-                            .ask(who, "/duty/list")
+                        self.cluster
+                            .query(who, "/duty/list")
                             .await
                             .map_or_else(|e| e, |t| t.to_string()),
                     );
@@ -179,27 +191,27 @@
     let mut rng = Rng::with_seed(seed);
     let proxies = rng.u16(4..6);
     let by = Duration::from_millis(LEASE_MS * 2);
-    let options = gate::Options {
-        checks,
-        late: 0.05,
-        by,
+    let options = fencing_server::Options {
+        check_tokens: checks,
+        delayed_share: 0.05,
+        max_delay: by,
         seed,
     };
-    let gate = Gate::open(Clock::starting_in(Duration::ZERO), options)
+    let fencing_server = FencingServer::start(Clock::starting_in(Duration::ZERO), options)
         .await
         .map_err(|e| e.to_string())?;
-    let duties = gate.duty(LEASE_MS, Duration::from_millis(10));
+    let duties = fencing_server.lease_config(LEASE_MS, Duration::from_millis(10));
     let options = Options {
         period_ms: PERIOD_MS,
-        duties,
+        leases: duties,
         ..Options::default()
     };
-    let fleet = Fleet::begin(&daemon(), proxies, seed, options).await?;
+    let cluster = Cluster::start_all(&daemon(), proxies, seed, options).await?;
     let n = usize::from(proxies);
     let (stalled, killed, copies) = (vec![false; n], vec![false; n], vec![None; n]);
     let mut plan = Plan {
-        fleet,
-        gate,
+        cluster,
+        fencing_server,
         rng,
         proxies,
         stalled,
@@ -224,9 +236,9 @@
             other => return Err(format!("a request was answered {other:?}")),
         }
     }
-    let acts = plan.gate.acts();
-    let late = acts.iter().filter(|a| !a.taken).count();
-    Ok((waited, gate::judge(&acts), late))
+    let acts = plan.fencing_server.calls();
+    let late = acts.iter().filter(|a| !a.accepted).count();
+    Ok((waited, fencing_server::check(&acts), late))
 }
 
 #[tokio::test]
--- a/crates/heathroad-harness/tests/stage.rs
+++ b/crates/heathroad-harness/tests/runner.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::*;
-use heathroad_harness::ledger::{Did, Fate, Health};
-use heathroad_harness::outcome::Outcome;
-use heathroad_harness::scenario::What;
+use heathroad_harness::event_log::{Disposition, Health, ProcessEventKind};
+use heathroad_harness::scenario::FaultKind;
+use heathroad_harness::summary::Summary;
 
 /// Two tiers, so that backends have proxies at their side.
 const PROCESSES: &str = r#"
@@ -69,77 +69,93 @@
 for_s = 0.2
 "#;
 
-fn acts(o: &Outcome, proxy: u16) -> Vec<Did> {
-    let of = o.seen.ledgers.acts.iter().filter(|a| a.proxy == proxy);
-    of.map(|a| a.what).collect()
+fn acts(o: &Summary, proxy: u16) -> Vec<ProcessEventKind> {
+    let of = o
+        .record
+        .event_log
+        .process_events
+        .iter()
+        .filter(|a| a.proxy == proxy);
+    of.map(|a| a.kind).collect()
 }
 
 #[test]
 fn processes_that_come_and_go_are_seen_and_break_nothing() {
     let o = sound(PROCESSES, 2);
     assert!(
-        o.verdict.breaches.is_empty() && o.agrees() && o.seen.troubles.is_empty(),
+        o.verdict.breaches.is_empty() && o.agrees() && o.record.errors.is_empty(),
         "{}",
         o.table()
     );
-    let started = o.seen.proxies.len() as u16;
+    let started = o.record.proxies.len() as u16;
     assert_eq!(started, 5, "two, and one at the side of each gate");
-    use Did::{Killed, Reloaded, Started, Stopped};
+    use ProcessEventKind::{Killed, Reloaded, Started, Stopped};
     assert_eq!(acts(&o, 0), [Started, Reloaded, Stopped, Started, Stopped]);
     assert_eq!(acts(&o, 1), [Started, Killed, Started, Stopped]);
     // The proxy at the side of the gate that dies dies with it, and serves its heir.
     assert_eq!(acts(&o, 2), [Started, Killed, Started, Stopped]);
 
-    let host = |name: &str| o.seen.hosts.iter().position(|h| h == name).expect(name) as u16;
-    let told = |host: u16, health| {
-        o.seen
-            .ledgers
-            .told
+    let backend = |name: &str| {
+        o.record
+            .backends
+            .iter()
+            .position(|h| h == name)
+            .expect(name) as u16
+    };
+    let told = |backend: u16, health| {
+        o.record
+            .event_log
+            .registry_updates
             .iter()
-            .find(|t| t.host == host && t.health == health)
+            .find(|t| t.backend == backend && t.health == health)
     };
-    let last_sent = |host: u16| {
-        let sent = o.seen.ledgers.arrivals.iter().filter(|a| a.host == host);
-        sent.map(|a| a.first_byte)
+    let last_sent = |backend: u16| {
+        let sent = o
+            .record
+            .event_log
+            .arrivals
+            .iter()
+            .filter(|a| a.backend == backend);
+        sent.map(|a| a.first_byte_at)
             .max()
             .expect("it was used before")
     };
     // One that drains is told so, and gets nothing from then on but for the grace.
-    let drained = told(host("store-1"), Health::Draining).expect("told").at;
-    assert!(last_sent(host("store-1")) < drained + 550_000);
-    assert!(told(host("store-1"), Health::Deleted).expect("told").at > drained + 1_900_000);
+    let drained = told(backend("store-1"), Health::Draining).expect("told").at;
+    assert!(last_sent(backend("store-1")) < drained + 550_000);
+    assert!(told(backend("store-1"), Health::Deleted).expect("told").at > drained + 1_900_000);
     // One that leaves the list without a drain.
-    assert!(told(host("store-2"), Health::Draining).is_none());
-    let gone = told(host("store-2"), Health::Deleted).expect("told").at;
-    assert!(last_sent(host("store-2")) < gone + 550_000);
+    assert!(told(backend("store-2"), Health::Draining).is_none());
+    let gone = told(backend("store-2"), Health::Deleted).expect("told").at;
+    assert!(last_sent(backend("store-2")) < gone + 550_000);
     // Another host at the same address, under a new id, which starts cold and is used.
     let heir = o
-        .seen
-        .hosts
+        .record
+        .backends
         .iter()
         .position(|h| h.starts_with("gate-1-new"))
         .expect("an heir") as u16;
     assert!(
-        o.seen
-            .ledgers
-            .lives
+        o.record
+            .event_log
+            .incarnations
             .iter()
-            .any(|l| l.host == heir && !l.warm)
+            .any(|l| l.backend == heir && !l.warm)
     );
     assert!(
-        o.seen
-            .ledgers
+        o.record
+            .event_log
             .arrivals
             .iter()
-            .any(|a| a.host == heir && a.fate == Fate::Ran)
+            .any(|a| a.backend == heir && a.disposition == Disposition::Executed)
     );
     // The reloaded proxy was told of later changes, at its new address.
     assert!(
-        o.seen
-            .ledgers
-            .told
+        o.record
+            .event_log
+            .registry_updates
             .iter()
-            .any(|t| t.proxy == 0 && t.host == heir)
+            .any(|t| t.proxy == 0 && t.backend == heir)
     );
     // A killed process takes its counts along, and the lines that it may explain say so.
     assert!(o.lines.iter().any(|l| l.killed));
@@ -150,7 +166,7 @@
 #[test]
 fn a_seed_draws_the_same_faults_again() {
     let text = include_str!("../../../scenarios/random-faults.toml");
-    let faults = |seed| plan(text, seed).faults;
+    let faults = |seed| schedule(text, seed).faults;
     assert_eq!(faults(1), faults(1));
     assert_ne!(faults(1), faults(2));
     let mut kinds = std::collections::BTreeSet::new();
@@ -160,12 +176,12 @@
                 f.at >= 2_000_000 && f.until >= f.at && f.until < 20_000_000,
                 "{f:?}"
             );
-            assert_eq!(f.victims.len(), 1, "{f:?}");
-            kinds.insert(f.what);
+            assert_eq!(f.targets.len(), 1, "{f:?}");
+            kinds.insert(f.kind);
         }
     }
     assert_eq!(kinds.len(), 14, "{kinds:?}");
-    assert!(!kinds.contains(&What::RegistryDown));
+    assert!(!kinds.contains(&FaultKind::RegistryDown));
 }
 
 /// Both tiers' first proxies serve by the example of routes, while a gate dies and comes back cold
@@ -181,12 +197,12 @@
         format!("routes = \'\'\'\n{example}\'\'\'\n{text}").replace("rate = 60.0", "rate = 120.0");
     let o = sound(&text, 4);
     assert!(
-        o.verdict.breaches.is_empty() && o.agrees() && o.seen.troubles.is_empty(),
+        o.verdict.breaches.is_empty() && o.agrees() && o.record.errors.is_empty(),
         "{}",
         o.table()
     );
     assert!(o.verdict.tries[0] > 800, "{}", o.table());
-    let pools = |c: &heathroad_harness::stage::Counted| {
+    let pools = |c: &heathroad_harness::runner::ProxyCounts| {
         let rows = c.counts.as_ref()?.get("requests")?.as_array()?.clone();
         Some(
             rows.iter()
@@ -195,17 +211,17 @@
         )
     };
     let counted = o
-        .seen
-        .counts
+        .record
+        .proxy_counts
         .iter()
-        .filter(|c| o.seen.proxy_tier[usize::from(c.proxy)] == 0)
+        .filter(|c| o.record.proxy_tiers[usize::from(c.proxy)] == 0)
         .filter_map(pools);
     let all: std::collections::BTreeSet<String> = counted.flatten().collect();
     assert_eq!(
         all.into_iter().collect::<Vec<_>>(),
         ["reads", "reads-trial", "writes"]
     );
-    let cold = o.seen.ledgers.lives.iter().any(|l| !l.warm) && o.verdict.tries[0] > 0;
+    let cold = o.record.event_log.incarnations.iter().any(|l| !l.warm) && o.verdict.tries[0] > 0;
     assert!(cold, "a gate came back cold");
 }
 
@@ -216,17 +232,27 @@
 fn a_fleet_is_audited_beside_what_backends_saw() {
     let o = sound(include_str!("../../../scenarios/proxy-stall.toml"), 3);
     assert!(
-        o.verdict.breaches.is_empty() && o.agrees() && o.seen.troubles.is_empty(),
+        o.verdict.breaches.is_empty() && o.agrees() && o.record.errors.is_empty(),
         "{}",
         o.table()
     );
     assert_eq!(o.expectations.len(), 7, "{}", o.table());
     assert!(o.expectations.iter().all(|e| e.ok), "{}", o.table());
-    assert_eq!(o.seen.bounds.len(), 1, "one change was required");
-    assert!(o.seen.ledgers.acts.iter().any(|a| a.what == Did::Stalled));
+    assert_eq!(
+        o.record.required_generations.len(),
+        1,
+        "one change was required"
+    );
+    assert!(
+        o.record
+            .event_log
+            .process_events
+            .iter()
+            .any(|a| a.kind == ProcessEventKind::Stalled)
+    );
     let versions: std::collections::BTreeSet<_> = o
-        .seen
-        .ledgers
+        .record
+        .event_log
         .arrivals
         .iter()
         .filter_map(|a| a.version.clone())
@@ -236,23 +262,23 @@
         "backends are told of versions: {versions:?}"
     );
     // An attempt that no page tells of is found, and one that no backend saw.
-    let mut seen = o.seen;
-    let extra = seen.ledgers.arrivals[0].clone();
-    seen.ledgers
+    let mut seen = o.record;
+    let extra = seen.event_log.arrivals[0].clone();
+    seen.event_log
         .arrivals
-        .push(heathroad_harness::ledger::Arrival {
+        .push(heathroad_harness::event_log::Arrival {
             version: Some("other".into()),
             ..extra
         });
     assert_eq!(
-        heathroad_harness::audited::figure(&seen, "fleet_unaccounted"),
+        heathroad_harness::audit_check::figure(&seen, "fleet_unaccounted"),
         Some(1.0)
     );
-    seen.ledgers.arrivals.clear();
-    assert!(heathroad_harness::audited::figure(&seen, "fleet_unaccounted") > Some(100.0));
-    seen.audit = None;
+    seen.event_log.arrivals.clear();
+    assert!(heathroad_harness::audit_check::figure(&seen, "fleet_unaccounted") > Some(100.0));
+    seen.fleet_audit = None;
     assert_eq!(
-        heathroad_harness::audited::figure(&seen, "fleet_unaccounted"),
+        heathroad_harness::audit_check::figure(&seen, "fleet_unaccounted"),
         None
     );
 }
