--- a/crates/heathroad-harness/tests/soak.rs
+++ b/crates/heathroad-harness/tests/soak.rs
@@ -7,15 +7,15 @@
 mod common;
 
 use common::{number, sound};
-use heathroad_harness::outcome::{Code, Outcome};
+use heathroad_harness::summary::{Code, Summary};
 
 const SCENARIO: &str = include_str!("../../../scenarios/overlapping-faults.toml");
 
 /// Rules that daemons saw themselves break, by their last counts.
-fn violations(outcome: &Outcome) -> u64 {
-    let counts = outcome
-        .seen
-        .counts
+fn violations(summary: &Summary) -> u64 {
+    let counts = summary
+        .record
+        .proxy_counts
         .iter()
         .filter_map(|c| c.counts.as_ref()?.get("violations")?.as_object());
     counts
@@ -25,10 +25,10 @@
 }
 
 /// Times that daemons saw themselves held up.
-fn pauses(outcome: &Outcome) -> u64 {
-    outcome
-        .seen
-        .counts
+fn pauses(summary: &Summary) -> u64 {
+    summary
+        .record
+        .proxy_counts
         .iter()
         .filter_map(|c| c.counts.as_ref()?.get("pauses")?.as_u64())
         .sum()
@@ -39,21 +39,21 @@
     let (from, runs) = (number("SOAK_SEED", 1), number("SOAK_RUNS", 2));
     let (mut kept, mut void, mut broken) = (0, 0, Vec::<u64>::new());
     for seed in from..from + runs {
-        let outcome = sound(SCENARIO, seed);
+        let summary = sound(SCENARIO, seed);
         println!(
             "seed {seed}: {:?}, {} pauses seen, {} violations",
-            outcome.code(),
-            pauses(&outcome),
-            violations(&outcome)
+            summary.code(),
+            pauses(&summary),
+            violations(&summary)
         );
-        match outcome.code() {
-            Code::Kept if violations(&outcome) == 0 => kept += 1,
+        match summary.code() {
+            Code::Kept if violations(&summary) == 0 => kept += 1,
             Code::Void => {
-                println!("{:?}", outcome.void);
+                println!("{:?}", summary.void);
                 void += 1;
             }
             _ => {
-                println!("{}", outcome.table());
+                println!("{}", summary.table());
                 broken.push(seed);
             }
         }
