--- a/crates/heathroad-lease/src/lib.rs
+++ b/crates/heathroad-lease/src/lib.rs
@@ -1,17 +1,18 @@
-//! Leader leases without I/O: a majority of voters grants each lease to one member of the cluster
-//! at a time, under a fencing token.
+//! Leader leases with fencing tokens, as a protocol library that does no I/O. A majority of voters
+//! grants each lease to one member of the cluster at a time.
 //!
-//! A few members are voters ([`voter_set`]). A [`candidate`] asks all of them for a lease under a
-//! [`token`] of its own. A [`voter`] grants the lease for a limited time, to nobody else during
-//! that time, and never again under a lower token. A candidate that a quorum has granted the lease
-//! holds it until the grants of that quorum expire. The holder has the voters store a
-//! [`checkpoint`] of its work, and the next holder resumes from it. A server that the holder calls
-//! keeps the highest token it has seen ([`fencing`]) and rejects lower ones; this is what prevents
-//! two holders from acting out of order. The time limit only serves to hand a lease over.
+//! A few members are voters ([`voter_set`]). A [`candidate`] requests a lease from all of them
+//! under a new [`token`]. A [`voter`] that grants the lease grants it to no other candidate until
+//! the grant expires, and never again under a lower token. A candidate that a quorum has granted
+//! the lease holds it until the grants of that quorum expire. The holder stores [`checkpoint`]s of
+//! its work with the voters, and the next holder resumes from the latest one. Servers that the
+//! holder calls record the highest token they have seen ([`fencing`]) and reject lower ones. This
+//! fencing keeps successive holders from acting out of order; expiry only allows a lease to change
+//! hands after its holder has failed.
 //!
-//! [`lease_manager`] drives all candidates and the voter of one member, [`message`] defines the
-//! protocol's messages, and [`grant_history`] records who was granted what. `docs/design/leases.md`
-//! gives the design, `docs/specs/lease-messages.md` the wire format.
+//! [`lease_manager`] drives the candidates and the voter of one member, [`message`] defines the
+//! protocol's messages, and [`grant_history`] records a voter's grants. The design is described in
+//! `docs/design/leases.md`, the wire format in `docs/specs/lease-messages.md`.
 
 pub mod candidate;
 pub mod checkpoint;
@@ -52,7 +53,7 @@
     }
 }
 
-/// The text is not a lease id.
+/// The text is not a valid lease id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("expected a lease id of 8 hexadecimal digits")]
 pub struct ParseLeaseIdError;
