--- a/crates/heathroad-lease/src/candidate/campaign.rs
+++ b/crates/heathroad-lease/src/candidate/campaign.rs
@@ -1,4 +1,4 @@
-//! The campaign: a candidate asks all voters to grant the lease under a new token.
+//! The campaign: a candidate requests the lease from all voters under a new token.
 
 use super::held::Held;
 use super::voter_grants::VoterGrants;
@@ -9,7 +9,7 @@
 use crate::{MemberId, Millis};
 use std::collections::BTreeSet;
 
-/// A campaign that is under way.
+/// A campaign in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Campaign {
     pub(super) token: Token,
@@ -17,7 +17,7 @@
     pub(super) retransmit_at: Millis,
     grants: VoterGrants,
     rejected_by: BTreeSet<MemberId>,
-    /// The latest checkpoint that came with a grant.
+    /// The latest checkpoint received with a grant.
     checkpoint: Option<Checkpoint>,
 }
 
@@ -38,7 +38,8 @@
             .highest_token
             .successor(context.min_token_count, generation, context.own);
         let Some(token) = token else {
-            // The counts are used up, or a later voter set is in use: there is nothing to ask for.
+            // No token is left to request: the counts are exhausted, or a later voter set is in
+            // use.
             self.become_idle(now + context.timing.resign_backoff());
             return;
         };
@@ -60,7 +61,7 @@
         };
         let token = campaign.token;
         if now >= campaign.deadline {
-            // A minority has granted the lease at most, which is of use to nobody.
+            // At most a minority has granted the lease: release its grants for other candidates.
             self.retry_without_quorum(now, context);
             self.start_release(now, token, None, context);
             return;
@@ -80,8 +81,8 @@
         );
     }
 
-    /// Counts a grant of the campaign's token. The candidate holds the lease once a quorum has
-    /// granted it.
+    /// Records a grant of the campaign's token. The candidate becomes the holder once a quorum has
+    /// granted the lease.
     pub(super) fn count_campaign_grant(
         &mut self,
         now: Millis,
@@ -109,7 +110,7 @@
             checkpoint: checkpoint.clone(),
         });
         self.phase = Phase::Held(Held::new(now, token, grants, expires_at, checkpoint));
-        // The first grants are short and are renewed at once.
+        // The first grants are short, so they are renewed immediately.
         self.tick(now, context);
     }
 
