--- a/crates/heathroad-lease/src/candidate/event.rs
+++ b/crates/heathroad-lease/src/candidate/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a lease at the member that seeks it.
+//! The events that a candidate reports to its caller.
 
 use crate::checkpoint::Checkpoint;
 use crate::token::Token;
@@ -14,41 +14,41 @@
     /// An operator asked the member to resign.
     #[serde(rename = "told")]
     Resigned,
-    /// The process shuts down.
+    /// The process is shutting down.
     #[serde(rename = "stops")]
     ShuttingDown,
-    /// The member has fenced itself off.
+    /// The member has fenced itself.
     Fenced,
-    /// The work cannot be done at this member.
+    /// The work under the lease failed at this member.
     #[serde(rename = "unfit")]
     WorkFailed,
-    /// A server that the holder called had seen a higher token.
+    /// A server rejected the holder's token because it had seen a higher one.
     #[serde(rename = "overtaken")]
     Superseded,
-    /// A voter has restarted without its state and grants nothing under so low a token any more.
-    /// The same member campaigns again at once, under a higher token.
+    /// A voter restarted without its state and now requires a higher token. The member campaigns
+    /// again immediately.
     #[serde(rename = "anew")]
     VoterRestarted,
 }
 
-/// Something that has happened to a lease.
+/// A change to a lease at the member that seeks or holds it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum LeaseEvent {
-    /// The member holds the lease from now on.
+    /// The member has acquired the lease.
     Acquired {
         /// The token of the hold.
         token: Token,
-        /// The last checkpoint that a quorum may have stored, from which the work resumes.
+        /// The latest checkpoint that the granting voters have stored. The work resumes from it.
         checkpoint: Option<Checkpoint>,
     },
-    /// The member holds the lease no longer.
+    /// The member no longer holds the lease.
     Ended {
         /// The token of the hold.
         token: Token,
         /// Why it ended.
         reason: EndReason,
     },
-    /// A quorum has stored a checkpoint: the next holder resumes from it, or from a later one.
+    /// A quorum has stored a checkpoint. The next holder resumes from it or from a later one.
     CheckpointStored {
         /// The token of the checkpoint.
         token: Token,
