--- a/crates/heathroad-lease/src/candidate/campaign.rs
+++ b/crates/heathroad-lease/src/candidate/campaign.rs
@@ -83,7 +83,7 @@
 
     /// Records a grant of the campaign's token. The candidate becomes the holder once a quorum has
     /// granted the lease.
-    pub(super) fn count_campaign_grant(
+    pub(super) fn record_campaign_grant(
         &mut self,
         now: Millis,
         from: MemberId,
@@ -126,7 +126,7 @@
         }
         self.observe_token(rejected.highest_token);
         if rejected.reason == RejectReason::TokenTooLow {
-            self.restart_outdated_hold(now, rejected.highest_token, context);
+            self.replace_outdated_hold(now, rejected.highest_token, context);
         }
         self.count_rejection(now, from, rejected, context);
     }
--- a/crates/heathroad-lease/src/candidate/held.rs
+++ b/crates/heathroad-lease/src/candidate/held.rs
@@ -1,4 +1,4 @@
-//! A held lease: renewing its grants and storing checkpoints.
+//! The holder: renews the grants of a held lease and stores checkpoints.
 
 use super::voter_grants::VoterGrants;
 use super::{Candidate, Context, EndReason, LeaseEvent, Phase};
@@ -7,16 +7,16 @@
 use crate::token::Token;
 use crate::{MemberId, Millis};
 
-/// A hold of the lease.
+/// A held lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Held {
     pub(super) token: Token,
     grants: VoterGrants,
     pub(super) expires_at: Millis,
     renew_at: Millis,
-    /// The last checkpoint: this holder's own, or the one that it has resumed from.
+    /// The latest checkpoint: one that this holder wrote, or the one it resumed from.
     checkpoint: Option<Checkpoint>,
-    /// Voters that have stored the checkpoint.
+    /// The voters that have acknowledged the checkpoint.
     stored_by: Vec<MemberId>,
     is_checkpoint_stored: bool,
     send_checkpoint_at: Millis,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Returns when something is due next.
-    pub(super) fn next_due(&self) -> Millis {
+    /// Returns when the hold next has to be ticked.
+    pub(super) fn next_deadline(&self) -> Millis {
         let next = self.expires_at.min(self.renew_at);
         if self.is_checkpoint_stored {
             next
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns the sequence number of this holder's own last checkpoint, or 0.
+    /// Returns the sequence number of the latest checkpoint that this holder wrote, or 0.
     fn own_sequence(&self) -> u32 {
         let own = self
             .checkpoint
@@ -68,8 +68,8 @@
 }
 
 impl Candidate {
-    /// Ends a hold that has expired. The work that has noticed this has stopped, so a grant that
-    /// arrives later must not revive it.
+    /// Ends a hold that has expired. The work may already have stopped, so a grant that arrives
+    /// later must not extend the hold.
     pub(super) fn expire_hold(&mut self, now: Millis, context: &mut Context<'_>) {
         if let Phase::Held(held) = &self.phase
             && now >= held.expires_at
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Ends the hold and tells the voters, and the successor where there is one.
+    /// Ends the hold, releases its grants and notifies the successor, if there is one.
     pub(super) fn end_hold(
         &mut self,
         now: Millis,
@@ -88,18 +88,16 @@
         context: &mut Context<'_>,
     ) {
         self.events.push_back(LeaseEvent::Ended { token, reason });
-        // Other members go first, because this one has just shown that it is cut off, slow or not
-        // willing.
+        // Other members get the first attempt: this one is partitioned, slow or has resigned.
         self.become_idle(now + context.timing.lease_duration / 2);
         self.start_release(now, token, successor, context);
     }
 
-    /// Ends the hold if a voter grants nothing under its token any more, and asks for the lease
-    /// again at once.
+    /// Ends the hold if a voter requires a higher token, and campaigns again immediately.
     ///
-    /// A voter that has restarted without its state would be missing for as long as the hold lasts,
-    /// and the next restart of another voter would let the hold expire.
-    pub(super) fn restart_outdated_hold(
+    /// A voter that has restarted without its state no longer renews the current token. Without a
+    /// new token, the restart of a second voter would cost the hold its quorum.
+    pub(super) fn replace_outdated_hold(
         &mut self,
         now: Millis,
         highest_token: Token,
@@ -134,15 +132,15 @@
             held.renew_at = now + timing.renewal_interval() / 2;
             return;
         }
-        // Voters that do not answer are asked again sooner than the next renewal is due.
+        // Requests to voters that do not answer are retransmitted before the next renewal is due.
         held.renew_at = now + timing.retransmit_interval();
         let token = held.token;
         let is_receiver = |voter| due.contains(&voter);
         self.request_grants(now, token, timing.lease_duration, is_receiver, context);
     }
 
-    /// Counts a renewed grant of the hold's token.
-    pub(super) fn count_renewal(
+    /// Records a renewed grant of the hold's token.
+    pub(super) fn record_renewal(
         &mut self,
         from: MemberId,
         expires_at: Millis,
@@ -158,15 +156,15 @@
         let voters_sequence = checkpoint
             .filter(|checkpoint| checkpoint.token == held.token)
             .map_or(0, |checkpoint| checkpoint.sequence);
-        // A voter that has lost the checkpoint, or never had it, is sent it again.
+        // The checkpoint is sent again to a voter that has lost it or never received it.
         if voters_sequence < held.own_sequence() && held.is_checkpoint_stored {
             let checkpoint = held.checkpoint.clone().unwrap_or_default();
             context.send(self.lease, from, Body::StoreCheckpoint { checkpoint });
         }
     }
 
-    /// Has a quorum store how far the work has come, and returns the checkpoint's sequence number.
-    /// Returns `None` if the lease is not held, or the state is longer than [`MAX_STATE_BYTES`].
+    /// Sends a checkpoint of the work to the voters and returns its sequence number. Returns `None`
+    /// if the lease is not held, or the state is longer than [`MAX_STATE_BYTES`].
     pub fn store_checkpoint(
         &mut self,
         now: Millis,
--- a/crates/heathroad-lease/src/candidate/mod.rs
+++ b/crates/heathroad-lease/src/candidate/mod.rs
@@ -156,7 +156,7 @@
             Phase::Idle => Millis::MAX,
             Phase::PreVote(pre_vote) => pre_vote.deadline.min(pre_vote.retransmit_at),
             Phase::Campaign(campaign) => campaign.deadline.min(campaign.retransmit_at),
-            Phase::Held(held) => held.next_due(),
+            Phase::Held(held) => held.next_deadline(),
         };
         let releasing = self.releasing.as_ref();
         let release_due = releasing.map_or(Millis::MAX, |releasing| releasing.retransmit_at);
@@ -222,10 +222,10 @@
         let expires_at = sent_at + Millis::from(granted.duration_ms);
         match &self.phase {
             Phase::Campaign(campaign) if campaign.token == granted.token => {
-                self.count_campaign_grant(now, from, expires_at, granted.checkpoint, context);
+                self.record_campaign_grant(now, from, expires_at, granted.checkpoint, context);
             }
             Phase::Held(held) if held.token == granted.token => {
-                self.count_renewal(from, expires_at, granted.checkpoint.as_ref(), context);
+                self.record_renewal(from, expires_at, granted.checkpoint.as_ref(), context);
             }
             _ => {}
         }
