--- a/crates/heathroad-lease/src/candidate/campaign.rs
+++ b/crates/heathroad-lease/src/candidate/campaign.rs
@@ -34,9 +34,9 @@
 impl Candidate {
     pub(super) fn start_campaign(&mut self, now: Millis, context: &mut Context<'_>) {
         let generation = context.voters.generation();
-        let token = self
-            .highest_token
-            .successor(context.min_token_count, generation, context.own);
+        let token =
+            self.highest_token
+                .successor(context.min_token_count, generation, context.member_id);
         let Some(token) = token else {
             // No token is left to request: the counts are exhausted, or a later voter set is in
             // use.
--- a/crates/heathroad-lease/src/candidate/mod.rs
+++ b/crates/heathroad-lease/src/candidate/mod.rs
@@ -1,11 +1,10 @@
-//! One lease as a member seeks and holds it.
+//! The candidate: acquires, renews and releases one lease for a member.
 //!
-//! A candidate that is idle asks voters for the lease's status (`pre_vote`),
-//! asks them for the lease once a quorum reports that it is free (`campaign`), and holds it once
-//! a quorum has granted it (`held`). What it gives up it tells the voters (`releasing`). All
-//! times of a hold are counted from before its grants were asked for. A holder asks
-//! [`Candidate::hold`] before each act, which is how one that has stalled learns that its time is
-//! over.
+//! An idle candidate asks voters for the lease's status (`pre_vote`), requests the lease once a
+//! quorum reports it as free (`campaign`), and holds it once a quorum has granted it (`held`). It
+//! notifies the voters of grants that it gives up (`releasing`). The expiry of a grant is computed
+//! from the time its request was sent. The caller checks [`Candidate::hold`] before each act, so
+//! that a holder that has stalled notices that its lease has expired.
 
 mod campaign;
 mod event;
@@ -27,24 +26,24 @@
 use releasing::Releasing;
 use std::collections::VecDeque;
 
-/// Most requests whose sending time is remembered. An answer to an older one is ignored.
+/// Number of requests whose send time is kept. Answers to older requests are ignored.
 const MAX_REMEMBERED_REQUESTS: usize = 32;
 
-/// Number of members, in order of rank, that seek a lease by themselves. Others only answer a
-/// handover: a few that stand by are enough.
+/// Number of members, in order of rank, that campaign for a free lease. Members ranked after them
+/// only respond to a handover, which bounds the number of messages in a large cluster.
 pub const STANDBY_MEMBERS: u16 = 3;
 
-/// What a candidate needs to know of its surroundings, for each call.
+/// The environment of a candidate, passed to each call.
 pub struct Context<'a> {
     /// The durations of the protocol.
     pub timing: LeaseTiming,
     /// The voters.
     pub voters: &'a VoterSet,
-    /// This member.
-    pub own: MemberId,
-    /// Lowest token count to ask for, see [`count_at`](crate::token::count_at).
+    /// The id of this member.
+    pub member_id: MemberId,
+    /// Lowest token count to request, see [`count_at`](crate::token::count_at).
     pub min_token_count: u64,
-    /// This member's rank among those that are present. The member of rank 0 should hold the lease.
+    /// This member's rank among the present members. The member of rank 0 is preferred as holder.
     pub rank: u16,
     /// Source of jitter.
     pub rng: &'a mut Rng,
@@ -86,21 +85,21 @@
     sent_at: Millis,
 }
 
-/// One lease as a member seeks and holds it.
+/// The candidate for one lease at one member.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Candidate {
     lease: LeaseId,
     phase: Phase,
-    /// The highest token that is known.
+    /// The highest token seen.
     highest_token: Token,
-    /// When the candidate seeks the lease next.
+    /// When the next pre-vote starts.
     next_attempt_at: Millis,
-    /// The candidate does not seek the lease before, whichever members are present.
+    /// No pre-vote starts before this time, whichever members are present.
     backoff_until: Millis,
-    /// Until then the lease may be free although voters report that it is held, because its holder
+    /// Until this time the lease may be free although voters report it as held, because its holder
     /// is handing it over.
     handover_expected_until: Millis,
-    /// The number of the last request.
+    /// The round number of the last request.
     round: u32,
     sent_requests: VecDeque<SentRequest>,
     releasing: Option<Releasing>,
@@ -109,7 +108,7 @@
 }
 
 impl Candidate {
-    /// Creates the candidate for a lease at a member that starts now.
+    /// Creates an idle candidate for a lease.
     pub fn new(now: Millis, lease: LeaseId) -> Candidate {
         Candidate {
             lease,
@@ -131,7 +130,7 @@
         self.lease
     }
 
-    /// Returns the token by which this member holds the lease now, and when the hold expires.
+    /// Returns the token under which this member holds the lease, and when the hold expires.
     pub fn hold(&self, now: Millis) -> Option<(Token, Millis)> {
         match &self.phase {
             Phase::Held(held) if now < held.expires_at => Some((held.token, held.expires_at)),
@@ -139,17 +138,17 @@
         }
     }
 
-    /// Returns why voters last rejected a request, unless the lease was acquired since.
+    /// Returns why voters last rejected a request, unless the lease has been acquired since.
     pub fn last_rejection(&self) -> Option<RejectReason> {
         self.last_rejection
     }
 
-    /// Removes and returns what has happened.
+    /// Removes and returns the pending events.
     pub fn take_events(&mut self) -> impl Iterator<Item = LeaseEvent> + '_ {
         self.events.drain(..)
     }
 
-    /// Returns when [`Candidate::tick`] is to be called at the latest.
+    /// Returns the latest time at which [`Candidate::tick`] has to be called.
     pub fn next_due(&self, rank: u16) -> Millis {
         let phase_due = match &self.phase {
             Phase::Idle if rank < STANDBY_MEMBERS => self.next_attempt_at.max(self.backoff_until),
@@ -163,7 +162,7 @@
         phase_due.min(release_due)
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due: expiry, retransmissions, renewals and new attempts.
     pub fn tick(&mut self, now: Millis, context: &mut Context<'_>) {
         self.expire_hold(now, context);
         self.continue_release(now, context);
@@ -198,7 +197,7 @@
             }
             Body::Handover => self.handle_handover(now, context),
             Body::Status(status) => self.handle_status(now, from, status, context),
-            // Voters handle these.
+            // Requests are handled by the voter.
             Body::GrantRequest(_)
             | Body::Resign { .. }
             | Body::StoreCheckpoint { .. }
@@ -239,7 +238,7 @@
         }
     }
 
-    /// Notes a token that was seen elsewhere. The candidate asks for a higher one next.
+    /// Records a token that was seen elsewhere. The next request uses a higher one.
     pub fn observe_token(&mut self, token: Token) {
         self.highest_token = self.highest_token.max(token);
     }
--- a/crates/heathroad-lease/src/candidate/pre_vote.rs
+++ b/crates/heathroad-lease/src/candidate/pre_vote.rs
@@ -1,34 +1,34 @@
-//! The pre-vote: a candidate asks voters for the status of the lease before it asks for the lease.
+//! The pre-vote: a candidate requests the status of the lease from voters before it campaigns.
 //!
-//! A status request takes no voter away from the present holder. A grant by a minority would
-//! (Raft's pre-vote, Ongaro 2014, section 9.6).
+//! A campaign that fails may still obtain grants from a minority of voters, which the next holder
+//! then lacks. A status request has no such effect (Raft's pre-vote, Ongaro 2014, section 9.6).
 
 use super::{Candidate, Context, Phase};
 use crate::message::{Body, RejectReason, Status};
 use crate::{MemberId, Millis};
 
-/// A pre-vote that is under way.
+/// A pre-vote in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct PreVote {
     round: u32,
     pub(super) deadline: Millis,
     pub(super) retransmit_at: Millis,
-    /// Voters at which the lease is free.
-    free_at: Vec<MemberId>,
-    /// Voters at which it is not.
-    withheld_at: Vec<MemberId>,
+    /// Voters that reported the lease as free.
+    reported_free_by: Vec<MemberId>,
+    /// Voters that reported the lease as not free.
+    reported_unavailable_by: Vec<MemberId>,
 }
 
 impl PreVote {
-    fn has_answer_of(&self, voter: MemberId) -> bool {
-        self.free_at.contains(&voter) || self.withheld_at.contains(&voter)
+    fn has_answered(&self, voter: MemberId) -> bool {
+        self.reported_free_by.contains(&voter) || self.reported_unavailable_by.contains(&voter)
     }
 
     fn record_answer(&mut self, voter: MemberId, is_free: bool) {
         let voters = if is_free {
-            &mut self.free_at
+            &mut self.reported_free_by
         } else {
-            &mut self.withheld_at
+            &mut self.reported_unavailable_by
         };
         if !voters.contains(&voter) {
             voters.push(voter);
@@ -43,8 +43,8 @@
             round,
             deadline: now + context.timing.quorum_timeout(),
             retransmit_at: now + context.timing.retransmit_interval(),
-            free_at: Vec::new(),
-            withheld_at: Vec::new(),
+            reported_free_by: Vec::new(),
+            reported_unavailable_by: Vec::new(),
         });
         context.send_to_voters(self.lease, &Body::StatusRequest { round }, |_| true);
     }
@@ -64,7 +64,7 @@
         let body = Body::StatusRequest {
             round: pre_vote.round,
         };
-        context.send_to_voters(self.lease, &body, |voter| !pre_vote.has_answer_of(voter));
+        context.send_to_voters(self.lease, &body, |voter| !pre_vote.has_answered(voter));
     }
 
     pub(super) fn handle_status(
@@ -84,14 +84,14 @@
         pre_vote.record_answer(from, status.reason.is_none());
         if context
             .voters
-            .is_quorum(|voter| pre_vote.free_at.contains(&voter))
+            .is_quorum(|voter| pre_vote.reported_free_by.contains(&voter))
         {
             self.start_campaign(now, context);
             return;
         }
         let may_succeed = context
             .voters
-            .is_quorum(|voter| !pre_vote.withheld_at.contains(&voter));
+            .is_quorum(|voter| !pre_vote.reported_unavailable_by.contains(&voter));
         if let Some(reason) = status.reason
             && !may_succeed
         {
@@ -99,14 +99,14 @@
         }
     }
 
-    /// Schedules the next attempt after a quorum has not answered in time.
+    /// Schedules the next attempt after no quorum answered in time.
     pub(super) fn retry_without_quorum(&mut self, now: Millis, context: &mut Context<'_>) {
         let slot = context.timing.quorum_timeout();
         let jitter = context.rng.u64(0..=slot);
         self.become_idle(now + jitter + slot * u64::from(context.rank));
     }
 
-    /// Schedules the next attempt after voters have rejected this one.
+    /// Schedules the next attempt after voters rejected this one.
     pub(super) fn retry_after_rejection(
         &mut self,
         now: Millis,
@@ -118,11 +118,11 @@
         let slot = context.timing.quorum_timeout();
         let rank_delay = slot * u64::from(context.rank) / 2;
         let next_attempt_at = match reason {
-            // Counts must not grow faster than time passes, see `Token`.
+            // The delay keeps token counts from growing faster than the clock, see `Token`.
             RejectReason::TokenTooLow => {
                 now + slot / 4 + context.rng.u64(0..=slot / 4) + rank_delay
             }
-            // The last holder has handed the lease over, but voters have not heard of it yet.
+            // The last holder has resigned, but its message has not reached the voters yet.
             RejectReason::Held if now < self.handover_expected_until => {
                 now + context.timing.retransmit_interval() / 4
             }
--- a/crates/heathroad-lease/src/candidate/releasing.rs
+++ b/crates/heathroad-lease/src/candidate/releasing.rs
@@ -1,15 +1,16 @@
-//! The release of a token: voters are told that what they granted under it is free.
+//! The release of a token: a candidate or holder notifies the voters that it gives up the grants
+//! under this token.
 
 use super::{Candidate, Context, EndReason, Phase};
 use crate::message::Body;
 use crate::token::Token;
 use crate::{MemberId, Millis};
 
-/// Most rounds in which voters are told of a release. Those that it has not reached by then learn
-/// of it when the grant expires.
-const MAX_ROUNDS: u8 = 6;
+/// Maximum number of rounds in which a release is sent. At voters that it does not reach, the grant
+/// expires.
+const MAX_RELEASE_ROUNDS: u8 = 6;
 
-/// A token that is being released.
+/// A release in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Releasing {
     token: Token,
@@ -38,8 +39,7 @@
         self.continue_release(now, context);
     }
 
-    /// Tells voters of the release again until all have acknowledged it, or it is too late to be of
-    /// use.
+    /// Retransmits the release until all voters have acknowledged it or the last round is reached.
     pub(super) fn continue_release(&mut self, now: Millis, context: &mut Context<'_>) {
         let due = self
             .releasing
@@ -53,7 +53,7 @@
         let (token, successor) = (releasing.token, releasing.successor);
         let has_acknowledged = |voter| releasing.acknowledged_by.contains(&voter);
         let is_acknowledged = context.voters.members().all(has_acknowledged);
-        let is_last_round = releasing.rounds >= MAX_ROUNDS;
+        let is_last_round = releasing.rounds >= MAX_RELEASE_ROUNDS;
         let body = Body::Resign { token };
         context.send_to_voters(self.lease, &body, |voter| !has_acknowledged(voter));
         if let Some(successor) = successor {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Gives the lease up, or does not seek it for a while where it is not held. `successor` is the
+    /// Resigns the lease, or ends the attempt to acquire it, and backs off. `successor` is the
     /// member that should hold it next.
     pub fn resign(
         &mut self,
@@ -86,7 +86,7 @@
         context: &mut Context<'_>,
     ) {
         self.expire_hold(now, context);
-        // A holder that was superseded is as fit as any other once it knows the higher token.
+        // A superseded holder may campaign again at once, because it now knows the higher token.
         if reason != EndReason::Superseded {
             self.backoff_until = now + context.timing.resign_backoff();
         }
--- a/crates/heathroad-lease/src/candidate/voter_grants.rs
+++ b/crates/heathroad-lease/src/candidate/voter_grants.rs
@@ -4,20 +4,20 @@
 use crate::{MemberId, Millis};
 use std::collections::BTreeMap;
 
-/// When the grant of each voter expires, by this member's clock.
+/// The expiry of each voter's grant, by this member's clock.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct VoterGrants {
     expiries: BTreeMap<MemberId, Millis>,
 }
 
 impl VoterGrants {
-    /// Records a grant. An answer that was delayed does not shorten a later grant.
+    /// Records a grant. An answer that arrives out of order does not shorten a later grant.
     pub(super) fn record(&mut self, voter: MemberId, expires_at: Millis) {
         let expiry = self.expiries.entry(voter).or_insert(expires_at);
         *expiry = expires_at.max(*expiry);
     }
 
-    /// Forgets the grant of a voter that has rejected a request since.
+    /// Removes the grant of a voter that has rejected a later request.
     pub(super) fn remove(&mut self, voter: MemberId) {
         self.expiries.remove(&voter);
     }
@@ -43,7 +43,7 @@
         expiry.is_none_or(|expires_at| expires_at.saturating_sub(now) < min_remaining)
     }
 
-    /// Returns until when a quorum has granted the lease.
+    /// Returns when the grants of a quorum expire, or `None` if no quorum has granted the lease.
     pub(super) fn quorum_expiry(&self, voters: &VoterSet) -> Option<Millis> {
         voters.value_reached_by_quorum(|voter| self.expiries.get(&voter).copied())
     }
--- a/crates/heathroad-lease/src/lease_manager.rs
+++ b/crates/heathroad-lease/src/lease_manager.rs
@@ -40,8 +40,8 @@
 /// The settings of a [`LeaseManager`].
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// This member.
-    pub own: MemberId,
+    /// The id of this member.
+    pub member_id: MemberId,
     /// The voters.
     pub voters: VoterSet,
     /// The durations of the protocol.
@@ -55,7 +55,7 @@
 /// All leases of one member.
 #[derive(Clone)]
 pub struct LeaseManager {
-    own: MemberId,
+    member_id: MemberId,
     voters: VoterSet,
     timing: LeaseTiming,
     candidates: Vec<Candidate>,
@@ -86,18 +86,18 @@
     /// the Unix time in milliseconds as far as it is known.
     pub fn new(now: Millis, unix_ms: u64, settings: Settings, state: VoterState) -> LeaseManager {
         let Settings {
-            own,
+            member_id,
             voters,
             timing,
             leases,
             seed,
         } = settings;
         let min_token_count = count_at(unix_ms);
-        let is_voter = voters.is_voter(own);
+        let is_voter = voters.is_voter(member_id);
         let voter =
             is_voter.then(|| Voter::new(now, min_token_count, timing, voters.generation(), state));
         let mut manager = LeaseManager {
-            own,
+            member_id,
             voters,
             timing,
             candidates: leases
@@ -111,7 +111,7 @@
             rng: Rng::with_seed(seed),
             outputs: Vec::new(),
         };
-        manager.set_present_members(vec![own]);
+        manager.set_present_members(vec![member_id]);
         manager
     }
 
@@ -122,7 +122,7 @@
         }
         for candidate in &self.candidates {
             let order = preference_order(candidate.lease(), &present);
-            let rank = order.iter().position(|member| *member == self.own);
+            let rank = order.iter().position(|member| *member == self.member_id);
             let rank = rank
                 .and_then(|rank| u16::try_from(rank).ok())
                 .unwrap_or(u16::MAX);
@@ -165,7 +165,7 @@
         let mut context = Context {
             timing: self.timing,
             voters: &self.voters,
-            own: self.own,
+            member_id: self.member_id,
             min_token_count: self.min_token_count,
             rank,
             rng: &mut self.rng,
@@ -275,7 +275,7 @@
     /// told.
     pub fn resign(&mut self, now: Millis, lease: LeaseId, reason: EndReason) {
         let order = preference_order(lease, &self.present);
-        let successor = order.into_iter().find(|member| *member != self.own);
+        let successor = order.into_iter().find(|member| *member != self.member_id);
         self.with_candidate(lease, |candidate, context| {
             candidate.resign(now, reason, successor, context);
         });
--- a/crates/heathroad-lease/tests/message_orders.rs
+++ b/crates/heathroad-lease/tests/message_orders.rs
@@ -73,12 +73,12 @@
 impl State {
     fn with_candidate(&mut self, index: usize, act: Act) {
         let now = self.now;
-        let own = CANDIDATES[index];
+        let member_id = CANDIDATES[index];
         let mut outgoing = Vec::new();
         let mut context = Context {
             timing: TIMING,
             voters: &voter_set(),
-            own,
+            member_id,
             min_token_count: 100,
             rank: index as u16,
             rng: &mut Rng::with_seed(index as u64),
--- a/crates/heathroad-lease/tests/simulation/mod.rs
+++ b/crates/heathroad-lease/tests/simulation/mod.rs
@@ -133,7 +133,7 @@
         node.incarnation += 1;
         node.waiting.clear();
         let settings = Settings {
-            own: member,
+            member_id: member,
             voters: node.voter_set.clone(),
             timing,
             leases: vec![lease()],
--- a/crates/heathroad/src/lease/service.rs
+++ b/crates/heathroad/src/lease/service.rs
@@ -70,7 +70,7 @@
         let collection = AuditCollection::from_stored(collected.flatten().as_deref());
         let lease_duration = Duration::from_millis(settings.timing.lease_duration);
         let manager_settings = lease_manager::Settings {
-            own: peers.member_id(),
+            member_id: peers.member_id(),
             voters: settings.voters,
             timing: settings.timing,
             leases: settings
