--- a/crates/heathroad-lease/src/grant_history.rs
+++ b/crates/heathroad-lease/src/grant_history.rs
@@ -1,4 +1,4 @@
-//! The record that a voter keeps of its grants, for operators.
+//! The history of a voter's grants, reported to operators.
 
 use crate::Millis;
 use crate::token::Token;
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GrantEnd {
-    /// The grant has not ended, or its end was not reported.
+    /// The grant is in force, or its end was not reported to the voter.
     Open,
     /// The holder resigned.
     Resigned,
@@ -17,7 +17,7 @@
     Expired,
 }
 
-/// An interval in which a member held a lease, or may have held it.
+/// A grant with its renewals: an interval in which its holder held, or may have held, the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GrantRecord {
     /// The token of the grant, which names the holder.
@@ -27,7 +27,7 @@
     pub incarnation: u64,
     /// When the voter first granted the lease under this token.
     pub from: Millis,
-    /// When the grant ends at the latest.
+    /// The latest time at which the grant ends.
     pub until: Millis,
     /// How it ended.
     pub end: GrantEnd,
--- a/crates/heathroad-lease/src/message.rs
+++ b/crates/heathroad-lease/src/message.rs
@@ -1,7 +1,7 @@
-//! The messages of the lease protocol, in postcard's encoding.
+//! The messages of the lease protocol, encoded with postcard.
 //!
-//! Messages travel inside the authenticated datagrams of the membership protocol. Those name the
-//! sender and the receiver's incarnation, and let each message in only once.
+//! Messages are carried in authenticated datagrams of the membership protocol, which identify the
+//! sender and the receiver's incarnation and protect against replay.
 
 use crate::checkpoint::Checkpoint;
 use crate::token::Token;
@@ -9,15 +9,15 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest encoded message, in bytes.
+/// Maximum size of an encoded message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 176;
 
 /// A message about one lease.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Message {
-    /// The lease.
+    /// The lease that the message is about.
     pub lease: LeaseId,
-    /// What is asked or answered.
+    /// The request or answer.
     pub body: Body,
 }
 
@@ -30,12 +30,12 @@
     Granted(Granted),
     /// From a voter: the lease is not granted.
     Rejected(Rejected),
-    /// To a voter: the sender gives up what it was granted.
+    /// To a voter: the sender gives up its grant.
     Resign {
         /// The token of the grant.
         token: Token,
     },
-    /// From a voter: the resignation is noted.
+    /// From a voter: acknowledges the resignation.
     Resigned {
         /// The token of the grant.
         token: Token,
@@ -52,49 +52,49 @@
         /// The sequence number of the checkpoint.
         sequence: u32,
     },
-    /// To the member that should hold the lease next: it is free now.
+    /// To the member that should hold the lease next: the holder has resigned.
     Handover,
     /// To a voter: report the status of the lease.
     StatusRequest {
-        /// The sender's number of the request.
+        /// The round number of the request.
         round: u32,
     },
     /// From a voter: the status of the lease.
     Status(Status),
 }
 
-/// A candidate or holder asks a voter to grant a lease, or to renew the grant.
+/// A request by a candidate or holder to grant a lease, or to renew the grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// The token to grant the lease under. It names the sender.
+    /// The token to grant the lease under. It contains the sender's member id.
     pub token: Token,
-    /// The sender's number of the request, by which it knows when it sent it.
+    /// The round number of the request. The sender uses it to look up the send time.
     pub round: u32,
     /// The requested duration.
     pub duration_ms: u32,
 }
 
-/// A voter grants a lease.
+/// A voter's answer that grants a lease.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Granted {
     /// The token of the grant.
     pub token: Token,
-    /// The number of the request.
+    /// The round number of the request.
     pub round: u32,
     /// The granted duration, which is at most the requested one.
     pub duration_ms: u32,
-    /// The last checkpoint that the voter stores.
+    /// The latest checkpoint that the voter has stored.
     pub checkpoint: Option<Checkpoint>,
 }
 
-/// A voter does not grant a lease.
+/// A voter's answer that rejects a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Rejected {
-    /// The number of the request.
+    /// The round number of the request.
     pub round: u32,
-    /// A token must be above this one to be granted.
+    /// The voter only grants tokens above this one.
     pub highest_token: Token,
-    /// How long the voter grants the lease to nobody but its holder.
+    /// How long the voter will not grant the lease to another candidate.
     pub remaining_ms: u32,
     /// Why the lease is not granted.
     pub reason: RejectReason,
@@ -103,57 +103,58 @@
 /// The status of a lease at a voter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Status {
-    /// The number of the request.
+    /// The round number of the request.
     pub round: u32,
     /// The highest token that the voter has granted.
     pub highest_token: Token,
-    /// How long the lease is still granted, or withheld.
+    /// How long the lease remains unavailable.
     pub remaining_ms: u32,
     /// Why the voter would reject a request; `None` if the lease is free.
     pub reason: Option<RejectReason>,
-    /// How many holders in a row have failed soon after they acquired the lease.
+    /// Number of consecutive holders that failed soon after they acquired the lease.
     pub early_failures: u8,
 }
 
-/// Why a voter does not grant a lease.
+/// Why a voter rejects a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RejectReason {
     /// The lease is granted to another member.
     Held,
-    /// The token is not above all tokens that the voter has granted, or may have granted.
+    /// The token is not higher than every token that the voter granted or may have granted.
     #[serde(rename = "low")]
     TokenTooLow,
-    /// The voter has just started. Grants of its former process may still be in force.
+    /// The voter has just started. Grants of its previous incarnation may still be in force.
     #[serde(rename = "silent")]
     VoterStarting,
-    /// The last holders failed soon after they acquired the lease.
+    /// Recent holders failed soon after they acquired the lease.
     #[serde(rename = "held_back")]
     FailureBackoff,
-    /// The sender uses an outdated voter set, or the voter already keeps as many leases as it can.
+    /// The sender uses an outdated voter set, or the voter already stores its maximum number of
+    /// leases.
     #[serde(rename = "foreign")]
     NotAccepted,
 }
 
-/// Why bytes are not a message.
+/// Why a message cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum DecodeError {
-    /// There are more bytes than a message may have.
-    #[error("{0} bytes; expected {MAX_MESSAGE_BYTES} at most")]
+    /// The input is longer than [`MAX_MESSAGE_BYTES`].
+    #[error("message of {0} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes")]
     TooLong(usize),
-    /// The bytes do not follow the encoding.
+    /// The input is not a valid encoding of a message.
     #[error("malformed message")]
     Malformed(#[source] postcard::Error),
-    /// Bytes follow the message.
-    #[error("{0} bytes follow the message")]
+    /// The message is followed by further bytes.
+    #[error("{0} trailing bytes after the message")]
     TrailingBytes(usize),
 }
 
 impl Message {
     /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
-        // Plain fields are written to memory, which cannot fail.
+        // Serializing plain fields to memory cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
@@ -171,7 +172,7 @@
     }
 }
 
-/// A message that is to be sent.
+/// A message to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingMessage {
     /// The receiver, which may be the sender itself.
