--- a/crates/heathroad-lease/src/lease_manager.rs
+++ b/crates/heathroad-lease/src/lease_manager.rs
@@ -1,5 +1,4 @@
-//! All leases of one member: it seeks and holds leases as a candidate, and grants them where it is
-//! a voter.
+//! The lease manager of one member: a candidate for each lease, and a voter if the member is one.
 
 use crate::candidate::{Candidate, Context, EndReason, LeaseEvent};
 use crate::message::{Body, Message, OutgoingMessage, Status};
@@ -12,21 +11,22 @@
 use heathroad_membership::version::Digest;
 use std::collections::BTreeMap;
 
-/// What the caller has to do, in order: a state must be on disk before the messages behind it are
-/// sent.
+/// An action for the caller. Actions are carried out in order: a voter state must be on disk before
+/// the messages that follow it are sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Write the voter's state to disk, where there is one.
+    /// Write the voter's state to disk, if the member has one.
     PersistState(VoterState),
-    /// Send a message. One to this member itself comes back to [`LeaseManager::handle_message`].
+    /// Send a message. A message to this member itself is passed to
+    /// [`LeaseManager::handle_message`].
     Send(OutgoingMessage),
-    /// Something has happened to a lease.
+    /// A lease has changed at this member.
     Event(LeaseId, LeaseEvent),
     /// A voter has reported the status of a lease.
     Status(VoterStatus),
 }
 
-/// The status of a lease as a voter has reported it.
+/// The status of a lease as reported by a voter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VoterStatus {
     /// The voter.
@@ -46,13 +46,13 @@
     pub voters: VoterSet,
     /// The durations of the protocol.
     pub timing: LeaseTiming,
-    /// The leases that this member may hold.
+    /// The leases that this member campaigns for.
     pub leases: Vec<LeaseId>,
-    /// Seed of the jitter.
+    /// Seed of the random jitter.
     pub seed: u64,
 }
 
-/// All leases of one member.
+/// Drives the candidates and the voter of one member.
 #[derive(Clone)]
 pub struct LeaseManager {
     member_id: MemberId,
@@ -60,7 +60,7 @@
     timing: LeaseTiming,
     candidates: Vec<Candidate>,
     voter: Option<Voter>,
-    /// The members that are known to be present, this one included.
+    /// The members known to be present. Includes this member if it may hold leases.
     present: Vec<MemberId>,
     ranks: BTreeMap<LeaseId, u16>,
     min_token_count: u64,
@@ -68,8 +68,8 @@
     outputs: Vec<Output>,
 }
 
-/// Returns the members in the order in which they should hold a lease. The order differs from lease
-/// to lease, so that leases are spread over the members (rendezvous hashing).
+/// Returns the members in order of preference as holders of a lease. The order is computed by
+/// rendezvous hashing, which distributes leases over the members.
 pub fn preference_order(lease: LeaseId, present: &[MemberId]) -> Vec<MemberId> {
     let weight = |member: &MemberId| {
         let [a, b] = member.to_be_bytes();
@@ -82,8 +82,8 @@
 }
 
 impl LeaseManager {
-    /// Creates the manager of a member that starts, with the state that it remembers as a voter and
-    /// the Unix time in milliseconds as far as it is known.
+    /// Creates the manager of a member at its start, with the voter state from disk and an estimate
+    /// of the Unix time in milliseconds.
     pub fn new(now: Millis, unix_ms: u64, settings: Settings, state: VoterState) -> LeaseManager {
         let Settings {
             member_id,
@@ -115,7 +115,7 @@
         manager
     }
 
-    /// Sets the members that are present, this one included if it is willing to hold leases.
+    /// Sets the present members. They include this member if it may hold leases.
     pub fn set_present_members(&mut self, present: Vec<MemberId>) {
         if present == self.present {
             return;
@@ -131,12 +131,12 @@
         self.present = present;
     }
 
-    /// Sets the Unix time in milliseconds, as far as it is known.
+    /// Updates the estimate of the Unix time in milliseconds.
     pub fn set_unix_time(&mut self, unix_ms: u64) {
         self.min_token_count = count_at(unix_ms);
     }
 
-    /// Returns when [`LeaseManager::tick`] is to be called at the latest.
+    /// Returns the latest time at which [`LeaseManager::tick`] has to be called.
     pub fn next_due(&self) -> Millis {
         let due = |candidate: &Candidate| candidate.next_due(self.rank(candidate.lease()));
         self.candidates.iter().map(due).min().unwrap_or(Millis::MAX)
@@ -146,13 +146,13 @@
         self.ranks.get(&lease).copied().unwrap_or(u16::MAX)
     }
 
-    /// Removes and returns what the caller has to do.
+    /// Removes and returns the pending outputs.
     pub fn take_outputs(&mut self) -> std::vec::Drain<'_, Output> {
         self.outputs.drain(..)
     }
 
     /// Runs `act` on the candidate of a lease and collects its outputs. Returns `None` if this
-    /// member does not seek the lease.
+    /// member has no candidate for the lease.
     fn with_candidate<R>(
         &mut self,
         lease: LeaseId,
@@ -180,7 +180,7 @@
         Some(result)
     }
 
-    /// Does what is due.
+    /// Runs the timers of all candidates that are due.
     pub fn tick(&mut self, now: Millis) {
         let leases: Vec<LeaseId> = self.candidates.iter().map(Candidate::lease).collect();
         for lease in leases {
@@ -188,15 +188,15 @@
         }
     }
 
-    /// Handles the bytes of a message from a member in one of its incarnations. Bytes that are no
-    /// message are ignored.
+    /// Decodes and handles a message from an incarnation of a member. Malformed messages are
+    /// ignored.
     pub fn handle_datagram(&mut self, now: Millis, from: MemberId, incarnation: u64, bytes: &[u8]) {
         if let Ok(message) = Message::decode(bytes) {
             self.handle_message(now, from, incarnation, message);
         }
     }
 
-    /// Handles a message from a member in one of its incarnations.
+    /// Handles a message from an incarnation of a member.
     pub fn handle_message(
         &mut self,
         now: Millis,
@@ -209,17 +209,19 @@
             Body::GrantRequest(_)
             | Body::Resign { .. }
             | Body::StoreCheckpoint { .. }
-            | Body::StatusRequest { .. } => self.ask_voter(now, from, incarnation, lease, body),
+            | Body::StatusRequest { .. } => {
+                self.handle_voter_message(now, from, incarnation, lease, body);
+            }
             Body::Granted(_)
             | Body::Rejected(_)
             | Body::Resigned { .. }
             | Body::CheckpointStored { .. }
             | Body::Handover
-            | Body::Status(_) => self.inform_candidate(now, from, lease, body),
+            | Body::Status(_) => self.handle_candidate_message(now, from, lease, body),
         }
     }
 
-    fn ask_voter(
+    fn handle_voter_message(
         &mut self,
         now: Millis,
         from: MemberId,
@@ -246,7 +248,13 @@
         }
     }
 
-    fn inform_candidate(&mut self, now: Millis, from: MemberId, lease: LeaseId, body: Body) {
+    fn handle_candidate_message(
+        &mut self,
+        now: Millis,
+        from: MemberId,
+        lease: LeaseId,
+        body: Body,
+    ) {
         if let Body::Status(status) = body {
             self.outputs.push(Output::Status(VoterStatus {
                 voter: from,
@@ -259,20 +267,20 @@
         });
     }
 
-    /// Returns the token by which this member holds a lease now. To be called before each act.
+    /// Returns the token under which this member holds a lease. The holder checks it before each
+    /// act.
     pub fn held_token(&self, now: Millis, lease: LeaseId) -> Option<Token> {
         self.candidate(lease)?.hold(now).map(|(token, _)| token)
     }
 
-    /// Returns the candidate of a lease.
+    /// Returns this member's candidate for a lease.
     pub fn candidate(&self, lease: LeaseId) -> Option<&Candidate> {
         self.candidates
             .iter()
             .find(|candidate| candidate.lease() == lease)
     }
 
-    /// Gives a lease up, and does not seek it for a while. The member that should hold it next is
-    /// told.
+    /// Resigns a lease, backs off, and notifies the member that is preferred as the next holder.
     pub fn resign(&mut self, now: Millis, lease: LeaseId, reason: EndReason) {
         let order = preference_order(lease, &self.present);
         let successor = order.into_iter().find(|member| *member != self.member_id);
@@ -281,20 +289,22 @@
         });
     }
 
-    /// Notes a token that a server has seen. The next token that this member asks for is above it.
+    /// Records a token that a server has seen. The next token that this member requests is higher.
     pub fn observe_token(&mut self, lease: LeaseId, token: Token) {
         self.with_candidate(lease, |candidate, _| candidate.observe_token(token));
     }
 
-    /// Has a quorum store how far the work under a lease has come. Returns the checkpoint's
-    /// sequence number; [`LeaseEvent::CheckpointStored`] reports it once it is stored.
+    /// Sends a checkpoint of the work under a lease to the voters. Returns its sequence number, or
+    /// `None` if the lease is not held or the state is too long. [`LeaseEvent::CheckpointStored`]
+    /// reports when a quorum has stored it.
     pub fn store_checkpoint(&mut self, now: Millis, lease: LeaseId, state: Vec<u8>) -> Option<u32> {
         self.with_candidate(lease, |candidate, context| {
             candidate.store_checkpoint(now, state, context)
         })?
     }
 
-    /// Asks all voters for the status of a lease. Their answers come as [`Output::Status`].
+    /// Requests the status of a lease from all voters. Each answer results in an
+    /// [`Output::Status`].
     pub fn request_status(&mut self, lease: LeaseId) {
         let body = Body::StatusRequest {
             round: self.rng.u32(..),
@@ -309,12 +319,12 @@
         self.outputs.extend(requests);
     }
 
-    /// Returns the voters.
+    /// Returns the voter set.
     pub fn voters(&self) -> &VoterSet {
         &self.voters
     }
 
-    /// Returns this member's voter, if it is one.
+    /// Returns this member's voter, if this member is one.
     pub fn voter(&self) -> Option<&Voter> {
         self.voter.as_ref()
     }
--- a/crates/heathroad-lease/src/timing.rs
+++ b/crates/heathroad-lease/src/timing.rs
@@ -1,61 +1,61 @@
-//! The durations of the lease protocol. All of them follow from the configured lease duration,
-//! which is the same at every member.
+//! The durations of the lease protocol. They are derived from the configured lease duration, which
+//! is the same at every member.
 
 use crate::Millis;
 use std::ops::RangeInclusive;
 
-/// Shortest and longest lease duration that can be configured, in milliseconds.
+/// Range of the configurable lease duration, in milliseconds.
 pub const LEASE_DURATION_MS: RangeInclusive<u64> = 200..=60_000;
 
-/// A voter extends a grant by one part in so many, to allow for clocks that run at different rates.
-const CLOCK_RATE_MARGIN: Millis = 50;
+/// A voter extends a grant by this fraction (1/50) to tolerate clocks that run at different rates.
+const CLOCK_RATE_MARGIN_DIVISOR: u64 = 50;
 
 /// The durations of the lease protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseTiming {
-    /// How long a holder counts on a grant, from before it asked for it.
+    /// How long a holder relies on a grant, counted from when it sent the request.
     pub lease_duration: Millis,
 }
 
 impl LeaseTiming {
-    /// Returns how long a voter honours a grant of the given duration, from when it gave it.
+    /// Returns how long a voter honours a grant of the given duration, counted from when it granted
+    /// the request.
     ///
-    /// This is a fiftieth more than the holder counts on, so that clocks whose rates differ by less
-    /// than that agree on who may act. A voter that has just started also stays silent for this
-    /// long, because it may have forgotten grants of its former process.
+    /// This is 2% longer than the holder relies on, so that leases do not overlap as long as clock
+    /// rates differ by less than that. A voter that has just started also grants nothing for this
+    /// long, because it may have lost the record of earlier grants.
     pub fn grant_duration_at_voter(self, lease: Millis) -> Millis {
-        lease + lease / CLOCK_RATE_MARGIN + 1
+        lease + lease / CLOCK_RATE_MARGIN_DIVISOR + 1
     }
 
-    /// Returns the duration of a first grant, before a quorum is known to have given it. It is
-    /// short, so that what the loser of a campaign was granted is soon free again.
+    /// Returns the duration of the grants requested by a campaign. It is short, so that grants to a
+    /// losing candidate expire soon.
     pub fn first_grant_duration(self) -> Millis {
         self.lease_duration / 2
     }
 
-    /// Returns how long a candidate waits for a quorum to answer.
+    /// Returns how long a candidate waits for answers from a quorum.
     pub fn quorum_timeout(self) -> Millis {
         self.lease_duration / 4
     }
 
-    /// Returns the delay after which an unanswered message is sent again. A lease holds several of
-    /// these, so that lost messages alone do not end a lease.
+    /// Returns the delay after which an unanswered message is retransmitted. It is a small part of
+    /// the lease duration, so that message loss alone does not end a lease.
     pub fn retransmit_interval(self) -> Millis {
         (self.lease_duration / 16).max(1)
     }
 
-    /// Returns how often a holder renews its grants.
+    /// Returns the interval at which a holder renews its grants.
     pub fn renewal_interval(self) -> Millis {
         self.lease_duration / 4
     }
 
-    /// Returns the hold time after which the end of a holder is no sign that the work kills its
-    /// holders.
+    /// Returns the duration of a hold after which its end does not count as an early failure.
     pub fn stable_hold_duration(self) -> Millis {
         self.lease_duration * 5
     }
 
-    /// Returns how long a member that has resigned a lease does not ask for it again.
+    /// Returns how long a member does not campaign for a lease after it has resigned it.
     pub fn resign_backoff(self) -> Millis {
         self.lease_duration * 10
     }
--- a/crates/heathroad-lease/src/token.rs
+++ b/crates/heathroad-lease/src/token.rs
@@ -1,4 +1,4 @@
-//! Fencing tokens: numbers that order the holders of a lease.
+//! Fencing tokens, which order the holders of a lease.
 
 use crate::MemberId;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -7,44 +7,43 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Highest count that a token holds.
+/// Highest count of a token.
 const MAX_COUNT: u64 = (1 << COUNT_BITS) - 1;
-/// Width of the count.
+/// Width of the count, in bits.
 const COUNT_BITS: u32 = 40;
-/// Width of the member id below the count.
+/// Width of the member id below the count, in bits.
 const MEMBER_BITS: u32 = 16;
-/// Position of the generation above the count.
+/// Bit position of the generation above the count.
 const GENERATION_SHIFT: u32 = COUNT_BITS + MEMBER_BITS;
-/// Length of a token as text, in hexadecimal digits.
-const TEXT_LENGTH: usize = 16;
-/// One step of the count, in milliseconds of Unix time.
+/// Length of a token in text form.
+const HEX_DIGITS: usize = 16;
+/// Unit of the count, in milliseconds of Unix time.
 const COUNT_STEP_MS: u64 = 10;
 
 /// The fencing token of a grant.
 ///
-/// Tokens grow from one holder of a lease to the next, and each token names one holder. A token
-/// consists of eight bits of the voter set's generation, a count of 40 bits, and the id of the
-/// member that asked for the lease.
+/// Each holder of a lease has a higher token than the holders before it. From the most significant
+/// bit on, a token consists of the voter set's generation (8 bits), a count (40 bits), and the id
+/// of the member that requested the lease (16 bits).
 ///
-/// The count is at least the Unix time of some voter's start in hundredths of a second, and grows
-/// more slowly than that time passes. A voter that has lost its state therefore asks for a higher
-/// count than whatever was granted before it started.
+/// The count is at least the Unix time of a voter's start in hundredths of a second, and increases
+/// more slowly than that time. A voter that has lost its state excludes all tokens granted before
+/// by requiring counts of at least the time of its own start.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Token(u64);
 
-/// The text is not a token.
+/// The text is not a valid token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("expected a token of 16 hexadecimal digits")]
 pub struct ParseTokenError;
 
-/// Converts a Unix time in milliseconds to a token count. The highest count is reached in the year
-/// 2318.
+/// Converts a Unix time in milliseconds to a token count. Counts last until the year 2318.
 pub fn count_at(unix_ms: u64) -> u64 {
     unix_ms / COUNT_STEP_MS
 }
 
 impl Token {
-    /// Creates a token from its parts. A count past the highest becomes the highest.
+    /// Creates a token from its parts. Counts above the maximum are clamped to it.
     pub const fn new(generation: u8, count: u64, member: MemberId) -> Token {
         let count = if count > MAX_COUNT { MAX_COUNT } else { count };
         Token((generation as u64) << GENERATION_SHIFT | count << MEMBER_BITS | member as u64)
@@ -99,7 +98,7 @@
 
     fn from_str(text: &str) -> Result<Token, ParseTokenError> {
         // `from_str_radix` alone would accept a sign.
-        let is_token = text.len() == TEXT_LENGTH && text.bytes().all(|b| b.is_ascii_hexdigit());
+        let is_token = text.len() == HEX_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
         if !is_token {
             return Err(ParseTokenError);
         }
