--- a/crates/heathroad-lease/src/voter/availability.rs
+++ b/crates/heathroad-lease/src/voter/availability.rs
@@ -1,33 +1,33 @@
-//! Whether a lease is free at a voter. A lease whose holders keep failing early is withheld for a
-//! while, so that the work does not kill one member after another.
+//! Whether a lease is available at a voter. After repeated early failures of its holders the lease
+//! is not granted for a while, so that work that crashes its holder does not take down the cluster.
 
 use super::Voter;
 use crate::message::RejectReason;
 use crate::{LeaseId, Millis};
 
-/// A lease whose holders keep failing is withheld for at most this many lease durations.
+/// Maximum backoff after early failures, in lease durations.
 const MAX_FAILURE_BACKOFF_LEASES: u64 = 63;
-/// This many early failures in a row cause no backoff, because they may be chance.
+/// Number of consecutive early failures that cause no backoff, because they may be unrelated.
 const TOLERATED_EARLY_FAILURES: u8 = 2;
 
-/// Why a lease is not free at a voter, and for how long.
-pub(super) struct Withheld {
+/// Why a lease is unavailable at a voter, and for how long.
+pub(super) struct Unavailability {
     pub(super) remaining: Millis,
     pub(super) reason: RejectReason,
 }
 
 impl Voter {
-    /// Returns why the lease is granted to nobody but its holder, if it is not free.
-    pub(super) fn withheld(&self, now: Millis, lease: LeaseId) -> Option<Withheld> {
-        if now < self.silent_until {
-            return Some(Withheld {
-                remaining: self.silent_until - now,
+    /// Returns why the lease cannot be granted to a new candidate, or `None` if it is available.
+    pub(super) fn unavailability(&self, now: Millis, lease: LeaseId) -> Option<Unavailability> {
+        if now < self.startup_ends_at {
+            return Some(Unavailability {
+                remaining: self.startup_ends_at - now,
                 reason: RejectReason::VoterStarting,
             });
         }
         let grant = self.grants.get(&lease)?;
         if grant.is_active(now) {
-            return Some(Withheld {
+            return Some(Unavailability {
                 remaining: grant.expires_at - now,
                 reason: RejectReason::Held,
             });
@@ -37,13 +37,13 @@
         }
         let backoff = self.failure_backoff(self.count_early_failures(now, lease));
         let remaining = (grant.expires_at + backoff).saturating_sub(now);
-        (remaining > 0).then_some(Withheld {
+        (remaining > 0).then_some(Unavailability {
             remaining,
             reason: RejectReason::FailureBackoff,
         })
     }
 
-    /// Returns how many holders in a row have failed early, the last one included.
+    /// Returns the number of consecutive holders that failed early, including the last one.
     pub(super) fn count_early_failures(&self, now: Millis, lease: LeaseId) -> u8 {
         let before = self.early_failures.get(&lease).copied().unwrap_or(0);
         let Some(grant) = self.grants.get(&lease) else {
--- a/crates/heathroad-lease/src/voter/grants.rs
+++ b/crates/heathroad-lease/src/voter/grants.rs
@@ -1,6 +1,6 @@
-//! The grants of a voter: which requests are granted, and how grants are renewed and end.
+//! The grants of a voter: checks requests, renews grants and ends them.
 
-use super::availability::Withheld;
+use super::availability::Unavailability;
 use super::{MAX_LEASES, Reply, Voter, to_millis_u32};
 use crate::grant_history::{GrantEnd, GrantRecord};
 use crate::message::{Body, GrantRequest, Granted, RejectReason, Rejected};
@@ -8,19 +8,19 @@
 use crate::{LeaseId, Millis};
 use std::collections::VecDeque;
 
-/// Most grants of a lease that a voter remembers for operators.
-pub const MAX_HISTORY: usize = 64;
+/// Maximum number of history records that a voter keeps for each lease.
+pub const MAX_HISTORY_RECORDS: usize = 64;
 
-/// A grant that this process of the voter has given.
+/// A grant made since the voter's process started.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Grant {
     pub(super) granted_at: Millis,
     pub(super) expires_at: Millis,
-    /// Whether the grant was renewed, so that its holder knew that it held the lease. A candidate
-    /// that did not win never renews, and its end says nothing about the work.
+    /// Whether the grant was renewed. Only a holder renews its grants: the expiry of a losing
+    /// candidate's grant is not a failure of the work.
     pub(super) is_renewed: bool,
-    /// Whether the holder resigned. A holder that has stalled also resigns once it wakes: it did
-    /// not fail.
+    /// Whether the holder resigned. A holder that has stalled also resigns when it continues, so
+    /// that its stall does not count as a failure.
     pub(super) is_resigned: bool,
 }
 
@@ -47,7 +47,7 @@
         if is_renewal {
             self.renew_grant(now, lease, expires_at);
         } else {
-            self.give_grant(now, incarnation, lease, request.token, expires_at);
+            self.record_grant(now, incarnation, lease, request.token, expires_at);
         }
         let checkpoint = self
             .state
@@ -73,8 +73,8 @@
         durable.is_some_and(|d| d.token == token && d.incarnation == incarnation)
     }
 
-    /// Decides whether a request is granted, by the rules of `docs/specs/lease-messages.md`, in
-    /// their order.
+    /// Checks a request against the rules of `docs/specs/lease-messages.md`, in the order given
+    /// there.
     fn check_grant_request(
         &self,
         now: Millis,
@@ -97,11 +97,11 @@
             let retry_after = self.timing.lease_duration;
             return reject(highest_token, retry_after, RejectReason::NotAccepted);
         }
-        let withheld = self.withheld(now, lease);
-        if let Some(Withheld {
+        let unavailability = self.unavailability(now, lease);
+        if let Some(Unavailability {
             remaining,
             reason: RejectReason::VoterStarting,
-        }) = withheld
+        }) = unavailability
         {
             return reject(highest_token, remaining, RejectReason::VoterStarting);
         }
@@ -118,12 +118,12 @@
         }
         let min_token = Token::new(request.token.generation(), self.min_token_count, 0);
         if request.token <= highest_token || request.token < min_token {
-            let remaining = withheld.map_or(0, |w| w.remaining);
+            let remaining = unavailability.map_or(0, |w| w.remaining);
             let above = highest_token.max(min_token);
             return reject(above, remaining, RejectReason::TokenTooLow);
         }
-        match withheld {
-            Some(Withheld { remaining, reason }) => reject(highest_token, remaining, reason),
+        match unavailability {
+            Some(Unavailability { remaining, reason }) => reject(highest_token, remaining, reason),
             None => Ok(()),
         }
     }
@@ -146,7 +146,7 @@
         }
     }
 
-    fn give_grant(
+    fn record_grant(
         &mut self,
         now: Millis,
         incarnation: u64,
@@ -168,7 +168,7 @@
         };
         self.grants.insert(lease, grant);
         let records = self.history.entry(lease).or_default();
-        if records.len() >= MAX_HISTORY {
+        if records.len() >= MAX_HISTORY_RECORDS {
             records.pop_front();
         }
         records.push_back(GrantRecord {
@@ -184,7 +184,7 @@
         self.history.get_mut(&lease).and_then(VecDeque::back_mut)
     }
 
-    pub(super) fn end_resigned_grant(
+    pub(super) fn handle_resign(
         &mut self,
         now: Millis,
         incarnation: u64,
--- a/crates/heathroad-lease/src/voter/mod.rs
+++ b/crates/heathroad-lease/src/voter/mod.rs
@@ -1,10 +1,10 @@
-//! A voter: it grants leases, and stores checkpoints for their holders.
+//! The voter: grants leases and stores checkpoints for their holders.
 //!
-//! A grant is two promises. For the duration of the grant, by this member's clock, the voter grants
-//! the lease to nobody else. And it never again grants anything under a lower token. The second
-//! promise is kept on disk where there is one ([`VoterState`]). A voter without a disk, or with an
-//! old copy of its state, stays silent after its start for longer than anything it may have granted
-//! is in force, and asks for token counts above the Unix time of its start.
+//! A grant makes two promises. Until the grant expires by this member's clock, the voter grants the
+//! lease to no other candidate. And it never again grants the lease under a lower token. The second
+//! promise is persisted in [`VoterState`], if the member has a disk. To keep both promises with
+//! lost or outdated state, a voter grants nothing after its start until all grants it may have made
+//! before have expired, and then only token counts of at least the Unix time of its start.
 
 mod availability;
 mod grants;
@@ -18,15 +18,15 @@
 use grants::Grant;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most leases that a voter keeps state of.
+/// Maximum number of leases that a voter stores.
 pub const MAX_LEASES: usize = 32;
 
 /// A voter's reply to a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// The answer, where the message has one.
+    /// The answer, if the message requires one.
     pub body: Option<Body>,
-    /// Whether [`Voter::state`] has changed, and must be on disk before the answer is sent.
+    /// Whether [`Voter::state`] has changed and must be on disk before the answer is sent.
     pub is_state_changed: bool,
 }
 
@@ -44,23 +44,23 @@
     }
 }
 
-/// A voter.
+/// The voter of one member, for all leases.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Voter {
     timing: LeaseTiming,
     state: VoterState,
     grants: BTreeMap<LeaseId, Grant>,
-    /// Holders in a row that failed early, without the present one.
+    /// Number of consecutive holders that failed early, excluding the last one.
     early_failures: BTreeMap<LeaseId, u8>,
-    silent_until: Millis,
+    startup_ends_at: Millis,
     min_token_count: u64,
     history: BTreeMap<LeaseId, VecDeque<GrantRecord>>,
 }
 
 impl Voter {
-    /// Creates the voter of a member that starts, with the generation of its voter set and the
-    /// state that it remembers. The voter grants no token whose count is below `min_token_count`,
-    /// see [`count_at`](crate::token::count_at).
+    /// Creates the voter of a member at its start, with the generation of its voter set and the
+    /// state from disk. The voter grants no token whose count is below `min_token_count`, see
+    /// [`count_at`](crate::token::count_at).
     pub fn new(
         now: Millis,
         min_token_count: u64,
@@ -74,29 +74,29 @@
             state,
             grants: BTreeMap::new(),
             early_failures: BTreeMap::new(),
-            silent_until: now + timing.grant_duration_at_voter(timing.lease_duration),
+            startup_ends_at: now + timing.grant_duration_at_voter(timing.lease_duration),
             min_token_count,
             history: BTreeMap::new(),
         }
     }
 
-    /// Returns the state that must be on disk before the answers are sent.
+    /// Returns the state that must be on disk before answers are sent.
     pub fn state(&self) -> &VoterState {
         &self.state
     }
 
-    /// Returns the grants of each lease that the voter remembers, the oldest first.
+    /// Returns the grant history of each lease, oldest first.
     pub fn history(&self) -> &BTreeMap<LeaseId, VecDeque<GrantRecord>> {
         &self.history
     }
 
-    /// Returns until when the voter stays silent after its start.
-    pub fn silent_until(&self) -> Millis {
-        self.silent_until
+    /// Returns the end of the startup period, in which the voter grants nothing.
+    pub fn startup_ends_at(&self) -> Millis {
+        self.startup_ends_at
     }
 
-    /// Handles a message from a member in one of its incarnations. A message under another member's
-    /// token is ignored.
+    /// Handles a message from an incarnation of a member. Messages with another member's token are
+    /// ignored.
     pub fn handle_message(
         &mut self,
         now: Millis,
@@ -110,7 +110,7 @@
                 self.handle_grant_request(now, incarnation, lease, request)
             }
             Body::Resign { token } if token.member() == from => {
-                self.end_resigned_grant(now, incarnation, lease, token);
+                self.handle_resign(now, incarnation, lease, token);
                 Reply::unchanged(Body::Resigned { token })
             }
             Body::StoreCheckpoint { checkpoint } if checkpoint.token.member() == from => {
@@ -124,12 +124,12 @@
     }
 
     fn status(&self, now: Millis, lease: LeaseId, round: u32) -> Status {
-        let withheld = self.withheld(now, lease);
+        let unavailability = self.unavailability(now, lease);
         Status {
             round,
             highest_token: self.highest_token(lease),
-            remaining_ms: to_millis_u32(withheld.as_ref().map_or(0, |w| w.remaining)),
-            reason: withheld.map(|w| w.reason),
+            remaining_ms: to_millis_u32(unavailability.as_ref().map_or(0, |w| w.remaining)),
+            reason: unavailability.map(|w| w.reason),
             early_failures: self.count_early_failures(now, lease),
         }
     }
@@ -147,7 +147,7 @@
         lease: LeaseId,
         checkpoint: Checkpoint,
     ) -> Reply {
-        // A holder that has been followed by another may no longer write.
+        // A holder that has been succeeded must not overwrite its successor's checkpoint.
         let is_holder = self.is_granted_to(lease, checkpoint.token, incarnation);
         if !is_holder || checkpoint.state.len() > MAX_STATE_BYTES {
             return Reply::NONE;
--- a/crates/heathroad-lease/src/voter_set.rs
+++ b/crates/heathroad-lease/src/voter_set.rs
@@ -6,8 +6,8 @@
 
 /// A set of voters under a generation number.
 ///
-/// While the set is being changed, a quorum needs a majority of the new set and one of the previous
-/// set. Quorums of neighbouring generations therefore have a voter in common.
+/// During a change of the set, a quorum needs a majority of both the current and the previous set.
+/// Quorums of consecutive generations therefore intersect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VoterSet {
     generation: u8,
@@ -15,21 +15,21 @@
     previous: Vec<MemberId>,
 }
 
-/// Why a set of voters is rejected.
+/// Why a voter set is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum VoterSetError {
     /// The number of voters is not three, five or seven.
     #[error("{0} voters; expected 3, 5 or 7")]
     WrongSize(usize),
-    /// A voter is named twice.
-    #[error("{0} is named twice")]
+    /// A voter is listed twice.
+    #[error("member {0} is listed twice")]
     Duplicate(MemberId),
     /// A voter is not a member of the cluster.
-    #[error("{0} is not among the fleet's peers")]
+    #[error("member {0} is not among the fleet's peers")]
     UnknownMember(MemberId),
     /// The first generation has previous voters.
-    #[error("generation 0 has no previous voters")]
+    #[error("generation 0 cannot have previous voters")]
     PreviousOfFirstGeneration,
 }
 
@@ -50,8 +50,8 @@
 }
 
 impl VoterSet {
-    /// Creates the voter set of a cluster of `member_count` members. `previous` is empty once no
-    /// member uses the previous generation any more.
+    /// Creates the voter set of a cluster with `member_count` members. `previous` is empty unless
+    /// the set is being changed.
     pub fn new(
         generation: u8,
         current: Vec<MemberId>,
@@ -72,13 +72,13 @@
         })
     }
 
-    /// Returns the generation. A voter that has heard of a higher one rejects members that use this
-    /// set.
+    /// Returns the generation. A voter that has seen a higher generation rejects requests from
+    /// members that use this set.
     pub fn generation(&self) -> u8 {
         self.generation
     }
 
-    /// Returns all voters of the current and the previous set, each once.
+    /// Returns the voters of the current and the previous set, without duplicates.
     pub fn members(&self) -> impl Iterator<Item = MemberId> {
         let previous_only = self
             .previous
@@ -92,8 +92,8 @@
         self.members().any(|voter| voter == member)
     }
 
-    /// Returns the highest value that a quorum of voters reaches, where `value_of` gives the value
-    /// of a voter that has one.
+    /// Returns the highest value that every voter of some quorum reaches. `value_of` returns the
+    /// value of a voter, if it has one.
     pub fn value_reached_by_quorum<T: Ord + Copy>(
         &self,
         value_of: impl Fn(MemberId) -> Option<T>,
@@ -108,7 +108,7 @@
                 .checked_sub(majority)
                 .map(|index| values[index])
         };
-        // `None` is less than any value: a set without a majority has no quorum.
+        // `None` is less than any value, so the result is `None` if either set lacks a majority.
         [&self.current, &self.previous]
             .into_iter()
             .filter(|voters| !voters.is_empty())
@@ -117,7 +117,7 @@
             .flatten()
     }
 
-    /// Returns whether the voters for which `is_included` holds are a quorum.
+    /// Returns whether the voters for which `is_included` returns true form a quorum.
     pub fn is_quorum(&self, is_included: impl Fn(MemberId) -> bool) -> bool {
         self.value_reached_by_quorum(|voter| is_included(voter).then_some(()))
             .is_some()
--- a/crates/heathroad-lease/src/voter_state.rs
+++ b/crates/heathroad-lease/src/voter_state.rs
@@ -1,5 +1,5 @@
-//! What a voter must not forget over a restart. The caller writes it to disk before it sends the
-//! answers that depend on it.
+//! The durable state of a voter. The caller writes it to disk before it sends the answers that
+//! depend on it.
 
 use crate::LeaseId;
 use crate::checkpoint::Checkpoint;
@@ -10,12 +10,12 @@
 /// The durable state of a voter for one lease.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DurableGrant {
-    /// The highest token that was granted.
+    /// The highest granted token.
     pub token: Token,
-    /// The incarnation of the member that it was granted to.
+    /// The incarnation of the member that the token was granted to.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The last checkpoint.
+    /// The latest checkpoint.
     #[serde(rename = "mark")]
     pub checkpoint: Checkpoint,
 }
@@ -23,15 +23,15 @@
 /// The durable state of a voter.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoterState {
-    /// The highest generation of a voter set that the voter has heard of.
+    /// The highest voter set generation that the voter has seen.
     pub generation: u8,
-    /// The state of each lease.
-    #[serde(rename = "duties", with = "leases_by_text")]
+    /// The durable state of each lease.
+    #[serde(rename = "duties", with = "lease_id_keys")]
     pub leases: BTreeMap<LeaseId, DurableGrant>,
 }
 
-/// The map of leases with its keys as text, since JSON has no other keys.
-mod leases_by_text {
+/// Serializes the map of leases with string keys, as JSON requires.
+mod lease_id_keys {
     use super::{DurableGrant, LeaseId};
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
     use std::collections::BTreeMap;
--- a/crates/heathroad/src/lease/status.rs
+++ b/crates/heathroad/src/lease/status.rs
@@ -71,7 +71,7 @@
         let now = self.peers.now();
         let silent_ms = manager
             .voter()
-            .map(|voter| voter.silent_until().saturating_sub(now));
+            .map(|voter| voter.startup_ends_at().saturating_sub(now));
         let leases = self
             .leases
             .iter()
