--- a/crates/heathroad-lease/examples/lease-bench.rs
+++ b/crates/heathroad-lease/examples/lease-bench.rs
@@ -1,5 +1,5 @@
-//! Measures how long nobody holds a lease after a fault, how many messages a lease takes, and what
-//! a shorter lease duration costs. The time is simulated, so that every machine finds the same.
+//! Measures the time without a holder after a fault, the message rate of a lease, and the number of
+//! handovers at shorter lease durations. Time is simulated, so results do not depend on the machine.
 //!
 //!     cargo run --release -p heathroad-lease --example lease-bench 200
 
@@ -31,7 +31,7 @@
         match self {
             Fault::Kill => "kill",
             Fault::Stall => "stall",
-            Fault::Partition => "cut",
+            Fault::Partition => "partition",
             Fault::Resign => "resign",
         }
     }
@@ -52,20 +52,20 @@
     }
 }
 
-/// Returns a simulation in which the lease has been held for a while.
-fn settled_simulation(member_count: u16, seed: u64, lease_duration: Millis) -> Simulation {
+/// Returns a simulation in which the lease has been held for several lease durations.
+fn simulation_with_holder(member_count: u16, seed: u64, lease_duration: Millis) -> Simulation {
     let mut simulation =
         Simulation::with_lease_duration(member_count, VOTER_COUNT, seed, lease_duration);
     simulation
         .run_until(HOUR, |simulation| simulation.holder().is_some())
-        .expect("it is held");
+        .expect("no member acquired the lease");
     simulation.run(lease_duration * 6);
     simulation
 }
 
-/// Returns how long it takes from a fault until the lease is held under a later token.
-fn time_to_succession(fault: Fault, loss: f64, seed: u64, lease_duration: Millis) -> Millis {
-    let mut simulation = settled_simulation(MEMBER_COUNT, seed, lease_duration);
+/// Returns the time from a fault until the lease is held under a later token.
+fn succession_time(fault: Fault, loss: f64, seed: u64, lease_duration: Millis) -> Millis {
+    let mut simulation = simulation_with_holder(MEMBER_COUNT, seed, lease_duration);
     simulation.faults.loss = loss;
     simulation.run(lease_duration * 2 + Rng::with_seed(seed).u64(0..lease_duration));
     let Some((holder, last)) = simulation.holders().first().copied() else {
@@ -77,12 +77,17 @@
         |simulation: &Simulation| simulation.holders().iter().any(|(_, token)| *token > last);
     let at = simulation
         .run_until(from + HOUR, is_succeeded)
-        .expect("it is held again");
+        .expect("no member acquired the lease after the fault");
     at - from
 }
 
-fn sorted_times(fault: Fault, loss: f64, count: u64, lease_duration: Millis) -> Vec<Millis> {
-    let time = |seed| time_to_succession(fault, loss, seed, lease_duration);
+fn sorted_succession_times(
+    fault: Fault,
+    loss: f64,
+    count: u64,
+    lease_duration: Millis,
+) -> Vec<Millis> {
+    let time = |seed| succession_time(fault, loss, seed, lease_duration);
     let mut times: Vec<Millis> = (0..count).map(time).collect();
     times.sort_unstable();
     times
@@ -90,11 +95,11 @@
 
 fn print_succession_times(count: u64) {
     println!(
-        "time without a holder after a fault, ms: median, p99 of {count}; 9 members, delays of 1 to 12 ms"
+        "time without a holder after a fault, in ms: fault, message loss, median and p99 of {count} runs; 9 members, delays of 1 to 12 ms"
     );
     for fault in Fault::ALL {
         for loss in [0.0, 0.1, 0.3] {
-            let times = sorted_times(fault, loss, count, LEASE_DURATION);
+            let times = sorted_succession_times(fault, loss, count, LEASE_DURATION);
             let quantile = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
             let (name, percent) = (fault.name(), loss * 100.0);
             println!(
@@ -107,9 +112,11 @@
 }
 
 fn print_message_rates() {
-    println!("messages a second at rest, one lease");
+    println!(
+        "one lease without faults: members, message loss, messages per second, longest message, holds"
+    );
     for (member_count, loss) in [(9, 0.0), (300, 0.0), (300, 0.1), (300, 0.3)] {
-        let mut simulation = settled_simulation(member_count, 1, LEASE_DURATION);
+        let mut simulation = simulation_with_holder(member_count, 1, LEASE_DURATION);
         simulation.faults.loss = loss;
         let sent_before = simulation.messages_sent;
         simulation.run(100_000);
@@ -124,23 +131,23 @@
 
 fn print_cost_of_short_leases() {
     println!(
-        "the holder stalls for 0.2 to 3 s once in 20 s, for an hour: lease, handovers, and the median after a kill"
+        "the holder stalls for 0.2 to 3 s every 20 s, for one hour: lease duration, handovers, median time without a holder after a kill"
     );
     for lease_duration in [1000, 2500, 5000, 10_000] {
-        let mut simulation = settled_simulation(MEMBER_COUNT, 3, lease_duration);
+        let mut simulation = simulation_with_holder(MEMBER_COUNT, 3, lease_duration);
         let mut rng = Rng::with_seed(3);
         let acquisitions_before = simulation.acquisitions().len();
         let end = simulation.now + HOUR;
         while simulation.now < end {
             simulation.run(20_000);
             if let Some(holder) = simulation.holder() {
-                // Most stalls are short.
+                // Log-uniform between 0.2 and 3 s.
                 let time = (200.0 * 15.0_f64.powf(rng.f64())) as Millis;
                 simulation.stall(holder, time);
             }
         }
         let handovers = simulation.acquisitions().len() - acquisitions_before;
-        let times = sorted_times(Fault::Kill, 0.0, 20, lease_duration);
+        let times = sorted_succession_times(Fault::Kill, 0.0, 20, lease_duration);
         let seconds = lease_duration as f64 / 1000.0;
         println!("| {seconds:.1} s | {handovers} | {} ms |", times[10]);
     }
--- a/crates/heathroad-lease/tests/checkpoints.rs
+++ b/crates/heathroad-lease/tests/checkpoints.rs
@@ -6,7 +6,7 @@
 use heathroad_lease::candidate::LeaseEvent;
 use heathroad_lease::checkpoint::Checkpoint;
 use heathroad_lease::message::{Body, Message};
-use simulation::{LEASE, Simulation, lease};
+use simulation::{LEASE_DURATION, Simulation, lease};
 
 /// Has a member write a checkpoint, which gets the expected sequence number.
 fn store_checkpoint(simulation: &mut Simulation, member: MemberId, state: &[u8], expected: u32) {
@@ -62,14 +62,14 @@
     simulation.partition(&last_voter, &[holder]);
     simulation.faults.blocked_links.push((holder, others[0]));
     store_checkpoint(&mut simulation, holder, b"one", 1);
-    let end = simulation.now + LEASE / 3;
+    let end = simulation.now + LEASE_DURATION / 3;
     let stored_at = simulation.run_until(end, |simulation| is_stored(simulation, 1));
     assert_eq!(stored_at, None);
     simulation
         .faults
         .blocked_links
         .retain(|link| *link != (holder, others[0]));
-    let end = simulation.now + LEASE / 3;
+    let end = simulation.now + LEASE_DURATION / 3;
     let stored_at = simulation.run_until(end, |simulation| is_stored(simulation, 1));
     stored_at.expect("two of three voters store it");
     let stored_sequence = |simulation: &Simulation| {
@@ -83,7 +83,7 @@
     };
     assert_eq!(stored_sequence(&simulation), 0);
     simulation.faults.blocked_links.clear();
-    simulation.run(LEASE);
+    simulation.run(LEASE_DURATION);
     assert_eq!(stored_sequence(&simulation), 1);
 }
 
@@ -92,11 +92,11 @@
 fn a_late_checkpoint_is_ignored() {
     let mut simulation = Simulation::with_holder(6, 3, 10);
     let (first, last) = (simulation.current_holder(), simulation.current_token());
-    simulation.run(LEASE * 6);
-    simulation.stall(first, LEASE * 4);
+    simulation.run(LEASE_DURATION * 6);
+    simulation.stall(first, LEASE_DURATION * 4);
     simulation.run_until_succeeded(last);
     let persisted_before = simulation.states_persisted;
-    simulation.run(LEASE);
+    simulation.run(LEASE_DURATION);
     let checkpoint = Checkpoint {
         token: last,
         sequence: 9,
--- a/crates/heathroad-lease/tests/faults.rs
+++ b/crates/heathroad-lease/tests/faults.rs
@@ -5,7 +5,7 @@
 use heathroad_lease::MemberId;
 use heathroad_lease::candidate::{EndReason, LeaseEvent};
 use simulation::succession::SUCCESSION_BOUND;
-use simulation::{LEASE, Simulation, lease};
+use simulation::{LEASE_DURATION, Simulation, lease};
 
 /// A stalled holder that is asked before anything else is done when it wakes knows that its time is
 /// over.
@@ -13,8 +13,8 @@
 fn the_time_is_checked_before_an_act() {
     let mut simulation = Simulation::with_holder(6, 3, 21);
     let first = simulation.current_holder();
-    simulation.stall(first, LEASE * 3);
-    simulation.run(LEASE * 3 - 1);
+    simulation.stall(first, LEASE_DURATION * 3);
+    simulation.run(LEASE_DURATION * 3 - 1);
     let now = simulation.now;
     assert_eq!(simulation.manager(first).held_token(now, lease()), None);
 }
@@ -25,10 +25,10 @@
         let mut simulation = Simulation::with_holder(6, 3, 5);
         simulation.write_interval = Some(5);
         simulation.checks_tokens = checks_tokens;
-        simulation.run(LEASE * 6);
+        simulation.run(LEASE_DURATION * 6);
         let first = simulation.current_holder();
-        simulation.stall(first, LEASE * 3);
-        simulation.run(LEASE * 8);
+        simulation.stall(first, LEASE_DURATION * 3);
+        simulation.run(LEASE_DURATION * 8);
         let result = simulation.check_invariants();
         assert_eq!(result.is_ok(), checks_tokens, "{result:?}");
         let is_rejected = simulation
@@ -56,7 +56,7 @@
     for [blocks_requests, blocks_answers] in [[false, true], [true, false], [true, true]] {
         let mut simulation = Simulation::with_holder(8, 3, 6);
         simulation.write_interval = Some(5);
-        simulation.run(LEASE * 6);
+        simulation.run(LEASE_DURATION * 6);
         let (first, last) = (simulation.current_holder(), simulation.current_token());
         for voter in (0..3).filter(|voter| *voter != first) {
             let links = &mut simulation.faults.blocked_links;
@@ -71,7 +71,7 @@
             next.holder,
             next.took
         );
-        simulation.run(LEASE);
+        simulation.run(LEASE_DURATION);
         assert_eq!(simulation.check_invariants(), Ok(()));
         assert!(
             simulation.writes.iter().all(|write| write.is_admitted),
@@ -87,7 +87,7 @@
     let (first, last) = (simulation.current_holder(), simulation.current_token());
     let others: Vec<MemberId> = (3..9).filter(|member| *member != first).collect();
     simulation.partition(&[first], &others);
-    simulation.run(LEASE * 10);
+    simulation.run(LEASE_DURATION * 10);
     assert_eq!(
         (simulation.holder(), simulation.current_token()),
         (Some(first), last)
@@ -102,7 +102,7 @@
         let others: Vec<MemberId> = (0..6).filter(|member| *member != voter).collect();
         simulation.partition(&[voter], &others);
     }
-    simulation.run(LEASE * 2);
+    simulation.run(LEASE_DURATION * 2);
     assert_eq!(simulation.holders(), []);
     assert!(
         simulation
@@ -121,7 +121,7 @@
 fn a_lease_that_kills_its_holders_is_withheld() {
     let mut simulation = Simulation::with_holder(12, 3, 15);
     let mut killed = Vec::new();
-    let end = simulation.now + LEASE * 60;
+    let end = simulation.now + LEASE_DURATION * 60;
     while simulation.now < end {
         if let Some(holder) = simulation.holder() {
             killed.push(holder);
@@ -133,13 +133,13 @@
     }
     assert!((4..11).contains(&killed.len()), "{killed:?}");
     // A holder that lives ends that.
-    let end = simulation.now + LEASE * 100;
+    let end = simulation.now + LEASE_DURATION * 100;
     let is_held = |simulation: &Simulation| simulation.holder().is_some();
     simulation
         .run_until(end, is_held)
         .expect("it is tried again");
     let holder = simulation.current_holder();
-    simulation.run(LEASE * 6);
+    simulation.run(LEASE_DURATION * 6);
     assert_eq!(simulation.holder(), Some(holder));
 }
 
@@ -149,10 +149,10 @@
     let mut simulation = Simulation::with_holder(5, 5, 16);
     for _ in 0..8 {
         let (holder, last) = (simulation.current_holder(), simulation.current_token());
-        simulation.stall(holder, LEASE + LEASE / 2);
+        simulation.stall(holder, LEASE_DURATION + LEASE_DURATION / 2);
         let took = simulation.run_until_succeeded(last).took;
-        assert!(took < SUCCESSION_BOUND + LEASE, "{took}");
-        simulation.run(LEASE);
+        assert!(took < SUCCESSION_BOUND + LEASE_DURATION, "{took}");
+        simulation.run(LEASE_DURATION);
     }
 }
 
@@ -169,13 +169,13 @@
         (0..5).for_each(|member| simulation.start(member));
         simulation.write_interval = Some(2);
         for _ in 0..6 {
-            simulation.run(LEASE * 6);
+            simulation.run(LEASE_DURATION * 6);
             let Some(holder) = simulation.holder() else {
                 continue;
             };
             let others: Vec<MemberId> = (0..5).filter(|member| *member != holder).collect();
             simulation.partition(&[holder], &others);
-            simulation.run(LEASE * 3);
+            simulation.run(LEASE_DURATION * 3);
             simulation.faults.blocked_links.clear();
         }
         assert_eq!(simulation.check_invariants(), Ok(()));
--- a/crates/heathroad-lease/tests/random_histories.rs
+++ b/crates/heathroad-lease/tests/random_histories.rs
@@ -10,7 +10,7 @@
 use heathroad_lease::candidate::EndReason;
 use heathroad_lease::voter_state::VoterState;
 use heathroad_lease::{MemberId, Millis};
-use simulation::{Faults, LEASE, Simulation, lease};
+use simulation::{Faults, LEASE_DURATION, Simulation, lease};
 
 fn number_from_env(name: &str, default: u64) -> u64 {
     let value = std::env::var(name).ok();
@@ -30,7 +30,7 @@
             simulation.faults.loss = rng.f64() * 0.4;
             simulation.faults.duplication = rng.f64() * 0.3;
         }
-        1 => simulation.faults.max_delay = rng.u64(1..LEASE),
+        1 => simulation.faults.max_delay = rng.u64(1..LEASE_DURATION),
         2 => simulation.partition(&[member], &others),
         3 => {
             let links = others.iter().map(|other| (member, *other));
@@ -42,7 +42,7 @@
             simulation.partition(&one, &other);
         }
         5 => simulation.faults.blocked_links.clear(),
-        6 => simulation.stall(member, rng.u64(1..LEASE * 3)),
+        6 => simulation.stall(member, rng.u64(1..LEASE_DURATION * 3)),
         7 => {
             old_states[usize::from(member)] = simulation.node(member).disk.clone();
             simulation.kill(member);
@@ -111,7 +111,7 @@
     let mut old_states = vec![VoterState::default(); simulation.nodes.len()];
     for _ in 0..rng.u32(4..14) {
         inject_fault(&mut simulation, &mut rng, &mut old_states);
-        let end = simulation.now + rng.u64(1..LEASE * 3);
+        let end = simulation.now + rng.u64(1..LEASE_DURATION * 3);
         let has_two_holders = |simulation: &Simulation| simulation.holders().len() > 1;
         if simulation.run_until(end, has_two_holders).is_some() {
             panic!(
@@ -124,10 +124,10 @@
     heal(&mut simulation);
     let healed_at = simulation.now;
     // Long enough for grants, for a voter's silence, and for the backoff after failed holders.
-    let end = healed_at + LEASE * 70;
+    let end = healed_at + LEASE_DURATION * 70;
     let held_at = simulation.run_until(end, |simulation| simulation.holder().is_some());
     let held_at = held_at.unwrap_or_else(|| panic!("seed {seed}: nobody holds it"));
-    simulation.run(LEASE * 2);
+    simulation.run(LEASE_DURATION * 2);
     simulation
         .check_invariants()
         .unwrap_or_else(|e| panic!("seed {seed}: {e}"));
--- a/crates/heathroad-lease/tests/requests.rs
+++ b/crates/heathroad-lease/tests/requests.rs
@@ -7,7 +7,7 @@
 use heathroad_lease::lease_manager::{LeaseManager, Output};
 use heathroad_lease::message::{Body, GrantRequest, Granted, Message, Status};
 use heathroad_lease::token::Token;
-use simulation::{LEASE, Simulation, lease};
+use simulation::{LEASE_DURATION, Simulation, lease};
 
 fn message(body: Body) -> Message {
     Message {
@@ -79,7 +79,7 @@
     );
     manager.handle_message(10, 1, 1, free_status());
     assert_eq!(take_status_requests(&mut manager), []);
-    manager.tick(10 + LEASE / 16);
+    manager.tick(10 + LEASE_DURATION / 16);
     let receivers = take_status_requests(&mut manager);
     assert_eq!(
         receivers,
@@ -97,7 +97,7 @@
     );
     let GrantRequest { token, round, .. } = first[1].1;
     manager.handle_message(11, 1, 1, granted(token, round, 500));
-    manager.tick(10 + LEASE / 16);
+    manager.tick(10 + LEASE_DURATION / 16);
     let again = take_grant_requests(&mut manager);
     let receivers: Vec<_> = again
         .iter()
--- a/crates/heathroad-lease/tests/simulation/invariants.rs
+++ b/crates/heathroad-lease/tests/simulation/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold of the tokens and writes of a simulation.
+//! Invariants of the tokens and writes of a simulation.
 
 use super::Simulation;
 use heathroad_lease::candidate::LeaseEvent;
@@ -6,7 +6,7 @@
 use heathroad_lease::token::Token;
 use heathroad_lease::{MemberId, Millis};
 
-/// A member has acquired the lease.
+/// An acquisition of the lease by a member.
 #[derive(Debug, Clone)]
 pub struct Acquisition {
     pub at: Millis,
@@ -16,7 +16,7 @@
 }
 
 impl Simulation {
-    /// Returns the acquisitions of the lease in their order.
+    /// Returns the acquisitions of the lease in chronological order.
     pub fn acquisitions(&self) -> Vec<Acquisition> {
         let acquisition = |(at, by, event): &(Millis, MemberId, LeaseEvent)| match event {
             LeaseEvent::Acquired { token, checkpoint } => Some(Acquisition {
@@ -30,23 +30,25 @@
         self.events.iter().filter_map(acquisition).collect()
     }
 
-    /// Checks that admitted writes are in the order of their tokens, that each token is one
-    /// holder's, and that tokens grow from one acquisition to the next.
+    /// Checks that admitted writes are ordered by token, that each token is used by its member
+    /// only, and that each acquisition has a higher token than the one before.
     pub fn check_invariants(&self) -> Result<(), String> {
         let mut last = Token::default();
         for write in self.writes.iter().filter(|write| write.is_admitted) {
             if write.token < last {
-                return Err(format!("{write:?} after {last}"));
+                return Err(format!("{write:?} was admitted after token {last}"));
             }
             if write.token.member() != write.by {
-                return Err(format!("{write:?} under another member's token"));
+                return Err(format!("{write:?} uses another member's token"));
             }
             last = write.token;
         }
         let mut highest = Token::default();
         for Acquisition { at, by, token, .. } in self.acquisitions() {
             if token <= highest {
-                return Err(format!("{by} acquired {token} at {at}, after {highest}"));
+                return Err(format!(
+                    "member {by} acquired token {token} at {at} ms, not above {highest}"
+                ));
             }
             highest = token;
         }
--- a/crates/heathroad-lease/tests/simulation/mod.rs
+++ b/crates/heathroad-lease/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A simulated cluster of lease managers: time and network are the test's own, and a fenced server
-//! records what the lease holders write.
-#![allow(dead_code, reason = "each test file uses its part of it")]
+//! A simulated cluster of lease managers with simulated time and network, and a fenced server that
+//! records the writes of lease holders.
+#![allow(dead_code, reason = "each test file uses a part of the module")]
 
 mod invariants;
 mod network;
@@ -24,12 +24,12 @@
 use network::{Delivery, Network};
 use writes::PendingWrite;
 
-/// The usual lease duration.
-pub const LEASE: Millis = 1000;
-/// The Unix time at which simulations begin, in milliseconds.
-pub const UNIX: u64 = 1_790_000_000_000;
+/// The default lease duration.
+pub const LEASE_DURATION: Millis = 1000;
+/// The Unix time at the start of a simulation, in milliseconds.
+pub const UNIX_START_MS: u64 = 1_790_000_000_000;
 
-/// The lease that is sought in all simulations.
+/// The lease that the members campaign for.
 pub fn lease() -> LeaseId {
     LeaseId::from_name("conductor")
 }
@@ -40,22 +40,23 @@
     pub nodes: Vec<Node>,
     pub faults: Faults,
     pub rng: Rng,
-    /// What happened to the lease, when and at which member.
+    /// The lease events of all members, with their time.
     pub events: Vec<(Millis, MemberId, LeaseEvent)>,
-    /// The fenced server, and whether it checks tokens.
+    /// The token check of the fenced server.
     pub guard: FencingGuard,
+    /// Whether the fenced server rejects writes with outdated tokens.
     pub checks_tokens: bool,
     pub writes: Vec<Write>,
     pub messages_sent: u64,
-    /// Grant and status requests by the member that sent them.
+    /// Number of grant and status requests that each member has sent.
     pub requests_sent: Vec<u64>,
-    /// How often a voter has persisted its state.
+    /// How many times voters have persisted their state.
     pub states_persisted: u64,
-    /// Longest message, in bytes.
+    /// Size of the longest encoded message, in bytes.
     pub longest_message: usize,
-    /// How often a holder writes; it does not where this is `None`.
+    /// Interval of a holder's writes; `None` disables writes.
     pub write_interval: Option<Millis>,
-    /// The share of writes that arrive late.
+    /// Probability that a write is delayed by up to two lease durations.
     pub late_write_share: f64,
     next_write_at: Vec<Millis>,
     pending_writes: Vec<PendingWrite>,
@@ -63,14 +64,14 @@
     timing: LeaseTiming,
 }
 
-/// Returns the voter set of the first members.
-pub fn first_voters(voter_count: u16, member_count: u16) -> VoterSet {
-    VoterSet::new(0, (0..voter_count).collect(), Vec::new(), member_count).expect("good voters")
+/// Returns the voter set of generation 0, which consists of the first members.
+pub fn initial_voter_set(voter_count: u16, member_count: u16) -> VoterSet {
+    VoterSet::new(0, (0..voter_count).collect(), Vec::new(), member_count).expect("valid voters")
 }
 
 impl Simulation {
     pub fn new(member_count: u16, voter_count: u16, seed: u64) -> Simulation {
-        Simulation::with_lease_duration(member_count, voter_count, seed, LEASE)
+        Simulation::with_lease_duration(member_count, voter_count, seed, LEASE_DURATION)
     }
 
     pub fn with_lease_duration(
@@ -79,7 +80,7 @@
         seed: u64,
         lease_duration: Millis,
     ) -> Simulation {
-        let voter_set = first_voters(voter_count, member_count);
+        let voter_set = initial_voter_set(voter_count, member_count);
         let mut simulation = Simulation {
             now: 0,
             nodes: (0..member_count)
@@ -109,7 +110,7 @@
         simulation
     }
 
-    /// Returns the node of a member.
+    /// Returns the simulated member with this id.
     pub fn node(&mut self, member: MemberId) -> &mut Node {
         &mut self.nodes[usize::from(member)]
     }
@@ -122,16 +123,16 @@
         0..self.nodes.len() as MemberId
     }
 
-    /// Starts the process of a member, with the state that it has on disk.
+    /// Starts the process of a member with its state on disk.
     pub fn start(&mut self, member: MemberId) {
         let now = self.local_time(member);
         let seed = self.rng.u64(..);
-        let simulated_unix = UNIX + self.now;
+        let simulated_unix = UNIX_START_MS + self.now;
         let timing = self.timing;
         let node = self.node(member);
         let unix_ms = simulated_unix.saturating_add_signed(1000 * node.unix_offset_s);
         node.incarnation += 1;
-        node.waiting.clear();
+        node.queued.clear();
         let settings = Settings {
             member_id: member,
             voters: node.voter_set.clone(),
@@ -154,12 +155,12 @@
         self.update_present_members();
     }
 
-    /// Stalls the process of a member for a time.
+    /// Stalls the process of a member for a duration.
     pub fn stall(&mut self, member: MemberId, time: Millis) {
         self.node(member).stalled_until = self.now + time;
     }
 
-    /// All members know at once who runs: membership is another package's concern.
+    /// Updates the present members at all members. The membership protocol is not simulated.
     fn update_present_members(&mut self) {
         let present = self.running();
         for manager in self
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Returns the members whose process runs.
+    /// Returns the members whose process is running.
     pub fn running(&self) -> Vec<MemberId> {
         let is_running = |member: &MemberId| self.nodes[usize::from(*member)].manager.is_some();
         self.members().filter(is_running).collect()
@@ -186,13 +187,13 @@
         }
     }
 
-    /// Returns the lease manager of a member that runs.
+    /// Returns the lease manager of a running member.
     pub fn manager(&self, member: MemberId) -> &LeaseManager {
         let node = &self.nodes[usize::from(member)];
-        node.manager.as_ref().expect("it runs")
+        node.manager.as_ref().expect("the process is not running")
     }
 
-    /// Does something with the lease manager of a member, and what follows from that.
+    /// Calls `act` with the lease manager of a member and processes the resulting outputs.
     pub fn with_manager(&mut self, member: MemberId, act: impl FnOnce(&mut LeaseManager, Millis)) {
         let now = self.local_time(member);
         if let Some(manager) = &mut self.node(member).manager {
@@ -201,8 +202,8 @@
         self.process_outputs(member);
     }
 
-    /// Returns the members that believe to hold the lease now, and their tokens. A stalled member
-    /// believes nothing, because it checks its lease when it wakes.
+    /// Returns the members that consider themselves holders, with their tokens. Stalled members are
+    /// left out, because they check their lease before they act again.
     pub fn holders(&self) -> Vec<(MemberId, Token)> {
         let held_by = |member: MemberId| {
             let node = &self.nodes[usize::from(member)];
@@ -216,7 +217,7 @@
         self.members().filter_map(held_by).collect()
     }
 
-    /// Returns the member that holds the lease.
+    /// Returns the holder, if there is one.
     pub fn holder(&self) -> Option<MemberId> {
         self.holders().first().map(|(member, _)| *member)
     }
@@ -274,8 +275,8 @@
         }
     }
 
-    /// Delivers a message. The datagrams of the membership protocol name the receiver's
-    /// incarnation.
+    /// Delivers a message, unless the receiver has restarted since it was sent. The membership
+    /// protocol drops such messages.
     fn deliver(&mut self, delivery: Delivery) {
         let to = delivery.to;
         let now = self.local_time(to);
@@ -290,13 +291,13 @@
         self.process_outputs(to);
     }
 
-    /// Runs for a time.
+    /// Runs for a duration.
     pub fn run(&mut self, time: Millis) {
         let end = self.now + time;
         self.run_until(end, |_| false);
     }
 
-    /// Runs until a condition holds or the time is over, and returns when it held.
+    /// Runs until a condition holds or `end` is reached, and returns when the condition held.
     pub fn run_until(
         &mut self,
         end: Millis,
@@ -311,15 +312,15 @@
         condition(self).then_some(self.now)
     }
 
-    /// Runs for one millisecond.
+    /// Advances the simulation by one millisecond.
     fn step(&mut self) {
         self.now += 1;
-        self.finish_writes();
+        self.deliver_writes();
         while let Some(delivery) = self.network.next_arrival(self.now) {
             let now = self.now;
             let receiver = self.node(delivery.to);
             if receiver.is_stalled(now) {
-                receiver.waiting.push(delivery);
+                receiver.queued.push(delivery);
             } else {
                 self.deliver(delivery);
             }
@@ -329,13 +330,13 @@
             if node.is_stalled(self.now) || node.manager.is_none() {
                 continue;
             }
-            for delivery in std::mem::take(&mut node.waiting) {
+            for delivery in std::mem::take(&mut node.queued) {
                 self.deliver(delivery);
             }
             if self.manager(member).next_due() <= self.local_time(member) {
                 self.with_manager(member, LeaseManager::tick);
             }
-            self.begin_write(member);
+            self.start_write(member);
         }
     }
 }
--- a/crates/heathroad-lease/tests/simulation/network.rs
+++ b/crates/heathroad-lease/tests/simulation/network.rs
@@ -1,26 +1,26 @@
 //! The simulated network.
 
-use super::LEASE;
+use super::LEASE_DURATION;
 use fastrand::Rng;
 use heathroad_lease::message::Message;
 use heathroad_lease::{MemberId, Millis};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What may go wrong with messages.
+/// The faults that the network injects.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
-    /// The share of messages that are lost.
+    /// Probability that a message is lost.
     pub loss: f64,
-    /// The share of messages that are duplicated.
+    /// Probability that a message is duplicated.
     pub duplication: f64,
-    /// Longest delay.
+    /// Maximum delay of a message.
     pub max_delay: Millis,
-    /// Links that deliver nothing, as sender and receiver.
+    /// Links that drop all messages, as (sender, receiver).
     pub blocked_links: Vec<(MemberId, MemberId)>,
 }
 
-/// A message between two processes.
+/// A message from one process to another.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Delivery {
     pub to: MemberId,
@@ -30,19 +30,19 @@
     pub message: Message,
 }
 
-/// A delivery that is under way. They arrive in the order of their time, then of their number.
+/// A delivery in flight. Deliveries are ordered by arrival time, then by sequence number.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlight {
     arrives_at: Millis,
-    number: u64,
+    sequence: u64,
     delivery: Delivery,
 }
 
-/// All messages that are under way.
+/// The messages in flight.
 #[derive(Debug, Default)]
 pub(super) struct Network {
     in_flight: BinaryHeap<Reverse<InFlight>>,
-    sent: u64,
+    sent_count: u64,
 }
 
 impl Network {
@@ -54,19 +54,23 @@
             if is_lost {
                 continue;
             }
-            // A copy may come very late.
-            let lateness = if copies > 1 { rng.u64(0..3 * LEASE) } else { 0 };
-            let delay = 1 + rng.u64(0..faults.max_delay.max(1)) + lateness;
-            self.sent += 1;
+            // Duplicates may arrive after the lease has expired.
+            let duplicate_delay = if copies > 1 {
+                rng.u64(0..3 * LEASE_DURATION)
+            } else {
+                0
+            };
+            let delay = 1 + rng.u64(0..faults.max_delay.max(1)) + duplicate_delay;
+            self.sent_count += 1;
             self.in_flight.push(Reverse(InFlight {
                 arrives_at: now + delay,
-                number: self.sent,
+                sequence: self.sent_count,
                 delivery: delivery.clone(),
             }));
         }
     }
 
-    /// Removes and returns the next message that has arrived.
+    /// Removes and returns the next message that has arrived by `now`.
     pub(super) fn next_arrival(&mut self, now: Millis) -> Option<Delivery> {
         let Reverse(next) = self.in_flight.peek()?;
         if next.arrives_at > now {
--- a/crates/heathroad-lease/tests/simulation/node.rs
+++ b/crates/heathroad-lease/tests/simulation/node.rs
@@ -1,4 +1,4 @@
-//! A simulated member: its process, its disk and its clocks.
+//! A simulated member with its process, disk and clocks.
 
 use super::network::Delivery;
 use heathroad_lease::Millis;
@@ -8,22 +8,22 @@
 
 /// A simulated member.
 pub struct Node {
-    /// The process, while it runs.
+    /// The lease manager of the process; `None` while the process is not running.
     pub manager: Option<LeaseManager>,
-    /// The state on disk. It is read only where there is a disk.
+    /// The voter state on disk, which is only read at a start if `has_disk` is set.
     pub disk: VoterState,
     pub has_disk: bool,
     pub incarnation: u64,
     pub stalled_until: Millis,
-    /// How far the monotonic clock is ahead.
+    /// Offset of the monotonic clock.
     pub clock_offset: Millis,
-    /// How much faster the monotonic clock runs, in thousandths.
+    /// Rate error of the monotonic clock, in thousandths; positive if it runs fast.
     pub clock_rate_permille: i64,
-    /// How far the wall clock is ahead, in seconds.
+    /// Offset of the wall clock, in seconds.
     pub unix_offset_s: i64,
     pub voter_set: VoterSet,
-    /// Messages that have arrived while the process is stalled.
-    pub(super) waiting: Vec<Delivery>,
+    /// Messages that arrived while the process was stalled.
+    pub(super) queued: Vec<Delivery>,
 }
 
 impl Node {
@@ -38,20 +38,20 @@
             clock_rate_permille: 0,
             unix_offset_s: 0,
             voter_set,
-            waiting: Vec::new(),
+            queued: Vec::new(),
         }
     }
 
-    /// Returns the lease manager of a process that runs.
+    /// Returns the lease manager of a running process.
     pub fn running_manager(&mut self) -> &mut LeaseManager {
-        self.manager.as_mut().expect("it runs")
+        self.manager.as_mut().expect("the process is not running")
     }
 
     pub(super) fn is_stalled(&self, now: Millis) -> bool {
         self.stalled_until > now
     }
 
-    /// Returns the incarnation of the process, or 0 where none runs.
+    /// Returns the incarnation of the process, or 0 if it is not running.
     pub(super) fn running_incarnation(&self) -> u64 {
         if self.manager.is_some() {
             self.incarnation
--- a/crates/heathroad-lease/tests/simulation/succession.rs
+++ b/crates/heathroad-lease/tests/simulation/succession.rs
@@ -1,17 +1,17 @@
-//! Running a simulation until the lease is acquired.
+//! Helpers that run a simulation until the lease is acquired.
 
-use super::{LEASE, Simulation};
+use super::{LEASE_DURATION, Simulation};
 use heathroad_lease::token::Token;
 use heathroad_lease::{MemberId, Millis};
 
-/// A simulation in which nothing happens for so long has failed.
+/// A condition that does not hold within this simulated time fails the test.
 const TIMEOUT: Millis = 60_000;
 
-/// How long a lease may be without a holder after a fault: presence is known at once here, so that
-/// only the old grants are waited for.
-pub const SUCCESSION_BOUND: Millis = LEASE * 2;
+/// Maximum time without a holder after a fault. The simulated membership detects a failure at once,
+/// so that only the expiry of grants and one campaign count.
+pub const SUCCESSION_BOUND: Millis = LEASE_DURATION * 2;
 
-/// The next holder, and how long the lease was without one.
+/// The next holder, and how long its acquisition took.
 pub struct Succession {
     pub holder: MemberId,
     pub took: Millis,
@@ -25,11 +25,11 @@
         simulation
     }
 
-    /// Runs until the lease is held, and returns by whom.
+    /// Runs until the lease is held, and returns the holder.
     pub fn run_until_held(&mut self) -> MemberId {
         let end = self.now + TIMEOUT;
         self.run_until(end, |simulation| simulation.holder().is_some())
-            .expect("it is held");
+            .expect("no member acquired the lease");
         self.current_holder()
     }
 
@@ -46,26 +46,27 @@
         let is_succeeded = |simulation: &Simulation| later_holder(simulation).is_some();
         let at = self
             .run_until(begin + TIMEOUT, is_succeeded)
-            .expect("it is held again");
+            .expect("no member acquired the lease under a later token");
         Succession {
-            holder: later_holder(self).expect("it is held"),
+            holder: later_holder(self).expect("the lease is not held"),
             took: at - begin,
         }
     }
 
-    /// Returns the member that holds the lease, which must be held.
+    /// Returns the holder. Panics if the lease is not held.
     pub fn current_holder(&self) -> MemberId {
-        self.holder().expect("it is held")
+        self.holder().expect("the lease is not held")
     }
 
-    /// Returns the token of the holder.
+    /// Returns the token of the holder. Panics if the lease is not held.
     pub fn current_token(&self) -> Token {
-        self.holders().first().expect("it is held").1
+        self.holders().first().expect("the lease is not held").1
     }
 
-    /// Runs until a condition holds, for a simulation's usual time at most.
+    /// Runs until a condition holds, and panics if it does not hold within [`TIMEOUT`].
     pub fn run_until_condition(&mut self, condition: impl Fn(&Simulation) -> bool) -> Millis {
         let end = self.now + TIMEOUT;
-        self.run_until(end, condition).expect("the condition holds")
+        self.run_until(end, condition)
+            .expect("the condition did not hold in time")
     }
 }
--- a/crates/heathroad-lease/tests/simulation/writes.rs
+++ b/crates/heathroad-lease/tests/simulation/writes.rs
@@ -1,6 +1,6 @@
-//! What lease holders write to the fenced server.
+//! Writes of lease holders to the fenced server.
 
-use super::{LEASE, Simulation, lease};
+use super::{LEASE_DURATION, Simulation, lease};
 use heathroad_lease::token::Token;
 use heathroad_lease::{MemberId, Millis};
 
@@ -13,7 +13,7 @@
     pub is_admitted: bool,
 }
 
-/// A write that is under way: its holder has checked the lease, and the server has not seen it.
+/// A write in flight: its holder has checked the lease, and the server has not received it.
 pub(super) struct PendingWrite {
     arrives_at: Millis,
     by: MemberId,
@@ -22,8 +22,9 @@
 }
 
 impl Simulation {
-    /// A holder checks its lease, and writes some time after that: in between anything may happen.
-    pub(super) fn begin_write(&mut self, member: MemberId) {
+    /// Sends a write if the member holds the lease and a write is due. The write arrives after a
+    /// delay, in which the lease may change hands.
+    pub(super) fn start_write(&mut self, member: MemberId) {
         let Some(interval) = self.write_interval else {
             return;
         };
@@ -38,7 +39,7 @@
         };
         self.next_write_at[index] = self.now + interval;
         let is_late = self.rng.f64() < self.late_write_share;
-        let max_delay = if is_late { 2 * LEASE } else { 20 };
+        let max_delay = if is_late { 2 * LEASE_DURATION } else { 20 };
         let delay = 1 + self.rng.u64(0..max_delay);
         self.pending_writes.push(PendingWrite {
             arrives_at: self.now + delay,
@@ -48,8 +49,9 @@
         });
     }
 
-    /// What a stalled holder had begun to write arrives when it wakes; what a dead one had, never.
-    pub(super) fn finish_writes(&mut self) {
+    /// Delivers the writes that have arrived. Writes of a stalled process arrive when it continues;
+    /// writes of a killed process are dropped.
+    pub(super) fn deliver_writes(&mut self) {
         let now = self.now;
         let nodes = &self.nodes;
         let node = |write: &PendingWrite| &nodes[usize::from(write.by)];
--- a/crates/heathroad-lease/tests/succession.rs
+++ b/crates/heathroad-lease/tests/succession.rs
@@ -8,7 +8,7 @@
 use heathroad_lease::token::Token;
 use heathroad_lease::{LeaseId, MemberId};
 use simulation::succession::SUCCESSION_BOUND;
-use simulation::{LEASE, Simulation, lease};
+use simulation::{LEASE_DURATION, Simulation, lease};
 
 #[test]
 fn the_preferred_member_holds_the_lease() {
@@ -31,7 +31,7 @@
 fn a_holder_that_dies_is_succeeded() {
     let mut simulation = Simulation::with_holder(6, 3, 2);
     let (first, last) = (simulation.current_holder(), simulation.current_token());
-    simulation.run(LEASE * 6);
+    simulation.run(LEASE_DURATION * 6);
     simulation.kill(first);
     let next = simulation.run_until_succeeded(last);
     let is_other = next.holder != first;
@@ -47,7 +47,7 @@
 fn a_holder_that_resigns_is_succeeded_at_once_and_stays_away() {
     for seed in 20..40 {
         let mut simulation = Simulation::with_holder(6, 3, seed);
-        simulation.run(LEASE * 2);
+        simulation.run(LEASE_DURATION * 2);
         let (first, last) = (simulation.current_holder(), simulation.current_token());
         simulation.with_manager(first, |manager, now| {
             manager.resign(now, lease(), EndReason::Resigned);
@@ -55,12 +55,12 @@
         let next = simulation.run_until_succeeded(last);
         let is_other = next.holder != first;
         assert!(
-            is_other && next.took < LEASE / 10,
+            is_other && next.took < LEASE_DURATION / 10,
             "{} after {}",
             next.holder,
             next.took
         );
-        simulation.run(LEASE * 4);
+        simulation.run(LEASE_DURATION * 4);
         assert_eq!(simulation.holder(), Some(next.holder));
     }
 }
@@ -71,14 +71,14 @@
     let mut slow = 0;
     for seed in 100..200 {
         let mut simulation = Simulation::with_holder(6, 3, seed);
-        simulation.run(LEASE * 2);
+        simulation.run(LEASE_DURATION * 2);
         let (first, last) = (simulation.current_holder(), simulation.current_token());
         simulation.faults.loss = 0.1;
         simulation.with_manager(first, |manager, now| {
             manager.resign(now, lease(), EndReason::Resigned);
         });
         let next = simulation.run_until_succeeded(last);
-        slow += u32::from(next.took > LEASE / 4);
+        slow += u32::from(next.took > LEASE_DURATION / 4);
     }
     assert!(
         slow <= 2,
@@ -115,7 +115,7 @@
             };
             manager.handle_message(20, voter, 1, message);
         }
-        let asks_soon = manager.next_due() < 20 + LEASE / 16;
+        let asks_soon = manager.next_due() < 20 + LEASE_DURATION / 16;
         assert_eq!(asks_soon, is_told, "{}", manager.next_due());
     }
 }
@@ -125,7 +125,7 @@
 fn a_handover_whose_messages_are_lost_ends_with_the_lease() {
     let mut simulation = Simulation::with_holder(6, 3, 4);
     let (first, last) = (simulation.current_holder(), simulation.current_token());
-    simulation.run(LEASE * 6);
+    simulation.run(LEASE_DURATION * 6);
     let others: Vec<MemberId> = (0..6).filter(|member| *member != first).collect();
     simulation.partition(&[first], &others);
     simulation.with_manager(first, |manager, now| {
@@ -152,9 +152,9 @@
         });
     }
     let is_held = |simulation: &Simulation| simulation.holder().is_some();
-    let end = simulation.now + LEASE * 7;
+    let end = simulation.now + LEASE_DURATION * 7;
     assert_eq!(simulation.run_until(end, is_held), None);
-    let end = simulation.now + LEASE * 5;
+    let end = simulation.now + LEASE_DURATION * 5;
     simulation
         .run_until(end, is_held)
         .expect("it is tried again");
@@ -166,7 +166,7 @@
     let mut simulation = Simulation::with_holder(30, 3, 19);
     simulation.requests_sent.fill(0);
     let sent_before = simulation.messages_sent;
-    simulation.run(LEASE * 20);
+    simulation.run(LEASE_DURATION * 20);
     // Also where they are called for another reason.
     (0..30).for_each(|member| simulation.with_manager(member, LeaseManager::tick));
     let requests = &simulation.requests_sent;
@@ -186,9 +186,9 @@
         simulation.faults.loss = 0.3;
         simulation.run_until_held();
         let at = simulation.now;
-        assert!(at < LEASE * 5, "seed {seed}: {at}");
+        assert!(at < LEASE_DURATION * 5, "seed {seed}: {at}");
         simulation.write_interval = Some(5);
-        simulation.run(LEASE * 10);
+        simulation.run(LEASE_DURATION * 10);
         assert_eq!(simulation.check_invariants(), Ok(()), "seed {seed}");
         let acquisitions = simulation.acquisitions().len();
         assert_eq!(acquisitions, 1, "seed {seed}: losses alone end no hold");
--- a/crates/heathroad-lease/tests/tokens.rs
+++ b/crates/heathroad-lease/tests/tokens.rs
@@ -6,7 +6,7 @@
 use heathroad_lease::lease_manager::preference_order;
 use heathroad_lease::token::{Token, count_at};
 use heathroad_lease::voter_set::VoterSet;
-use simulation::{LEASE, Simulation, UNIX, lease};
+use simulation::{LEASE_DURATION, Simulation, UNIX_START_MS, lease};
 
 /// All voters are killed at once and know nothing, or what they had on disk: the next token is
 /// higher all the same.
@@ -19,10 +19,10 @@
                 continue;
             }
             let mut simulation = Simulation::with_holder(3, 3, 11);
-            simulation.run(LEASE * 3);
+            simulation.run(LEASE_DURATION * 3);
             let last = simulation.current_token();
             (0..3).for_each(|member| simulation.kill(member));
-            simulation.run(LEASE * 2);
+            simulation.run(LEASE_DURATION * 2);
             for member in 0..3 {
                 let node = simulation.node(member);
                 node.has_disk = has_disk;
@@ -59,7 +59,7 @@
 
 #[test]
 fn tokens_have_their_parts_and_their_text() {
-    let count = count_at(UNIX);
+    let count = count_at(UNIX_START_MS);
     let token = Token::new(3, count, 7);
     assert_eq!(
         (token.generation(), token.count(), token.member()),
@@ -71,7 +71,7 @@
 
 #[test]
 fn the_successor_of_a_token_is_the_next_one_of_a_member() {
-    let count = count_at(UNIX);
+    let count = count_at(UNIX_START_MS);
     let token = Token::new(3, count, 7);
     let successor =
         |member, min_count| token.successor(min_count, 3, member).expect("there is one");
--- a/crates/heathroad-lease/tests/voters.rs
+++ b/crates/heathroad-lease/tests/voters.rs
@@ -9,10 +9,10 @@
 use heathroad_lease::voter_set::{VoterSet, VoterSetError};
 use heathroad_lease::voter_state::VoterState;
 use heathroad_lease::{LeaseId, LeaseTiming, MemberId, Millis};
-use simulation::{LEASE, Simulation, lease};
+use simulation::{LEASE_DURATION, Simulation, lease};
 
 const TIMING: LeaseTiming = LeaseTiming {
-    lease_duration: LEASE,
+    lease_duration: LEASE_DURATION,
 };
 
 /// A voter that restarts is not taken from the holder by a member that stands by. Each such vote
@@ -21,7 +21,7 @@
 fn voters_that_restart_come_back_to_the_holder() {
     for (seed, has_disk) in (60..80).map(|n| (n, n % 2 == 0)) {
         let mut simulation = Simulation::with_holder(6, 3, seed);
-        simulation.run(LEASE);
+        simulation.run(LEASE_DURATION);
         let (holder, last) = (simulation.current_holder(), simulation.current_token());
         for voter in (0..3).filter(|voter| *voter != holder) {
             simulation.kill(voter);
@@ -29,14 +29,14 @@
             simulation.start(voter);
             // Where a voter has lost its state, the lease is granted anew under another token. It
             // has no holder while some messages are sent.
-            let end = simulation.now + LEASE * 4;
+            let end = simulation.now + LEASE_DURATION * 4;
             let is_held = |simulation: &Simulation| simulation.holder().is_some();
             if let Some(from) = simulation.run_until(end, |simulation| !is_held(simulation)) {
                 let to = simulation
                     .run_until(end, is_held)
                     .expect("it is held again");
                 assert!(
-                    !has_disk && to - from < LEASE / 5,
+                    !has_disk && to - from < LEASE_DURATION / 5,
                     "seed {seed}: {from} to {to}"
                 );
                 simulation.run(end - to);
@@ -69,20 +69,20 @@
 #[test]
 fn candidates_that_lose_do_not_cause_a_backoff() {
     let mut voter = Voter::new(0, 5, TIMING, 0, VoterState::default());
-    let mut now = TIMING.grant_duration_at_voter(LEASE);
+    let mut now = TIMING.grant_duration_at_voter(LEASE_DURATION);
     let mut ask = |now: Millis, token: Token| {
         let request = grant_request(token, 500);
         is_granted(&voter.handle_message(now, token.member(), 1, lease(), request))
     };
     for n in 0..9 {
         assert!(ask(now, Token::new(0, 9 + n, 3)), "{n}");
-        now += LEASE;
+        now += LEASE_DURATION;
     }
     // Holders that knew that they held the lease, and are silent, have failed.
     for n in 20..23 {
         let token = Token::new(0, n, 4);
         assert!(ask(now, token) && ask(now + 1, token), "{n}");
-        now += LEASE;
+        now += LEASE_DURATION;
     }
     assert!(!ask(now, Token::new(0, 30, 5)));
 }
@@ -99,7 +99,7 @@
 #[test]
 fn requests_under_outdated_generations_or_foreign_tokens_are_not_granted() {
     let mut voter = Voter::new(0, 5, TIMING, 1, VoterState::default());
-    let start = TIMING.grant_duration_at_voter(LEASE);
+    let start = TIMING.grant_duration_at_voter(LEASE_DURATION);
     let mut ask = |now: Millis, from: MemberId, lease: LeaseId, token: Token| {
         voter.handle_message(now, from, 1, lease, grant_request(token, 500))
     };
@@ -126,11 +126,11 @@
 #[test]
 fn tokens_that_are_not_above_all_that_was_granted_are_rejected() {
     let mut voter = Voter::new(0, 5, TIMING, 2, VoterState::default());
-    let start = TIMING.grant_duration_at_voter(LEASE);
+    let start = TIMING.grant_duration_at_voter(LEASE_DURATION);
     let token = |count, member| Token::new(2, count, member);
     let first = voter.handle_message(start, 3, 1, lease(), grant_request(token(9, 3), 500));
     assert!(is_granted(&first));
-    let free = start + 2 * LEASE;
+    let free = start + 2 * LEASE_DURATION;
     let mut ask = |incarnation, token: Token| {
         let request = grant_request(token, 500);
         voter.handle_message(free, token.member(), incarnation, lease(), request)
@@ -154,7 +154,7 @@
 #[test]
 fn a_grant_is_no_longer_than_the_voters_own_lease() {
     let mut voter = Voter::new(0, 5, TIMING, 0, VoterState::default());
-    let now = TIMING.grant_duration_at_voter(LEASE);
+    let now = TIMING.grant_duration_at_voter(LEASE_DURATION);
     let request = grant_request(Token::new(2, 9, 5), 1 << 30);
     let reply = voter.handle_message(now, 5, 1, lease(), request);
     let is_cut = matches!(
@@ -186,7 +186,10 @@
     let others: Vec<MemberId> = (0..5).filter(|member| *member != holder).collect();
     simulation.partition(&[holder], &others);
     let took = simulation.run_until_succeeded(last).took;
-    assert!(took >= TIMING.grant_duration_at_voter(LEASE), "{took}");
+    assert!(
+        took >= TIMING.grant_duration_at_voter(LEASE_DURATION),
+        "{took}"
+    );
 }
 
 /// Voters come back with an old copy of their state, or with nothing: no member begins beside the
@@ -198,12 +201,12 @@
         simulation.write_interval = Some(5);
         let old_state = simulation.node(1).disk.clone();
         for voter in [0, 1, 2, 0, 1, 2] {
-            simulation.run(LEASE * 2);
+            simulation.run(LEASE_DURATION * 2);
             let holder = simulation.run_until_held();
             simulation.with_manager(holder, |manager, now| {
                 manager.resign(now, lease(), EndReason::Resigned);
             });
-            simulation.run(LEASE / 2);
+            simulation.run(LEASE_DURATION / 2);
             simulation.kill(voter);
             simulation.node(voter).disk = if has_copy {
                 old_state.clone()
@@ -212,7 +215,7 @@
             };
             simulation.start(voter);
         }
-        simulation.run(LEASE * 3);
+        simulation.run(LEASE_DURATION * 3);
         assert_eq!(simulation.check_invariants(), Ok(()));
         assert!(simulation.writes.iter().all(|write| write.is_admitted));
     }
@@ -236,12 +239,12 @@
             simulation.kill(member);
             simulation.node(member).voter_set = voter_set.clone();
             simulation.start(member);
-            simulation.run(LEASE * 2);
+            simulation.run(LEASE_DURATION * 2);
         }
     }
     // The voter that was cut off still uses the first set, of which it is the only one left.
     simulation.faults.blocked_links.clear();
-    simulation.run(LEASE * 4);
+    simulation.run(LEASE_DURATION * 4);
     let token = simulation.current_token();
     assert!(token > last && token.generation() == 2);
     assert_eq!(simulation.check_invariants(), Ok(()));
