--- a/crates/heathroad-lease/tests/checkpoints.rs
+++ b/crates/heathroad-lease/tests/checkpoints.rs
@@ -1,4 +1,4 @@
-//! Checkpoints: stored by a quorum, and handed to the next holder.
+//! Checkpoints are stored by a quorum of voters and passed to the next holder.
 
 mod simulation;
 
@@ -8,7 +8,7 @@
 use heathroad_lease::message::{Body, Message};
 use simulation::{LEASE_DURATION, Simulation, lease};
 
-/// Has a member write a checkpoint, which gets the expected sequence number.
+/// Stores a checkpoint at a holder and checks its sequence number.
 fn store_checkpoint(simulation: &mut Simulation, member: MemberId, state: &[u8], expected: u32) {
     simulation.with_manager(member, |manager, now| {
         let sequence = manager.store_checkpoint(now, lease(), state.to_vec());
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_next_holder_begins_with_the_last_checkpoint() {
+fn the_next_holder_resumes_from_the_latest_checkpoint() {
     let mut simulation = Simulation::with_holder(6, 3, 9);
     let (first, last) = (simulation.current_holder(), simulation.current_token());
     simulation.faults.loss = 0.3;
@@ -36,8 +36,11 @@
     simulation.kill(first);
     simulation.run_until_succeeded(last);
     let acquisitions = simulation.acquisitions();
-    let acquisition = acquisitions.last().expect("an acquisition");
-    let checkpoint = acquisition.checkpoint.as_ref().expect("a checkpoint");
+    let acquisition = acquisitions.last().expect("no acquisition");
+    let checkpoint = acquisition
+        .checkpoint
+        .as_ref()
+        .expect("acquired without a checkpoint");
     let expected = Checkpoint {
         token: last,
         sequence: 2,
@@ -47,7 +50,8 @@
     assert!(simulation.states_persisted > 0);
 }
 
-/// A checkpoint is stored once a quorum has acknowledged it, and is sent to all voters in the end.
+/// A checkpoint counts as stored once a quorum has acknowledged it, and eventually reaches all
+/// voters.
 #[test]
 fn a_checkpoint_is_stored_by_a_quorum() {
     let mut simulation = Simulation::with_holder(6, 3, 22);
@@ -71,12 +75,12 @@
         .retain(|link| *link != (holder, others[0]));
     let end = simulation.now + LEASE_DURATION / 3;
     let stored_at = simulation.run_until(end, |simulation| is_stored(simulation, 1));
-    stored_at.expect("two of three voters store it");
+    stored_at.expect("two of three voters did not store the checkpoint");
     let stored_sequence = |simulation: &Simulation| {
         let state = simulation
             .manager(last_voter[0])
             .voter()
-            .expect("a voter")
+            .expect("the member is not a voter")
             .state();
         let durable = state.leases.get(&lease());
         durable.map_or(0, |durable| durable.checkpoint.sequence)
@@ -87,9 +91,9 @@
     assert_eq!(stored_sequence(&simulation), 1);
 }
 
-/// No voter stores a checkpoint of a holder that another has succeeded.
+/// A holder that has been succeeded must not overwrite the checkpoint at a voter.
 #[test]
-fn a_late_checkpoint_is_ignored() {
+fn a_checkpoint_of_a_superseded_holder_is_ignored() {
     let mut simulation = Simulation::with_holder(6, 3, 10);
     let (first, last) = (simulation.current_holder(), simulation.current_token());
     simulation.run(LEASE_DURATION * 6);
@@ -102,7 +106,9 @@
         sequence: 9,
         state: b"late".to_vec(),
     };
-    let voter = (0..3).find(|voter| *voter != first).expect("another voter");
+    let voter = (0..3)
+        .find(|voter| *voter != first)
+        .expect("no other voter");
     let incarnation = simulation.node(first).incarnation;
     let message = Message {
         lease: lease(),
--- a/crates/heathroad-lease/tests/faults.rs
+++ b/crates/heathroad-lease/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What a holder does that stalls, or is cut off from its voters.
+//! Leases under faults: stalled, partitioned and crashing holders, and clocks of different rates.
 
 mod simulation;
 
@@ -7,10 +7,9 @@
 use simulation::succession::SUCCESSION_BOUND;
 use simulation::{LEASE_DURATION, Simulation, lease};
 
-/// A stalled holder that is asked before anything else is done when it wakes knows that its time is
-/// over.
+/// The check before an act fails after a stall, even if nothing else has run in between.
 #[test]
-fn the_time_is_checked_before_an_act() {
+fn a_stalled_holder_notices_its_expiry_before_it_acts() {
     let mut simulation = Simulation::with_holder(6, 3, 21);
     let first = simulation.current_holder();
     simulation.stall(first, LEASE_DURATION * 3);
@@ -20,7 +19,7 @@
 }
 
 #[test]
-fn a_write_of_a_holder_that_has_stalled_is_rejected_by_its_token() {
+fn a_write_of_a_stalled_holder_is_rejected_by_its_token() {
     for checks_tokens in [true, false] {
         let mut simulation = Simulation::with_holder(6, 3, 5);
         simulation.write_interval = Some(5);
@@ -37,7 +36,7 @@
             .any(|w| w.by == first && !w.is_admitted);
         assert_eq!(
             is_rejected, checks_tokens,
-            "its last write comes after another's"
+            "the stalled holder's last write arrives after its successor's first"
         );
         let reason = simulation
             .events
@@ -50,9 +49,10 @@
     }
 }
 
-/// A holder that is cut off from the voters alone stops before another begins.
+/// A holder that is partitioned from the voters only, in one or both directions, stops acting before
+/// its successor starts.
 #[test]
-fn a_holder_that_is_cut_off_from_voters_stops_before_another_begins() {
+fn a_holder_partitioned_from_the_voters_stops_before_its_successor_starts() {
     for [blocks_requests, blocks_answers] in [[false, true], [true, false], [true, true]] {
         let mut simulation = Simulation::with_holder(8, 3, 6);
         simulation.write_interval = Some(5);
@@ -67,7 +67,7 @@
         let is_other = next.holder != first;
         assert!(
             is_other && next.took < SUCCESSION_BOUND,
-            "{} after {}",
+            "acquired by {} after {} ms",
             next.holder,
             next.took
         );
@@ -75,14 +75,14 @@
         assert_eq!(simulation.check_invariants(), Ok(()));
         assert!(
             simulation.writes.iter().all(|write| write.is_admitted),
-            "no write came late"
+            "a write arrived after a successor's"
         );
     }
 }
 
-/// A holder that is cut off from other members, and not from the voters, goes on.
+/// A holder that is partitioned from other members, but not from the voters, keeps the lease.
 #[test]
-fn a_holder_that_reaches_its_voters_goes_on() {
+fn a_holder_that_reaches_the_voters_keeps_the_lease() {
     let mut simulation = Simulation::with_holder(9, 3, 7);
     let (first, last) = (simulation.current_holder(), simulation.current_token());
     let others: Vec<MemberId> = (3..9).filter(|member| *member != first).collect();
@@ -115,10 +115,10 @@
     assert!(took < SUCCESSION_BOUND, "{took}");
 }
 
-/// Work that kills each of its holders is withheld for longer and longer, and does not go through
+/// Work that crashes each of its holders is backed off with increasing delays and does not take down
 /// the whole cluster.
 #[test]
-fn a_lease_that_kills_its_holders_is_withheld() {
+fn a_lease_whose_holders_keep_crashing_is_backed_off() {
     let mut simulation = Simulation::with_holder(12, 3, 15);
     let mut killed = Vec::new();
     let end = simulation.now + LEASE_DURATION * 60;
@@ -126,26 +126,26 @@
         if let Some(holder) = simulation.holder() {
             killed.push(holder);
             simulation.kill(holder);
-            // With its disk, so that a voter remembers what it has granted.
+            // The disk is kept, so that voters do not lose their state.
             simulation.start(holder);
         }
         simulation.run(20);
     }
     assert!((4..11).contains(&killed.len()), "{killed:?}");
-    // A holder that lives ends that.
+    // A stable hold ends the backoff.
     let end = simulation.now + LEASE_DURATION * 100;
     let is_held = |simulation: &Simulation| simulation.holder().is_some();
     simulation
         .run_until(end, is_held)
-        .expect("it is tried again");
+        .expect("the lease was not granted again");
     let holder = simulation.current_holder();
     simulation.run(LEASE_DURATION * 6);
     assert_eq!(simulation.holder(), Some(holder));
 }
 
-/// Holders that stall and live do not count as killed.
+/// Stalled holders that continue do not count as early failures.
 #[test]
-fn holders_that_stall_do_not_cause_a_backoff() {
+fn stalled_holders_do_not_cause_a_backoff() {
     let mut simulation = Simulation::with_holder(5, 5, 16);
     for _ in 0..8 {
         let (holder, last) = (simulation.current_holder(), simulation.current_token());
@@ -156,9 +156,9 @@
     }
 }
 
-/// Clocks whose rates differ by as much as is allowed; beyond that only tokens protect.
+/// Clock rates differ by almost the margin that leases allow. Beyond it, only tokens keep the order.
 #[test]
-fn leases_alone_keep_the_order_while_clock_rates_are_close() {
+fn leases_alone_order_writes_within_the_clock_rate_margin() {
     for rate in [-9, 9] {
         let mut simulation = Simulation::with_holder(5, 3, 17);
         for (n, node) in simulation.nodes.iter_mut().enumerate() {
@@ -180,6 +180,6 @@
         }
         assert_eq!(simulation.check_invariants(), Ok(()));
         let is_ordered = simulation.writes.iter().all(|write| write.is_admitted);
-        assert!(is_ordered, "leases alone keep the order");
+        assert!(is_ordered, "a write arrived after a successor's");
     }
 }
--- a/crates/heathroad-lease/tests/golden_messages.rs
+++ b/crates/heathroad-lease/tests/golden_messages.rs
@@ -1,5 +1,5 @@
-//! The bytes of lease messages and the words of their reasons in JSON stay as they were when the
-//! golden files were written.
+//! The encoding of lease messages and the JSON names of stored and reported values match the golden
+//! files, so that members of different versions understand each other.
 
 use heathroad_lease::LeaseId;
 use heathroad_lease::candidate::EndReason;
@@ -62,7 +62,7 @@
     })
 }
 
-/// Returns one message of each kind, with each reason, by the names of the golden file.
+/// Returns a message of each kind, and of each reason, with its label in the golden file.
 fn messages() -> Vec<(String, Message)> {
     let token = token();
     let request = GrantRequest {
@@ -123,12 +123,12 @@
 fn assert_golden(golden: &str, actual: &str) {
     assert!(
         golden == actual,
-        "differs from the golden file; the actual text is:\n{actual}"
+        "output differs from the golden file; actual output:\n{actual}"
     );
 }
 
 #[test]
-fn each_message_is_encoded_as_before() {
+fn message_encodings_match_the_golden_file() {
     let mut actual = String::new();
     for (name, message) in messages() {
         writeln!(actual, "{name}: {}", to_hex(&message.encode())).expect("a string");
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn each_message_is_decoded_as_before() {
+fn golden_messages_are_decoded() {
     let messages = messages();
     assert_eq!(MESSAGES.lines().count(), messages.len());
     for (line, (name, message)) in MESSAGES.lines().zip(messages) {
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn words_in_json_are_as_before() {
+fn json_names_match_the_golden_file() {
     let end_reasons = [
         EndReason::Expired,
         EndReason::Resigned,
--- a/crates/heathroad-lease/tests/message_orders.rs
+++ b/crates/heathroad-lease/tests/message_orders.rs
@@ -1,9 +1,9 @@
-//! A model checker tries all orders of a small history: three voters, two candidates that want the
-//! same lease at the same time, and a voter that restarts once without its state.
+//! Model checking of the protocol: explores all message orders of three voters, two candidates that
+//! campaign for the same lease, and one restart of a voter that loses its state.
 //!
-//! Requests come in any order. Answers come at once, but for some that are late: they come at any
-//! later time, also after several others, or never. Time passes whenever no more than that are
-//! under way.
+//! Requests are delivered in any order. Answers are delivered immediately, except for a bounded
+//! number of delayed ones, which are delivered at any later time or never. Time advances whenever
+//! at most that number of messages is in flight.
 
 use fastrand::Rng;
 use heathroad_lease::candidate::{Candidate, Context, LeaseEvent};
@@ -18,16 +18,16 @@
 
 const TIMING: LeaseTiming = LeaseTiming { lease_duration: 8 };
 const VOTER_COUNT: MemberId = 3;
-/// The candidates are no voters.
+/// The candidates, which are not voters.
 const CANDIDATES: [MemberId; 2] = [3, 4];
-/// Time passes in steps of so many milliseconds.
+/// The step in which time advances.
 const TIME_STEP: Millis = 2;
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct InFlight {
     from: MemberId,
     to: MemberId,
-    /// Of the receiver, where it is a voter.
+    /// The receiver's incarnation, if it is a voter.
     incarnation: u64,
     message: Message,
 }
@@ -50,22 +50,23 @@
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Step {
-    /// A request reaches a voter, whose answer comes at once.
-    Request(InFlight),
-    /// A request reaches a voter, whose answer is late; or a late answer reaches a candidate.
-    Arrival(InFlight),
-    PassTime,
+    /// Delivers a request to a voter, and its answer to the candidate.
+    DeliverAndReply(InFlight),
+    /// Delivers a request to a voter and delays the answer, or delivers a delayed answer.
+    Deliver(InFlight),
+    AdvanceTime,
+    /// Restarts a voter without its state.
     Restart(MemberId),
 }
 
-struct SmallHistory {
-    until: Millis,
-    max_late: usize,
+struct LeaseModel {
+    end: Millis,
+    max_delayed: usize,
     max_restarts: u8,
 }
 
 fn voter_set() -> VoterSet {
-    VoterSet::new(0, (0..VOTER_COUNT).collect(), Vec::new(), 5).expect("good voters")
+    VoterSet::new(0, (0..VOTER_COUNT).collect(), Vec::new(), 5).expect("valid voters")
 }
 
 type Act = Box<dyn FnOnce(&mut Candidate, Millis, &mut Context<'_>)>;
@@ -101,7 +102,7 @@
         let from = CANDIDATES[index];
         let (incarnation, voter) = &mut self.voters[usize::from(to)];
         if let Body::StatusRequest { .. } = message.body {
-            // No promise depends on the answer, which comes at once.
+            // Status answers carry no promise, so they are not modelled as delayed.
             let Message { lease, body } = message;
             if let Some(answer) = voter.handle_message(now, from, 1, lease, body).body {
                 let act: Act = Box::new(move |candidate, now, context| {
@@ -119,8 +120,8 @@
         });
     }
 
-    /// A request reaches a voter. Returns the answer.
-    fn ask_voter(&mut self, request: InFlight) -> Option<InFlight> {
+    /// Delivers a request to a voter and returns its answer.
+    fn deliver_to_voter(&mut self, request: InFlight) -> Option<InFlight> {
         let Message { lease, body } = request.message;
         let (incarnation, voter) = &mut self.voters[usize::from(request.to)];
         if *incarnation != request.incarnation {
@@ -135,8 +136,8 @@
         })
     }
 
-    /// An answer reaches a candidate.
-    fn answer_candidate(&mut self, answer: InFlight) {
+    /// Delivers an answer to a candidate.
+    fn deliver_to_candidate(&mut self, answer: InFlight) {
         let index = usize::from(answer.to - CANDIDATES[0]);
         let act: Act = Box::new(move |candidate, now, context| {
             candidate.handle_message(now, answer.from, answer.message.body, context);
@@ -151,13 +152,13 @@
     }
 }
 
-impl Model for SmallHistory {
+impl Model for LeaseModel {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
         let lease = LeaseId::from_name("conductor");
-        // The voters started long before, so that they are silent no longer.
+        // The startup period of the voters is over.
         let now = TIMING.grant_duration_at_voter(TIMING.lease_duration);
         let voter = (1, Voter::new(0, 0, TIMING, 0, VoterState::default()));
         let mut state = State {
@@ -173,22 +174,22 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
-        let late = state
+        let delayed = state
             .in_flight
             .iter()
             .filter(|message| !message.is_request())
             .count();
         for message in &state.in_flight {
             if message.is_request() {
-                actions.push(Step::Request(message.clone()));
+                actions.push(Step::DeliverAndReply(message.clone()));
             }
-            if !message.is_request() || late < self.max_late {
-                actions.push(Step::Arrival(message.clone()));
+            if !message.is_request() || delayed < self.max_delayed {
+                actions.push(Step::Deliver(message.clone()));
             }
         }
-        // Messages that are under way now are lost, or come later than this.
-        if state.now < self.until && state.in_flight.len() <= self.max_late {
-            actions.push(Step::PassTime);
+        // Messages in flight are lost, or delivered after this step.
+        if state.now < self.end && state.in_flight.len() <= self.max_delayed {
+            actions.push(Step::AdvanceTime);
         }
         if state.restarts < self.max_restarts {
             actions.extend((0..VOTER_COUNT).map(Step::Restart));
@@ -198,7 +199,7 @@
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut state = last.clone();
         match step {
-            Step::PassTime => {
+            Step::AdvanceTime => {
                 state.now += TIME_STEP;
                 state.tick_candidates();
             }
@@ -208,19 +209,19 @@
                 *voter = Voter::new(state.now, 0, TIMING, 0, VoterState::default());
                 state.restarts += 1;
             }
-            Step::Request(request) => {
+            Step::DeliverAndReply(request) => {
                 state.in_flight.remove(&request);
-                if let Some(answer) = state.ask_voter(request) {
-                    state.answer_candidate(answer);
+                if let Some(answer) = state.deliver_to_voter(request) {
+                    state.deliver_to_candidate(answer);
                 }
             }
-            Step::Arrival(message) => {
+            Step::Deliver(message) => {
                 state.in_flight.remove(&message);
                 if message.is_request() {
-                    let answer = state.ask_voter(message);
+                    let answer = state.deliver_to_voter(message);
                     state.in_flight.extend(answer);
                 } else {
-                    state.answer_candidate(message);
+                    state.deliver_to_candidate(message);
                 }
             }
         }
@@ -228,11 +229,11 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        let has_one_holder = |_: &SmallHistory, state: &State| {
+        let has_one_holder = |_: &LeaseModel, state: &State| {
             let is_holder = |candidate: &&Candidate| candidate.hold(state.now).is_some();
             state.candidates.iter().filter(is_holder).count() < 2
         };
-        let is_in_order = |_: &SmallHistory, state: &State| {
+        let is_in_order = |_: &LeaseModel, state: &State| {
             state
                 .acquired
                 .windows(2)
@@ -247,17 +248,18 @@
     }
 }
 
-/// Returns whether the lease was acquired at all, and by one candidate after another.
-fn check(duration: Millis, max_late: usize, max_restarts: u8) -> [bool; 2] {
+/// Checks all message orders of the model. Returns whether the lease was acquired in any of them,
+/// and whether it was acquired twice in a row in any of them.
+fn check(duration: Millis, max_delayed: usize, max_restarts: u8) -> [bool; 2] {
     let start = TIMING.grant_duration_at_voter(TIMING.lease_duration);
-    let model = SmallHistory {
-        until: start + duration,
-        max_late,
+    let model = LeaseModel {
+        end: start + duration,
+        max_delayed,
         max_restarts,
     };
     let checker = model.checker().threads(2).spawn_bfs().join();
     println!(
-        "{duration} ms, {max_late} late, {max_restarts} restarts: {} states",
+        "{duration} ms, {max_delayed} delayed messages, {max_restarts} restarts: {} states",
         checker.unique_state_count()
     );
     for name in ["one holder", "tokens in order"] {
@@ -266,13 +268,13 @@
     ["acquired", "succeeded"].map(|name| checker.discovery(name).is_some())
 }
 
-/// `DUTY_ORDERS` and `DUTY_LATE` ask for a longer history in milliseconds, and for more messages
-/// that are late or lost in each of its steps.
+/// The environment variables `DUTY_ORDERS` and `DUTY_LATE` set the simulated duration in
+/// milliseconds and the number of delayed or lost messages per time step.
 #[test]
-fn one_candidate_holds_the_lease_in_all_orders_of_a_small_history() {
+fn one_candidate_holds_the_lease_in_all_message_orders() {
     let number = |name: &str| std::env::var(name).ok().and_then(|v| v.parse::<u8>().ok());
-    if let (Some(duration), Some(max_late)) = (number("DUTY_ORDERS"), number("DUTY_LATE")) {
-        check(duration.into(), max_late.into(), 1);
+    if let (Some(duration), Some(max_delayed)) = (number("DUTY_ORDERS"), number("DUTY_LATE")) {
+        check(duration.into(), max_delayed.into(), 1);
         return;
     }
     assert_eq!(check(8, 0, 1), [true, true]);
