--- a/crates/heathroad-membership/src/protocol/tests/version_agreement.rs
+++ b/crates/heathroad-membership/src/protocol/tests/version_agreement.rs
@@ -11,37 +11,37 @@
 }
 
 #[test]
-fn only_the_answer_to_a_probe_confirms() {
+fn only_an_ack_of_a_pending_probe_confirms() {
     let mut agreement = VersionAgreement::default();
     agreement.begin_confirmation(100, 7);
     assert!(agreement.awaits_confirmation(349, 250));
     assert!(!agreement.awaits_confirmation(350, 250));
     agreement.acknowledge(8);
-    assert_eq!(agreement.confirmed(), None);
+    assert_eq!(agreement.last_confirmed(), None);
     agreement.acknowledge(7);
-    assert_eq!(agreement.confirmed(), Some(100));
+    assert_eq!(agreement.last_confirmed(), Some(100));
     agreement.record_confirmation(50);
     assert_eq!(
-        agreement.confirmed(),
+        agreement.last_confirmed(),
         Some(100),
-        "an older one changes nothing"
+        "an older confirmation changes nothing"
     );
 }
 
 #[test]
-fn a_confirmation_that_was_pushed_out_is_worth_nothing() {
+fn a_dropped_pending_confirmation_does_not_confirm() {
     let mut agreement = VersionAgreement::default();
     for nonce in 0..=MAX_PENDING_CONFIRMATIONS as u32 {
         agreement.begin_confirmation(u64::from(nonce), nonce);
     }
     agreement.acknowledge(0);
-    assert_eq!(agreement.confirmed(), None);
+    assert_eq!(agreement.last_confirmed(), None);
     agreement.acknowledge(1);
-    assert_eq!(agreement.confirmed(), Some(1));
+    assert_eq!(agreement.last_confirmed(), Some(1));
 }
 
 #[test]
-fn versions_that_nobody_runs_make_room() {
+fn inactive_versions_are_discarded_at_the_limit() {
     let mut members = MemberTable::new(2);
     let active = ActiveVersion {
         incarnation: 1,
