--- a/crates/heathroad-lease/tests/random_histories.rs
+++ b/crates/heathroad-lease/tests/random_histories.rs
@@ -1,8 +1,9 @@
-//! Random histories: whatever is lost, duplicated, late, cut off, stalled, killed, forgotten or
-//! restored from an old copy, one member holds the lease at a time by clocks that are within their
-//! bound, tokens grow, and a server that checks tokens admits no write out of order.
+//! Random fault histories: under message loss, partitions, stalls, restarts and lost or outdated
+//! voter state, at most one member holds the lease as long as clock rates are within the margin,
+//! tokens increase, and a server that checks tokens admits no write out of order.
 //!
-//! `DUTY_HISTORIES` asks for more of them, from the seed `DUTY_SEED` on.
+//! The environment variables `DUTY_HISTORIES` and `DUTY_SEED` set the number of histories and the
+//! first seed.
 
 mod simulation;
 
@@ -19,9 +20,9 @@
         .unwrap_or(default)
 }
 
-/// Injects a random fault, or ends some. `old_states` are copies of members' disks, which may be
-/// restored.
-fn inject_fault(simulation: &mut Simulation, rng: &mut Rng, old_states: &mut [VoterState]) {
+/// Injects a random fault, clears partitions, or restarts members. `disk_copies` are earlier copies
+/// of the members' voter states, which a restart may restore.
+fn inject_fault(simulation: &mut Simulation, rng: &mut Rng, disk_copies: &mut [VoterState]) {
     let member_count = simulation.nodes.len() as MemberId;
     let member = rng.u16(0..member_count);
     let others: Vec<MemberId> = (0..member_count).filter(|other| *other != member).collect();
@@ -38,29 +39,29 @@
         }
         4 => {
             let members = 0..member_count;
-            let (one, other): (Vec<_>, Vec<_>) = members.partition(|_| rng.bool());
-            simulation.partition(&one, &other);
+            let (left, right): (Vec<_>, Vec<_>) = members.partition(|_| rng.bool());
+            simulation.partition(&left, &right);
         }
         5 => simulation.faults.blocked_links.clear(),
         6 => simulation.stall(member, rng.u64(1..LEASE_DURATION * 3)),
         7 => {
-            old_states[usize::from(member)] = simulation.node(member).disk.clone();
+            disk_copies[usize::from(member)] = simulation.node(member).disk.clone();
             simulation.kill(member);
         }
         8 => (0..member_count).for_each(|member| simulation.kill(member)),
         9 => simulation.with_manager(member, |manager, now| {
             manager.resign(now, lease(), EndReason::Resigned);
         }),
-        _ => restart_dead_members(simulation, rng, old_states),
+        _ => restart_stopped_members(simulation, rng, disk_copies),
     }
 }
 
-fn restart_dead_members(simulation: &mut Simulation, rng: &mut Rng, old_states: &[VoterState]) {
+fn restart_stopped_members(simulation: &mut Simulation, rng: &mut Rng, disk_copies: &[VoterState]) {
     let running = simulation.running();
     let members = 0..simulation.nodes.len() as MemberId;
     for member in members.filter(|member| !running.contains(member)) {
         match rng.u32(0..4) {
-            0 => simulation.node(member).disk = old_states[usize::from(member)].clone(),
+            0 => simulation.node(member).disk = disk_copies[usize::from(member)].clone(),
             1 => simulation.node(member).disk = VoterState::default(),
             _ => {}
         }
@@ -77,7 +78,7 @@
         node.clock_offset = rng.u64(0..100_000);
         node.has_disk = rng.u32(0..4) > 0;
     }
-    // All start again by these clocks.
+    // Restarts all members, so that they start with these clocks.
     (0..member_count).for_each(|member| simulation.kill(member));
     (0..member_count).for_each(|member| simulation.start(member));
     simulation.write_interval = Some(rng.u64(3..60));
@@ -85,7 +86,7 @@
     simulation
 }
 
-fn heal(simulation: &mut Simulation) {
+fn clear_faults(simulation: &mut Simulation) {
     simulation.faults = Faults {
         max_delay: 12,
         ..Faults::default()
@@ -99,8 +100,8 @@
 }
 
 struct HistoryResult {
-    /// How long nobody held the lease after the last fault.
-    recovery: Millis,
+    /// Time from the end of the faults until the lease was held.
+    recovery_time: Millis,
     writes: usize,
     rejected_writes: usize,
 }
@@ -108,31 +109,32 @@
 fn run_history(seed: u64) -> HistoryResult {
     let mut rng = Rng::with_seed(seed);
     let mut simulation = random_simulation(seed, &mut rng);
-    let mut old_states = vec![VoterState::default(); simulation.nodes.len()];
+    let mut disk_copies = vec![VoterState::default(); simulation.nodes.len()];
     for _ in 0..rng.u32(4..14) {
-        inject_fault(&mut simulation, &mut rng, &mut old_states);
+        inject_fault(&mut simulation, &mut rng, &mut disk_copies);
         let end = simulation.now + rng.u64(1..LEASE_DURATION * 3);
         let has_two_holders = |simulation: &Simulation| simulation.holders().len() > 1;
         if simulation.run_until(end, has_two_holders).is_some() {
             panic!(
-                "seed {seed}: {:?} at {}",
+                "seed {seed}: several holders {:?} at {} ms",
                 simulation.holders(),
                 simulation.now
             );
         }
     }
-    heal(&mut simulation);
-    let healed_at = simulation.now;
-    // Long enough for grants, for a voter's silence, and for the backoff after failed holders.
-    let end = healed_at + LEASE_DURATION * 70;
-    let held_at = simulation.run_until(end, |simulation| simulation.holder().is_some());
-    let held_at = held_at.unwrap_or_else(|| panic!("seed {seed}: nobody holds it"));
+    clear_faults(&mut simulation);
+    let cleared_at = simulation.now;
+    // Long enough for grants, the startup period of voters and the failure backoff to end.
+    let end = cleared_at + LEASE_DURATION * 70;
+    let acquired_at = simulation.run_until(end, |simulation| simulation.holder().is_some());
+    let acquired_at =
+        acquired_at.unwrap_or_else(|| panic!("seed {seed}: no member acquired the lease"));
     simulation.run(LEASE_DURATION * 2);
     simulation
         .check_invariants()
         .unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     HistoryResult {
-        recovery: held_at - healed_at,
+        recovery_time: acquired_at - cleared_at,
         writes: simulation.writes.len(),
         rejected_writes: simulation
             .writes
@@ -147,16 +149,21 @@
     let first_seed = number_from_env("DUTY_SEED", 1);
     let count = number_from_env("DUTY_HISTORIES", 400);
     let results: Vec<_> = (first_seed..first_seed + count).map(run_history).collect();
-    let mut recoveries: Vec<Millis> = results.iter().map(|result| result.recovery).collect();
-    recoveries.sort_unstable();
-    let quantile = |share: f64| recoveries[((recoveries.len() - 1) as f64 * share) as usize];
+    let mut recovery_times: Vec<Millis> =
+        results.iter().map(|result| result.recovery_time).collect();
+    recovery_times.sort_unstable();
+    let quantile =
+        |share: f64| recovery_times[((recovery_times.len() - 1) as f64 * share) as usize];
     let writes: usize = results.iter().map(|result| result.writes).sum();
     let rejected: usize = results.iter().map(|result| result.rejected_writes).sum();
     println!(
-        "{count} histories, {writes} writes, {rejected} rejected as late; held again after {} ms, p99 {}, longest {}",
+        "{count} histories, {writes} writes, {rejected} rejected; recovery time: median {} ms, p99 {} ms, maximum {} ms",
         quantile(0.5),
         quantile(0.99),
         quantile(1.0)
     );
-    assert!(writes > 0 && rejected > 0, "the histories hold both");
+    assert!(
+        writes > 0 && rejected > 0,
+        "the histories contain no writes or no rejected writes"
+    );
 }
--- a/crates/heathroad-lease/tests/requests.rs
+++ b/crates/heathroad-lease/tests/requests.rs
@@ -1,4 +1,4 @@
-//! How a candidate asks voters, and which answers it counts.
+//! Requests of a candidate to voters, and the answers that it accepts.
 
 mod simulation;
 
@@ -35,7 +35,7 @@
     }))
 }
 
-/// Removes the outputs and returns the grant requests among them, with their receivers.
+/// Takes all outputs and returns the grant requests among them with their receivers.
 fn take_grant_requests(manager: &mut LeaseManager) -> Vec<(MemberId, GrantRequest)> {
     let grant_request = |output: Output| match output {
         Output::Send(outgoing) => match outgoing.message.body {
@@ -47,7 +47,7 @@
     manager.take_outputs().filter_map(grant_request).collect()
 }
 
-/// Removes the outputs and returns the receivers of the status requests among them.
+/// Takes all outputs and returns the receivers of the status requests among them.
 fn take_status_requests(manager: &mut LeaseManager) -> Vec<MemberId> {
     let receiver = |output: Output| match output {
         Output::Send(outgoing) => match outgoing.message.body {
@@ -59,24 +59,25 @@
     manager.take_outputs().filter_map(receiver).collect()
 }
 
-/// Returns the manager of member 0, whose voters do not answer.
-fn lonely_manager() -> LeaseManager {
+/// Returns the manager of member 0. The other voters do not answer.
+fn manager_with_unresponsive_voters() -> LeaseManager {
     let mut simulation = Simulation::new(3, 3, 1);
     (1..3).for_each(|member| simulation.kill(member));
-    simulation.node(0).manager.take().expect("it runs")
+    simulation
+        .node(0)
+        .manager
+        .take()
+        .expect("the process is not running")
 }
 
-/// Requests that are not answered are sent again under the same token, to those who did not answer.
+/// Requests are retransmitted under the same token to the voters that have not answered, and a hold
+/// is counted from the time at which its requests were sent.
 #[test]
-fn unanswered_requests_are_sent_again() {
-    let mut manager = lonely_manager();
+fn unanswered_requests_are_retransmitted() {
+    let mut manager = manager_with_unresponsive_voters();
     manager.tick(10);
     let requests = take_grant_requests(&mut manager);
-    assert_eq!(
-        requests,
-        [],
-        "voters are asked first whether the lease is free"
-    );
+    assert_eq!(requests, [], "a grant was requested before the pre-vote");
     manager.handle_message(10, 1, 1, free_status());
     assert_eq!(take_status_requests(&mut manager), []);
     manager.tick(10 + LEASE_DURATION / 16);
@@ -84,39 +85,39 @@
     assert_eq!(
         receivers,
         [0, 2],
-        "those who did not answer are asked again"
+        "retransmitted to the voters that have not answered"
     );
     for voter in 1..3 {
         manager.handle_message(10, voter, 1, free_status());
     }
     manager.tick(10);
-    let first = take_grant_requests(&mut manager);
+    let initial = take_grant_requests(&mut manager);
     assert_eq!(
-        first.iter().map(|(to, _)| *to).collect::<Vec<_>>(),
+        initial.iter().map(|(to, _)| *to).collect::<Vec<_>>(),
         [0, 1, 2]
     );
-    let GrantRequest { token, round, .. } = first[1].1;
+    let GrantRequest { token, round, .. } = initial[1].1;
     manager.handle_message(11, 1, 1, granted(token, round, 500));
     manager.tick(10 + LEASE_DURATION / 16);
-    let again = take_grant_requests(&mut manager);
-    let receivers: Vec<_> = again
+    let retransmitted = take_grant_requests(&mut manager);
+    let receivers: Vec<_> = retransmitted
         .iter()
         .map(|(to, request)| (*to, request.token))
         .collect();
     assert_eq!(receivers, [(0, token), (2, token)]);
-    // An answer to a request that was never sent does not count.
+    // An answer with an unknown round is ignored.
     manager.handle_message(90, 2, 1, granted(token, 999, 500));
     assert_eq!(manager.held_token(90, lease()), None);
-    manager.handle_message(90, 2, 1, granted(token, again[1].1.round, 500));
+    manager.handle_message(90, 2, 1, granted(token, retransmitted[1].1.round, 500));
     assert_eq!(manager.held_token(90, lease()), Some(token));
-    // Counted from when the first of the two was asked, and not from when it answered.
+    // The hold expires relative to when the first request was sent, not to its answer.
     let held = [509, 510].map(|now| manager.held_token(now, lease()));
     assert_eq!(held, [Some(token), None]);
-    // The work may have noticed that, and stopped: what comes later does not revive the hold,
-    // though it was asked for in time.
+    // A renewal that arrives after the expiry does not extend the hold, although it was requested
+    // in time.
     let renewals = take_grant_requests(&mut manager);
     let round = renewals.iter().map(|(_, request)| request.round).max();
-    let round = round.expect("grants are renewed at once");
+    let round = round.expect("no renewal was requested");
     for voter in 0..3 {
         manager.handle_message(520, voter, 1, granted(token, round, 1000));
     }
--- a/crates/heathroad-lease/tests/succession.rs
+++ b/crates/heathroad-lease/tests/succession.rs
@@ -1,4 +1,4 @@
-//! Who holds a lease, and who comes next when its holder fails or resigns.
+//! Which member holds a lease, and which succeeds it after a failure or resignation.
 
 mod simulation;
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_holder_that_resigns_is_succeeded_at_once_and_stays_away() {
+fn a_holder_that_resigns_is_succeeded_quickly_and_backs_off() {
     for seed in 20..40 {
         let mut simulation = Simulation::with_holder(6, 3, seed);
         simulation.run(LEASE_DURATION * 2);
@@ -65,9 +65,9 @@
     }
 }
 
-/// A message of a handover that is lost costs a retransmission, and not a lease.
+/// A lost message of a handover delays it by a retransmission, not by a lease duration.
 #[test]
-fn a_handover_under_loss_is_quick() {
+fn a_handover_under_message_loss_is_quick() {
     let mut slow = 0;
     for seed in 100..200 {
         let mut simulation = Simulation::with_holder(6, 3, seed);
@@ -82,17 +82,18 @@
     }
     assert!(
         slow <= 2,
-        "{slow} of 100 took longer than a quarter of a lease"
+        "{slow} of 100 handovers took longer than a quarter of the lease duration"
     );
 }
 
-/// A member that was told of a handover asks again soon, though voters have not heard of it yet.
+/// A candidate that has received a handover retries soon although voters still report the lease as
+/// held.
 #[test]
-fn a_handover_is_believed_for_a_while() {
-    for is_told in [true, false] {
+fn a_candidate_retries_soon_after_a_handover() {
+    for receives_handover in [true, false] {
         let mut simulation = Simulation::new(3, 3, 1);
         let manager = simulation.node(0).running_manager();
-        if is_told {
+        if receives_handover {
             let handover = Message {
                 lease: lease(),
                 body: Body::Handover,
@@ -115,14 +116,14 @@
             };
             manager.handle_message(20, voter, 1, message);
         }
-        let asks_soon = manager.next_due() < 20 + LEASE_DURATION / 16;
-        assert_eq!(asks_soon, is_told, "{}", manager.next_due());
+        let retries_soon = manager.next_due() < 20 + LEASE_DURATION / 16;
+        assert_eq!(retries_soon, receives_handover, "{}", manager.next_due());
     }
 }
 
-/// The handover, and all that voters were told of the resignation, are lost: the grants expire.
+/// If the handover and all resign messages are lost, the lease is free once the grants expire.
 #[test]
-fn a_handover_whose_messages_are_lost_ends_with_the_lease() {
+fn a_lease_expires_if_all_handover_messages_are_lost() {
     let mut simulation = Simulation::with_holder(6, 3, 4);
     let (first, last) = (simulation.current_holder(), simulation.current_token());
     simulation.run(LEASE_DURATION * 6);
@@ -141,7 +142,7 @@
     );
 }
 
-/// A member that has resigned does not hold the lease again soon, though nobody else is left.
+/// A member that has resigned backs off even if no other member is available.
 #[test]
 fn members_that_have_all_resigned_back_off() {
     let mut simulation = Simulation::with_holder(3, 3, 19);
@@ -157,17 +158,17 @@
     let end = simulation.now + LEASE_DURATION * 5;
     simulation
         .run_until(end, is_held)
-        .expect("it is tried again");
+        .expect("no member acquired the lease after the backoff");
 }
 
-/// A few members of a large cluster seek the lease, and the others are silent.
+/// In a large cluster, only the standby members send requests.
 #[test]
-fn few_members_stand_by() {
+fn only_standby_members_send_requests() {
     let mut simulation = Simulation::with_holder(30, 3, 19);
     simulation.requests_sent.fill(0);
     let sent_before = simulation.messages_sent;
     simulation.run(LEASE_DURATION * 20);
-    // Also where they are called for another reason.
+    // Ticks that are not due must not cause requests.
     (0..30).for_each(|member| simulation.with_manager(member, LeaseManager::tick));
     let requests = &simulation.requests_sent;
     assert_eq!(
@@ -176,11 +177,14 @@
         "{requests:?}"
     );
     let sent_per_lease = (simulation.messages_sent - sent_before) / 20;
-    assert!(sent_per_lease < 50, "{sent_per_lease} a lease");
+    assert!(
+        sent_per_lease < 50,
+        "{sent_per_lease} messages per lease duration"
+    );
 }
 
 #[test]
-fn competing_candidates_elect_one_under_loss() {
+fn competing_candidates_agree_on_one_holder_under_message_loss() {
     for seed in 0..40 {
         let mut simulation = Simulation::new(5, 5, 100 + seed);
         simulation.faults.loss = 0.3;
@@ -191,6 +195,6 @@
         simulation.run(LEASE_DURATION * 10);
         assert_eq!(simulation.check_invariants(), Ok(()), "seed {seed}");
         let acquisitions = simulation.acquisitions().len();
-        assert_eq!(acquisitions, 1, "seed {seed}: losses alone end no hold");
+        assert_eq!(acquisitions, 1, "seed {seed}: message loss ended a hold");
     }
 }
--- a/crates/heathroad-lease/tests/tokens.rs
+++ b/crates/heathroad-lease/tests/tokens.rs
@@ -1,4 +1,4 @@
-//! Fencing tokens grow, whatever voters have forgotten.
+//! Fencing tokens increase even if voters lose their state.
 
 mod simulation;
 
@@ -8,14 +8,13 @@
 use heathroad_lease::voter_set::VoterSet;
 use simulation::{LEASE_DURATION, Simulation, UNIX_START_MS, lease};
 
-/// All voters are killed at once and know nothing, or what they had on disk: the next token is
-/// higher all the same.
+/// All voters are killed at once and restart with or without their state: the next token is higher.
 #[test]
-fn tokens_grow_over_restarts_of_all_voters() {
+fn tokens_increase_after_a_restart_of_all_voters() {
     for has_disk in [true, false] {
-        for clock_back_s in [0, 3600] {
-            if !has_disk && clock_back_s > 0 {
-                // Nothing is left that could know: the operators' page says so.
+        for clock_behind_s in [0, 3600] {
+            if !has_disk && clock_behind_s > 0 {
+                // Not guaranteed: neither the state nor a correct clock is left.
                 continue;
             }
             let mut simulation = Simulation::with_holder(3, 3, 11);
@@ -26,7 +25,7 @@
             for member in 0..3 {
                 let node = simulation.node(member);
                 node.has_disk = has_disk;
-                node.unix_offset_s = -clock_back_s;
+                node.unix_offset_s = -clock_behind_s;
                 simulation.start(member);
             }
             simulation.run_until_succeeded(last);
@@ -35,15 +34,15 @@
     }
 }
 
-/// All members are killed and know nothing, and the clock of the next holder is an hour back: the
-/// voters' clocks count.
+/// All members lose their state and the clock of the next holder is an hour behind: the clocks of
+/// the voters determine the lowest token.
 #[test]
-fn tokens_grow_for_a_holder_whose_clock_is_back() {
+fn tokens_increase_for_a_holder_whose_clock_is_behind() {
     let mut simulation = Simulation::with_holder(12, 3, 18);
     let last = simulation.current_token();
     let order = preference_order(lease(), &simulation.running());
     let voters: Vec<MemberId> = order[9..].to_vec();
-    let voter_set = VoterSet::new(0, voters.clone(), Vec::new(), 12).expect("good voters");
+    let voter_set = VoterSet::new(0, voters.clone(), Vec::new(), 12).expect("valid voters");
     (0..12).for_each(|member| simulation.kill(member));
     for member in 0..12 {
         let node = simulation.node(member);
@@ -58,7 +57,7 @@
 }
 
 #[test]
-fn tokens_have_their_parts_and_their_text() {
+fn tokens_round_trip_through_parts_and_text() {
     let count = count_at(UNIX_START_MS);
     let token = Token::new(3, count, 7);
     assert_eq!(
@@ -70,11 +69,11 @@
 }
 
 #[test]
-fn the_successor_of_a_token_is_the_next_one_of_a_member() {
+fn the_successor_is_the_lowest_higher_token_of_a_member() {
     let count = count_at(UNIX_START_MS);
     let token = Token::new(3, count, 7);
     let successor =
-        |member, min_count| token.successor(min_count, 3, member).expect("there is one");
+        |member, min_count| token.successor(min_count, 3, member).expect("no successor");
     assert_eq!(successor(8, 0), Token::new(3, count, 8));
     assert_eq!(successor(6, 0), Token::new(3, count + 1, 6));
     assert_eq!(successor(6, count + 9), Token::new(3, count + 9, 6));
--- a/crates/heathroad-lease/tests/voters.rs
+++ b/crates/heathroad-lease/tests/voters.rs
@@ -1,4 +1,4 @@
-//! What voters grant: after restarts, to candidates that lose, and while the voter set is changed.
+//! Grants of voters: after restarts, to losing candidates, and during a change of the voter set.
 
 mod simulation;
 
@@ -15,10 +15,10 @@
     lease_duration: LEASE_DURATION,
 };
 
-/// A voter that restarts is not taken from the holder by a member that stands by. Each such vote
-/// would be missing for the holder.
+/// A restarted voter grants the lease to its holder again, not to a standby member, whose grant
+/// would reduce the holder's quorum.
 #[test]
-fn voters_that_restart_come_back_to_the_holder() {
+fn restarted_voters_grant_the_lease_to_its_holder() {
     for (seed, has_disk) in (60..80).map(|n| (n, n % 2 == 0)) {
         let mut simulation = Simulation::with_holder(6, 3, seed);
         simulation.run(LEASE_DURATION);
@@ -27,14 +27,14 @@
             simulation.kill(voter);
             simulation.node(voter).has_disk = has_disk;
             simulation.start(voter);
-            // Where a voter has lost its state, the lease is granted anew under another token. It
-            // has no holder while some messages are sent.
+            // If the voter has lost its state, the holder acquires the lease again under a new
+            // token, with a short time without a holder.
             let end = simulation.now + LEASE_DURATION * 4;
             let is_held = |simulation: &Simulation| simulation.holder().is_some();
             if let Some(from) = simulation.run_until(end, |simulation| !is_held(simulation)) {
                 let to = simulation
                     .run_until(end, is_held)
-                    .expect("it is held again");
+                    .expect("the lease was not acquired again");
                 assert!(
                     !has_disk && to - from < LEASE_DURATION / 5,
                     "seed {seed}: {from} to {to}"
@@ -46,7 +46,11 @@
         let token = simulation.current_token();
         assert_eq!(token == last, has_disk, "seed {seed}");
         for voter in 0..3 {
-            let state = simulation.manager(voter).voter().expect("a voter").state();
+            let state = simulation
+                .manager(voter)
+                .voter()
+                .expect("not a voter")
+                .state();
             let known = state.leases.get(&lease()).map(|durable| durable.token);
             assert_eq!(known, Some(token), "seed {seed}: {voter}");
         }
@@ -65,9 +69,9 @@
     matches!(reply.body, Some(Body::Granted(_)))
 }
 
-/// A candidate that did not win has not failed.
+/// The expired grant of a losing candidate does not count as an early failure.
 #[test]
-fn candidates_that_lose_do_not_cause_a_backoff() {
+fn losing_candidates_do_not_cause_a_backoff() {
     let mut voter = Voter::new(0, 5, TIMING, 0, VoterState::default());
     let mut now = TIMING.grant_duration_at_voter(LEASE_DURATION);
     let mut ask = |now: Millis, token: Token| {
@@ -78,7 +82,7 @@
         assert!(ask(now, Token::new(0, 9 + n, 3)), "{n}");
         now += LEASE_DURATION;
     }
-    // Holders that knew that they held the lease, and are silent, have failed.
+    // Holders that renewed their grants and let them expire count as early failures.
     for n in 20..23 {
         let token = Token::new(0, n, 4);
         assert!(ask(now, token) && ask(now + 1, token), "{n}");
@@ -94,8 +98,8 @@
     }
 }
 
-/// A voter answers the member that a token names, if it uses no older voter set than the voter
-/// knows.
+/// A voter ignores requests with another member's token, and rejects requests of an older voter set
+/// generation than it has seen.
 #[test]
 fn requests_under_outdated_generations_or_foreign_tokens_are_not_granted() {
     let mut voter = Voter::new(0, 5, TIMING, 1, VoterState::default());
@@ -103,8 +107,8 @@
     let mut ask = |now: Millis, from: MemberId, lease: LeaseId, token: Token| {
         voter.handle_message(now, from, 1, lease, grant_request(token, 500))
     };
-    let of_3 = Token::new(1, 9, 3);
-    let too_early = reject_reason(ask(start - 1, 3, lease(), of_3));
+    let token_of_3 = Token::new(1, 9, 3);
+    let too_early = reject_reason(ask(start - 1, 3, lease(), token_of_3));
     assert_eq!(too_early, Some(RejectReason::VoterStarting));
     let ignored = Reply {
         body: None,
@@ -113,18 +117,18 @@
     assert_eq!(ask(start, 3, lease(), Token::new(1, 9, 4)), ignored);
     let outdated = reject_reason(ask(start, 3, lease(), Token::new(0, 9, 3)));
     assert_eq!(outdated, Some(RejectReason::NotAccepted));
-    let granted = ask(start, 3, lease(), of_3);
+    let granted = ask(start, 3, lease(), token_of_3);
     assert!(is_granted(&granted) && granted.is_state_changed);
-    // A later generation has been heard of in a request for another lease.
+    // A request for another lease raises the generation for all leases.
     let other = LeaseId::from_name("other");
     let granted = ask(start, 3, other, Token::new(2, 9, 3));
     assert!(is_granted(&granted) && granted.is_state_changed);
-    let outdated = reject_reason(ask(start, 3, LeaseId::from_name("third"), of_3));
+    let outdated = reject_reason(ask(start, 3, LeaseId::from_name("third"), token_of_3));
     assert_eq!(outdated, Some(RejectReason::NotAccepted));
 }
 
 #[test]
-fn tokens_that_are_not_above_all_that_was_granted_are_rejected() {
+fn tokens_not_above_the_highest_granted_one_are_rejected() {
     let mut voter = Voter::new(0, 5, TIMING, 2, VoterState::default());
     let start = TIMING.grant_duration_at_voter(LEASE_DURATION);
     let token = |count, member| Token::new(2, count, member);
@@ -140,7 +144,7 @@
     assert_eq!(
         reject_reason(ask(2, token(9, 3))),
         too_low,
-        "another incarnation's"
+        "token of another incarnation"
     );
     let granted = ask(1, token(9, 4));
     assert!(is_granted(&granted) && granted.is_state_changed);
@@ -152,24 +156,24 @@
 }
 
 #[test]
-fn a_grant_is_no_longer_than_the_voters_own_lease() {
+fn a_grant_is_limited_to_the_voters_lease_duration() {
     let mut voter = Voter::new(0, 5, TIMING, 0, VoterState::default());
     let now = TIMING.grant_duration_at_voter(LEASE_DURATION);
     let request = grant_request(Token::new(2, 9, 5), 1 << 30);
     let reply = voter.handle_message(now, 5, 1, lease(), request);
-    let is_cut = matches!(
+    let is_limited = matches!(
         reply.body,
         Some(Body::Granted(Granted {
             duration_ms: 1000,
             ..
         }))
     );
-    assert!(is_cut, "{reply:?}");
+    assert!(is_limited, "{reply:?}");
 }
 
-/// A voter that starts is silent for longer than whatever it granted before is in force.
+/// A voter grants nothing after its start until its earlier grants have expired.
 #[test]
-fn a_voter_that_starts_is_silent() {
+fn a_voter_grants_nothing_in_its_startup_period() {
     let mut simulation = Simulation::with_holder(5, 3, 13);
     let (last, holder) = (simulation.current_token(), simulation.current_holder());
     let other_voters: Vec<MemberId> = (0..3).filter(|voter| *voter != holder).collect();
@@ -192,10 +196,10 @@
     );
 }
 
-/// Voters come back with an old copy of their state, or with nothing: no member begins beside the
-/// holder or under a lower token.
+/// Voters restart with an outdated copy of their state or without state: no second member acquires
+/// the lease while it is held, or under a lower token.
 #[test]
-fn voters_with_an_old_state_grant_nothing_twice() {
+fn voters_with_outdated_state_keep_tokens_and_holders_in_order() {
     for has_copy in [true, false] {
         let mut simulation = Simulation::with_holder(5, 3, 12);
         simulation.write_interval = Some(5);
@@ -221,10 +225,10 @@
     }
 }
 
-/// The voter set is changed while a voter is cut off: in between both sets are asked, and a member
-/// that uses the old one alone is rejected.
+/// The voter set is changed while a voter is partitioned. During the change both sets are used, and
+/// a member that only uses the old set is rejected afterwards.
 #[test]
-fn the_voter_set_changes_while_a_voter_is_cut_off() {
+fn the_voter_set_changes_while_a_voter_is_partitioned() {
     let mut simulation = Simulation::with_holder(8, 3, 14);
     simulation.write_interval = Some(5);
     let last = simulation.current_token();
@@ -234,7 +238,7 @@
         (2, vec![3, 4, 5], vec![]),
     ];
     for (generation, current, previous) in sets {
-        let voter_set = VoterSet::new(generation, current, previous, 8).expect("good voters");
+        let voter_set = VoterSet::new(generation, current, previous, 8).expect("valid voters");
         for member in (0..8).filter(|member| *member != 2) {
             simulation.kill(member);
             simulation.node(member).voter_set = voter_set.clone();
@@ -242,7 +246,7 @@
             simulation.run(LEASE_DURATION * 2);
         }
     }
-    // The voter that was cut off still uses the first set, of which it is the only one left.
+    // The partitioned voter still uses the first set, in which it is the only voter left.
     simulation.faults.blocked_links.clear();
     simulation.run(LEASE_DURATION * 4);
     let token = simulation.current_token();
@@ -271,7 +275,7 @@
 
 #[test]
 fn a_quorum_of_a_changing_voter_set_has_a_majority_of_both_sets() {
-    let voter_set = VoterSet::new(1, vec![0, 1, 2], vec![2, 3, 4], 9).expect("good voters");
+    let voter_set = VoterSet::new(1, vec![0, 1, 2], vec![2, 3, 4], 9).expect("valid voters");
     assert!(!voter_set.is_quorum(|voter| voter < 3));
     assert!(voter_set.is_quorum(|voter| [0, 2, 3].contains(&voter)));
     assert_eq!(
