--- a/crates/heathroad-lease/examples/lease-bench.rs
+++ b/crates/heathroad-lease/examples/lease-bench.rs
@@ -1,5 +1,6 @@
 //! Measures the time without a holder after a fault, the message rate of a lease, and the number of
-//! handovers at shorter lease durations. Time is simulated, so results do not depend on the machine.
+//! handovers at shorter lease durations. Time is simulated, so the results are the same on every
+//! machine.
 //!
 //!     cargo run --release -p heathroad-lease --example lease-bench 200
 
--- a/crates/heathroad-lease/src/candidate/event.rs
+++ b/crates/heathroad-lease/src/candidate/event.rs
@@ -31,7 +31,7 @@
     VoterRestarted,
 }
 
-/// A change to a lease at the member that seeks or holds it.
+/// A change to a lease at a member that campaigns for it or holds it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum LeaseEvent {
     /// The member has acquired the lease.
--- a/crates/heathroad-lease/src/candidate/mod.rs
+++ b/crates/heathroad-lease/src/candidate/mod.rs
@@ -3,8 +3,8 @@
 //! An idle candidate asks voters for the lease's status (`pre_vote`), requests the lease once a
 //! quorum reports it as free (`campaign`), and holds it once a quorum has granted it (`held`). It
 //! notifies the voters of grants that it gives up (`releasing`). The expiry of a grant is computed
-//! from the time its request was sent. The caller checks [`Candidate::hold`] before each act, so
-//! that a holder that has stalled notices that its lease has expired.
+//! from the time its request was sent. The caller checks [`Candidate::hold`] before each operation,
+//! so that a holder that has stalled notices that its lease has expired.
 
 mod campaign;
 mod event;
--- a/crates/heathroad-lease/src/lease_manager.rs
+++ b/crates/heathroad-lease/src/lease_manager.rs
@@ -151,12 +151,12 @@
         self.outputs.drain(..)
     }
 
-    /// Runs `act` on the candidate of a lease and collects its outputs. Returns `None` if this
+    /// Runs `operation` on the candidate of a lease and collects its outputs. Returns `None` if this
     /// member has no candidate for the lease.
     fn with_candidate<R>(
         &mut self,
         lease: LeaseId,
-        act: impl FnOnce(&mut Candidate, &mut Context<'_>) -> R,
+        operation: impl FnOnce(&mut Candidate, &mut Context<'_>) -> R,
     ) -> Option<R> {
         let rank = self.rank(lease);
         let mut candidates = self.candidates.iter_mut();
@@ -171,7 +171,7 @@
             rng: &mut self.rng,
             outgoing: &mut outgoing,
         };
-        let result = act(candidate, &mut context);
+        let result = operation(candidate, &mut context);
         let events = candidate
             .take_events()
             .map(|event| Output::Event(lease, event));
@@ -268,7 +268,7 @@
     }
 
     /// Returns the token under which this member holds a lease. The holder checks it before each
-    /// act.
+    /// operation.
     pub fn held_token(&self, now: Millis, lease: LeaseId) -> Option<Token> {
         self.candidate(lease)?.hold(now).map(|(token, _)| token)
     }
--- a/crates/heathroad-lease/src/voter/grants.rs
+++ b/crates/heathroad-lease/src/voter/grants.rs
@@ -118,7 +118,7 @@
         }
         let min_token = Token::new(request.token.generation(), self.min_token_count, 0);
         if request.token <= highest_token || request.token < min_token {
-            let remaining = unavailability.map_or(0, |w| w.remaining);
+            let remaining = unavailability.map_or(0, |u| u.remaining);
             let above = highest_token.max(min_token);
             return reject(above, remaining, RejectReason::TokenTooLow);
         }
--- a/crates/heathroad-lease/src/voter/mod.rs
+++ b/crates/heathroad-lease/src/voter/mod.rs
@@ -128,8 +128,8 @@
         Status {
             round,
             highest_token: self.highest_token(lease),
-            remaining_ms: to_millis_u32(unavailability.as_ref().map_or(0, |w| w.remaining)),
-            reason: unavailability.map(|w| w.reason),
+            remaining_ms: to_millis_u32(unavailability.as_ref().map_or(0, |u| u.remaining)),
+            reason: unavailability.map(|u| u.reason),
             early_failures: self.count_early_failures(now, lease),
         }
     }
--- a/crates/heathroad-lease/tests/faults.rs
+++ b/crates/heathroad-lease/tests/faults.rs
@@ -49,8 +49,8 @@
     }
 }
 
-/// A holder that is partitioned from the voters only, in one or both directions, stops acting before
-/// its successor starts.
+/// A holder that is partitioned from the voters only, in one or both directions, stops before its
+/// successor starts.
 #[test]
 fn a_holder_partitioned_from_the_voters_stops_before_its_successor_starts() {
     for [blocks_requests, blocks_answers] in [[false, true], [true, false], [true, true]] {
@@ -115,8 +115,8 @@
     assert!(took < SUCCESSION_BOUND, "{took}");
 }
 
-/// Work that crashes each of its holders is backed off with increasing delays and does not take down
-/// the whole cluster.
+/// Work that crashes each of its holders is backed off with increasing delays and does not take
+/// down the whole cluster.
 #[test]
 fn a_lease_whose_holders_keep_crashing_is_backed_off() {
     let mut simulation = Simulation::with_holder(12, 3, 15);
@@ -156,7 +156,8 @@
     }
 }
 
-/// Clock rates differ by almost the margin that leases allow. Beyond it, only tokens keep the order.
+/// Clock rates differ by almost the margin that leases allow. Beyond it, only tokens keep writes in
+/// order.
 #[test]
 fn leases_alone_order_writes_within_the_clock_rate_margin() {
     for rate in [-9, 9] {
--- a/crates/heathroad-lease/tests/message_orders.rs
+++ b/crates/heathroad-lease/tests/message_orders.rs
@@ -69,10 +69,10 @@
     VoterSet::new(0, (0..VOTER_COUNT).collect(), Vec::new(), 5).expect("valid voters")
 }
 
-type Act = Box<dyn FnOnce(&mut Candidate, Millis, &mut Context<'_>)>;
+type Operation = Box<dyn FnOnce(&mut Candidate, Millis, &mut Context<'_>)>;
 
 impl State {
-    fn with_candidate(&mut self, index: usize, act: Act) {
+    fn with_candidate(&mut self, index: usize, operation: Operation) {
         let now = self.now;
         let member_id = CANDIDATES[index];
         let mut outgoing = Vec::new();
@@ -86,7 +86,7 @@
             outgoing: &mut outgoing,
         };
         let candidate = &mut self.candidates[index];
-        act(candidate, now, &mut context);
+        operation(candidate, now, &mut context);
         let tokens = candidate.take_events().filter_map(|event| match event {
             LeaseEvent::Acquired { token, .. } => Some(token),
             _ => None,
@@ -105,10 +105,10 @@
             // Status answers carry no promise, so they are not modelled as delayed.
             let Message { lease, body } = message;
             if let Some(answer) = voter.handle_message(now, from, 1, lease, body).body {
-                let act: Act = Box::new(move |candidate, now, context| {
+                let operation: Operation = Box::new(move |candidate, now, context| {
                     candidate.handle_message(now, to, answer, context);
                 });
-                self.with_candidate(index, act);
+                self.with_candidate(index, operation);
             }
             return;
         }
@@ -139,10 +139,10 @@
     /// Delivers an answer to a candidate.
     fn deliver_to_candidate(&mut self, answer: InFlight) {
         let index = usize::from(answer.to - CANDIDATES[0]);
-        let act: Act = Box::new(move |candidate, now, context| {
+        let operation: Operation = Box::new(move |candidate, now, context| {
             candidate.handle_message(now, answer.from, answer.message.body, context);
         });
-        self.with_candidate(index, act);
+        self.with_candidate(index, operation);
     }
 
     fn tick_candidates(&mut self) {
--- a/crates/heathroad-lease/tests/simulation/mod.rs
+++ b/crates/heathroad-lease/tests/simulation/mod.rs
@@ -193,17 +193,21 @@
         node.manager.as_ref().expect("the process is not running")
     }
 
-    /// Calls `act` with the lease manager of a member and processes the resulting outputs.
-    pub fn with_manager(&mut self, member: MemberId, act: impl FnOnce(&mut LeaseManager, Millis)) {
+    /// Calls `operation` with the lease manager of a member and processes the resulting outputs.
+    pub fn with_manager(
+        &mut self,
+        member: MemberId,
+        operation: impl FnOnce(&mut LeaseManager, Millis),
+    ) {
         let now = self.local_time(member);
         if let Some(manager) = &mut self.node(member).manager {
-            act(manager, now);
+            operation(manager, now);
         }
         self.process_outputs(member);
     }
 
     /// Returns the members that consider themselves holders, with their tokens. Stalled members are
-    /// left out, because they check their lease before they act again.
+    /// left out, because they check their lease before they operation again.
     pub fn holders(&self) -> Vec<(MemberId, Token)> {
         let held_by = |member: MemberId| {
             let node = &self.nodes[usize::from(member)];
