--- a/crates/heathroad/src/lease/audit_collection.rs
+++ b/crates/heathroad/src/lease/audit_collection.rs
@@ -1,5 +1,5 @@
-//! The audit collection: the activity records of all members, bounded in size, as one document with
-//! a digest.
+//! The audit collection: the activity records of all members in one document of bounded size, which
+//! is identified by its digest.
 
 use heathroad_lease::MemberId;
 use heathroad_membership::activity_record::RecordSnapshot;
@@ -9,26 +9,27 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Longest record of one member, in bytes of JSON. Its oldest intervals are dropped first.
+/// Maximum size of one member's record, in bytes of JSON. Its oldest intervals are discarded first.
 pub(super) const MAX_RECORD_BYTES: usize = 32 * 1024;
-/// Longest document, in bytes of JSON. Intervals of the longest record are dropped first.
+/// Maximum size of the document, in bytes of JSON. Intervals of the longest record are discarded
+/// first.
 pub(super) const MAX_DOCUMENT_BYTES: usize = 384 * 1024;
-/// One part in so many of the longest record is dropped at once. Dropping single intervals would
-/// encode the document hundreds of times.
-const DROPPED_FRACTION: usize = 4;
+/// The fraction of the longest record (1/4) that is discarded at once. Discarding single intervals
+/// would encode the document hundreds of times.
+const DROP_DIVISOR: usize = 4;
 
-/// The record of a member, as it was collected.
+/// A collected record of a member.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CollectedRecord {
-    /// The member that collected it.
+    /// The member that collected the record.
     pub by: MemberId,
     /// When it was collected, in Unix milliseconds by the collector's clock.
     #[serde(rename = "at")]
     pub collected_at: u64,
-    /// What to add to the record's times to convert them to the collector's clock.
+    /// Offset in milliseconds that converts the record's times to the collector's clock.
     #[serde(rename = "off")]
     pub clock_offset: i64,
-    /// The uncertainty of that, in milliseconds.
+    /// The uncertainty of the offset, in milliseconds.
     #[serde(rename = "error")]
     pub clock_error: u64,
     /// The record.
@@ -36,7 +37,7 @@
     pub record: RecordSnapshot,
 }
 
-/// The collected records by member.
+/// The collected records of all members.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct CollectedRecords(BTreeMap<MemberId, CollectedRecord>);
 
@@ -50,9 +51,9 @@
         self.0.get(&member)
     }
 
-    /// Adds a record, unless a later one of that member is there.
+    /// Adds a record, unless the collection has a later one of the same member.
     ///
-    /// A member's own clock says which is later: how two collectors' clocks compare is not known.
+    /// Records are compared by the member's own clock, because the clocks of collectors may differ.
     pub(super) fn insert(&mut self, member: MemberId, mut collected: CollectedRecord) {
         let known = self.0.get(&member);
         if known.is_some_and(|known| known.record.at > collected.record.at) {
@@ -70,27 +71,27 @@
         }
     }
 
-    /// Encodes the records, and drops the oldest of them where they exceed the bound.
+    /// Encodes the records. Discards old intervals and records that exceed [`MAX_DOCUMENT_BYTES`].
     pub(super) fn encode_within_bound(&mut self) -> Vec<u8> {
         loop {
             let bytes = serde_json::to_vec(self).unwrap_or_default();
             if bytes.len() <= MAX_DOCUMENT_BYTES || self.0.is_empty() {
                 return bytes;
             }
-            self.drop_oldest();
+            self.discard_oldest_records();
         }
     }
 
-    fn drop_oldest(&mut self) {
+    fn discard_oldest_records(&mut self) {
         let records = self.0.values_mut().map(|collected| &mut collected.record);
         let Some(longest) = records.max_by_key(|record| record.intervals.len()) else {
             return;
         };
-        for _ in 0..longest.intervals.len().div_ceil(DROPPED_FRACTION) {
+        for _ in 0..longest.intervals.len().div_ceil(DROP_DIVISOR) {
             longest.discard_oldest();
         }
         if longest.intervals.len() <= 1 {
-            // Records of one interval each are still too many.
+            // Each record is down to one interval: a whole record is removed.
             let oldest = self
                 .0
                 .iter()
@@ -102,7 +103,7 @@
     }
 }
 
-/// The records, and the document that was last made of them.
+/// The records, and the document that was last encoded from them.
 #[derive(Default)]
 struct Contents {
     records: CollectedRecords,
@@ -119,13 +120,13 @@
     }
 }
 
-/// What this proxy has of the audit collection, as collector or as a mirror.
+/// This proxy's copy of the audit collection, as collector or as a mirror.
 pub struct AuditCollection {
     contents: RefCell<Contents>,
 }
 
 impl AuditCollection {
-    /// Creates a collection from a stored document. One that cannot be decoded counts as none.
+    /// Creates a collection from a stored document. A document that cannot be decoded is ignored.
     pub(super) fn from_stored(document: Option<&[u8]>) -> AuditCollection {
         let records = document.and_then(|document| serde_json::from_slice(document).ok());
         let mut contents = Contents {
@@ -143,14 +144,14 @@
         self.contents.borrow().records.clone()
     }
 
-    /// Returns the document with this digest; any document, if the digest is the default one.
+    /// Returns the document if it has this digest, or if the digest is the default one.
     pub(super) fn document(&self, digest: Digest) -> Option<Vec<u8>> {
         let contents = self.contents.borrow();
-        let is_wanted = digest == Digest::default() || digest == contents.digest;
-        (is_wanted && !contents.records.0.is_empty()).then(|| contents.document.to_vec())
+        let is_match = digest == Digest::default() || digest == contents.digest;
+        (is_match && !contents.records.0.is_empty()).then(|| contents.document.to_vec())
     }
 
-    /// Returns the document, for the store.
+    /// Returns the document to be written to the store.
     pub(super) fn document_to_store(&self) -> Vec<u8> {
         self.contents.borrow().document.to_vec()
     }
@@ -160,7 +161,7 @@
         self.contents.borrow().digest
     }
 
-    /// Makes the document of the present records and returns its digest.
+    /// Encodes the document from the current records and returns its digest.
     pub(super) fn update_document(&self) -> Digest {
         self.contents.borrow_mut().update_document()
     }
@@ -169,7 +170,7 @@
         self.contents.borrow_mut().records.insert(member, collected);
     }
 
-    /// Adds the records of another collection's document, and returns whether it could be decoded.
+    /// Merges the records of another document. Returns false if it cannot be decoded.
     pub(super) fn merge_document(&self, document: &[u8]) -> bool {
         let Ok(records) = serde_json::from_slice(document) else {
             return false;
--- a/crates/heathroad/src/lease/audit_collector.rs
+++ b/crates/heathroad/src/lease/audit_collector.rs
@@ -1,8 +1,8 @@
-//! The work of collecting the activity records of all members, so that the audit can answer for
-//! members that are gone.
+//! The audit collector: collects the activity records of all members, so that the audit covers
+//! members that have left.
 //!
 //! The collector's checkpoint is the digest of its collection. Voters mirror the collection, and
-//! the next collector begins with it.
+//! the next collector resumes from it.
 
 use super::audit_collection::{CollectedRecord, CollectedRecords};
 use super::service::LeaseService;
@@ -20,12 +20,12 @@
 use std::time::Duration;
 use tokio::task::spawn_blocking;
 
-/// Shortest pause between two members.
+/// Minimum pause between fetches from two members.
 const MIN_MEMBER_PAUSE: Duration = Duration::from_millis(50);
-/// How long a document may take to arrive.
+/// Timeout of fetching a document.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
-/// This many rounds that reach no other member are a sign that they cannot be reached from here.
-const MAX_LONELY_ROUNDS: u32 = 3;
+/// Number of consecutive rounds that reach no other member, after which the lease is resigned.
+const MAX_UNREACHABLE_ROUNDS: u32 = 3;
 
 /// The collection that a checkpoint refers to.
 struct CheckpointedCollection {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Collects records in rounds for as long as that is possible, and returns why it ended.
+/// Collects records in rounds until the lease is lost or the work fails, and returns the reason.
 pub(super) async fn collect(
     handle: &LeaseHandle,
     peers: &Rc<MembershipService>,
@@ -52,22 +52,26 @@
     if let Err(error) = resume_collection(handle, peers).await {
         return error;
     }
-    let mut lonely_rounds = 0;
+    let mut unreachable_rounds = 0;
     loop {
-        let is_lonely = match collect_round(handle, peers, round_duration).await {
-            Ok(is_lonely) => is_lonely,
+        let is_unreachable = match collect_round(handle, peers, round_duration).await {
+            Ok(is_unreachable) => is_unreachable,
             Err(error) => return error,
         };
-        lonely_rounds = if is_lonely { lonely_rounds + 1 } else { 0 };
-        if lonely_rounds >= MAX_LONELY_ROUNDS {
+        unreachable_rounds = if is_unreachable {
+            unreachable_rounds + 1
+        } else {
+            0
+        };
+        if unreachable_rounds >= MAX_UNREACHABLE_ROUNDS {
             return WorkError::NobodyReached {
-                rounds: MAX_LONELY_ROUNDS,
+                rounds: MAX_UNREACHABLE_ROUNDS,
             };
         }
     }
 }
 
-/// Fetches the collection of the last checkpoint from the last collector, or from a voter.
+/// Fetches the collection of the last checkpoint from the previous collector or from a voter.
 async fn resume_collection(
     handle: &LeaseHandle,
     peers: &Rc<MembershipService>,
@@ -81,7 +85,7 @@
         return Ok(());
     };
     let sources = std::iter::once(last.collector).chain(service.voters());
-    // The work must not keep the service alive.
+    // The work must not keep the service alive while it waits.
     drop(service);
     for source in sources.filter(|member| *member != peers.member_id()) {
         let fetched = peers
@@ -99,7 +103,8 @@
     Ok(())
 }
 
-/// Collects the record of each member once. Returns whether no other member was reached.
+/// Collects the record of each present member once. Returns true if other members are present and
+/// none was reached.
 async fn collect_round(
     handle: &LeaseHandle,
     peers: &Rc<MembershipService>,
@@ -126,7 +131,7 @@
     }
     let digest = collection.update_document();
     save_collection(collection.document_to_store(), store).await;
-    // If the checkpoint is not stored, the next round writes it again.
+    // If the checkpoint is not stored, the next round stores it.
     let _ = handle.store_checkpoint(digest.0.to_vec()).await;
     Ok(reached == 0 && members.len() > 1)
 }
@@ -162,7 +167,7 @@
     }
 }
 
-/// Keeps a copy of the collection at a voter.
+/// Mirrors the collection at a voter.
 pub(super) async fn mirror(service: Rc<LeaseService>) {
     let Some((lease, round_duration)) = service.audit_lease() else {
         return;
@@ -190,7 +195,7 @@
 }
 
 impl LeaseService {
-    /// Returns the lease whose work is to collect the audit, and how long a round takes.
+    /// Returns the lease of the audit collector and the duration of a round.
     pub(super) fn audit_lease(&self) -> Option<(LeaseId, Duration)> {
         self.leases.iter().find_map(|(id, lease)| match lease.work {
             WorkSettings::CollectAudit { round_duration } => Some((*id, round_duration)),
@@ -198,8 +203,8 @@
         })
     }
 
-    /// Returns the collection that this voter has a checkpoint of, unless it has the collection
-    /// already, or is the collector itself.
+    /// Returns the collection that this voter's checkpoint refers to, unless this proxy has the
+    /// collection already or is the collector.
     fn collection_to_mirror(&self, lease: LeaseId) -> Option<CheckpointedCollection> {
         let manager = self.manager.borrow();
         let durable = manager.voter()?.state().leases.get(&lease)?;
@@ -208,7 +213,7 @@
         (is_missing && wanted.collector != self.peers.member_id()).then_some(wanted)
     }
 
-    /// Returns what was collected: from here, or from a voter that can be reached.
+    /// Returns the collected records of this proxy, or else of a voter that can be reached.
     pub async fn collected_records(&self) -> Option<CollectedRecords> {
         let (lease, _) = self.audit_lease()?;
         let voters = self.voters();
