--- a/crates/heathroad/src/lease/history.rs
+++ b/crates/heathroad/src/lease/history.rs
@@ -1,4 +1,4 @@
-//! The history of leases for operators: who held which lease, by what holders and voters recorded.
+//! The history of leases for operators, merged from the records of holders and voters.
 
 use super::managed_lease::{ManagedLease, OwnHold};
 use super::report::{HistoryReport, Hold, LeaseHistory};
@@ -15,16 +15,16 @@
 use std::collections::BTreeMap;
 use tokio::task::JoinSet;
 
-/// What a member knows of the history of all leases. Members fetch it from each other as JSON.
+/// A member's records of all leases. Members fetch them from each other as JSON.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct LocalHistory {
-    /// When it was written down, in Unix milliseconds by the member's clock, as all its times.
+    /// When the records were read, in Unix milliseconds. All times are by the member's clock.
     at: u64,
     #[serde(rename = "duties")]
     leases: Vec<LeaseRecords>,
 }
 
-/// What a member knows of the history of one lease.
+/// A member's records of one lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct LeaseRecords {
     name: String,
@@ -34,36 +34,36 @@
     grants: Vec<VoterGrantRecord>,
 }
 
-/// A time in which the member held the lease.
+/// A hold of the lease by the member.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct OwnHoldRecord {
     token: Token,
     from: u64,
     to: Option<u64>,
-    /// The JSON name of an [`EndReason`]. A name that another version wrote is passed on as it is.
+    /// The JSON name of an [`EndReason`]. Unknown names of other versions are passed on unchanged.
     #[serde(rename = "why")]
     end_reason: Option<String>,
 }
 
-/// A grant that the member has given as a voter.
+/// A grant that the member made as a voter.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct VoterGrantRecord {
     token: Token,
     from: u64,
-    /// Until when the lease may have been held at the latest.
+    /// The latest time until which the lease may have been held.
     until: u64,
     end: GrantEnd,
 }
 
-/// The history of another member, or of this one.
+/// The history of one member, with the offset of its clock.
 struct MemberHistory {
     member: MemberId,
     history: LocalHistory,
-    /// How the member's clock compares to this proxy's.
+    /// The offset between the member's clock and this proxy's.
     clock: ClockOffset,
 }
 
-/// What is known of one hold, from its holder and from voters.
+/// A hold, merged from the records of its holder and of voters.
 #[derive(Debug, Default)]
 struct HoldSummary {
     from: Option<u64>,
@@ -115,7 +115,7 @@
     }
 }
 
-/// Combines what members know of one lease.
+/// Merges the records of all members for one lease.
 fn combine(name: &str, histories: &[MemberHistory]) -> LeaseHistory {
     let mut holds: BTreeMap<Token, HoldSummary> = BTreeMap::new();
     for MemberHistory {
@@ -164,7 +164,7 @@
 }
 
 impl LeaseService {
-    /// Returns what this proxy knows of the history of all leases.
+    /// Returns this proxy's records of all leases.
     pub(super) fn local_history(&self) -> LocalHistory {
         let leases = self
             .leases
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Returns a [`HistoryReport`] as JSON, of what all members that can be reached have recorded.
+    /// Returns a [`HistoryReport`] as JSON, from the records of all members that can be reached.
     pub async fn history_json(&self) -> Value {
         serde_json::to_value(self.history_report().await).unwrap_or_default()
     }
@@ -226,8 +226,7 @@
         }
     }
 
-    /// Fetches the histories of all other members that are present. A fetch that fails results in
-    /// the member's id.
+    /// Fetches the histories of all other present members. A failed fetch returns the member's id.
     fn start_history_fetches(&self) -> JoinSet<Result<MemberHistory, MemberId>> {
         let mut fetches = JoinSet::new();
         for member in self.peers.present_members(false) {
--- a/crates/heathroad/src/lease/http_call.rs
+++ b/crates/heathroad/src/lease/http_call.rs
@@ -1,7 +1,7 @@
-//! Work that calls an HTTP server at an interval, from the holder alone.
+//! Work that calls an HTTP server at an interval while the lease is held.
 //!
 //! Each call carries the lease's name, the token, the holder, and the call's number. A server that
-//! keeps the highest token it has seen answers 412 to a lower one, and may return the highest in
+//! checks tokens answers 412 if it has seen a higher token, and may return that token in
 //! `Duty-Token`.
 
 use super::worker::{LeaseHandle, WorkError};
@@ -19,9 +19,9 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// A call that takes longer has failed. Whether the server has acted on it is not known.
+/// Timeout of a call. The server may have acted on a call that timed out.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// This many failed calls in a row are a sign that the server cannot be called from here.
+/// Number of consecutive failed calls after which the lease is resigned.
 const MAX_FAILED_CALLS: u32 = 3;
 
 /// Header with the name of the lease.
@@ -33,16 +33,16 @@
 /// Header with the number of the call.
 const NUMBER_HEADER: &str = "Duty-Number";
 
-/// Why a call has failed.
+/// Why a call failed.
 #[derive(Debug, Error)]
 enum CallError {
-    #[error("no connection")]
+    #[error("cannot connect")]
     Connect(#[source] io::Error),
-    #[error("the request cannot be made")]
+    #[error("invalid request")]
     InvalidRequest(#[source] hyper::http::Error),
-    #[error("the exchange has failed")]
+    #[error("HTTP exchange failed")]
     Exchange(#[source] hyper::Error),
-    #[error("no answer in time")]
+    #[error("timed out after {} s", CALL_TIMEOUT.as_secs())]
     Timeout,
     #[error("the lease is no longer held")]
     LeaseLost,
@@ -55,7 +55,8 @@
     highest_token: Option<Token>,
 }
 
-/// Calls the server at its interval for as long as that is possible, and returns why it ended.
+/// Calls the server at its interval until the lease is lost or the calls fail, and returns the
+/// reason.
 pub(super) async fn run_http_calls(handle: &LeaseHandle, target: &HttpCallSettings) -> WorkError {
     let mut number = first_number(handle);
     let mut failed_calls = 0;
@@ -70,7 +71,8 @@
         match result.unwrap_or(Err(CallError::Timeout)) {
             Ok(answer) if answer.status.is_success() => {
                 failed_calls = 0;
-                // If the checkpoint is not stored, this holder or the next repeats the number.
+                // If the checkpoint is not stored, the number is used again by this holder or the
+                // next.
                 if handle
                     .store_checkpoint(number.to_be_bytes().to_vec())
                     .await
@@ -81,11 +83,15 @@
                 continue;
             }
             Ok(answer) if answer.status == StatusCode::PRECONDITION_FAILED => {
-                handle.give_up_superseded(answer.highest_token);
+                handle.resign_superseded(answer.highest_token);
                 return WorkError::Superseded;
             }
             Ok(answer) => {
-                tracing::debug!("lease {}: answered {}", handle.name(), answer.status);
+                tracing::debug!(
+                    "lease {}: call answered with {}",
+                    handle.name(),
+                    answer.status
+                );
             }
             Err(error) => log_failed_call(handle, &error),
         }
@@ -99,7 +105,7 @@
     }
 }
 
-/// Returns the number of the first call: the one after the last checkpoint's.
+/// Returns the number of the first call, which follows the number in the last checkpoint.
 fn first_number(handle: &LeaseHandle) -> u64 {
     let state = handle
         .checkpoint()
@@ -134,9 +140,9 @@
         .header(NUMBER_HEADER, number)
         .body(Empty::<Bytes>::new())
         .map_err(CallError::InvalidRequest)?;
-    // The task ends with the answer, or with the sender.
+    // The task ends when it is aborted after the answer, or when the sender is dropped.
     let connection = spawn_local(connection);
-    // Connecting may have taken a while.
+    // The lease may have expired while connecting.
     if !handle.is_held() {
         return Err(CallError::LeaseLost);
     }
--- a/crates/heathroad/src/lease/managed_lease.rs
+++ b/crates/heathroad/src/lease/managed_lease.rs
@@ -1,4 +1,4 @@
-//! One configured lease: its work, and the record of when this proxy held it.
+//! A configured lease: its work, and the record of this proxy's holds.
 
 use crate::configuration::lease::{LeaseSettings, WorkSettings};
 use heathroad_lease::candidate::EndReason;
@@ -7,28 +7,28 @@
 use std::collections::VecDeque;
 use tokio::task::JoinHandle;
 
-/// Most holds of its own that a proxy remembers of each lease.
+/// Maximum number of this proxy's holds that are recorded for each lease.
 const MAX_OWN_HOLDS: usize = 64;
 
-/// A time in which this proxy held a lease, by its own clock.
+/// A hold of the lease by this proxy.
 #[derive(Debug, Clone)]
 pub(super) struct OwnHold {
     pub(super) token: Token,
     /// Unix time in milliseconds.
     pub(super) from: u64,
-    /// Unix time in milliseconds; `None` while it is held.
+    /// Unix time in milliseconds; `None` while the lease is held.
     pub(super) to: Option<u64>,
     pub(super) end_reason: Option<EndReason>,
 }
 
-/// A lease that this proxy may hold.
+/// A lease that this proxy campaigns for.
 pub(super) struct ManagedLease {
     pub(super) name: String,
     pub(super) work: WorkSettings,
-    /// The work's task, while the lease is held.
+    /// The task of the work, while the lease is held.
     task: RefCell<Option<JoinHandle<()>>>,
     own_holds: RefCell<VecDeque<OwnHold>>,
-    /// Why the work last gave the lease back.
+    /// The last failure of the work.
     work_failure: RefCell<Option<String>>,
 }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns this proxy's own holds, the oldest first.
+    /// Returns the holds of this proxy, oldest first.
     pub(super) fn own_holds(&self) -> Vec<OwnHold> {
         self.own_holds.borrow().iter().cloned().collect()
     }
@@ -83,7 +83,7 @@
         self.work_failure.replace(Some(failure));
     }
 
-    /// Returns why the work last gave the lease back.
+    /// Returns the last failure of the work.
     pub(super) fn work_failure(&self) -> Option<String> {
         self.work_failure.borrow().clone()
     }
--- a/crates/heathroad/src/lease/mod.rs
+++ b/crates/heathroad/src/lease/mod.rs
@@ -1,5 +1,6 @@
-//! The leases of this proxy: drives `heathroad_lease` with the clock, the disk and the network, and
-//! runs the work of each lease that is held here. It is off unless the fleet's file names voters.
+//! The leases of this proxy: connects `heathroad_lease` to the clock, the disk and the network, and
+//! runs the work of each lease that this proxy holds. Disabled unless the fleet's file configures
+//! voters.
 
 pub mod audit_collection;
 mod audit_collector;
--- a/crates/heathroad/src/lease/report.rs
+++ b/crates/heathroad/src/lease/report.rs
@@ -1,17 +1,16 @@
-//! The reports on leases that operators are given as JSON. The daemon writes them and the command
-//! line reads them.
+//! The JSON reports on leases, which the daemon writes and the command line reads.
 
 use heathroad_lease::MemberId;
 use heathroad_lease::message::RejectReason;
 use heathroad_lease::token::Token;
 use serde::{Deserialize, Serialize};
 
-/// The present status of all leases.
+/// The current status of all leases.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StatusReport {
     /// The member that made the report.
     pub asked: MemberId,
-    /// When it was made, in Unix milliseconds by that member's clock.
+    /// When the report was made, in Unix milliseconds by that member's clock.
     pub at: u64,
     /// The generation of the voter set.
     pub generation: u8,
@@ -20,9 +19,9 @@
     /// Whether the member that made the report is a voter.
     #[serde(rename = "votes")]
     pub is_voter: bool,
-    /// How long it stays silent as a voter.
+    /// Remaining time of its startup period as a voter, in which it grants nothing.
     pub silent_ms: Option<u64>,
-    /// The lease duration.
+    /// The lease duration, in milliseconds.
     pub lease_ms: u64,
     /// The status of each lease.
     #[serde(rename = "duties")]
@@ -32,25 +31,25 @@
 /// The status of a lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseStatus {
-    /// Its name.
+    /// The name of the lease.
     pub name: String,
-    /// What its holder does, in words.
+    /// A description of the holder's work.
     pub work: String,
     /// The member that a quorum of voters reports as the holder.
     pub holder: Option<MemberId>,
-    /// The token of that holder.
+    /// The token of the holder.
     pub token: Option<Token>,
     /// Whether a quorum of voters has answered.
     #[serde(rename = "majority_reached")]
     pub is_quorum_reached: bool,
-    /// What voters have answered.
+    /// The answers of the voters.
     pub voters: Vec<VoterReport>,
     /// The hold of the member that made the report.
     pub held_here: Option<LocalHold>,
-    /// Why voters last rejected that member.
+    /// Why voters last rejected a request of that member.
     #[serde(rename = "refused")]
     pub last_rejection: Option<RejectReason>,
-    /// Why that member last gave the lease back.
+    /// The last failure of the work at that member.
     #[serde(rename = "unfit")]
     pub work_failure: Option<String>,
 }
@@ -60,16 +59,16 @@
 pub struct VoterReport {
     /// The voter.
     pub voter: MemberId,
-    /// The highest token that it has granted.
+    /// The highest token that the voter has granted.
     #[serde(rename = "highest")]
     pub highest_token: Token,
-    /// How long the lease is still granted, or withheld.
+    /// How long the lease remains unavailable at the voter.
     #[serde(rename = "left_ms")]
     pub remaining_ms: u32,
     /// Why the voter would reject a request; `None` if the lease is free.
     #[serde(rename = "why")]
     pub reason: Option<RejectReason>,
-    /// How many holders in a row have failed soon after they acquired the lease.
+    /// Number of consecutive holders that failed soon after they acquired the lease.
     #[serde(rename = "died")]
     pub early_failures: u8,
 }
@@ -77,20 +76,20 @@
 /// A hold of the member that made the report.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LocalHold {
-    /// Its token.
+    /// The token of the hold.
     pub token: Token,
-    /// How long it lasts unless it is renewed.
+    /// Time until the hold expires unless it is renewed.
     #[serde(rename = "left_ms")]
     pub remaining_ms: u64,
 }
 
-/// Who held which lease. All times are in Unix milliseconds by the clock of the member that made
-/// the report.
+/// The history of all leases. All times are in Unix milliseconds by the clock of the member that
+/// made the report.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HistoryReport {
     /// The member that made the report.
     pub asked: MemberId,
-    /// When it was made.
+    /// When the report was made.
     pub at: u64,
     /// Members whose records could not be fetched.
     pub unreached: Vec<MemberId>,
@@ -99,17 +98,17 @@
     pub leases: Vec<LeaseHistory>,
 }
 
-/// Who held a lease.
+/// The history of one lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseHistory {
     /// The name of the lease.
     pub name: String,
-    /// Its holds, in the order of their tokens.
+    /// The holds of the lease, ordered by token.
     #[serde(rename = "spells")]
     pub holds: Vec<Hold>,
 }
 
-/// A time in which a member held a lease, or may have held it.
+/// An interval in which a member held, or may have held, a lease.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Hold {
     /// The token of the hold.
@@ -117,29 +116,29 @@
     /// The holder.
     #[serde(rename = "place")]
     pub holder: MemberId,
-    /// When it began, by the holder's record, or else when the first voter granted it.
+    /// The start of the hold by the holder's record, or else the time of the first voter's grant.
     pub from: Option<u64>,
-    /// When it ended, by the holder's record.
+    /// The end of the hold by the holder's record.
     pub to: Option<u64>,
-    /// Why it ended, by the holder's record.
+    /// The reason of its end by the holder's record.
     #[serde(rename = "why")]
     pub end_reason: Option<String>,
-    /// Whether the holder itself has recorded the hold. A member that some voters granted the
-    /// lease, and that has no record of a hold, may never have had a quorum.
+    /// Whether the holder itself has recorded the hold. Without its record, the member may have
+    /// been granted the lease by a minority only.
     #[serde(rename = "known")]
     pub is_confirmed: bool,
-    /// Whether the holder holds the lease still.
+    /// Whether the lease is still held.
     #[serde(rename = "holds")]
     pub is_held: bool,
-    /// When the hold ended at the latest.
+    /// The latest time at which the hold ended.
     #[serde(rename = "at_the_latest")]
     pub ended_by: Option<u64>,
     /// Whether a voter has recorded that the holder resigned.
     #[serde(rename = "resigned")]
     pub is_resigned: bool,
-    /// The members whose records tell of the hold.
+    /// The members whose records contain the hold.
     #[serde(rename = "told_by")]
     pub reported_by: Vec<MemberId>,
-    /// How far the times may be off, because of differences between clocks.
+    /// The uncertainty of the times due to clock offsets, in milliseconds.
     pub clock_error_ms: u64,
 }
--- a/crates/heathroad/src/lease/service.rs
+++ b/crates/heathroad/src/lease/service.rs
@@ -1,4 +1,4 @@
-//! The lease service: carries the inputs of the lease manager to it, and carries out its outputs.
+//! The lease service: feeds messages and time to the lease manager and processes its outputs.
 
 use super::audit_collection::AuditCollection;
 use super::managed_lease::ManagedLease;
@@ -25,8 +25,8 @@
 use tokio::task::spawn_blocking;
 use tokio::time::Instant;
 
-/// Longest time between two turns of the service.
-const MAX_TURN_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum time between two iterations of the service loop.
+const MAX_WAKE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The leases of this proxy.
 pub struct LeaseService {
@@ -35,23 +35,24 @@
     pub(super) store: Option<LeaseStore>,
     pub(super) lease_duration: Duration,
     pub(super) leases: BTreeMap<LeaseId, ManagedLease>,
-    /// Wakes the service for a turn.
+    /// Wakes the service loop.
     pub(super) wake: Notify,
-    /// The last checkpoint of each lease that a quorum has stored, as token and sequence number.
+    /// Token and sequence number of each lease's last checkpoint that a quorum has stored.
     pub(super) stored_checkpoints: watch::Sender<BTreeMap<LeaseId, (Token, u32)>>,
-    /// The last status of each lease that each voter has reported.
+    /// The last status that each voter has reported of each lease.
     pub(super) voter_statuses: RefCell<BTreeMap<LeaseId, Vec<VoterStatus>>>,
     pub(super) collection: Rc<AuditCollection>,
     is_shutting_down: Cell<bool>,
-    /// Held while outputs are processed: an older voter state must not be written behind a newer.
+    /// Held while outputs are processed, so that an older voter state is not written after a newer
+    /// one.
     output_lock: Mutex<()>,
-    /// Whether the last write to the store has failed, which has been logged.
+    /// Whether the last write to the store failed. The first failure of a series is logged.
     is_store_failing: Cell<bool>,
     weak_self: Weak<LeaseService>,
 }
 
 impl LeaseService {
-    /// Starts the service, with the state that is in the state folder, where there is one.
+    /// Starts the service with the state in the state folder, if one is configured.
     pub fn start(
         settings: Settings,
         seed: u64,
@@ -113,7 +114,8 @@
         Ok(service)
     }
 
-    /// Has the membership protocol serve this proxy's lease history and audit collection.
+    /// Registers this proxy's lease history and audit collection with the membership service, from
+    /// which other members fetch them.
     fn serve_documents(&self) {
         let service = self.weak_self.clone();
         self.peers.serve_resources(Box::new(move |topic, key| {
@@ -134,19 +136,19 @@
                 .started()
                 .checked_add(due)
                 .unwrap_or_else(Instant::now);
-            let due = due.min(Instant::now() + MAX_TURN_INTERVAL);
+            let due = due.min(Instant::now() + MAX_WAKE_INTERVAL);
             tokio::select! {
                 biased;
                 () = self.peers.messages_received() => {}
                 () = self.wake.notified() => {}
                 () = sleep_until(due) => {}
             }
-            self.run_turn().await;
+            self.run_once().await;
         }
     }
 
-    /// Handles what has arrived, and does what is due.
-    async fn run_turn(&self) {
+    /// Runs one iteration: handles received messages and due timers, then processes the outputs.
+    async fn run_once(&self) {
         self.process_inputs();
         self.process_outputs().await;
     }
@@ -158,9 +160,9 @@
         let mut manager = self.manager.borrow_mut();
         manager.set_unix_time(self.peers.activity_log().now());
         manager.set_present_members(self.peers.present_members(is_willing));
-        // What has arrived counts before the manager concludes that nothing has.
-        for carried in self.peers.take_messages() {
-            manager.handle_datagram(now, carried.from, carried.incarnation, &carried.bytes);
+        // Received messages are handled before the timers that would expire without them.
+        for received in self.peers.take_messages() {
+            manager.handle_datagram(now, received.from, received.incarnation, &received.bytes);
         }
         manager.tick(now);
         if !is_fenced {
@@ -173,8 +175,8 @@
         }
     }
 
-    /// Carries out, in order, what the lease manager asks for. What must be on disk is there before
-    /// the messages behind it are sent.
+    /// Processes the lease manager's outputs in order. The voter state is on disk before the
+    /// messages that depend on it are sent.
     async fn process_outputs(&self) {
         let _guard = self.output_lock.lock().await;
         loop {
@@ -182,7 +184,7 @@
             if outputs.is_empty() {
                 return;
             }
-            // One write serves all of a turn: the last state includes the earlier ones.
+            // Only the last state is written, because it includes the earlier ones.
             let last_state = outputs.iter().rev().find_map(|output| match output {
                 Output::PersistState(state) => Some(state.clone()),
                 _ => None,
@@ -194,8 +196,8 @@
         }
     }
 
-    /// Writes the voter's state to the store, where there is one. Returns whether it is safe to
-    /// make promises that depend on it.
+    /// Writes the voter's state to the store, if there is one. Returns whether messages that depend
+    /// on it may be sent.
     async fn persist(&self, state: Option<VoterState>) -> bool {
         let result = match state.zip(self.store.clone()) {
             Some((state, store)) => {
@@ -209,26 +211,26 @@
         if let Err(error) = result
             && !was_failing
         {
-            tracing::warn!("leases: {error}: nothing is granted");
+            tracing::warn!("leases: cannot store the voter state, so nothing is granted: {error}");
         }
         !is_failing
     }
 
     fn process_output(&self, output: Output, is_persisted: bool) {
         match output {
-            // Written by `persist`.
+            // Already written by `persist`.
             Output::PersistState(_) => {}
             Output::Send(outgoing) => {
-                if is_persisted || !is_promise(&outgoing.message.body) {
+                if is_persisted || !requires_durable_state(&outgoing.message.body) {
                     self.send(outgoing);
                 }
             }
             Output::Event(lease, event) => self.handle_event(lease, event),
             Output::Status(status) => {
                 let mut statuses = self.voter_statuses.borrow_mut();
-                let of_lease = statuses.entry(status.lease).or_default();
-                of_lease.retain(|known| known.voter != status.voter);
-                of_lease.push(status);
+                let statuses_of_lease = statuses.entry(status.lease).or_default();
+                statuses_of_lease.retain(|known| known.voter != status.voter);
+                statuses_of_lease.push(status);
             }
         }
     }
@@ -259,7 +261,7 @@
                 self.start_work(id, lease, token, checkpoint);
             }
             LeaseEvent::Ended { token, reason } => {
-                tracing::info!(lease = %name, %token, ?reason, "lease {name}: lost: {reason:?}");
+                tracing::info!(lease = %name, %token, ?reason, "lease {name}: ended: {reason:?}");
                 lease.record_end(token, unix_ms, reason);
                 lease.stop_work();
             }
@@ -283,19 +285,20 @@
         let work = lease.work.clone();
         let peers = self.peers.clone();
         let task = spawn_local(async move {
-            // Work ends by itself where it cannot be done: another member is to try.
+            // The work only returns if it fails. The lease is resigned, so that another member can
+            // acquire it.
             let error = match work {
                 WorkSettings::HttpCall(target) => http_call::run_http_calls(&handle, &target).await,
                 WorkSettings::CollectAudit { round_duration } => {
                     audit_collector::collect(&handle, &peers, round_duration).await
                 }
             };
-            handle.give_back(&error);
+            handle.resign_after_failure(&error);
         });
         lease.set_work_task(task);
     }
 
-    /// Returns the token by which a lease is held now. To be called before each act.
+    /// Returns the token under which this proxy holds a lease. Checked before each operation.
     pub(super) fn held_token(&self, lease: LeaseId) -> Option<Token> {
         self.manager.borrow().held_token(self.peers.now(), lease)
     }
@@ -306,8 +309,9 @@
         self.wake.notify_one();
     }
 
-    /// Resigns the lease of this name, and returns whether it was held here; `None` if there is no
-    /// such lease. A member that resigns does not seek the lease for ten lease durations.
+    /// Resigns the lease of this name and backs off, see
+    /// [`resign_backoff`](heathroad_lease::LeaseTiming::resign_backoff). Returns whether the lease
+    /// was held here, or `None` if there is no such lease.
     pub fn resign(&self, name: &str) -> Option<bool> {
         let (id, _) = self.leases.iter().find(|(_, lease)| lease.name == name)?;
         let was_held = self.held_token(*id).is_some();
@@ -315,7 +319,7 @@
         Some(was_held)
     }
 
-    /// Resigns all leases, because the process shuts down.
+    /// Resigns all leases before the process exits.
     pub async fn shut_down(&self) {
         self.is_shutting_down.set(true);
         let now = self.peers.now();
@@ -338,7 +342,7 @@
     }
 }
 
-/// Returns whether a message promises something that must be on disk first.
-fn is_promise(body: &Body) -> bool {
+/// Returns whether a message may only be sent once the voter state is on disk.
+fn requires_durable_state(body: &Body) -> bool {
     matches!(body, Body::Granted(_) | Body::CheckpointStored { .. })
 }
--- a/crates/heathroad/src/lease/status.rs
+++ b/crates/heathroad/src/lease/status.rs
@@ -1,4 +1,4 @@
-//! The present status of leases for operators: who holds each lease, by the reports of its voters.
+//! The current status of leases for operators: the holder of each lease by the reports of voters.
 
 use super::managed_lease::ManagedLease;
 use super::report::{LeaseStatus, LocalHold, StatusReport, VoterReport};
@@ -14,9 +14,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Voters that have not answered by then count as not reached.
+/// Voters that have not answered after this time count as unreachable.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often the answers of voters are counted.
+/// Interval at which the answers of voters are counted.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl From<&VoterStatus> for VoterReport {
@@ -31,15 +31,15 @@
     }
 }
 
-/// Returns the lowest token that a quorum reports as granted. Its member holds the lease, or may.
+/// Returns the lowest token that a quorum reports as granted. Its member may hold the lease.
 fn token_granted_by_quorum(statuses: &[VoterStatus], voters: &VoterSet) -> Option<Token> {
     let granted_token = |reported: &VoterStatus| {
         let is_granted = reported.status.reason == Some(RejectReason::Held);
         is_granted.then_some(reported.status.highest_token)
     };
     let is_granted_by = |voter: MemberId, token: Token| {
-        let mut of_voter = statuses.iter().filter(|reported| reported.voter == voter);
-        of_voter.any(|reported| granted_token(reported) == Some(token))
+        let mut reports_of_voter = statuses.iter().filter(|reported| reported.voter == voter);
+        reports_of_voter.any(|reported| granted_token(reported) == Some(token))
     };
     let tokens = statuses.iter().filter_map(granted_token);
     tokens
@@ -55,7 +55,7 @@
 }
 
 impl LeaseService {
-    /// Asks the voters for the status of all leases, and returns a [`StatusReport`] as JSON.
+    /// Requests the status of all leases from the voters and returns a [`StatusReport`] as JSON.
     pub async fn status_json(&self) -> Value {
         self.request_voter_statuses();
         let deadline = Instant::now() + STATUS_TIMEOUT;
--- a/crates/heathroad/src/lease/store.rs
+++ b/crates/heathroad/src/lease/store.rs
@@ -1,8 +1,8 @@
-//! The lease store: what must last over a restart, where there is a state folder.
+//! The lease store: the durable state of leases, if a state folder is configured.
 //!
-//! It keeps the voter's state, which is synced before the answers that depend on it are sent, and
-//! the audit collection. Both are in one `redb` file, which is consistent whenever the process or
-//! the machine ends.
+//! It stores the voter's state, which is synced before the answers that depend on it are sent, and
+//! the audit collection. Both are in one `redb` file, which stays consistent if the process or the
+//! machine crashes.
 
 use heathroad_lease::voter_state::VoterState;
 use redb::{Builder, Database, Durability, TableDefinition, TableError};
@@ -18,10 +18,10 @@
 const VOTER_STATE_KEY: &str = "memory";
 /// Key of the audit collection.
 const AUDIT_COLLECTION_KEY: &str = "collected";
-/// How much of the file is held in memory.
+/// Size of the database cache.
 const CACHE_BYTES: usize = 512 * 1024;
 
-/// Why the store cannot be used.
+/// Why a store operation failed.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum StoreError {
@@ -30,7 +30,7 @@
     Database {
         /// The file.
         path: PathBuf,
-        /// What failed.
+        /// The database error.
         #[source]
         source: Box<redb::Error>,
     },
@@ -39,24 +39,24 @@
     Decode {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The decoding error.
         #[source]
         source: serde_json::Error,
     },
     /// The voter state cannot be encoded.
-    #[error("{0}")]
+    #[error("cannot encode the voter state: {0}")]
     Encode(#[source] serde_json::Error),
-    /// The task that writes has failed.
-    #[error("{0}")]
+    /// The task that writes to the store has failed.
+    #[error("write task failed: {0}")]
     WriterFailed(#[source] JoinError),
 }
 
-/// Database errors are large, and boxed so that results are not.
+/// Boxes a database error, which would make results large.
 fn boxed(error: impl Into<redb::Error>) -> Box<redb::Error> {
     Box::new(error.into())
 }
 
-/// The lease store.
+/// The durable store of a proxy's leases.
 #[derive(Clone)]
 pub struct LeaseStore {
     database: Arc<Database>,
@@ -64,7 +64,7 @@
 }
 
 impl LeaseStore {
-    /// Opens the store in a state folder, or creates it.
+    /// Opens the store in a state folder. Creates it if it does not exist.
     pub fn open(folder: &Path) -> Result<LeaseStore, StoreError> {
         let path = folder.join(FILE_NAME);
         match Builder::new().set_cache_size(CACHE_BYTES).create(&path) {
@@ -117,8 +117,8 @@
         transaction.commit().map_err(boxed)
     }
 
-    /// Reads the voter's state. A state that cannot be decoded is an error: a voter without it
-    /// would grant what it has promised not to.
+    /// Reads the voter's state, which is empty if none is stored. A state that cannot be decoded is
+    /// an error, because a voter without it could break promises of earlier grants.
     pub fn read_voter_state(&self) -> Result<VoterState, StoreError> {
         let Some(bytes) = self.read(VOTER_STATE_KEY)? else {
             return Ok(VoterState::default());
@@ -129,7 +129,7 @@
         })
     }
 
-    /// Writes the voter's state, which is on disk when this returns.
+    /// Writes the voter's state and syncs it to disk.
     pub fn write_voter_state(&self, state: &VoterState) -> Result<(), StoreError> {
         let bytes = serde_json::to_vec(state).map_err(StoreError::Encode)?;
         self.write(VOTER_STATE_KEY, &bytes)
--- a/crates/heathroad/src/lease/worker.rs
+++ b/crates/heathroad/src/lease/worker.rs
@@ -1,11 +1,11 @@
-//! What the work of a lease is given: the token, the last checkpoint, and the checks before each
-//! act.
+//! The handle through which the work of a lease checks the hold, reads its token and stores
+//! checkpoints.
 //!
-//! Work is a future that runs while the lease is held here and is dropped when that ends. It acts
-//! only after [`LeaseHandle::is_held`], sends its token with each act, and stores checkpoints. The
-//! next holder resumes from the last checkpoint that a quorum has stored, and repeats what was done
-//! after it. A server that does not check tokens may see such an act twice, and an act of a stalled
-//! holder late.
+//! Work is a future that runs while this proxy holds the lease and is dropped when the hold ends.
+//! It checks [`LeaseHandle::is_held`] before each operation, sends its token with the operation,
+//! and stores checkpoints. The next holder resumes from the last checkpoint that a quorum has
+//! stored, so later operations may be repeated. A server that does not check tokens may also
+//! receive an operation of a stalled holder after operations of its successor.
 
 use super::service::LeaseService;
 use crate::runtime_accounting::timeout;
@@ -17,41 +17,42 @@
 use std::rc::{Rc, Weak};
 use thiserror::Error;
 
-/// Why work has ended by itself. Operators are shown this.
+/// Why the work ended. The text is shown to operators.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub(super) enum WorkError {
     /// The lease is no longer held.
-    #[error("it is no longer held")]
+    #[error("the lease is no longer held")]
     LeaseLost,
     /// The server has seen a higher token.
-    #[error("a later holder has called")]
+    #[error("the server has seen a higher token")]
     Superseded,
-    /// The server cannot be called from here.
+    /// Calls to the server failed repeatedly.
     #[error("{address}: {count} calls in a row have failed")]
     CallsFailed {
         /// The server.
         address: SocketAddr,
-        /// How many calls have failed.
+        /// The number of consecutive failed calls.
         count: u32,
     },
-    /// The other members cannot be reached from here.
-    #[error("{rounds} rounds reached nobody")]
+    /// No other member was reached.
+    #[error("no other member was reached in {rounds} rounds")]
     NobodyReached {
-        /// In how many rounds.
+        /// The number of consecutive rounds.
         rounds: u32,
     },
-    /// The process shuts down.
-    #[error("this proxy stops")]
+    /// The process is shutting down.
+    #[error("the proxy is shutting down")]
     ShuttingDown,
 }
 
-/// A checkpoint was not stored: the lease is no longer held, or no quorum has answered in time.
+/// The checkpoint was not stored: the lease is no longer held, or no quorum acknowledged it in
+/// time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the checkpoint was not stored")]
 pub(super) struct CheckpointNotStored;
 
-/// A hold of a lease, as its work sees it.
+/// The work's handle of a held lease.
 pub(super) struct LeaseHandle {
     service: Weak<LeaseService>,
     lease: LeaseId,
@@ -93,12 +94,12 @@
         &self.name
     }
 
-    /// Returns the token, which each act carries.
+    /// Returns the token, which must be sent with each operation.
     pub(super) fn token(&self) -> Token {
         self.token
     }
 
-    /// Returns this proxy's member id and incarnation as text, for operators.
+    /// Returns this proxy's member id and incarnation as text.
     pub(super) fn holder(&self) -> String {
         let incarnation = self
             .service()
@@ -106,17 +107,17 @@
         format!("{}.{incarnation}", self.token.member())
     }
 
-    /// Returns the last checkpoint of the holders before this one.
+    /// Returns the last checkpoint of previous holders.
     pub(super) fn checkpoint(&self) -> Option<&Checkpoint> {
         self.checkpoint.as_ref()
     }
 
-    /// Returns whether the lease is still held. To be called before each act.
+    /// Returns whether the lease is still held. Checked before each operation.
     pub(super) fn is_held(&self) -> bool {
         self.service_while_held().is_some()
     }
 
-    /// Has a quorum store how far the work has come, in at most
+    /// Stores a checkpoint with a quorum of voters. `state` has at most
     /// [`MAX_STATE_BYTES`](heathroad_lease::checkpoint::MAX_STATE_BYTES).
     pub(super) async fn store_checkpoint(&self, state: Vec<u8>) -> Result<(), CheckpointNotStored> {
         let service = self.service_while_held().ok_or(CheckpointNotStored)?;
@@ -137,21 +138,22 @@
         }
     }
 
-    /// Gives the lease back, because the work cannot be done here.
-    pub(super) fn give_back(&self, error: &WorkError) {
+    /// Resigns the lease after the work has failed.
+    pub(super) fn resign_after_failure(&self, error: &WorkError) {
         let Some(service) = self.service_while_held() else {
             return;
         };
         let name = &self.name;
-        tracing::warn!(lease = %name, "lease {name}: given back: {error}");
+        tracing::warn!(lease = %name, "lease {name}: work failed, resigning: {error}");
         if let Some(lease) = service.leases.get(&self.lease) {
             lease.set_work_failure(error.to_string());
         }
         service.resign_lease(self.lease, EndReason::WorkFailed);
     }
 
-    /// Gives the lease up, because a server has seen a higher token, which it may have told.
-    pub(super) fn give_up_superseded(&self, highest_token: Option<Token>) {
+    /// Resigns the lease after a server has rejected its token. `highest_token` is the highest
+    /// token that the server has seen, if it returned it.
+    pub(super) fn resign_superseded(&self, highest_token: Option<Token>) {
         let Some(service) = self.service_while_held() else {
             return;
         };
