--- a/crates/heathroad/src/backend/jsonrpc/io.rs
+++ b/crates/heathroad/src/backend/jsonrpc/io.rs
@@ -42,7 +42,7 @@
 ) {
     let (mut reader, mut writer) = stream.split();
     let limits = Limits {
-        text: MAX_RESPONSE,
+        max_text_bytes: MAX_RESPONSE,
         ..Limits::default()
     };
     let mut decoder = Decoder::new(framing, limits);
