--- a/crates/heathroad-harness/src/checker/client.rs
+++ b/crates/heathroad-harness/src/checker/client.rs
@@ -1,8 +1,8 @@
 //! What attempts owe the client they are for: none is begun once it has left, and none is told more
 //! time than it has.
 
-use super::Terms;
-use super::rules::{Breach, Rule, SLACK, describe};
+use super::CheckInput;
+use super::rules::{Rule, SLACK, Violation, describe};
 use crate::clock::{Micros, format_seconds};
 use crate::event_log::{Arrival, Attempt, AttemptEnd, EventLog};
 use std::collections::HashMap;
@@ -13,19 +13,19 @@
 const TOLD_SLACK: Micros = 150_000;
 
 /// Attempts that were begun for a client who had left, or with more time than theirs.
-pub(super) fn breaches(
-    terms: &Terms,
+pub(super) fn violations(
+    input: &CheckInput,
     event_log: &EventLog,
     by_id: &HashMap<u64, Vec<&Arrival>>,
-) -> Vec<Breach> {
-    let mut breaches = Vec::new();
+) -> Vec<Violation> {
+    let mut violations = Vec::new();
     for t in &event_log.attempts {
         let arrivals = by_id.get(&t.id).map(Vec::as_slice).unwrap_or_default();
         for arrival in arrivals.iter().filter(|a| a.tier == t.tier) {
             let wrongs = [begun_for_nobody(t, arrival), told_too_much(t, arrival)];
             for wrong in wrongs.into_iter().flatten() {
-                let proof = format!("{wrong}: {}", describe(terms, arrival));
-                breaches.push(Breach {
+                let proof = format!("{wrong}: {}", describe(input, arrival));
+                violations.push(Violation {
                     rule: Rule::Lost,
                     at: arrival.first_byte_at,
                     id: Some(t.id),
@@ -34,7 +34,7 @@
             }
         }
     }
-    breaches
+    violations
 }
 
 fn begun_for_nobody(t: &Attempt, arrival: &Arrival) -> Option<String> {
--- a/crates/heathroad-harness/src/checker/mod.rs
+++ b/crates/heathroad-harness/src/checker/mod.rs
@@ -1,12 +1,12 @@
-//! The judge: service worth and the four rules, from the ledgers alone. A pure function, so that it
-//! can be tried against proxies that break each rule, without a socket.
+//! The invariant checker: computes service worth and the violations of the four rules from the event
+//! log alone. It is a pure function, so tests can run it on logs that violate each rule.
 
 mod client;
 mod rules;
 mod wasted_work;
 mod worth;
 
-pub use rules::{Breach, Rule};
+pub use rules::{Rule, Violation};
 pub use worth::Worth;
 
 use crate::clock::Micros;
@@ -14,21 +14,21 @@
 use crate::event_log::{BackendIndex, EventLog};
 use crate::schedule::Schedule;
 
-/// What the judge must know beside the ledgers.
-pub struct Terms<'a> {
-    /// What was planned.
+/// What the checker needs besides the event log.
+pub struct CheckInput<'a> {
+    /// Planned requests and faults.
     pub schedule: &'a Schedule,
     /// Names of the proxies.
     pub proxies: &'a [String],
-    /// Names of the hosts.
+    /// Names of the backend hosts.
     pub backends: &'a [String],
-    /// Cells of the hosts, beside their tier's others.
+    /// Cell of each host within its tier.
     pub cells: &'a [u16],
-    /// Makes of the hosts' machines.
+    /// Machine type of each host.
     pub host_specs: &'a [HostSpec],
 }
 
-impl Terms<'_> {
+impl CheckInput<'_> {
     fn backend(&self, backend: BackendIndex) -> &str {
         self.backends
             .get(usize::from(backend))
@@ -42,63 +42,64 @@
     }
 }
 
-/// What a rehearsal came to.
+/// Result of checking one run.
 #[derive(Debug, Clone)]
 pub struct Verdict {
     /// Service worth.
     pub worth: Worth,
-    /// Every breach of the four rules.
-    pub breaches: Vec<Breach>,
-    /// Claims that ran twice at the first tier by their clients' doing: repeated later than
-    /// backends remember.
-    pub by_clients: Vec<String>,
-    /// Tries by answer: served, refused, failed, without any.
-    pub tries: [u64; 4],
-    /// Requests that backends saw more than once under one id.
+    /// Violations of the four rules.
+    pub violations: Vec<Violation>,
+    /// Requests that ran twice at the first tier because their client repeated them after the
+    /// backends' deduplication window.
+    pub duplicated_by_clients: Vec<String>,
+    /// Attempts of clients by outcome: served, refused, failed, no response.
+    pub attempts_by_outcome: [u64; 4],
+    /// Repeated arrivals of a request at backends under the same id.
     pub resends: u64,
-    /// Clients that sent what can't be used, and those of them that were left with nothing.
-    pub rude: [u64; 2],
-    /// Calls over JSON-RPC that were served.
+    /// Clients that sent malformed requests, and how many of them got neither a response nor a close.
+    pub malformed_clients: [u64; 2],
+    /// JSON-RPC calls that were served.
     pub remote_served: u64,
-    /// Calls that came round to the first tier and reached a backend of it once more.
+    /// Looped calls that reached a backend of the first tier again.
     pub loops_open: u64,
-    /// The part of backends' work that was begun when the client it was for had left or had its
-    /// answer.
+    /// Share of the backends' work that was started after its client had left or had its response.
     pub work_for_nobody: f64,
-    /// Latencies of served first tries, retries folded in, in microseconds: sorted.
+    /// Sorted latencies of served requests, each measured from its first attempt.
     pub latencies: Vec<Micros>,
 }
 
 impl Verdict {
-    /// How many breaches of a rule there are.
-    pub fn breaches_of(&self, rule: Rule) -> usize {
-        self.breaches.iter().filter(|b| b.rule == rule).count()
+    /// Returns the number of violations of a rule.
+    pub fn violation_count(&self, rule: Rule) -> usize {
+        self.violations.iter().filter(|b| b.rule == rule).count()
     }
 
-    /// A figure that expectations name; see [`crate::scenario::FIGURES`].
+    /// Returns a figure that expectations name; see [`crate::scenario::FIGURES`].
     pub fn figure(&self, name: &str) -> Option<f64> {
-        let all = self.tries.iter().sum::<u64>().max(1) as f64;
+        let total = self.attempts_by_outcome.iter().sum::<u64>().max(1) as f64;
         Some(match name {
             "worth" => self.worth.goal,
             "whole" => self.worth.whole,
             "worst_10s" => self.worth.worst_window,
             "worst_class" => self.worth.worst_class,
             "worst_tenant" => self.worth.worst_tenant,
-            "served" => self.tries[0] as f64,
-            "refused_share" => self.tries[1] as f64 / all,
-            "failed_share" => (self.tries[2] + self.tries[3]) as f64 / all,
-            "run_twice_by_clients" => self.by_clients.len() as f64,
-            "run_twice_by_proxies" => self.breaches_of(Rule::Double) as f64,
+            "served" => self.attempts_by_outcome[0] as f64,
+            "refused_share" => self.attempts_by_outcome[1] as f64 / total,
+            "failed_share" => {
+                (self.attempts_by_outcome[2] + self.attempts_by_outcome[3]) as f64 / total
+            }
+            "run_twice_by_clients" => self.duplicated_by_clients.len() as f64,
+            "run_twice_by_proxies" => self.violation_count(Rule::Double) as f64,
             "resends_seen" => self.resends as f64,
             "remote_served" => self.remote_served as f64,
-            "rude_unanswered" => self.rude[1] as f64,
+            "rude_unanswered" => self.malformed_clients[1] as f64,
             "loops_open" => self.loops_open as f64,
             "work_for_nobody" => self.work_for_nobody,
             _ => return None,
         })
     }
 
-    /// A percentile of the latencies; 0 where nothing was served.
+    /// Returns a percentile of the latencies, or 0 if nothing was served.
     pub fn latency(&self, share: f64) -> Micros {
         let last = self.latencies.len().saturating_sub(1) as f64;
         self.latencies
@@ -108,28 +109,28 @@
     }
 }
 
-/// Judges the ledgers.
-pub fn check(terms: &Terms, event_log: &EventLog) -> Verdict {
+/// Checks the event log.
+pub fn check(input: &CheckInput, event_log: &EventLog) -> Verdict {
     use crate::event_log::{Attempt, AttemptEnd};
-    let (breaches, by_clients, resends) = rules::all(terms, event_log);
-    let mut tries = [0; 4];
+    let (violations, duplicated_by_clients, resends) = rules::all(input, event_log);
+    let mut attempts_by_outcome = [0; 4];
     for t in event_log.attempts.iter().filter(|t| t.is_from_client()) {
-        let kind = match t.end {
+        let outcome = match t.end {
             AttemptEnd::Served(_) => 0,
             AttemptEnd::Refused { .. } => 1,
             AttemptEnd::Failed(_) => 2,
             _ => 3,
         };
-        tries[kind] += 1;
+        attempts_by_outcome[outcome] += 1;
     }
-    let left = event_log
+    let unanswered = event_log
         .malformed_clients
         .iter()
-        .filter(|r| rules::left_with_nothing(r))
+        .filter(|r| rules::was_unanswered(r))
         .count();
     let remote = |t: &&Attempt| {
         t.is_from_client()
-            && terms
+            && input
                 .schedule
                 .requests
                 .get(t.request_index as usize)
@@ -139,19 +140,19 @@
     let remote_served = remote
         .filter(|t| matches!(t.end, AttemptEnd::Served(_)))
         .count() as u64;
-    let (worth, latencies) = worth::of(terms.schedule, &event_log.attempts);
-    let rude = [event_log.malformed_clients.len() as u64, left as u64];
+    let (worth, latencies) = worth::of(input.schedule, &event_log.attempts);
+    let malformed_clients = [event_log.malformed_clients.len() as u64, unanswered as u64];
     let (loops_open, work_for_nobody) = (
         wasted_work::loops_open(event_log),
         wasted_work::for_nobody(event_log),
     );
     Verdict {
         worth,
-        breaches,
-        by_clients,
-        tries,
+        violations,
+        duplicated_by_clients,
+        attempts_by_outcome,
         resends,
-        rude,
+        malformed_clients,
         remote_served,
         loops_open,
         work_for_nobody,
--- a/crates/heathroad-harness/src/checker/rules.rs
+++ b/crates/heathroad-harness/src/checker/rules.rs
@@ -1,7 +1,7 @@
 //! The four rules: no request lost, no double effect, drains kept, no cold backend pushed over.
 //! Each breach is told with the events that prove it.
 
-use super::{Terms, client};
+use super::{CheckInput, client};
 use crate::clock::{Micros, format_seconds};
 use crate::emulator::host::Pressure;
 use crate::event_log::{
@@ -48,7 +48,7 @@
 
 /// A rule broken.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Breach {
+pub struct Violation {
     /// Which.
     pub rule: Rule,
     /// When.
@@ -60,14 +60,14 @@
 }
 
 /// Whether a client that sent what can't be used was owed more than it got.
-pub fn left_with_nothing(r: &MalformedClient) -> bool {
+pub fn was_unanswered(r: &MalformedClient) -> bool {
     r.ended_at
         .is_none_or(|ended| ended > r.at + MALFORMED_REQUEST_TIMEOUT + SLACK)
 }
 
 /// Every breach, the claims that clients ran twice, and how many requests backends saw again under
 /// their id.
-pub fn all(terms: &Terms, event_log: &EventLog) -> (Vec<Breach>, Vec<String>, u64) {
+pub fn all(input: &CheckInput, event_log: &EventLog) -> (Vec<Violation>, Vec<String>, u64) {
     let mut by_id: HashMap<u64, Vec<&Arrival>> = HashMap::new();
     event_log
         .arrivals
@@ -76,14 +76,14 @@
     by_id
         .values_mut()
         .for_each(|arrivals| arrivals.sort_by_key(|a| a.received_at));
-    let mut breaches = lost(terms, event_log, &by_id);
-    breaches.extend(client::breaches(terms, event_log, &by_id));
+    let mut violations = lost(input, event_log, &by_id);
+    violations.extend(client::violations(input, event_log, &by_id));
     let resends = by_id.values().map(|a| a.len() as u64 - 1).sum();
-    breaches.extend(double(terms, event_log, &by_id));
-    breaches.extend(drain(terms, event_log));
-    breaches.extend(cold(terms, event_log));
-    breaches.sort_by_key(|b| (b.at, b.rule));
-    (breaches, run_twice(event_log), resends)
+    violations.extend(double(input, event_log, &by_id));
+    violations.extend(drain(input, event_log));
+    violations.extend(cold(input, event_log));
+    violations.sort_by_key(|b| (b.at, b.rule));
+    (violations, run_twice(event_log), resends)
 }
 
 /// Whether a proxy's process was killed, or had crashed, at some time in a span. What it held is
@@ -107,13 +107,17 @@
         .any(|a| a.at <= to + SLACK && a.until >= from)
 }
 
-fn lost(terms: &Terms, event_log: &EventLog, by_id: &HashMap<u64, Vec<&Arrival>>) -> Vec<Breach> {
-    let grace = (terms.schedule.scenario.rules.answer_grace_ms * 1000.0) as Micros + SLACK;
-    let mut breaches = Vec::new();
+fn lost(
+    input: &CheckInput,
+    event_log: &EventLog,
+    by_id: &HashMap<u64, Vec<&Arrival>>,
+) -> Vec<Violation> {
+    let grace = (input.schedule.scenario.rules.answer_grace_ms * 1000.0) as Micros + SLACK;
+    let mut violations = Vec::new();
     for t in &event_log.attempts {
         let Some(sent) = t.sent_at else { continue };
         let arrivals = by_id.get(&t.id).map(Vec::as_slice).unwrap_or_default();
-        let who = terms.proxy(t.proxy);
+        let who = input.proxy(t.proxy);
         let took = t.ended_at.saturating_sub(sent + t.read_delay);
         let still = stalled(&event_log.process_events, t.proxy, sent, t.ended_at);
         let late = took > t.time_limit + grace && !still;
@@ -194,12 +198,12 @@
             .map(|a| {
                 format!(
                     "its connection was closed without an answer after it had been passed on: {}",
-                    describe(terms, a)
+                    describe(input, a)
                 )
             });
         for wrong in wrong.into_iter().chain(twice).chain(taken) {
             let proof = format!("{}; {wrong}", owed());
-            breaches.push(Breach {
+            violations.push(Violation {
                 rule: Rule::Lost,
                 at: t.ended_at,
                 id: Some(t.id),
@@ -217,17 +221,17 @@
             r.kind,
             format_seconds(r.at)
         );
-        breaches.push(Breach {
+        violations.push(Violation {
             rule: Rule::Lost,
             at: r.at,
             id: r.smuggled_id,
             proof,
         });
     }
-    breaches
+    violations
 }
 
-pub(super) fn describe(terms: &Terms, a: &Arrival) -> String {
+pub(super) fn describe(input: &CheckInput, a: &Arrival) -> String {
     let what = match a.disposition {
         Disposition::Executed => "ran",
         Disposition::Duplicate => "dropped as a repeat",
@@ -236,14 +240,18 @@
     format!(
         "at {} from {} to {}: {what}",
         format_seconds(a.received_at),
-        terms.proxy(a.proxy),
-        terms.backend(a.backend)
+        input.proxy(a.proxy),
+        input.backend(a.backend)
     )
 }
 
-fn double(terms: &Terms, event_log: &EventLog, by_id: &HashMap<u64, Vec<&Arrival>>) -> Vec<Breach> {
-    let mut breaches = Vec::new();
-    let classes = &terms.schedule.scenario.class;
+fn double(
+    input: &CheckInput,
+    event_log: &EventLog,
+    by_id: &HashMap<u64, Vec<&Arrival>>,
+) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let classes = &input.schedule.scenario.class;
     // What its sender sent once more, since its connection was closed, is not the proxy's second
     // try.
     let crossed: HashMap<u64, Micros> = event_log
@@ -263,7 +271,7 @@
             continue;
         };
         let window = (class.window_ms * 1000.0) as Micros + SLACK;
-        let cell = |a: &Arrival| terms.cells.get(usize::from(a.backend));
+        let cell = |a: &Arrival| input.cells.get(usize::from(a.backend));
         let again = crossed.get(&id).filter(|at| first.received_at <= **at);
         for a in may_have_run.filter(|a| again.is_none_or(|at| a.received_at <= *at)) {
             let wrong = match class.effect {
@@ -280,10 +288,10 @@
             if let Some(wrong) = wrong {
                 let proof = format!(
                     "{wrong}: {}; then {}",
-                    describe(terms, first),
-                    describe(terms, a)
+                    describe(input, first),
+                    describe(input, a)
                 );
-                breaches.push(Breach {
+                violations.push(Violation {
                     rule: Rule::Double,
                     at: a.received_at,
                     id: Some(id),
@@ -309,9 +317,9 @@
             let proof = format!(
                 "refused at {} though it may have run: {}",
                 format_seconds(t.ended_at),
-                describe(terms, ran)
+                describe(input, ran)
             );
-            breaches.push(Breach {
+            violations.push(Violation {
                 rule: Rule::Double,
                 at: t.ended_at,
                 id: Some(t.id),
@@ -327,9 +335,9 @@
         if let Some(a) = by_id.get(&hidden).and_then(|a| a.first()) {
             let proof = format!(
                 "a request hidden in another's body was passed on: {}",
-                describe(terms, a)
+                describe(input, a)
             );
-            breaches.push(Breach {
+            violations.push(Violation {
                 rule: Rule::Double,
                 at: a.received_at,
                 id: Some(hidden),
@@ -337,7 +345,7 @@
             });
         }
     }
-    breaches
+    violations
 }
 
 /// Claims that ran twice at the first tier under different ids: the client asked again later than
@@ -382,8 +390,8 @@
     twice
 }
 
-fn drain(terms: &Terms, event_log: &EventLog) -> Vec<Breach> {
-    let grace = (terms.schedule.scenario.rules.drain_grace_ms * 1000.0) as Micros + SLACK;
+fn drain(input: &CheckInput, event_log: &EventLog) -> Vec<Violation> {
+    let grace = (input.schedule.scenario.rules.drain_grace_ms * 1000.0) as Micros + SLACK;
     let mut told: HashMap<(ProxyIndex, u16), Vec<&RegistryUpdate>> = HashMap::new();
     event_log
         .registry_updates
@@ -391,7 +399,7 @@
         .for_each(|t| told.entry((t.proxy, t.backend)).or_default().push(t));
     told.values_mut()
         .for_each(|list| list.sort_by_key(|t| t.at));
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for a in &event_log.arrivals {
         let Some(list) = told.get(&(a.proxy, a.backend)) else {
             continue;
@@ -414,14 +422,14 @@
         if let Some((at, health)) = since.filter(|(at, _)| a.first_byte_at > at + grace) {
             let proof = format!(
                 "{} was told at {} that {} is {}, and its first byte came there at {}, {} later",
-                terms.proxy(a.proxy),
+                input.proxy(a.proxy),
                 format_seconds(at),
-                terms.backend(a.backend),
+                input.backend(a.backend),
                 health.as_str(),
                 format_seconds(a.first_byte_at),
                 format_seconds(a.first_byte_at - at)
             );
-            breaches.push(Breach {
+            violations.push(Violation {
                 rule: Rule::Drain,
                 at: a.first_byte_at,
                 id: Some(a.id),
@@ -429,14 +437,14 @@
             });
         }
     }
-    breaches
+    violations
 }
 
 /// A cold backend's load over each span, by all proxies together, as the rule words it.
-fn cold(terms: &Terms, event_log: &EventLog) -> Vec<Breach> {
-    let mut breaches = Vec::new();
+fn cold(input: &CheckInput, event_log: &EventLog) -> Vec<Violation> {
+    let mut violations = Vec::new();
     for life in event_log.incarnations.iter().filter(|l| !l.warm) {
-        let Some(spec) = terms.host_specs.get(usize::from(life.backend)) else {
+        let Some(spec) = input.host_specs.get(usize::from(life.backend)) else {
             continue;
         };
         let mut sent: Vec<&Arrival> = event_log
@@ -468,7 +476,7 @@
                 } else {
                     0
                 };
-                *by.entry(terms.proxy(s.proxy)).or_default() += s.work;
+                *by.entry(input.proxy(s.proxy)).or_default() += s.work;
             }
             if (knowing as f64) < TOLD_PART * all as f64 {
                 break;
@@ -480,14 +488,14 @@
             let proof = format!(
                 "{} started at {}; by {} it was sent {multiple:.2} times what it can do at that moment over {} \
                  (at most {}): {}",
-                terms.backend(life.backend),
+                input.backend(life.backend),
                 format_seconds(life.started_at),
                 format_seconds(a.received_at),
                 format_seconds(spec.overload_window),
                 spec.overload_multiple,
                 by.join(", ")
             );
-            breaches.push(Breach {
+            violations.push(Violation {
                 rule: Rule::Cold,
                 at: a.received_at,
                 id: Some(a.id),
@@ -496,5 +504,5 @@
             break;
         }
     }
-    breaches
+    violations
 }
--- a/crates/heathroad-harness/src/report.rs
+++ b/crates/heathroad-harness/src/report.rs
@@ -19,7 +19,7 @@
     RGBColor(86, 180, 233),
 ];
 const BAND: RGBColor = RGBColor(120, 120, 120);
-const BREACH: RGBColor = RGBColor(200, 0, 0);
+const VIOLATION: RGBColor = RGBColor(200, 0, 0);
 /// Rows that the labels of bands are spread over.
 const ROWS: usize = 4;
 
@@ -36,7 +36,7 @@
     length: f64,
     /// From, until, and what.
     bands: Vec<(f64, f64, String)>,
-    breaches: Vec<f64>,
+    violations: Vec<f64>,
 }
 
 fn micros_from_seconds(at: Micros, start: Micros) -> f64 {
@@ -60,7 +60,12 @@
             .map(|f| (at(f.at), at(f.until), f.label(&schedule.scenario)))
             .chain(changes)
             .collect(),
-        breaches: summary.verdict.breaches.iter().map(|b| at(b.at)).collect(),
+        violations: summary
+            .verdict
+            .violations
+            .iter()
+            .map(|b| at(b.at))
+            .collect(),
     };
     let mut out = String::new();
     write_page(&mut out, summary, &back).map_err(|e| format!("report: {e}"))?;
@@ -95,11 +100,11 @@
     out.push_str("<h2>Limit and calls in flight, by proxy of the first tier</h2>");
     out.push_str(&chart(back, "calls", &limits(summary))?);
     out.push_str("<p>Grey bands are faults, red lines are breaches.</p><h2>Breaches</h2>");
-    if summary.verdict.breaches.is_empty() {
+    if summary.verdict.violations.is_empty() {
         out.push_str("<p>None.</p>");
     } else {
         out.push_str("<table><tr><th>Rule<th>At<th>Request<th>Proof</tr>");
-        for b in &summary.verdict.breaches {
+        for b in &summary.verdict.violations {
             let id = b.id.map(|id| format!("{id:016x}")).unwrap_or_default();
             let (rule, at, proof) = (b.rule.name(), format_seconds(b.at), escape(&b.proof));
             write!(
@@ -304,10 +309,10 @@
         .label(s.name.as_str())
         .legend(|(x, y)| Rectangle::new([(x, y - 2), (x + 16, y + 2)], s.colour.filled()));
     }
-    for at in &back.breaches {
+    for at in &back.violations {
         chart.draw_series(LineSeries::new(
             [(*at, 0.0), (*at, top)],
-            BREACH.stroke_width(1),
+            VIOLATION.stroke_width(1),
         ))?;
     }
     for (i, (from, _, label)) in back.bands.iter().enumerate() {
--- a/crates/heathroad-harness/src/summary.rs
+++ b/crates/heathroad-harness/src/summary.rs
@@ -2,7 +2,7 @@
 //! that they mean anything.
 
 use crate::audit_check;
-use crate::checker::{self, Rule, Terms, Verdict};
+use crate::checker::{self, CheckInput, Rule, Verdict};
 use crate::clock::{Micros, format_seconds};
 use crate::emulator::fencing_server;
 use crate::metrics_check::{self, Line};
@@ -89,14 +89,14 @@
 impl Summary {
     /// Judges what was seen.
     pub fn of(seen: RunRecord) -> Summary {
-        let terms = Terms {
+        let input = CheckInput {
             schedule: &seen.schedule,
             proxies: &seen.proxies,
             backends: &seen.backends,
             cells: &seen.cells,
             host_specs: &seen.host_specs,
         };
-        let verdict = checker::check(&terms, &seen.event_log);
+        let verdict = checker::check(&input, &seen.event_log);
         let lines = metrics_check::compare(&seen);
         let expectations = expectations(&seen, &verdict);
         let void = void(&seen);
@@ -116,7 +116,7 @@
 
     /// What the program ends with.
     pub fn code(&self) -> Code {
-        let sound = self.verdict.breaches.is_empty()
+        let sound = self.verdict.violations.is_empty()
             && self.agrees()
             && self.expectations.iter().all(|e| e.ok)
             && self.record.errors.is_empty();
@@ -161,7 +161,7 @@
 
     /// The outcome as one JSON object, under the scenario's name.
     pub fn json(&self, scenario: &str) -> String {
-        let of = |rule| self.verdict.breaches_of(rule);
+        let of = |rule| self.verdict.violation_count(rule);
         let [p50, p99] = [0.5, 0.99].map(|p| self.verdict.latency(p));
         let json = Json {
             scenario,
@@ -207,7 +207,7 @@
             "             whole {:.3}, worst 10 s {:.3}, worst class {:.3}, worst tenant {:.3}",
             w.whole, w.worst_window, w.worst_class, w.worst_tenant
         )?;
-        let [served, refused, failed, none] = v.tries;
+        let [served, refused, failed, none] = v.attempts_by_outcome;
         writeln!(
             out,
             "  tries      served {served}, refused {refused}, failed {failed}, without an answer {none}"
@@ -230,23 +230,23 @@
             "  effort     {:.4} of the work was begun for nobody",
             v.work_for_nobody
         )?;
-        if v.rude[0] > 0 {
+        if v.malformed_clients[0] > 0 {
             writeln!(
                 out,
                 "  misuse     {} bad clients, left with nothing {}",
-                v.rude[0], v.rude[1]
+                v.malformed_clients[0], v.malformed_clients[1]
             )?;
         }
         let rules: Vec<String> = Rule::ALL
             .iter()
-            .map(|r| format!("{} {}", r.name(), v.breaches_of(*r)))
+            .map(|r| format!("{} {}", r.name(), v.violation_count(*r)))
             .collect();
         writeln!(out, "  breaches   {}", rules.join(", "))?;
-        for b in &v.breaches {
+        for b in &v.violations {
             let id = b.id.map(|id| format!("{id:016x} ")).unwrap_or_default();
             writeln!(out, "    {} {id}{}", b.rule.name(), b.proof)?;
         }
-        for twice in &v.by_clients {
+        for twice in &v.duplicated_by_clients {
             writeln!(out, "  run twice by its client: {twice}")?;
         }
         let apart = self
--- a/crates/heathroad-harness/tests/checker.rs
+++ b/crates/heathroad-harness/tests/checker.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use heathroad_harness::checker::{Rule, Terms, Verdict, check};
+use heathroad_harness::checker::{CheckInput, Rule, Verdict, check};
 use heathroad_harness::clock::{Micros, SECOND};
 use heathroad_harness::emulator::host::HostSpec;
 use heathroad_harness::event_log::*;
@@ -78,7 +78,7 @@
     let [proxies, backends] =
         [["proxy-1", "proxy-2"], ["a", "b"]].map(|names| names.map(String::from));
     check(
-        &Terms {
+        &CheckInput {
             schedule,
             proxies: &proxies,
             backends: &backends,
@@ -92,8 +92,8 @@
 /// The one breach, and its proof; none.
 fn breach(event_log: &EventLog) -> Option<(Rule, String)> {
     let v = judged(event_log);
-    assert!(v.breaches.len() <= 1, "{:?}", v.breaches);
-    v.breaches.into_iter().next().map(|b| (b.rule, b.proof))
+    assert!(v.violations.len() <= 1, "{:?}", v.violations);
+    v.violations.into_iter().next().map(|b| (b.rule, b.proof))
 }
 
 fn one(t: Attempt, arrivals: Vec<Arrival>) -> EventLog {
@@ -281,9 +281,9 @@
     let event_log = one(try_of(7, KEYED), vec![arrival(7, KEYED, SECOND), again]);
     let v = judged_by(&schedule, &event_log);
     assert!(
-        v.breaches[0].proof.contains("outside its group"),
+        v.violations[0].proof.contains("outside its group"),
         "{:?}",
-        v.breaches
+        v.violations
     );
     assert_eq!(
         breach(&event_log),
@@ -342,9 +342,9 @@
         ..EventLog::default()
     };
     let v = judged(&event_log);
-    assert!(v.breaches.is_empty(), "the proxy sent each once");
-    let [client] = &v.by_clients[..] else {
-        panic!("{:?}", v.by_clients)
+    assert!(v.violations.is_empty(), "the proxy sent each once");
+    let [client] = &v.duplicated_by_clients[..] else {
+        panic!("{:?}", v.duplicated_by_clients)
     };
     assert!(
         client.contains("its client sent it again at 12.000 s, 11.000 s later"),
@@ -356,10 +356,13 @@
     by_proxy.attempts.truncate(1);
     let v = judged(&by_proxy);
     assert_eq!(
-        (v.breaches_of(Rule::Double), v.by_clients.len()),
+        (
+            v.violation_count(Rule::Double),
+            v.duplicated_by_clients.len()
+        ),
         (1, 0),
         "{:?}",
-        v.breaches
+        v.violations
     );
 }
 
@@ -394,7 +397,7 @@
             malformed_clients: rude,
             ..EventLog::default()
         })
-        .rude[1]
+        .malformed_clients[1]
     };
     assert_eq!(
         [left(None), left(Some(4 * SECOND)), left(Some(5 * SECOND))],
@@ -583,7 +586,7 @@
     assert!((v.worth.whole - 1.55 / 3.05).abs() < 1e-9);
     assert!((v.worth.worst_tenant - 0.5).abs() < 0.51, "{:?}", v.worth);
     assert_eq!(v.latencies, [100 * MS, 600 * MS, 1500 * MS]);
-    assert_eq!(v.tries, [3, 0, 1, 0]);
+    assert_eq!(v.attempts_by_outcome, [3, 0, 1, 0]);
 }
 
 /// A call that a backend made of the first tier again is no client's, whatever it came to; reaching
@@ -610,12 +613,16 @@
     };
     let ended = round(AttemptEnd::Failed(508), false);
     assert_eq!(
-        (ended.loops_open, ended.tries, ended.worth.earned),
+        (
+            ended.loops_open,
+            ended.attempts_by_outcome,
+            ended.worth.earned
+        ),
         (0, [0, 0, 1, 0], 0.0)
     );
     let open = round(AttemptEnd::Served(8), true);
     assert_eq!(
-        (open.loops_open, open.tries, open.worth.earned),
+        (open.loops_open, open.attempts_by_outcome, open.worth.earned),
         (1, [0, 0, 1, 0], 0.0)
     );
     assert_eq!(open.figure("loops_open"), Some(1.0));
--- a/crates/heathroad-harness/tests/invariants.rs
+++ b/crates/heathroad-harness/tests/invariants.rs
@@ -7,8 +7,8 @@
 use heathroad_harness::checker::Rule;
 use heathroad_harness::summary::{Code, Summary};
 
-fn breaches(o: &Summary) -> Vec<Rule> {
-    let mut rules: Vec<Rule> = o.verdict.breaches.iter().map(|b| b.rule).collect();
+fn violated_rules(o: &Summary) -> Vec<Rule> {
+    let mut rules: Vec<Rule> = o.verdict.violations.iter().map(|b| b.rule).collect();
     rules.sort_unstable();
     rules.dedup();
     rules
@@ -33,10 +33,10 @@
     ];
     for (vice, rules, proof) in cases {
         let o = rehearse(&bad_proxy(vice), SMALL, 7);
-        assert_eq!(breaches(&o), rules, "{vice}: {}", o.table());
+        assert_eq!(violated_rules(&o), rules, "{vice}: {}", o.table());
         let told = o
             .verdict
-            .breaches
+            .violations
             .iter()
             .all(|b| b.proof.contains(proof) && (b.rule == Rule::Cold || b.id.is_some()));
         assert!(told, "{vice}: {}", o.table());
@@ -47,10 +47,10 @@
 #[test]
 fn a_cold_backend_that_is_pushed_over_is_named() {
     let o = rehearse(&bad_proxy("pushes-cold"), PUSHED, 7);
-    assert!(breaches(&o).contains(&Rule::Cold), "{}", o.table());
+    assert!(violated_rules(&o).contains(&Rule::Cold), "{}", o.table());
     let breach = o
         .verdict
-        .breaches
+        .violations
         .iter()
         .find(|b| b.rule == Rule::Cold)
         .expect("just seen");
@@ -71,7 +71,7 @@
     );
     // The same day with the daemon: its two proxies together stay within the budget.
     let sound = sound(PUSHED, 7);
-    assert_eq!(breaches(&sound), [], "{}", sound.table());
+    assert_eq!(violated_rules(&sound), [], "{}", sound.table());
     assert!(
         sound
             .record
@@ -87,34 +87,34 @@
 fn who_serves_what_cannot_be_used_is_named() {
     let rude = SMALL.replace("rude_per_s = 0.0", "rude_per_s = 10.0");
     let o = rehearse(&bad_proxy("none"), &rude, 7);
-    assert_eq!(breaches(&o), [Rule::Lost], "{}", o.table());
+    assert_eq!(violated_rules(&o), [Rule::Lost], "{}", o.table());
     assert!(
         o.verdict
-            .breaches
+            .violations
             .iter()
             .all(|b| b.proof.contains("a client that sent")),
         "{}",
         o.table()
     );
     assert!(
-        o.verdict.rude[1] > 0,
+        o.verdict.malformed_clients[1] > 0,
         "a head without end is owed a close: {}",
         o.table()
     );
     let sound = sound(&rude, 7);
     assert_eq!(
-        (breaches(&sound), sound.verdict.rude[1]),
+        (violated_rules(&sound), sound.verdict.malformed_clients[1]),
         (vec![], 0),
         "{}",
         sound.table()
     );
-    assert!(sound.verdict.rude[0] > 20);
+    assert!(sound.verdict.malformed_clients[0] > 20);
 }
 
 #[test]
 fn false_counts_are_named() {
     let o = rehearse(&bad_proxy("miscounts"), SMALL, 7);
-    assert_eq!(breaches(&o), [], "{}", o.table());
+    assert_eq!(violated_rules(&o), [], "{}", o.table());
     assert!(!o.agrees());
     assert_eq!(
         o.code() as u8,
@@ -135,7 +135,7 @@
         let o = sound(SMALL, 3);
         assert_eq!(o.code() as u8, Code::Kept as u8, "{}", o.table());
         assert!(
-            o.record.event_log.arrivals.len() > 100 && o.verdict.tries[0] > 100,
+            o.record.event_log.arrivals.len() > 100 && o.verdict.attempts_by_outcome[0] > 100,
             "{}",
             o.table()
         );
@@ -163,7 +163,7 @@
             + "[[fault]]\nwhat = \"reset\"\ntier = \"store\"\nat_s = 1.0\nfor_s = 2.0\nsize = 0.5\n";
         let o = sound(&remote, 9);
         assert!(
-            o.verdict.breaches.is_empty() && o.agrees() && o.record.errors.is_empty(),
+            o.verdict.violations.is_empty() && o.agrees() && o.record.errors.is_empty(),
             "{}",
             o.table()
         );
@@ -208,7 +208,7 @@
     );
     assert_eq!(with.verdict.loops_open, 0, "{}", with.table());
     assert!(
-        with.agrees() && with.verdict.breaches.is_empty(),
+        with.agrees() && with.verdict.violations.is_empty(),
         "{}",
         with.table()
     );
--- a/crates/heathroad-harness/tests/runner.rs
+++ b/crates/heathroad-harness/tests/runner.rs
@@ -83,7 +83,7 @@
 fn processes_that_come_and_go_are_seen_and_break_nothing() {
     let o = sound(PROCESSES, 2);
     assert!(
-        o.verdict.breaches.is_empty() && o.agrees() && o.record.errors.is_empty(),
+        o.verdict.violations.is_empty() && o.agrees() && o.record.errors.is_empty(),
         "{}",
         o.table()
     );
@@ -197,11 +197,11 @@
         format!("routes = \'\'\'\n{example}\'\'\'\n{text}").replace("rate = 60.0", "rate = 120.0");
     let o = sound(&text, 4);
     assert!(
-        o.verdict.breaches.is_empty() && o.agrees() && o.record.errors.is_empty(),
+        o.verdict.violations.is_empty() && o.agrees() && o.record.errors.is_empty(),
         "{}",
         o.table()
     );
-    assert!(o.verdict.tries[0] > 800, "{}", o.table());
+    assert!(o.verdict.attempts_by_outcome[0] > 800, "{}", o.table());
     let pools = |c: &heathroad_harness::runner::ProxyCounts| {
         let rows = c.counts.as_ref()?.get("requests")?.as_array()?.clone();
         Some(
@@ -221,7 +221,8 @@
         all.into_iter().collect::<Vec<_>>(),
         ["reads", "reads-trial", "writes"]
     );
-    let cold = o.record.event_log.incarnations.iter().any(|l| !l.warm) && o.verdict.tries[0] > 0;
+    let cold = o.record.event_log.incarnations.iter().any(|l| !l.warm)
+        && o.verdict.attempts_by_outcome[0] > 0;
     assert!(cold, "a gate came back cold");
 }
 
@@ -232,7 +233,7 @@
 fn a_fleet_is_audited_beside_what_backends_saw() {
     let o = sound(include_str!("../../../scenarios/proxy-stall.toml"), 3);
     assert!(
-        o.verdict.breaches.is_empty() && o.agrees() && o.record.errors.is_empty(),
+        o.verdict.violations.is_empty() && o.agrees() && o.record.errors.is_empty(),
         "{}",
         o.table()
     );
