--- a/crates/heathroad-lease/examples/lease-bench.rs
+++ b/crates/heathroad-lease/examples/lease-bench.rs
@@ -114,7 +114,7 @@
 
 fn print_message_rates() {
     println!(
-        "one lease without faults: members, message loss, messages per second, longest message, holds"
+        "one lease at rest: members, message loss, messages per second, longest message, holds"
     );
     for (member_count, loss) in [(9, 0.0), (300, 0.0), (300, 0.1), (300, 0.3)] {
         let mut simulation = simulation_with_holder(member_count, 1, LEASE_DURATION);
--- a/crates/heathroad-lease/src/lease_manager.rs
+++ b/crates/heathroad-lease/src/lease_manager.rs
@@ -151,8 +151,8 @@
         self.outputs.drain(..)
     }
 
-    /// Runs `operation` on the candidate of a lease and collects its outputs. Returns `None` if this
-    /// member has no candidate for the lease.
+    /// Runs `operation` on the candidate of a lease and collects its outputs. Returns `None` if
+    /// this member has no candidate for the lease.
     fn with_candidate<R>(
         &mut self,
         lease: LeaseId,
--- a/crates/heathroad-lease/tests/simulation/mod.rs
+++ b/crates/heathroad-lease/tests/simulation/mod.rs
@@ -207,7 +207,7 @@
     }
 
     /// Returns the members that consider themselves holders, with their tokens. Stalled members are
-    /// left out, because they check their lease before they operation again.
+    /// left out, because they check their lease before they act again.
     pub fn holders(&self) -> Vec<(MemberId, Token)> {
         let held_by = |member: MemberId| {
             let node = &self.nodes[usize::from(member)];
