--- a/crates/heathroad/src/frontend/batch_concurrency.rs
+++ b/crates/heathroad/src/frontend/batch_concurrency.rs
@@ -1,29 +1,29 @@
-//! How many calls of one connection's batches run at once: as many as their pools serve. A batch
-//! that began all its calls at once would have most of them rejected where a slower one has them
-//! served. (Calls by themselves are begun at once: a client that sends them one by one wants each
-//! answer soon.)
+//! Adaptive limit on the concurrent batch calls of one connection. Without it, a large batch would
+//! exceed the capacity of its pools and have most of its calls rejected. Calls outside batches are
+//! not limited here.
 
-/// Calls that a connection begins with.
+/// Limit of a new connection, in calls.
 const INITIAL_LIMIT: f64 = 4.0;
-/// Calls by which the limit grows with each round that was not rejected, once some call was.
+/// Growth of the limit per round without a rejection after slow start, in calls.
 const ADDITIVE_INCREASE: f64 = 0.25;
-/// The limit is divided by this when a call is rejected.
+/// Divides the limit when a call is rejected.
 const DECREASE_DIVISOR: f64 = 2.0;
 
-/// A limit by slow start and additive increase, multiplicative decrease: it doubles with each round
-/// until a call is rejected, then halves, and grows slowly from there.
+/// A concurrency limit with slow start, additive increase and multiplicative decrease (AIMD): it
+/// doubles each round until the first rejection, which halves it, and then grows linearly.
 #[derive(Debug)]
 pub struct BatchConcurrency {
     limit: f64,
     max: f64,
-    /// A call was rejected before, which ends the slow start.
+    /// Whether a call was rejected, which ends slow start.
     was_rejected: bool,
-    /// After so many more answers rejections count again: those of one round count once.
+    /// Number of answers during which further rejections are ignored, so that the rejections of
+    /// one round reduce the limit once.
     answers_to_ignore: usize,
 }
 
 impl BatchConcurrency {
-    /// Returns the limit of a connection on which so many calls may run.
+    /// Returns the limit of a new connection that may run at most `max_calls` calls.
     pub fn new(max_calls: usize) -> BatchConcurrency {
         let max = (max_calls as f64).max(1.0);
         BatchConcurrency {
@@ -34,12 +34,12 @@
         }
     }
 
-    /// Returns the most calls that run at once.
+    /// Returns the maximum number of concurrent batch calls.
     pub fn limit(&self) -> usize {
         self.limit as usize
     }
 
-    /// Records a call's answer.
+    /// Adjusts the limit to the answer of a call.
     pub fn record_answer(&mut self, is_rejected: bool) {
         self.answers_to_ignore = self.answers_to_ignore.saturating_sub(1);
         if !is_rejected {
--- a/crates/heathroad/src/frontend/connections.rs
+++ b/crates/heathroad/src/frontend/connections.rs
@@ -1,5 +1,5 @@
-//! The clients' connections: which there are, how long each may be idle, and which is closed when
-//! another client needs its place.
+//! The table of client connections: their state, their idle timeouts, and the choice of the
+//! connection to close when the limit is reached.
 
 use super::read_ahead::ReadAheadStream;
 use crate::safety::{self, ClientConnection, ConnectionState, Violation, violations};
@@ -15,44 +15,43 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A head must arrive whole so long after its first byte, and a body after its head. A connection's
-/// first request must arrive so long after the connect: a client that sends nothing, or sends for
-/// ever, is not waited for.
+/// Timeout for a request head from its first byte, for a body from its head, and for the first
+/// request of a connection from its acceptance.
 pub const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection may be idle so long between requests, while there are free places.
+/// Maximum idle time of a connection between requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// At a stop, a connection that has just come and sent nothing yet is given so long for its first
-/// request.
+/// Time that a connection without a request has to send its first one after shutdown begins.
 pub const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(150);
-/// Connections above the limit, which are accepted only to be rejected at once.
+/// Connections accepted above the limit, so that their clients receive a rejection instead of
+/// waiting in the accept queue.
 pub const SPARE_CONNECTIONS: usize = 16;
 
-/// What has become of a connection's present request.
+/// The stage of a connection's current request.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Stage {
-    /// There is none, or its head has not arrived whole.
+    /// There is no request, or its head is incomplete.
     Idle,
     /// Its body is being read.
     ReadingBody,
-    /// It waits for its response.
+    /// The request waits for its response.
     Pending,
 }
 
 /// Why a client's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CloseReason {
-    /// The client has closed it.
+    /// The client closed the connection.
     ByClient,
-    /// The client has reset it, or sent what is no HTTP.
+    /// The client reset the connection or sent invalid HTTP.
     Broken,
-    /// Its last response is written.
+    /// The last response is written.
     Finished,
-    /// Its place is needed, or it has been idle for long.
+    /// The proxy closed the connection to free capacity, or because it was overdue.
     Shed,
 }
 
 impl CloseReason {
-    /// Returns the reason by how the HTTP library ended the connection.
+    /// Converts the result of Hyper's connection future.
     pub fn from_result<E>(result: &Result<(), E>) -> CloseReason {
         match result {
             Ok(()) => CloseReason::Finished,
@@ -61,30 +60,29 @@
     }
 }
 
-/// A client's connection over HTTP.
+/// An HTTP connection of a client.
 pub struct Connection {
-    /// The number by which log lines name it.
+    /// Identifies the connection in log lines.
     pub number: u64,
-    /// What has become of its present request.
+    /// The stage of the current request.
     pub stage: Cell<Stage>,
-    /// When it was accepted, or its last response was made.
-    pub since: Cell<Instant>,
-    /// Whether it was answered at all.
+    /// When the connection was accepted, or its last response was produced.
+    pub idle_since: Cell<Instant>,
+    /// Whether any request was answered on this connection.
     pub is_answered: Cell<bool>,
-    /// Whether it was answered with a backend's response.
+    /// Whether any request was answered with a backend's response.
     pub is_served: Cell<bool>,
-    /// How far its messages have got.
+    /// The progress of its messages.
     pub progress: Rc<Progress>,
-    /// Its stream.
+    /// The underlying stream.
     pub stream: ReadAheadStream,
     is_closing: Cell<bool>,
-    /// Notifies its task that it is asked to close.
+    /// Notifies the connection's task of a request to close.
     pub close_requested: Notify,
 }
 
 impl Connection {
-    /// Returns whether closing it takes nothing from the client that was taken or answered, nor
-    /// what lies unread on it.
+    /// Returns whether closing the connection loses no request and no response.
     fn may_close(&self, has_unread_bytes: bool) -> bool {
         safety::may_close(ConnectionState {
             has_pending_request: self.stage.get() == Stage::Pending,
@@ -93,33 +91,33 @@
         })
     }
 
-    /// Returns whether it may be asked to close.
+    /// Returns whether the connection can be selected for closing.
     fn is_sheddable(&self) -> bool {
         self.may_close(false) && !self.is_closing.get()
     }
 
-    /// Returns whether its client has taken longer than it may.
+    /// Returns whether the client has exceeded the timeout of its current stage.
     fn is_overdue(&self) -> bool {
         match (
             self.stage.get(),
             self.is_answered.get(),
             self.progress.receiving_since(),
         ) {
-            (Stage::Idle, false, _) => self.since.get().elapsed() > MESSAGE_TIMEOUT,
+            (Stage::Idle, false, _) => self.idle_since.get().elapsed() > MESSAGE_TIMEOUT,
             (Stage::Idle, true, Some(since)) => since.elapsed() > MESSAGE_TIMEOUT,
-            (Stage::Idle, true, None) => self.since.get().elapsed() > IDLE_TIMEOUT,
-            // These have deadlines of their own.
+            (Stage::Idle, true, None) => self.idle_since.get().elapsed() > IDLE_TIMEOUT,
+            // Body reads and pending requests have their own deadlines.
             (Stage::ReadingBody | Stage::Pending, ..) => false,
         }
     }
 
-    /// Returns for how long nothing was read on it.
+    /// Returns the time idle_since data last arrived.
     pub fn time_since_read(&self) -> Duration {
         let last_arrival = self.progress.last_arrival();
         last_arrival.map_or(Duration::ZERO, |last_arrival| last_arrival.elapsed())
     }
 
-    /// Records that it is closed.
+    /// Logs the close, and records a violation if the proxy dropped a pending request.
     pub fn record_close(&self, reason: CloseReason) {
         let is_pending = self.stage.get() == Stage::Pending;
         tracing::debug!(
@@ -128,8 +126,8 @@
             is_pending,
             "connection closed"
         );
-        let is_ours = !matches!(reason, CloseReason::ByClient | CloseReason::Broken);
-        if is_pending && is_ours {
+        let by_proxy = !matches!(reason, CloseReason::ByClient | CloseReason::Broken);
+        if is_pending && by_proxy {
             let label = format!("on connection {}", self.number);
             violations::record_violation(Violation::DroppedRequest, &label);
         }
@@ -140,17 +138,17 @@
         self.close_requested.notify_one();
     }
 
-    /// Returns whether it can still close as it was asked to. A request may have come since, which
-    /// is owed a response; one that lies unread on an idle connection is such. What is half read is
-    /// overdue, or of no use.
+    /// Returns whether a requested close is still safe. A request that arrived in the meantime,
+    /// including an unread one on an idle connection, must be answered first; a partially read one
+    /// may be dropped.
     pub fn confirm_close(&self) -> bool {
         self.is_closing.set(false);
         let is_idle = self.stage.get() == Stage::Idle && self.progress.receiving_since().is_none();
         self.may_close(is_idle && self.stream.has_unread())
     }
 
-    /// Returns whether nothing on it is pending, half read or half written.
-    pub fn is_quiet(&self) -> bool {
+    /// Returns whether no request is pending and no message is partially read or written.
+    pub fn is_quiescent(&self) -> bool {
         self.stage.get() == Stage::Idle
             && self.progress.receiving_since().is_none()
             && !self.progress.has_unsent_bytes()
@@ -158,65 +156,65 @@
 }
 
 impl ClientConnection for Connection {
-    /// Asks the reactor, and the system after a stall, when the reactor's knowledge is old.
+    /// Checks the reactor's readiness state or, after a stall that may have made it outdated, the
+    /// socket itself.
     fn has_left(&self) -> bool {
         self.stream
-            .has_ended(stall_detector::may_have_stalled(Instant::now()))
+            .is_disconnected(stall_detector::may_have_stalled(Instant::now()))
     }
 }
 
-/// Accepts the clients that wait in a listener's queue by the system's word, since the reactor
-/// knows only what it was told when it last looked. They would be reset when the listener is
-/// closed.
+/// Accepts the connections in a listener's accept queue, which would be reset when the listener
+/// closes. Calls `accept` on the socket directly, as the reactor's readiness state may be outdated.
 pub fn accept_queued(listener: &TcpListener) -> impl Iterator<Item = TcpStream> {
     let socket = SockRef::from(listener);
     let accept = move || {
         let (stream, _) = socket.accept().ok()?;
         Some(std::net::TcpStream::from(stream))
     };
-    // A stream that cannot be used any more is no reason to leave the others there.
+    // Skips unusable streams.
     std::iter::from_fn(accept).filter_map(|stream| {
         stream.set_nonblocking(true).ok()?;
         TcpStream::from_std(stream).ok()
     })
 }
 
-/// All clients' connections, and what clients hold of the proxy.
+/// The connections of all clients, and the other resources that clients hold.
 #[derive(Default)]
 pub struct ConnectionTable {
     connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
     next_number: Cell<u64>,
-    /// Descriptors of other connections and listeners of clients.
+    /// Number of descriptors of JSON-RPC listeners and connections.
     other_descriptors: Cell<usize>,
-    /// Ids of the open requests.
+    /// IDs of the open requests.
     pub(super) open_ids: RefCell<HashSet<HeaderValue>>,
-    /// Number of requests that wait for their response.
+    /// Number of requests that wait for their responses.
     pub(super) pending_requests: Cell<usize>,
-    /// Bytes that are buffered for clients.
+    /// Bytes buffered for clients.
     pub(super) buffered_bytes: Cell<usize>,
 }
 
 impl ConnectionTable {
-    /// Asks one connection to close that can be closed without loss: the one that has been silent
-    /// longest, and before all others one that was never served. Returns whether there was one.
+    /// Requests the close of the longest idle connection that can be closed without loss,
+    /// preferring connections that were never served. Returns whether there is one.
     pub fn shed_one(&self) -> bool {
         let connections = self.connections.borrow();
         let sheddable = connections
             .values()
             .filter(|connection| connection.is_sheddable());
-        let chosen =
-            sheddable.min_by_key(|connection| (connection.is_served.get(), connection.since.get()));
+        let chosen = sheddable
+            .min_by_key(|connection| (connection.is_served.get(), connection.idle_since.get()));
         chosen
             .inspect(|connection| connection.request_close())
             .is_some()
     }
 
-    /// Returns the number of descriptors that clients hold.
+    /// Returns the number of descriptors used for clients.
     pub fn descriptors(&self) -> usize {
         self.connections.borrow().len() + self.other_descriptors.get()
     }
 
-    /// Asks overdue connections to close.
+    /// Requests the close of overdue connections.
     pub fn close_overdue(&self) {
         let connections = self.connections.borrow();
         let overdue = connections
@@ -226,7 +224,7 @@
     }
 }
 
-/// A connection of the table, which is removed when this is dropped.
+/// A connection in the table, removed from it on drop.
 pub struct RegisteredConnection {
     table: Rc<ConnectionTable>,
     /// The connection.
@@ -241,7 +239,7 @@
         let connection = Rc::new(Connection {
             number,
             stage: Cell::new(Stage::Idle),
-            since: Cell::new(Instant::now()),
+            idle_since: Cell::new(Instant::now()),
             is_answered: Cell::new(false),
             is_served: Cell::new(false),
             progress: Rc::default(),
@@ -265,11 +263,11 @@
     }
 }
 
-/// Counts a descriptor of a client that is no connection of the table.
+/// Counts a descriptor used for clients that is not in the connection table.
 pub struct DescriptorGuard(Rc<ConnectionTable>);
 
 impl DescriptorGuard {
-    /// Counts one more.
+    /// Adds one descriptor to the count.
     pub fn new(table: &Rc<ConnectionTable>) -> DescriptorGuard {
         table
             .other_descriptors
--- a/crates/heathroad/src/frontend/http/connection.rs
+++ b/crates/heathroad/src/frontend/http/connection.rs
@@ -1,7 +1,7 @@
-//! One client's connection over HTTP, from its acceptance to its close.
+//! The task of one client's HTTP connection, from acceptance to close.
 
 use super::HttpFrontend;
-use super::response::{Reply, plain, to_reply};
+use super::response::{Reply, empty_reply, to_reply};
 use crate::engine::{self, FinalResponse, retry_after};
 use crate::frontend::connections::{
     CloseReason, Connection, FIRST_REQUEST_GRACE, RegisteredConnection, Stage,
@@ -32,31 +32,30 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Longest request head, in bytes; the buffer for heads and bodies grows to this size. (The library
-/// has a bound of its own on header lines, of 100; told another, it allocates memory for them anew
-/// and slowly for each head.)
+/// Maximum size of a request head and of Hyper's read buffer, in bytes. Hyper's limit of 100
+/// headers stays at its default, since any other value makes it allocate for each head.
 const MAX_HEAD: usize = 16 * 1024;
-/// Fraction of the places that clients may fill with requests who have not been served on their
-/// connection yet: a burst of requests that are worth nothing leaves room for the others.
+/// Fraction of the connection limit that pending requests may reach before connections without a
+/// served request are rejected. Keeps capacity for established clients during a burst.
 const UNSERVED_FRACTION: f64 = 0.75;
-/// The path at which readiness is asked for.
+/// Path of the readiness check.
 const READY_PATH: &str = "/health/ready";
-/// Closes the connection behind a response.
+/// Value of the `Connection` header that closes the connection after a response.
 pub(super) const CLOSE: HeaderValue = HeaderValue::from_static("close");
 
 type HttpConnection<S> = http1::Connection<WatchedStream<ConnectionIo>, S>;
 
-/// What is known of a connection when it is accepted.
+/// Properties of a connection that are determined when it is accepted.
 #[derive(Clone, Copy)]
 struct Acceptance {
-    /// There was no place for it: it is closed behind its next response.
+    /// Whether the connection exceeds the limit and closes after its next response.
     is_crowded: bool,
-    /// Its peer's retry budgets count in full.
+    /// Whether the peer's retry budget claims are trusted.
     is_trusted: bool,
 }
 
 impl HttpFrontend {
-    /// Serves a connection until it is closed.
+    /// Serves a connection until it closes.
     pub(super) async fn run_connection(
         self: Rc<Self>,
         registered: RegisteredConnection,
@@ -91,17 +90,17 @@
         builder.header_read_timeout(None).max_buf_size(MAX_HEAD);
         let mut http = pin!(builder.serve_connection(watched, service));
         let is_pending = || connection.stage.get() == Stage::Pending;
-        let client_end = connection
+        let disconnect = connection
             .stream
-            .wait_for_end(is_pending, self.max_buffered_bytes);
-        let mut client_end = pin!(client_end);
+            .wait_for_disconnect(is_pending, self.max_buffered_bytes);
+        let mut disconnect = pin!(disconnect);
         let closed =
-            run_until_stop(http.as_mut(), client_end.as_mut(), connection, &mut stop).await;
+            run_until_stop(http.as_mut(), disconnect.as_mut(), connection, &mut stop).await;
         let reason = match closed {
             Some(reason) => reason,
             None => {
                 closes_next.set(true);
-                run_until_quiet(http, client_end, connection).await
+                run_until_quiescent(http, disconnect, connection).await
             }
         };
         connection.record_close(reason);
@@ -115,7 +114,7 @@
         peer.is_ok_and(|peer| budgets.is_trusted(peer.ip()))
     }
 
-    /// Answers a request, and makes the connection ready for the next one.
+    /// Answers a request and prepares the connection for the next one.
     async fn respond(
         &self,
         request: Request<Incoming>,
@@ -124,7 +123,7 @@
         closes_next: &Cell<bool>,
     ) -> Result<Reply, Infallible> {
         let mut reply = self.answer(request, connection, acceptance).await;
-        // With a further request behind it the connection stays open for that one.
+        // Unless the connection exceeds the limit, it stays open while unread data remains.
         if closes_next.get() && (acceptance.is_crowded || !connection.stream.has_unread()) {
             reply.headers_mut().insert(CONNECTION, CLOSE);
         }
@@ -136,7 +135,7 @@
         );
         connection.stage.set(Stage::Idle);
         connection.progress.expect_message();
-        connection.since.set(Instant::now());
+        connection.idle_since.set(Instant::now());
         connection.is_answered.set(true);
         Ok(reply)
     }
@@ -147,7 +146,7 @@
         connection: &Rc<Connection>,
         acceptance: Acceptance,
     ) -> Reply {
-        // A request that came behind another has waited for its turn since it was read.
+        // A pipelined request counts from its arrival, not from the end of the previous one.
         let received_at = connection
             .progress
             .last_arrival()
@@ -155,7 +154,7 @@
         connection.progress.expect_message();
         if request.uri().path() == READY_PATH {
             let is_ready = self.router.ready();
-            return plain(if is_ready {
+            return empty_reply(if is_ready {
                 StatusCode::OK
             } else {
                 StatusCode::SERVICE_UNAVAILABLE
@@ -184,7 +183,7 @@
             return to_reply(engine::Response::Rejected { retry_after });
         }
         connection.stage.set(Stage::Pending);
-        if has_left_unread(connection) {
+        if has_client_left(connection) {
             tracing::debug!(id = %incoming.call.label(), reason = "client left", "request dropped");
             bound
                 .engine
@@ -193,15 +192,15 @@
         }
         let _pending = PendingRequestGuard::new(&self.table);
         tracing::debug!(
-            id = %incoming.call.label(), connection = connection.number, "request taken"
+            id = %incoming.call.label(), connection = connection.number, "request accepted"
         );
         let client = Some(ClientHandle::new(connection));
         let decided = bound.engine.handle_request(incoming, client).await;
-        final_reply(connection, decided)
+        to_final_reply(connection, decided)
     }
 
-    /// Returns whether there is no capacity for one more request. Idle clients hold places too:
-    /// what is rejected is work past what can be carried.
+    /// Returns whether there is no capacity for another request. Counts pending requests instead of
+    /// connections, since idle connections cause no load.
     fn is_over_capacity(&self, connection: &Connection, is_crowded: bool) -> bool {
         let (pending, limit) = (self.table.pending_requests.get(), self.max_connections);
         let unserved_limit = (limit as f64 * UNSERVED_FRACTION) as usize;
@@ -209,16 +208,16 @@
     }
 }
 
-/// Returns whether the client has left while its request lay unread: nothing is begun for it. The
-/// connection's task sees the same, and ends.
-fn has_left_unread(connection: &Connection) -> bool {
-    let asks_system =
+/// Returns whether the client disconnected before its request was handled. The connection's task
+/// detects this too and ends.
+fn has_client_left(connection: &Connection) -> bool {
+    let bypass_reactor =
         !connection.is_answered.get() || stall_detector::may_have_stalled(Instant::now());
-    connection.stream.has_ended(asks_system)
+    connection.stream.is_disconnected(bypass_reactor)
 }
 
-/// Returns the reply for the engine's decision.
-fn final_reply(connection: &Connection, decided: FinalResponse) -> Reply {
+/// Converts the engine's final response to a reply, with the report of spent retries.
+fn to_final_reply(connection: &Connection, decided: FinalResponse) -> Reply {
     let FinalResponse {
         response,
         retries_spent,
@@ -234,10 +233,11 @@
     reply
 }
 
-/// Runs a connection until it is closed, for the reason returned, or the stop.
+/// Serves a connection until it closes or shutdown begins; returns the reason for the close, or
+/// `None` at shutdown.
 async fn run_until_stop<S>(
     mut http: Pin<&mut HttpConnection<S>>,
-    mut client_end: Pin<&mut impl Future<Output = ()>>,
+    mut disconnect: Pin<&mut impl Future<Output = ()>>,
     connection: &Connection,
     stop: &mut watch::Receiver<bool>,
 ) -> Option<CloseReason>
@@ -245,10 +245,10 @@
     S: HttpService<Incoming, ResBody = Full<Bytes>, Error = Infallible>,
 {
     loop {
-        let closed = poll_fn(|cx| poll_close(http.as_mut(), client_end.as_mut(), cx));
+        let closed = poll_fn(|cx| poll_close(http.as_mut(), disconnect.as_mut(), cx));
         tokio::select! {
             biased;
-            // However it is closed, the client is gone, and the engine was told so of its request.
+            // The engine learns of the close when the handler of a pending request is dropped.
             reason = closed => return Some(reason),
             () = connection.close_requested.notified() => {
                 if connection.confirm_close() {
@@ -260,11 +260,10 @@
     }
 }
 
-/// Runs a connection after the stop: requests that were taken, or lie there to be read, are
-/// answered; then it is closed.
-async fn run_until_quiet<S>(
+/// Serves a connection during shutdown: answers accepted and unread requests, then closes it.
+async fn run_until_quiescent<S>(
     mut http: Pin<&mut HttpConnection<S>>,
-    mut client_end: Pin<&mut impl Future<Output = ()>>,
+    mut disconnect: Pin<&mut impl Future<Output = ()>>,
     connection: &Connection,
 ) -> CloseReason
 where
@@ -275,9 +274,10 @@
         let closed = poll_fn(|cx| {
             let has_waited =
                 connection.is_answered.get() || first_request.as_mut().poll(cx).is_ready();
-            let closed = poll_close(http.as_mut(), client_end.as_mut(), cx);
-            let is_quiet = has_waited && connection.is_quiet() && !connection.stream.has_unread();
-            if closed.is_pending() && is_quiet {
+            let closed = poll_close(http.as_mut(), disconnect.as_mut(), cx);
+            let is_quiescent =
+                has_waited && connection.is_quiescent() && !connection.stream.has_unread();
+            if closed.is_pending() && is_quiescent {
                 http.as_mut().graceful_shutdown();
                 let ended = http.as_mut().poll(cx);
                 return ended.map(|result| CloseReason::from_result(&result));
@@ -286,7 +286,7 @@
         });
         tokio::select! {
             biased;
-            // What lies there is read before the connection is closed.
+            // Reads available data before a requested close.
             reason = closed => return reason,
             () = connection.close_requested.notified() => {
                 if connection.confirm_close() {
@@ -297,21 +297,21 @@
     }
 }
 
-/// Polls a connection for its close. That the client has left is seen before anything is done for
-/// it, and looked for again afterwards.
+/// Polls a connection for its close. Checks for a disconnect before Hyper runs, to start no work
+/// for a client that has left, and again afterwards, as a request may have become pending.
 fn poll_close<S>(
     http: Pin<&mut HttpConnection<S>>,
-    mut client_end: Pin<&mut impl Future<Output = ()>>,
+    mut disconnect: Pin<&mut impl Future<Output = ()>>,
     cx: &mut Context<'_>,
 ) -> Poll<CloseReason>
 where
     S: HttpService<Incoming, ResBody = Full<Bytes>, Error = Infallible>,
 {
-    if client_end.as_mut().poll(cx).is_ready() {
+    if disconnect.as_mut().poll(cx).is_ready() {
         return Poll::Ready(CloseReason::ByClient);
     }
     if let Poll::Ready(result) = http.poll(cx) {
         return Poll::Ready(CloseReason::from_result(&result));
     }
-    client_end.poll(cx).map(|()| CloseReason::ByClient)
+    disconnect.poll(cx).map(|()| CloseReason::ByClient)
 }
--- a/crates/heathroad/src/frontend/http/mod.rs
+++ b/crates/heathroad/src/frontend/http/mod.rs
@@ -1,5 +1,5 @@
-//! The HTTP frontend: accepts clients' connections, reads and checks their requests, and writes
-//! each one's response.
+//! The HTTP frontend: accepts client connections, reads and validates requests, and writes the
+//! responses.
 
 mod connection;
 mod request;
@@ -18,33 +18,33 @@
 use tokio::task::JoinSet;
 use tokio::time::interval;
 
-/// Overdue connections are looked for at this interval.
+/// Interval of the check for overdue connections.
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause when nothing can be accepted.
+/// Delay after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// Serves clients over HTTP.
 pub struct HttpFrontend {
-    /// Says where requests go.
+    /// Selects the pools of requests.
     pub router: Rc<Router>,
-    /// The settings.
+    /// The settings of this instance.
     pub settings: InstanceSettings,
-    /// Most connections at once.
+    /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Most bytes that are buffered for all clients.
+    /// Maximum number of bytes buffered for all clients.
     pub max_buffered_bytes: usize,
-    /// All clients' connections.
+    /// The connections of all clients.
     pub table: Rc<ConnectionTable>,
-    /// The retry budgets, where they are configured.
+    /// The retry budgets, if configured.
     pub budgets: Option<Rc<RetryBudgets>>,
 }
 
 impl HttpFrontend {
-    /// Accepts connections until `stop` is set. Then it closes them as they become idle, and
-    /// returns when the last one is closed.
+    /// Accepts connections until `stop` is set, then closes them as they become idle, and returns
+    /// when all are closed.
     ///
-    /// No client is kept waiting in the system's queue, where requests may lie that are owed a
-    /// response: one for which there is no place takes that of a client that has long been silent.
+    /// At the limit, a new connection replaces the longest idle one instead of waiting in the
+    /// accept queue, where its requests would go unanswered.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, mut stop: watch::Receiver<bool>) {
         let mut open = JoinSet::new();
         let connections_stop = stop.clone();
@@ -59,14 +59,13 @@
                 Some(_) = open.join_next() => {}
                 _ = overdue_check.tick() => self.table.close_overdue(),
                 accepted = listener.accept(), if !is_full => match accepted {
-                    // The connection counts from now on. Those behind it are accepted at once, as
-                    // far as a task's turn goes: a turn of all that are served for each would leave
-                    // new clients waiting for seconds.
+                    // The connection is counted before its task first runs, so no yield is needed
+                    // here. Running all other tasks between two accepts would delay new clients by
+                    // seconds.
                     Ok((stream, _)) => {
                         spawn_in(&mut open, self.clone().register(stream, connections_stop.clone()));
                     }
-                    // No error ends the loop, out of descriptors or other: clients are waiting, and
-                    // what is short becomes free again.
+                    // Errors such as descriptor exhaustion are temporary and do not end the loop.
                     Err(_) => {
                         self.table.shed_one();
                         sleep(ACCEPT_PAUSE).await;
@@ -87,8 +86,7 @@
         self.table.descriptors() >= self.max_connections + SPARE_CONNECTIONS
     }
 
-    /// Accepts the clients that have come by now and wait in the system's queue, and closes the
-    /// listener.
+    /// Accepts the connections in the accept queue and closes the listener.
     fn accept_last(
         self: &Rc<Self>,
         listener: TcpListener,
@@ -103,14 +101,14 @@
         }
     }
 
-    /// Registers a connection, which counts at once, and returns its task.
+    /// Registers a connection immediately and returns the future that serves it.
     fn register(
         self: Rc<Self>,
         stream: TcpStream,
         stop: watch::Receiver<bool>,
     ) -> impl Future<Output = ()> {
-        let has_place = self.table.descriptors() < self.max_connections;
-        let is_crowded = !has_place && !self.table.shed_one();
+        let has_capacity = self.table.descriptors() < self.max_connections;
+        let is_crowded = !has_capacity && !self.table.shed_one();
         let registered = RegisteredConnection::new(&self.table, stream);
         self.run_connection(registered, stop, is_crowded)
     }
--- a/crates/heathroad/src/frontend/http/request.rs
+++ b/crates/heathroad/src/frontend/http/request.rs
@@ -1,4 +1,4 @@
-//! Reading of HTTP requests: each is checked, bound to its pool, and read whole.
+//! Reads HTTP requests: validates the head, binds the request to its pool, and reads the body.
 
 use super::HttpFrontend;
 use super::response::RequestError;
@@ -23,27 +23,26 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A longer body is not read to its end, in bytes.
+/// Maximum size of an oversized body that is still read to its end and discarded, in bytes.
 const MAX_DISCARDED_BODY: usize = 16 * MAX_BODY;
-/// Longest timeout that a client may tell, in milliseconds.
+/// Upper bound of a client's timeout, in milliseconds.
 const MAX_TIMEOUT_MS: u64 = 600_000;
-/// Most header lines of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
-/// The listener of requests over HTTP, by its name in routes.
+/// Name of the HTTP listener in routes.
 const MAIN_LISTENER: &str = "main";
-/// Stands before the key in a request's query.
+/// Prefix of the query parameter that contains the request's key.
 const KEY_PARAMETER: &str = "k=";
 
-/// Names the tenant.
+/// Header that names the tenant.
 static OWNER: HeaderName = HeaderName::from_static("req-owner");
 
 const BAD_REQUEST: RequestError = RequestError::Malformed(StatusCode::BAD_REQUEST);
 
-/// A request that was read, its reservations, and what it is bound to.
+/// A request, its reservation, and the pool that it is bound to.
 type ReadRequest = (IncomingRequest, RequestReservation, BoundRequest);
 
-/// The headers of the protocol that the proxy reads. Each must come once and not empty, or is
-/// absent.
+/// The protocol headers that the proxy reads. An empty or repeated header counts as absent.
 struct ProtocolHeaders<'a> {
     id: &'a HeaderValue,
     tenant: Option<&'a str>,
@@ -66,7 +65,7 @@
     /// Returns the client's timeout.
     fn timeout(&self) -> Result<Duration, RequestError> {
         let text = self.timeout.and_then(|timeout| timeout.to_str().ok());
-        // A sign is no part of it.
+        // `parse` would accept a leading plus sign.
         let digits = text.filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
         let milliseconds = digits.and_then(|digits| digits.parse::<u64>().ok());
         let milliseconds = milliseconds.ok_or(BAD_REQUEST)?;
@@ -75,7 +74,7 @@
 }
 
 impl HttpFrontend {
-    /// Reads a request whole, or returns what is wrong with it.
+    /// Reads and validates a complete request.
     pub(super) async fn read_request(
         &self,
         request: Request<Incoming>,
@@ -100,14 +99,14 @@
             has_key,
             !body.is_end_stream(),
         )?;
-        // Of two requests with one id only the first can be told from its retry.
+        // Two open requests with the same ID could not be told apart.
         let reservation = RequestReservation::new(&self.table, headers.id);
         let mut reservation = reservation.ok_or(RequestError::DuplicateId)?;
         let body_deadline = body_deadline(connection, received_at, timeout);
         let body = if body.is_end_stream() {
             Bytes::new()
         } else {
-            let collected = collect(body, &mut reservation, self.max_buffered_bytes);
+            let collected = read_body(body, &mut reservation, self.max_buffered_bytes);
             let timed_out = RequestError::Malformed(StatusCode::REQUEST_TIMEOUT);
             timeout_at(body_deadline, collected)
                 .await
@@ -134,17 +133,16 @@
         Ok((incoming, reservation, bound))
     }
 
-    /// Checks what needs no look at the protocol's headers, and returns the name of the request's
-    /// class.
+    /// Validates the parts of a head other than the protocol headers, and returns the name of the
+    /// request's class.
     fn check_head<'a>(&self, head: &'a Parts) -> Result<&'a str, RequestError> {
         if head.headers.len() > MAX_HEADERS {
             return Err(RequestError::Malformed(
                 StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             ));
         }
-        // The library takes a length beside a transfer coding away before it can be seen here, and
-        // what hides in such a body must not be forwarded. Nobody needs the coding: bodies are
-        // short and their length is known.
+        // Prevents request smuggling: Hyper removes a `Content-Length` next to a
+        // `Transfer-Encoding`, so that a conflict between them cannot be detected here.
         if head.headers.contains_key(TRANSFER_ENCODING) {
             return Err(RequestError::Malformed(StatusCode::LENGTH_REQUIRED));
         }
@@ -175,7 +173,7 @@
         key: Option<&str>,
     ) -> Result<BoundRequest, RequestError> {
         let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
-        let ask = RoutingRequest {
+        let routing_request = RoutingRequest {
             listener: MAIN_LISTENER,
             method: "",
             host: host.unwrap_or_default(),
@@ -185,7 +183,9 @@
             headers: &head.headers,
             key: key.map_or(headers.id.as_bytes(), str::as_bytes),
         };
-        self.router.bind(&ask).map_err(RequestError::NotRouted)
+        self.router
+            .bind(&routing_request)
+            .map_err(RequestError::NotRouted)
     }
 
     fn admit_budget(
@@ -203,7 +203,7 @@
     }
 }
 
-/// Returns a request as attempts of it are sent.
+/// Returns the call that attempts of a request send to a backend.
 fn to_call(
     head: &Parts,
     headers: &ProtocolHeaders<'_>,
@@ -222,60 +222,59 @@
     })
 }
 
-/// Returns when a body must have arrived. A client that stops half-way through its body is not
-/// waited for.
+/// Returns the deadline for reading a body.
 fn body_deadline(connection: &Connection, received_at: Instant, timeout: Duration) -> Instant {
     let is_first = !connection.is_answered.get();
-    let begun_at = if is_first {
-        connection.since.get()
+    let started_at = if is_first {
+        connection.idle_since.get()
     } else {
         received_at
     };
-    (begun_at + MESSAGE_TIMEOUT).min(received_at + timeout)
+    (started_at + MESSAGE_TIMEOUT).min(received_at + timeout)
 }
 
-/// Returns the key of a request, by its query.
+/// Returns the key in a request's query.
 fn key_parameter(uri: &Uri) -> Option<&str> {
     let mut parameters = uri.query()?.split('&');
     let key = parameters.find_map(|parameter| parameter.strip_prefix(KEY_PARAMETER))?;
     Some(key).filter(|key| !key.is_empty())
 }
 
-/// Checks that a request has the method, the idempotency key and the body that its class needs.
+/// Checks a request's method, idempotency key and body against the idempotency of its class.
 fn check_method(
-    effect: Idempotency,
+    idempotency: Idempotency,
     method: &Method,
     has_key: bool,
     has_body: bool,
 ) -> Result<(), RequestError> {
-    let is_idempotent = matches!(effect, Idempotency::Idempotent);
-    let needed = if is_idempotent {
+    let is_idempotent = matches!(idempotency, Idempotency::Idempotent);
+    let required = if is_idempotent {
         Method::GET
     } else {
         Method::POST
     };
-    if *method != needed {
-        return Err(RequestError::MethodNotAllowed(needed));
+    if *method != required {
+        return Err(RequestError::MethodNotAllowed(required));
     }
-    let is_good = match effect {
+    let is_valid = match idempotency {
         Idempotency::Idempotent => !has_body,
         Idempotency::Deduplicated { .. } => has_key,
         Idempotency::NonIdempotent => !has_key,
     };
-    if is_good { Ok(()) } else { Err(BAD_REQUEST) }
+    if is_valid { Ok(()) } else { Err(BAD_REQUEST) }
 }
 
-/// Collects a body of bounded length. One that is somewhat too long is read to its end, so that the
-/// client, which may be writing still, gets to read why it is rejected.
-async fn collect(
+/// Reads a body of at most `MAX_BODY` bytes. A moderately oversized body is read to its end and
+/// discarded, so that a client that is still writing can receive the error response.
+async fn read_body(
     mut body: Incoming,
     reservation: &mut RequestReservation,
     max_buffered_bytes: usize,
 ) -> Result<Bytes, RequestError> {
-    const TOO_LONG: RequestError = RequestError::Malformed(StatusCode::PAYLOAD_TOO_LARGE);
+    const TOO_LARGE: RequestError = RequestError::Malformed(StatusCode::PAYLOAD_TOO_LARGE);
     let (mut bytes, mut length) = (BytesMut::new(), 0);
     if body.size_hint().lower() > MAX_DISCARDED_BODY as u64 {
-        return Err(TOO_LONG);
+        return Err(TOO_LARGE);
     }
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(|_| BAD_REQUEST)?.into_data() else {
@@ -292,14 +291,14 @@
         }
     }
     if length > MAX_BODY {
-        Err(TOO_LONG)
+        Err(TOO_LARGE)
     } else {
         Ok(bytes.freeze())
     }
 }
 
-/// Returns the values of headers that must come once, and not empty; nothing for one that does not.
-/// One walk over the few lines that there are costs less than a look-up for each name.
+/// Returns the values of the named headers, with `None` for absent, repeated or empty ones. A
+/// single pass over the few headers is cheaper than a lookup per name.
 fn single_values<'a, const N: usize>(
     headers: &'a HeaderMap,
     names: [&HeaderName; N],
--- a/crates/heathroad/src/frontend/http/response.rs
+++ b/crates/heathroad/src/frontend/http/response.rs
@@ -1,4 +1,4 @@
-//! The replies of the HTTP frontend.
+//! Responses of the HTTP frontend.
 
 use super::connection::CLOSE;
 use crate::engine::{Response, retry_after};
@@ -9,43 +9,44 @@
 use hyper::header::{ALLOW, CONNECTION, HeaderValue, RETRY_AFTER};
 use hyper::{Method, StatusCode};
 
-/// A reply to a client.
+/// An HTTP response to a client.
 pub(super) type Reply = hyper::Response<Full<Bytes>>;
 
-/// The report to the caller of a request that goes round: nothing was spent, and no retry can help.
+/// Retry budget report for a request in a forwarding loop: no retries were spent, and further ones
+/// cannot succeed.
 const STOP_REPORT: HeaderValue = HeaderValue::from_static("a=0, stop");
 
 /// Why a request cannot be handled.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestError {
-    /// Nothing more is read behind it.
-    #[error("the request is malformed: {0}")]
+    /// The request is malformed; the connection closes after the reply.
+    #[error("malformed request: {0}")]
     Malformed(StatusCode),
-    /// It is understood, and has no place to go.
-    #[error("the request goes nowhere: {0}")]
+    /// The request is valid, but no route matches it.
+    #[error("no route for the request: {0}")]
     NotRouted(StatusCode),
-    /// Its class needs another method.
-    #[error("the request's method must be {0}")]
+    /// The request's class requires a different method.
+    #[error("method not allowed: expected {0}")]
     MethodNotAllowed(Method),
-    /// A request with this id is open.
-    #[error("a request with this id is open")]
+    /// A request with the same ID is open.
+    #[error("a request with the same ID is open")]
     DuplicateId,
-    /// There is no memory for its body.
-    #[error("there is no memory for the request's body")]
+    /// There is no buffer space for the request's body.
+    #[error("no buffer space for the request body")]
     NoBufferSpace,
-    /// It goes round.
+    /// The request is in a forwarding loop.
     #[error(transparent)]
     Loop(#[from] LoopError),
 }
 
 impl RequestError {
-    /// Returns the reply to the client.
+    /// Converts the error to a reply.
     pub(super) fn into_reply(self, settings: &InstanceSettings) -> Reply {
         match self {
-            RequestError::Malformed(status) => closing(status),
-            RequestError::NotRouted(status) => plain(status),
+            RequestError::Malformed(status) => closing_reply(status),
+            RequestError::NotRouted(status) => empty_reply(status),
             RequestError::MethodNotAllowed(allowed) => method_not_allowed(&allowed),
-            RequestError::DuplicateId => plain(StatusCode::CONFLICT),
+            RequestError::DuplicateId => empty_reply(StatusCode::CONFLICT),
             RequestError::NoBufferSpace => {
                 let retry_after = retry_after(settings);
                 to_reply(Response::Rejected { retry_after })
@@ -56,28 +57,28 @@
 }
 
 /// Returns a reply without a body.
-pub(super) fn plain(status: StatusCode) -> Reply {
+pub(super) fn empty_reply(status: StatusCode) -> Reply {
     let mut reply = Reply::new(Full::default());
     *reply.status_mut() = status;
     reply
 }
 
-/// Returns a reply without a body behind which nothing more is read.
-fn closing(status: StatusCode) -> Reply {
-    let mut reply = plain(status);
+/// Returns a reply without a body that closes the connection.
+fn closing_reply(status: StatusCode) -> Reply {
+    let mut reply = empty_reply(status);
     reply.headers_mut().insert(CONNECTION, CLOSE);
     reply
 }
 
 fn method_not_allowed(allowed: &Method) -> Reply {
-    let mut reply = plain(StatusCode::METHOD_NOT_ALLOWED);
+    let mut reply = empty_reply(StatusCode::METHOD_NOT_ALLOWED);
     if let Ok(allowed) = HeaderValue::from_str(allowed.as_str()) {
         reply.headers_mut().insert(ALLOW, allowed);
     }
     reply
 }
 
-/// Returns the reply to a request that goes round. No other way leads out of a loop.
+/// Returns the reply to a request in a forwarding loop, which tells the caller not to retry.
 fn loop_detected(error: &LoopError) -> Reply {
     let mut reply = Reply::new(Full::from(error.to_string()));
     *reply.status_mut() = StatusCode::LOOP_DETECTED;
@@ -85,12 +86,12 @@
     reply
 }
 
-/// Returns the reply for the engine's response.
+/// Converts the engine's response to a reply.
 pub(super) fn to_reply(response: Response) -> Reply {
     match response {
         Response::Served(body) => Reply::new(Full::new(body)),
         Response::Rejected { retry_after } => {
-            let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE);
+            let mut reply = empty_reply(StatusCode::SERVICE_UNAVAILABLE);
             let seconds = retry_after.map(|delay| format!("{:.3}", delay.as_secs_f64()));
             let value = seconds.and_then(|seconds| HeaderValue::try_from(seconds).ok());
             if let Some(value) = value {
@@ -98,7 +99,7 @@
             }
             reply
         }
-        Response::Failed => plain(StatusCode::BAD_GATEWAY),
-        Response::TimedOut => plain(StatusCode::GATEWAY_TIMEOUT),
+        Response::Failed => empty_reply(StatusCode::BAD_GATEWAY),
+        Response::TimedOut => empty_reply(StatusCode::GATEWAY_TIMEOUT),
     }
 }
--- a/crates/heathroad/src/frontend/jsonrpc/answer.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/answer.rs
@@ -1,4 +1,4 @@
-//! The texts of answers to JSON-RPC calls.
+//! Builds JSON-RPC responses and their `result` and `error` members.
 
 use bytes::{Bytes, BytesMut};
 use heathroad_jsonrpc::message::{
@@ -7,41 +7,41 @@
 use heathroad_jsonrpc::{Broken, write};
 use std::time::Duration;
 
-/// Rejected: a retry is harmless. This code and the next two are of the range that the
-/// specification leaves to servers.
+/// The call was rejected and did not run; a retry is safe. Like the codes below, in the range that
+/// the specification reserves for server errors.
 const REJECTED: i64 = -32001;
-/// Failed: the call may have run.
+/// The call failed and may have run.
 const FAILED: i64 = -32002;
-/// Failed since its time was over: the call may have run.
+/// The call timed out and may have run.
 const TIMED_OUT: i64 = -32003;
-/// Failed since the call goes round: it never ran, and no retry can help.
+/// The call is in a forwarding loop: it did not run, and a retry cannot succeed.
 pub(super) const LOOP_DETECTED: i64 = -32008;
 
-/// Returns an answer by its `result` or `error` member.
+/// Builds a response from an ID and a `result` or `error` member.
 pub(super) fn answer(id: &Bytes, member: &[u8]) -> Bytes {
     let mut text = BytesMut::new();
     write::answer(id, member, &mut text);
     text.freeze()
 }
 
-/// Returns the member of a rejection.
+/// Returns the `error` member for a rejected call.
 pub(super) fn rejected(retry_after: Option<Duration>) -> Bytes {
     let milliseconds = retry_after.map(|delay| delay.as_millis() as u64);
     let message = "refused: nothing was done, and trying again is harmless";
     write::error(REJECTED, message, milliseconds)
 }
 
-/// Returns the member of a failure.
+/// Returns the `error` member for a failed call.
 pub(super) fn failed() -> Bytes {
     write::error(FAILED, "failed: it may have run", None)
 }
 
-/// Returns the member of a failure for want of memory for the answer.
-pub(super) fn too_large_to_keep() -> Bytes {
+/// Returns the `error` member for a call whose response exceeds the buffer space.
+pub(super) fn no_buffer_space() -> Bytes {
     write::error(FAILED, "failed: there is no room for its answer", None)
 }
 
-/// Returns the member of a failure by timeout.
+/// Returns the `error` member for a call that timed out.
 pub(super) fn timed_out() -> Bytes {
     write::error(
         TIMED_OUT,
@@ -50,7 +50,7 @@
     )
 }
 
-/// Returns the answer to what is no call, or one that cannot be handled.
+/// Builds the response to an invalid message or call.
 pub(super) fn malformed(wrong: &Wrong) -> Bytes {
     let name = match wrong.code {
         PARSE_ERROR => "Parse error",
@@ -62,16 +62,16 @@
     answer(&wrong.id, &write::error(wrong.code, &message, None))
 }
 
-/// Returns the answer to texts that cannot be told apart any further.
-pub(super) fn broken(broken: Broken) -> Bytes {
-    let code = if broken == Broken::TooLong {
+/// Builds the response to a framing error, after which no further messages can be decoded.
+pub(super) fn framing_error(error: Broken) -> Bytes {
+    let code = if error == Broken::TooLong {
         INVALID_REQUEST
     } else {
         PARSE_ERROR
     };
     malformed(&Wrong {
         code,
-        expected: broken.expected(),
+        expected: error.expected(),
         id: NULL,
     })
 }
--- a/crates/heathroad/src/frontend/jsonrpc/call.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/call.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC calls: how one is bound to its pool, and how the engine's response becomes its answer.
+//! JSON-RPC calls: binds a call to its pool and converts the engine's response to its answer.
 
 use super::answer::{self, LOOP_DETECTED};
 use super::connection::Client;
@@ -24,10 +24,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The parameters of a call without any.
+/// The parameters of a call that has none.
 const NO_PARAMS: &str = "[]";
 
-fn wrong(code: i64, expected: &'static str) -> Wrong {
+fn invalid_call(code: i64, expected: &'static str) -> Wrong {
     Wrong {
         code,
         expected,
@@ -35,11 +35,11 @@
     }
 }
 
-/// Returns what is wrong with a call in whose parameters a value is missing.
+/// Returns the error for a call whose parameters lack a value or contain it more than once.
 fn missing_value(missing: Missing, expected: &'static str) -> Wrong {
     match missing {
-        Missing::Nothing => wrong(INVALID_PARAMS, expected),
-        Missing::Twice => wrong(
+        Missing::Nothing => invalid_call(INVALID_PARAMS, expected),
+        Missing::Twice => invalid_call(
             INVALID_PARAMS,
             "each name on the way to a key or tenant once",
         ),
@@ -54,7 +54,7 @@
     params.unwrap_or(NO_PARAMS)
 }
 
-/// Returns the idempotency key of a call, where its method has one.
+/// Returns the idempotency key of a call, if its method has one.
 fn idempotency_key(call: &Call, method: &Method) -> Result<Option<String>, Wrong> {
     let Some(pointer) = &method.key else {
         return Ok(None);
@@ -66,8 +66,8 @@
     Ok(Some(key.get().to_string()))
 }
 
-/// Returns a call as attempts of it are sent.
-fn to_outgoing(call: Call, transport: jsonrpc::Transport) -> jsonrpc::Call {
+/// Returns the call that attempts send to a backend.
+fn to_backend_call(call: Call, transport: jsonrpc::Transport) -> jsonrpc::Call {
     jsonrpc::Call {
         method: call.method_text,
         params: call.params,
@@ -77,7 +77,7 @@
 }
 
 impl Client {
-    /// Finds out what a call is and which pool it goes to.
+    /// Validates a call and binds it to its pool.
     pub(super) fn bind_call(&self, call: Call, received_at: Instant) -> Result<BoundCall, Wrong> {
         let generation = self.frontend().pools.current_generation();
         let listeners = &generation.config.listeners;
@@ -85,10 +85,10 @@
             .iter()
             .find(|listener| listener.name == self.listener().name);
         let method = listener.and_then(|listener| {
-            let named = listener.methods.get(&call.method);
-            named.or(listener.default_method.as_ref())
+            let configured = listener.methods.get(&call.method);
+            configured.or(listener.default_method.as_ref())
         });
-        let unknown_method = wrong(METHOD_NOT_FOUND, "a method of this listener");
+        let unknown_method = invalid_call(METHOD_NOT_FOUND, "a method of this listener");
         let (listener, method) = listener.zip(method).ok_or(unknown_method)?;
         let tenant = self.tenant_name(&call, listener)?;
         let tenant_index = self.tenant_index(tenant.as_deref())?;
@@ -107,10 +107,12 @@
             key: route_key,
         });
         let no_route = "a method that some route takes to where it is served";
-        let bound = bound.ok_or(wrong(METHOD_NOT_FOUND, no_route))?;
-        let transport = bound.transport.ok_or(wrong(METHOD_NOT_FOUND, no_route))?;
+        let bound = bound.ok_or(invalid_call(METHOD_NOT_FOUND, no_route))?;
+        let transport = bound
+            .transport
+            .ok_or(invalid_call(METHOD_NOT_FOUND, no_route))?;
         if matches!(bound.idempotency, Idempotency::Deduplicated { .. }) && key.is_none() {
-            return Err(wrong(INVALID_PARAMS, "a key"));
+            return Err(invalid_call(INVALID_PARAMS, "a key"));
         }
         let timeout = bound.deadline.unwrap_or_default();
         let fingerprint = RequestFingerprint {
@@ -121,7 +123,7 @@
         let budget = self.admit_budget(&call, fingerprint, timeout)?;
         let id = call.id.clone();
         let incoming = IncomingRequest {
-            call: backend::Call::JsonRpc(to_outgoing(call, transport)),
+            call: backend::Call::JsonRpc(to_backend_call(call, transport)),
             class: bound.class,
             tenant: tenant_index,
             key: key.as_deref().map_or(0, engine::hash_key),
@@ -137,13 +139,13 @@
         })
     }
 
-    /// Returns the name of a call's tenant, where the listener has tenants.
+    /// Returns the name of a call's tenant, if the listener has tenants.
     fn tenant_name(&self, call: &Call, listener: &Listener) -> Result<Option<String>, Wrong> {
         match &listener.tenant_source {
             TenantSource::None => Ok(None),
             TenantSource::Fixed(name) => Ok(Some(name.clone())),
             TenantSource::ClientAddress(by_address) => {
-                let unknown_address = wrong(INVALID_REQUEST, "an address with a tenant");
+                let unknown_address = invalid_call(INVALID_REQUEST, "an address with a tenant");
                 let name = by_address.get(&self.peer).ok_or(unknown_address)?;
                 Ok(Some(name.clone()))
             }
@@ -152,9 +154,10 @@
                 let value = pointer.find(params(call));
                 let value = value.map_err(|missing| missing_value(missing, expected))?;
                 let name = pointer::text(value);
-                Ok(Some(
-                    name.ok_or(wrong(INVALID_PARAMS, "a tenant that is a text"))?,
-                ))
+                Ok(Some(name.ok_or(invalid_call(
+                    INVALID_PARAMS,
+                    "a tenant that is a text",
+                ))?))
             }
         }
     }
@@ -167,7 +170,7 @@
         let index = tenants
             .iter()
             .position(|tenant| Some(tenant.as_str()) == name);
-        Ok(index.ok_or(wrong(INVALID_PARAMS, "a known tenant"))? as u16)
+        Ok(index.ok_or(invalid_call(INVALID_PARAMS, "a known tenant"))? as u16)
     }
 
     fn admit_budget(
@@ -182,10 +185,12 @@
         let claim = read_jsonrpc_claim(&call.carried, budgets.is_trusted(self.peer));
         let admitted = budgets.admit(claim, fingerprint, timeout);
         let expected = "a call that has not passed this proxy before, nor too many";
-        Ok(Some(admitted.map_err(|_| wrong(LOOP_DETECTED, expected))?))
+        Ok(Some(
+            admitted.map_err(|_| invalid_call(LOOP_DETECTED, expected))?,
+        ))
     }
 
-    /// Has the engine decide a call.
+    /// Runs a call through the engine.
     pub(super) async fn run_call(self: Rc<Self>, exchange: u64, call: BoundCall) -> FinishedCall {
         let BoundCall {
             id,
@@ -216,7 +221,7 @@
         }
     }
 
-    /// Rejects a call that was not begun.
+    /// Rejects a call that was not started.
     pub(super) fn reject_call(&self, exchange: u64, call: BoundCall) -> FinishedCall {
         let BoundCall {
             id,
@@ -237,7 +242,7 @@
         }
     }
 
-    /// Counts a call that cannot be handled, and returns its answer.
+    /// Counts an invalid call and returns its answer.
     pub(super) fn reject_malformed(&self, wrong: &Wrong) -> Bytes {
         let status = match wrong.code {
             METHOD_NOT_FOUND => 404,
--- a/crates/heathroad/src/frontend/jsonrpc/connection.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/connection.rs
@@ -1,5 +1,5 @@
-//! The task of one JSON-RPC connection: reads texts, begins their calls, and writes their answers,
-//! until the client has ended and has them all, or has left.
+//! The task of one JSON-RPC connection: reads messages, starts their calls, and writes the answers,
+//! until all are written after the end of input, or the client disconnects.
 
 use super::JsonRpcFrontend;
 use super::answer;
@@ -27,48 +27,48 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// A client that takes nothing of its answers for so long has left.
+/// Timeout of writing answers without progress.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// No further call is begun while so many bytes of answers wait to be written.
+/// Size of the output buffer, in bytes, from which no further calls are started.
 const MAX_OUTPUT: usize = 256 * 1024;
-/// While as many calls run as may, the client's next call waits unread for so long; then it is
-/// rejected.
+/// Maximum time that input stays unread at the limit of running calls. After that, further calls
+/// are read and rejected.
 const MAX_UNREAD_WAIT: Duration = Duration::from_millis(250);
-/// Most brackets open at once in a text.
+/// Maximum nesting depth of a message.
 const MAX_DEPTH: u32 = 128;
 
-/// HTTP's status for what cannot be parsed, by which it is counted.
+/// HTTP status under which messages that cannot be decoded are counted.
 const BAD_REQUEST: u16 = 400;
-/// HTTP's status for what did not arrive whole in time.
+/// HTTP status under which messages that do not arrive in time are counted.
 const REQUEST_TIMEOUT: u16 = 408;
 
 /// The client of a connection.
 pub(super) struct Client {
     server: Rc<ListenerServer>,
     pub(super) peer: IpAddr,
-    /// No new call is taken.
+    /// Whether shutdown has begun, so that new calls are rejected.
     pub(super) is_stopping: Cell<bool>,
 }
 
-/// How a connection's task ends.
-enum End {
-    /// The client has all its answers: the connection is closed gracefully.
+/// How a connection's session ends.
+enum SessionEnd {
+    /// All answers are written, and the connection is closed gracefully.
     Finished,
-    /// The client has left.
-    Left,
+    /// The client has disconnected or is considered lost.
+    Disconnected,
 }
 
-/// What the task waits for next.
+/// The conditions of the task's next wait.
 struct Wait {
-    /// Whether more is read.
+    /// Whether input is read.
     reads: bool,
-    /// Whether the connection has nothing to do.
+    /// Whether no call, input or output is in progress.
     is_idle: bool,
-    /// Whether a text has begun to arrive.
+    /// Whether a message is partially received.
     is_receiving: bool,
     /// When the client is overdue.
     deadline: Instant,
-    /// When the task looks again: at the deadline, or before.
+    /// When the task wakes up: at the deadline or earlier.
     wake_at: Instant,
 }
 
@@ -79,24 +79,24 @@
     pub(super) exchanges: Exchanges,
     calls: JoinSet<FinishedCall>,
     concurrency: BatchConcurrency,
-    /// Bytes that are to be written.
+    /// Bytes to be written.
     output: BytesMut,
-    /// The answer to what cannot be read any further, which is written last.
+    /// The answer to a decoding error or timeout, written after all others.
     last_answer: Option<Bytes>,
-    /// No more is read.
-    is_input_over: bool,
-    /// When something was read, written or answered last.
-    active_at: Instant,
-    /// When the text that is arriving began.
-    text_begun_at: Option<Instant>,
-    /// Where as many calls run as may: until when the next one waits unread.
+    /// Whether reading has ended.
+    has_input_ended: bool,
+    /// When input, output or an answer last made progress.
+    last_activity: Instant,
+    /// When the partially received message started.
+    message_started_at: Option<Instant>,
+    /// At the limit of running calls, until when input stays unread.
     unread_until: Option<Instant>,
-    /// The earliest moment at which what was read last can have arrived.
+    /// The earliest time at which the data of the last read can have arrived.
     pub(super) arrival: Instant,
-    /// Something was read.
+    /// Whether any data was read.
     has_read: bool,
-    /// At a stop, until when a client that has just come and sent nothing is waited for.
-    first_request_by: Option<Instant>,
+    /// During shutdown, the deadline for the first message of a client that has sent none.
+    first_message_deadline: Option<Instant>,
 }
 
 impl Client {
@@ -117,7 +117,7 @@
         &self.server.listener
     }
 
-    /// Serves the connection until it is closed.
+    /// Serves the connection until it closes.
     pub(super) async fn run(
         self: Rc<Self>,
         mut stream: TcpStream,
@@ -131,7 +131,7 @@
         let end = Session::new(self)
             .run(&mut reader, &mut writer, idle, stop)
             .await;
-        if let End::Finished = end {
+        if let SessionEnd::Finished = end {
             close(&mut reader, &mut writer).await;
         }
     }
@@ -152,13 +152,13 @@
             concurrency: BatchConcurrency::new(listener.max_concurrent_calls as usize),
             output: BytesMut::new(),
             last_answer: None,
-            is_input_over: false,
-            active_at: now,
-            text_begun_at: None,
+            has_input_ended: false,
+            last_activity: now,
+            message_started_at: None,
             unread_until: None,
             arrival: stall_detector::earliest_arrival(now),
             has_read: false,
-            first_request_by: None,
+            first_message_deadline: None,
             client,
         }
     }
@@ -169,47 +169,47 @@
         writer: &mut WriteHalf<'_>,
         idle: &IdleState,
         mut stop: watch::Receiver<bool>,
-    ) -> End {
+    ) -> SessionEnd {
         loop {
             self.reject_overdue_calls();
-            self.begin_calls().await;
+            self.start_calls().await;
             let listener = self.client.listener();
             let (in_order, framing) = (listener.ordered_responses, listener.framing);
             self.exchanges
                 .write_finished(in_order, framing, &mut self.output);
             if self.is_finished(reader) {
-                return End::Finished;
+                return SessionEnd::Finished;
             }
             let wait = self.next_wait();
-            idle.since.set(wait.is_idle.then_some(self.active_at));
+            idle.since.set(wait.is_idle.then_some(self.last_activity));
             tokio::select! {
                 biased;
                 written = writer.write(&self.output), if !self.output.is_empty() => {
-                    let Ok(bytes @ 1..) = written else { return End::Left };
+                    let Ok(bytes @ 1..) = written else { return SessionEnd::Disconnected };
                     runtime_accounting::wrote();
                     self.output.advance(bytes);
-                    self.active_at = Instant::now();
+                    self.last_activity = Instant::now();
                 }
                 Some(finished) = self.calls.join_next(), if !self.calls.is_empty() => {
-                    // A call's task neither panics nor is aborted while this one lives.
+                    // A call's task does not panic and is not aborted during the session.
                     if let Ok(finished) = finished {
                         self.concurrency.record_answer(finished.is_rejected);
                         self.record_answer(finished);
                     }
-                    self.active_at = Instant::now();
+                    self.last_activity = Instant::now();
                 }
                 read = read_or_wait(reader, &mut self.decoder, wait.reads) => match read {
-                    // The client may have ended its side only, and wait for its answers.
+                    // The client may have closed only its sending side and still expect answers.
                     Ok(0) => self.end_input().await,
                     Ok(_) => self.record_read(),
-                    Err(_) => return End::Left,
+                    Err(_) => return SessionEnd::Disconnected,
                 },
                 _ = stop.wait_for(|stop| *stop), if !self.client.is_stopping.get() => {
                     self.client.is_stopping.set(true);
-                    self.first_request_by = Some(Instant::now() + FIRST_REQUEST_GRACE);
+                    self.first_message_deadline = Some(Instant::now() + FIRST_REQUEST_GRACE);
                 }
                 () = sleep_until(wait.wake_at) => {
-                    if let Some(end) = self.record_timeout(&wait) {
+                    if let Some(end) = self.handle_timeout(&wait) {
                         return end;
                     }
                 }
@@ -233,8 +233,8 @@
         }
     }
 
-    /// Begins waiting calls, and reads further texts, as far as there is capacity.
-    async fn begin_calls(&mut self) {
+    /// Starts waiting calls and decodes further messages while there is capacity.
+    async fn start_calls(&mut self) {
         while self.output.len() < MAX_OUTPUT {
             let has_capacity =
                 self.calls.len() < self.client.listener().max_concurrent_calls as usize;
@@ -244,11 +244,10 @@
             };
             let batch_limit = self.concurrency.limit();
             if let Some((exchange, call)) = self.exchanges.take_next(batch_limit, has_capacity) {
-                self.begin_call(exchange, call);
+                self.start_call(exchange, call);
                 continue;
             }
-            // No client is kept waiting unread for long: a call that finds no capacity then is
-            // rejected.
+            // After the maximum wait, calls without capacity are read and rejected.
             let is_crowded = self
                 .unread_until
                 .is_some_and(|until| until <= Instant::now());
@@ -257,15 +256,15 @@
                 return;
             }
             match self.decoder.next_text() {
-                Ok(Some(text)) => self.take_text(&text, is_crowded).await,
+                Ok(Some(text)) => self.accept_message(&text, is_crowded).await,
                 Ok(None) => return,
-                Err(_) if self.is_input_over => return,
-                Err(broken) => return self.end_broken_input(answer::broken(broken), BAD_REQUEST),
+                Err(_) if self.has_input_ended => return,
+                Err(error) => return self.abort_input(answer::framing_error(error), BAD_REQUEST),
             }
         }
     }
 
-    fn begin_call(&mut self, exchange: u64, call: BoundCall) {
+    fn start_call(&mut self, exchange: u64, call: BoundCall) {
         if self.client.is_stopping.get() {
             self.reject(exchange, call);
         } else {
@@ -276,20 +275,20 @@
         }
     }
 
-    /// Reads no more, since what came cannot be understood.
-    fn end_broken_input(&mut self, last_answer: Bytes, status: u16) {
+    /// Stops reading after an error, which `last_answer` reports to the client.
+    fn abort_input(&mut self, last_answer: Bytes, status: u16) {
         self.last_answer = Some(last_answer);
-        self.is_input_over = true;
+        self.has_input_ended = true;
         self.client.frontend().pools.meter().record_unusable(status);
     }
 
-    fn is_quiet(&self) -> bool {
+    fn is_quiescent(&self) -> bool {
         self.calls.is_empty() && self.exchanges.is_empty()
     }
 
-    /// Returns whether the connection can be closed. Before that, the last answer is written.
+    /// Returns whether the connection can be closed. Queues the last answer first, if there is one.
     fn is_finished(&mut self, reader: &ReadHalf<'_>) -> bool {
-        if !self.is_quiet() || !(self.is_input_over || self.is_stopped(reader)) {
+        if !self.is_quiescent() || !(self.has_input_ended || self.is_stopped(reader)) {
             return false;
         }
         if let Some(last_answer) = self.last_answer.take() {
@@ -302,34 +301,34 @@
         self.output.is_empty()
     }
 
-    /// Returns whether the connection is closed by a stop. What lies there to be read is read
-    /// before.
+    /// Returns whether shutdown may close the connection: no unread input is left, and the client
+    /// had time for its first message.
     fn is_stopped(&self, reader: &ReadHalf<'_>) -> bool {
-        let has_waited = |by: Instant| self.has_read || by <= Instant::now();
+        let has_waited = |deadline: Instant| self.has_read || deadline <= Instant::now();
         self.client.is_stopping.get()
-            && self.first_request_by.is_none_or(has_waited)
+            && self.first_message_deadline.is_none_or(has_waited)
             && !matches!(peek(reader.as_ref()), Ok(1..))
     }
 
-    /// Returns what the task waits for next.
+    /// Returns the conditions of the next wait.
     fn next_wait(&mut self) -> Wait {
         let now = Instant::now();
         let unread_until = self.unread_until.filter(|until| now < *until);
-        let reads = !self.is_input_over
+        let reads = !self.has_input_ended
             && unread_until.is_none()
             && self.exchanges.has_capacity(self.client.listener())
             && self.output.len() < MAX_OUTPUT;
         let is_receiving = reads && self.decoder.begun();
-        self.text_begun_at = is_receiving.then(|| self.text_begun_at.unwrap_or(now));
-        let is_idle = self.is_quiet() && self.output.is_empty() && !is_receiving;
+        self.message_started_at = is_receiving.then(|| self.message_started_at.unwrap_or(now));
+        let is_idle = self.is_quiescent() && self.output.is_empty() && !is_receiving;
         let deadline = self.deadline(is_idle, now);
-        let first_request_by = self
-            .first_request_by
-            .filter(|_| self.is_quiet() && !self.has_read);
+        let first_message_deadline = self
+            .first_message_deadline
+            .filter(|_| self.is_quiescent() && !self.has_read);
         let earlier = [
             self.exchanges.first_reject_at(),
             unread_until,
-            first_request_by,
+            first_message_deadline,
         ];
         let wake_at = earlier.into_iter().flatten().fold(deadline, Instant::min);
         Wait {
@@ -343,22 +342,22 @@
 
     /// Returns when the client is overdue.
     fn deadline(&self, is_idle: bool, now: Instant) -> Instant {
-        match self.text_begun_at {
-            _ if !self.output.is_empty() => self.active_at + WRITE_TIMEOUT,
-            Some(begun_at) => begun_at + MESSAGE_TIMEOUT,
-            None if is_idle => self.active_at + millis(self.client.listener().idle_timeout_ms),
-            // Calls have deadlines of their own.
+        match self.message_started_at {
+            _ if !self.output.is_empty() => self.last_activity + WRITE_TIMEOUT,
+            Some(started_at) => started_at + MESSAGE_TIMEOUT,
+            None if is_idle => self.last_activity + millis(self.client.listener().idle_timeout_ms),
+            // Calls have their own deadlines.
             None => now + WRITE_TIMEOUT,
         }
     }
 
-    /// Acts on the time that a wait ended at; returns how the task ends, if it does.
-    fn record_timeout(&mut self, wait: &Wait) -> Option<End> {
+    /// Handles the end of a wait by time; returns how the session ends, if it does.
+    fn handle_timeout(&mut self, wait: &Wait) -> Option<SessionEnd> {
         if wait.wake_at < wait.deadline {
             return None;
         }
         if !self.output.is_empty() {
-            return Some(End::Left);
+            return Some(SessionEnd::Disconnected);
         }
         if wait.is_receiving {
             let expected = "a whole text within 2 s";
@@ -367,23 +366,23 @@
                 expected,
                 id: NULL,
             };
-            self.end_broken_input(answer::malformed(&late), REQUEST_TIMEOUT);
+            self.abort_input(answer::malformed(&late), REQUEST_TIMEOUT);
             return None;
         }
-        wait.is_idle.then_some(End::Finished)
+        wait.is_idle.then_some(SessionEnd::Finished)
     }
 
     fn record_read(&mut self) {
         self.has_read = true;
-        self.active_at = Instant::now();
-        self.arrival = stall_detector::earliest_arrival(self.active_at);
+        self.last_activity = Instant::now();
+        self.arrival = stall_detector::earliest_arrival(self.last_activity);
     }
 
-    /// Takes the last text of a client that has ended its side.
+    /// Handles the end of input, including a final message without a terminator.
     async fn end_input(&mut self) {
-        self.is_input_over = true;
+        self.has_input_ended = true;
         if let Some(text) = self.decoder.rest() {
-            self.take_text(&text, false).await;
+            self.accept_message(&text, false).await;
         }
     }
 }
--- a/crates/heathroad/src/frontend/jsonrpc/exchange.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/exchange.rs
@@ -1,7 +1,7 @@
-//! The texts of one connection that are not answered yet: their calls are queued until they may
-//! run, and their answers gathered until all are there.
+//! The unanswered messages of one connection: queues their calls until they may run, and collects
+//! the answers until they are complete.
 
-use super::answer::{answer, too_large_to_keep};
+use super::answer::{answer, no_buffer_space};
 use crate::engine::IncomingRequest;
 use crate::frontend::reservations::BufferReservation;
 use crate::router::BoundRequest;
@@ -11,45 +11,45 @@
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// A shorter answer is kept even where there is no memory, in bytes: what says so would be no
-/// shorter.
+/// Minimum size of an answer that is replaced with an error if there is no buffer space, in bytes;
+/// for a shorter one, the error would save no space.
 const MIN_DISCARDED_ANSWER: usize = 512;
-/// Most texts that wait, as a multiple of the calls that may run.
-const TEXTS_PER_CALL: usize = 2;
+/// Maximum number of unanswered messages per call that may run.
+const MESSAGES_PER_CALL: usize = 2;
 
-/// A call that was bound and may run.
+/// A call that is bound to its pool.
 pub(super) struct BoundCall {
-    /// Its id; a notification has none.
+    /// The ID; `None` for a notification.
     pub(super) id: Option<Bytes>,
     pub(super) incoming: IncomingRequest,
     pub(super) bound: BoundRequest,
 }
 
-/// What became of a call.
+/// The result of a call.
 pub(super) struct FinishedCall {
-    /// The number of its exchange.
+    /// The number of the call's exchange.
     pub(super) exchange: u64,
-    /// Its id; a notification has none, and no answer.
+    /// The ID; `None` for a notification, which gets no answer.
     pub(super) id: Option<Bytes>,
-    /// Its `result` or `error`.
+    /// The `result` or `error` member of the answer.
     pub(super) member: Bytes,
-    /// The engine rejected it.
+    /// Whether the engine rejected the call.
     pub(super) is_rejected: bool,
 }
 
-/// A text of the client's, and its answers.
+/// A message of the client, and its answers.
 pub(super) struct Exchange {
-    /// Its number on the connection.
+    /// Identifies the exchange within the connection.
     pub(super) number: u64,
     pub(super) is_batch: bool,
-    /// Its calls that are not begun.
+    /// Calls that are not started.
     pub(super) waiting: VecDeque<BoundCall>,
-    /// Number of its calls that run.
+    /// Number of running calls.
     pub(super) running: usize,
     pub(super) answers: Vec<Bytes>,
-    /// Calls that are not begun by then are rejected, while that is in time.
+    /// When calls that are not started are rejected, early enough for the client's deadline.
     pub(super) reject_at: Instant,
-    /// The bytes of its text and its answers.
+    /// The buffer space of the message and the answers.
     pub(super) reservation: BufferReservation,
 }
 
@@ -58,7 +58,7 @@
         self.running == 0 && self.waiting.is_empty()
     }
 
-    /// Writes its answers: none, one, or those of a batch.
+    /// Writes the answers: nothing, a single answer, or a batch.
     fn write_answers(&self, framing: Framing, output: &mut BytesMut) {
         match self.answers.as_slice() {
             [] => {}
@@ -79,19 +79,19 @@
     text
 }
 
-/// The exchanges of a connection, in the order of their texts.
+/// The exchanges of a connection, in the order of their messages.
 #[derive(Default)]
 pub(super) struct Exchanges {
     exchanges: VecDeque<Exchange>,
     next_number: u64,
-    /// Number of calls of batches that run.
+    /// Number of running batch calls.
     running_in_batches: usize,
-    /// Number of calls that are not begun.
+    /// Number of calls that are not started.
     waiting: usize,
 }
 
 impl Exchanges {
-    /// Returns an unused number for an exchange.
+    /// Returns the number for a new exchange.
     pub(super) fn next_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
@@ -104,28 +104,29 @@
         self.exchanges.push_back(exchange);
     }
 
-    /// Returns whether all texts are answered.
+    /// Returns whether all messages are answered.
     pub(super) fn is_empty(&self) -> bool {
         self.exchanges.is_empty()
     }
 
-    /// Returns the next call that may begin, with its exchange's number: one of a batch while fewer
-    /// of those than `batch_limit` run, any other while there is capacity for it.
+    /// Returns the next call to start, with its exchange's number. Requires capacity and, for a
+    /// batch call, fewer than `batch_limit` running batch calls.
     pub(super) fn take_next(
         &mut self,
         batch_limit: usize,
         has_capacity: bool,
     ) -> Option<(u64, BoundCall)> {
-        let may_begin_batched = self.running_in_batches < batch_limit;
-        self.take_first(|exchange| has_capacity && (may_begin_batched || !exchange.is_batch))
+        let may_start_batched = self.running_in_batches < batch_limit;
+        self.take_first(|exchange| has_capacity && (may_start_batched || !exchange.is_batch))
     }
 
-    /// Returns a call for which there is no time left, with its exchange's number.
+    /// Returns a waiting call that is due for rejection, with its exchange's number.
     pub(super) fn take_overdue(&mut self, now: Instant) -> Option<(u64, BoundCall)> {
         self.take_first(|exchange| exchange.reject_at <= now)
     }
 
-    /// Returns the first waiting call of the first exchange of which one may be taken.
+    /// Removes the first waiting call of the first exchange for which `may_take` returns true, and
+    /// counts it as running.
     fn take_first(&mut self, may_take: impl Fn(&Exchange) -> bool) -> Option<(u64, BoundCall)> {
         let mut exchanges = self.exchanges.iter_mut();
         let exchange =
@@ -137,14 +138,14 @@
         Some((exchange.number, call))
     }
 
-    /// Returns whether a further text may be read: as many calls wait at most as a batch has, and
-    /// twice as many texts as calls run.
+    /// Returns whether another message may be read: the number of waiting calls is limited to the
+    /// maximum batch size, and the number of messages to a multiple of the calls that may run.
     pub(super) fn has_capacity(&self, listener: &Listener) -> bool {
-        let max_texts = TEXTS_PER_CALL * listener.max_concurrent_calls as usize;
+        let max_texts = MESSAGES_PER_CALL * listener.max_concurrent_calls as usize;
         self.waiting < listener.max_batch_size && self.exchanges.len() < max_texts
     }
 
-    /// Returns when the first of the waiting calls is rejected.
+    /// Returns the earliest time at which a waiting call is rejected.
     pub(super) fn first_reject_at(&self) -> Option<Instant> {
         let waiting = self
             .exchanges
@@ -166,13 +167,13 @@
             .reservation
             .try_grow(text.len(), max_buffered_bytes);
         if !is_reserved && text.len() >= MIN_DISCARDED_ANSWER {
-            // It ran, and its answer cannot be kept for the others of its batch.
-            text = answer(&id, &too_large_to_keep());
+            // The call has run, but its answer cannot be buffered.
+            text = answer(&id, &no_buffer_space());
         }
         exchange.answers.push(text);
     }
 
-    /// Writes the answers of finished exchanges, in their order where that is asked for.
+    /// Writes the answers of finished exchanges, in the order of their messages if `in_order`.
     pub(super) fn write_finished(
         &mut self,
         in_order: bool,
--- a/crates/heathroad/src/frontend/jsonrpc/intake.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/intake.rs
@@ -1,5 +1,4 @@
-//! The intake of texts that were read on a JSON-RPC connection: their calls are bound, and wait for
-//! their turn.
+//! Accepts the messages decoded on a JSON-RPC connection: binds their calls and queues them.
 
 use super::answer::answer;
 use super::connection::Session;
@@ -11,23 +10,23 @@
 use std::time::Duration;
 use tokio::task::yield_now;
 
-/// A call that waits for its turn is rejected so long before its time is over.
+/// Time before its timeout at which a queued call is rejected.
 const REJECTION_MARGIN: Duration = Duration::from_millis(50);
-/// So many members of a batch are bound at a time.
-const BATCH_TURN: usize = 128;
-/// Longer than any call may take.
+/// Number of batch members that are bound before the task yields.
+const MEMBERS_PER_YIELD: usize = 128;
+/// Exceeds the timeout of any call.
 const FAR_FUTURE: Duration = Duration::from_secs(86_400);
 
-/// A member of a text that is not bound yet.
+/// A call of a message that is not bound yet.
 enum Member {
     Parsed(Result<Call, Wrong>),
-    Text(Bytes),
+    /// The JSON text of a batch member.
+    Unparsed(Bytes),
 }
 
 impl Session {
-    /// Takes a text: its calls are bound, and wait for their turn. Where there is no capacity for
-    /// them they are rejected.
-    pub(super) async fn take_text(&mut self, text: &Bytes, is_crowded: bool) {
+    /// Binds and queues the calls of a message, or rejects them if there is no capacity.
+    pub(super) async fn accept_message(&mut self, text: &Bytes, is_crowded: bool) {
         let (is_batch, members) = self.parse(text);
         let frontend = self.client.frontend();
         let mut reservation = BufferReservation::new(&frontend.table);
@@ -43,11 +42,11 @@
             reservation,
         };
         for (index, member) in members.into_iter().enumerate() {
-            if index % BATCH_TURN == BATCH_TURN - 1 {
-                // Others are not kept waiting while a great batch is bound.
+            if index % MEMBERS_PER_YIELD == MEMBERS_PER_YIELD - 1 {
+                // Keeps a large batch from blocking other tasks.
                 yield_now().await;
             }
-            self.take_member(member, must_reject, &mut exchange);
+            self.accept_member(member, must_reject, &mut exchange);
         }
         self.exchanges.push(exchange);
     }
@@ -55,15 +54,15 @@
     fn parse(&self, text: &Bytes) -> (bool, Vec<Member>) {
         match message::read(text, self.client.listener().max_batch_size) {
             Ok(Message::One(call)) => (false, vec![Member::Parsed(call)]),
-            Ok(Message::Batch(texts)) => (true, texts.into_iter().map(Member::Text).collect()),
+            Ok(Message::Batch(texts)) => (true, texts.into_iter().map(Member::Unparsed).collect()),
             Err(wrong) => (false, vec![Member::Parsed(Err(wrong))]),
         }
     }
 
-    fn take_member(&self, member: Member, must_reject: bool, exchange: &mut Exchange) {
+    fn accept_member(&self, member: Member, must_reject: bool, exchange: &mut Exchange) {
         let call = match member {
             Member::Parsed(call) => call,
-            Member::Text(text) => message::call(&text),
+            Member::Unparsed(text) => message::call(&text),
         };
         let id = call.as_ref().ok().and_then(|call| call.id.clone());
         let is_notification = call.as_ref().is_ok_and(|call| call.id.is_none());
--- a/crates/heathroad/src/frontend/jsonrpc/listener.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/listener.rs
@@ -1,4 +1,4 @@
-//! One JSON-RPC listener: accepts its connections, and closes idle ones for those that wait.
+//! One JSON-RPC listener: accepts connections, and closes idle ones when the limit is reached.
 
 use super::JsonRpcFrontend;
 use super::answer::{answer, rejected};
@@ -21,15 +21,15 @@
 use tokio::task::{JoinSet, yield_now};
 use tokio::time::Instant;
 
-/// While there is no place, it is asked again at this interval whether one has become free.
+/// Interval of the check for free descriptors while the limit is reached.
 const FULL_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Pause when nothing can be accepted.
+/// Delay after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Whether a connection is idle, and how it is asked to close.
+/// The idle state of a connection, and the signal that requests its close.
 #[derive(Default)]
 pub(super) struct IdleState {
-    /// Since when it has had nothing to do.
+    /// When the connection became idle; `None` while it is active.
     pub(super) since: Cell<Option<Instant>>,
     close_requested: Notify,
 }
@@ -38,13 +38,13 @@
 pub(super) struct ListenerServer {
     pub(super) frontend: Rc<JsonRpcFrontend>,
     pub(super) listener: Listener,
-    /// Connections by number.
+    /// The idle states of open connections, by connection number.
     connections: RefCell<BTreeMap<u64, Rc<IdleState>>>,
     next_number: Cell<u64>,
 }
 
 impl ListenerServer {
-    /// Returns the server of a listener without connections.
+    /// Creates the server of a listener.
     pub(super) fn new(frontend: Rc<JsonRpcFrontend>, listener: Listener) -> ListenerServer {
         ListenerServer {
             frontend,
@@ -54,8 +54,9 @@
         }
     }
 
-    /// Accepts connections until `stop` is set, and returns when the last one is closed. It is set
-    /// too where the listener is no longer configured, and the daemon goes on.
+    /// Accepts connections until `stop` is set, and returns when all are closed. `stop` is set at
+    /// shutdown and when the listener is removed from the configuration; `daemon_stop` only at
+    /// shutdown.
     pub(super) async fn run(
         self: Rc<Self>,
         socket: Rc<TcpListener>,
@@ -73,12 +74,12 @@
                 biased;
                 _ = stop.wait_for(|stop| *stop) => break,
                 Some(_) = open.join_next() => {}
-                // Connections that close elsewhere notify nobody here.
+                // Polls, as the close of other listeners' connections is not signaled here.
                 () = sleep(FULL_RETRY_INTERVAL), if is_full => {}
                 accepted = socket.accept(), if !is_full => match accepted {
                     Ok((stream, _)) => {
                         self.start_connection(&mut open, stream, &connections_stop);
-                        // Its descriptor counts from now on.
+                        // Lets the new task count its descriptor.
                         yield_now().await;
                     }
                     Err(_) => {
@@ -88,8 +89,8 @@
                 }
             }
         }
-        // At a planned stop the clients in the system's queue are accepted. A socket that others go
-        // on listening to is theirs.
+        // Accepts queued clients at shutdown only: after a configuration change, another server may
+        // continue with the same socket.
         if *daemon_stop.borrow() {
             for stream in accept_queued(&socket).take(self.free_descriptors()) {
                 self.start_connection(&mut open, stream, &connections_stop);
@@ -104,7 +105,7 @@
         limit.saturating_sub(self.frontend.table.descriptors())
     }
 
-    /// Starts a connection, or rejects it where there is no place.
+    /// Starts serving a connection, or rejects it if the limit is reached.
     fn start_connection(
         self: &Rc<Self>,
         open: &mut JoinSet<()>,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Asks the connection to close that has been idle longest; returns whether there is one.
+    /// Requests the close of the longest idle connection; returns whether there is one.
     fn shed_one(&self) -> bool {
         let connections = self.connections.borrow();
         let idle = connections
@@ -139,14 +140,14 @@
         true
     }
 
-    /// Rejects a connection for which there is no place. What it sends is not read.
+    /// Rejects a connection above the limit without reading its input.
     async fn reject(self: Rc<Self>, mut stream: TcpStream) {
         let _descriptor = DescriptorGuard::new(&self.frontend.table);
         let member = rejected(retry_after(&self.frontend.settings));
         let mut output = BytesMut::new();
         write::frame(self.listener.framing, &answer(&NULL, &member), &mut output);
         let (mut reader, mut writer) = stream.split();
-        // Whether the client takes that or not, nothing is owed to it.
+        // Best effort: no call was read.
         if let Ok(Ok(())) = timeout(LINGER, writer.write_all(&output)).await {
             close(&mut reader, &mut writer).await;
         }
@@ -158,7 +159,7 @@
         stream: TcpStream,
         stop: watch::Receiver<bool>,
     ) {
-        // A connection that is closed already has no address, and no call.
+        // Fails if the connection is already closed.
         let Ok(peer) = stream.peer_addr() else { return };
         let _descriptor = DescriptorGuard::new(&self.frontend.table);
         let idle = Rc::new(IdleState::default());
--- a/crates/heathroad/src/frontend/jsonrpc/mod.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/mod.rs
@@ -1,15 +1,14 @@
-//! The JSON-RPC frontend: takes texts, binds each call in them to its pool, and writes each call's
-//! one answer.
+//! The JSON-RPC frontend: decodes messages, binds each call to its pool, and writes the answers.
 //!
-//! A connection is one task, which reads, begins calls, gathers answers and writes; each call that
-//! runs is a task of its own. What is read ahead is bounded by the calls that run and the answers
-//! that wait to be read.
+//! Each connection is one task, which reads, starts calls, collects answers and writes; each
+//! running call is a separate task. Reading pauses at the limits of running and waiting calls and
+//! of unwritten answers.
 //!
 //! - `listener` accepts the connections of one listener.
-//! - `connection` is the task of a connection, `intake` takes the texts that it reads,
+//! - `connection` is the task of a connection; `intake` accepts the messages that it decodes, and
 //!   `stream_io` reads from and closes its stream.
-//! - `exchange` queues the calls of a connection's texts, and gathers their answers.
-//! - `call` binds a call and has the engine decide it, `answer` makes the texts of answers.
+//! - `exchange` queues the calls of a connection's messages and collects their answers.
+//! - `call` binds a call and runs it through the engine; `answer` builds the answers.
 
 mod answer;
 mod call;
@@ -33,25 +32,25 @@
 
 /// Serves clients over JSON-RPC.
 pub struct JsonRpcFrontend {
-    /// Says where calls go, and which listeners take them.
+    /// Selects the pools of calls, and provides the configured listeners.
     pub pools: Rc<RoutedPools>,
-    /// The settings.
+    /// The settings of this instance.
     pub settings: InstanceSettings,
-    /// Most connections at once, with those over HTTP.
+    /// Maximum number of concurrent connections, including HTTP.
     pub max_connections: usize,
-    /// Most bytes that are buffered for all clients, in texts and answers.
+    /// Maximum number of bytes buffered for all clients, in messages and answers.
     pub max_buffered_bytes: usize,
-    /// All clients' connections.
+    /// The connections of all clients.
     pub table: Rc<ConnectionTable>,
-    /// The retry budgets, where they are configured.
+    /// The retry budgets, if configured.
     pub budgets: Option<Rc<RetryBudgets>>,
 }
 
-/// The listeners that are served, by name, each with the sender of its stop.
+/// The running listeners by name, each with the sender that stops it.
 type RunningListeners = BTreeMap<String, (Listener, watch::Sender<bool>)>;
 
 impl JsonRpcFrontend {
-    /// Serves the listeners of the generation in force, until `stop` is set and the last call is
+    /// Serves the listeners of the current generation until `stop` is set and all calls are
     /// answered.
     pub async fn serve(self: Rc<Self>, mut stop: watch::Receiver<bool>) {
         let mut changed = self.pools.listener_changes();
@@ -73,7 +72,7 @@
         while open.join_next().await.is_some() {}
     }
 
-    /// Stops listeners that are no longer configured, and starts new ones.
+    /// Stops listeners that were removed or changed, and starts new ones.
     fn update_listeners(
         self: &Rc<Self>,
         running: &mut RunningListeners,
@@ -82,13 +81,13 @@
     ) {
         let configured = self.pools.listeners();
         running.retain(|name, (listener, stop)| {
-            let stays = configured
+            let can_keep = configured
                 .iter()
                 .any(|(other, _)| other.name == *name && can_continue(listener, other));
-            if !stays {
+            if !can_keep {
                 stop.send_replace(true);
             }
-            stays
+            can_keep
         });
         for (listener, socket) in configured {
             if running.contains_key(&listener.name) {
@@ -102,10 +101,10 @@
     }
 }
 
-/// Returns whether a listener's connections can go on under the other's settings. Methods and
-/// tenants are looked up for each call.
+/// Returns whether a listener's connections can continue with the settings of `other`. Methods and
+/// tenants may differ, as they are looked up for each call.
 fn can_continue(listener: &Listener, other: &Listener) -> bool {
-    let bounds = |l: &Listener| {
+    let connection_settings = |l: &Listener| {
         (
             l.address,
             l.framing,
@@ -116,5 +115,6 @@
             l.max_batch_size,
         )
     };
-    bounds(listener) == bounds(other) && listener.idle_timeout_ms == other.idle_timeout_ms
+    connection_settings(listener) == connection_settings(other)
+        && listener.idle_timeout_ms == other.idle_timeout_ms
 }
--- a/crates/heathroad/src/frontend/jsonrpc/stream_io.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/stream_io.rs
@@ -1,4 +1,4 @@
-//! Reads and the close of a JSON-RPC connection's stream.
+//! Reads from and closes the stream of a JSON-RPC connection.
 
 use crate::runtime_accounting::{self, timeout};
 use heathroad_jsonrpc::Decoder;
@@ -7,14 +7,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 
-/// Bytes that still come after the last answer are discarded for so long, so that the answer is not
-/// lost to a reset.
+/// Maximum time to discard input after the last answer, so that no reset prevents its delivery.
 pub(super) const LINGER: Duration = Duration::from_millis(200);
-/// Bytes that are discarded at a time.
+/// Size of one discarding read, in bytes.
 const DISCARD_SIZE: usize = 1024;
 
-/// Reads on. Of a client that has ended its side, or is not read from now, only a reset shows that
-/// it has left.
+/// Reads into the decoder's buffer or, if `reads` is false, waits for an error: while the stream is
+/// not read, only a reset shows that the client has disconnected.
 pub(super) async fn read_or_wait(
     reader: &mut ReadHalf<'_>,
     decoder: &mut Decoder,
@@ -28,10 +27,10 @@
     Err(io::ErrorKind::ConnectionReset.into())
 }
 
-/// Closes a connection behind its last answer. Unread bytes would turn the close into a reset,
-/// which may overtake the answer.
+/// Closes a connection after its last answer. Discards input first, since a close with unread data
+/// sends a reset, which may prevent the client from reading the answer.
 pub(super) async fn close(reader: &mut ReadHalf<'_>, writer: &mut WriteHalf<'_>) {
-    // Whether the client ends its side too or not, nothing is owed to it any more.
+    // Best effort: all answers are written.
     let _ = timeout(LINGER, async {
         writer.shutdown().await?;
         while reader.read(&mut [0; DISCARD_SIZE]).await? > 0 {}
--- a/crates/heathroad/src/frontend/mod.rs
+++ b/crates/heathroad/src/frontend/mod.rs
@@ -1,8 +1,9 @@
-//! The clients' side of the proxy: requests over [`http`] and calls over [`jsonrpc`].
+//! The client-facing side of the proxy: HTTP requests ([`http`]) and JSON-RPC calls ([`jsonrpc`]).
 //!
-//! - [`connections`] are the clients' connections, `reservations` what clients hold beside them.
-//! - `read_ahead` sees a client leave while its request is pending.
-//! - `batch_concurrency` keeps the batches of one client from taking all capacity.
+//! - [`connections`] tracks client connections; `reservations` tracks the other resources that
+//!   clients hold.
+//! - `read_ahead` detects a client's disconnect while its request is pending.
+//! - `batch_concurrency` limits the concurrent calls of a connection's batches.
 
 mod batch_concurrency;
 pub mod connections;
--- a/crates/heathroad/src/frontend/read_ahead.rs
+++ b/crates/heathroad/src/frontend/read_ahead.rs
@@ -1,6 +1,5 @@
-//! Reading ahead on a client's connection. While a request is pending the HTTP library looks for
-//! the client's end only as long as nothing lies behind that request. Here what lies there is read
-//! ahead, so that the end behind it is seen too.
+//! Read-ahead on client connections. While a request is pending, Hyper cannot detect a disconnect
+//! behind unread pipelined data. Reading that data into a buffer exposes the disconnect.
 
 use super::connections::{Connection, ConnectionTable};
 use super::reservations::BufferReservation;
@@ -20,23 +19,22 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Most bytes that are read ahead on a connection: clients send one request at a time, and more
-/// waits in the system.
+/// Maximum read-ahead per connection, in bytes; further data stays in the socket buffer.
 const MAX_READ_AHEAD: usize = 80 * 1024;
-/// Bytes that are read at a time.
+/// Size of one read, in bytes.
 const READ_SIZE: usize = 4 * 1024;
 
-/// A client's stream, used by the HTTP library and by its watcher, both in the connection's one
-/// task.
+/// A client's stream with a read-ahead buffer. Hyper and the disconnect detection share it within
+/// the connection's task.
 pub struct ReadAheadStream {
     io: RefCell<TokioIo<TcpStream>>,
     buffer: RefCell<BytesMut>,
-    /// The earliest moment at which the first buffered byte can have arrived.
+    /// The earliest time at which the first buffered byte can have arrived.
     buffered_arrival: Cell<Option<Instant>>,
-    /// The same of the library's last read, if that came from the buffer.
+    /// The earliest arrival time of Hyper's last read, if the buffer served it.
     last_read_arrival: Cell<Option<Instant>>,
     reservation: RefCell<BufferReservation>,
-    has_seen_end: Cell<bool>,
+    has_disconnected: Cell<bool>,
 }
 
 impl ReadAheadStream {
@@ -48,14 +46,14 @@
             buffered_arrival: Cell::default(),
             last_read_arrival: Cell::default(),
             reservation: RefCell::new(BufferReservation::new(table)),
-            has_seen_end: Cell::new(false),
+            has_disconnected: Cell::new(false),
         }
     }
 
-    /// Returns whether the client has closed the connection by now, with nothing behind its
-    /// request. The reactor is asked, or the system where the reactor knows nothing yet.
-    pub fn has_ended(&self, asks_system: bool) -> bool {
-        let unread = self.with_stream(|stream| match asks_system {
+    /// Returns whether the client has closed or reset the connection and no unread data is left.
+    /// `bypass_reactor` checks the socket even if the reactor does not report it as readable.
+    pub fn is_disconnected(&self, bypass_reactor: bool) -> bool {
+        let unread = self.with_stream(|stream| match bypass_reactor {
             true => peek(stream),
             false => stream.try_io(Interest::READABLE, || peek(stream)),
         });
@@ -65,17 +63,17 @@
         }
     }
 
-    /// Waits for the client's end while `is_pending` says that a request of its is. All clients
-    /// together buffer `limit` bytes at most. The same task polls this again whenever `is_pending`
-    /// may have changed.
-    pub async fn wait_for_end(&self, is_pending: impl Fn() -> bool, limit: usize) {
+    /// Waits until the client disconnects, reading ahead while `is_pending` returns true. `limit`
+    /// bounds the bytes buffered for all clients. The task must poll this again whenever the result
+    /// of `is_pending` may have changed.
+    pub async fn wait_for_disconnect(&self, is_pending: impl Fn() -> bool, limit: usize) {
         poll_fn(|cx| {
-            while is_pending() && !self.has_seen_end.get() {
+            while is_pending() && !self.has_disconnected.get() {
                 if self.poll_read_ahead(cx, limit).is_pending() {
                     return Poll::Pending;
                 }
             }
-            if self.has_seen_end.get() {
+            if self.has_disconnected.get() {
                 Poll::Ready(())
             } else {
                 Poll::Pending
@@ -84,8 +82,7 @@
         .await;
     }
 
-    /// Reads ahead once. Behind as much as may be buffered the client's end is not seen before the
-    /// response to it.
+    /// Performs one read. With a full buffer, a disconnect is detected only after the response.
     fn poll_read_ahead(&self, cx: &mut Context<'_>, limit: usize) -> Poll<()> {
         let io = self.io.borrow();
         let buffer = &mut *self.buffer.borrow_mut();
@@ -97,7 +94,7 @@
             self.reserve_buffered(buffer.len());
             return Poll::Pending;
         }
-        // Mostly there is nothing, or the end: memory is allocated for what has come.
+        // Reads into the stack: most reads return no data, and then nothing is allocated.
         let mut bytes = [0; READ_SIZE];
         match io.inner().try_read(&mut bytes) {
             Ok(read @ 1..) => {
@@ -108,18 +105,18 @@
                 self.buffered_arrival.set(Some(arrival));
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-            Ok(0) | Err(_) => self.has_seen_end.set(true),
+            Ok(0) | Err(_) => self.has_disconnected.set(true),
         }
         self.reserve_buffered(buffer.len());
         Poll::Ready(())
     }
 
-    /// Reserves only the bytes that are buffered.
+    /// Reduces the reservation to the buffered bytes.
     fn reserve_buffered(&self, bytes: usize) {
         self.reservation.borrow_mut().shrink_to(bytes);
     }
 
-    /// Takes buffered bytes; returns false where there are none.
+    /// Moves buffered bytes to `buf`; returns false if there are none.
     fn read_buffered(&self, buf: &mut ReadBufCursor<'_>) -> bool {
         let buffer = &mut *self.buffer.borrow_mut();
         self.last_read_arrival.set(None);
@@ -138,9 +135,9 @@
         true
     }
 
-    /// Asks the stream something beside reads and writes.
-    pub fn with_stream<T>(&self, ask: impl FnOnce(&TcpStream) -> T) -> T {
-        ask(self.io.borrow().inner())
+    /// Calls `operation` with the underlying TCP stream.
+    pub fn with_stream<T>(&self, operation: impl FnOnce(&TcpStream) -> T) -> T {
+        operation(self.io.borrow().inner())
     }
 }
 
@@ -150,7 +147,7 @@
     }
 }
 
-/// A client's connection as the HTTP library reads and writes it.
+/// Adapts a client's connection to Hyper's I/O traits.
 pub struct ConnectionIo(pub Rc<Connection>);
 
 impl Unread for ConnectionIo {
--- a/crates/heathroad/src/frontend/reservations.rs
+++ b/crates/heathroad/src/frontend/reservations.rs
@@ -1,18 +1,18 @@
-//! What clients hold of the proxy beside their connections: buffered bytes, ids of open requests,
-//! and places for pending ones. Each is given back when its guard is dropped.
+//! Guards for the resources that clients hold besides connections: buffered bytes, IDs of open
+//! requests, and pending requests. Each guard releases its resource on drop.
 
 use super::connections::ConnectionTable;
 use hyper::header::HeaderValue;
 use std::rc::Rc;
 
-/// Bytes that are buffered for a client.
+/// A reservation of buffer bytes for a client.
 pub struct BufferReservation {
     table: Rc<ConnectionTable>,
     bytes: usize,
 }
 
 impl BufferReservation {
-    /// Returns a reservation of no bytes.
+    /// Returns an empty reservation.
     pub fn new(table: &Rc<ConnectionTable>) -> BufferReservation {
         BufferReservation {
             table: table.clone(),
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Reserves so many more bytes, unless all clients together would hold more than `limit`;
-    /// returns whether they are reserved.
+    /// Reserves `bytes` more, unless the total of all clients would exceed `limit`; returns whether
+    /// it succeeded.
     pub fn try_grow(&mut self, bytes: usize, limit: usize) -> bool {
         let total = self.table.buffered_bytes.get() + bytes;
         let is_reserved = total <= limit;
@@ -32,12 +32,12 @@
         is_reserved
     }
 
-    /// Gives back all but so many bytes.
+    /// Releases all but `bytes` of the reservation.
     pub fn shrink_to(&mut self, bytes: usize) {
-        let returned = self.bytes.saturating_sub(bytes);
+        let released = self.bytes.saturating_sub(bytes);
         let total = self.table.buffered_bytes.get();
-        self.table.buffered_bytes.set(total - returned);
-        self.bytes -= returned;
+        self.table.buffered_bytes.set(total - released);
+        self.bytes -= released;
     }
 }
 
@@ -47,15 +47,15 @@
     }
 }
 
-/// The id of an open request, and the bytes of its body.
+/// Reserves the ID of an open request and the buffer space of its body.
 pub struct RequestReservation {
-    /// The bytes of its body.
+    /// The buffer space of the body.
     pub body: BufferReservation,
     id: HeaderValue,
 }
 
 impl RequestReservation {
-    /// Reserves an id; returns nothing if a request with this id is open.
+    /// Reserves an ID; returns `None` if a request with this ID is open.
     pub fn new(table: &Rc<ConnectionTable>, id: &HeaderValue) -> Option<RequestReservation> {
         let is_unused = table.open_ids.borrow_mut().insert(id.clone());
         is_unused.then(|| RequestReservation {
@@ -71,11 +71,11 @@
     }
 }
 
-/// Counts a request that waits for its response.
+/// Counts a request while it waits for its response.
 pub struct PendingRequestGuard<'a>(&'a ConnectionTable);
 
 impl<'a> PendingRequestGuard<'a> {
-    /// Counts one more.
+    /// Adds one request to the count.
     pub fn new(table: &'a ConnectionTable) -> Self {
         table.pending_requests.set(table.pending_requests.get() + 1);
         PendingRequestGuard(table)
