--- a/crates/heathroad/src/backend/jsonrpc/connection.rs
+++ b/crates/heathroad/src/backend/jsonrpc/connection.rs
@@ -6,8 +6,8 @@
 use crate::retry_budget::AttemptBudget;
 use crate::stream::Written;
 use bytes::{Buf, Bytes, BytesMut};
-use heathroad_jsonrpc::message::{self, METHOD_NOT_FOUND, Reply};
-use heathroad_jsonrpc::{Answer, Framing, write};
+use heathroad_jsonrpc::message::{self, METHOD_NOT_FOUND, ServerMessage};
+use heathroad_jsonrpc::{Framing, Response, write};
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashSet, VecDeque};
@@ -24,7 +24,7 @@
 /// How a call on a connection ended.
 pub(super) enum CallEnd {
     /// With a response.
-    Answered(Answer),
+    Answered(Response),
     /// The call is a notification and was written.
     NotificationSent,
     /// The backend's drain grace period ended before anything of the call was written.
@@ -250,15 +250,15 @@
     /// Handles a message from the backend; returns false if the connection must be closed because
     /// the backend violates the protocol.
     pub(super) fn handle_message(&self, text: &Bytes, framing: Framing) -> bool {
-        match message::reply(text) {
-            Reply::Answer(answer) => self.handle_response(answer),
-            Reply::Call(None) => true,
-            Reply::Call(Some(id)) => self.reject_backend_call(&id, framing),
-            Reply::Wrong(_) => false,
+        match message::parse_server_message(text) {
+            ServerMessage::Response(answer) => self.handle_response(answer),
+            ServerMessage::Call(None) => true,
+            ServerMessage::Call(Some(id)) => self.reject_backend_call(&id, framing),
+            ServerMessage::Invalid(_) => false,
         }
     }
 
-    fn handle_response(&self, answer: Answer) -> bool {
+    fn handle_response(&self, answer: Response) -> bool {
         let state = &mut *self.state.borrow_mut();
         let id = std::str::from_utf8(&answer.id)
             .ok()
@@ -277,9 +277,9 @@
     /// Rejects a call from the backend; returns false if there were too many.
     fn reject_backend_call(&self, id: &Bytes, framing: Framing) -> bool {
         let state = &mut *self.state.borrow_mut();
-        let error = write::error(METHOD_NOT_FOUND, "no calls are taken here", None);
+        let error = write::error_member(METHOD_NOT_FOUND, "no calls are taken here", None);
         let mut text = BytesMut::new();
-        write::answer(id, &error, &mut text);
+        write::response(id, &error, &mut text);
         state
             .queue
             .push_back(Frame::new(NO_CALL_ID, framing, &text));
@@ -316,7 +316,7 @@
         if let Some(budget) = budget {
             let remaining_time = expires_at.saturating_duration_since(Instant::now());
             let (budget, path) = budget.header_values(remaining_time);
-            write::carry(&mut text, &budget, path);
+            write::add_budget_members(&mut text, &budget, path);
         }
         text
     }
--- a/crates/heathroad/src/frontend/jsonrpc/answer.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/answer.rs
@@ -2,9 +2,9 @@
 
 use bytes::{Bytes, BytesMut};
 use heathroad_jsonrpc::message::{
-    INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, NULL, PARSE_ERROR, Wrong,
+    INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, NULL_ID, PARSE_ERROR, RequestError,
 };
-use heathroad_jsonrpc::{Broken, write};
+use heathroad_jsonrpc::{FramingError, write};
 use std::time::Duration;
 
 /// The call was rejected and did not run; a retry is safe. Like the codes below, in the range that
@@ -20,7 +20,7 @@
 /// Builds a response from an ID and a `result` or `error` member.
 pub(super) fn answer(id: &Bytes, member: &[u8]) -> Bytes {
     let mut text = BytesMut::new();
-    write::answer(id, member, &mut text);
+    write::response(id, member, &mut text);
     text.freeze()
 }
 
@@ -28,22 +28,22 @@
 pub(super) fn rejected(retry_after: Option<Duration>) -> Bytes {
     let milliseconds = retry_after.map(|delay| delay.as_millis() as u64);
     let message = "refused: nothing was done, and trying again is harmless";
-    write::error(REJECTED, message, milliseconds)
+    write::error_member(REJECTED, message, milliseconds)
 }
 
 /// Returns the `error` member for a failed call.
 pub(super) fn failed() -> Bytes {
-    write::error(FAILED, "failed: it may have run", None)
+    write::error_member(FAILED, "failed: it may have run", None)
 }
 
 /// Returns the `error` member for a call whose response exceeds the buffer space.
 pub(super) fn no_buffer_space() -> Bytes {
-    write::error(FAILED, "failed: there is no room for its answer", None)
+    write::error_member(FAILED, "failed: there is no room for its answer", None)
 }
 
 /// Returns the `error` member for a call that timed out.
 pub(super) fn timed_out() -> Bytes {
-    write::error(
+    write::error_member(
         TIMED_OUT,
         "failed: no answer in time; it may have run",
         None,
@@ -51,27 +51,27 @@
 }
 
 /// Builds the response to an invalid message or call.
-pub(super) fn malformed(wrong: &Wrong) -> Bytes {
-    let name = match wrong.code {
+pub(super) fn malformed(error: &RequestError) -> Bytes {
+    let name = match error.code {
         PARSE_ERROR => "Parse error",
         METHOD_NOT_FOUND => "Method not found",
         INVALID_PARAMS => "Invalid params",
         _ => "Invalid Request",
     };
-    let message = format!("{name}: expected {}", wrong.expected);
-    answer(&wrong.id, &write::error(wrong.code, &message, None))
+    let message = format!("{name}: expected {}", error.expected);
+    answer(&error.id, &write::error_member(error.code, &message, None))
 }
 
 /// Builds the response to a framing error, after which no further messages can be decoded.
-pub(super) fn framing_error(error: Broken) -> Bytes {
-    let code = if error == Broken::TooLong {
+pub(super) fn framing_error(error: FramingError) -> Bytes {
+    let code = if error == FramingError::TooLong {
         INVALID_REQUEST
     } else {
         PARSE_ERROR
     };
-    malformed(&Wrong {
+    malformed(&RequestError {
         code,
         expected: error.expected(),
-        id: NULL,
+        id: NULL_ID,
     })
 }
--- a/crates/heathroad/src/frontend/jsonrpc/call.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/call.rs
@@ -12,9 +12,9 @@
 use bytes::Bytes;
 use heathroad_balancer::api::Idempotency;
 use heathroad_jsonrpc::message::{
-    Call, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, NULL, Wrong,
+    Call, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, NULL_ID, RequestError,
 };
-use heathroad_jsonrpc::pointer::{self, Missing};
+use heathroad_jsonrpc::pointer::{self, FindError};
 use heathroad_jsonrpc::write;
 use heathroad_retry_budget::loop_detection::RequestFingerprint;
 use heathroad_routing::config::{Listener, Method, TenantSource};
@@ -27,19 +27,19 @@
 /// The parameters of a call that has none.
 const NO_PARAMS: &str = "[]";
 
-fn invalid_call(code: i64, expected: &'static str) -> Wrong {
-    Wrong {
+fn invalid_call(code: i64, expected: &'static str) -> RequestError {
+    RequestError {
         code,
         expected,
-        id: NULL,
+        id: NULL_ID,
     }
 }
 
 /// Returns the error for a call whose parameters lack a value or contain it more than once.
-fn missing_value(missing: Missing, expected: &'static str) -> Wrong {
-    match missing {
-        Missing::Nothing => invalid_call(INVALID_PARAMS, expected),
-        Missing::Twice => invalid_call(
+fn missing_value(error: FindError, expected: &'static str) -> RequestError {
+    match error {
+        FindError::NotFound => invalid_call(INVALID_PARAMS, expected),
+        FindError::DuplicateName => invalid_call(
             INVALID_PARAMS,
             "each name on the way to a key or tenant once",
         ),
@@ -55,21 +55,21 @@
 }
 
 /// Returns the idempotency key of a call, if its method has one.
-fn idempotency_key(call: &Call, method: &Method) -> Result<Option<String>, Wrong> {
+fn idempotency_key(call: &Call, method: &Method) -> Result<Option<String>, RequestError> {
     let Some(pointer) = &method.key else {
         return Ok(None);
     };
     let expected = "a key where the method looks for it";
     let key = pointer
         .find(params(call))
-        .map_err(|missing| missing_value(missing, expected))?;
+        .map_err(|error| missing_value(error, expected))?;
     Ok(Some(key.get().to_string()))
 }
 
 /// Returns the call that attempts send to a backend.
 fn to_backend_call(call: Call, transport: jsonrpc::Transport) -> jsonrpc::Call {
     jsonrpc::Call {
-        method: call.method_text,
+        method: call.raw_method,
         params: call.params,
         is_notification: call.id.is_none(),
         transport,
@@ -78,7 +78,11 @@
 
 impl Client {
     /// Validates a call and binds it to its pool.
-    pub(super) fn bind_call(&self, call: Call, received_at: Instant) -> Result<BoundCall, Wrong> {
+    pub(super) fn bind_call(
+        &self,
+        call: Call,
+        received_at: Instant,
+    ) -> Result<BoundCall, RequestError> {
         let generation = self.frontend().pools.current_generation();
         let listeners = &generation.config.listeners;
         let listener = listeners
@@ -140,7 +144,11 @@
     }
 
     /// Returns the name of a call's tenant, if the listener has tenants.
-    fn tenant_name(&self, call: &Call, listener: &Listener) -> Result<Option<String>, Wrong> {
+    fn tenant_name(
+        &self,
+        call: &Call,
+        listener: &Listener,
+    ) -> Result<Option<String>, RequestError> {
         match &listener.tenant_source {
             TenantSource::None => Ok(None),
             TenantSource::Fixed(name) => Ok(Some(name.clone())),
@@ -152,8 +160,8 @@
             TenantSource::Params(pointer) => {
                 let expected = "a tenant where the listener looks for it";
                 let value = pointer.find(params(call));
-                let value = value.map_err(|missing| missing_value(missing, expected))?;
-                let name = pointer::text(value);
+                let value = value.map_err(|error| missing_value(error, expected))?;
+                let name = pointer::as_string(value);
                 Ok(Some(name.ok_or(invalid_call(
                     INVALID_PARAMS,
                     "a tenant that is a text",
@@ -162,7 +170,7 @@
         }
     }
 
-    fn tenant_index(&self, name: Option<&str>) -> Result<u16, Wrong> {
+    fn tenant_index(&self, name: Option<&str>) -> Result<u16, RequestError> {
         let tenants = &self.frontend().settings.site.tenants;
         if tenants.is_empty() {
             return Ok(0);
@@ -178,11 +186,11 @@
         call: &Call,
         fingerprint: RequestFingerprint,
         timeout: Duration,
-    ) -> Result<Option<RequestBudget>, Wrong> {
+    ) -> Result<Option<RequestBudget>, RequestError> {
         let Some(budgets) = &self.frontend().budgets else {
             return Ok(None);
         };
-        let claim = read_jsonrpc_claim(&call.carried, budgets.is_trusted(self.peer));
+        let claim = read_jsonrpc_claim(&call.budget_members, budgets.is_trusted(self.peer));
         let admitted = budgets.admit(claim, fingerprint, timeout);
         let expected = "a call that has not passed this proxy before, nor too many";
         Ok(Some(
@@ -210,7 +218,7 @@
             Response::TimedOut => answer::timed_out(),
         };
         let member = match retries_spent {
-            Some(spent) => write::spent(&member, &spent.to_string()),
+            Some(spent) => write::with_retries_spent(&member, &spent.to_string()),
             None => member,
         };
         FinishedCall {
@@ -243,14 +251,14 @@
     }
 
     /// Counts an invalid call and returns its answer.
-    pub(super) fn reject_malformed(&self, wrong: &Wrong) -> Bytes {
-        let status = match wrong.code {
+    pub(super) fn reject_malformed(&self, error: &RequestError) -> Bytes {
+        let status = match error.code {
             METHOD_NOT_FOUND => 404,
             INVALID_PARAMS => 422,
             LOOP_DETECTED => 508,
             _ => 400,
         };
-        self.frontend().pools.meter().record_unusable(status);
-        answer::malformed(wrong)
+        self.frontend().pools.metrics().record_unusable(status);
+        answer::malformed(error)
     }
 }
--- a/crates/heathroad/src/frontend/jsonrpc/intake.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/intake.rs
@@ -5,7 +5,7 @@
 use super::exchange::Exchange;
 use crate::frontend::reservations::BufferReservation;
 use bytes::Bytes;
-use heathroad_jsonrpc::message::{self, Call, Message, Wrong};
+use heathroad_jsonrpc::message::{self, Call, Message, RequestError};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::task::yield_now;
@@ -19,7 +19,7 @@
 
 /// A call of a message that is not bound yet.
 enum Member {
-    Parsed(Result<Call, Wrong>),
+    Parsed(Result<Call, RequestError>),
     /// The JSON text of a batch member.
     Unparsed(Bytes),
 }
@@ -52,17 +52,17 @@
     }
 
     fn parse(&self, text: &Bytes) -> (bool, Vec<Member>) {
-        match message::read(text, self.client.listener().max_batch_size) {
-            Ok(Message::One(call)) => (false, vec![Member::Parsed(call)]),
+        match message::parse(text, self.client.listener().max_batch_size) {
+            Ok(Message::Single(call)) => (false, vec![Member::Parsed(call)]),
             Ok(Message::Batch(texts)) => (true, texts.into_iter().map(Member::Unparsed).collect()),
-            Err(wrong) => (false, vec![Member::Parsed(Err(wrong))]),
+            Err(error) => (false, vec![Member::Parsed(Err(error))]),
         }
     }
 
     fn accept_member(&self, member: Member, must_reject: bool, exchange: &mut Exchange) {
         let call = match member {
             Member::Parsed(call) => call,
-            Member::Unparsed(text) => message::call(&text),
+            Member::Unparsed(text) => message::parse_call(&text),
         };
         let id = call.as_ref().ok().and_then(|call| call.id.clone());
         let is_notification = call.as_ref().is_ok_and(|call| call.id.is_none());
@@ -77,12 +77,12 @@
                 exchange.reject_at = exchange.reject_at.min(self.arrival + time);
                 exchange.waiting.push_back(call);
             }
-            Err(wrong) => {
-                let wrong = Wrong {
-                    id: id.unwrap_or(wrong.id.clone()),
-                    ..wrong
+            Err(error) => {
+                let error = RequestError {
+                    id: id.unwrap_or(error.id.clone()),
+                    ..error
                 };
-                let text = self.client.reject_malformed(&wrong);
+                let text = self.client.reject_malformed(&error);
                 exchange.answers.extend((!is_notification).then_some(text));
             }
         }
