--- a/crates/heathroad/src/frontend/connections.rs
+++ b/crates/heathroad/src/frontend/connections.rs
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Returns the time idle_since data last arrived.
+    /// Returns the time since data last arrived.
     pub fn time_since_read(&self) -> Duration {
         let last_arrival = self.progress.last_arrival();
         last_arrival.map_or(Duration::ZERO, |last_arrival| last_arrival.elapsed())
--- a/crates/heathroad/src/frontend/http/mod.rs
+++ b/crates/heathroad/src/frontend/http/mod.rs
@@ -73,7 +73,7 @@
                 }
             }
         }
-        self.accept_last(listener, &mut open, &connections_stop);
+        self.accept_remaining(listener, &mut open, &connections_stop);
         loop {
             tokio::select! {
                 ended = open.join_next() => if ended.is_none() { return },
@@ -87,7 +87,7 @@
     }
 
     /// Accepts the connections in the accept queue and closes the listener.
-    fn accept_last(
+    fn accept_remaining(
         self: &Rc<Self>,
         listener: TcpListener,
         open: &mut JoinSet<()>,
--- a/crates/heathroad/src/frontend/jsonrpc/exchange.rs
+++ b/crates/heathroad/src/frontend/jsonrpc/exchange.rs
@@ -154,7 +154,7 @@
         waiting.map(|exchange| exchange.reject_at).min()
     }
 
-    /// Records the answer of a call that was taken.
+    /// Records the answer of a call that was removed from the queue.
     pub(super) fn record_answer(&mut self, finished: FinishedCall, max_buffered_bytes: usize) {
         let mut exchanges = self.exchanges.iter_mut();
         let exchange = exchanges.find(|exchange| exchange.number == finished.exchange);
