--- a/crates/heathroad-harness/src/checker/rules.rs
+++ b/crates/heathroad-harness/src/checker/rules.rs
@@ -3,7 +3,7 @@
 
 use super::{CheckInput, client};
 use crate::clock::{Micros, format_seconds};
-use crate::emulator::host::Pressure;
+use crate::emulator::host::OfferedLoad;
 use crate::event_log::{
     Arrival, Attempt, AttemptEnd, Disposition, EventLog, Health, MalformedClient, ProcessEvent,
     ProcessEventKind, ProxyIndex, RegistryUpdate,
@@ -453,11 +453,11 @@
             .filter(|a| (a.backend, a.incarnation) == (life.backend, life.number))
             .collect();
         sent.sort_by_key(|a| a.received_at);
-        let (mut pressure, mut ran) = (Pressure::default(), 0);
+        let (mut offered_load, mut ran) = (OfferedLoad::default(), 0);
         for (i, a) in sent.iter().enumerate() {
             let warmth = spec.warmth(a.received_at.saturating_sub(life.started_at), ran);
             ran += u32::from(a.disposition == Disposition::Executed);
-            let multiple = pressure.sent(spec, a.received_at, a.work, warmth);
+            let multiple = offered_load.record(spec, a.received_at, a.work, warmth);
             if warmth >= 1.0 || multiple <= spec.overload_multiple {
                 continue;
             }
--- a/crates/heathroad-harness/src/emulator/host.rs
+++ b/crates/heathroad-harness/src/emulator/host.rs
@@ -51,15 +51,15 @@
 /// The work sent to one process within the span that the fourth rule looks at. Stand-ins use it to
 /// fall over, the judge to say so from the ledgers.
 #[derive(Debug, Default)]
-pub struct Pressure {
+pub struct OfferedLoad {
     recent: VecDeque<(Micros, u64)>,
     sum: u64,
 }
 
-impl Pressure {
+impl OfferedLoad {
     /// Takes note of work that came, and tells the multiple of what the machine can do at that
     /// moment, over the span that ends there.
-    pub fn sent(&mut self, spec: &HostSpec, at: Micros, work: u64, warmth: f64) -> f64 {
+    pub fn record(&mut self, spec: &HostSpec, at: Micros, work: u64, warmth: f64) -> f64 {
         self.recent.push_back((at, work));
         self.sum += work;
         while let Some((_, work)) = self
@@ -86,7 +86,7 @@
     /// It ran before the rehearsal.
     pub warm: Cell<bool>,
     ran: Cell<u32>,
-    pressure: RefCell<Pressure>,
+    pressure: RefCell<OfferedLoad>,
     /// So many times slower.
     pub slowdown: Cell<f64>,
     /// Share that a neighbour takes, when it does.
@@ -137,7 +137,7 @@
         let pressure = self
             .pressure
             .borrow_mut()
-            .sent(&self.spec, now, work, warmth);
+            .record(&self.spec, now, work, warmth);
         warmth < 1.0 && pressure > self.spec.overload_multiple
     }
 
@@ -205,8 +205,8 @@
     /// A tenth of a second's work at a time: 3 x 0.2 x 2 s of one standard core in all are borne.
     #[test]
     fn pressure_is_the_work_of_the_last_span_over_what_could_be_done() {
-        let (spec, mut pressure) = (spec(), Pressure::default());
-        let sent = |p: &mut Pressure, at| p.sent(&spec, at, SECOND / 10, 0.2);
+        let (spec, mut pressure) = (spec(), OfferedLoad::default());
+        let sent = |p: &mut OfferedLoad, at| p.record(&spec, at, SECOND / 10, 0.2);
         let multiples: Vec<f64> = (0..13).map(|i| sent(&mut pressure, i * 1000)).collect();
         assert!(multiples[11] <= 3.0 && multiples[12] > 3.0, "{multiples:?}");
         assert!(
