--- a/crates/heathroad-harness/src/emulator/backend.rs
+++ b/crates/heathroad-harness/src/emulator/backend.rs
@@ -390,7 +390,7 @@
             let arrival = self.arrival(proxy, life, id, class, &request, first_byte, handshake);
             let (mark, at) = (arrival.marker, self.note(arrival));
             let work = self.context.event_log.borrow().arrivals[at].work;
-            if self.host.falls(work) {
+            if self.host.check_overload(work) {
                 self.fall_over(life);
                 return true;
             }
@@ -545,7 +545,7 @@
         let head = || format!("Srv-Load: {}\r\n", self.load());
         if let Some(key) = request.key.filter(|_| schedule.is_keyed(class)) {
             let window = (schedule.class(class).window_ms * 1000.0) as Micros;
-            if self.dedup_cache.borrow_mut().repeats(now, key, window) {
+            if self.dedup_cache.borrow_mut().is_duplicate(now, key, window) {
                 fate(Disposition::Duplicate);
                 return (
                     encode_reply(request, 200, &head(), &response_body(id, mark)),
--- a/crates/heathroad-harness/src/emulator/fencing_server.rs
+++ b/crates/heathroad-harness/src/emulator/fencing_server.rs
@@ -1,8 +1,5 @@
-//! What duties act on: an address that keeps the highest token it has seen and answers 412 to a
-//! lower one, and a judge of what it took.
-//!
-//! Acts may be late on their way to it, which is what a token is for; and its look may be left out,
-//! to see what the lease alone is worth.
+//! Emulated fencing server: stores the highest token it has seen, answers 412 to a lower one, and
+//! records all calls for a check. Calls can be delayed, and the token check can be turned off.
 
 use crate::clock::{Clock, Micros};
 use crate::http::{self, Buffer};
@@ -17,81 +14,81 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Most acts that are kept.
-const MAX_ACTS: usize = 200_000;
+/// Maximum number of recorded calls.
+const MAX_CALLS: usize = 200_000;
 
-/// An act that came.
+/// A call made under a lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseCall {
-    /// When it was taken or refused.
+    /// When it was accepted or rejected.
     pub at: Micros,
-    /// By which token.
+    /// Its fencing token.
     pub token: u64,
-    /// By whom: a place, and a life of it.
+    /// The caller: a member and its incarnation.
     pub holder: String,
-    /// Its number.
+    /// Its sequence number.
     pub number: u64,
-    /// Whether it was taken.
+    /// Whether it was accepted.
     pub accepted: bool,
 }
 
 impl LeaseCall {
-    /// Whose it was.
+    /// The calling member, which is the lower 16 bits of the token.
     pub fn member(&self) -> u16 {
         self.token as u16
     }
 }
 
-/// How it is.
+/// Options of the server.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// It looks at tokens.
+    /// Whether lower tokens are rejected.
     pub check_tokens: bool,
-    /// A share of acts comes late,
+    /// Share of connections whose calls are delayed.
     pub delayed_share: f64,
-    /// by up to so much.
+    /// Longest delay.
     pub max_delay: Duration,
-    /// The seed of that.
+    /// Seed of the delays.
     pub seed: u64,
 }
 
-/// An address that duties act on. It ends when it is dropped.
+/// A running fencing server, which stops when dropped.
 pub struct FencingServer {
-    /// Where it is.
+    /// Its listening address.
     pub address: SocketAddr,
     calls: Arc<Mutex<Vec<LeaseCall>>>,
-    answers: Arc<Mutex<Option<u16>>>,
-    serving: JoinHandle<()>,
+    forced_status: Arc<Mutex<Option<u16>>>,
+    task: JoinHandle<()>,
 }
 
 impl Drop for FencingServer {
     fn drop(&mut self) {
-        self.serving.abort();
+        self.task.abort();
     }
 }
 
 impl FencingServer {
-    /// Opens one.
+    /// Starts a server on a loopback port.
     pub async fn start(clock: Clock, options: Options) -> io::Result<FencingServer> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (acts, answers) = (Arc::default(), Arc::default());
-        let serving = tokio::spawn(serve(
+        let (calls, forced_status) = (Arc::default(), Arc::default());
+        let task = tokio::spawn(serve(
             listener,
             clock,
             options,
-            Arc::clone(&acts),
-            Arc::clone(&answers),
+            Arc::clone(&calls),
+            Arc::clone(&forced_status),
         ));
         Ok(FencingServer {
             address,
-            calls: acts,
-            answers,
-            serving,
+            calls,
+            forced_status,
+            task,
         })
     }
 
-    /// What the fleet's file says of a duty `tick` that acts here, the first three places being its
+    /// Lease configuration of a duty `tick` that calls this server, with the first three members as
     /// voters.
     pub fn lease_config(&self, lease_ms: u64, every: Duration) -> String {
         format!(
@@ -102,15 +99,15 @@
         )
     }
 
-    /// What came so far.
+    /// Calls recorded so far.
     pub fn calls(&self) -> Vec<LeaseCall> {
-        self.calls.lock().map(|a| a.clone()).unwrap_or_default()
+        self.calls.lock().map(|c| c.clone()).unwrap_or_default()
     }
 
-    /// Answers all with this status from now on, and takes none; or does as it should.
+    /// Answers all calls with this status and accepts none; `None` restores the token check.
     pub fn set_status(&self, status: Option<u16>) {
-        if let Ok(mut answers) = self.answers.lock() {
-            *answers = status;
+        if let Ok(mut forced_status) = self.forced_status.lock() {
+            *forced_status = status;
         }
     }
 }
@@ -119,46 +116,48 @@
     listener: TcpListener,
     clock: Clock,
     options: Options,
-    acts: Arc<Mutex<Vec<LeaseCall>>>,
-    answers: Arc<Mutex<Option<u16>>>,
+    calls: Arc<Mutex<Vec<LeaseCall>>>,
+    forced_status: Arc<Mutex<Option<u16>>>,
 ) {
     let mut rng = Rng::with_seed(options.seed);
     let highest = Arc::new(AtomicU64::new(0));
     while let Ok((mut stream, _)) = listener.accept().await {
-        let late = if rng.f64() < options.delayed_share {
+        let delay = if rng.f64() < options.delayed_share {
             options.max_delay.mul_f64(rng.f64())
         } else {
             Duration::ZERO
         };
-        let (acts, answers, highest) = (acts.clone(), answers.clone(), highest.clone());
+        let (calls, forced_status, highest) =
+            (calls.clone(), forced_status.clone(), highest.clone());
         tokio::spawn(async move {
             let mut buffer = Buffer::default();
             while let Ok(request) = buffer.request(&mut stream).await {
                 let Some((token, holder, number)) = request.lease_headers else {
                     return;
                 };
-                sleep(late).await;
-                let told = answers.lock().ok().and_then(|a| *a);
-                let status = told.unwrap_or_else(|| {
-                    let Ok(mut acts) = acts.lock() else {
+                sleep(delay).await;
+                let forced = forced_status.lock().ok().and_then(|s| *s);
+                let status = forced.unwrap_or_else(|| {
+                    let Ok(mut calls) = calls.lock() else {
                         return 500;
                     };
-                    let taken = token >= highest.fetch_max(token, Ordering::Relaxed)
+                    let accepted = token >= highest.fetch_max(token, Ordering::Relaxed)
                         || !options.check_tokens;
-                    if acts.len() < MAX_ACTS {
-                        acts.push(LeaseCall {
+                    if calls.len() < MAX_CALLS {
+                        calls.push(LeaseCall {
                             at: clock.now(),
                             token,
                             holder,
                             number,
-                            accepted: taken,
+                            accepted,
                         });
                     }
-                    if taken { 200 } else { 412 }
+                    if accepted { 200 } else { 412 }
                 });
-                let seen = format!("Duty-Token: {:016x}\r\n", highest.load(Ordering::Relaxed));
+                let token_header =
+                    format!("Duty-Token: {:016x}\r\n", highest.load(Ordering::Relaxed));
                 if stream
-                    .write_all(&http::encode_response(status, &seen, ""))
+                    .write_all(&http::encode_response(status, &token_header, ""))
                     .await
                     .is_err()
                 {
@@ -169,41 +168,41 @@
     }
 }
 
-/// What is wrong with what was taken: acts out of the order of their tokens, and tokens that two
-/// held.
-pub fn check(acts: &[LeaseCall]) -> Vec<String> {
-    let mut wrong = Vec::new();
+/// Returns the violations among the accepted calls: tokens out of order, and tokens used by two
+/// holders.
+pub fn check(calls: &[LeaseCall]) -> Vec<String> {
+    let mut violations = Vec::new();
     let mut last: Option<&LeaseCall> = None;
     let mut holders = std::collections::BTreeMap::new();
-    for act in acts.iter().filter(|a| a.accepted) {
-        if last.is_some_and(|l| l.token > act.token) {
-            wrong.push(format!("{act:?} after {last:?}"));
+    for call in calls.iter().filter(|c| c.accepted) {
+        if last.is_some_and(|l| l.token > call.token) {
+            violations.push(format!("{call:?} accepted after {last:?}"));
         }
-        if last.is_none_or(|l| l.token <= act.token) {
-            last = Some(act);
+        if last.is_none_or(|l| l.token <= call.token) {
+            last = Some(call);
         }
-        let holder = holders.entry(act.token).or_insert(&act.holder);
-        if *holder != &act.holder {
-            wrong.push(format!("{act:?}, whose token is {holder}'s"));
+        let holder = holders.entry(call.token).or_insert(&call.holder);
+        if *holder != &call.holder {
+            violations.push(format!("{call:?} uses a token of {holder}"));
         }
     }
-    wrong
+    violations
 }
 
-/// A figure of what was done.
-pub fn figure(acts: &[LeaseCall], name: &str) -> Option<f64> {
-    let taken: Vec<&LeaseCall> = acts.iter().filter(|a| a.accepted).collect();
+/// Computes a figure of the calls by its name.
+pub fn figure(calls: &[LeaseCall], name: &str) -> Option<f64> {
+    let accepted: Vec<&LeaseCall> = calls.iter().filter(|c| c.accepted).collect();
     let figure = match name {
-        "duty_acts" => taken.len() as f64,
-        "duty_holds" => taken
+        "duty_acts" => accepted.len() as f64,
+        "duty_holds" => accepted
             .iter()
-            .map(|a| a.token)
+            .map(|c| c.token)
             .collect::<std::collections::BTreeSet<_>>()
             .len() as f64,
-        "duty_refused" => (acts.len() - taken.len()) as f64,
-        "duty_out_of_order" => check(acts).len() as f64,
+        "duty_refused" => (calls.len() - accepted.len()) as f64,
+        "duty_out_of_order" => check(calls).len() as f64,
         "duty_pause_s" => {
-            let pauses = taken.windows(2).map(|w| w[1].at.saturating_sub(w[0].at));
+            let pauses = accepted.windows(2).map(|w| w[1].at.saturating_sub(w[0].at));
             pauses.max().unwrap_or(0) as f64 / 1e6
         }
         _ => return None,
@@ -216,22 +215,22 @@
     use super::*;
 
     #[test]
-    fn what_is_wrong_is_found() {
-        let act = |token, holder: &str, taken| LeaseCall {
+    fn violations_are_found() {
+        let call = |token, holder: &str, accepted| LeaseCall {
             at: 0,
             token,
             holder: holder.into(),
             number: 1,
-            accepted: taken,
+            accepted,
         };
-        let good = [
-            act(1, "a", true),
-            act(2, "b", true),
-            act(1, "a", false),
-            act(2, "b", true),
+        let valid = [
+            call(1, "a", true),
+            call(2, "b", true),
+            call(1, "a", false),
+            call(2, "b", true),
         ];
-        assert_eq!(check(&good), Vec::<String>::new());
-        assert_eq!(check(&[act(2, "b", true), act(1, "a", true)]).len(), 1);
-        assert_eq!(check(&[act(2, "b", true), act(2, "a", true)]).len(), 1);
+        assert_eq!(check(&valid), Vec::<String>::new());
+        assert_eq!(check(&[call(2, "b", true), call(1, "a", true)]).len(), 1);
+        assert_eq!(check(&[call(2, "b", true), call(2, "a", true)]).len(), 1);
     }
 }
--- a/crates/heathroad-harness/src/emulator/host.rs
+++ b/crates/heathroad-harness/src/emulator/host.rs
@@ -1,5 +1,5 @@
-//! A backend's machine: cores that work through time, a cold start, and falling over. No sockets
-//! here.
+//! Emulated host of a backend: CPU cores, warm-up after a cold start, and crashes from overload. It
+//! opens no sockets.
 
 use crate::clock::{Clock, Micros, SECOND};
 use std::cell::{Cell, RefCell};
@@ -8,48 +8,48 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep;
 
-/// Work goes on in pieces no longer than this, so that a change of speed is felt soon.
-const PIECE: f64 = 5_000.0;
-/// What a program on the same machine takes it takes on and off, so long each.
-const NEIGHBOUR: Micros = SECOND;
+/// Longest step of work, in microseconds, so that a change of speed takes effect soon.
+const MAX_STEP_US: f64 = 5_000.0;
+/// Length of the alternating periods with and without CPU steal.
+const STEAL_PERIOD: Micros = SECOND;
 
-/// What a machine is made of.
+/// Performance parameters of a host.
 #[derive(Debug, Clone)]
 pub struct HostSpec {
-    /// Cores.
+    /// Number of cores.
     pub cores: u16,
-    /// Speed of each; 1 is standard.
+    /// Speed of each core relative to a standard core.
     pub speed: f64,
-    /// Share of its capacity at which it starts.
+    /// Share of the capacity that is available right after a start.
     pub cold_capacity: f64,
-    /// Time after which it is warm.
+    /// Time after a start until the full capacity is available.
     pub warm_up: Micros,
-    /// Requests after which it is warm, in place of time, if not 0.
+    /// Requests until the full capacity is available; replaces `warm_up` unless 0.
     pub warm_requests: u32,
-    /// It falls over when sent this multiple of what it can do ...
+    /// A cold process crashes when it is sent more than this multiple of its capacity.
     pub overload_multiple: f64,
-    /// ... for so long.
+    /// Window over which the work sent is summed up.
     pub overload_window: Micros,
 }
 
 impl HostSpec {
-    /// Share of its capacity so long after its start, having run so many requests.
-    pub fn warmth(&self, age: Micros, ran: u32) -> f64 {
-        let grown = match self.warm_requests {
+    /// Available share of the capacity at an age, after `completed` requests.
+    pub fn warmth(&self, age: Micros, completed: u32) -> f64 {
+        let progress = match self.warm_requests {
             0 => age as f64 / self.warm_up.max(1) as f64,
-            n => f64::from(ran) / f64::from(n),
+            n => f64::from(completed) / f64::from(n),
         };
-        self.cold_capacity + (1.0 - self.cold_capacity) * grown.min(1.0)
+        self.cold_capacity + (1.0 - self.cold_capacity) * progress.min(1.0)
     }
 
-    /// Work a second that it can do when warm, as a share of a standard core's.
+    /// Full capacity, in standard cores.
     pub fn capacity(&self) -> f64 {
         f64::from(self.cores) * self.speed
     }
 }
 
-/// The work sent to one process within the span that the fourth rule looks at. Stand-ins use it to
-/// fall over, the judge to say so from the ledgers.
+/// Work sent to one process within the overload window. Emulators use it to crash, the checker to
+/// detect overload in the event log.
 #[derive(Debug, Default)]
 pub struct OfferedLoad {
     recent: VecDeque<(Micros, u64)>,
@@ -57,8 +57,8 @@
 }
 
 impl OfferedLoad {
-    /// Takes note of work that came, and tells the multiple of what the machine can do at that
-    /// moment, over the span that ends there.
+    /// Records work, and returns the work in the window that ends at `at` as a multiple of the
+    /// available capacity.
     pub fn record(&mut self, spec: &HostSpec, at: Micros, work: u64, warmth: f64) -> f64 {
         self.recent.push_back((at, work));
         self.sum += work;
@@ -75,97 +75,97 @@
     }
 }
 
-/// A machine with what is wrong with it at the moment.
+/// A host with its current faults.
 pub struct Host {
-    /// What it is made of.
+    /// Performance parameters.
     pub spec: HostSpec,
     clock: Clock,
     cores: Semaphore,
-    /// When its process started.
+    /// Start time of the current process.
     pub started: Cell<Micros>,
-    /// It ran before the rehearsal.
+    /// Whether the process is warm since before the run.
     pub warm: Cell<bool>,
-    ran: Cell<u32>,
-    pressure: RefCell<OfferedLoad>,
-    /// So many times slower.
+    completed: Cell<u32>,
+    offered_load: RefCell<OfferedLoad>,
+    /// Factor by which it is slowed down.
     pub slowdown: Cell<f64>,
-    /// Share that a neighbour takes, when it does.
+    /// Share of CPU time stolen by other programs in every other period.
     pub stolen_share: Cell<f64>,
 }
 
 impl Host {
-    /// A machine that has long been warm.
+    /// Creates a host with a warm process.
     pub fn new(spec: HostSpec, clock: Clock) -> Self {
         let cores = Semaphore::new(usize::from(spec.cores));
-        let (started, warm, ran) = (Cell::new(0), Cell::new(true), Cell::new(0));
-        let (crawl, neighbour) = (Cell::new(1.0), Cell::new(0.0));
+        let (started, warm, completed) = (Cell::new(0), Cell::new(true), Cell::new(0));
+        let (slowdown, stolen_share) = (Cell::new(1.0), Cell::new(0.0));
         Host {
             spec,
             clock,
             cores,
             started,
             warm,
-            ran,
-            pressure: RefCell::default(),
-            slowdown: crawl,
-            stolen_share: neighbour,
+            completed,
+            offered_load: RefCell::default(),
+            slowdown,
+            stolen_share,
         }
     }
 
-    /// A new process starts on it, cold.
+    /// Starts a new, cold process.
     pub fn restart(&self) {
         self.started.set(self.clock.now());
         self.warm.set(false);
-        self.ran.set(0);
-        self.pressure.take();
+        self.completed.set(0);
+        self.offered_load.take();
     }
 
-    /// Its present share of its capacity, but for what strikes it from outside.
+    /// Available share of the capacity, regardless of slowdown and CPU steal.
     pub fn warmth(&self) -> f64 {
         if self.warm.get() {
             return 1.0;
         }
         self.spec.warmth(
             self.clock.now().saturating_sub(self.started.get()),
-            self.ran.get(),
+            self.completed.get(),
         )
     }
 
-    /// Takes note of work sent to it; whether it falls over by that.
-    pub fn falls(&self, work: u64) -> bool {
+    /// Records work sent to it, and returns whether the process crashes from overload.
+    pub fn check_overload(&self, work: u64) -> bool {
         let (now, warmth) = (self.clock.now(), self.warmth());
-        let pressure = self
-            .pressure
+        let multiple = self
+            .offered_load
             .borrow_mut()
             .record(&self.spec, now, work, warmth);
-        warmth < 1.0 && pressure > self.spec.overload_multiple
+        warmth < 1.0 && multiple > self.spec.overload_multiple
     }
 
     fn speed(&self) -> f64 {
-        let on = (self.clock.now() / NEIGHBOUR).is_multiple_of(2);
-        let left = if on {
+        let is_stealing = (self.clock.now() / STEAL_PERIOD).is_multiple_of(2);
+        let available = if is_stealing {
             1.0 - self.stolen_share.get()
         } else {
             1.0
         };
-        (self.spec.speed * self.warmth() * left / self.slowdown.get()).max(1e-3)
+        (self.spec.speed * self.warmth() * available / self.slowdown.get()).max(1e-3)
     }
 
-    /// Does work, in microseconds of a standard core, once a core is free. The time that a piece
-    /// really took counts, so that late timers cost no capacity.
+    /// Runs work, in microseconds of a standard core, once a core is free. Each step counts with its
+    /// elapsed time, so that late timers cost no capacity.
     pub async fn work(&self, mut work: f64) {
-        // It is never closed.
+        // The semaphore is never closed.
         let _core = self.cores.acquire().await;
         while work > 0.0 {
             let speed = self.speed();
-            let begun = Instant::now();
+            let started_at = Instant::now();
             sleep(Duration::from_micros(
-                (work / speed).clamp(100.0, PIECE) as u64
+                (work / speed).clamp(100.0, MAX_STEP_US) as u64,
             ))
             .await;
-            work -= begun.elapsed().as_micros() as f64 * speed;
+            work -= started_at.elapsed().as_micros() as f64 * speed;
         }
-        self.ran.set(self.ran.get().saturating_add(1));
+        self.completed.set(self.completed.get().saturating_add(1));
     }
 }
 
@@ -186,7 +186,7 @@
     }
 
     #[test]
-    fn it_warms_by_time_or_by_requests() {
+    fn capacity_grows_with_time_or_with_requests() {
         let by_time = spec();
         assert_eq!(
             [0, 5, 10, 20].map(|s| by_time.warmth(s * SECOND, 0)),
@@ -202,21 +202,21 @@
         );
     }
 
-    /// A tenth of a second's work at a time: 3 x 0.2 x 2 s of one standard core in all are borne.
+    /// At 0.2 of one standard core, 0.4 s of work fit into the window; three times that is allowed.
     #[test]
-    fn pressure_is_the_work_of_the_last_span_over_what_could_be_done() {
-        let (spec, mut pressure) = (spec(), OfferedLoad::default());
-        let sent = |p: &mut OfferedLoad, at| p.record(&spec, at, SECOND / 10, 0.2);
-        let multiples: Vec<f64> = (0..13).map(|i| sent(&mut pressure, i * 1000)).collect();
+    fn offered_load_is_work_in_the_window_over_capacity() {
+        let (spec, mut load) = (spec(), OfferedLoad::default());
+        let record = |load: &mut OfferedLoad, at| load.record(&spec, at, SECOND / 10, 0.2);
+        let multiples: Vec<f64> = (0..13).map(|i| record(&mut load, i * 1000)).collect();
         assert!(multiples[11] <= 3.0 && multiples[12] > 3.0, "{multiples:?}");
         assert!(
-            sent(&mut pressure, 4 * SECOND) < 0.3,
-            "what is older counts no longer"
+            record(&mut load, 4 * SECOND) < 0.3,
+            "work before the window does not count"
         );
     }
 
     #[tokio::test]
-    async fn cores_are_shared_and_a_crawl_slows_them() {
+    async fn work_waits_for_a_core_and_slowdown_delays_it() {
         let host = Host::new(
             HostSpec {
                 speed: 1.0,
@@ -224,17 +224,17 @@
             },
             Clock::starting_in(Duration::ZERO),
         );
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let three = async { tokio::join!(host.work(2e4), host.work(2e4), host.work(2e4)) };
         three.await;
-        let calm = begun.elapsed();
+        let elapsed = started_at.elapsed();
         assert!(
-            calm >= Duration::from_millis(40),
-            "three calls on two cores: {calm:?}"
+            elapsed >= Duration::from_millis(40),
+            "three tasks on two cores: {elapsed:?}"
         );
         host.slowdown.set(4.0);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         host.work(2e4).await;
-        assert!(begun.elapsed() >= Duration::from_millis(80));
+        assert!(started_at.elapsed() >= Duration::from_millis(80));
     }
 }
--- a/crates/heathroad-harness/src/emulator/mod.rs
+++ b/crates/heathroad-harness/src/emulator/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what surrounds the daemon: backends, the registry, the network between proxies.
-//! They follow the protocol that the daemon speaks, and fail where they are told to.
+//! Emulators of the daemon's environment: backends, the registry, the fencing server and the
+//! network between proxies. They speak the daemon's protocols and inject faults on request.
 
 pub mod backend;
 pub mod dedup_cache;
--- a/crates/heathroad-harness/src/emulator/registry.rs
+++ b/crates/heathroad-harness/src/emulator/registry.rs
@@ -1,5 +1,5 @@
-//! A stand-in registry: the list of backends as each proxy is told it, through an address of its
-//! own. It can be late, down, out of order, or wrong about the time.
+//! Emulated registry: serves each proxy the list of backends at an address of its own. It can be
+//! delayed, down, out of order, or have a wrong clock.
 
 use crate::clock::{Clock, Micros};
 use crate::emulator::backend::{Backend, RunContext};
@@ -17,24 +17,24 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// The zone of all hosts.
+/// Zone of all hosts.
 pub const ZONE: &str = "kano-dc";
-/// Longest wait of a watch.
+/// Longest wait of a long poll.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// A registry address that was left closes its connections after this.
+/// Delay after which an abandoned registry address closes its connections.
 pub const LEAVE: Duration = Duration::from_millis(1500);
 
-/// One state of one host.
+/// A state of a host.
 #[derive(Debug, Clone)]
 struct Entry {
     backend: BackendIndex,
-    life: u16,
+    incarnation: u16,
     version: u64,
     health: Health,
     born_ms: f64,
 }
 
-/// One tier's list: every change in order, its number the list's version.
+/// All changes to a tier's hosts in order. Their number is the list's version.
 #[derive(Default)]
 struct List {
     changes: Vec<Entry>,
@@ -44,7 +44,7 @@
     fn seq(&self) -> u64 {
         self.changes.len() as u64
     }
-    /// The newest state of each host among the changes behind `after`.
+    /// Newest state of each host among the changes after version `after`.
     fn since(&self, after: u64) -> Vec<Entry> {
         let mut newest: Vec<Entry> = Vec::new();
         for e in self.changes.iter().skip(after as usize) {
@@ -53,8 +53,8 @@
         }
         newest
     }
-    /// The state before the last of the host that changed last.
-    fn old(&self) -> Option<Entry> {
+    /// State that the latest change replaced.
+    fn superseded(&self) -> Option<Entry> {
         let last = self.changes.last()?;
         self.changes
             .iter()
@@ -65,26 +65,25 @@
     }
 }
 
-/// The registry of all tiers.
+/// Registry of all tiers.
 pub struct Registry {
     context: Rc<RunContext>,
     lists: RefCell<Vec<List>>,
     backends: RefCell<Vec<Rc<Backend>>>,
     changed: watch::Sender<u64>,
     down: watch::Sender<bool>,
-    /// Changes are told so much later.
+    /// Delay until a change is published.
     pub delay: Cell<Micros>,
-    /// Old states are told behind new ones.
+    /// Whether superseded states are sent after newer ones.
     pub out_of_order: Cell<bool>,
-    /// Its clock is off by so many milliseconds.
+    /// Offset of its clock in milliseconds.
     pub clock_offset_ms: Cell<f64>,
-    /// Hosts whose old state was told out of order, by proxy and list version, so that each is told
-    /// once.
-    repeated: RefCell<Vec<(ProxyIndex, u64)>>,
+    /// Proxies and list versions for which a superseded state was sent, so that each is sent once.
+    sent_superseded: RefCell<Vec<(ProxyIndex, u64)>>,
 }
 
 impl Registry {
-    /// A registry of so many tiers that lists nothing.
+    /// Creates a registry with an empty list for each tier.
     pub fn new(context: &Rc<RunContext>, tiers: usize) -> Rc<Self> {
         Rc::new(Registry {
             context: context.clone(),
@@ -95,21 +94,21 @@
             delay: Cell::new(0),
             out_of_order: Cell::new(false),
             clock_offset_ms: Cell::new(0.0),
-            repeated: RefCell::default(),
+            sent_superseded: RefCell::default(),
         })
     }
 
-    /// Takes a host in, so that its addresses are known; it is not listed by that.
+    /// Makes the addresses of a backend known without listing it.
     pub fn add_backend(&self, backend: &Rc<Backend>) {
         self.backends.borrow_mut().push(backend.clone());
     }
 
-    /// Goes down, or comes back. Watches end with a reset when it goes.
+    /// Takes the registry down, which ends pending long polls, or brings it back.
     pub fn set_down(&self, down: bool) {
         self.down.send_replace(down);
     }
 
-    /// A host's state changes; it is told once the registry has heard of it.
+    /// Publishes a change of a backend's state after the configured delay.
     pub fn publish(self: &Rc<Self>, backend: &Rc<Backend>, health: Health) {
         let started = backend.host.started.get();
         let clock: Clock = self.context.clock;
@@ -118,14 +117,14 @@
         } else {
             clock.unix_ms(started) + self.clock_offset_ms.get()
         };
-        let (no, life, tier) = (backend.index, backend.incarnation(), backend.tier);
+        let (index, incarnation, tier) = (backend.index, backend.incarnation(), backend.tier);
         let (registry, delay) = (self.clone(), self.delay.get());
-        let list = move || {
+        let append = move || {
             let list = &mut registry.lists.borrow_mut()[tier];
             let version = list.seq() + 1;
             list.changes.push(Entry {
-                backend: no,
-                life,
+                backend: index,
+                incarnation,
                 version,
                 health,
                 born_ms,
@@ -133,16 +132,16 @@
             registry.changed.send_modify(|n| *n += 1);
         };
         if delay == 0 {
-            list();
+            append();
         } else {
             spawn_local(async move {
                 sleep(Duration::from_micros(delay)).await;
-                list();
+                append();
             });
         }
     }
 
-    /// Answers a proxy of a tier at a listener until the task is ended.
+    /// Serves a proxy of a tier on a listener until the task is aborted.
     pub fn serve(
         self: &Rc<Self>,
         tier: usize,
@@ -151,7 +150,7 @@
     ) -> JoinHandle<()> {
         let registry = self.clone();
         spawn_local(async move {
-            // Ended with the task: who has moved on must not be told here any more.
+            // Dropped with the task: a proxy that uses another address gets no more responses here.
             let mut open = tokio::task::JoinSet::new();
             loop {
                 tokio::select! {
@@ -175,19 +174,19 @@
                     .await;
                 return;
             }
-            let page = tokio::select! {
-                page = self.page(tier, &request.target) => page,
+            let after = tokio::select! {
+                after = self.wait_for_changes(tier, &request.target) => after,
                 _ = down.wait_for(|down| *down) => return,
             };
-            if self.tell(tier, proxy, page, &mut stream).await.is_err() {
+            if self.respond(tier, proxy, after, &mut stream).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Waits for what is asked for: the list's version from which on it is wanted, and whether it
-    /// is whole.
-    async fn page(&self, tier: usize, target: &str) -> Option<u64> {
+    /// Waits for changes after the version in the query, and returns that version; `None` requests
+    /// the whole list.
+    async fn wait_for_changes(&self, tier: usize, target: &str) -> Option<u64> {
         let query = target.split_once('?').map(|(_, q)| q).unwrap_or_default();
         let value = |name: &str| {
             query
@@ -202,12 +201,12 @@
             let lists = self.lists.borrow();
             lists[tier].seq() > after || self.out_of_order.get() && !lists[tier].changes.is_empty()
         });
-        // Without news the answer says so.
+        // After a timeout, the response lists no hosts.
         let _ = timeout(wait, newer).await;
         Some(after)
     }
 
-    async fn tell(
+    async fn respond(
         &self,
         tier: usize,
         proxy: ProxyIndex,
@@ -218,22 +217,22 @@
             let lists = self.lists.borrow();
             let list = &lists[tier];
             let seq = list.seq();
-            let again = (proxy, seq);
-            match (after, list.old()) {
+            let version = (proxy, seq);
+            match (after, list.superseded()) {
                 (Some(after), Some(old))
                     if self.out_of_order.get()
                         && after == seq
-                        && !self.repeated.borrow().contains(&again) =>
+                        && !self.sent_superseded.borrow().contains(&version) =>
                 {
-                    // An old state, in an answer that says itself that it is old.
-                    self.repeated.borrow_mut().push(again);
+                    // A superseded state, sent under its own version.
+                    self.sent_superseded.borrow_mut().push(version);
                     (old.version, vec![old])
                 }
                 _ => (seq, list.since(after.unwrap_or(0))),
             }
         };
         if after == Some(seq) && entries.is_empty() && self.out_of_order.get() {
-            // Disorder makes waits end early; news must not be asked for in a circle.
+            // Out-of-order mode ends long polls early; the pause prevents a busy loop.
             sleep(Duration::from_millis(100)).await;
         }
         let whole = after.is_none();
@@ -253,15 +252,16 @@
                 "block": backend.cell, "health": e.health.as_str(), "share": 1.0, "born_ms": e.born_ms}));
         }
         let text = json!({"seq": seq, "whole": whole, "hosts": lines}).to_string();
-        let told = stream.write_all(&encode_response(200, "", &text)).await;
+        let result = stream.write_all(&encode_response(200, "", &text)).await;
         let at = self.context.clock.now();
-        let told_entry = |e: &Entry| {
-            let (backend, life, version, health) = (e.backend, e.life, e.version, e.health);
+        let to_update = |e: &Entry| {
+            let (backend, incarnation, version, health) =
+                (e.backend, e.incarnation, e.version, e.health);
             RegistryUpdate {
                 at,
                 proxy,
                 backend,
-                incarnation: life,
+                incarnation,
                 version,
                 health,
             }
@@ -269,11 +269,11 @@
         let event_log: &mut EventLog = &mut self.context.event_log.borrow_mut();
         event_log
             .registry_updates
-            .extend(entries.iter().map(told_entry));
-        told
+            .extend(entries.iter().map(to_update));
+        result
     }
 
-    /// A new address for a proxy.
+    /// Binds a new address for a proxy.
     pub async fn bind(ip: std::net::IpAddr) -> io::Result<(TcpListener, SocketAddr)> {
         let listener = TcpListener::bind(SocketAddr::new(ip, 0)).await?;
         let addr = listener.local_addr()?;
