--- a/crates/heathroad-harness/tests/golden_json.rs
+++ b/crates/heathroad-harness/tests/golden_json.rs
@@ -1,16 +1,16 @@
-//! Golden copy of the shape of `--json`: every key in its order, with the type of its value.
+//! Golden copy of the structure of `--json`: every key in order, with the type of its value.
 
 mod common;
 
 use serde_json::Value;
 use std::process::{Command, Stdio};
 
-/// Two expectations, of which one is missed: both shapes of an entry come up.
-const EXPECTED: &str = "[[expect]]\nfigure = \"served\"\nat_least = 1.0\n\
+/// One expectation that is met and one that is missed, since their entries differ.
+const EXPECTATIONS: &str = "[[expect]]\nfigure = \"served\"\nat_least = 1.0\n\
      [[expect]]\nfigure = \"worth\"\nat_most = 0.0\n";
 
-/// Replaces each value by its type. Keys stay in the order of the text, which a parsed object would
-/// not keep.
+/// Replaces each value by its type. Works on the text, since a parsed object loses the order of its
+/// keys.
 fn shape(text: &str) -> String {
     let mut shape = String::new();
     let mut rest = text.trim();
@@ -30,7 +30,7 @@
             Value::Bool(_) => shape.push_str("boolean"),
             Value::Number(n) if n.is_f64() => shape.push_str("float"),
             Value::Number(_) => shape.push_str("integer"),
-            other => panic!("{other} has no type here"),
+            other => panic!("unexpected value {other}"),
         }
         rest = &rest[length..];
     }
@@ -38,10 +38,11 @@
 }
 
 #[test]
-fn the_json_of_a_run_keeps_its_keys_and_types() {
+fn json_report_keeps_its_keys_and_types() {
     let name = format!("{}-golden-json.toml", std::process::id());
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, format!("{}{EXPECTED}", common::SMALL)).expect("the folder takes a file");
+    std::fs::write(&path, format!("{}{EXPECTATIONS}", common::SMALL))
+        .expect("write the scenario file");
     let out = Command::new(env!("CARGO_BIN_EXE_heathroad-harness"))
         .arg(&path)
         .args(["--seed", "5", "--json", "-", "--heathroad"])
@@ -49,8 +50,8 @@
         .env("TMPDIR", env!("CARGO_TARGET_TMPDIR"))
         .stdin(Stdio::null())
         .output()
-        .expect("the program starts");
-    let text = String::from_utf8(out.stdout).expect("text");
+        .expect("run the harness");
+    let text = String::from_utf8(out.stdout).expect("UTF-8 output");
     assert_eq!(
         shape(&text),
         include_str!("golden/json_shape.txt").trim(),
