--- a/crates/heathroad-harness/src/checker/mod.rs
+++ b/crates/heathroad-harness/src/checker/mod.rs
@@ -112,7 +112,7 @@
 /// Checks the event log.
 pub fn check(input: &CheckInput, event_log: &EventLog) -> Verdict {
     use crate::event_log::{Attempt, AttemptEnd};
-    let (violations, duplicated_by_clients, resends) = rules::all(input, event_log);
+    let (violations, duplicated_by_clients, resends) = rules::check_rules(input, event_log);
     let mut attempts_by_outcome = [0; 4];
     for t in event_log.attempts.iter().filter(|t| t.is_from_client()) {
         let outcome = match t.end {
@@ -140,11 +140,11 @@
     let remote_served = remote
         .filter(|t| matches!(t.end, AttemptEnd::Served(_)))
         .count() as u64;
-    let (worth, latencies) = worth::of(input.schedule, &event_log.attempts);
+    let (worth, latencies) = worth::compute(input.schedule, &event_log.attempts);
     let malformed_clients = [event_log.malformed_clients.len() as u64, unanswered as u64];
     let (loops_open, work_for_nobody) = (
         wasted_work::loops_open(event_log),
-        wasted_work::for_nobody(event_log),
+        wasted_work::wasted_share(event_log),
     );
     Verdict {
         worth,
--- a/crates/heathroad-harness/src/checker/rules.rs
+++ b/crates/heathroad-harness/src/checker/rules.rs
@@ -1,5 +1,5 @@
-//! The four rules: no request lost, no double effect, drains kept, no cold backend pushed over.
-//! Each breach is told with the events that prove it.
+//! The four rules: no request is lost, no effect happens twice, drains are honored and no cold
+//! backend is overloaded. Each violation quotes the events that prove it.
 
 use super::{CheckInput, client};
 use crate::clock::{Micros, format_seconds};
@@ -12,30 +12,29 @@
 use crate::scenario::{Effect, Group};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// On real sockets each limit is so much longer.
+/// Tolerance for socket and scheduling delays, added to each limit.
 pub(super) const SLACK: Micros = 50_000;
-/// The part of a cold backend's load that must have come from proxies told of its start, for the
-/// rule to be theirs.
-const TOLD_PART: f64 = 2.0 / 3.0;
+/// Share of a cold backend's load that must come from proxies notified of its start.
+const MIN_NOTIFIED_SHARE: f64 = 2.0 / 3.0;
 
-/// A rule.
+/// A rule that the checker enforces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// Each request taken gets one answer in time, and only what a backend made for it.
+    /// Each accepted request gets one response in time, made by a backend for that request.
     Lost,
-    /// No effect twice; a refusal is harmless.
+    /// No effect happens twice, and a refused request has not run.
     Double,
-    /// Nothing new to a backend that drains.
+    /// A draining backend gets no new requests.
     Drain,
-    /// No cold backend pushed over.
+    /// No cold backend is overloaded.
     Cold,
 }
 
 impl Rule {
-    /// All four.
+    /// All rules, in report order.
     pub const ALL: [Rule; 4] = [Rule::Lost, Rule::Double, Rule::Drain, Rule::Cold];
 
-    /// Its name in reports.
+    /// Returns the name used in reports.
     pub fn name(self) -> &'static str {
         match self {
             Rule::Lost => "lost",
@@ -46,95 +45,85 @@
     }
 }
 
-/// A rule broken.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Violation {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// When.
+    /// Time of the violation.
     pub at: Micros,
-    /// The request, where it is one's.
+    /// Id of the request, if it concerns one.
     pub id: Option<u64>,
-    /// What proves it, with times.
+    /// Events that prove it, with their times.
     pub proof: String,
 }
 
-/// Whether a client that sent what can't be used was owed more than it got.
+/// Reports whether a malformed request got neither a response nor a close in time.
 pub fn was_unanswered(r: &MalformedClient) -> bool {
     r.ended_at
         .is_none_or(|ended| ended > r.at + MALFORMED_REQUEST_TIMEOUT + SLACK)
 }
 
-/// Every breach, the claims that clients ran twice, and how many requests backends saw again under
-/// their id.
-pub fn all(input: &CheckInput, event_log: &EventLog) -> (Vec<Violation>, Vec<String>, u64) {
+/// Returns the violations, the requests that clients ran twice, and the number of repeated arrivals.
+pub fn check_rules(input: &CheckInput, log: &EventLog) -> (Vec<Violation>, Vec<String>, u64) {
     let mut by_id: HashMap<u64, Vec<&Arrival>> = HashMap::new();
-    event_log
-        .arrivals
+    log.arrivals
         .iter()
         .for_each(|a| by_id.entry(a.id).or_default().push(a));
     by_id
         .values_mut()
         .for_each(|arrivals| arrivals.sort_by_key(|a| a.received_at));
-    let mut violations = lost(input, event_log, &by_id);
-    violations.extend(client::violations(input, event_log, &by_id));
+    let mut violations = lost(input, log, &by_id);
+    violations.extend(client::violations(input, log, &by_id));
     let resends = by_id.values().map(|a| a.len() as u64 - 1).sum();
-    violations.extend(double(input, event_log, &by_id));
-    violations.extend(drain(input, event_log));
-    violations.extend(cold(input, event_log));
+    violations.extend(double(input, log, &by_id));
+    violations.extend(drain(input, log));
+    violations.extend(cold(input, log));
     violations.sort_by_key(|b| (b.at, b.rule));
-    (violations, run_twice(event_log), resends)
+    (violations, client_duplicates(log), resends)
 }
 
-/// Whether a proxy's process was killed, or had crashed, at some time in a span. What it held is
-/// its clients'.
-fn died(acts: &[ProcessEvent], proxy: ProxyIndex, from: Micros, to: Micros) -> bool {
-    let killed = acts
+/// Reports whether a proxy's process was killed during a span; its requests do not count as lost.
+fn was_killed(events: &[ProcessEvent], proxy: ProxyIndex, from: Micros, to: Micros) -> bool {
+    let mut kills = events
         .iter()
-        .filter(|a| a.proxy == proxy && a.kind == ProcessEventKind::Killed);
-    killed
-        .into_iter()
-        .any(|a| a.at <= to + SLACK && a.until >= from)
+        .filter(|e| e.proxy == proxy && e.kind == ProcessEventKind::Killed);
+    kills.any(|e| e.at <= to + SLACK && e.until >= from)
 }
 
-/// Whether a proxy's process was held still at some time in a span: nothing is owed by one that is
-/// given no time.
-fn stalled(acts: &[ProcessEvent], proxy: ProxyIndex, from: Micros, to: Micros) -> bool {
-    let held = acts
+/// Reports whether a proxy's process was paused during a span, which excuses late responses.
+fn was_stalled(events: &[ProcessEvent], proxy: ProxyIndex, from: Micros, to: Micros) -> bool {
+    let mut stalls = events
         .iter()
-        .filter(|a| a.proxy == proxy && a.kind == ProcessEventKind::Stalled);
-    held.into_iter()
-        .any(|a| a.at <= to + SLACK && a.until >= from)
+        .filter(|e| e.proxy == proxy && e.kind == ProcessEventKind::Stalled);
+    stalls.any(|e| e.at <= to + SLACK && e.until >= from)
 }
 
-fn lost(
-    input: &CheckInput,
-    event_log: &EventLog,
-    by_id: &HashMap<u64, Vec<&Arrival>>,
-) -> Vec<Violation> {
+fn lost(input: &CheckInput, log: &EventLog, by_id: &HashMap<u64, Vec<&Arrival>>) -> Vec<Violation> {
     let grace = (input.schedule.scenario.rules.answer_grace_ms * 1000.0) as Micros + SLACK;
     let mut violations = Vec::new();
-    for t in &event_log.attempts {
+    for t in &log.attempts {
         let Some(sent) = t.sent_at else { continue };
         let arrivals = by_id.get(&t.id).map(Vec::as_slice).unwrap_or_default();
-        let who = input.proxy(t.proxy);
+        let proxy = input.proxy(t.proxy);
         let took = t.ended_at.saturating_sub(sent + t.read_delay);
-        let still = stalled(&event_log.process_events, t.proxy, sent, t.ended_at);
-        let late = took > t.time_limit + grace && !still;
-        let owed = || {
+        let stalled = was_stalled(&log.process_events, t.proxy, sent, t.ended_at);
+        let killed = was_killed(&log.process_events, t.proxy, sent, t.ended_at);
+        let late = took > t.time_limit + grace && !stalled;
+        let context = || {
             format!(
-                "sent to {who} at {}, owed an answer within {}",
+                "sent to {proxy} at {}, owed an answer within {}",
                 format_seconds(sent),
                 format_seconds(t.time_limit)
             )
         };
-        let wrong = match &t.end {
+        let problem = match &t.end {
             AttemptEnd::Served(mark) => {
-                // Made for this request, and made before it was passed on.
-                let made = |a: &&&Arrival| {
+                // The response must be made for this request, by an arrival before it ended.
+                let matches = |a: &&&Arrival| {
                     a.marker == *mark && a.tier == t.tier && a.received_at <= t.ended_at
                 };
-                match arrivals.iter().find(made) {
+                match arrivals.iter().find(matches) {
                     None => Some(format!(
                         "served with mark {mark:x}, which no backend made for it"
                     )),
@@ -152,13 +141,9 @@
             | AttemptEnd::Failed(_)
             | AttemptEnd::Cancelled
             | AttemptEnd::Unsent => None,
-            // An answer that breaks off where the client can tell has failed and is not lost.
+            // A visibly truncated response is a failure, not a lost request.
             AttemptEnd::Truncated(true) => None,
-            AttemptEnd::Truncated(false)
-                if died(&event_log.process_events, t.proxy, sent, t.ended_at) =>
-            {
-                None
-            }
+            AttemptEnd::Truncated(false) if killed => None,
             AttemptEnd::Truncated(false) => Some(format!(
                 "the connection was closed without an answer at {}",
                 format_seconds(t.ended_at)
@@ -167,42 +152,29 @@
                 "an answer that can't be read came at {}",
                 format_seconds(t.ended_at)
             )),
-            AttemptEnd::NoResponse if still => None,
-            AttemptEnd::NoResponse
-                if died(&event_log.process_events, t.proxy, sent, t.ended_at) =>
-            {
-                None
-            }
+            AttemptEnd::NoResponse if stalled || killed => None,
             AttemptEnd::NoResponse => Some(format!(
                 "no answer had come by {}",
                 format_seconds(t.ended_at)
             )),
         };
-        let twice = t
+        let second = t
             .unexpected_data
             .then(|| "a second answer came behind the first on its connection".to_string());
-        // A close between requests may cross one that was not read; what was passed on had been
-        // read.
-        let taken = t
+        // An idle close may race with an unread request; a forwarded request had been read.
+        let dropped = t
             .resent_at
             .and_then(|at| arrivals.iter().find(|a| a.received_at <= at));
-        let taken = taken
-            .filter(|a| {
-                !died(
-                    &event_log.process_events,
-                    t.proxy,
-                    a.received_at,
-                    t.ended_at,
-                )
-            })
+        let dropped = dropped
+            .filter(|a| !was_killed(&log.process_events, t.proxy, a.received_at, t.ended_at))
             .map(|a| {
                 format!(
                     "its connection was closed without an answer after it had been passed on: {}",
                     describe(input, a)
                 )
             });
-        for wrong in wrong.into_iter().chain(twice).chain(taken) {
-            let proof = format!("{}; {wrong}", owed());
+        for problem in problem.into_iter().chain(second).chain(dropped) {
+            let proof = format!("{}; {problem}", context());
             violations.push(Violation {
                 rule: Rule::Lost,
                 at: t.ended_at,
@@ -211,20 +183,17 @@
             });
         }
     }
-    for r in event_log
-        .malformed_clients
-        .iter()
-        .filter(|r| r.status == Some(200))
-    {
+    let malformed = log.malformed_clients.iter();
+    for client in malformed.filter(|c| c.status == Some(200)) {
         let proof = format!(
             "a client that sent {} at {} was served",
-            r.kind,
-            format_seconds(r.at)
+            client.kind,
+            format_seconds(client.at)
         );
         violations.push(Violation {
             rule: Rule::Lost,
-            at: r.at,
-            id: r.smuggled_id,
+            at: client.at,
+            id: client.smuggled_id,
             proof,
         });
     }
@@ -247,20 +216,17 @@
 
 fn double(
     input: &CheckInput,
-    event_log: &EventLog,
+    log: &EventLog,
     by_id: &HashMap<u64, Vec<&Arrival>>,
 ) -> Vec<Violation> {
     let mut violations = Vec::new();
     let classes = &input.schedule.scenario.class;
-    // What its sender sent once more, since its connection was closed, is not the proxy's second
-    // try.
-    let crossed: HashMap<u64, Micros> = event_log
-        .attempts
-        .iter()
-        .filter_map(|t| Some((t.id, t.resent_at?)))
-        .collect();
+    // Resends by the sender after a connection close are not the proxy's.
+    let attempts = log.attempts.iter();
+    let resent = attempts.filter_map(|t| Some((t.id, t.resent_at?)));
+    let resent: HashMap<u64, Micros> = resent.collect();
     for (&id, arrivals) in by_id {
-        // What was declined never ran, and is sent again freely.
+        // A declined request did not run and may be sent again.
         let mut may_have_run = arrivals
             .iter()
             .filter(|a| a.disposition != Disposition::Declined);
@@ -272,9 +238,9 @@
         };
         let window = (class.window_ms * 1000.0) as Micros + SLACK;
         let cell = |a: &Arrival| input.cells.get(usize::from(a.backend));
-        let again = crossed.get(&id).filter(|at| first.received_at <= **at);
-        for a in may_have_run.filter(|a| again.is_none_or(|at| a.received_at <= *at)) {
-            let wrong = match class.effect {
+        let resent_at = resent.get(&id).filter(|at| first.received_at <= **at);
+        for a in may_have_run.filter(|a| resent_at.is_none_or(|at| a.received_at <= *at)) {
+            let problem = match class.effect {
                 Effect::Safe => None,
                 Effect::Unsafe => Some("an unsafe request was sent again though it may have run"),
                 Effect::Keyed if a.received_at > first.received_at + window => {
@@ -285,9 +251,9 @@
                 }
                 Effect::Keyed => None,
             };
-            if let Some(wrong) = wrong {
+            if let Some(problem) = problem {
                 let proof = format!(
-                    "{wrong}: {}; then {}",
+                    "{problem}: {}; then {}",
                     describe(input, first),
                     describe(input, a)
                 );
@@ -300,19 +266,16 @@
             }
         }
     }
-    // A refusal promises that trying again is harmless.
-    for t in event_log
-        .attempts
-        .iter()
-        .filter(|t| matches!(t.end, AttemptEnd::Refused { .. }))
-    {
+    // A refused request must be safe to retry.
+    let attempts = log.attempts.iter();
+    for t in attempts.filter(|t| matches!(t.end, AttemptEnd::Refused { .. })) {
         let class = &classes[usize::from(t.class)];
-        let free = class.effect == Effect::Safe
+        let safe_to_retry = class.effect == Effect::Safe
             || class.effect == Effect::Keyed && class.group == Group::All;
         let arrivals = by_id.get(&t.id).map(Vec::as_slice).unwrap_or_default();
         if let Some(ran) = arrivals
             .iter()
-            .find(|a| a.disposition != Disposition::Declined && !free)
+            .find(|a| a.disposition != Disposition::Declined && !safe_to_retry)
         {
             let proof = format!(
                 "refused at {} though it may have run: {}",
@@ -327,12 +290,8 @@
             });
         }
     }
-    for hidden in event_log
-        .malformed_clients
-        .iter()
-        .filter_map(|r| r.smuggled_id)
-    {
-        if let Some(a) = by_id.get(&hidden).and_then(|a| a.first()) {
+    for smuggled in log.malformed_clients.iter().filter_map(|r| r.smuggled_id) {
+        if let Some(a) = by_id.get(&smuggled).and_then(|a| a.first()) {
             let proof = format!(
                 "a request hidden in another's body was passed on: {}",
                 describe(input, a)
@@ -340,7 +299,7 @@
             violations.push(Violation {
                 rule: Rule::Double,
                 at: a.received_at,
-                id: Some(hidden),
+                id: Some(smuggled),
                 proof,
             });
         }
@@ -348,36 +307,29 @@
     violations
 }
 
-/// Claims that ran twice at the first tier under different ids: the client asked again later than
-/// the backends remember. (Under one id it is the proxy's doing, and a breach.)
-fn run_twice(event_log: &EventLog) -> Vec<String> {
+/// Returns requests that ran twice at the first tier under different ids, because the client retried
+/// after the deduplication window. Under one id it is a violation by the proxy.
+fn client_duplicates(log: &EventLog) -> Vec<String> {
     let mut by_key: BTreeMap<u64, Vec<&Arrival>> = BTreeMap::new();
-    for a in event_log
-        .arrivals
-        .iter()
-        .filter(|a| a.tier == 0 && a.disposition == Disposition::Executed)
-    {
+    let first_tier = log.arrivals.iter().filter(|a| a.tier == 0);
+    for a in first_tier.filter(|a| a.disposition == Disposition::Executed) {
         if let Some(key) = a.key {
             by_key.entry(key).or_default().push(a);
         }
     }
-    let tries: HashMap<u64, &Attempt> = event_log
-        .attempts
-        .iter()
-        .filter(|t| t.is_from_client())
-        .map(|t| (t.id, t))
-        .collect();
-    let mut twice = Vec::new();
+    let from_clients = log.attempts.iter().filter(|t| t.is_from_client());
+    let attempts: HashMap<u64, &Attempt> = from_clients.map(|t| (t.id, t)).collect();
+    let mut duplicates = Vec::new();
     for (key, mut runs) in by_key {
         runs.sort_by_key(|a| a.received_at);
         let ids: HashSet<u64> = runs.iter().map(|a| a.id).collect();
         let ([first, .., last], true) = (&runs[..], ids.len() > 1) else {
             continue;
         };
-        let sent = tries
+        let sent = attempts
             .get(&last.id)
             .map_or(last.first_byte_at, |t| t.scheduled_at);
-        twice.push(format!(
+        duplicates.push(format!(
             "key {key:016x} ran at {} as {:016x} and at {} as {:016x}: its client sent it again at {}, {} later",
             format_seconds(first.received_at),
             first.id,
@@ -387,29 +339,25 @@
             format_seconds(last.received_at.saturating_sub(first.received_at)),
         ));
     }
-    twice
+    duplicates
 }
 
-fn drain(input: &CheckInput, event_log: &EventLog) -> Vec<Violation> {
+fn drain(input: &CheckInput, log: &EventLog) -> Vec<Violation> {
     let grace = (input.schedule.scenario.rules.drain_grace_ms * 1000.0) as Micros + SLACK;
-    let mut told: HashMap<(ProxyIndex, u16), Vec<&RegistryUpdate>> = HashMap::new();
-    event_log
-        .registry_updates
-        .iter()
-        .for_each(|t| told.entry((t.proxy, t.backend)).or_default().push(t));
-    told.values_mut()
-        .for_each(|list| list.sort_by_key(|t| t.at));
+    let mut updates: HashMap<(ProxyIndex, u16), Vec<&RegistryUpdate>> = HashMap::new();
+    for t in &log.registry_updates {
+        updates.entry((t.proxy, t.backend)).or_default().push(t);
+    }
+    updates.values_mut().for_each(|l| l.sort_by_key(|t| t.at));
     let mut violations = Vec::new();
-    for a in &event_log.arrivals {
-        let Some(list) = told.get(&(a.proxy, a.backend)) else {
+    for a in &log.arrivals {
+        let Some(list) = updates.get(&(a.proxy, a.backend)) else {
             continue;
         };
-        // An older state that comes behind a newer one changes nothing.
+        // Ignore an older version that arrives after a newer one.
         let (mut newest, mut since) = (0, None);
-        for t in list
-            .iter()
-            .filter(|t| t.at <= a.first_byte_at && t.incarnation == a.incarnation)
-        {
+        let earlier = list.iter().filter(|t| t.at <= a.first_byte_at);
+        for t in earlier.filter(|t| t.incarnation == a.incarnation) {
             if t.version < newest {
                 continue;
             }
@@ -440,22 +388,19 @@
     violations
 }
 
-/// A cold backend's load over each span, by all proxies together, as the rule words it.
-fn cold(input: &CheckInput, event_log: &EventLog) -> Vec<Violation> {
+/// Checks the load of each cold backend, summed over all proxies, within the overload window.
+fn cold(input: &CheckInput, log: &EventLog) -> Vec<Violation> {
     let mut violations = Vec::new();
-    for life in event_log.incarnations.iter().filter(|l| !l.warm) {
-        let Some(spec) = input.host_specs.get(usize::from(life.backend)) else {
+    for cold in log.incarnations.iter().filter(|i| !i.warm) {
+        let Some(spec) = input.host_specs.get(usize::from(cold.backend)) else {
             continue;
         };
-        let mut sent: Vec<&Arrival> = event_log
-            .arrivals
-            .iter()
-            .filter(|a| (a.backend, a.incarnation) == (life.backend, life.number))
-            .collect();
+        let to_cold = |a: &&Arrival| (a.backend, a.incarnation) == (cold.backend, cold.number);
+        let mut sent: Vec<&Arrival> = log.arrivals.iter().filter(to_cold).collect();
         sent.sort_by_key(|a| a.received_at);
         let (mut pressure, mut ran) = (Pressure::default(), 0);
         for (i, a) in sent.iter().enumerate() {
-            let warmth = spec.warmth(a.received_at.saturating_sub(life.started_at), ran);
+            let warmth = spec.warmth(a.received_at.saturating_sub(cold.started_at), ran);
             ran += u32::from(a.disposition == Disposition::Executed);
             let multiple = pressure.sent(spec, a.received_at, a.work, warmth);
             if warmth >= 1.0 || multiple <= spec.overload_multiple {
@@ -464,21 +409,19 @@
             let span = sent[..=i]
                 .iter()
                 .filter(|s| s.received_at + spec.overload_window > a.received_at);
-            let (mut all, mut knowing, mut by) = (0, 0, BTreeMap::<&str, u64>::new());
+            let (mut total, mut notified, mut by) = (0, 0, BTreeMap::<&str, u64>::new());
             for s in span {
-                let knew = |t: &&RegistryUpdate| {
-                    (t.proxy, t.backend, t.incarnation) == (s.proxy, life.backend, life.number)
+                let notifies = |t: &&RegistryUpdate| {
+                    (t.proxy, t.backend, t.incarnation) == (s.proxy, cold.backend, cold.number)
                         && t.at <= s.first_byte_at
                 };
-                all += s.work;
-                knowing += if event_log.registry_updates.iter().any(|t| knew(&t)) {
-                    s.work
-                } else {
-                    0
-                };
+                total += s.work;
+                if log.registry_updates.iter().any(|t| notifies(&t)) {
+                    notified += s.work;
+                }
                 *by.entry(input.proxy(s.proxy)).or_default() += s.work;
             }
-            if (knowing as f64) < TOLD_PART * all as f64 {
+            if (notified as f64) < MIN_NOTIFIED_SHARE * total as f64 {
                 break;
             }
             let by: Vec<String> = by
@@ -488,8 +431,8 @@
             let proof = format!(
                 "{} started at {}; by {} it was sent {multiple:.2} times what it can do at that moment over {} \
                  (at most {}): {}",
-                input.backend(life.backend),
-                format_seconds(life.started_at),
+                input.backend(cold.backend),
+                format_seconds(cold.started_at),
                 format_seconds(a.received_at),
                 format_seconds(spec.overload_window),
                 spec.overload_multiple,
--- a/crates/heathroad-harness/src/checker/wasted_work.rs
+++ b/crates/heathroad-harness/src/checker/wasted_work.rs
@@ -1,13 +1,16 @@
-//! Effort that helps nobody: calls that go round, and work that is begun for who has left.
+//! Wasted work: calls that loop, and work started after its client has left.
 
 use crate::clock::Micros;
 use crate::event_log::{Attempt, Disposition, EventLog};
 use std::collections::{HashMap, HashSet};
 
-/// Calls that came round to the first tier and reached a backend there once more: a loop that was
-/// not ended in one pass.
+/// Longest chain of parent requests that is followed.
+const MAX_CHAIN_LENGTH: usize = 64;
+
+/// Counts looped calls that reached a backend of the first tier again, so the loop was not ended in
+/// one pass.
 pub fn loops_open(event_log: &EventLog) -> u64 {
-    let round: HashSet<u64> = event_log
+    let looped: HashSet<u64> = event_log
         .attempts
         .iter()
         .filter(|t| t.is_looped())
@@ -17,16 +20,16 @@
         .arrivals
         .iter()
         .map(|a| a.id)
-        .filter(|id| round.contains(id))
+        .filter(|id| looped.contains(id))
         .collect();
     open.len() as u64
 }
 
-/// The part of all work that backends began when the client at the chain's head had left or had its
-/// answer. What came to nobody's request is left out of both.
-pub fn for_nobody(event_log: &EventLog) -> f64 {
+/// Returns the share of backend work that started after the originating client had left or had its
+/// response. Work that cannot be traced to a client is left out.
+pub fn wasted_share(event_log: &EventLog) -> f64 {
     let by_id: HashMap<u64, &Attempt> = event_log.attempts.iter().map(|t| (t.id, t)).collect();
-    let (mut all, mut nobodys) = (0, 0);
+    let (mut total, mut wasted) = (0, 0);
     for a in event_log
         .arrivals
         .iter()
@@ -35,24 +38,24 @@
         let Some(ended) = client_ended(&by_id, a.id) else {
             continue;
         };
-        all += a.work;
-        nobodys += if ended < a.received_at { a.work } else { 0 };
+        total += a.work;
+        wasted += if ended < a.received_at { a.work } else { 0 };
     }
-    if all > 0 {
-        nobodys as f64 / all as f64
+    if total > 0 {
+        wasted as f64 / total as f64
     } else {
         0.0
     }
 }
 
-/// When the try of the client that a request is made for was over, as the client saw it.
+/// Returns the time at which the client's attempt behind a request ended.
 fn client_ended(by_id: &HashMap<u64, &Attempt>, id: u64) -> Option<Micros> {
-    let mut at = *by_id.get(&id)?;
-    // Chains are short; ids that lead in a circle, as no stand-in makes them, lead to nobody.
-    for _ in 0..64 {
-        match at.parent {
-            None => return Some(at.ended_at),
-            Some(parent) => at = *by_id.get(&parent)?,
+    let mut attempt = *by_id.get(&id)?;
+    // The bound ends the walk if parent ids form a cycle.
+    for _ in 0..MAX_CHAIN_LENGTH {
+        match attempt.parent {
+            None => return Some(attempt.ended_at),
+            Some(parent) => attempt = *by_id.get(&parent)?,
         }
     }
     None
--- a/crates/heathroad-harness/src/checker/worth.rs
+++ b/crates/heathroad-harness/src/checker/worth.rs
@@ -1,37 +1,37 @@
-//! Service worth: what was answered within the wanted time against what was asked, a client's
-//! retries folded into its first try. Arrivals were drawn ahead, so what a stalled proxy never let
-//! a client ask counts as asked.
+//! Service worth: the worth of responses in time relative to the worth requested, with retries
+//! attributed to the first attempt. Arrivals come from the schedule, so requests that a stalled proxy
+//! kept clients from sending still count.
 
 use crate::clock::{Micros, SECOND};
 use crate::event_log::{Attempt, AttemptEnd};
 use crate::load_generator::PLANNED_REPEAT;
 use crate::schedule::Schedule;
 
-/// The window of the worst stretch.
-const WINDOW: Micros = 10 * SECOND;
-/// Weights of the whole rehearsal, its worst window, its worst class and its worst tenant.
+/// Length of the worst window.
+const WORST_WINDOW: Micros = 10 * SECOND;
+/// Weights of the whole run, worst window, worst class and worst tenant.
 const WEIGHTS: [f64; 4] = [0.4, 0.1, 0.1, 0.4];
 
-/// Worth by several views, each as a share of what was asked, from 0 to 1.
+/// Service worth; shares are of the worth requested, from 0 to 1.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Worth {
-    /// Worth asked.
+    /// Worth requested.
     pub asked: f64,
     /// Worth earned.
     pub earned: f64,
-    /// Of it, earned late.
+    /// Worth earned by late responses.
     pub late: f64,
-    /// The whole rehearsal.
+    /// Share earned over the whole run.
     pub whole: f64,
-    /// The worst ten seconds.
+    /// Share in the worst ten seconds.
     pub worst_window: f64,
-    /// The worst-served class.
+    /// Share of the worst-served class.
     pub worst_class: f64,
-    /// The worst-served tenant, within its share.
+    /// Share of the worst-served tenant, within its quota.
     pub worst_tenant: f64,
-    /// All of these, weighted.
+    /// Weighted sum of the four shares.
     pub goal: f64,
-    /// Asked and earned by second.
+    /// Worth requested and earned in each second.
     pub by_second: Vec<[f64; 2]>,
 }
 
@@ -39,24 +39,24 @@
     (asked > 0.0).then(|| earned / asked)
 }
 
-fn worst(sums: &[[f64; 2]]) -> f64 {
+fn worst_share(sums: &[[f64; 2]]) -> f64 {
     sums.iter()
         .filter_map(|s| share(*s))
         .fold(f64::INFINITY, f64::min)
 }
 
-/// Worth by the plan and the tries, and the sorted latencies of what was served.
-pub fn of(schedule: &Schedule, tries: &[Attempt]) -> (Worth, Vec<Micros>) {
+/// Returns the worth of a schedule and its attempts, and the sorted latencies of served requests.
+pub fn compute(schedule: &Schedule, attempts: &[Attempt]) -> (Worth, Vec<Micros>) {
     let mut served = vec![None; schedule.requests.len()];
-    for t in tries
+    for t in attempts
         .iter()
         .filter(|t| t.is_from_client() && t.retry != PLANNED_REPEAT)
     {
         if let (AttemptEnd::Served(_), Some(s)) = (&t.end, served.get_mut(t.request_index as usize))
         {
-            // A slow reader's own time is not the service's.
+            // Time that a slow client spends reading is not counted.
             let at = t.ended_at.saturating_sub(t.read_delay);
-            *s = Some(s.map_or(at, |before: Micros| before.min(at)));
+            *s = Some(s.map_or(at, |earlier: Micros| earlier.min(at)));
         }
     }
     let s = &schedule.scenario;
@@ -74,19 +74,19 @@
                 1.0
             };
         let earned = match served.map(|at| at.saturating_sub(first.at)) {
-            Some(took) => {
-                latencies.push(took);
-                let ms = took as f64 / 1000.0;
+            Some(latency) => {
+                latencies.push(latency);
+                let ms = latency as f64 / 1000.0;
                 let in_time = ms <= class.aim_ms;
-                let part = if in_time {
+                let factor = if in_time {
                     1.0
                 } else if ms <= class.deadline_ms {
                     class.late_worth
                 } else {
                     0.0
                 };
-                late += if in_time { 0.0 } else { asked * part };
-                asked * part
+                late += if in_time { 0.0 } else { asked * factor };
+                asked * factor
             }
             None => 0.0,
         };
@@ -100,7 +100,7 @@
         }
     }
     latencies.sort_unstable();
-    let width = (WINDOW / SECOND) as usize;
+    let width = (WORST_WINDOW / SECOND) as usize;
     let sum = |part: &[[f64; 2]]| {
         part.iter()
             .fold([0.0; 2], |a, b| [a[0] + b[0], a[1] + b[1]])
@@ -108,9 +108,9 @@
     let windows: Vec<[f64; 2]> = by_second.windows(width.min(seconds)).map(sum).collect();
     let parts = [
         share(whole).unwrap_or(0.0),
-        worst(&windows),
-        worst(&by_class),
-        worst(&by_tenant),
+        worst_share(&windows),
+        worst_share(&by_class),
+        worst_share(&by_tenant),
     ];
     let parts = parts.map(|p| if p.is_finite() { p } else { 0.0 });
     let goal = parts.iter().zip(WEIGHTS).map(|(p, w)| p * w).sum();
--- a/crates/heathroad-harness/src/event_log.rs
+++ b/crates/heathroad-harness/src/event_log.rs
@@ -1,42 +1,42 @@
-//! The three ledgers of a rehearsal, kept apart by who writes them: what clients got, what backends
-//! ran, what the registry told. Plain records; what they mean is the judge's to say.
+//! Event log of a run: what clients, backends and the registry recorded, each in its own list. The
+//! checker interprets the records.
 
 use crate::clock::Micros;
 
-/// Place of a proxy in the stage's list.
+/// Index of a proxy in the run's list of proxies.
 pub type ProxyIndex = u16;
-/// Place of a host in the stage's list.
+/// Index of a backend host in the run's list of hosts.
 pub type BackendIndex = u16;
 
-/// Everything that was seen.
+/// All events recorded during a run.
 #[derive(Debug, Default, Clone)]
 pub struct EventLog {
-    /// What clients asked and got, and what backends asked of the next tier.
+    /// Requests sent by clients, and by backends to the next tier, with their outcomes.
     pub attempts: Vec<Attempt>,
-    /// Clients that send what can't be used.
+    /// Clients that sent malformed requests.
     pub malformed_clients: Vec<MalformedClient>,
-    /// What came to backends.
+    /// Requests received by backends.
     pub arrivals: Vec<Arrival>,
-    /// Processes of backends.
+    /// Backend processes.
     pub incarnations: Vec<Incarnation>,
-    /// What the registry told.
+    /// Changes that the registry sent to proxies.
     pub registry_updates: Vec<RegistryUpdate>,
-    /// What the stage did to processes.
+    /// Events of proxy processes.
     pub process_events: Vec<ProcessEvent>,
 }
 
-/// One request, as who sent it saw it.
+/// One request as its sender saw it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Attempt {
     /// Its `Req-Id`.
     pub id: u64,
-    /// The tier asked; 0 for a client from outside, and for calls that come round.
+    /// Tier that it was sent to; 0 for requests of clients and for looped calls.
     pub tier: u8,
-    /// The request that it is a part of; none for a client's.
+    /// Id of the request on whose behalf it was sent; none for a client's.
     pub parent: Option<u64>,
-    /// Place of its first try in the plan; means nothing behind the first tier.
+    /// Index in the schedule; meaningful for the first tier only.
     pub request_index: u32,
-    /// 0 for a first try, counted up by retries.
+    /// Number of the retry; 0 for the first attempt.
     pub retry: u8,
     /// Its class.
     pub class: u16,
@@ -44,91 +44,90 @@
     pub tenant: u16,
     /// Its idempotency key.
     pub key: Option<u64>,
-    /// The proxy asked.
+    /// Proxy that it was sent to.
     pub proxy: ProxyIndex,
-    /// When the plan wanted it sent.
+    /// Time at which the schedule sends it.
     pub scheduled_at: Micros,
-    /// When its last byte was written, if it was.
+    /// Time at which its last byte was written, if it was.
     pub sent_at: Option<Micros>,
-    /// When it was given up on a kept connection that the proxy had closed without a byte, to be
-    /// sent once more on a new one: rightly so only if the proxy had not read it.
+    /// Time at which its reused connection was closed without a response, so that it was resent on a
+    /// new one. The close is valid only if the proxy had not read the request.
     pub resent_at: Option<Micros>,
-    /// How long its sender said to wait.
+    /// Deadline that its sender announced, as a duration.
     pub time_limit: Micros,
-    /// Time that its sender took for reading, which is nobody else's.
+    /// Time that the sender itself spent reading the response slowly.
     pub read_delay: Micros,
-    /// How it ended.
+    /// Outcome.
     pub end: AttemptEnd,
-    /// When it ended: the last byte of its answer.
+    /// Time of the last byte of the response, or of the failure.
     pub ended_at: Micros,
-    /// Something came behind the answer on its connection.
+    /// Whether more data followed the response on its connection.
     pub unexpected_data: bool,
 }
 
 impl Attempt {
-    /// Whether a client from outside asked; else a backend did, of the next tier or, gone astray,
-    /// of the first again.
+    /// Reports whether a client sent it, not a backend.
     pub fn is_from_client(&self) -> bool {
         self.parent.is_none()
     }
 
-    /// Whether a backend asked the first tier again.
+    /// Reports whether a backend sent it back to the first tier.
     pub fn is_looped(&self) -> bool {
         self.tier == 0 && !self.is_from_client()
     }
 }
 
-/// How a request ended, as its sender saw it.
+/// Outcome of a request as its sender saw it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptEnd {
-    /// 200, with the mark that a backend put into the answer.
+    /// 200, with the marker that a backend put into the response.
     Served(u64),
-    /// 200, with a body that is no backend's answer.
+    /// 200, with a body that no backend made.
     UnknownBody(String),
     /// 429 or 503.
     Refused {
-        /// When to come back, if that was told.
+        /// Delay given by `Retry-After`, if present.
         after: Option<Micros>,
     },
     /// Any other status.
     Failed(u16),
-    /// The connection ended before a whole answer; whether part of one had come.
+    /// The connection closed before the complete response; true if a part had arrived.
     Truncated(bool),
-    /// The answer can't be read.
+    /// The response could not be parsed.
     Malformed,
-    /// Nothing came, long past its time.
+    /// No response arrived until well after the deadline.
     NoResponse,
-    /// Its sender left, as planned.
+    /// The sender closed the connection, as scheduled.
     Cancelled,
-    /// It could not be sent: no proxy, no connection, or it broke before the last byte.
+    /// It could not be sent: no proxy, no connection, or a failure before its last byte.
     Unsent,
 }
 
-/// A client that sends what can't be used, and what it got.
+/// A client that sends a malformed request, and the response it got.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MalformedClient {
-    /// What it sent.
+    /// Kind of malformed request.
     pub kind: &'static str,
-    /// The id hidden in what it sent, if any.
+    /// Id of the request smuggled in its body, if any.
     pub smuggled_id: Option<u64>,
-    /// When it connected.
+    /// Time at which it connected.
     pub at: Micros,
-    /// The status it was answered; none if it got a close.
+    /// Status of the response; none if the connection was closed.
     pub status: Option<u16>,
-    /// When it got one or the other; none if neither came.
+    /// Time of the response or close; none if neither came.
     pub ended_at: Option<Micros>,
 }
 
-/// A request that came whole to a backend.
+/// A request that a backend received completely.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
     /// The host.
     pub backend: BackendIndex,
-    /// Which of its processes, from 0.
+    /// Number of the process on its host, from 0.
     pub incarnation: u16,
     /// The tier.
     pub tier: u8,
-    /// Who sent it.
+    /// Proxy that forwarded it.
     pub proxy: ProxyIndex,
     /// Its `Req-Id`.
     pub id: u64,
@@ -136,99 +135,99 @@
     pub class: u16,
     /// Its idempotency key.
     pub key: Option<u64>,
-    /// The digest of the version that it was bound by, where proxies tell.
+    /// Digest of the configuration version that the proxy applied, if it sends one.
     pub version: Option<String>,
-    /// When its first byte came.
+    /// Time of its first byte.
     pub first_byte_at: Micros,
-    /// How long the backend was told that it is waited for.
+    /// Time limit that the proxy announced to the backend.
     pub announced_limit: Option<Micros>,
-    /// When its last byte came.
+    /// Time of its last byte.
     pub received_at: Micros,
-    /// Work that it brought, in microseconds of a standard core, a handshake's included.
+    /// Work including any handshake, in microseconds of a standard core.
     pub work: u64,
-    /// What the backend did with it.
+    /// How the backend handled it.
     pub disposition: Disposition,
-    /// The mark in its answer.
+    /// Marker in the response.
     pub marker: u64,
-    /// What was answered.
+    /// Kind of the response.
     pub response: ResponseKind,
-    /// When the answer's last byte was written.
+    /// Time at which the last byte of the response was written.
     pub responded_at: Option<Micros>,
 }
 
-/// What a backend does with a request.
+/// How a backend handles a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disposition {
-    /// It began to run: its effect counts as happened.
+    /// Execution started, so its effect counts as having happened.
     Executed,
-    /// A repeat of what has run here or in the group: dropped, and answered.
+    /// Duplicate of a request that ran in this backend's group: answered without execution.
     Duplicate,
-    /// Turned away unseen.
+    /// Declined without execution.
     Declined,
 }
 
-/// What a backend answered.
+/// Kind of a backend's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// Nothing yet, or ever.
+    /// No response.
     None,
-    /// A whole 200.
+    /// A complete 200.
     Served,
-    /// Turned away.
+    /// Declined.
     Declined,
     /// A 500.
     Error,
-    /// Broken off in the middle.
+    /// Cut off before its end.
     Truncated,
-    /// Noise.
+    /// Not valid HTTP.
     Malformed,
 }
 
-/// One process of a backend.
+/// One process of a backend host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Incarnation {
     /// The host.
     pub backend: BackendIndex,
-    /// Which of its processes, from 0.
+    /// Number of the process on its host, from 0.
     pub number: u16,
-    /// When it started; 0 with `warm` for one that ran before the rehearsal.
+    /// Start time; 0 with `warm` if it ran before the run.
     pub started_at: Micros,
-    /// It needs no warming up.
+    /// Whether it needs no warm-up.
     pub warm: bool,
-    /// When it was sent more than it can bear and fell over, as the stand-in saw it.
+    /// Time at which the emulator saw it fail from overload.
     pub overloaded_at: Option<Micros>,
 }
 
-/// A change that the registry wrote to a proxy.
+/// A change that the registry sent to a proxy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RegistryUpdate {
-    /// When the answer that held it was written.
+    /// Time at which the response containing it was written.
     pub at: Micros,
-    /// To whom.
+    /// Receiving proxy.
     pub proxy: ProxyIndex,
-    /// Of which host.
+    /// Changed host.
     pub backend: BackendIndex,
-    /// Which of its processes.
+    /// Process of the host.
     pub incarnation: u16,
-    /// The version of the host's entry; a lower one is an older state that came late.
+    /// Version of the host's entry; updates may arrive out of order.
     pub version: u64,
-    /// Whether it takes new work.
+    /// Health of the host.
     pub health: Health,
 }
 
-/// A backend's health, in the registry's words.
+/// Health of a backend in the registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// Takes work.
+    /// Accepts requests.
     Serving,
-    /// Finishes its work.
+    /// Finishes its open requests and accepts no new ones.
     Draining,
-    /// Gone.
+    /// Removed.
     Deleted,
 }
 
 impl Health {
-    /// The registry's word.
+    /// Returns the name used by the registry.
     pub fn as_str(self) -> &'static str {
         match self {
             Health::Serving => "SERVING",
@@ -238,32 +237,32 @@
     }
 }
 
-/// Something that the stage did to a proxy's process.
+/// An event of a proxy's process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProcessEvent {
-    /// When it was begun.
+    /// Start time.
     pub at: Micros,
-    /// When it was done: a process that is killed takes a moment to be gone.
+    /// End time; a killed process takes a moment to exit.
     pub until: Micros,
-    /// To whom.
+    /// Affected proxy.
     pub proxy: ProxyIndex,
-    /// What.
+    /// Kind of event.
     pub kind: ProcessEventKind,
 }
 
-/// What the stage does to processes.
+/// Kind of a process event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessEventKind {
-    /// It was started and answers that it is ready.
+    /// Started, and reported ready.
     Started,
-    /// Killed outright.
+    /// Killed by a signal.
     Killed,
-    /// It did nothing for that time, and went on.
+    /// Paused, then resumed.
     Stalled,
-    /// Told to stop.
+    /// Asked to stop.
     Stopped,
-    /// Told to read its configuration again.
+    /// Asked to reload its configuration.
     Reloaded,
-    /// It ended though nobody told it to.
+    /// Exited without being asked to.
     Crashed,
 }
