--- a/crates/heathroad-harness/src/checker/mod.rs
+++ b/crates/heathroad-harness/src/checker/mod.rs
@@ -63,7 +63,7 @@
     /// Looped calls that reached a backend of the first tier again.
     pub loops_open: u64,
     /// Share of the backends' work that was started after its client had left or had its response.
-    pub work_for_nobody: f64,
+    pub wasted_work_share: f64,
     /// Sorted latencies of served requests, each measured from its first attempt.
     pub latencies: Vec<Micros>,
 }
@@ -94,7 +94,7 @@
             "remote_served" => self.remote_served as f64,
             "rude_unanswered" => self.malformed_clients[1] as f64,
             "loops_open" => self.loops_open as f64,
-            "work_for_nobody" => self.work_for_nobody,
+            "work_for_nobody" => self.wasted_work_share,
             _ => return None,
         })
     }
@@ -142,7 +142,7 @@
         .count() as u64;
     let (worth, latencies) = worth::compute(input.schedule, &event_log.attempts);
     let malformed_clients = [event_log.malformed_clients.len() as u64, unanswered as u64];
-    let (loops_open, work_for_nobody) = (
+    let (loops_open, wasted_work_share) = (
         wasted_work::loops_open(event_log),
         wasted_work::wasted_share(event_log),
     );
@@ -155,7 +155,7 @@
         malformed_clients,
         remote_served,
         loops_open,
-        work_for_nobody,
+        wasted_work_share,
         latencies,
     }
 }
--- a/crates/heathroad-harness/src/summary.rs
+++ b/crates/heathroad-harness/src/summary.rs
@@ -228,7 +228,7 @@
         writeln!(
             out,
             "  effort     {:.4} of the work was started for clients that had left",
-            v.work_for_nobody
+            v.wasted_work_share
         )?;
         if v.malformed_clients[0] > 0 {
             writeln!(
--- a/crates/heathroad-harness/tests/checker.rs
+++ b/crates/heathroad-harness/tests/checker.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn one_answer_in_time_made_by_a_backend_for_this_request() {
+fn a_request_gets_one_timely_response_made_for_it() {
     for end in [
         AttemptEnd::Served(7),
         AttemptEnd::Refused { after: None },
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn an_answer_may_be_late_by_the_grace_and_no_more() {
+fn a_response_may_be_late_by_the_grace_only() {
     let at = |took: Micros| {
         let t = Attempt {
             ended_at: SECOND + took,
@@ -181,7 +181,7 @@
 
 /// An idle close may race with a request that the proxy has not read; the sender resends it.
 #[test]
-fn a_close_that_crosses_a_request_takes_nothing_that_was_read() {
+fn an_idle_close_must_not_drop_a_read_request() {
     let crossed = |before: &[Micros]| {
         let t = Attempt {
             resent_at: Some(SECOND),
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn what_a_killed_proxy_held_is_not_lost() {
+fn requests_of_a_killed_proxy_are_not_lost() {
     for end in [AttemptEnd::Truncated(false), AttemptEnd::NoResponse] {
         let mut event_log = with_end(end.clone());
         let act = |proxy, at| ProcessEvent {
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_sent_again_only_as_its_class_allows() {
+fn resends_follow_the_class_semantics() {
     assert_eq!(doubled(SAFE, SECOND, |_| {}), None);
     let (rule, proof) = doubled(UNSAFE, SECOND, |a| a.backend = 1).expect("a violation");
     assert!(
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_refusal_promises_that_trying_again_is_harmless() {
+fn a_refused_request_is_safe_to_retry() {
     let refused = |class, disposition| {
         let t = Attempt {
             end: AttemptEnd::Refused { after: None },
@@ -321,7 +321,7 @@
 
 /// A client that retries after the deduplication window runs the request twice.
 #[test]
-fn who_ran_a_claim_twice_is_named() {
+fn duplicates_by_clients_are_reported() {
     let late = Attempt {
         id: 8,
         retry: u8::MAX,
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn a_hidden_request_that_is_passed_on_and_a_bad_client_that_is_served() {
+fn smuggled_and_malformed_requests_are_violations() {
     let malformed = |status, hidden| MalformedClient {
         kind: "x",
         smuggled_id: hidden,
@@ -434,7 +434,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_backend_that_drains() {
+fn a_draining_backend_gets_no_new_requests() {
     let draining = || {
         vec![
             update(0, 1, Health::Serving),
@@ -474,7 +474,7 @@
 
 /// Two proxies each stay below the overload multiple of a cold backend but exceed it together.
 #[test]
-fn a_cold_backend_is_pushed_over_by_all_proxies_together() {
+fn proxies_together_must_not_overload_a_cold_backend() {
     let life = Incarnation {
         backend: 0,
         number: 1,
@@ -539,7 +539,7 @@
 
 /// Every scheduled request counts, sent or not, and late responses earn a part of their worth.
 #[test]
-fn worth_folds_retries_into_the_first_try() {
+fn worth_attributes_retries_to_the_first_attempt() {
     let mut schedule = schedule();
     schedule.requests.truncate(4);
     schedule
@@ -592,7 +592,7 @@
 
 /// Looped calls are not counted as a client's; one that reaches a backend is an open loop.
 #[test]
-fn calls_that_come_round_are_told_from_clients() {
+fn looped_calls_are_not_counted_as_clients() {
     let round = |end: AttemptEnd, reached: bool| {
         let first = Attempt {
             end: AttemptEnd::Failed(502),
@@ -630,7 +630,7 @@
 
 /// Work at any depth is wasted once the originating client has left.
 #[test]
-fn work_that_begins_when_its_client_has_gone_is_for_nobody() {
+fn work_started_after_its_client_left_is_wasted() {
     let share = |at: Micros| {
         // The client leaves after 100 ms; earlier work is not wasted.
         let mut all = vec![Attempt {
@@ -669,7 +669,7 @@
             arrivals,
             ..EventLog::default()
         })
-        .work_for_nobody
+        .wasted_work_share
     };
     assert_eq!(share(SECOND + 100 * MS), 0.0);
     assert_eq!(share(SECOND + 101 * MS), 0.25);
@@ -683,5 +683,5 @@
         arrivals: vec![arrival(7, SAFE, SECOND)],
         ..EventLog::default()
     };
-    assert_eq!(check_log(&event_log).work_for_nobody, 0.0);
+    assert_eq!(check_log(&event_log).wasted_work_share, 0.0);
 }
--- a/crates/heathroad-harness/tests/common/mod.rs
+++ b/crates/heathroad-harness/tests/common/mod.rs
@@ -136,7 +136,7 @@
 }
 
 /// Runs a scenario and checks it.
-pub fn rehearse(program: &Path, text: &str, seed: u64) -> Summary {
+pub fn run_scenario(program: &Path, text: &str, seed: u64) -> Summary {
     let _turn = TURN
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -155,10 +155,10 @@
 pub fn sound(text: &str, seed: u64) -> Summary {
     let daemon = daemon();
     for _ in 0..2 {
-        let o = rehearse(&daemon, text, seed);
+        let o = run_scenario(&daemon, text, seed);
         if o.void.is_empty() {
             return o;
         }
     }
-    rehearse(&daemon, text, seed)
+    run_scenario(&daemon, text, seed)
 }
--- a/crates/heathroad-harness/tests/invariants.rs
+++ b/crates/heathroad-harness/tests/invariants.rs
@@ -32,7 +32,7 @@
         ("keeps-sending", &[Rule::Drain], "is DRAINING"),
     ];
     for (defect, rules, proof) in cases {
-        let o = rehearse(&bad_proxy(defect), SMALL, 7);
+        let o = run_scenario(&bad_proxy(defect), SMALL, 7);
         assert_eq!(violated_rules(&o), rules, "{defect}: {}", o.table());
         let matches = o
             .verdict
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn a_cold_backend_that_is_pushed_over_is_named() {
-    let o = rehearse(&bad_proxy("pushes-cold"), PUSHED, 7);
+fn overloading_a_cold_backend_is_reported() {
+    let o = run_scenario(&bad_proxy("pushes-cold"), PUSHED, 7);
     assert!(violated_rules(&o).contains(&Rule::Cold), "{}", o.table());
     let violation = o
         .verdict
@@ -84,9 +84,9 @@
 
 /// The faulty proxy accepts malformed lengths and deadlines, which the checker reports.
 #[test]
-fn who_serves_what_cannot_be_used_is_named() {
+fn serving_malformed_requests_is_reported() {
     let malformed = SMALL.replace("rude_per_s = 0.0", "rude_per_s = 10.0");
-    let o = rehearse(&bad_proxy("none"), &malformed, 7);
+    let o = run_scenario(&bad_proxy("none"), &malformed, 7);
     assert_eq!(violated_rules(&o), [Rule::Lost], "{}", o.table());
     assert!(
         o.verdict
@@ -112,8 +112,8 @@
 }
 
 #[test]
-fn false_counts_are_named() {
-    let o = rehearse(&bad_proxy("miscounts"), SMALL, 7);
+fn false_counts_are_reported() {
+    let o = run_scenario(&bad_proxy("miscounts"), SMALL, 7);
     assert_eq!(violated_rules(&o), [], "{}", o.table());
     assert!(!o.agrees());
     assert_eq!(
@@ -129,7 +129,7 @@
 
 /// The same seed gives the same schedule and verdict; another seed gives another schedule.
 #[test]
-fn the_sound_daemon_keeps_all_and_one_seed_gives_one_verdict() {
+fn the_daemon_passes_and_one_seed_gives_one_verdict() {
     let mut digests = Vec::new();
     for _ in 0..3 {
         let o = sound(SMALL, 3);
@@ -149,7 +149,7 @@
 /// JSON-RPC calls, single and in batches, keep the rules while a backend resets connections
 /// mid-response, and the daemon's counts agree.
 #[test]
-fn calls_over_json_rpc_are_judged_like_requests() {
+fn json_rpc_calls_are_checked_like_requests() {
     let batches = heathroad_harness::scenario::load("jsonrpc-batches").expect("it is shipped");
     let routes = batches.routes.expect("it has routes");
     for batch in [1, 10] {
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_scenario_without_a_listener_for_remote_calls_is_turned_down() {
+fn a_scenario_without_a_jsonrpc_listener_is_rejected() {
     let remote = SMALL.replace("[clients]", "[clients]\nremote = 0.6");
     let said =
         heathroad_harness::scenario::parse("x.toml", &remote).expect_err("it has no listener");
@@ -189,7 +189,7 @@
 /// Backends of the last tier call the first tier: daemons with budgets end each looped call, and
 /// without budgets the checker reports open loops.
 #[test]
-fn loops_are_ended_by_budgets_and_seen_without() {
+fn budgets_end_loops_and_open_loops_are_reported() {
     let tier = SMALL[SMALL.find("[[tier]]").expect("one")..SMALL.find("[[fault]]").expect("one")]
         .to_string();
     let gate_tier = tier
