--- a/crates/heathroad-verifier/src/drain_plan/mod.rs
+++ b/crates/heathroad-verifier/src/drain_plan/mod.rs
@@ -1,8 +1,8 @@
-//! Drain plans: which nodes may drain together so that every expectation holds all along, in as few
-//! batches as possible.
+//! Drain plans: groups nodes into batches that may drain together without violating an expectation,
+//! in as few batches as possible.
 //!
-//! Batches are found by first fit and improved by a search. Whether fewer batches are possible is
-//! proven or left open, and never guessed.
+//! Batches are found by first fit and improved by a search. A plan counts as minimal only if this
+//! is proven.
 
 mod needs;
 mod search;
@@ -22,7 +22,7 @@
 
 /// The maximum number of nodes of a plan.
 pub const MAX_NODES: usize = 10_000;
-/// The maximum number of units that are searched. For more, the batches of first fit are the plan.
+/// The maximum number of units that are searched. With more, the plan is that of first fit.
 const MAX_SEARCHED_UNITS: usize = 512;
 
 /// Nodes that drain together.
@@ -33,7 +33,7 @@
 pub struct DrainPlan {
     /// The nodes to drain together, batch by batch.
     pub batches: Vec<Vec<SocketAddr>>,
-    /// Whether it is proven that fewer batches are not possible.
+    /// Whether the number of batches is proven to be minimal.
     #[serde(rename = "proven")]
     pub is_minimal: bool,
     /// Nodes that can't drain.
@@ -75,8 +75,8 @@
         /// A line for each expectation that fails.
         failures: Vec<String>,
     },
-    /// A batch of the plan violates an expectation after all.
-    #[error("a batch that should hold does not: {failure}")]
+    /// A batch of the plan violates an expectation.
+    #[error("a planned batch violates an expectation: {failure}")]
     InvalidBatch {
         /// The line of the expectation.
         failure: String,
@@ -120,7 +120,7 @@
     })
 }
 
-/// Returns batches of all units, and whether it is proven that fewer are not possible.
+/// Returns batches of all units, and whether their number is proven to be minimal.
 fn find_batches(needs: &[Need], units: &[Batch], max_batch_size: usize) -> (Vec<Batch>, bool) {
     let mut search = Search::new(needs, units, max_batch_size);
     let mut best = search.first_fit();
@@ -144,8 +144,8 @@
     (best, is_minimal)
 }
 
-/// Whether a need that is not met stays so when more nodes drain, so that the search may discard
-/// all extensions of a batch.
+/// Whether an unmet need stays unmet when more nodes drain, so that the search may discard all
+/// extensions of a batch.
 ///
 /// This is not so for peers within a site or block: once the whole site or block has drained, no
 /// node of it needs peers.
@@ -156,7 +156,7 @@
     }
 }
 
-/// Returns a number of batches below which a plan is impossible, by counting.
+/// Returns a lower bound of the number of batches, by counting nodes.
 fn min_batch_count(needs: &[Need], units: &[Batch], max_batch_size: usize) -> usize {
     let draining_of = |need: &Need| {
         let nodes = need.nodes.iter();
@@ -175,7 +175,7 @@
         .unwrap_or(0)
 }
 
-/// Verifies all expectations while a batch drains, since the needs were derived one by one.
+/// Verifies all expectations while a batch drains, as a cross-check of the needs.
 fn check_batch(
     generation: &Generation,
     expectations: &Expectations,
--- a/crates/heathroad-verifier/src/drain_plan/needs.rs
+++ b/crates/heathroad-verifier/src/drain_plan/needs.rs
@@ -1,4 +1,4 @@
-//! Needs: what expectations require of the nodes that remain while others drain.
+//! Needs: the numbers of nodes that expectations require to remain while others drain.
 
 use crate::expectations::{Expectation, Expectations, Quantity, Requirement};
 use crate::failure_scenarios::{FailureDomain, FailureScenario, Loss, fewest_peers, worst_loss};
@@ -14,7 +14,7 @@
 /// The number of nodes that must remain of a pool.
 #[derive(Debug, Clone)]
 pub(super) struct Need {
-    /// The nodes of the pool that are available when nothing of the plan drains.
+    /// The nodes of the pool that are available before the plan starts.
     pub(super) nodes: Vec<Node>,
     loss: Option<Loss>,
     /// The scope in which peers must remain. `None` counts nodes instead.
@@ -41,7 +41,7 @@
         count as f64 >= self.min_remaining
     }
 
-    /// Returns how many of the nodes may drain together, where counting tells.
+    /// Returns how many of the nodes may drain together, or `None` if that depends on which ones.
     pub(super) fn max_drained(&self) -> Option<usize> {
         if self.peer_scope.is_some() || !self.loses_single_nodes() {
             return None;
@@ -64,7 +64,7 @@
     min_remaining: f64,
 }
 
-/// Returns what all expectations need, each need once.
+/// Returns the needs of all expectations, without duplicates.
 pub(super) fn collect_needs(
     generation: &Generation,
     expectations: &Expectations,
@@ -108,7 +108,7 @@
     Ok(needs.into_values().collect())
 }
 
-/// Returns a key that is the same for needs that are met together.
+/// Returns a key that is equal for equivalent needs.
 fn need_key(pool: usize, scenario: &FailureScenario, need: &Need) -> String {
     let Need {
         loss,
@@ -141,8 +141,8 @@
     minima.collect()
 }
 
-/// Returns the pools and classes that requests of an expectation reach, with the idempotency that a
-/// class has there.
+/// Returns the pools and classes that requests of an expectation reach, with the idempotency of the
+/// class in the pool.
 fn reached_pools<'s>(
     generation: &Generation,
     space: &'s RequestSpace,
--- a/crates/heathroad-verifier/src/drain_plan/search.rs
+++ b/crates/heathroad-verifier/src/drain_plan/search.rs
@@ -11,19 +11,19 @@
 pub(super) enum Outcome {
     /// The units fit into these batches.
     Found(Vec<Batch>),
-    /// They fit into no such batches.
+    /// The units do not fit into that many batches.
     Impossible,
-    /// The search took too long.
+    /// The search exceeded its maximum number of attempts.
     GaveUp,
 }
 
-/// The error of a search that takes too long.
+/// The error of a search that exceeds [`MAX_ATTEMPTS`].
 struct TooManyAttempts;
 
 pub(super) struct Search<'a> {
     needs: &'a [Need],
     units: &'a [Batch],
-    /// The indices of the needs that each unit concerns.
+    /// For each unit, the indices of the needs that its nodes affect.
     needs_by_unit: Vec<Vec<usize>>,
     max_batch_size: usize,
     attempts: usize,
@@ -31,23 +31,23 @@
 
 impl<'a> Search<'a> {
     pub(super) fn new(needs: &'a [Need], units: &'a [Batch], max_batch_size: usize) -> Self {
-        let concerned = |unit: &Batch| {
-            let is_concerned =
+        let affected_needs = |unit: &Batch| {
+            let is_affected =
                 |need: &Need| need.nodes.iter().any(|node| unit.contains(&node.address));
             (0..needs.len())
-                .filter(|index| is_concerned(&needs[*index]))
+                .filter(|index| is_affected(&needs[*index]))
                 .collect()
         };
         Search {
             needs,
             units,
-            needs_by_unit: units.iter().map(concerned).collect(),
+            needs_by_unit: units.iter().map(affected_needs).collect(),
             max_batch_size,
             attempts: 0,
         }
     }
 
-    /// Adds a unit to a batch, if all needs that it concerns are still met.
+    /// Adds a unit to a batch if all needs that it affects are still met.
     fn try_add(&mut self, unit: usize, batch: &mut Batch) -> bool {
         let nodes = &self.units[unit];
         if batch.len() + nodes.len() > self.max_batch_size {
@@ -65,7 +65,7 @@
         is_possible
     }
 
-    /// Puts each unit into the first batch that it fits into. Units that concern the most needs
+    /// Puts each unit into the first batch that it fits into. Units that affect the most needs
     /// come first.
     pub(super) fn first_fit(&mut self) -> Vec<Batch> {
         let mut order: Vec<usize> = (0..self.units.len()).collect();
@@ -92,13 +92,13 @@
         }
     }
 
-    /// Places all units from one on. Returns whether that is possible.
+    /// Places all units from index `unit` on. Returns whether that is possible.
     fn place_from(&mut self, unit: usize, batches: &mut [Batch]) -> Result<bool, TooManyAttempts> {
         if unit == self.units.len() {
             return Ok(true);
         }
         for index in 0..batches.len() {
-            // All empty batches are alike.
+            // Empty batches are interchangeable, so only the first is tried.
             if index > 0 && batches[index].is_empty() && batches[index - 1].is_empty() {
                 break;
             }
--- a/crates/heathroad-verifier/src/drain_plan/units.rs
+++ b/crates/heathroad-verifier/src/drain_plan/units.rs
@@ -1,5 +1,5 @@
-//! Units: the nodes that can only drain together. A unit is a single node, or a whole block or site
-//! where its expectations allow nothing less.
+//! Units: nodes that drain together. A unit is a single node, or the draining nodes of a block or
+//! site if expectations do not allow a single one to drain.
 
 use super::needs::Need;
 use super::{Batch, StuckNode};
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The units of a plan, and the nodes that are in none.
+/// The units of a plan, and the nodes that cannot drain.
 pub(super) struct DrainUnits {
     pub(super) units: Vec<Batch>,
     pub(super) stuck: Vec<StuckNode>,
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Returns the draining nodes that belong together with one, if they can drain together.
+    /// Returns the draining nodes that belong together with the given one, if they can drain together.
     fn unit_with(
         &self,
         address: SocketAddr,
--- a/crates/heathroad-verifier/src/expectations/mod.rs
+++ b/crates/heathroad-verifier/src/expectations/mod.rs
@@ -1,7 +1,7 @@
-//! Expectations: what must hold of some requests, and in which failure scenarios.
+//! Expectations: requirements on requests, and the failure scenarios in which they must hold.
 //!
-//! They stand in a file of their own and repeat nothing of the routes, so that either file can
-//! change alone. Names that the routes lack are found by verification.
+//! They are in a file separate from the routes, so that either can change alone. Verification
+//! reports names that the routes do not define.
 
 mod parser;
 
@@ -16,12 +16,12 @@
 /// The maximum number of expectations, of scenarios, and of nodes in a file.
 pub const MAX_ENTRIES: usize = 10_000;
 
-/// The content of a file.
+/// The content of an expectations file.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Expectations {
-    /// The name of the file, as the caller gave it.
+    /// The name of the file, as given by the caller.
     pub file: String,
-    /// The nodes that registries are assumed to announce, where no running daemon is asked.
+    /// The nodes that registries are assumed to announce, unless a running daemon is queried.
     pub nodes: Vec<Node>,
     /// The scenarios that expectations refer to.
     pub scenarios: Vec<FailureScenario>,
@@ -57,7 +57,7 @@
     Never(Targets),
     /// Each of them goes to a pool that serves its class, or none of them does.
     Served(bool),
-    /// A request that may have run is retried no more freely than this.
+    /// A request that may have run is retried at most in this way.
     Retries(RetryLimit),
     /// They are deduplicated by key in this scope, in every pool.
     Deduplicated(DeduplicationScope),
@@ -72,12 +72,12 @@
     Quantity(Quantity, Bounds),
 }
 
-/// How freely a request that may have run is retried.
+/// When a request that may have run may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryLimit {
     /// It is never retried.
     Never,
-    /// It is retried only where backends drop repeated requests by their key.
+    /// It is retried only where backends deduplicate requests by key.
     Keyed,
 }
 
@@ -86,9 +86,9 @@
 pub enum Quantity {
     /// The available nodes of a pool.
     Nodes,
-    /// The further nodes that share deduplication with the one that may have run a request.
+    /// The other nodes that share deduplication with the node that may have run a request.
     Peers,
-    /// The attempts of a request, by the settings of the daemon.
+    /// The attempts of a request that the daemon's settings allow.
     Attempts,
     /// The requests in flight that a pool may have.
     OpenRequests,
@@ -98,7 +98,7 @@
     Deadline,
     /// The priority weight of a request.
     PriorityWeight,
-    /// For how long backends remember an idempotency key, in milliseconds.
+    /// How long backends remember an idempotency key, in milliseconds.
     DeduplicationWindow,
 }
 
@@ -137,7 +137,7 @@
         value >= self.at_least && value <= self.at_most
     }
 
-    /// Describes the bounds, for people.
+    /// Describes the bounds in a message.
     pub fn describe(&self) -> String {
         match (self.at_least > 0.0, self.at_most < f64::MAX) {
             (true, true) => format!("from {} to {}", self.at_least, self.at_most),
@@ -163,7 +163,7 @@
 }
 
 impl Targets {
-    /// Describes the targets, for people.
+    /// Describes the targets in a message.
     pub fn describe(&self) -> String {
         let addresses: Vec<String> = self.nodes.iter().map(SocketAddr::to_string).collect();
         let kinds = [
@@ -180,7 +180,7 @@
         parts.join("; ")
     }
 
-    /// Returns the blocks as the labels of a registry's hosts.
+    /// Returns the blocks as label values of a registry's hosts.
     pub(crate) fn block_labels(&self) -> Vec<String> {
         self.blocks.iter().map(u16::to_string).collect()
     }
--- a/crates/heathroad-verifier/src/failure_scenarios.rs
+++ b/crates/heathroad-verifier/src/failure_scenarios.rs
@@ -1,11 +1,12 @@
-//! Failure scenarios: nodes that are assumed to be unavailable, and the worst loss of further ones.
+//! Failure scenarios: nodes that are assumed to be unavailable, and the worst-case loss of further
+//! nodes.
 
 use crate::nodes::Node;
 use heathroad_routing::config::DeduplicationScope;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Nodes that are assumed to be unavailable, beside those that are now.
+/// Nodes that are assumed to be unavailable, in addition to those that currently are.
 ///
 /// The default is the scenario in which nothing else fails.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -57,7 +58,7 @@
     }
 }
 
-/// A number of failure domains of one kind that are lost together, whichever they are.
+/// A loss of any `count` failure domains of one kind at the same time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Loss {
     /// The kind of domain.
@@ -75,8 +76,8 @@
     pub lost: Vec<String>,
 }
 
-/// Returns the worst case of a loss among some nodes. As domains do not overlap, these are the
-/// largest ones.
+/// Returns the worst case of a loss among some nodes. As domains do not overlap, the largest ones
+/// are lost.
 pub fn worst_loss(nodes: &[&Node], loss: Option<Loss>) -> WorstCase {
     let Some(loss) = loss else {
         return WorstCase {
@@ -98,11 +99,11 @@
     }
 }
 
-/// Returns the fewest peers that some node has in its deduplication scope in the worst case: the
-/// nodes to which a request that it may have run can be repeated. Returns `None` where no node is
-/// left.
+/// Returns the smallest number of peers that any node has in its deduplication scope in the worst
+/// case of a loss. A request that a node may have run can be retried on its peers. Returns `None`
+/// if there are no nodes.
 ///
-/// In each scope at least one node survives, whose peers are counted.
+/// At least one node is assumed to survive in each scope, and its peers are counted.
 pub fn fewest_peers(
     nodes: &[&Node],
     scope: DeduplicationScope,
--- a/crates/heathroad-verifier/src/lib.rs
+++ b/crates/heathroad-verifier/src/lib.rs
@@ -1,17 +1,16 @@
 //! Static verification of a routing configuration against expectations, without traffic.
 //!
-//! A verdict covers every possible request, and not a sample of them.
+//! A verdict covers every possible request, not only a sample.
 //!
 //! - [`expectations`] parses what must hold, for which requests, and in which
 //!   [`failure_scenarios`].
 //! - [`request_space`] divides all requests into finitely many kinds that no route and no
-//!   expectation distinguishes, and orders them so that the requests that fulfil a condition are a
-//!   box.
-//! - [`reachability`] finds the routes that requests of a box take.
-//! - [`nodes`] tells which nodes a pool has.
-//! - [`verify`](mod@verify) returns a verdict on each expectation, with the smallest request and
-//!   scenario that violate it.
-//! - [`drain_plan`] orders drains into batches so that every expectation holds all along.
+//!   expectation distinguishes, ordered so that the requests that match a condition form a box.
+//! - [`reachability`] finds the routes that the requests of a region take.
+//! - [`nodes`] resolves the nodes of a pool.
+//! - [`verify`](mod@verify) returns a verdict on each expectation, with the smallest request
+//!   that violates it, and the failure scenario.
+//! - [`drain_plan`] orders drains into batches so that every expectation holds throughout.
 
 pub mod drain_plan;
 pub mod expectations;
--- a/crates/heathroad-verifier/src/nodes.rs
+++ b/crates/heathroad-verifier/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes, as a list or a registry announces them, and the nodes of a pool.
+//! Nodes from a list or a registry, and the nodes of a pool.
 
 use heathroad_routing::config::{BackendSource, ListedBackend, Pool};
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 pub struct Node {
     /// The address.
     pub address: SocketAddr,
-    /// The registry that announces the node. `None` means a list in the file of routes.
+    /// The registry that announces the node. `None` means that the routing file lists it.
     #[serde(default)]
     pub registry: Option<SocketAddr>,
     /// The site.
@@ -19,7 +19,7 @@
     /// The kind of machine.
     #[serde(default)]
     pub class: String,
-    /// The block: a small group of nodes that share deduplication.
+    /// The block: a small group of nodes that share deduplication state.
     #[serde(default)]
     pub block: u16,
     /// Whether the node takes new requests now.
@@ -32,7 +32,7 @@
 }
 
 impl Node {
-    /// Returns a node of which nothing is known but that it takes no new requests.
+    /// Returns a node that takes no new requests and whose other attributes are unknown.
     pub fn withdrawn(address: SocketAddr) -> Node {
         Node {
             address,
@@ -84,7 +84,8 @@
     }
 }
 
-/// Returns a listed backend as a node. It is the same node that a registry may announce.
+/// Returns a listed backend as a node. It is unavailable if the announced node with the same
+/// address is.
 fn listed_node(backend: &ListedBackend, announced: &[Node]) -> Node {
     let same = announced
         .iter()
--- a/crates/heathroad-verifier/src/reachability.rs
+++ b/crates/heathroad-verifier/src/reachability.rs
@@ -1,15 +1,15 @@
 //! Reachability: the routes that the requests of a region take.
 //!
-//! A route takes what it matches and no narrower route does. Routes are nested or disjoint, so that
-//! the next narrower ones are disjoint from each other, and counting decides: if the kinds that
-//! they match are as many as the region has, none is left for the route itself.
+//! A route takes the requests that it matches and no narrower route matches. Any two routes are
+//! nested or disjoint, so the routes directly nested in one are disjoint. If the kinds of requests
+//! that these match add up to all kinds of the outer route, it takes no requests itself.
 
 use crate::request_space::{Region, RequestSpace};
 use heathroad_routing::condition::RouteCondition;
 use heathroad_routing::generation::Generation;
 
-/// The maximum number of dimensions of which all subsets are tried for the smallest request. Of
-/// more dimensions only the pairs are.
+/// The maximum number of dimensions of which all subsets are tried for the smallest request. With
+/// more dimensions, only subsets of up to two are tried.
 const MAX_FULLY_SEARCHED_DIMENSIONS: usize = 10;
 
 /// The error of a region with more kinds of requests than can be counted.
@@ -17,21 +17,21 @@
 #[error("more kinds of requests than can be counted")]
 pub struct TooManyKinds;
 
-/// The routes of a configuration as regions of a request space.
+/// The routes of a configuration, as regions of a request space.
 #[derive(Debug)]
 pub struct RouteRegions {
-    /// The region of each route. `None` is one that no request can match.
+    /// The region of each route. `None` if no request can match.
     regions: Vec<Option<Region>>,
-    /// The next narrower routes of each route.
+    /// The routes directly nested in each route.
     nested: Vec<Vec<usize>>,
-    /// The routes that are in no other one.
+    /// The routes that are nested in no other route.
     outermost: Vec<usize>,
 }
 
 /// The requests that take a route, or none.
 #[derive(Debug)]
 pub struct RoutedRequests<'r> {
-    /// The index of the route. `None` are requests that no route matches.
+    /// The index of the route. `None` if no route matches the requests.
     pub route: Option<usize>,
     /// The requests that take the route or a narrower one.
     region: Region,
@@ -66,7 +66,7 @@
     Ok(count)
 }
 
-/// Whether a region has a kind that is in none of some disjoint regions.
+/// Whether a region contains a kind of request outside all excluded regions, which are disjoint.
 fn has_remaining_kind(region: &Region, excluded: &[&Region]) -> Result<bool, TooManyKinds> {
     let mut relevant = excluded.to_vec();
     relevant.retain(|other| other.intersects(region));
@@ -162,8 +162,8 @@
 }
 
 impl RoutedRequests<'_> {
-    /// Returns the smallest request: the one that differs in the fewest attributes from a request
-    /// of which nothing is told.
+    /// Returns the smallest request: the one that differs from the default values in the fewest
+    /// attributes.
     ///
     /// # Errors
     ///
@@ -175,7 +175,7 @@
             .map(|(dimension, _)| dimension)
             .collect();
         for varied in subsets(&free) {
-            let region = self.fix_usual_values(space, &free, &varied);
+            let region = self.fix_default_values(space, &free, &varied);
             if has_remaining_kind(&region, &self.excluded)? {
                 return self.narrow(region, &varied);
             }
@@ -183,12 +183,12 @@
         self.narrow(self.region.clone(), &free)
     }
 
-    /// Returns the region with the usual value in each free dimension that is not varied.
-    fn fix_usual_values(&self, space: &RequestSpace, free: &[usize], varied: &[usize]) -> Region {
+    /// Returns the region with the default value in each free dimension that is not varied.
+    fn fix_default_values(&self, space: &RequestSpace, free: &[usize], varied: &[usize]) -> Region {
         let mut region = self.region.clone();
         for dimension in free.iter().filter(|dimension| !varied.contains(dimension)) {
-            let usual = space.usual_value(&region, *dimension);
-            region = region.with_value(*dimension, usual);
+            let default = space.default_value(&region, *dimension);
+            region = region.with_value(*dimension, default);
         }
         region
     }
@@ -208,7 +208,7 @@
     }
 }
 
-/// Returns the subsets of some dimensions, from the smallest on.
+/// Returns subsets of the dimensions, the smallest first.
 fn subsets(dimensions: &[usize]) -> impl Iterator<Item = Vec<usize>> {
     let count = dimensions.len();
     let max_size = if count <= MAX_FULLY_SEARCHED_DIMENSIONS {
--- a/crates/heathroad-verifier/src/request_space/builder.rs
+++ b/crates/heathroad-verifier/src/request_space/builder.rs
@@ -13,7 +13,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-/// Calls of a method over JSON-RPC. One method stands for all that no condition distinguishes.
+/// JSON-RPC calls of a method, which represents all methods that no condition distinguishes from
+/// it.
 struct CallKind {
     /// The index of the listener in the configuration.
     listener: usize,
@@ -21,16 +22,16 @@
     class: String,
 }
 
-/// The values of the dimension of tenants.
+/// The values of the tenant dimension.
 struct TenantValues {
     values: Vec<String>,
-    /// The value of a request of which nothing is told.
-    usual: u32,
+    /// The index of the value that messages omit.
+    default: u32,
     /// The number of tenants that the daemon accepts, which come first; 0 if all are accepted.
     accepted: usize,
 }
 
-/// The values of the dimension of classes.
+/// The values of the class dimension.
 struct ClassValues {
     values: Vec<String>,
     /// The number of classes that some pool serves, which come first.
@@ -72,7 +73,7 @@
             Dimension::new("host", hosts.iter().map(|name| join_host(name)).collect()),
             Dimension::new("path", paths.iter().map(|name| join_path(name)).collect()),
             Dimension::new("method", self.methods(&call_kinds)),
-            Dimension::new("tenant", tenants.values.clone()).with_usual(tenants.usual),
+            Dimension::new("tenant", tenants.values.clone()).with_default(tenants.default),
             Dimension::new("class", classes.values.clone()),
         ];
         dimensions.extend(self.headers());
@@ -91,8 +92,11 @@
         Ok(space)
     }
 
-    /// Returns the distinct values that conditions ask for in an attribute.
-    fn asked(&self, attribute: fn(&RouteCondition) -> &Option<String>) -> BTreeSet<String> {
+    /// Returns the distinct values that conditions require of an attribute.
+    fn condition_values(
+        &self,
+        attribute: fn(&RouteCondition) -> &Option<String>,
+    ) -> BTreeSet<String> {
         let values = self.conditions.iter().map(|condition| attribute(condition));
         values.flatten().cloned().collect()
     }
@@ -102,12 +106,12 @@
         attribute: fn(&RouteCondition) -> Option<&str>,
         split: fn(&str) -> Name,
     ) -> Vec<Name> {
-        let asked = self
+        let condition_values = self
             .conditions
             .iter()
             .filter_map(|condition| attribute(condition));
         let is_prefix = |text: &&str| text.ends_with("/*") || text.starts_with("*.");
-        let (prefixes, whole): (Vec<&str>, Vec<&str>) = asked.partition(is_prefix);
+        let (prefixes, whole): (Vec<&str>, Vec<&str>) = condition_values.partition(is_prefix);
         let split_all = |texts: Vec<&str>| -> Vec<Name> {
             let trimmed = texts.into_iter().map(|text| {
                 let text = text.trim_start_matches("*.");
@@ -121,8 +125,8 @@
     fn listeners(&self) -> Vec<String> {
         let mut listeners = vec![MAIN_LISTENER.to_string()];
         listeners.extend(self.config.listeners.iter().map(|l| l.name.clone()));
-        let asked = self.asked(|condition| &condition.listener);
-        let unknown: Vec<String> = asked
+        let condition_values = self.condition_values(|condition| &condition.listener);
+        let unknown: Vec<String> = condition_values
             .into_iter()
             .filter(|name| !listeners.contains(name))
             .collect();
@@ -136,19 +140,19 @@
             .flat_map(|pool| &pool.classes)
             .map(|class| class.name.clone())
             .collect();
-        let asked = self.asked(|condition| &condition.class);
+        let condition_values = self.condition_values(|condition| &condition.class);
         ClassValues {
             served: served.len(),
             values: served
                 .iter()
-                .chain(asked.difference(&served))
+                .chain(condition_values.difference(&served))
                 .cloned()
                 .collect(),
         }
     }
 
     fn tenants(&self) -> TenantValues {
-        let mut named = self.asked(|condition| &condition.tenant);
+        let mut named = self.condition_values(|condition| &condition.tenant);
         named.extend(self.config.tenants.iter().cloned());
         for listener in &self.config.listeners {
             match &listener.tenant_source {
@@ -161,8 +165,8 @@
         let others = named.difference(accepted);
         let mut values: Vec<String> = accepted.iter().chain(others).cloned().collect();
         let unnamed = unused_text(values.iter().map(String::as_str));
-        // Where the daemon knows no tenants, a request usually has none.
-        let usual = if accepted.is_empty() {
+        // Without known tenants, the default is a request without a tenant.
+        let default = if accepted.is_empty() {
             values.len() as u32
         } else {
             0
@@ -170,7 +174,7 @@
         values.extend([String::new(), unnamed]);
         TenantValues {
             values,
-            usual,
+            default,
             accepted: accepted.len(),
         }
     }
@@ -189,24 +193,24 @@
 
     /// Returns a method that neither a condition nor a listener names.
     fn unnamed_method(&self) -> String {
-        let asked = self.asked(|condition| &condition.method);
+        let condition_values = self.condition_values(|condition| &condition.method);
         let offered = self.config.listeners.iter().flat_map(|l| l.methods.keys());
-        unused_text(offered.chain(&asked).map(String::as_str))
+        unused_text(offered.chain(&condition_values).map(String::as_str))
     }
 
     fn methods(&self, call_kinds: &[CallKind]) -> Vec<String> {
-        let mut methods = self.asked(|condition| &condition.method);
+        let mut methods = self.condition_values(|condition| &condition.method);
         methods.extend([String::new(), self.unnamed_method()]);
         methods.extend(call_kinds.iter().map(|kind| kind.method.clone()));
         methods.into_iter().collect()
     }
 
     fn call_kinds(&self) -> Vec<CallKind> {
-        let asked = self.asked(|condition| &condition.method);
+        let condition_values = self.condition_values(|condition| &condition.method);
         let unnamed = self.unnamed_method();
         let listeners = self.config.listeners.iter().enumerate();
         let kinds = listeners.flat_map(|(index, listener)| {
-            let methods = representative_methods(listener, &asked, &unnamed);
+            let methods = representative_methods(listener, &condition_values, &unnamed);
             methods.into_iter().map(move |(method, class)| CallKind {
                 listener: index,
                 method,
@@ -216,8 +220,8 @@
         kinds.collect()
     }
 
-    /// Returns the requests that can exist, as disjoint regions: any HTTP request, and the calls
-    /// over JSON-RPC, whose method tells the class and whose listener tells the tenants.
+    /// Returns the requests that can exist, as disjoint regions: any HTTP request, and the JSON-RPC
+    /// calls, whose method determines the class and whose listener determines the tenants.
     fn entry_points(
         &self,
         space: &RequestSpace,
@@ -225,20 +229,20 @@
         classes: &ClassValues,
         call_kinds: &[CallKind],
     ) -> Vec<Region> {
-        let everything = space.everything();
+        let full_region = space.full_region();
         let accepted = match tenants.accepted {
-            0 => everything.intervals()[TENANT].clone(),
+            0 => full_region.intervals()[TENANT].clone(),
             accepted => 0..accepted as u32,
         };
         let mut entry_points = Vec::new();
         if classes.served > 0 {
-            // The first listener is that for HTTP, and the first method the empty one.
-            let http = everything.with_value(LISTENER, 0).with_value(METHOD, 0);
+            // The first listener is the HTTP one, and the first method is empty.
+            let http = full_region.with_value(LISTENER, 0).with_value(METHOD, 0);
             let http = http.with_interval(TENANT, accepted.clone());
             entry_points.push(http.with_interval(CLASS, 0..classes.served as u32));
         }
         for kind in call_kinds {
-            let Some(region) = call_region(space, &everything, kind) else {
+            let Some(region) = call_region(space, &full_region, kind) else {
                 continue;
             };
             let source = &self.config.listeners[kind.listener].tenant_source;
@@ -252,17 +256,17 @@
     }
 }
 
-/// Returns methods of a listener with their classes, so that each call is like one of these for all
-/// conditions. Of the methods that no condition asks for, one of each class is enough.
+/// Returns methods of a listener with their classes that represent all calls in every condition. Of
+/// the methods that no condition names, one of each class is enough.
 fn representative_methods(
     listener: &Listener,
-    asked: &BTreeSet<String>,
+    condition_values: &BTreeSet<String>,
     unnamed: &str,
 ) -> Vec<(String, String)> {
     let mut methods = Vec::new();
     let mut first_by_class: BTreeMap<&str, &str> = BTreeMap::new();
     for (name, method) in &listener.methods {
-        if asked.contains(name) {
+        if condition_values.contains(name) {
             methods.push((name.clone(), method.class.clone()));
         } else {
             let first = first_by_class.entry(&method.class).or_insert(name);
@@ -273,7 +277,7 @@
     methods.extend(firsts.map(|(class, name)| (name.to_string(), class.to_string())));
     if let Some(default) = &listener.default_method {
         methods.push((unnamed.to_string(), default.class.clone()));
-        let others = asked
+        let others = condition_values
             .iter()
             .filter(|name| !listener.methods.contains_key(*name));
         methods.extend(others.map(|name| (name.clone(), default.class.clone())));
@@ -281,17 +285,17 @@
     methods
 }
 
-/// Returns the calls of a kind with any tenant.
-fn call_region(space: &RequestSpace, everything: &Region, kind: &CallKind) -> Option<Region> {
+/// Returns the calls of a kind, with any tenant.
+fn call_region(space: &RequestSpace, full_region: &Region, kind: &CallKind) -> Option<Region> {
     let method = space.find_value(METHOD, &kind.method)?;
     let class = space.find_value(CLASS, &kind.class)?;
-    // The listeners of the configuration follow that for HTTP.
+    // The configured listeners follow the HTTP listener.
     let listener = kind.listener as u32 + 1;
-    let mut region = everything
+    let mut region = full_region
         .with_value(LISTENER, listener)
         .with_value(METHOD, method)
         .with_value(CLASS, class);
-    // A call has neither host, path nor headers, and the first value of each says so.
+    // A call has no host, path or headers; the first value of each dimension means absent.
     let headers = FIRST_HEADER..space.dimensions.len();
     for dimension in headers.chain([HOST, PATH]) {
         region = region.with_value(dimension, 0);
--- a/crates/heathroad-verifier/src/request_space/hierarchy.rs
+++ b/crates/heathroad-verifier/src/request_space/hierarchy.rs
@@ -1,10 +1,10 @@
-//! Hierarchical names, which are hosts and paths. They are sorted so that all names with a common
-//! prefix are an interval.
+//! Hierarchical names: hosts and paths, sorted so that all names with a common prefix form an
+//! interval.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// A hierarchical name, from its most general part on.
+/// The parts of a hierarchical name, the most general first.
 pub(super) type Name = Vec<String>;
 
 /// Splits a path into its segments.
@@ -48,7 +48,7 @@
     first as u32..last as u32
 }
 
-/// Returns a text that is none of some.
+/// Returns a text that differs from all used ones.
 pub(super) fn unused_text<'a>(used: impl Iterator<Item = &'a str>) -> String {
     let used: BTreeSet<&str> = used.collect();
     let mut text = "other".to_string();
@@ -59,7 +59,7 @@
 }
 
 /// Returns a sorted list of names that represents all names: those that conditions name, one more
-/// below each prefix that they name, the empty one, and one that nobody names.
+/// below each prefix that they name, the empty one, and one that no condition names.
 pub(super) fn representative_names(named: &[Name], prefixes: &[Name]) -> Vec<Name> {
     let parts = named.iter().chain(prefixes).flatten();
     let other = unused_text(parts.map(String::as_str));
--- a/crates/heathroad-verifier/src/request_space/region.rs
+++ b/crates/heathroad-verifier/src/request_space/region.rs
@@ -1,4 +1,4 @@
-//! Boxes in the request space.
+//! Regions: boxes in the request space.
 
 use std::ops::Range;
 
--- a/crates/heathroad-verifier/src/verify/mod.rs
+++ b/crates/heathroad-verifier/src/verify/mod.rs
@@ -1,7 +1,8 @@
-//! Verification: each expectation is held against a configuration, over every request of its scope,
-//! now and in each failure scenario that it names.
+//! Verification: checks each expectation against a configuration, for every request of its scope,
+//! in the present state and in each failure scenario that it names.
 //!
-//! A violation is reported with the smallest request and scenario that show it, and with the route.
+//! A violation is reported with the smallest request, the first scenario in which it occurs, and the
+//! route.
 
 mod report;
 mod requirements;
@@ -21,18 +22,18 @@
 use std::net::SocketAddr;
 use violation::Violation;
 
-/// What is known of the daemon that is to serve a configuration.
+/// What is known about the daemon that will serve a configuration.
 #[derive(Debug, Clone, Default)]
 pub struct Environment {
     /// The tenants that the daemon accepts, if they are known. An empty list accepts all.
     pub tenants: Option<Vec<String>>,
-    /// The maximum number of attempts of a request, by the settings of the daemon.
+    /// The maximum number of attempts of a request, by the daemon's settings.
     pub max_attempts: Option<u32>,
-    /// The maximum number of requests in flight of a pool, by the settings of the daemon.
+    /// The maximum number of requests in flight of a pool, by the daemon's settings.
     pub max_open_requests: Option<u32>,
     /// The registry of pools that name none.
     pub default_registry: Option<SocketAddr>,
-    /// The nodes that registries announce, and what is known of others.
+    /// The nodes that registries announce, and known attributes of listed ones.
     pub nodes: Vec<Node>,
 }
 
@@ -48,7 +49,7 @@
     TooManyKinds(#[from] TooManyKinds),
 }
 
-/// Holds expectations against a configuration.
+/// Verifies a configuration against expectations.
 ///
 /// # Errors
 ///
@@ -91,7 +92,7 @@
     nodes_by_pool: Vec<Option<Vec<Node>>>,
 }
 
-/// Requests of one class that go by one route to one pool.
+/// Requests of one class that one route sends to one pool.
 struct Case<'r> {
     class: &'r str,
     requests: &'r RoutedRequests<'r>,
@@ -108,7 +109,7 @@
 }
 
 impl<'r> Case<'r> {
-    /// Returns the pool and the class as it serves it, if it does.
+    /// Returns the target pool and its definition of the class, if it serves the class.
     fn serving_class(&self) -> Option<(&TargetPool<'r>, &'r Class)> {
         let target = self.target.as_ref()?;
         Some((target, target.class?))
@@ -158,9 +159,9 @@
             .scenarios
             .iter()
             .map(|index| &self.scenarios[*index]);
-        // The smallest scenario comes first.
+        // The present state comes first, so that it is reported before any scenario.
         let scenarios: Vec<&FailureScenario> = [&present].into_iter().chain(named).collect();
-        // But for the parts of pools, a violation depends on pool and class, and not on the route.
+        // Apart from the pools' shares, a violation depends on pool and class, not on the route.
         let mut violations: HashMap<(Option<usize>, &str), Option<ScenarioViolation>> =
             HashMap::new();
         for case in divided.iter().flat_map(|requests| self.cases(requests)) {
@@ -207,8 +208,8 @@
         })
     }
 
-    /// Returns a failure if the expectation names a pool or tenant that does not exist: it would
-    /// hold for the wrong reason.
+    /// Returns a failure if the expectation names a pool or tenant that does not exist, as the
+    /// expectation could then hold vacuously.
     fn find_unknown_name(&self, expectation: &Expectation) -> Option<Failure> {
         let unknown = |kind: &str, name: &str, known: Vec<&str>| Failure {
             found: format!("no {kind} {name:?}"),
@@ -275,7 +276,7 @@
     ) -> Failure {
         let config = &self.generation.config;
         let route = case.requests.route.map(|index| &config.routes[index]);
-        // The result is compared with the table that routes requests.
+        // Cross-checks the computed route against the routing table.
         let table = &self.generation.table;
         let line = self.space.with_first_request(request, |attributes| {
             table.find_route(attributes).map(|route| route.line)
@@ -283,7 +284,10 @@
         let found = if line == route.map(|route| route.line) {
             violation.found
         } else {
-            format!("{} (but the table says otherwise)", violation.found)
+            format!(
+                "{} (but the routing table selects another route)",
+                violation.found
+            )
         };
         Failure {
             request: Some(self.space.describe(request)),
--- a/crates/heathroad-verifier/src/verify/report.rs
+++ b/crates/heathroad-verifier/src/verify/report.rs
@@ -1,4 +1,4 @@
-//! Reports: a verdict on each expectation, and what violates it.
+//! Reports: a verdict on each expectation, with the violation if it fails.
 
 use serde::Serialize;
 use std::fmt;
@@ -22,20 +22,20 @@
     /// The number of cases that were checked: combinations of route, class and pool.
     #[serde(rename = "cases")]
     pub case_count: usize,
-    /// What violates the expectation.
+    /// The violation, if there is one.
     pub failure: Option<Failure>,
 }
 
-/// What violates an expectation.
+/// A violation of an expectation.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Failure {
-    /// The smallest request that does.
+    /// The smallest request that violates the expectation.
     pub request: Option<String>,
     /// The route that the request takes.
     pub route: Option<RouteReference>,
     /// The pool that the request goes to.
     pub pool: Option<String>,
-    /// The failure scenario in which it does. `None` is the present state.
+    /// The failure scenario in which the violation occurs. `None` is the present state.
     #[serde(rename = "state")]
     pub scenario: Option<String>,
     /// The failure domains that are lost in addition.
@@ -47,7 +47,7 @@
     /// The number of further cases that violate the expectation.
     #[serde(rename = "others")]
     pub further_cases: usize,
-    /// Whether the violation is uncertain, because what it depends on is not known here.
+    /// Whether the violation is uncertain, because nodes that it depends on are unknown.
     #[serde(rename = "open")]
     pub is_undetermined: bool,
 }
@@ -81,7 +81,7 @@
         self.describe_failures(|_| true)
     }
 
-    /// Returns a line for each expectation that fails whatever nodes registries announce.
+    /// Returns a line for each expectation whose violation does not depend on unknown nodes.
     pub fn certain_failures(&self) -> Vec<String> {
         self.describe_failures(|failure| !failure.is_undetermined)
     }
