--- a/crates/heathroad-verifier/tests/common/mod.rs
+++ b/crates/heathroad-verifier/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A configuration in which everything holds, and what is expected of it.
+//! A configuration and a file of expectations that all hold for it.
 
-#![allow(dead_code)] // each test file uses its part
+#![allow(dead_code)] // not every test file uses every item
 
 use heathroad_routing::generation::Generation;
 use heathroad_verifier::expectations::{Expectations, parse};
@@ -207,16 +207,21 @@
     parse("expect.toml", text).unwrap_or_else(|e| panic!("{e}"))
 }
 
-pub fn environment(e: &Expectations) -> Environment {
+pub fn environment(expectations: &Expectations) -> Environment {
     Environment {
         max_attempts: Some(3),
         max_open_requests: Some(400),
-        nodes: e.nodes.clone(),
+        nodes: expectations.nodes.clone(),
         ..Environment::default()
     }
 }
 
 pub fn report(routes: &str, expected: &str) -> Report {
-    let e = expectations(expected);
-    verify(&generation(routes), &e, &environment(&e)).expect("can be judged")
+    let expectations = expectations(expected);
+    verify(
+        &generation(routes),
+        &expectations,
+        &environment(&expectations),
+    )
+    .expect("can be verified")
 }
--- a/crates/heathroad-verifier/tests/drain_plan.rs
+++ b/crates/heathroad-verifier/tests/drain_plan.rs
@@ -1,5 +1,5 @@
-//! Batches of drains: every expectation holds in each, and no fewer could do, against every way to
-//! make them.
+//! Drain plans: every expectation holds during each batch, and plans that claim to be minimal are, as
+//! compared with an exhaustive search.
 
 mod common;
 
@@ -21,29 +21,28 @@
         .collect()
 }
 
-fn drained(batch: &BTreeSet<SocketAddr>) -> Vec<Node> {
+fn withdrawn_nodes(batch: &BTreeSet<SocketAddr>) -> Vec<Node> {
     batch.iter().map(|a| Node::withdrawn(*a)).collect()
 }
 
-/// Nodes of a block are each other's mates: one alone leaves the other without, both leave the
-/// other block whole.
+/// Guards against splitting a block of two nodes: if one drains alone, the other has no peer.
 #[test]
-fn where_only_a_whole_block_can_go_it_goes_whole() {
-    let keyed = EXPECTED.replace(
+fn nodes_of_a_block_drain_together_if_one_cannot_drain_alone() {
+    let with_served = EXPECTED.replace(
         "mates = { at_least = 1 }",
         "mates = { at_least = 1 }\nserved = true",
     );
-    // Of what the example expects, only this is about how many nodes there are.
-    let cut = keyed
+    // Removes the other requirements on the number of nodes.
+    let only_peers = with_served
         .replace("nodes = { at_least = 2 }", "again = \"never\"")
         .replace("losing = { sites = 1 }", "");
-    let e = expectations(&cut.replace("states = [\"node 9001 drains\"]", ""));
+    let e = expectations(&only_peers.replace("states = [\"node 9001 drains\"]", ""));
     let all: BTreeSet<SocketAddr> = (9001..=9004).map(address).collect();
     let plan =
         plan_drains(&generation(ROUTES), &e, &environment(&e), &all, 10).expect("can be planned");
     assert_eq!(ports(&plan), [[9001, 9002], [9003, 9004]]);
     assert!(plan.stuck.is_empty());
-    // One of the two alone can't go.
+    // One of the two nodes can't drain alone.
     let one = BTreeSet::from([address(9001)]);
     let plan =
         plan_drains(&generation(ROUTES), &e, &environment(&e), &one, 10).expect("can be planned");
@@ -55,12 +54,12 @@
 }
 
 #[test]
-fn what_fails_before_anything_drains_is_no_base_for_a_plan() {
+fn planning_fails_if_an_expectation_already_fails() {
     let e = expectations(EXPECTED);
     let routes = ROUTES.replace("worth = 3", "worth = 1");
     let nodes = BTreeSet::from([address(9005)]);
     let error = plan_drains(&generation(&routes), &e, &environment(&e), &nodes, 1)
-        .expect_err("worth is too small")
+        .expect_err("an expectation fails")
         .to_string();
     assert!(
         error.starts_with("before anything drains:\nexpect.toml:"),
@@ -68,10 +67,10 @@
     );
 }
 
-/// Pools that share nodes, with needs of their own; all drains at random.
+/// Checks random pools with shared nodes against an exhaustive search.
 #[test]
-fn batches_hold_and_no_fewer_do() {
-    let (mut proven, mut smaller_than_one_by_one, mut stuck) = (0, 0, 0);
+fn batches_satisfy_expectations_and_are_minimal_if_proven() {
+    let (mut proven, mut batched, mut stuck) = (0, 0, 0);
     for seed in 0..400 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let n = 3 + rng.u16(..4);
@@ -113,21 +112,27 @@
         let (generation, e) = (generation(&routes), expectations(&expected));
         let holds = |batch: &BTreeSet<SocketAddr>| {
             let environment = Environment {
-                nodes: drained(batch),
+                nodes: withdrawn_nodes(batch),
                 ..Environment::default()
             };
             verify(&generation, &e, &environment)
-                .expect("can be judged")
+                .expect("can be verified")
                 .holds()
         };
         if !holds(&BTreeSet::new()) {
             continue;
         }
         let all: BTreeSet<SocketAddr> = (9000..9000 + n).map(address).collect();
-        let at_once = 1 + rng.usize(..4);
-        let plan = plan_drains(&generation, &e, &Environment::default(), &all, at_once)
-            .expect("can be planned");
-        let can: Vec<SocketAddr> = all
+        let max_batch_size = 1 + rng.usize(..4);
+        let plan = plan_drains(
+            &generation,
+            &e,
+            &Environment::default(),
+            &all,
+            max_batch_size,
+        )
+        .expect("can be planned");
+        let drainable: Vec<SocketAddr> = all
             .iter()
             .copied()
             .filter(|a| holds(&BTreeSet::from([*a])))
@@ -135,58 +140,66 @@
         let planned: Vec<SocketAddr> = plan.batches.iter().flatten().copied().collect();
         assert_eq!(
             planned.iter().collect::<BTreeSet<_>>(),
-            can.iter().collect(),
-            "seed {seed}: each that can"
+            drainable.iter().collect(),
+            "seed {seed}: each drainable node is planned"
         );
-        assert_eq!(planned.len(), can.len(), "seed {seed}: once");
-        assert_eq!(plan.stuck.len() + can.len(), all.len(), "seed {seed}");
+        assert_eq!(
+            planned.len(),
+            drainable.len(),
+            "seed {seed}: no node is planned twice"
+        );
+        assert_eq!(plan.stuck.len() + drainable.len(), all.len(), "seed {seed}");
         for batch in &plan.batches {
             assert!(
-                batch.len() <= at_once && holds(&batch.iter().copied().collect()),
+                batch.len() <= max_batch_size && holds(&batch.iter().copied().collect()),
                 "seed {seed}: {batch:?}"
             );
         }
-        let fewest = fewest(&can, at_once, &holds);
-        assert!(plan.batches.len() >= fewest, "seed {seed}");
+        let min_count = fewest_batches(&drainable, max_batch_size, &holds);
+        assert!(plan.batches.len() >= min_count, "seed {seed}");
         if plan.is_minimal {
-            assert_eq!(plan.batches.len(), fewest, "seed {seed}: fewer would do");
+            assert_eq!(
+                plan.batches.len(),
+                min_count,
+                "seed {seed}: the plan is not minimal"
+            );
             proven += 1;
         }
-        smaller_than_one_by_one += usize::from(plan.batches.len() < can.len());
+        batched += usize::from(plan.batches.len() < drainable.len());
         stuck += usize::from(!plan.stuck.is_empty());
     }
     assert!(
-        proven > 100 && smaller_than_one_by_one > 50 && stuck > 20,
-        "{proven} {smaller_than_one_by_one} {stuck}"
+        proven > 100 && batched > 50 && stuck > 20,
+        "{proven} {batched} {stuck}"
     );
 }
 
-/// By every set of nodes: the fewest batches that make it up.
-fn fewest(
-    can: &[SocketAddr],
-    at_once: usize,
+/// Returns the smallest number of batches of all nodes, by dynamic programming over all subsets.
+fn fewest_batches(
+    drainable: &[SocketAddr],
+    max_batch_size: usize,
     holds: &impl Fn(&BTreeSet<SocketAddr>) -> bool,
 ) -> usize {
-    let sets = 1usize << can.len();
+    let sets = 1usize << drainable.len();
     let set = |mask: usize| -> BTreeSet<SocketAddr> {
-        (0..can.len())
+        (0..drainable.len())
             .filter(|i| mask & (1 << i) != 0)
-            .map(|i| can[i])
+            .map(|i| drainable[i])
             .collect()
     };
-    let good: Vec<usize> = (1..sets)
-        .filter(|m| m.count_ones() as usize <= at_once && holds(&set(*m)))
+    let valid_batches: Vec<usize> = (1..sets)
+        .filter(|m| m.count_ones() as usize <= max_batch_size && holds(&set(*m)))
         .collect();
-    let mut least = vec![usize::MAX; sets];
-    least[0] = 0;
+    let mut min_counts = vec![usize::MAX; sets];
+    min_counts[0] = 0;
     for mask in 1..sets {
-        let through = good
+        let candidates = valid_batches
             .iter()
-            .filter(|g| **g & mask == **g && least[mask ^ **g] < usize::MAX);
-        least[mask] = through
-            .map(|g| least[mask ^ *g] + 1)
+            .filter(|g| **g & mask == **g && min_counts[mask ^ **g] < usize::MAX);
+        min_counts[mask] = candidates
+            .map(|g| min_counts[mask ^ *g] + 1)
             .min()
             .unwrap_or(usize::MAX);
     }
-    least[sets - 1]
+    min_counts[sets - 1]
 }
--- a/crates/heathroad-verifier/tests/expectations.rs
+++ b/crates/heathroad-verifier/tests/expectations.rs
@@ -1,17 +1,17 @@
-//! Files of expectations: everything that is wrong is told at once, with lines.
+//! Parsing of expectations files: all errors are reported together, with their lines.
 
 mod common;
 
 use heathroad_verifier::expectations::parse;
 
 #[test]
-fn what_is_wrong_is_told_at_once_with_lines() {
+fn all_errors_are_reported_with_their_lines() {
     let text = "[[node]]\nsite = \"x\"\n[[state]]\nname = \"s\"\ndrains = [\"nowhere\"]\n[[expect]]\nname = \"a\"\n\
         states = [\"t\"]\nlosing = { nodes = 1, sites = 1 }\nonly = { pool = [\"x\"] }\nagain = \"seldom\"\n\
         nodes = { at_least = 3, at_most = 2 }\nopen = {}\nserved = \"yes\"\n[[expect]]\nname = \"a\"\n\
         never = { blocks = [70000] }\npath = \"x\"\n[[expect]]\nname = \"b\"\n";
-    let faults = parse("e.toml", text)
-        .expect_err("much is wrong")
+    let errors = parse("e.toml", text)
+        .expect_err("the file has errors")
         .to_string();
     for line in [
         "e.toml:1: node[0].address: is missing; expected an address and port",
@@ -29,20 +29,20 @@
         "expect[1].path: is \"x\"; expected a path that starts with /",
         "expect[2].only: is missing; expected a requirement, such as",
     ] {
-        assert!(faults.contains(line), "{line}\n--\n{faults}");
+        assert!(errors.contains(line), "{line}\n--\n{errors}");
     }
-    let none = parse("e.toml", "")
-        .expect_err("nothing is expected")
+    let empty = parse("e.toml", "")
+        .expect_err("the file has no expectations")
         .to_string();
     assert_eq!(
-        none,
+        empty,
         "e.toml:1: expect: is missing or empty; expected one [[expect]] at the least"
     );
 }
 
-/// Whatever a text is, it is read or turned down.
+/// Guards against panics of the parser and the verifier on malformed files.
 #[test]
-fn no_text_breaks_the_reader() {
+fn malformed_text_never_panics() {
     for seed in 0..5_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut bytes = common::EXPECTED.as_bytes().to_vec();
@@ -59,11 +59,14 @@
             }
         }
         let text = String::from_utf8_lossy(&bytes).into_owned();
-        if let Ok(e) = parse("e.toml", &text) {
-            let environment = common::environment(&e);
-            let judged =
-                heathroad_verifier::verify(&common::generation(common::ROUTES), &e, &environment);
-            assert!(judged.is_ok(), "seed {seed}");
+        if let Ok(expectations) = parse("e.toml", &text) {
+            let environment = common::environment(&expectations);
+            let report = heathroad_verifier::verify(
+                &common::generation(common::ROUTES),
+                &expectations,
+                &environment,
+            );
+            assert!(report.is_ok(), "seed {seed}");
         }
     }
 }
--- a/crates/heathroad-verifier/tests/failure_scenarios.rs
+++ b/crates/heathroad-verifier/tests/failure_scenarios.rs
@@ -1,15 +1,15 @@
-//! What is left when the worst is lost, against every way to lose it.
+//! Compares the computed worst-case loss with an exhaustive search.
 
 use heathroad_routing::config::DeduplicationScope;
 use heathroad_verifier::Node;
 use heathroad_verifier::failure_scenarios::{FailureDomain, Loss, fewest_peers, worst_loss};
 use std::collections::BTreeSet;
 
-fn nodes(rng: &mut fastrand::Rng) -> Vec<Node> {
+fn random_nodes(rng: &mut fastrand::Rng) -> Vec<Node> {
     (0..1 + rng.u16(..7))
         .map(|n| {
             let block = rng.u16(..4);
-            // A block is in one site, as the group that drops each other's repeats.
+            // All nodes of a block are in one site.
             Node {
                 address: ([127, 0, 0, 1], 9000 + n).into(),
                 registry: None,
@@ -22,54 +22,54 @@
         .collect()
 }
 
-fn of(domain: FailureDomain, n: &Node) -> String {
+fn domain_name(domain: FailureDomain, node: &Node) -> String {
     match domain {
-        FailureDomain::Node => n.address.to_string(),
-        FailureDomain::Site => n.site.clone(),
-        FailureDomain::Block => n.block.to_string(),
+        FailureDomain::Node => node.address.to_string(),
+        FailureDomain::Site => node.site.clone(),
+        FailureDomain::Block => node.block.to_string(),
     }
 }
 
-/// The nodes that stay, for each way to lose so many of a kind or fewer.
-fn ways(nodes: &[Node], loss: Loss) -> Vec<Vec<&Node>> {
-    let parts: Vec<String> = nodes
+/// Returns the remaining nodes for each loss of at most `loss.count` domains.
+fn remaining_after_losses(nodes: &[Node], loss: Loss) -> Vec<Vec<&Node>> {
+    let domains: Vec<String> = nodes
         .iter()
-        .map(|n| of(loss.domain, n))
+        .map(|node| domain_name(loss.domain, node))
         .collect::<BTreeSet<_>>()
         .into_iter()
         .collect();
-    (0..1u32 << parts.len())
+    (0..1u32 << domains.len())
         .filter(|mask| mask.count_ones() as usize <= loss.count)
         .map(|mask| {
-            let stays = |n: &&Node| {
-                let part = parts
+            let remains = |node: &&Node| {
+                let domain = domains
                     .iter()
-                    .position(|p| *p == of(loss.domain, n))
-                    .expect("its part");
-                mask & (1 << part) == 0
+                    .position(|name| *name == domain_name(loss.domain, node))
+                    .expect("the domain of the node");
+                mask & (1 << domain) == 0
             };
-            nodes.iter().filter(stays).collect()
+            nodes.iter().filter(remains).collect()
         })
         .collect()
 }
 
-fn fewest_peers_by_search(nodes: &[&Node], group: DeduplicationScope) -> Option<usize> {
-    let together = |a: &Node, b: &Node| match group {
+fn fewest_peers_by_search(nodes: &[&Node], scope: DeduplicationScope) -> Option<usize> {
+    let are_peers = |a: &Node, b: &Node| match scope {
         DeduplicationScope::All => true,
         DeduplicationScope::Site => a.site == b.site,
         DeduplicationScope::Block => a.block == b.block,
     };
     nodes
         .iter()
-        .map(|n| nodes.iter().filter(|o| together(n, o)).count() - 1)
+        .map(|n| nodes.iter().filter(|o| are_peers(n, o)).count() - 1)
         .min()
 }
 
 #[test]
-fn the_worst_loss_is_the_worst_of_all_losses() {
+fn worst_loss_matches_exhaustive_search() {
     for seed in 0..3_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let nodes = nodes(&mut rng);
+        let nodes = random_nodes(&mut rng);
         let all: Vec<&Node> = nodes.iter().collect();
         let domain = [
             FailureDomain::Node,
@@ -81,32 +81,32 @@
             count: 1 + rng.usize(..3),
         };
         let found = worst_loss(&all, Some(loss));
-        let worst = ways(&nodes, loss)
+        let worst = remaining_after_losses(&nodes, loss)
             .iter()
             .map(Vec::len)
             .min()
-            .expect("one way at the least");
+            .expect("at least one loss");
         assert_eq!(found.remaining, worst, "seed {seed}: {loss:?} of {nodes:?}");
         assert!(found.lost.len() <= loss.count);
-        let nothing = worst_loss(&all, None);
-        assert!(nothing.remaining == all.len() && nothing.lost.is_empty());
-        for group in [
+        let no_loss = worst_loss(&all, None);
+        assert!(no_loss.remaining == all.len() && no_loss.lost.is_empty());
+        for scope in [
             DeduplicationScope::All,
             DeduplicationScope::Site,
             DeduplicationScope::Block,
         ] {
-            let worst = ways(&nodes, loss)
+            let worst = remaining_after_losses(&nodes, loss)
                 .iter()
-                .filter_map(|w| fewest_peers_by_search(w, group))
+                .filter_map(|w| fewest_peers_by_search(w, scope))
                 .min();
-            let found = fewest_peers(&all, group, Some(loss)).map(|worst| worst.remaining);
+            let found = fewest_peers(&all, scope, Some(loss)).map(|worst| worst.remaining);
             assert_eq!(
                 found, worst,
-                "seed {seed}: {loss:?}, {group:?} of {nodes:?}"
+                "seed {seed}: {loss:?}, {scope:?} of {nodes:?}"
             );
             assert_eq!(
-                fewest_peers(&all, group, None).map(|worst| worst.remaining),
-                fewest_peers_by_search(&all, group),
+                fewest_peers(&all, scope, None).map(|worst| worst.remaining),
+                fewest_peers_by_search(&all, scope),
                 "seed {seed}"
             );
         }
--- a/crates/heathroad-verifier/tests/golden_expectations_keys.rs
+++ b/crates/heathroad-verifier/tests/golden_expectations_keys.rs
@@ -1,14 +1,14 @@
-//! The keys of the file of expectations: each is read, and whatever is no key is refused with the
-//! list of those that are. The golden answer comes from commit 1355c4b.
+//! The keys of the expectations file: each one is parsed, and an unknown one is rejected with the
+//! list of valid keys.
 
 use heathroad_routing::config::DeduplicationScope;
 use heathroad_verifier::expectations::{Bounds, Quantity, Requirement, RetryLimit, parse};
 use heathroad_verifier::failure_scenarios::{FailureDomain, Loss};
 
 #[test]
-fn every_key_is_read() {
-    let all = parse("f", include_str!("golden/all_keys.toml")).unwrap_or_else(|e| panic!("{e}"));
-    let node = &all.nodes[0];
+fn every_key_is_parsed() {
+    let parsed = parse("f", include_str!("golden/all_keys.toml")).unwrap_or_else(|e| panic!("{e}"));
+    let node = &parsed.nodes[0];
     assert_eq!(
         (
             node.address.port(),
@@ -22,25 +22,28 @@
         ("kano-dc", "m2", 1)
     );
     assert_eq!(
-        (all.nodes[1].registry, all.nodes[1].is_available),
+        (parsed.nodes[1].registry, parsed.nodes[1].is_available),
         (None, false)
     );
-    let state = &all.scenarios[0];
-    assert_eq!((state.name.as_str(), state.nodes.len()), ("one out", 2));
-    assert!(state.sites.contains("jos") && state.blocks.contains(&7));
+    let scenario = &parsed.scenarios[0];
+    assert_eq!(
+        (scenario.name.as_str(), scenario.nodes.len()),
+        ("one out", 2)
+    );
+    assert!(scenario.sites.contains("jos") && scenario.blocks.contains(&7));
 
-    let [places, figures, block] = all.list.as_slice() else {
-        panic!("three expectations")
+    let [targets, quantities, block] = parsed.list.as_slice() else {
+        panic!("expected three expectations")
     };
-    assert!(places.may_be_empty && places.scenarios == [0]);
+    assert!(targets.may_be_empty && targets.scenarios == [0]);
     assert_eq!(
-        places.loss,
+        targets.loss,
         Some(Loss {
             domain: FailureDomain::Node,
             count: 1
         })
     );
-    let scope = &places.scope;
+    let scope = &targets.scope;
     let texts = [
         &scope.listener,
         &scope.host,
@@ -59,20 +62,16 @@
         Requirement::Only(only),
         Requirement::Never(never),
         rest @ ..,
-    ] = places.requirements.as_slice()
+    ] = targets.requirements.as_slice()
     else {
-        panic!("places")
+        panic!("expected the requirements `only` and `never` first")
     };
-    for (places, port) in [(only, 9001), (never, 9002)] {
+    for (named, port) in [(only, 9001), (never, 9002)] {
         assert_eq!(
-            (
-                places.pools.len(),
-                places.nodes[0].port(),
-                places.sites.len()
-            ),
+            (named.pools.len(), named.nodes[0].port(), named.sites.len()),
             (1, port, 1)
         );
-        assert_eq!((places.blocks.len(), places.machine_classes.len()), (1, 1));
+        assert_eq!((named.blocks.len(), named.machine_classes.len()), (1, 1));
     }
     assert_eq!(
         rest,
@@ -84,20 +83,20 @@
     );
 
     assert_eq!(
-        figures.loss,
+        quantities.loss,
         Some(Loss {
             domain: FailureDomain::Site,
             count: 2
         })
     );
-    let from = |at_least| Bounds {
+    let at_least = |at_least| Bounds {
         at_least,
         at_most: f64::MAX,
     };
     let expected = [
         Requirement::Retries(RetryLimit::Keyed),
         Requirement::Deduplicated(DeduplicationScope::Site),
-        Requirement::Quantity(Quantity::Nodes, from(1.0)),
+        Requirement::Quantity(Quantity::Nodes, at_least(1.0)),
         Requirement::Quantity(
             Quantity::Peers,
             Bounds {
@@ -112,11 +111,11 @@
                 at_most: 3.0,
             },
         ),
-        Requirement::Quantity(Quantity::OpenRequests, from(4.0)),
-        Requirement::Quantity(Quantity::LatencyObjective, from(5.0)),
-        Requirement::Quantity(Quantity::Deadline, from(6.0)),
-        Requirement::Quantity(Quantity::PriorityWeight, from(7.0)),
-        Requirement::Quantity(Quantity::DeduplicationWindow, from(8.0)),
+        Requirement::Quantity(Quantity::OpenRequests, at_least(4.0)),
+        Requirement::Quantity(Quantity::LatencyObjective, at_least(5.0)),
+        Requirement::Quantity(Quantity::Deadline, at_least(6.0)),
+        Requirement::Quantity(Quantity::PriorityWeight, at_least(7.0)),
+        Requirement::Quantity(Quantity::DeduplicationWindow, at_least(8.0)),
         Requirement::PoolPart {
             pool: "p".into(),
             bounds: Bounds {
@@ -125,7 +124,7 @@
             },
         },
     ];
-    assert_eq!(figures.requirements, expected);
+    assert_eq!(quantities.requirements, expected);
     assert_eq!(
         block.loss,
         Some(Loss {
@@ -142,14 +141,14 @@
     );
 }
 
-/// Each line of the answer names a section's keys, so that a key that is renamed shows.
+/// Guards against renamed keys: the errors list all keys of each section.
 #[test]
-fn unknown_keys_are_refused_with_all_known_ones() {
+fn unknown_keys_are_rejected_with_all_valid_ones() {
     let actual = parse("f", include_str!("golden/unknown_keys.toml"))
-        .expect_err("it has stray keys")
+        .expect_err("the file has unknown keys")
         .to_string();
     assert!(
         actual == include_str!("golden/unknown_keys.txt").trim_end(),
-        "now:\n{actual}"
+        "actual:\n{actual}"
     );
 }
--- a/crates/heathroad-verifier/tests/reachability.rs
+++ b/crates/heathroad-verifier/tests/reachability.rs
@@ -1,4 +1,5 @@
-//! What is reasoned out, against the table that routes, asked for every request of a small world.
+//! Compares the computed reachability with the routing table, for every request of a small request
+//! space.
 
 use heathroad_routing::condition::{RequestAttributes, RouteCondition};
 use heathroad_routing::generation::Generation;
@@ -23,7 +24,7 @@
 ];
 const CLASSES: [&str; 3] = ["k", "l", "m"];
 const TENANTS: [&str; 5] = ["", "t1", "t2", "t3", "stranger"];
-/// Listener and method; calls have neither host nor path nor headers.
+/// The listener and method of JSON-RPC calls, which have no host, path or headers.
 const CALLS: [(&str, &str); 6] = [
     ("rpc", "get"),
     ("rpc", "put"),
@@ -33,7 +34,7 @@
     ("fixed", "do"),
 ];
 
-fn word(rng: &mut fastrand::Rng, field: &str, list: &[&str]) -> String {
+fn optional_field(rng: &mut fastrand::Rng, field: &str, list: &[&str]) -> String {
     if rng.u8(..3) > 0 {
         String::new()
     } else {
@@ -41,21 +42,21 @@
     }
 }
 
-fn conditions(rng: &mut fastrand::Rng) -> String {
-    let mut text = word(
+fn random_conditions(rng: &mut fastrand::Rng) -> String {
+    let mut text = optional_field(
         rng,
         "host",
         &["a.org", "x.a.org", "*.a.org", "*.org", "*.x.a.org"],
     );
-    text += &word(
+    text += &optional_field(
         rng,
         "path",
         &["/p", "/p/*", "/p/q", "/p/q/*", "/s/*", "/*", "/"],
     );
-    text += &word(rng, "class", &CLASSES);
-    text += &word(rng, "tenant", &["t1", "t2", "t3"]);
-    text += &word(rng, "listener", &["main", "rpc", "fixed"]);
-    text += &word(rng, "method", &["get", "put", "do"]);
+    text += &optional_field(rng, "class", &CLASSES);
+    text += &optional_field(rng, "tenant", &["t1", "t2", "t3"]);
+    text += &optional_field(rng, "listener", &["main", "rpc", "fixed"]);
+    text += &optional_field(rng, "method", &["get", "put", "do"]);
     if rng.u8(..4) == 0 {
         text += &format!(
             "header = {{ name = \"H{}\", is = \"{}\" }}\n",
@@ -66,7 +67,7 @@
     text
 }
 
-fn configuration(rng: &mut fastrand::Rng) -> String {
+fn random_configuration(rng: &mut fastrand::Rng) -> String {
     let mut text = "tenants = [\"t1\", \"t2\", \"t3\"]\n[[pool]]\nname = \"one\"\nbackends = [\"127.0.0.1:1\"]\n[pool.rpc]\n".to_string();
     for class in CLASSES {
         text += &format!(
@@ -80,14 +81,14 @@
     for n in 0..1 + rng.usize(..7) {
         text += &format!(
             "[[route]]\nname = \"r{n}\"\npool = \"one\"\n{}",
-            conditions(rng)
+            random_conditions(rng)
         );
     }
     text
 }
 
-/// Every request of the small world.
-fn world(mut look: impl FnMut(&RequestAttributes<'_>)) {
+/// Calls a function with every request of the small request space.
+fn for_each_request(mut inspect: impl FnMut(&RequestAttributes<'_>)) {
     for host in HOSTS {
         for path in PATHS {
             for class in CLASSES {
@@ -100,7 +101,7 @@
                             _ => None,
                         };
                         let (listener, method) = ("main", "");
-                        look(&RequestAttributes {
+                        inspect(&RequestAttributes {
                             listener,
                             host,
                             path,
@@ -127,7 +128,7 @@
             &TENANTS[2..3]
         };
         for tenant in tenants.iter().copied() {
-            look(&RequestAttributes {
+            inspect(&RequestAttributes {
                 listener,
                 host: "",
                 path: "",
@@ -140,38 +141,38 @@
     }
 }
 
-/// 2,000 random configurations that are good, each with a random scope: the routes that requests of
-/// the scope take, by class, are those that the table gives; and the smallest request of each takes
-/// it.
+/// Checks 2,000 valid random configurations, each with a random scope. Guards against routes that
+/// are reached but not reported, or reported but not reached, and wrong smallest requests.
 #[test]
-fn reasoning_and_routing_agree() {
-    let (mut good, mut taken_in_all, mut nowhere, mut hidden) = (0, 0, 0, 0);
+fn computed_routes_match_the_routing_table() {
+    let (mut valid, mut reached_count, mut unrouted, mut unreachable) = (0, 0, 0, 0);
     let mut seed = 0;
-    while good < 2_000 {
+    while valid < 2_000 {
         seed += 1;
         let mut rng = fastrand::Rng::with_seed(seed);
-        let Ok(generation) = Generation::parse(1, "t", &configuration(&mut rng)) else {
+        let Ok(generation) = Generation::parse(1, "t", &random_configuration(&mut rng)) else {
             continue;
         };
-        good += 1;
-        let scope = scope(&mut rng);
-        let space = RequestSpace::new(&generation.config, &[&scope], None).expect("few worlds");
+        valid += 1;
+        let scope = random_scope(&mut rng);
+        let space =
+            RequestSpace::new(&generation.config, &[&scope], None).expect("few entry points");
         let routes = RouteRegions::new(&generation, &space);
-        let mut reasoned = BTreeSet::new();
+        let mut computed = BTreeSet::new();
         if let Some(region) = space.region(&scope) {
             for region in space
                 .entry_points()
                 .iter()
-                .filter_map(|w| w.intersection(&region))
+                .filter_map(|entry_point| entry_point.intersection(&region))
             {
-                for (place, class) in space.classes(&region) {
-                    for taken in routes
-                        .divide(&space.with_class(&region, place))
+                for (value, class) in space.classes(&region) {
+                    for requests in routes
+                        .divide(&space.with_class(&region, value))
                         .expect("can be counted")
                     {
-                        reasoned.insert((class.to_string(), taken.route));
-                        let smallest = taken.smallest_request(&space).expect("can be counted");
-                        let told = space.with_first_request(&smallest, |r| {
+                        computed.insert((class.to_string(), requests.route));
+                        let smallest = requests.smallest_request(&space).expect("can be counted");
+                        let routed_name = space.with_first_request(&smallest, |r| {
                             assert!(
                                 scope.matches(r),
                                 "seed {seed}: {}",
@@ -179,57 +180,62 @@
                             );
                             generation.table.find_route(r).map(|r| r.name.clone())
                         });
-                        let name = taken
+                        let name = requests
                             .route
                             .map(|r| generation.config.routes[r].name.clone());
-                        assert_eq!(told, name, "seed {seed}: {}", space.describe(&smallest));
+                        assert_eq!(
+                            routed_name,
+                            name,
+                            "seed {seed}: {}",
+                            space.describe(&smallest)
+                        );
                     }
                 }
             }
         }
         let mut routed = BTreeSet::new();
-        world(|r| {
+        for_each_request(|r| {
             if scope.matches(r) {
                 let route = generation.table.find_route(r);
-                let place = route.and_then(|r| {
+                let index = route.and_then(|r| {
                     generation
                         .config
                         .routes
                         .iter()
                         .position(|o| o.name == r.name)
                 });
-                routed.insert((r.class.to_string(), place));
+                routed.insert((r.class.to_string(), index));
             }
         });
         assert_eq!(
-            reasoned,
+            computed,
             routed,
             "seed {seed}: {}\n{}",
             scope.describe(),
             generation.text
         );
-        taken_in_all += routed.len();
-        nowhere += routed.iter().filter(|(_, r)| r.is_none()).count();
+        reached_count += routed.len();
+        unrouted += routed.iter().filter(|(_, r)| r.is_none()).count();
         let reached: BTreeSet<usize> = routed.iter().filter_map(|(_, r)| *r).collect();
-        hidden += generation.config.routes.len() - reached.len();
+        unreachable += generation.config.routes.len() - reached.len();
     }
     assert!(
-        taken_in_all > 4_000 && nowhere > 1_000 && hidden > 1_000,
-        "{taken_in_all} {nowhere} {hidden}"
+        reached_count > 4_000 && unrouted > 1_000 && unreachable > 1_000,
+        "{reached_count} {unrouted} {unreachable}"
     );
 }
 
-fn scope(rng: &mut fastrand::Rng) -> RouteCondition {
-    let mut maybe =
+fn random_scope(rng: &mut fastrand::Rng) -> RouteCondition {
+    let mut optional =
         |list: &[&str]| (rng.u8(..4) == 0).then(|| list[rng.usize(..list.len())].to_string());
     RouteCondition {
-        host: maybe(&["a.org", "q.a.org", "*.a.org", "*.org"]),
-        path: maybe(&["/p", "/p/*", "/p/q/*", "/z"]),
-        class: maybe(&CLASSES),
-        tenant: maybe(&["t1", "t2"]),
-        listener: maybe(&["main", "rpc", "fixed"]),
-        method: maybe(&["get", "what"]),
-        header: maybe(&["1"]).map(|v| ("h1".to_string(), v)),
+        host: optional(&["a.org", "q.a.org", "*.a.org", "*.org"]),
+        path: optional(&["/p", "/p/*", "/p/q/*", "/z"]),
+        class: optional(&CLASSES),
+        tenant: optional(&["t1", "t2"]),
+        listener: optional(&["main", "rpc", "fixed"]),
+        method: optional(&["get", "what"]),
+        header: optional(&["1"]).map(|v| ("h1".to_string(), v)),
     }
 }
 
@@ -237,40 +243,44 @@
     Generation::parse(1, "t", text).unwrap_or_else(|e| panic!("{e}"))
 }
 
-/// A route that narrower ones hide takes nothing; where one kind of request is left to it, that is
-/// found.
+/// Guards against reporting a route whose requests all take narrower routes, and against missing it
+/// when one kind of request remains.
 #[test]
-fn a_route_that_others_hide_takes_nothing() {
+fn a_route_covered_by_narrower_ones_takes_no_requests() {
     let pool = "[[pool]]\nname = \"one\"\nbackends = [\"127.0.0.1:1\"]\n[[pool.class]]\nname = \"k\"\neffect = \"safe\"\naim_ms = 1\n\
         deadline_ms = 1\n[[pool.class]]\nname = \"l\"\neffect = \"safe\"\naim_ms = 1\ndeadline_ms = 1\n";
-    let both = format!(
+    let covered = format!(
         "{pool}[[route]]\nname = \"all\"\npool = \"one\"\n[[route]]\nname = \"k\"\nclass = \"k\"\npool = \"one\"\n\
          [[route]]\nname = \"l\"\nclass = \"l\"\npool = \"one\"\n"
     );
     let takes = |text: &str| {
         let generation = parse(text);
-        let space = RequestSpace::new(&generation.config, &[], None).expect("few");
+        let space = RequestSpace::new(&generation.config, &[], None).expect("few kinds");
         let routes = RouteRegions::new(&generation, &space);
         let mut all = BTreeSet::new();
-        for world in space.entry_points() {
-            for t in routes.divide(world).expect("few") {
-                all.insert(t.route.map(|r| generation.config.routes[r].name.clone()));
+        for entry_point in space.entry_points() {
+            for requests in routes.divide(entry_point).expect("few kinds") {
+                all.insert(
+                    requests
+                        .route
+                        .map(|r| generation.config.routes[r].name.clone()),
+                );
             }
         }
         all.into_iter().flatten().collect::<Vec<_>>()
     };
     assert_eq!(
-        takes(&both),
+        takes(&covered),
         ["k", "l"],
-        "nothing is left to the route of all"
+        "no request remains for the route of all"
     );
-    let narrower = both.replace("name = \"l\"\nclass", "name = \"l\"\ntenant = \"t\"\nclass");
+    let narrower = covered.replace("name = \"l\"\nclass", "name = \"l\"\ntenant = \"t\"\nclass");
     assert_eq!(takes(&narrower), ["all", "k", "l"]);
 }
 
-/// As many routes as a large installation has: all are looked through.
+/// Guards against missed routes in a configuration with 1,000 routes.
 #[test]
-fn a_thousand_routes_are_counted_through() {
+fn a_thousand_routes_are_all_reached() {
     let mut text = "[[pool]]\nname = \"one\"\nbackends = [\"127.0.0.1:1\"]\n".to_string();
     for class in 0..10 {
         text += &format!(
@@ -285,18 +295,18 @@
         );
     }
     let generation = parse(&text);
-    let space = RequestSpace::new(&generation.config, &[], None).expect("few");
+    let space = RequestSpace::new(&generation.config, &[], None).expect("few kinds");
     let routes = RouteRegions::new(&generation, &space);
-    let world = &space.entry_points()[0];
+    let entry_point = &space.entry_points()[0];
     assert_eq!(
-        routes.divide(world).expect("few").len(),
+        routes.divide(entry_point).expect("few kinds").len(),
         1_001,
-        "each, and requests of other tenants"
+        "each route, and the requests of other tenants"
     );
     assert_eq!(
         routes
-            .divide(&space.with_class(world, 3))
-            .expect("few")
+            .divide(&space.with_class(entry_point, 3))
+            .expect("few kinds")
             .len(),
         101
     );
--- a/crates/heathroad-verifier/tests/verify.rs
+++ b/crates/heathroad-verifier/tests/verify.rs
@@ -1,5 +1,5 @@
-//! Verdicts: a good configuration passes, and each way to break it is turned down by the name of
-//! what it breaks.
+//! Verdicts: a valid configuration passes, and each defect is reported for the expectation that it
+//! violates.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use heathroad_verifier::{Environment, verify};
 
 #[test]
-fn a_good_configuration_passes_and_says_what_was_looked_at() {
+fn a_valid_configuration_passes_with_the_number_of_cases() {
     let report = report(ROUTES, EXPECTED);
     assert!(report.holds(), "{}", report.failures().join("\n"));
     let cases = |name: &str| {
@@ -18,14 +18,15 @@
             .expect("a verdict")
             .case_count
     };
-    // Over HTTP five classes, rates to two pools; over JSON-RPC two methods.
+    // HTTP: five classes, one of which goes to two pools. JSON-RPC: two methods.
     assert_eq!(cases("all are served"), 5 + 1 + 2);
     assert_eq!(cases("payouts never run twice"), 2);
     assert_eq!(cases("finance can't look at rates"), 0);
 }
 
-/// An edit of the routes, the expectation that it breaks, and words of the reason.
-const BROKEN: &[(&str, &str, &str, &str)] = &[
+/// Edits of the routes: the replaced text, its replacement, the expectation that fails (or none), and
+/// a part of the message.
+const EDITS: &[(&str, &str, &str, &str)] = &[
     (
         "name = \"drafts\"\nclass = \"draft-save\"\npool = \"writes\"",
         "name = \"drafts\"\nclass = \"draft-save\"\ntenant = \"sahel-agro\"\npool = \"writes\"",
@@ -229,9 +230,9 @@
 ];
 
 #[test]
-fn each_way_to_break_it_is_turned_down_by_name() {
-    let mut kinds = 0;
-    for (from, to, name, words) in BROKEN {
+fn each_defect_fails_the_expectation_that_it_violates() {
+    let mut defect_count = 0;
+    for (from, to, name, message) in EDITS {
         assert!(ROUTES.contains(from), "{from}");
         let mut routes = ROUTES.replace(from, to);
         if routes.contains("\"side\"") {
@@ -246,14 +247,14 @@
             routes = routes.replace("pool = \"trial\"", "pool = \"attempt\"");
         }
         if to.contains("claim-state") || to.contains("rates.read") {
-            // Still a good file of routes; else it would be turned down before.
+            // Keeps the routing file valid, so that it is not rejected before verification.
             routes = routes.replace(
                 "[[listener.method]]\nname = \"rates.read\"\nclass = \"rate-lookup\"",
                 "",
             );
         }
         if to.contains("keyed") {
-            // A method of a keyed class would have to say where its key lies.
+            // A listener method of a keyed class would need `key`.
             routes.truncate(routes.find("[[listener]]").expect("a listener"));
         }
         let report = report(&routes, EXPECTED);
@@ -262,27 +263,26 @@
             assert!(failures.is_empty(), "{from} -> {to}: {failures:?}");
             continue;
         }
-        kinds += 1;
+        defect_count += 1;
         let named = failures.iter().find(|f| f.contains(&format!("{name:?}")));
-        let named = named.unwrap_or_else(|| {
-            panic!("{from} -> {to}: not turned down by {name:?}: {failures:#?}")
-        });
-        assert!(named.contains(words), "{from} -> {to}: {named}");
+        let named = named
+            .unwrap_or_else(|| panic!("{from} -> {to}: {name:?} does not fail: {failures:#?}"));
+        assert!(named.contains(message), "{from} -> {to}: {named}");
     }
-    assert!(kinds >= 29, "{kinds}");
+    assert!(defect_count >= 29, "{defect_count}");
 }
 
-/// A drain that the daemon knows of counts as one that is assumed.
+/// Guards against ignoring that a listed node is known to be unavailable.
 #[test]
-fn a_drain_that_is_known_counts() {
+fn a_known_drain_makes_a_listed_node_unavailable() {
     let e = expectations(EXPECTED);
     let (generation, mut environment) = (generation(ROUTES), environment(&e));
     environment.nodes.push(heathroad_verifier::Node::withdrawn(
         "127.0.0.1:9003".parse().expect("an address"),
     ));
-    let report = verify(&generation, &e, &environment).expect("can be judged");
+    let report = verify(&generation, &e, &environment).expect("can be verified");
     let failures = report.failures();
-    // The list says where it stands; what is known of it elsewhere is that it takes nothing.
+    // Site and block come from the list, and the availability from the environment.
     assert!(
         failures.iter().any(|f| f.contains("mates is 0")),
         "{failures:?}"
@@ -299,13 +299,13 @@
     );
 }
 
-/// What is not known here is never taken for well.
+/// Guards against passing an expectation that depends on unknown nodes or settings.
 #[test]
-fn what_is_not_known_fails_and_says_how_to_tell_it() {
+fn unknown_nodes_and_settings_fail_with_a_hint() {
     let text = EXPECTED.replace("[[node]]", "[[gone]]");
     let cut = text.find("[[state]]").expect("states");
     let e = expectations(&text[cut..]);
-    let report = verify(&generation(ROUTES), &e, &Environment::default()).expect("can be judged");
+    let report = verify(&generation(ROUTES), &e, &Environment::default()).expect("can be verified");
     let failures = report.failures();
     let words = [
         "not known here; expected them to be told (`--settings FILE`)",
@@ -321,7 +321,7 @@
             .any(|f| f.contains("pool \"reads\" are announced by the default registry")),
         "{failures:?}"
     );
-    // By the labels alone what the registry will tell is all of one site.
+    // The pool's label selector alone restricts its nodes to one site.
     let site = "[[expect]]\nname = \"home\"\nclass = \"claim-status\"\nonly = { sites = [\"kano-dc\"] }\nnever = { sites = [\"jos-dc\"] }";
     assert!(
         verify(
@@ -329,7 +329,7 @@
             &expectations(site),
             &Environment::default()
         )
-        .expect("judged")
+        .expect("can be verified")
         .holds()
     );
     let other = site.replace(
@@ -342,14 +342,14 @@
             &expectations(&other),
             &Environment::default()
         )
-        .expect("judged")
+        .expect("can be verified")
         .holds()
     );
 }
 
-/// Where the daemon takes listed tenants only, there are no others to be looked after.
+/// Guards against failures for requests of tenants that the daemon does not accept.
 #[test]
-fn tenants_that_the_daemon_turns_away_are_no_requests() {
+fn requests_of_rejected_tenants_are_not_verified() {
     let routes = ROUTES.replace(
         "name = \"all\"\npool = \"reads\"",
         "name = \"one\"\ntenant = \"kano-textiles\"\npool = \"reads\"\n[[route]]\nname = \"two\"\ntenant = \"zaria-foods\"\npool = \"reads\"",
@@ -359,7 +359,7 @@
         "class = \"claim-submit\"\npath=\"/*\"\npool",
     );
     let text = "[[expect]]\nname = \"status is served\"\nclass = \"claim-status\"\nserved = true";
-    // Two routes by class and by tenant would clash: only status is left.
+    // Routes by class and by tenant would overlap, so only claim-status keeps a route.
     let routes = routes
         .split("[[route]]")
         .filter(|r| {
@@ -371,26 +371,32 @@
         .join("[[route]]");
     let routes = &routes[..routes.find("[[listener]]").unwrap_or(routes.len())];
     let (generation, e) = (generation(routes), expectations(text));
-    let open = verify(&generation, &e, &Environment::default())
-        .expect("judged")
+    let failures = verify(&generation, &e, &Environment::default())
+        .expect("can be verified")
         .failures();
     assert!(
-        open[0].contains("class claim-status: no route takes it"),
-        "{open:?}"
+        failures[0].contains("class claim-status: no route takes it"),
+        "{failures:?}"
     );
     let two = vec!["kano-textiles".to_string(), "zaria-foods".to_string()];
-    let closed = Environment {
+    let two_tenants = Environment {
         tenants: Some(two.clone()),
         ..Environment::default()
     };
-    assert!(verify(&generation, &e, &closed).expect("judged").holds());
-    let three = Environment {
+    assert!(
+        verify(&generation, &e, &two_tenants)
+            .expect("can be verified")
+            .holds()
+    );
+    let three_tenants = Environment {
         tenants: Some([two, vec!["sahel-agro".into()]].concat()),
         ..Environment::default()
     };
-    let open = verify(&generation, &e, &three).expect("judged").failures();
+    let failures = verify(&generation, &e, &three_tenants)
+        .expect("can be verified")
+        .failures();
     assert!(
-        open[0].contains("tenant sahel-agro: no route takes it"),
-        "{open:?}"
+        failures[0].contains("tenant sahel-agro: no route takes it"),
+        "{failures:?}"
     );
 }
