--- a/crates/heathroad-verifier/src/expectations/parser.rs
+++ b/crates/heathroad-verifier/src/expectations/parser.rs
@@ -193,8 +193,8 @@
     requirements.extend(parse_targets(section, "never").map(Requirement::Never));
     requirements.extend(section.boolean("served").map(Requirement::Served));
     if section.has("again") {
-        let words = [("never", RetryLimit::Never), ("keyed", RetryLimit::Keyed)];
-        let limit = section.choice("again", &words, "\"never\" or \"keyed\"");
+        let choices = [("never", RetryLimit::Never), ("keyed", RetryLimit::Keyed)];
+        let limit = section.choice("again", &choices, "\"never\" or \"keyed\"");
         requirements.push(Requirement::Retries(limit));
     }
     if section.has("group") {
--- a/crates/heathroad-verifier/tests/verify.rs
+++ b/crates/heathroad-verifier/tests/verify.rs
@@ -307,12 +307,12 @@
     let e = expectations(&text[cut..]);
     let report = verify(&generation(ROUTES), &e, &Environment::default()).expect("can be verified");
     let failures = report.failures();
-    let words = [
+    let messages = [
         "not known here; expected them to be told (`--settings FILE`)",
         "never blocks 3",
     ];
     assert!(
-        failures.iter().any(|f| f.contains(words[0])),
+        failures.iter().any(|f| f.contains(messages[0])),
         "{failures:?}"
     );
     assert!(
