--- a/crates/heathroad-harness/src/client.rs
+++ b/crates/heathroad-harness/src/client.rs
@@ -1,6 +1,6 @@
-//! One call to a proxy, as a client makes it: over a kept connection if there is a sound one, its
-//! end classified. Shared by the load driver, for clients from outside, and by stand-in backends,
-//! which call the next tier.
+//! An HTTP client that sends a request to a proxy, over an idle connection if there is one, and
+//! classifies the result. The load generator uses it for external clients, and emulated backends to
+//! call the next tier.
 
 use crate::clock::{Clock, Micros, micros_from_seconds};
 use crate::event_log::AttemptEnd;
@@ -14,67 +14,67 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A connect that takes longer has failed.
-const CONNECT: Duration = Duration::from_millis(1000);
-/// Kept connections, over all proxies.
-const MAX_KEPT: usize = 512;
-/// So long past its time an answer is still awaited, to tell a late one from none.
-const PAST: Duration = Duration::from_millis(150);
+/// Time limit for connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Maximum number of idle connections, over all proxies.
+const MAX_IDLE: usize = 512;
+/// Extra wait beyond the time limit, which distinguishes late responses from missing ones.
+const LATE_RESPONSE_WAIT: Duration = Duration::from_millis(150);
 
-/// What is asked.
+/// A request to send.
 pub struct ClientRequest {
     /// `Req-Id`.
     pub id: u64,
-    /// The path, its first part the class.
+    /// The path; its first segment is the class.
     pub path: String,
     /// `Req-Owner`.
     pub tenant: Option<String>,
     /// `Idempotency-Key`.
     pub key: Option<u64>,
-    /// Whether it is safe, and so a GET.
+    /// Whether the request is safe and is sent as GET; otherwise as POST.
     pub safe: bool,
-    /// How long it is waited for.
+    /// How long the client waits for the response; sent as `Req-Deadline-Ms`.
     pub time_limit: Micros,
-    /// It is marked as a client's retry.
+    /// Whether it carries `Req-Retry`.
     pub retry: bool,
-    /// It hangs up after so long.
+    /// Delay after which the client disconnects.
     pub cancel_after: Option<Micros>,
-    /// So long is taken for reading.
+    /// Delay before the response is read.
     pub read_delay: Micros,
-    /// `Req-Budget` and `Req-Path`, copied from the request that it is made for.
+    /// `Req-Budget` and `Req-Path` of the request that caused this one.
     pub budget_headers: [Option<String>; 2],
 }
 
-/// How a call went.
+/// Result of a call.
 pub struct CallResult {
-    /// When its last byte was written.
+    /// When the last_request byte of the request was written.
     pub sent_at: Option<Micros>,
-    /// When the proxy's close was found to have crossed it, so that it was sent once more.
+    /// When the request was sent again because the proxy had closed an idle connection.
     pub resent_at: Option<Micros>,
-    /// How it ended.
+    /// How the call ended.
     pub end: AttemptEnd,
-    /// When.
+    /// When the call ended.
     pub ended_at: Micros,
-    /// `Req-Spent`, as it came.
+    /// `Req-Spent` of the response.
     pub budget_spent: Option<String>,
 }
 
-struct Kept {
+struct IdleConnection {
     stream: TcpStream,
-    /// The request that was answered on it last, to blame for what comes behind.
-    last: u64,
+    /// The last_request request answered on it, which unexpected data is attributed to.
+    last_request: u64,
 }
 
-/// Connections kept between calls.
+/// A client with its pool of idle connections.
 #[derive(Default)]
 pub struct Client {
-    idle: RefCell<HashMap<SocketAddr, Vec<Kept>>>,
-    /// Requests behind whose answer something came.
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
+    /// Requests whose response was followed by unexpected data.
     extra: RefCell<Vec<u64>>,
 }
 
-/// Whether a resting connection is sound: nothing lies there and it is open.
-fn resting(stream: &TcpStream) -> Result<(), bool> {
+/// Checks that an idle connection is open and has no unread data; `Err(true)` if it has.
+fn check_idle(stream: &TcpStream) -> Result<(), bool> {
     match stream.try_read(&mut [0; 1]) {
         Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => Ok(()),
         Ok(0) | Err(_) => Err(false),
@@ -83,12 +83,12 @@
 }
 
 impl Client {
-    /// The requests behind whose answer something came on their connections; those still kept are
-    /// looked at now.
+    /// Returns the requests whose response was followed by unexpected data, and closes all idle
+    /// connections after checking them.
     pub fn take_unexpected(&self) -> Vec<u64> {
         for kept in self.idle.borrow_mut().drain().flat_map(|(_, k)| k) {
-            if resting(&kept.stream) == Err(true) {
-                self.extra.borrow_mut().push(kept.last);
+            if check_idle(&kept.stream) == Err(true) {
+                self.extra.borrow_mut().push(kept.last_request);
             }
         }
         self.extra.take()
@@ -97,43 +97,53 @@
     fn reuse(&self, to: SocketAddr) -> Option<TcpStream> {
         let mut kept = self.idle.borrow_mut();
         let streams = kept.get_mut(&to)?;
-        while let Some(Kept { stream, last }) = streams.pop() {
-            match resting(&stream) {
+        while let Some(IdleConnection {
+            stream,
+            last_request,
+        }) = streams.pop()
+        {
+            match check_idle(&stream) {
                 Ok(()) => return Some(stream),
-                Err(true) => self.extra.borrow_mut().push(last),
+                Err(true) => self.extra.borrow_mut().push(last_request),
                 Err(false) => {}
             }
         }
         None
     }
 
-    fn keep(&self, to: SocketAddr, stream: TcpStream, last: u64) {
+    fn keep(&self, to: SocketAddr, stream: TcpStream, last_request: u64) {
         let mut kept = self.idle.borrow_mut();
-        if kept.values().map(Vec::len).sum::<usize>() < MAX_KEPT {
-            kept.entry(to).or_default().push(Kept { stream, last });
+        if kept.values().map(Vec::len).sum::<usize>() < MAX_IDLE {
+            kept.entry(to).or_default().push(IdleConnection {
+                stream,
+                last_request,
+            });
         }
     }
 
-    /// Makes one call.
+    /// Sends a request and returns its result.
     pub async fn call(
         self: &Rc<Self>,
         clock: Clock,
         to: SocketAddr,
-        ask: &ClientRequest,
+        request: &ClientRequest,
     ) -> CallResult {
         let (sent, crossed, spent) = (Cell::new(None), Cell::new(None), Cell::new(None));
-        let patience = Duration::from_micros(ask.time_limit);
-        let limit = patience + Duration::from_micros(ask.read_delay) + PAST + CONNECT;
+        let patience = Duration::from_micros(request.time_limit);
+        let limit = patience
+            + Duration::from_micros(request.read_delay)
+            + LATE_RESPONSE_WAIT
+            + CONNECT_TIMEOUT;
         let call = async {
             let hang_up = async {
-                match ask.cancel_after {
+                match request.cancel_after {
                     Some(after) => sleep(Duration::from_micros(after)).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
                 biased;
-                end = self.exchange(clock, to, ask, &sent, &crossed, &spent) => end,
+                end = self.exchange(clock, to, request, &sent, &crossed, &spent) => end,
                 () = hang_up => if sent.get().is_some() { AttemptEnd::Cancelled } else { AttemptEnd::Unsent },
             }
         };
@@ -157,7 +167,7 @@
         &self,
         clock: Clock,
         to: SocketAddr,
-        ask: &ClientRequest,
+        request: &ClientRequest,
         sent: &Cell<Option<Micros>>,
         crossed: &Cell<Option<Micros>>,
         spent: &Cell<Option<String>>,
@@ -167,13 +177,13 @@
             let kept = reused.is_some();
             let mut stream = match reused.take() {
                 Some(stream) => stream,
-                None => match timeout(CONNECT, TcpStream::connect(to)).await {
+                None => match timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await {
                     Ok(Ok(stream)) => stream,
                     Ok(Err(_)) | Err(_) => return AttemptEnd::Unsent,
                 },
             };
             if stream.set_nodelay(true).is_err()
-                || stream.write_all(ask.head().as_bytes()).await.is_err()
+                || stream.write_all(request.head().as_bytes()).await.is_err()
             {
                 if kept {
                     continue;
@@ -181,16 +191,16 @@
                 return AttemptEnd::Unsent;
             }
             sent.set(Some(clock.now()));
-            if ask.read_delay > 0 {
-                sleep(Duration::from_micros(ask.read_delay)).await;
+            if request.read_delay > 0 {
+                sleep(Duration::from_micros(request.read_delay)).await;
             }
             let mut buffer = Buffer::default();
-            let patience = Duration::from_micros(ask.time_limit + ask.read_delay) + PAST;
+            let patience =
+                Duration::from_micros(request.time_limit + request.read_delay) + LATE_RESPONSE_WAIT;
             let response = match timeout(patience, buffer.response(&mut stream)).await {
                 Err(_) => return AttemptEnd::NoResponse,
                 Ok(Err(ReadError::Malformed)) => return AttemptEnd::Malformed,
-                // The proxy's close has crossed the request: it is sent once more on a new
-                // connection.
+                // The proxy closed the idle connection before it read the request.
                 Ok(Err(ReadError::Closed(false))) if kept => {
                     sent.set(None);
                     crossed.set(Some(clock.now()));
@@ -201,41 +211,41 @@
             };
             spent.set(response.budget_spent);
             let end = match response.status {
-                200 => parse_response_body(ask.id, &response.body),
+                200 => parse_response_body(request.id, &response.body),
                 429 | 503 => AttemptEnd::Refused {
                     after: response.retry_after.map(micros_from_seconds),
                 },
                 status => AttemptEnd::Failed(status),
             };
             if !buffer.is_empty() {
-                self.extra.borrow_mut().push(ask.id);
+                self.extra.borrow_mut().push(request.id);
             } else if !response.close {
-                self.keep(to, stream, ask.id);
+                self.keep(to, stream, request.id);
             }
             return end;
         }
     }
 }
 
-/// The body that a backend makes for a request: its id and the mark of the work done.
-pub fn response_body(id: u64, mark: u64) -> String {
-    format!("{id:016x} {mark:016x}")
+/// Encodes a backend's response body: the request id and the marker of the execution.
+pub fn response_body(id: u64, marker: u64) -> String {
+    format!("{id:016x} {marker:016x}")
 }
 
-/// Reads such a body.
+/// Decodes a body made by [`response_body`].
 pub fn parse_response_body(id: u64, body: &[u8]) -> AttemptEnd {
     let text = String::from_utf8_lossy(body);
-    let mark = text
+    let marker = text
         .split_once(' ')
         .filter(|(of, _)| u64::from_str_radix(of, 16) == Ok(id));
-    match mark.and_then(|(_, mark)| u64::from_str_radix(mark, 16).ok()) {
-        Some(mark) => AttemptEnd::Served(mark),
+    match marker.and_then(|(_, marker)| u64::from_str_radix(marker, 16).ok()) {
+        Some(marker) => AttemptEnd::Served(marker),
         None => AttemptEnd::UnknownBody(text.chars().take(80).collect()),
     }
 }
 
 impl ClientRequest {
-    /// The request as it goes out; it has no body.
+    /// Encodes the request, which has no body.
     fn head(&self) -> String {
         let method = if self.safe { "GET" } else { "POST" };
         let mut head = format!(
--- a/crates/heathroad-harness/src/clock.rs
+++ b/crates/heathroad-harness/src/clock.rs
@@ -1,15 +1,14 @@
-//! One clock for all ledgers: microseconds of a monotonic clock since the rehearsal's start. Steps
-//! of the wall clock move nothing here.
+//! The clock of the event log: microseconds of a monotonic clock since the start of the run.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Microseconds since the rehearsal's start.
+/// Microseconds since the start of the run.
 pub type Micros = u64;
 
-/// A second.
+/// One second.
 pub const SECOND: Micros = 1_000_000;
 
-/// The rehearsal's clock. Copies tell the same time, on every thread.
+/// The clock of a run. Copies agree on every thread.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -18,7 +17,7 @@
 }
 
 impl Clock {
-    /// A clock that starts at 0 so long from now; before that it tells 0.
+    /// Returns a clock that reads 0 until `wait` has passed and counts from then on.
     pub fn starting_in(wait: Duration) -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -30,29 +29,28 @@
         }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// When a time comes.
+    /// Converts a time to an [`Instant`].
     pub fn instant(&self, at: Micros) -> Instant {
         self.start + Duration::from_micros(at)
     }
 
-    /// A time as Unix milliseconds, the registry's form.
+    /// Converts a time to Unix milliseconds, as the registry reports it.
     pub fn unix_ms(&self, at: Micros) -> f64 {
         self.unix_ms + at as f64 / 1000.0
     }
 
-    /// Waits until a time has come.
+    /// Sleeps until a time.
     pub async fn sleep_until(&self, at: Micros) {
         tokio::time::sleep_until(self.instant(at).into()).await;
     }
 }
 
-/// Seconds as microseconds. What is no sensible number of seconds counts as none; a day is the
-/// most.
+/// Converts seconds to microseconds, clamped to between 0 and one day; 0 if not finite.
 pub fn micros_from_seconds(s: f64) -> Micros {
     if s.is_finite() {
         (s.clamp(0.0, 86_400.0) * SECOND as f64) as Micros
@@ -61,7 +59,7 @@
     }
 }
 
-/// Microseconds as text in seconds.
+/// Formats microseconds as seconds.
 pub fn format_seconds(at: Micros) -> String {
     format!("{:.3} s", at as f64 / SECOND as f64)
 }
--- a/crates/heathroad-harness/src/cluster.rs
+++ b/crates/heathroad-harness/src/cluster.rs
@@ -1,6 +1,6 @@
-//! Several daemons of one fleet with the kit's network between them, for plain tests: killed,
-//! stalled, restarted with nothing or with an old copy of their state, their ways cut or spoilt;
-//! and what one backend saw of what they did.
+//! A cluster of daemons with an emulated network between them and one backend, for tests. Daemons
+//! can be killed, suspended and restarted with no or outdated state, and links can fail. The backend
+//! records the requests that it receives.
 
 use crate::clock::{Clock, Micros};
 use crate::daemon::{self, Daemon};
@@ -17,57 +17,57 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{sleep, timeout};
 
-/// What must come, comes within this.
-const LONG: Duration = Duration::from_secs(90);
-/// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(50);
-/// An audit may take so long where some do not answer.
-const ANSWER: Duration = Duration::from_secs(9);
-/// A call is given up after this.
-const CALL: Duration = Duration::from_secs(30);
-/// A planned stop takes no longer.
-const STOP: Duration = Duration::from_secs(10);
-/// Descriptors of each.
-const SOCKETS: u32 = 256;
-
-/// How a fleet is.
+/// Time limit for an expected state.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
+/// Interval at which a state is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time limit for an admin request; an audit waits for unreachable members.
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(9);
+/// Time limit for a client request.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time limit for a graceful shutdown.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Descriptor limit of each daemon.
+const MAX_DESCRIPTORS: u32 = 256;
+
+/// Configuration of a cluster.
 #[derive(Debug, Clone, Default)]
 pub struct Options {
-    /// Routes and pools, as the text of their file, `BACKEND` standing for the backend's address;
-    /// else each has one pool.
+    /// Text of the routes file, with `BACKEND` in place of the backend's address; none for a single
+    /// pool.
     pub routes: Option<String>,
-    /// A period of the fleet's protocol, in milliseconds.
+    /// Period of the membership protocol, in milliseconds.
     pub period_ms: u64,
-    /// A proxy that can't know what is required fences itself after so long.
+    /// Time after which a proxy fences itself if it can't learn the required version.
     pub fence_unsure_after_ms: Option<u64>,
-    /// What the fleet's file says of duties.
+    /// Lease section of the fleet file.
     pub leases: String,
-    /// A change is watched for so long, in milliseconds; 200 where nothing is said.
+    /// Probation of a change, in milliseconds; 200 by default.
     pub probation_ms: Option<u64>,
 }
 
-/// An attempt that came to the backend.
+/// A request that the backend received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendRequest {
-    /// When.
+    /// When it was received.
     pub at: Micros,
-    /// Which proxy sent it, by the request's id.
+    /// The proxy that sent it, taken from the request id.
     pub proxy: u16,
-    /// By which version it was bound.
+    /// The configuration version that it was routed by.
     pub version: Option<String>,
 }
 
-/// Several daemons, a network and a backend. All end when it is dropped.
+/// Daemons, a network and a backend, all of which end when it is dropped.
 pub struct Cluster {
-    /// What is between them.
+    /// The network between the daemons.
     pub network: Network,
-    /// The clock of what is noted.
+    /// The clock of the recorded requests.
     pub clock: Clock,
     daemons: Vec<Option<Daemon>>,
     backend_requests: Arc<Mutex<Vec<BackendRequest>>>,
     backend: SocketAddr,
-    serving: JoinHandle<()>,
-    held: watch::Sender<bool>,
+    backend_task: JoinHandle<()>,
+    hold_sender: watch::Sender<bool>,
     program: PathBuf,
     folder: PathBuf,
     options: Options,
@@ -77,8 +77,8 @@
 impl Drop for Cluster {
     fn drop(&mut self) {
         self.daemons.clear();
-        self.serving.abort();
-        // What can't be removed was not written.
+        self.backend_task.abort();
+        // Best effort: the folder may not exist.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -86,25 +86,25 @@
 async fn serve(
     listener: TcpListener,
     clock: Clock,
-    noted: Arc<Mutex<Vec<BackendRequest>>>,
-    held: watch::Receiver<bool>,
+    received: Arc<Mutex<Vec<BackendRequest>>>,
+    hold_sender: watch::Receiver<bool>,
 ) {
     while let Ok((mut stream, _)) = listener.accept().await {
-        let (noted, mut held) = (noted.clone(), held.clone());
+        let (received, mut hold_sender) = (received.clone(), hold_sender.clone());
         tokio::spawn(async move {
             let mut buffer = Buffer::default();
             while let Ok(request) = buffer.request(&mut stream).await {
                 let (at, proxy) = (clock.now(), (request.id.unwrap_or(0) >> 32) as u16);
-                if let Ok(mut noted) = noted.lock() {
-                    noted.push(BackendRequest {
+                if let Ok(mut received) = received.lock() {
+                    received.push(BackendRequest {
                         at,
                         proxy,
                         version: request.version,
                     });
                 }
-                let hold = *held.borrow_and_update();
-                // Its sender ends with the fleet.
-                let waited = !hold || held.wait_for(|hold| !hold).await.is_ok();
+                let hold = *hold_sender.borrow_and_update();
+                // Fails when the cluster is dropped.
+                let waited = !hold || hold_sender.wait_for(|hold| !hold).await.is_ok();
                 if !waited
                     || stream
                         .write_all(&http::encode_response(200, "", "done"))
@@ -118,7 +118,7 @@
     }
 }
 
-fn write(folder: &Path, options: &Options) -> std::io::Result<()> {
+fn write_files(folder: &Path, options: &Options) -> std::io::Result<()> {
     daemon::write_fleet_files(
         folder,
         options.period_ms,
@@ -128,7 +128,7 @@
 }
 
 impl Cluster {
-    /// Starts so many, with what a seed draws.
+    /// Starts `proxies` daemons at the same time and waits until all are ready.
     pub async fn start_all(
         program: &Path,
         proxies: u16,
@@ -146,25 +146,30 @@
             fastrand::Rng::new().u32(..)
         );
         let folder = std::env::temp_dir().join(name);
-        let made = std::fs::create_dir(&folder).and_then(|()| write(&folder, &options));
+        let made = std::fs::create_dir(&folder).and_then(|()| write_files(&folder, &options));
         made.map_err(|e| format!("{}: {e}", folder.display()))?;
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .map_err(|e| format!("backend: {e}"))?;
         let backend = listener.local_addr().map_err(|e| format!("backend: {e}"))?;
-        let noted = Arc::<Mutex<Vec<BackendRequest>>>::default();
-        let held = watch::Sender::new(false);
-        let serving = tokio::spawn(serve(listener, clock, noted.clone(), held.subscribe()));
+        let received = Arc::<Mutex<Vec<BackendRequest>>>::default();
+        let hold_sender = watch::Sender::new(false);
+        let backend_task = tokio::spawn(serve(
+            listener,
+            clock,
+            received.clone(),
+            hold_sender.subscribe(),
+        ));
         let daemons = (0..proxies).map(|_| None).collect();
         let program = program.to_path_buf();
         let mut cluster = Cluster {
             network,
             clock,
             daemons,
-            backend_requests: noted,
+            backend_requests: received,
             backend,
-            serving,
-            held,
+            backend_task,
+            hold_sender,
             program,
             folder,
             options,
@@ -174,14 +179,14 @@
             let text = cluster.routes(routes);
             std::fs::write(cluster.folder.join("routes.toml"), text).map_err(|e| e.to_string())?;
         }
-        // Together: where each waits for more than half of the others, none is ready alone.
+        // Concurrently, since a daemon may wait for a majority before it is ready.
         let mut starting = JoinSet::new();
         for proxy in 0..proxies {
             let (program, file, config) = cluster.launch(proxy)?;
             starting.spawn(async move {
                 (
                     proxy,
-                    daemon::start(&program, &file, &config, SOCKETS).await,
+                    daemon::start(&program, &file, &config, MAX_DESCRIPTORS).await,
                 )
             });
         }
@@ -192,7 +197,7 @@
         Ok(cluster)
     }
 
-    /// A text of routes with the backend's address in it.
+    /// Returns the text of a routes file with the backend's address filled in.
     pub fn routes(&self, text: &str) -> String {
         text.replace("BACKEND", &self.backend.to_string())
     }
@@ -212,9 +217,9 @@
             .collect();
         json!({
             "name": format!("proxy-{proxy}"), "listen": "127.0.0.1:0", "admin": "127.0.0.1:0",
-            // Nobody tells lists here; the one that was known last names the backend.
+            // No registry listens here: the last known list names the backend.
             "discovery": "127.0.0.1:9", "seed": format!("{:x}", self.network.seed.wrapping_add(u64::from(proxy))),
-            "limits": {"cores": 1.0, "memory_mb": 32, "sockets": SOCKETS},
+            "limits": {"cores": 1.0, "memory_mb": 32, "sockets": MAX_DESCRIPTORS},
             "peer_listen": self.network.listen_address(proxy).to_string(), "peers": peers,
             "fleet": path("fleet.toml"), "state": self.state(proxy).display().to_string(),
             "routes": routes, "probation_ms": self.options.probation_ms.unwrap_or(200),
@@ -232,7 +237,7 @@
         })
     }
 
-    /// What one is started with: the program, its file and what is to stand there.
+    /// Returns the program, the configuration file and the configuration of a daemon.
     fn launch(&self, proxy: u16) -> Result<(PathBuf, PathBuf, Value), String> {
         let (state, file) = (
             self.state(proxy),
@@ -244,64 +249,64 @@
         Ok((self.program.clone(), file, self.config(proxy)))
     }
 
-    /// Starts one, with the state that it has.
+    /// Starts a daemon with its stored state.
     pub async fn start(&mut self, proxy: u16) -> Result<(), String> {
         let (program, file, config) = self.launch(proxy)?;
-        let daemon = daemon::start(&program, &file, &config, SOCKETS).await?;
+        let daemon = daemon::start(&program, &file, &config, MAX_DESCRIPTORS).await?;
         self.daemons[usize::from(proxy)] = Some(daemon);
         Ok(())
     }
 
-    /// Has the fleet's file say something else of duties to whoever starts from now on.
+    /// Replaces the lease section of the fleet file; daemons read it when they start.
     pub fn set_leases(&mut self, duties: String) -> Result<(), String> {
         self.options.leases = duties;
-        write(&self.folder, &self.options).map_err(|e| e.to_string())
+        write_files(&self.folder, &self.options).map_err(|e| e.to_string())
     }
 
-    /// Asks one to let go of a duty.
+    /// Asks a daemon to release a lease.
     pub async fn release_lease(&self, proxy: u16, duty: &str) -> Result<(), String> {
         let path = format!("/duty/resign?name={duty}");
-        let told = daemon::post(self.daemon(proxy)?.admin_address, &path, "")
+        let response = daemon::post(self.daemon(proxy)?.admin_address, &path, "")
             .await
             .map_err(|e| e.to_string())?;
-        if told.0 == 200 {
+        if response.0 == 200 {
             Ok(())
         } else {
-            Err(String::from_utf8_lossy(&told.1).into_owned())
+            Err(String::from_utf8_lossy(&response.1).into_owned())
         }
     }
 
-    /// Its process.
+    /// Returns the process of a daemon.
     pub fn daemon(&self, proxy: u16) -> Result<&Daemon, String> {
         let daemon = self.daemons[usize::from(proxy)].as_ref();
-        daemon.ok_or_else(|| format!("proxy {proxy} does not run"))
+        daemon.ok_or_else(|| format!("proxy {proxy} is not running"))
     }
 
-    /// Kills one outright.
+    /// Kills a daemon.
     pub fn kill(&mut self, proxy: u16) {
         self.daemons[usize::from(proxy)] = None;
     }
 
-    /// Stops one as planned.
+    /// Shuts a daemon down gracefully.
     pub async fn stop(&mut self, proxy: u16) -> Result<(), String> {
         let Some(daemon) = self.daemons[usize::from(proxy)].take() else {
             return Ok(());
         };
         daemon.terminate().map_err(|e| e.to_string())?;
-        let (_, well) = daemon.wait(STOP).await;
-        if well {
+        let (_, graceful) = daemon.wait(STOP_TIMEOUT).await;
+        if graceful {
             Ok(())
         } else {
-            Err(format!("proxy {proxy} did not stop as planned"))
+            Err(format!("proxy {proxy} did not shut down gracefully"))
         }
     }
 
-    /// Takes away all that one has kept.
+    /// Deletes the stored state of a daemon.
     pub fn delete_state(&self, proxy: u16) -> std::io::Result<()> {
         std::fs::remove_dir_all(self.state(proxy))
     }
 
-    /// A copy of what one has kept, to be put back later.
+    /// Copies the stored state of a daemon.
     pub fn copy_state(&self, proxy: u16) -> std::io::Result<Vec<(PathBuf, Vec<u8>)>> {
         let mut copy = Vec::new();
         for entry in std::fs::read_dir(self.state(proxy))? {
@@ -311,7 +316,7 @@
         Ok(copy)
     }
 
-    /// Puts an old copy back in place of what it has kept since.
+    /// Replaces the stored state of a daemon by an earlier copy.
     pub fn restore_state(&self, proxy: u16, copy: &[(PathBuf, Vec<u8>)]) -> std::io::Result<()> {
         self.delete_state(proxy)?;
         std::fs::create_dir(self.state(proxy))?;
@@ -319,10 +324,10 @@
             .try_for_each(|(path, bytes)| std::fs::write(path, bytes))
     }
 
-    /// Asks one at its admin address.
+    /// Sends a GET request to a daemon's admin address and returns the JSON response.
     pub async fn query(&self, proxy: u16, path: &str) -> Result<Value, String> {
         let admin = self.daemon(proxy)?.admin_address;
-        let (status, body) = daemon::get_within(admin, path, ANSWER)
+        let (status, body) = daemon::get_within(admin, path, ADMIN_TIMEOUT)
             .await
             .map_err(|e| format!("{path}: {e}"))?;
         if status != 200 {
@@ -334,63 +339,64 @@
         serde_json::from_slice(&body).map_err(|e| format!("{path}: {e}"))
     }
 
-    /// Waits until what one answers is as wanted.
+    /// Waits until the response to an admin request satisfies `wanted`.
     pub async fn wait_until(
         &self,
         proxy: u16,
         path: &str,
         wanted: impl Fn(&Value) -> bool,
     ) -> Result<Value, String> {
-        let mut last = Err("it did not answer".into());
-        let look = async {
+        let mut last = Err("no response".into());
+        let poll = async {
             loop {
                 last = self.query(proxy, path).await;
-                if let Ok(told) = &last
-                    && wanted(told)
+                if let Ok(response) = &last
+                    && wanted(response)
                 {
-                    return told.clone();
+                    return response.clone();
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         };
-        match timeout(LONG, look).await {
-            Ok(told) => Ok(told),
+        match timeout(WAIT_TIMEOUT, poll).await {
+            Ok(response) => Ok(response),
             Err(_) => Err(format!(
-                "{path} of proxy {proxy} is not as wanted: {last:?}"
+                "{path} of proxy {proxy} did not reach the expected state: {last:?}"
             )),
         }
     }
 
-    /// Waits until one takes another to stand like this.
+    /// Waits until a daemon reports the given standing of another member.
     pub async fn wait_for_standing(
         &self,
         proxy: u16,
         other: u16,
         standing: &str,
     ) -> Result<Value, String> {
-        let stands = |told: &Value| told["members"][usize::from(other)]["standing"] == standing;
+        let stands =
+            |response: &Value| response["members"][usize::from(other)]["standing"] == standing;
         self.wait_until(proxy, "/fleet/members", stands).await
     }
 
-    /// Waits until all that run take each other for there.
+    /// Waits until all running daemons report each other as alive.
     pub async fn wait_for_all_alive(&self) -> Result<(), String> {
-        let there: Vec<u16> = (0..self.daemons.len() as u16)
+        let running: Vec<u16> = (0..self.daemons.len() as u16)
             .filter(|p| self.daemon(*p).is_ok())
             .collect();
-        for at in &there {
-            for of in &there {
+        for at in &running {
+            for of in &running {
                 self.wait_for_standing(*at, *of, "alive").await?;
             }
         }
         Ok(())
     }
 
-    /// One request to one; its status.
+    /// Sends a client request to a daemon and returns the status.
     pub async fn call(&mut self, proxy: u16) -> Result<u16, String> {
         self.start_call(proxy)?.await
     }
 
-    /// The same as something that goes on by itself.
+    /// Like [`Cluster::call`], but returns a future that doesn't borrow the cluster.
     pub fn start_call(
         &mut self,
         proxy: u16,
@@ -409,21 +415,22 @@
             let answer = Buffer::default().response(&mut stream).await;
             answer
                 .map(|a| a.status)
-                .map_err(|_| std::io::Error::other("no whole answer"))
+                .map_err(|_| std::io::Error::other("incomplete response"))
         };
         Ok(async {
-            let done = timeout(CALL, call).await;
-            done.map_err(|_| "no answer".to_string())?
+            let done = timeout(CALL_TIMEOUT, call).await;
+            done.map_err(|_| "no response in time".to_string())?
                 .map_err(|e| e.to_string())
         })
     }
 
-    /// Proposes a change of routes to one, and waits until it is committed.
+    /// Applies new routes at a daemon and waits until the change is completed.
     pub async fn apply(&self, proxy: u16, text: &str) -> Result<(), String> {
         self.propose(proxy, "/config/apply", text).await
     }
 
-    /// The same, required of all within so many milliseconds from its commit on.
+    /// Like [`Cluster::apply`], with the version required of all members `within_ms` after the
+    /// commit.
     pub async fn apply_required(
         &self,
         proxy: u16,
@@ -440,23 +447,23 @@
 
     async fn propose(&self, proxy: u16, path: &str, text: &str) -> Result<(), String> {
         let admin = self.daemon(proxy)?.admin_address;
-        let told = daemon::post(admin, path, &self.routes(text))
+        let response = daemon::post(admin, path, &self.routes(text))
             .await
             .map_err(|e| e.to_string())?;
-        if told.0 != 200 {
-            return Err(String::from_utf8_lossy(&told.1).into_owned());
+        if response.0 != 200 {
+            return Err(String::from_utf8_lossy(&response.1).into_owned());
         }
         self.wait_until(proxy, "/config/status", |s| s["open"].is_null())
             .await
             .map(drop)
     }
 
-    /// The backend holds what comes from now on, to answer it once it holds no more.
+    /// Makes the backend hold its responses, or send all of them.
     pub fn hold_responses(&self, hold: bool) {
-        self.held.send_replace(hold);
+        self.hold_sender.send_replace(hold);
     }
 
-    /// What came to the backend so far.
+    /// Returns the requests that the backend has received.
     pub fn backend_requests(&self) -> Vec<BackendRequest> {
         self.backend_requests
             .lock()
--- a/crates/heathroad-harness/src/http.rs
+++ b/crates/heathroad-harness/src/http.rs
@@ -1,65 +1,64 @@
-//! HTTP/1.1 messages on raw sockets, as far as stand-ins need it (RFC 9112): heads are parsed by
-//! `httparse`, bodies have a length. Raw, so that a stand-in can break off, spoil and stall where
-//! it is told to, and a client can see what comes behind an answer.
+//! HTTP/1.1 messages on raw sockets, as far as the emulators need it (RFC 9112): heads are parsed by
+//! `httparse`, bodies have a length. It works on raw bytes, so that an emulator can truncate, corrupt
+//! and delay responses, and a client can detect data after a response.
 
 use serde_json::{Value, json};
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Longest head.
-const MAX_HEAD: usize = 16 * 1024;
-/// Most lines in it.
+/// Maximum length of a message head, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum number of header lines.
 const MAX_HEADERS: usize = 64;
-/// Longest body.
-const MAX_BODY: usize = 64 * 1024;
+/// Maximum length of a body, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// A request as a stand-in reads it.
+/// A request as an emulator reads it.
 #[derive(Debug, PartialEq)]
 pub struct Request {
-    /// Its method.
+    /// Method.
     pub method: String,
     /// Path and query.
     pub target: String,
     /// `Req-Id`, a hexadecimal number.
     pub id: Option<u64>,
-    /// `Idempotency-Key`, likewise.
+    /// `Idempotency-Key`, a hexadecimal number.
     pub key: Option<u64>,
     /// `Req-Deadline-Ms`.
     pub deadline_ms: Option<u64>,
-    /// Its body's length.
+    /// Length of the body, in bytes.
     pub body_length: usize,
-    /// Its id as it stands, where it is a call over JSON-RPC.
+    /// The JSON text of the `id` member of a JSON-RPC call.
     pub jsonrpc_id: Option<String>,
-    /// `Req-Budget` and `Req-Path`, to be copied as they are.
+    /// `Req-Budget` and `Req-Path`, to be forwarded unchanged.
     pub budget_headers: [Option<String>; 2],
-    /// `Req-Version`: by which version it was bound.
+    /// `Req-Version`: the configuration version that the request was routed by.
     pub version: Option<String>,
-    /// `Duty-Token`, a hexadecimal number, `Duty-Holder` and `Duty-Number`, of a call that a duty
-    /// makes.
+    /// `Duty-Token` (hexadecimal), `Duty-Holder` and `Duty-Number` of a call by a lease holder.
     pub lease_headers: Option<(u64, String, u64)>,
 }
 
-/// An answer as a client reads it.
+/// A response as a client reads it.
 #[derive(Debug, PartialEq)]
 pub struct Response {
-    /// Its status.
+    /// Status code.
     pub status: u16,
     /// `Retry-After`, in seconds.
     pub retry_after: Option<f64>,
-    /// `Req-Spent`, to be copied as it is.
+    /// `Req-Spent`, to be forwarded unchanged.
     pub budget_spent: Option<String>,
-    /// The connection ends with it.
+    /// Whether the server closes the connection after it.
     pub close: bool,
-    /// Its body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// Why no message came.
+/// Why no message could be read.
 #[derive(Debug)]
 pub enum ReadError {
-    /// The connection ended; whether part of a message had come.
+    /// The connection ended; true if part of a message had been received.
     Closed(bool),
-    /// It can't be read.
+    /// The message is malformed or too long.
     Malformed,
 }
 
@@ -69,17 +68,17 @@
     }
 }
 
-/// What was read of a connection and not used yet.
+/// Bytes received on a connection and not yet consumed.
 #[derive(Debug, Default)]
 pub struct Buffer(Vec<u8>);
 
 impl Buffer {
-    /// Whether nothing lies there.
+    /// Returns whether no unread bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Reads on; whether something came.
+    /// Receives more bytes.
     async fn fill(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> Result<(), ReadError> {
         match stream.read_buf(&mut self.0).await {
             Ok(0) => Err(ReadError::Closed(!self.0.is_empty())),
@@ -88,8 +87,8 @@
         }
     }
 
-    /// Takes a message: its head, which `parse` understands, and so many bytes behind it.
-    async fn take<T>(
+    /// Reads a message: a head that `parse` accepts, and the body whose length `parse` returns.
+    async fn read_message<T>(
         &mut self,
         stream: &mut (impl AsyncRead + Unpin),
         parse: impl Fn(&[u8]) -> Result<Option<(T, usize, usize)>, ReadError>,
@@ -97,22 +96,22 @@
         let (message, head, body) = loop {
             match parse(&self.0)? {
                 Some(parsed) => break parsed,
-                None if self.0.len() > MAX_HEAD => return Err(ReadError::Malformed),
+                None if self.0.len() > MAX_HEAD_BYTES => return Err(ReadError::Malformed),
                 None => self.fill(stream).await?,
             }
         };
-        if body > MAX_BODY {
+        if body > MAX_BODY_BYTES {
             return Err(ReadError::Malformed);
         }
         while self.0.len() < head + body {
             self.fill(stream).await?;
         }
         let rest = self.0.split_off(head + body);
-        let mut whole = std::mem::replace(&mut self.0, rest);
-        Ok((message, whole.split_off(head)))
+        let mut message_bytes = std::mem::replace(&mut self.0, rest);
+        Ok((message, message_bytes.split_off(head)))
     }
 
-    /// Waits for the first byte of the next message; false if the connection ends before.
+    /// Waits for the first byte of the next message; false if the connection ends first.
     pub async fn wait_for_data(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> bool {
         !self.is_empty() || self.fill(stream).await.is_ok()
     }
@@ -122,18 +121,17 @@
         &mut self,
         stream: &mut (impl AsyncRead + Unpin),
     ) -> Result<Request, ReadError> {
-        let (mut request, body) = self.take(stream, parse_request).await?;
+        let (mut request, body) = self.read_message(stream, parse_request).await?;
         request.body_length = body.len();
         Ok(request)
     }
 
-    /// Whether what lies there begins a text and no head.
+    /// Returns whether the buffered bytes begin a JSON-RPC message rather than an HTTP head.
     pub fn is_jsonrpc(&self) -> bool {
         self.0.first() == Some(&b'{')
     }
 
-    /// Reads a call over JSON-RPC, a text a line. What tells it apart and its key stand in its
-    /// parameters.
+    /// Reads a JSON-RPC call, one per line; its parameters hold the request id and the key.
     pub async fn jsonrpc_call(
         &mut self,
         stream: &mut (impl AsyncRead + Unpin),
@@ -141,7 +139,7 @@
         let end = loop {
             match self.0.iter().position(|b| *b == b'\n') {
                 Some(end) => break end,
-                None if self.0.len() > MAX_BODY => return Err(ReadError::Malformed),
+                None if self.0.len() > MAX_BODY_BYTES => return Err(ReadError::Malformed),
                 None => self.fill(stream).await?,
             }
         };
@@ -163,13 +161,13 @@
         })
     }
 
-    /// Reads an answer; those that are only provisional are passed over.
+    /// Reads a response, skipping provisional (1xx) ones.
     pub async fn response(
         &mut self,
         stream: &mut (impl AsyncRead + Unpin),
     ) -> Result<Response, ReadError> {
         loop {
-            let (mut response, body) = self.take(stream, parse_response).await?;
+            let (mut response, body) = self.read_message(stream, parse_response).await?;
             if response.status >= 200 {
                 response.body = body;
                 return Ok(response);
@@ -178,30 +176,31 @@
     }
 }
 
-fn text<'a>(headers: &'a [httparse::Header<'a>], name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a [httparse::Header<'a>], name: &str) -> Option<&'a str> {
     let header = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(header.value).ok().map(str::trim)
 }
 
-fn duty(headers: &[httparse::Header<'_>]) -> Option<(u64, String, u64)> {
+fn lease_headers(headers: &[httparse::Header<'_>]) -> Option<(u64, String, u64)> {
     let (token, holder) = (
-        number(headers, "duty-token")?,
-        text(headers, "duty-holder")?,
+        header_hex(headers, "duty-token")?,
+        header_text(headers, "duty-holder")?,
     );
     Some((
         token,
         holder.to_string(),
-        text(headers, "duty-number")?.parse().ok()?,
+        header_text(headers, "duty-number")?.parse().ok()?,
     ))
 }
 
-fn number(headers: &[httparse::Header], name: &str) -> Option<u64> {
-    u64::from_str_radix(text(headers, name)?, 16).ok()
+fn header_hex(headers: &[httparse::Header], name: &str) -> Option<u64> {
+    u64::from_str_radix(header_text(headers, name)?, 16).ok()
 }
 
-/// The length that a head tells: none is 0, two are wrong, and codings are not spoken here.
-fn length(headers: &[httparse::Header]) -> Result<usize, ReadError> {
-    if text(headers, "transfer-encoding").is_some() {
+/// Returns the body length of a head: 0 by default. Repeated lengths and transfer codings are
+/// rejected.
+fn body_length(headers: &[httparse::Header]) -> Result<usize, ReadError> {
+    if header_text(headers, "transfer-encoding").is_some() {
         return Err(ReadError::Malformed);
     }
     let mut lengths = headers
@@ -230,17 +229,17 @@
     let request = Request {
         method: head.method.unwrap_or_default().to_string(),
         target: head.path.unwrap_or_default().to_string(),
-        id: number(head.headers, "req-id"),
-        key: number(head.headers, "idempotency-key"),
-        deadline_ms: text(head.headers, "req-deadline-ms").and_then(|v| v.parse().ok()),
+        id: header_hex(head.headers, "req-id"),
+        key: header_hex(head.headers, "idempotency-key"),
+        deadline_ms: header_text(head.headers, "req-deadline-ms").and_then(|v| v.parse().ok()),
         body_length: 0,
         jsonrpc_id: None,
         budget_headers: ["req-budget", "req-path"]
-            .map(|name| text(head.headers, name).map(str::to_string)),
-        version: text(head.headers, "req-version").map(str::to_string),
-        lease_headers: duty(head.headers),
+            .map(|name| header_text(head.headers, name).map(str::to_string)),
+        version: header_text(head.headers, "req-version").map(str::to_string),
+        lease_headers: lease_headers(head.headers),
     };
-    Ok(Some((request, end, length(head.headers)?)))
+    Ok(Some((request, end, body_length(head.headers)?)))
 }
 
 fn parse_response(bytes: &[u8]) -> Result<Option<(Response, usize, usize)>, ReadError> {
@@ -253,23 +252,28 @@
     let status = head.code.unwrap_or_default();
     let response = Response {
         status,
-        budget_spent: text(head.headers, "req-spent").map(str::to_string),
-        retry_after: text(head.headers, "retry-after").and_then(|v| v.parse().ok()),
-        close: text(head.headers, "connection").is_some_and(|v| v.eq_ignore_ascii_case("close")),
+        budget_spent: header_text(head.headers, "req-spent").map(str::to_string),
+        retry_after: header_text(head.headers, "retry-after").and_then(|v| v.parse().ok()),
+        close: header_text(head.headers, "connection")
+            .is_some_and(|v| v.eq_ignore_ascii_case("close")),
         body: Vec::new(),
     };
     let bodiless = status < 200 || status == 204 || status == 304;
     Ok(Some((
         response,
         end,
-        if bodiless { 0 } else { length(head.headers)? },
+        if bodiless {
+            0
+        } else {
+            body_length(head.headers)?
+        },
     )))
 }
 
-/// The code of a stand-in's word for: turned away unseen.
-const DECLINED: i64 = -32050;
+/// JSON-RPC error code of a backend that declines a call without processing it.
+const DECLINED_CODE: i64 = -32050;
 
-/// An answer as bytes, in the words of the request.
+/// Encodes a response in the protocol of the request.
 pub fn encode_reply(to: &Request, status: u16, headers: &str, body: &str) -> Vec<u8> {
     let Some(id) = &to.jsonrpc_id else {
         return encode_response(status, headers, body);
@@ -277,14 +281,14 @@
     let error = |code: i64| json!({"code": code, "message": format!("status {status}")});
     let member = match status {
         200 => format!("\"result\":{}", json!(body)),
-        503 => format!("\"error\":{}", error(DECLINED)),
+        503 => format!("\"error\":{}", error(DECLINED_CODE)),
         400 | 404 => format!("\"error\":{}", error(-32601)),
         _ => format!("\"error\":{}", error(-32603)),
     };
     format!("{{\"jsonrpc\":\"2.0\",{member},\"id\":{id}}}\n").into_bytes()
 }
 
-/// An answer as bytes.
+/// Encodes an HTTP response.
 pub fn encode_response(status: u16, headers: &str, body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 {status} \r\nContent-Length: {}\r\n{headers}\r\n{body}",
@@ -298,18 +302,24 @@
     use super::*;
 
     #[tokio::test]
-    async fn messages_are_read_one_by_one_and_what_is_behind_stays() {
+    async fn pipelined_messages_are_read_one_at_a_time() {
         let mut bytes: &[u8] =
             b"POST /a?k=1 HTTP/1.1\r\nReq-Id: 1f\r\nIdempotency-Key: 2\r\nContent-Length: 3\r\n\r\n\
             abcGET /b HTTP/1.1\r\n\r\n";
         let mut buffer = Buffer::default();
-        let one = buffer.request(&mut bytes).await.expect("whole");
+        let one = buffer
+            .request(&mut bytes)
+            .await
+            .expect("a complete message");
         assert_eq!(
             (one.method.as_str(), one.target.as_str(), one.body_length),
             ("POST", "/a?k=1", 3)
         );
         assert_eq!((one.id, one.key), (Some(0x1f), Some(2)));
-        let two = buffer.request(&mut bytes).await.expect("whole");
+        let two = buffer
+            .request(&mut bytes)
+            .await
+            .expect("a complete message");
         assert_eq!((two.target.as_str(), two.id), ("/b", None));
         assert!(matches!(
             buffer.request(&mut bytes).await,
@@ -318,12 +328,15 @@
     }
 
     #[tokio::test]
-    async fn calls_over_json_rpc_are_read_and_answered_in_their_words() {
+    async fn json_rpc_calls_are_decoded_and_answered_in_json_rpc() {
         let mut bytes: &[u8] =
             b"{\"jsonrpc\":\"2.0\",\"method\":\"payout\",\"params\":{\"id\":\"1f\",\"key\":\"2\"},\"id\":7}\n{\"half";
         let mut buffer = Buffer::default();
         assert!(buffer.wait_for_data(&mut bytes).await && buffer.is_jsonrpc());
-        let call = buffer.jsonrpc_call(&mut bytes).await.expect("whole");
+        let call = buffer
+            .jsonrpc_call(&mut bytes)
+            .await
+            .expect("a complete message");
         assert_eq!(
             (call.target.as_str(), call.id, call.key),
             ("/payout", Some(0x1f), Some(2))
@@ -341,7 +354,7 @@
     }
 
     #[tokio::test]
-    async fn broken_and_unreadable_answers_are_told_apart() {
+    async fn closed_connections_and_malformed_responses_are_distinguished() {
         async fn read(mut bytes: &[u8]) -> Result<Response, ReadError> {
             Buffer::default().response(&mut bytes).await
         }
@@ -365,7 +378,7 @@
         let good =
             read(b"HTTP/1.1 100 \r\n\r\nHTTP/1.1 503 \r\nRetry-After: 0.25\r\nContent-Length: 2\r\n\r\nno")
                 .await;
-        let good = good.expect("whole");
+        let good = good.expect("a complete message");
         assert_eq!(
             (good.status, good.retry_after, good.body.as_slice()),
             (503, Some(0.25), &b"no"[..])
--- a/crates/heathroad-harness/src/jsonrpc_client.rs
+++ b/crates/heathroad-harness/src/jsonrpc_client.rs
@@ -1,5 +1,5 @@
-//! Calls to a proxy over JSON-RPC, as older finance systems make them: one connection to each
-//! proxy, calls pipelined or gathered into batches, each call's end classified.
+//! A JSON-RPC client with one connection to each proxy. Calls are pipelined or batched, and each
+//! call's result is classified.
 
 use crate::clock::{Clock, Micros, micros_from_seconds};
 use crate::event_log::AttemptEnd;
@@ -16,68 +16,70 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A connect that takes longer has failed.
-const CONNECT: Duration = Duration::from_millis(1000);
-/// So long past its time an answer is still awaited, to tell a late one from none.
-const PAST: Duration = Duration::from_millis(150);
-/// A batch waits so long for its members.
-const GATHER: Duration = Duration::from_millis(25);
-/// The proxy's codes for refused, failed, and failed for want of time.
-const CODES: [i64; 3] = [-32001, -32002, -32003];
+/// Time limit for connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Extra wait beyond the time limit, which distinguishes late responses from missing ones.
+const LATE_RESPONSE_WAIT: Duration = Duration::from_millis(150);
+/// How long an incomplete batch waits for further calls.
+const BATCH_DELAY: Duration = Duration::from_millis(25);
+/// The proxy's error codes: refused, failed, timed out.
+const REFUSED_CODE: i64 = -32001;
+const FAILED_CODE: i64 = -32002;
+const TIMED_OUT_CODE: i64 = -32003;
 
-/// What is called.
+/// A call to make.
 pub struct Call {
-    /// Tells it apart: its id in the text, and in its parameters for the backend.
+    /// Request id, sent as the call's id and in its parameters for the backend.
     pub id: u64,
-    /// Its method, which is its class.
+    /// Method, which is the class.
     pub method: String,
-    /// Its tenant.
+    /// Tenant.
     pub tenant: String,
-    /// Its key.
+    /// Idempotency key.
     pub key: Option<u64>,
-    /// How long it is waited for.
+    /// How long the client waits for the response.
     pub time_limit: Micros,
 }
 
-/// How a call went.
+/// Result of a call.
 pub struct CallResult {
-    /// When the last byte of its text was written.
+    /// When the last byte of the call was written.
     pub sent_at: Option<Micros>,
-    /// When the proxy's close was found to have crossed it, so that it was sent once more.
+    /// When the call was sent again because the proxy had closed the connection.
     pub resent_at: Option<Micros>,
-    /// How it ended.
+    /// How the call ended.
     pub end: AttemptEnd,
-    /// When.
+    /// When the call ended.
     pub ended_at: Micros,
 }
 
 type Waiters = Rc<RefCell<HashMap<u64, oneshot::Sender<AttemptEnd>>>>;
 
-struct Wire {
+struct Connection {
     writer: Mutex<OwnedWriteHalf>,
     waiters: Waiters,
-    /// The batch that goes out next: its answers come to this connection's waiters.
-    gathering: RefCell<Gathering>,
+    /// The batch that is sent next on this connection.
+    pending_batch: RefCell<Batch>,
 }
 
-/// A batch that gathers members.
+/// A batch that is not yet sent.
 #[derive(Default)]
-struct Gathering {
+struct Batch {
     members: Vec<Value>,
     sent: Vec<oneshot::Sender<Option<Micros>>>,
 }
 
-/// One connection to each proxy.
+/// A client with one connection to each proxy.
 pub struct JsonRpcClient {
     clock: Clock,
-    /// Members of a batch; 1 is no batches.
+    /// Maximum calls of a batch; 1 disables batching.
     batch: usize,
-    wires: RefCell<HashMap<SocketAddr, Rc<Wire>>>,
-    /// Answers that belong to no call that waits: to none at all, or the second to one.
-    extra: RefCell<Vec<u64>>,
+    connections: RefCell<HashMap<SocketAddr, Rc<Connection>>>,
+    /// Ids of responses that no pending call matches: unknown or answered before.
+    unexpected: RefCell<Vec<u64>>,
 }
 
-fn text(call: &Call) -> Value {
+fn encode(call: &Call) -> Value {
     let mut params = json!({"id": format!("{:016x}", call.id), "tenant": call.tenant});
     if let Some(key) = call.key {
         params["key"] = format!("{key:016x}").into();
@@ -85,89 +87,93 @@
     json!({"jsonrpc": "2.0", "method": call.method, "params": params, "id": format!("{:016x}", call.id)})
 }
 
-/// What an answer means.
-fn meaning(id: u64, answer: &Value) -> AttemptEnd {
-    if let Some(result) = answer.get("result") {
+/// Classifies a response.
+fn classify(id: u64, response: &Value) -> AttemptEnd {
+    if let Some(result) = response.get("result") {
         return match result.as_str() {
             Some(body) => crate::client::parse_response_body(id, body.as_bytes()),
             None => AttemptEnd::UnknownBody(result.to_string().chars().take(80).collect()),
         };
     }
-    let error = &answer["error"];
+    let error = &response["error"];
     match error["code"].as_i64() {
-        Some(code) if code == CODES[0] => {
+        Some(code) if code == REFUSED_CODE => {
             let after = error["data"]["retry_after_ms"].as_f64();
             AttemptEnd::Refused {
                 after: after.map(|ms| micros_from_seconds(ms / 1000.0)),
             }
         }
-        Some(code) if code == CODES[1] => AttemptEnd::Failed(502),
-        Some(code) if code == CODES[2] => AttemptEnd::Failed(504),
+        Some(code) if code == FAILED_CODE => AttemptEnd::Failed(502),
+        Some(code) if code == TIMED_OUT_CODE => AttemptEnd::Failed(504),
         Some(_) => AttemptEnd::Failed(400),
         None => AttemptEnd::Malformed,
     }
 }
 
-fn id(answer: &Value) -> Option<u64> {
-    u64::from_str_radix(answer["id"].as_str()?, 16).ok()
+fn response_id(response: &Value) -> Option<u64> {
+    u64::from_str_radix(response["id"].as_str()?, 16).ok()
 }
 
 impl JsonRpcClient {
-    /// Connects to nobody yet.
+    /// Returns a client without connections.
     pub fn new(clock: Clock, batch: usize) -> Rc<JsonRpcClient> {
-        let (wires, extra) = Default::default();
+        let (connections, unexpected) = Default::default();
         Rc::new(JsonRpcClient {
             clock,
             batch: batch.max(1),
-            wires,
-            extra,
+            connections,
+            unexpected,
         })
     }
 
-    /// Calls to whose answer another came, or that were never made.
+    /// Returns the ids of unexpected responses.
     pub fn take_unexpected(&self) -> Vec<u64> {
-        self.extra.take()
+        self.unexpected.take()
     }
 
-    async fn wire(self: &Rc<Self>, to: SocketAddr) -> Option<Rc<Wire>> {
-        if let Some(wire) = self.wires.borrow().get(&to) {
-            return Some(wire.clone());
+    async fn connection(self: &Rc<Self>, to: SocketAddr) -> Option<Rc<Connection>> {
+        if let Some(connection) = self.connections.borrow().get(&to) {
+            return Some(connection.clone());
         }
-        let stream = timeout(CONNECT, TcpStream::connect(to)).await.ok()?.ok()?;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(to))
+            .await
+            .ok()?
+            .ok()?;
         stream.set_nodelay(true).ok()?;
         let (reader, writer) = stream.into_split();
-        let (writer, waiters, gathering) = (Mutex::new(writer), Rc::default(), RefCell::default());
-        let wire = Rc::new(Wire {
+        let (writer, waiters, pending_batch) =
+            (Mutex::new(writer), Rc::default(), RefCell::default());
+        let connection = Rc::new(Connection {
             writer,
             waiters,
-            gathering,
+            pending_batch,
         });
-        spawn_local(self.clone().read(to, reader, wire.waiters.clone()));
-        // Two that connected at once each use their own; the later one is kept.
-        self.wires.borrow_mut().insert(to, wire.clone());
-        Some(wire)
+        spawn_local(self.clone().read(to, reader, connection.waiters.clone()));
+        // Of two connections opened at the same time, the later one is reused.
+        self.connections.borrow_mut().insert(to, connection.clone());
+        Some(connection)
     }
 
-    /// Reads answers until the connection ends; who waits then waits in vain.
+    /// Reads responses until the connection ends, then fails all pending calls.
     async fn read(self: Rc<Self>, to: SocketAddr, reader: OwnedReadHalf, waiters: Waiters) {
         let mut lines = BufReader::new(reader).lines();
         while let Ok(Some(line)) = lines.next_line().await {
-            let answers = match serde_json::from_str(&line) {
+            let responses = match serde_json::from_str(&line) {
                 Ok(Value::Array(list)) => list,
                 Ok(one) => vec![one],
                 Err(_) => break,
             };
-            for answer in answers {
-                let id = id(&answer).unwrap_or(0);
+            for response in responses {
+                let id = response_id(&response).unwrap_or(0);
                 match waiters.borrow_mut().remove(&id) {
-                    // Who waited may have given up.
-                    Some(waiter) => drop(waiter.send(meaning(id, &answer))),
-                    None => self.extra.borrow_mut().push(id),
+                    // The caller may have timed out.
+                    Some(waiter) => drop(waiter.send(classify(id, &response))),
+                    None => self.unexpected.borrow_mut().push(id),
                 }
             }
         }
-        let own = |w: &Rc<Wire>| Rc::ptr_eq(&w.waiters, &waiters);
-        self.wires
+        let own = |w: &Rc<Connection>| Rc::ptr_eq(&w.waiters, &waiters);
+        self.connections
             .borrow_mut()
             .retain(|addr, w| *addr != to || !own(w));
         waiters
@@ -176,41 +182,41 @@
             .for_each(|(_, w)| drop(w.send(AttemptEnd::Truncated(false))));
     }
 
-    /// Makes one call.
+    /// Makes a call, and repeats it once if the proxy had closed the connection.
     pub async fn call(self: &Rc<Self>, to: SocketAddr, call: &Call) -> CallResult {
-        let told = self.once(to, call).await;
-        match told.end {
+        let result = self.call_once(to, call).await;
+        match result.end {
             AttemptEnd::Truncated(false) => {
-                let crossed = Some(told.ended_at);
+                let crossed = Some(result.ended_at);
                 CallResult {
                     resent_at: crossed,
-                    ..self.once(to, call).await
+                    ..self.call_once(to, call).await
                 }
             }
-            _ => told,
+            _ => result,
         }
     }
 
-    async fn once(self: &Rc<Self>, to: SocketAddr, call: &Call) -> CallResult {
-        let told = |sent, end| CallResult {
+    async fn call_once(self: &Rc<Self>, to: SocketAddr, call: &Call) -> CallResult {
+        let result = |sent, end| CallResult {
             sent_at: sent,
             resent_at: None,
             end,
             ended_at: self.clock.now(),
         };
-        let Some(wire) = self.wire(to).await else {
-            return told(None, AttemptEnd::Unsent);
+        let Some(connection) = self.connection(to).await else {
+            return result(None, AttemptEnd::Unsent);
         };
         let (waiter, end) = oneshot::channel();
-        wire.waiters.borrow_mut().insert(call.id, waiter);
-        let Some(sent) = self.send(&wire, text(call)).await else {
-            wire.waiters.borrow_mut().remove(&call.id);
-            return told(None, AttemptEnd::Unsent);
+        connection.waiters.borrow_mut().insert(call.id, waiter);
+        let Some(sent) = self.send(&connection, encode(call)).await else {
+            connection.waiters.borrow_mut().remove(&call.id);
+            return result(None, AttemptEnd::Unsent);
         };
-        let patience = Duration::from_micros(call.time_limit) + PAST;
-        // Its waiter stays: an answer after that is a late one, and no extra.
+        let patience = Duration::from_micros(call.time_limit) + LATE_RESPONSE_WAIT;
+        // The waiter stays registered, so that a late response doesn't count as unexpected.
         let end = timeout(patience, end).await;
-        told(
+        result(
             Some(sent),
             end.map_or(AttemptEnd::NoResponse, |end| {
                 end.unwrap_or(AttemptEnd::Truncated(false))
@@ -218,45 +224,44 @@
         )
     }
 
-    /// Writes a member, alone or with others; when its last byte was written.
-    async fn send(&self, wire: &Wire, member: Value) -> Option<Micros> {
+    /// Writes a call, alone or in a batch, and returns when its last byte was written.
+    async fn send(&self, connection: &Connection, member: Value) -> Option<Micros> {
         if self.batch == 1 {
-            return self.write(wire, &member).await;
+            return self.write(connection, &member).await;
         }
         let (tell, sent) = oneshot::channel();
         let (first, full) = {
-            let mut gathering = wire.gathering.borrow_mut();
-            gathering.members.push(member);
-            gathering.sent.push(tell);
+            let mut pending_batch = connection.pending_batch.borrow_mut();
+            pending_batch.members.push(member);
+            pending_batch.sent.push(tell);
             (
-                gathering.members.len() == 1,
-                gathering.members.len() >= self.batch,
+                pending_batch.members.len() == 1,
+                pending_batch.members.len() >= self.batch,
             )
         };
         if full {
-            self.post(wire).await;
+            self.flush(connection).await;
         } else if first {
-            sleep(GATHER).await;
-            // Unless it was filled up meanwhile, and others gather since: those wait by themselves.
-            self.post(wire).await;
+            sleep(BATCH_DELAY).await;
+            self.flush(connection).await;
         }
         sent.await.ok().flatten()
     }
 
-    async fn post(&self, wire: &Wire) {
-        let gathered = wire.gathering.take();
-        if gathered.members.is_empty() {
+    async fn flush(&self, connection: &Connection) {
+        let batch = connection.pending_batch.take();
+        if batch.members.is_empty() {
             return;
         }
-        let at = self.write(wire, &Value::Array(gathered.members)).await;
-        // Who waited may have given up.
-        gathered.sent.into_iter().for_each(|s| {
+        let at = self.write(connection, &Value::Array(batch.members)).await;
+        // The caller may have timed out.
+        batch.sent.into_iter().for_each(|s| {
             let _ = s.send(at);
         });
     }
 
-    async fn write(&self, wire: &Wire, value: &Value) -> Option<Micros> {
-        let mut writer = wire.writer.lock().await;
+    async fn write(&self, connection: &Connection, value: &Value) -> Option<Micros> {
+        let mut writer = connection.writer.lock().await;
         writer
             .write_all(format!("{value}\n").as_bytes())
             .await
@@ -270,8 +275,8 @@
     use super::*;
 
     #[test]
-    fn answers_mean_what_they_say() {
-        let of = |text: &str| meaning(0x1f, &serde_json::from_str(text).expect("JSON"));
+    fn responses_are_classified_by_result_and_error_code() {
+        let of = |text: &str| classify(0x1f, &serde_json::from_str(text).expect("JSON"));
         assert_eq!(
             of(r#"{"result":"000000000000001f 0000000000000002"}"#),
             AttemptEnd::Served(2)
--- a/crates/heathroad-harness/src/load_generator.rs
+++ b/crates/heathroad-harness/src/load_generator.rs
@@ -1,6 +1,6 @@
-//! The load driver: an open loop on a thread of its own. Arrivals were drawn ahead and wait for
-//! nobody, so that a slow proxy delays no request but its own; how late the driver itself is gets
-//! measured, and voids what it can't vouch for.
+//! An open-loop load generator on its own thread: requests are sent at their scheduled times, so a
+//! slow proxy delays no other request. The generator measures its own lateness, which can make a run
+//! void.
 
 use crate::client::{CallResult, Client, ClientRequest};
 use crate::clock::{Clock, Micros};
@@ -23,25 +23,23 @@
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::{sleep, timeout};
 
-/// Less time than this is no time for a try.
-const LEAST: Micros = 50_000;
-/// Most first tries at work at once; beyond it the driver itself is the bottleneck.
-const MOST_OPEN: usize = 20_000;
-/// Time that a slow reader takes.
-const SLOW: Micros = 150_000;
-/// A client that sends what can't be used is owed an answer or a close within this (and is waited
-/// for a bit more).
+/// Minimum time left for an attempt.
+const MIN_TIME_LIMIT: Micros = 50_000;
+/// Maximum number of requests in flight; further ones are dropped.
+const MAX_IN_FLIGHT: usize = 20_000;
+/// Delay of a slow reader.
+const SLOW_READ_DELAY: Micros = 150_000;
+/// Time within which a malformed request must be answered or its connection closed.
 pub const MALFORMED_REQUEST_TIMEOUT: Micros = 3_000_000;
-/// The number of a repeat that the plan orders, in place of a retry's.
+/// Retry number of a repeat that the scenario orders.
 pub const PLANNED_REPEAT: u8 = u8::MAX;
 
-/// The layer before the first tier's proxies: it knows those that were ready, and notices a death
-/// late.
+/// The load balancer in load_balancer of the first tier, with the proxies that it considers available.
 #[derive(Default)]
 pub struct LoadBalancer(Mutex<Vec<(ProxyIndex, SocketAddr, Option<SocketAddr>)>>);
 
 impl LoadBalancer {
-    /// Takes a proxy in, in place of what was known under its number.
+    /// Adds a proxy or replaces its addresses.
     pub fn add(&self, proxy: ProxyIndex, addr: SocketAddr, remote: Option<SocketAddr>) {
         if let Ok(mut list) = self.0.lock() {
             list.retain(|(p, ..)| *p != proxy);
@@ -50,7 +48,7 @@
         }
     }
 
-    /// Sends nothing to a proxy any more.
+    /// Removes a proxy.
     pub fn remove(&self, proxy: ProxyIndex) {
         if let Ok(mut list) = self.0.lock() {
             list.retain(|(p, ..)| *p != proxy);
@@ -64,43 +62,43 @@
     }
 }
 
-/// What the driver has seen.
+/// What the load generator has recorded.
 pub struct LoadResult {
-    /// Every try.
+    /// All attempts.
     pub attempts: Vec<Attempt>,
-    /// Those who send what can't be used.
+    /// Clients that sent malformed requests.
     pub malformed_clients: Vec<MalformedClient>,
-    /// How late first tries were begun, in microseconds.
+    /// Lateness of first attempts, in microseconds.
     pub lateness: Histogram<u64>,
-    /// First tries that were not begun at all, for want of room here.
+    /// Requests dropped because too many were in flight.
     pub dropped: u64,
-    /// Tries that failed for want of descriptors here.
+    /// Attempts that failed because this process had no free descriptor.
     pub descriptor_failures: u64,
 }
 
-/// How far the driver is, for those who wait.
+/// Progress of the load generator.
 #[derive(Default)]
 pub struct Progress {
-    /// First tries begun.
+    /// Requests started.
     pub started: AtomicU64,
 }
 
 struct LoadGenerator {
     schedule: Arc<Schedule>,
     clock: Clock,
-    front: Arc<LoadBalancer>,
+    load_balancer: Arc<LoadBalancer>,
     client: Rc<Client>,
     remote: Rc<JsonRpcClient>,
-    tries: RefCell<Vec<Attempt>>,
-    rude: RefCell<Vec<MalformedClient>>,
-    starved: Cell<u64>,
+    attempts: RefCell<Vec<Attempt>>,
+    malformed: RefCell<Vec<MalformedClient>>,
+    descriptor_failures: Cell<u64>,
 }
 
-/// Drives the plan's load on a thread of its own, until its end or until `stop` is set.
+/// Sends the scheduled load on a new thread, until its end or until `stop` is set.
 pub fn start(
     schedule: Arc<Schedule>,
     clock: Clock,
-    front: Arc<LoadBalancer>,
+    load_balancer: Arc<LoadBalancer>,
     progress: Arc<Progress>,
     stop: watch::Receiver<bool>,
 ) -> JoinHandle<Result<LoadResult, String>> {
@@ -108,91 +106,94 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
-        let runtime = runtime.map_err(|e| format!("the driver's runtime: {e}"))?;
-        LocalSet::new().block_on(&runtime, drive(schedule, clock, front, progress, stop))
+        let runtime = runtime.map_err(|e| format!("load generator runtime: {e}"))?;
+        LocalSet::new().block_on(
+            &runtime,
+            run(schedule, clock, load_balancer, progress, stop),
+        )
     })
 }
 
-async fn drive(
+async fn run(
     schedule: Arc<Schedule>,
     clock: Clock,
-    front: Arc<LoadBalancer>,
+    load_balancer: Arc<LoadBalancer>,
     progress: Arc<Progress>,
     mut stop: watch::Receiver<bool>,
 ) -> Result<LoadResult, String> {
-    let (client, tries, rude, starved) = (
+    let (client, attempts, malformed, descriptor_failures) = (
         Rc::default(),
         RefCell::default(),
         RefCell::default(),
         Cell::new(0),
     );
     let remote = JsonRpcClient::new(clock, usize::from(schedule.scenario.clients.batch));
-    let driver = Rc::new(LoadGenerator {
+    let generator = Rc::new(LoadGenerator {
         schedule: schedule.clone(),
         clock,
-        front,
+        load_balancer,
         client,
         remote,
-        tries,
-        rude,
-        starved,
+        attempts,
+        malformed,
+        descriptor_failures,
     });
     let mut lateness = Histogram::new_with_max(600_000_000, 3).map_err(|e| e.to_string())?;
-    let (mut open, mut dropped) = (JoinSet::new(), 0);
-    let mut rude = schedule.malformed_requests.iter().peekable();
+    let (mut in_flight, mut dropped) = (JoinSet::new(), 0);
+    let mut malformed = schedule.malformed_requests.iter().peekable();
     for (number, first) in schedule.requests.iter().enumerate() {
-        while let Some(next) = rude.next_if(|r| r.at <= first.at) {
+        while let Some(next) = malformed.next_if(|r| r.at <= first.at) {
             clock.sleep_until(next.at).await;
-            open.spawn_local(driver.clone().rude(next.clone()));
+            in_flight.spawn_local(generator.clone().send_malformed(next.clone()));
         }
         tokio::select! {
             biased;
             _ = stop.wait_for(|stop| *stop) => break,
             () = clock.sleep_until(first.at) => {}
         }
-        // What has ended is taken away as the load goes on.
-        while open.try_join_next().is_some() {}
-        if open.len() >= MOST_OPEN {
+        // Remove completed tasks.
+        while in_flight.try_join_next().is_some() {}
+        if in_flight.len() >= MAX_IN_FLIGHT {
             dropped += 1;
             continue;
         }
         lateness.saturating_record(clock.now().saturating_sub(first.at));
         progress.started.fetch_add(1, Ordering::Relaxed);
-        open.spawn_local(driver.clone().first(number as u32, first.clone()));
+        in_flight.spawn_local(generator.clone().send_request(number as u32, first.clone()));
     }
     loop {
         tokio::select! {
             biased;
             _ = stop.wait_for(|stop| *stop) => break,
-            ended = open.join_next() => if ended.is_none() { break },
+            ended = in_flight.join_next() => if ended.is_none() { break },
         }
     }
-    open.shutdown().await;
-    let mut extras = driver.client.take_unexpected();
-    extras.extend(driver.remote.take_unexpected());
-    let mut tries = driver.tries.take();
-    tries
+    in_flight.shutdown().await;
+    let mut extras = generator.client.take_unexpected();
+    extras.extend(generator.remote.take_unexpected());
+    let mut attempts = generator.attempts.take();
+    attempts
         .iter_mut()
         .for_each(|t| t.unexpected_data = extras.contains(&t.id));
-    tries.sort_by_key(|t| (t.request_index, t.retry));
+    attempts.sort_by_key(|t| (t.request_index, t.retry));
     Ok(LoadResult {
-        attempts: tries,
-        malformed_clients: driver.rude.take(),
+        attempts,
+        malformed_clients: generator.malformed.take(),
         lateness,
         dropped,
-        descriptor_failures: driver.starved.get(),
+        descriptor_failures: generator.descriptor_failures.get(),
     })
 }
 
-/// Whether a client may ask again by itself after such an end, so long after its first try.
-fn may_retry(class: &Class, end: &AttemptEnd, passed: Micros) -> bool {
+/// Returns whether a client retries after `end`, `elapsed` after its first attempt.
+fn may_retry(class: &Class, end: &AttemptEnd, elapsed: Micros) -> bool {
     match end {
         AttemptEnd::Served(_) | AttemptEnd::Cancelled => false,
         AttemptEnd::Refused { .. } | AttemptEnd::Unsent => true,
         _ => match class.effect {
             Effect::Safe => true,
             Effect::Keyed => {
-                class.group == Group::All && passed < (class.window_ms * 1000.0) as Micros
+                class.group == Group::All && elapsed < (class.window_ms * 1000.0) as Micros
             }
             Effect::Unsafe => false,
         },
@@ -200,30 +201,29 @@
 }
 
 impl LoadGenerator {
-    async fn first(self: Rc<Self>, number: u32, first: ScheduledRequest) {
+    async fn send_request(self: Rc<Self>, number: u32, first: ScheduledRequest) {
         let class = self.schedule.class(first.class);
-        let whole = (class.deadline_ms * 1000.0) as Micros;
+        let deadline = (class.deadline_ms * 1000.0) as Micros;
         let clients = &self.schedule.scenario.clients;
         let mut pause = (clients.backoff_ms * 1000.0) as Micros;
         for retry in 0..=clients.retries {
-            let passed = self.clock.now().saturating_sub(first.at);
-            let left = whole.saturating_sub(passed);
-            if left < LEAST {
+            let elapsed = self.clock.now().saturating_sub(first.at);
+            let left = deadline.saturating_sub(elapsed);
+            if left < MIN_TIME_LIMIT {
                 break;
             }
-            // A call over JSON-RPC doesn't say how long it waits: its class's time is taken for it,
-            // of retries too.
+            // JSON-RPC calls carry no deadline, so the proxy applies that of the class.
             let patience = if first.uses_jsonrpc {
-                whole
+                deadline
             } else {
-                ((first.time_limit_share * whole as f64) as Micros).min(left)
+                ((first.time_limit_share * deadline as f64) as Micros).min(left)
             };
-            if patience < LEAST {
+            if patience < MIN_TIME_LIMIT {
                 break;
             }
             let end = self.attempt(number, &first, retry, patience).await;
-            let passed = self.clock.now().saturating_sub(first.at);
-            if !may_retry(class, &end, passed) {
+            let elapsed = self.clock.now().saturating_sub(first.at);
+            if !may_retry(class, &end, elapsed) {
                 break;
             }
             let wait = match end {
@@ -235,7 +235,7 @@
         }
         if let Some(after) = first.repeat_after {
             self.clock.sleep_until(first.at + after).await;
-            self.attempt(number, &first, PLANNED_REPEAT, whole).await;
+            self.attempt(number, &first, PLANNED_REPEAT, deadline).await;
         }
     }
 
@@ -256,9 +256,13 @@
         } else {
             self.clock.now()
         };
-        let slow = if first.reads_slowly { SLOW } else { 0 };
+        let slow = if first.reads_slowly {
+            SLOW_READ_DELAY
+        } else {
+            0
+        };
         let key = self.schedule.is_keyed(first.class).then_some(first.key);
-        let told = match self.front.pick(id) {
+        let result = match self.load_balancer.pick(id) {
             None => (0, None),
             Some((proxy, _, Some(addr))) if first.uses_jsonrpc => {
                 let tenant = self.schedule.scenario.tenant[usize::from(first.tenant)]
@@ -289,7 +293,7 @@
                 )
             }
             Some((proxy, addr, _)) => {
-                let ask = ClientRequest {
+                let request = ClientRequest {
                     id,
                     path: format!("/{}?k={:x}", class.name, first.key),
                     tenant: Some(
@@ -308,18 +312,27 @@
                     read_delay: slow,
                     budget_headers: [None, None],
                 };
-                (proxy, Some(self.client.call(self.clock, addr, &ask).await))
+                (
+                    proxy,
+                    Some(self.client.call(self.clock, addr, &request).await),
+                )
             }
         };
-        let (proxy, told) = told;
-        let (sent, crossed, end, ended) = match told {
-            Some(told) => (told.sent_at, told.resent_at, told.end, told.ended_at),
+        let (proxy, result) = result;
+        let (sent, crossed, end, ended) = match result {
+            Some(result) => (
+                result.sent_at,
+                result.resent_at,
+                result.end,
+                result.ended_at,
+            ),
             None => (None, None, AttemptEnd::Unsent, self.clock.now()),
         };
         if end == AttemptEnd::Unsent && out_of_descriptors() {
-            self.starved.set(self.starved.get() + 1);
+            self.descriptor_failures
+                .set(self.descriptor_failures.get() + 1);
         }
-        self.tries.borrow_mut().push(Attempt {
+        self.attempts.borrow_mut().push(Attempt {
             id,
             tier: 0,
             parent: None,
@@ -341,18 +354,18 @@
         end
     }
 
-    /// Sends what can't be used, and sees what comes.
-    async fn rude(self: Rc<Self>, order: MalformedRequest) {
+    /// Sends a malformed request and records the response.
+    async fn send_malformed(self: Rc<Self>, scheduled: MalformedRequest) {
         let at = self.clock.now();
-        let id = mix(mix(self.schedule.seed, order.at), 0x52_55_44_45);
-        let Some((_, addr, _)) = self.front.pick(id) else {
+        let id = mix(mix(self.schedule.seed, scheduled.at), 0x52_55_44_45);
+        let Some((_, addr, _)) = self.load_balancer.pick(id) else {
             return;
         };
-        let (kind, bytes, hidden) = self.noise(order.kind, id);
+        let (kind, bytes, smuggled_id) = self.malformed_request(scheduled.kind, id);
         let owed =
             Duration::from_micros(MALFORMED_REQUEST_TIMEOUT + MALFORMED_REQUEST_TIMEOUT / 10);
         let status = Cell::new(None);
-        let talk = async {
+        let exchange = async {
             let mut stream = TcpStream::connect(addr).await?;
             stream.write_all(&bytes).await?;
             let mut seen = Vec::new();
@@ -362,7 +375,7 @@
                     Ok(0) | Err(_) => return Ok::<_, std::io::Error>(()),
                     Ok(n) => seen.extend_from_slice(&part[..n]),
                 }
-                // Its first line is enough; more is not kept.
+                // Only the status line is needed.
                 if let Some(line) = seen.split(|b| *b == b'\n').next().filter(|l| l.len() > 12) {
                     let text = String::from_utf8_lossy(line).into_owned();
                     status.set(text.split_whitespace().nth(1).and_then(|s| s.parse().ok()));
@@ -370,22 +383,22 @@
                 }
             }
         };
-        let done = timeout(owed, talk).await;
-        // Who could not even connect was owed nothing.
+        let done = timeout(owed, exchange).await;
+        // Not recorded if the connection failed.
         if let Ok(Err(_)) = done {
             return;
         }
         let ended = done.is_ok().then(|| self.clock.now());
-        self.rude.borrow_mut().push(MalformedClient {
+        self.malformed.borrow_mut().push(MalformedClient {
             kind,
-            smuggled_id: hidden,
+            smuggled_id,
             at,
             status: status.get(),
             ended_at: ended,
         });
     }
 
-    fn noise(&self, kind: usize, id: u64) -> (&'static str, Vec<u8>, Option<u64>) {
+    fn malformed_request(&self, kind: usize, id: u64) -> (&'static str, Vec<u8>, Option<u64>) {
         let scenario = &self.schedule.scenario;
         let owner = &scenario.tenant[0].name;
         let safe = scenario
@@ -399,7 +412,7 @@
         let sound = format!("Req-Id: {id:016x}\r\nReq-Deadline-Ms: 1000\r\n");
         let get = format!("GET /{}?k=1", safe.name);
         let post = format!("POST /{}?k=1", safe.name);
-        let (name, text, hidden) = match kind % MALFORMED_REQUEST_KINDS {
+        let (name, text, smuggled_id) = match kind % MALFORMED_REQUEST_KINDS {
             0 => (
                 "noise",
                 "\u{1}\u{2} not a request at all\r\n\r\n".to_string(),
@@ -450,11 +463,11 @@
                 )
             }
         };
-        (name, text.into_bytes(), hidden)
+        (name, text.into_bytes(), smuggled_id)
     }
 }
 
-/// Whether this process can open no further descriptor.
+/// Returns whether this process has no free descriptor.
 fn out_of_descriptors() -> bool {
     std::fs::File::open("/dev/null").is_err()
 }
--- a/crates/heathroad-harness/src/main.rs
+++ b/crates/heathroad-harness/src/main.rs
@@ -1,4 +1,4 @@
-//! `heathroad-harness`: one command to see heathroad work, and fail.
+//! The `heathroad-harness` command, which runs fault-injection scenarios against heathroad.
 
 #![allow(
     clippy::too_many_lines,
