--- a/crates/heathroad-lease/tests/succession.rs
+++ b/crates/heathroad-lease/tests/succession.rs
@@ -1,4 +1,4 @@
-//! Who holds a lease, and who comes next when its holder fails or resigns.
+//! Which member holds a lease, and which succeeds it after a failure or resignation.
 
 mod simulation;
 
@@ -8,7 +8,7 @@
 use heathroad_lease::token::Token;
 use heathroad_lease::{LeaseId, MemberId};
 use simulation::succession::SUCCESSION_BOUND;
-use simulation::{LEASE, Simulation, lease};
+use simulation::{LEASE_DURATION, Simulation, lease};
 
 #[test]
 fn the_preferred_member_holds_the_lease() {
@@ -31,7 +31,7 @@
 fn a_holder_that_dies_is_succeeded() {
     let mut simulation = Simulation::with_holder(6, 3, 2);
     let (first, last) = (simulation.current_holder(), simulation.current_token());
-    simulation.run(LEASE * 6);
+    simulation.run(LEASE_DURATION * 6);
     simulation.kill(first);
     let next = simulation.run_until_succeeded(last);
     let is_other = next.holder != first;
@@ -44,10 +44,10 @@
 }
 
 #[test]
-fn a_holder_that_resigns_is_succeeded_at_once_and_stays_away() {
+fn a_holder_that_resigns_is_succeeded_quickly_and_backs_off() {
     for seed in 20..40 {
         let mut simulation = Simulation::with_holder(6, 3, seed);
-        simulation.run(LEASE * 2);
+        simulation.run(LEASE_DURATION * 2);
         let (first, last) = (simulation.current_holder(), simulation.current_token());
         simulation.with_manager(first, |manager, now| {
             manager.resign(now, lease(), EndReason::Resigned);
@@ -55,44 +55,45 @@
         let next = simulation.run_until_succeeded(last);
         let is_other = next.holder != first;
         assert!(
-            is_other && next.took < LEASE / 10,
+            is_other && next.took < LEASE_DURATION / 10,
             "{} after {}",
             next.holder,
             next.took
         );
-        simulation.run(LEASE * 4);
+        simulation.run(LEASE_DURATION * 4);
         assert_eq!(simulation.holder(), Some(next.holder));
     }
 }
 
-/// A message of a handover that is lost costs a retransmission, and not a lease.
+/// A lost message of a handover delays it by a retransmission, not by a lease duration.
 #[test]
-fn a_handover_under_loss_is_quick() {
+fn a_handover_under_message_loss_is_quick() {
     let mut slow = 0;
     for seed in 100..200 {
         let mut simulation = Simulation::with_holder(6, 3, seed);
-        simulation.run(LEASE * 2);
+        simulation.run(LEASE_DURATION * 2);
         let (first, last) = (simulation.current_holder(), simulation.current_token());
         simulation.faults.loss = 0.1;
         simulation.with_manager(first, |manager, now| {
             manager.resign(now, lease(), EndReason::Resigned);
         });
         let next = simulation.run_until_succeeded(last);
-        slow += u32::from(next.took > LEASE / 4);
+        slow += u32::from(next.took > LEASE_DURATION / 4);
     }
     assert!(
         slow <= 2,
-        "{slow} of 100 took longer than a quarter of a lease"
+        "{slow} of 100 handovers took longer than a quarter of the lease duration"
     );
 }
 
-/// A member that was told of a handover asks again soon, though voters have not heard of it yet.
+/// A candidate that has received a handover retries soon although voters still report the lease as
+/// held.
 #[test]
-fn a_handover_is_believed_for_a_while() {
-    for is_told in [true, false] {
+fn a_candidate_retries_soon_after_a_handover() {
+    for receives_handover in [true, false] {
         let mut simulation = Simulation::new(3, 3, 1);
         let manager = simulation.node(0).running_manager();
-        if is_told {
+        if receives_handover {
             let handover = Message {
                 lease: lease(),
                 body: Body::Handover,
@@ -115,17 +116,17 @@
             };
             manager.handle_message(20, voter, 1, message);
         }
-        let asks_soon = manager.next_due() < 20 + LEASE / 16;
-        assert_eq!(asks_soon, is_told, "{}", manager.next_due());
+        let retries_soon = manager.next_due() < 20 + LEASE_DURATION / 16;
+        assert_eq!(retries_soon, receives_handover, "{}", manager.next_due());
     }
 }
 
-/// The handover, and all that voters were told of the resignation, are lost: the grants expire.
+/// If the handover and all resign messages are lost, the lease is free once the grants expire.
 #[test]
-fn a_handover_whose_messages_are_lost_ends_with_the_lease() {
+fn a_lease_expires_if_all_handover_messages_are_lost() {
     let mut simulation = Simulation::with_holder(6, 3, 4);
     let (first, last) = (simulation.current_holder(), simulation.current_token());
-    simulation.run(LEASE * 6);
+    simulation.run(LEASE_DURATION * 6);
     let others: Vec<MemberId> = (0..6).filter(|member| *member != first).collect();
     simulation.partition(&[first], &others);
     simulation.with_manager(first, |manager, now| {
@@ -141,7 +142,7 @@
     );
 }
 
-/// A member that has resigned does not hold the lease again soon, though nobody else is left.
+/// A member that has resigned backs off even if no other member is available.
 #[test]
 fn members_that_have_all_resigned_back_off() {
     let mut simulation = Simulation::with_holder(3, 3, 19);
@@ -152,22 +153,22 @@
         });
     }
     let is_held = |simulation: &Simulation| simulation.holder().is_some();
-    let end = simulation.now + LEASE * 7;
+    let end = simulation.now + LEASE_DURATION * 7;
     assert_eq!(simulation.run_until(end, is_held), None);
-    let end = simulation.now + LEASE * 5;
+    let end = simulation.now + LEASE_DURATION * 5;
     simulation
         .run_until(end, is_held)
-        .expect("it is tried again");
+        .expect("no member acquired the lease after the backoff");
 }
 
-/// A few members of a large cluster seek the lease, and the others are silent.
+/// In a large cluster, only the standby members send requests.
 #[test]
-fn few_members_stand_by() {
+fn only_standby_members_send_requests() {
     let mut simulation = Simulation::with_holder(30, 3, 19);
     simulation.requests_sent.fill(0);
     let sent_before = simulation.messages_sent;
-    simulation.run(LEASE * 20);
-    // Also where they are called for another reason.
+    simulation.run(LEASE_DURATION * 20);
+    // Ticks that are not due must not cause requests.
     (0..30).for_each(|member| simulation.with_manager(member, LeaseManager::tick));
     let requests = &simulation.requests_sent;
     assert_eq!(
@@ -176,21 +177,24 @@
         "{requests:?}"
     );
     let sent_per_lease = (simulation.messages_sent - sent_before) / 20;
-    assert!(sent_per_lease < 50, "{sent_per_lease} a lease");
+    assert!(
+        sent_per_lease < 50,
+        "{sent_per_lease} messages per lease duration"
+    );
 }
 
 #[test]
-fn competing_candidates_elect_one_under_loss() {
+fn competing_candidates_agree_on_one_holder_under_message_loss() {
     for seed in 0..40 {
         let mut simulation = Simulation::new(5, 5, 100 + seed);
         simulation.faults.loss = 0.3;
         simulation.run_until_held();
         let at = simulation.now;
-        assert!(at < LEASE * 5, "seed {seed}: {at}");
+        assert!(at < LEASE_DURATION * 5, "seed {seed}: {at}");
         simulation.write_interval = Some(5);
-        simulation.run(LEASE * 10);
+        simulation.run(LEASE_DURATION * 10);
         assert_eq!(simulation.check_invariants(), Ok(()), "seed {seed}");
         let acquisitions = simulation.acquisitions().len();
-        assert_eq!(acquisitions, 1, "seed {seed}: losses alone end no hold");
+        assert_eq!(acquisitions, 1, "seed {seed}: message loss ended a hold");
     }
 }
