--- a/crates/heathroad-harness/src/cluster.rs
+++ b/crates/heathroad-harness/src/cluster.rs
@@ -1,6 +1,5 @@
-//! A cluster of daemons with an emulated network between them and one backend, for tests. Daemons
-//! can be killed, suspended and restarted with no or outdated state, and links can fail. The backend
-//! records the requests that it receives.
+//! A cluster of daemons with an emulated network and one backend, for tests. Daemons can be killed,
+//! suspended and restarted with lost or outdated state, and links can fail.
 
 use crate::clock::{Clock, Micros};
 use crate::daemon::{self, Daemon};
@@ -33,8 +32,7 @@
 /// Configuration of a cluster.
 #[derive(Debug, Clone, Default)]
 pub struct Options {
-    /// Text of the routes file, with `BACKEND` in place of the backend's address; none for a single
-    /// pool.
+    /// The routes file, `BACKEND` standing for the backend's address; a single pool if none.
     pub routes: Option<String>,
     /// Period of the membership protocol, in milliseconds.
     pub period_ms: u64,
@@ -67,7 +65,7 @@
     backend_requests: Arc<Mutex<Vec<BackendRequest>>>,
     backend: SocketAddr,
     backend_task: JoinHandle<()>,
-    hold_sender: watch::Sender<bool>,
+    hold: watch::Sender<bool>,
     program: PathBuf,
     folder: PathBuf,
     options: Options,
@@ -78,7 +76,6 @@
     fn drop(&mut self) {
         self.daemons.clear();
         self.backend_task.abort();
-        // Best effort: the folder may not exist.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -87,10 +84,10 @@
     listener: TcpListener,
     clock: Clock,
     received: Arc<Mutex<Vec<BackendRequest>>>,
-    hold_sender: watch::Receiver<bool>,
+    held: watch::Receiver<bool>,
 ) {
     while let Ok((mut stream, _)) = listener.accept().await {
-        let (received, mut hold_sender) = (received.clone(), hold_sender.clone());
+        let (received, mut held) = (received.clone(), held.clone());
         tokio::spawn(async move {
             let mut buffer = Buffer::default();
             while let Ok(request) = buffer.request(&mut stream).await {
@@ -102,9 +99,8 @@
                         version: request.version,
                     });
                 }
-                let hold = *hold_sender.borrow_and_update();
-                // Fails when the cluster is dropped.
-                let waited = !hold || hold_sender.wait_for(|hold| !hold).await.is_ok();
+                let hold = *held.borrow_and_update();
+                let waited = !hold || held.wait_for(|hold| !hold).await.is_ok();
                 if !waited
                     || stream
                         .write_all(&http::encode_response(200, "", "done"))
@@ -153,13 +149,8 @@
             .map_err(|e| format!("backend: {e}"))?;
         let backend = listener.local_addr().map_err(|e| format!("backend: {e}"))?;
         let received = Arc::<Mutex<Vec<BackendRequest>>>::default();
-        let hold_sender = watch::Sender::new(false);
-        let backend_task = tokio::spawn(serve(
-            listener,
-            clock,
-            received.clone(),
-            hold_sender.subscribe(),
-        ));
+        let hold = watch::Sender::new(false);
+        let task = tokio::spawn(serve(listener, clock, received.clone(), hold.subscribe()));
         let daemons = (0..proxies).map(|_| None).collect();
         let program = program.to_path_buf();
         let mut cluster = Cluster {
@@ -168,8 +159,8 @@
             daemons,
             backend_requests: received,
             backend,
-            backend_task,
-            hold_sender,
+            backend_task: task,
+            hold,
             program,
             folder,
             options,
@@ -258,14 +249,14 @@
     }
 
     /// Replaces the lease section of the fleet file; daemons read it when they start.
-    pub fn set_leases(&mut self, duties: String) -> Result<(), String> {
-        self.options.leases = duties;
+    pub fn set_leases(&mut self, leases: String) -> Result<(), String> {
+        self.options.leases = leases;
         write_files(&self.folder, &self.options).map_err(|e| e.to_string())
     }
 
     /// Asks a daemon to release a lease.
-    pub async fn release_lease(&self, proxy: u16, duty: &str) -> Result<(), String> {
-        let path = format!("/duty/resign?name={duty}");
+    pub async fn release_lease(&self, proxy: u16, lease: &str) -> Result<(), String> {
+        let path = format!("/duty/resign?name={lease}");
         let response = daemon::post(self.daemon(proxy)?.admin_address, &path, "")
             .await
             .map_err(|e| e.to_string())?;
@@ -373,8 +364,7 @@
         other: u16,
         standing: &str,
     ) -> Result<Value, String> {
-        let stands =
-            |response: &Value| response["members"][usize::from(other)]["standing"] == standing;
+        let stands = |r: &Value| r["members"][usize::from(other)]["standing"] == standing;
         self.wait_until(proxy, "/fleet/members", stands).await
     }
 
@@ -429,14 +419,8 @@
         self.propose(proxy, "/config/apply", text).await
     }
 
-    /// Like [`Cluster::apply`], with the version required of all members `within_ms` after the
-    /// commit.
-    pub async fn apply_required(
-        &self,
-        proxy: u16,
-        text: &str,
-        within_ms: u64,
-    ) -> Result<(), String> {
+    /// Like [`Cluster::apply`], required of all members `within_ms` after the commit.
+    pub async fn apply_by(&self, proxy: u16, text: &str, within_ms: u64) -> Result<(), String> {
         self.propose(
             proxy,
             &format!("/config/apply?required_ms={within_ms}"),
@@ -460,7 +444,7 @@
 
     /// Makes the backend hold its responses, or send all of them.
     pub fn hold_responses(&self, hold: bool) {
-        self.hold_sender.send_replace(hold);
+        self.hold.send_replace(hold);
     }
 
     /// Returns the requests that the backend has received.
--- a/crates/heathroad-harness/src/load_generator.rs
+++ b/crates/heathroad-harness/src/load_generator.rs
@@ -28,13 +28,13 @@
 /// Maximum number of requests in flight; further ones are dropped.
 const MAX_IN_FLIGHT: usize = 20_000;
 /// Delay of a slow reader.
-const SLOW_READ_DELAY: Micros = 150_000;
+const READ_DELAY: Micros = 150_000;
 /// Time within which a malformed request must be answered or its connection closed.
 pub const MALFORMED_REQUEST_TIMEOUT: Micros = 3_000_000;
 /// Retry number of a repeat that the scenario orders.
 pub const PLANNED_REPEAT: u8 = u8::MAX;
 
-/// The load balancer in load_balancer of the first tier, with the proxies that it considers available.
+/// The load balancer in balancer of the first tier, with the proxies that it considers available.
 #[derive(Default)]
 pub struct LoadBalancer(Mutex<Vec<(ProxyIndex, SocketAddr, Option<SocketAddr>)>>);
 
@@ -86,7 +86,7 @@
 struct LoadGenerator {
     schedule: Arc<Schedule>,
     clock: Clock,
-    load_balancer: Arc<LoadBalancer>,
+    balancer: Arc<LoadBalancer>,
     client: Rc<Client>,
     remote: Rc<JsonRpcClient>,
     attempts: RefCell<Vec<Attempt>>,
@@ -98,7 +98,7 @@
 pub fn start(
     schedule: Arc<Schedule>,
     clock: Clock,
-    load_balancer: Arc<LoadBalancer>,
+    balancer: Arc<LoadBalancer>,
     progress: Arc<Progress>,
     stop: watch::Receiver<bool>,
 ) -> JoinHandle<Result<LoadResult, String>> {
@@ -107,36 +107,27 @@
             .enable_all()
             .build();
         let runtime = runtime.map_err(|e| format!("load generator runtime: {e}"))?;
-        LocalSet::new().block_on(
-            &runtime,
-            run(schedule, clock, load_balancer, progress, stop),
-        )
+        LocalSet::new().block_on(&runtime, run(schedule, clock, balancer, progress, stop))
     })
 }
 
 async fn run(
     schedule: Arc<Schedule>,
     clock: Clock,
-    load_balancer: Arc<LoadBalancer>,
+    balancer: Arc<LoadBalancer>,
     progress: Arc<Progress>,
     mut stop: watch::Receiver<bool>,
 ) -> Result<LoadResult, String> {
-    let (client, attempts, malformed, descriptor_failures) = (
-        Rc::default(),
-        RefCell::default(),
-        RefCell::default(),
-        Cell::new(0),
-    );
     let remote = JsonRpcClient::new(clock, usize::from(schedule.scenario.clients.batch));
     let generator = Rc::new(LoadGenerator {
         schedule: schedule.clone(),
         clock,
-        load_balancer,
-        client,
+        balancer,
+        client: Rc::default(),
         remote,
-        attempts,
-        malformed,
-        descriptor_failures,
+        attempts: RefCell::default(),
+        malformed: RefCell::default(),
+        descriptor_failures: Cell::new(0),
     });
     let mut lateness = Histogram::new_with_max(600_000_000, 3).map_err(|e| e.to_string())?;
     let (mut in_flight, mut dropped) = (JoinSet::new(), 0);
@@ -151,7 +142,6 @@
             _ = stop.wait_for(|stop| *stop) => break,
             () = clock.sleep_until(first.at) => {}
         }
-        // Remove completed tasks.
         while in_flight.try_join_next().is_some() {}
         if in_flight.len() >= MAX_IN_FLIGHT {
             dropped += 1;
@@ -169,12 +159,12 @@
         }
     }
     in_flight.shutdown().await;
-    let mut extras = generator.client.take_unexpected();
-    extras.extend(generator.remote.take_unexpected());
+    let mut unexpected = generator.client.take_unexpected();
+    unexpected.extend(generator.remote.take_unexpected());
     let mut attempts = generator.attempts.take();
     attempts
         .iter_mut()
-        .for_each(|t| t.unexpected_data = extras.contains(&t.id));
+        .for_each(|t| t.unexpected_data = unexpected.contains(&t.id));
     attempts.sort_by_key(|t| (t.request_index, t.retry));
     Ok(LoadResult {
         attempts,
@@ -213,15 +203,15 @@
                 break;
             }
             // JSON-RPC calls carry no deadline, so the proxy applies that of the class.
-            let patience = if first.uses_jsonrpc {
+            let time_limit = if first.uses_jsonrpc {
                 deadline
             } else {
                 ((first.time_limit_share * deadline as f64) as Micros).min(left)
             };
-            if patience < MIN_TIME_LIMIT {
+            if time_limit < MIN_TIME_LIMIT {
                 break;
             }
-            let end = self.attempt(number, &first, retry, patience).await;
+            let end = self.attempt(number, &first, retry, time_limit).await;
             let elapsed = self.clock.now().saturating_sub(first.at);
             if !may_retry(class, &end, elapsed) {
                 break;
@@ -244,50 +234,45 @@
         number: u32,
         first: &ScheduledRequest,
         retry: u8,
-        patience: Micros,
+        time_limit: Micros,
     ) -> AttemptEnd {
         let class = self.schedule.class(first.class);
         let id = mix(
             mix(self.schedule.seed, u64::from(number) + 1),
             u64::from(retry) + 1,
         );
-        let due = if retry == 0 {
+        let scheduled_at = if retry == 0 {
             first.at
         } else {
             self.clock.now()
         };
-        let slow = if first.reads_slowly {
-            SLOW_READ_DELAY
-        } else {
-            0
-        };
+        let read_delay = if first.reads_slowly { READ_DELAY } else { 0 };
+        let tenants = &self.schedule.scenario.tenant;
+        let tenant = tenants[usize::from(first.tenant)].name.clone();
         let key = self.schedule.is_keyed(first.class).then_some(first.key);
-        let result = match self.load_balancer.pick(id) {
+        let result = match self.balancer.pick(id) {
             None => (0, None),
             Some((proxy, _, Some(addr))) if first.uses_jsonrpc => {
-                let tenant = self.schedule.scenario.tenant[usize::from(first.tenant)]
-                    .name
-                    .clone();
                 let call = Call {
                     id,
                     method: class.name.clone(),
                     tenant,
                     key,
-                    time_limit: patience,
+                    time_limit,
                 };
                 let jsonrpc_client::CallResult {
-                    sent_at: sent,
-                    resent_at: crossed,
+                    sent_at,
+                    resent_at,
                     end,
-                    ended_at: ended,
+                    ended_at,
                 } = self.remote.call(addr, &call).await;
                 (
                     proxy,
                     Some(CallResult {
-                        sent_at: sent,
-                        resent_at: crossed,
+                        sent_at,
+                        resent_at,
                         end,
-                        ended_at: ended,
+                        ended_at,
                         budget_spent: None,
                     }),
                 )
@@ -296,36 +281,25 @@
                 let request = ClientRequest {
                     id,
                     path: format!("/{}?k={:x}", class.name, first.key),
-                    tenant: Some(
-                        self.schedule.scenario.tenant[usize::from(first.tenant)]
-                            .name
-                            .clone(),
-                    ),
+                    tenant: Some(tenant),
                     key,
                     safe: class.effect == Effect::Safe,
-                    time_limit: patience,
+                    time_limit,
                     retry: retry > 0,
                     cancel_after: first
                         .cancel_after
                         .filter(|_| retry == 0)
-                        .map(|h| (h * patience as f64) as Micros),
-                    read_delay: slow,
+                        .map(|h| (h * time_limit as f64) as Micros),
+                    read_delay,
                     budget_headers: [None, None],
                 };
-                (
-                    proxy,
-                    Some(self.client.call(self.clock, addr, &request).await),
-                )
+                let result = self.client.call(self.clock, addr, &request).await;
+                (proxy, Some(result))
             }
         };
         let (proxy, result) = result;
-        let (sent, crossed, end, ended) = match result {
-            Some(result) => (
-                result.sent_at,
-                result.resent_at,
-                result.end,
-                result.ended_at,
-            ),
+        let (sent_at, resent_at, end, ended_at) = match result {
+            Some(r) => (r.sent_at, r.resent_at, r.end, r.ended_at),
             None => (None, None, AttemptEnd::Unsent, self.clock.now()),
         };
         if end == AttemptEnd::Unsent && out_of_descriptors() {
@@ -342,13 +316,13 @@
             tenant: first.tenant,
             key,
             proxy,
-            scheduled_at: due,
-            sent_at: sent,
-            resent_at: crossed,
-            time_limit: patience,
-            read_delay: slow,
+            scheduled_at,
+            sent_at,
+            resent_at,
+            time_limit,
+            read_delay,
             end: end.clone(),
-            ended_at: ended,
+            ended_at,
             unexpected_data: false,
         });
         end
@@ -358,43 +332,47 @@
     async fn send_malformed(self: Rc<Self>, scheduled: MalformedRequest) {
         let at = self.clock.now();
         let id = mix(mix(self.schedule.seed, scheduled.at), 0x52_55_44_45);
-        let Some((_, addr, _)) = self.load_balancer.pick(id) else {
+        let Some((_, addr, _)) = self.balancer.pick(id) else {
             return;
         };
         let (kind, bytes, smuggled_id) = self.malformed_request(scheduled.kind, id);
-        let owed =
+        let wait =
             Duration::from_micros(MALFORMED_REQUEST_TIMEOUT + MALFORMED_REQUEST_TIMEOUT / 10);
         let status = Cell::new(None);
         let exchange = async {
             let mut stream = TcpStream::connect(addr).await?;
             stream.write_all(&bytes).await?;
-            let mut seen = Vec::new();
+            let mut received = Vec::new();
             loop {
                 let mut part = [0; 1024];
                 match stream.read(&mut part).await {
                     Ok(0) | Err(_) => return Ok::<_, std::io::Error>(()),
-                    Ok(n) => seen.extend_from_slice(&part[..n]),
+                    Ok(n) => received.extend_from_slice(&part[..n]),
                 }
                 // Only the status line is needed.
-                if let Some(line) = seen.split(|b| *b == b'\n').next().filter(|l| l.len() > 12) {
+                if let Some(line) = received
+                    .split(|b| *b == b'\n')
+                    .next()
+                    .filter(|l| l.len() > 12)
+                {
                     let text = String::from_utf8_lossy(line).into_owned();
                     status.set(text.split_whitespace().nth(1).and_then(|s| s.parse().ok()));
                     return Ok(());
                 }
             }
         };
-        let done = timeout(owed, exchange).await;
+        let done = timeout(wait, exchange).await;
         // Not recorded if the connection failed.
         if let Ok(Err(_)) = done {
             return;
         }
-        let ended = done.is_ok().then(|| self.clock.now());
+        let ended_at = done.is_ok().then(|| self.clock.now());
         self.malformed.borrow_mut().push(MalformedClient {
             kind,
             smuggled_id,
             at,
             status: status.get(),
-            ended_at: ended,
+            ended_at,
         });
     }
 
--- a/crates/heathroad-harness/src/runner.rs
+++ b/crates/heathroad-harness/src/runner.rs
@@ -1,6 +1,5 @@
-//! One rehearsal, put on: daemons, backends and registry are started, the load is driven, faults
-//! strike by the plan, and everything is ended again. What was seen is handed on as ledgers;
-//! nothing is judged here.
+//! Executes a schedule: starts daemons, backends and registry, generates the load, injects the
+//! faults and stops everything. It records events and evaluates none of them.
 
 use crate::clock::{Clock, Micros, SECOND};
 use crate::daemon::{self, Daemon, Usage};
@@ -30,128 +29,126 @@
 use tokio::task::{JoinHandle, JoinSet, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Pause between all being ready and the first arrival.
+/// Delay between readiness and the first possible request.
 const WARM_UP: Duration = Duration::from_millis(300);
-/// How often the proxies of the first tier are asked for their counts.
-const SAMPLE: Duration = Duration::from_millis(250);
-/// How often the stage looks whether it is on time itself.
-const BEAT: Duration = Duration::from_millis(5);
-/// How often processes are looked at that should be running.
-const WATCH: Duration = Duration::from_millis(200);
-/// The layer before the proxies notices a death after this.
-const NOTICE: Duration = Duration::from_millis(1000);
-/// A planned stop may take so long; longer is a kill.
-const STOP: Duration = Duration::from_secs(6);
-/// Work that nobody waits for any more gets so long to end by itself after the load.
-const SETTLE: Duration = Duration::from_millis(500);
-/// The gate looks at tokens, and one act in fifty comes late, by up to two seconds.
+/// Interval at which the first tier's proxies are sampled.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the runner measures its own lateness.
+const LATENESS_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval at which running processes are checked.
+const WATCH_INTERVAL: Duration = Duration::from_millis(200);
+/// Delay after which the load balancer detects a killed proxy.
+const DETECTION_DELAY: Duration = Duration::from_millis(1000);
+/// Time limit for a graceful shutdown, after which the process is killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time after the load for abandoned work to complete.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 const FENCING_SERVER_OPTIONS: fencing_server::Options = fencing_server::Options {
     check_tokens: true,
     delayed_share: 0.02,
     max_delay: Duration::from_secs(2),
     seed: 1,
 };
-/// A duty's holder acts so often.
-const ACTS: Duration = Duration::from_millis(50);
-/// The fleet's audit is asked for so long after the load.
-const AUDIT: Duration = Duration::from_secs(10);
-/// A process that is held up again and again runs for so long in between, in milliseconds.
+/// Interval at which a lease holder calls the fencing server.
+const LEASE_CALL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time limit for a complete fleet audit after the load.
+const AUDIT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Shortest and longest time that a process runs between pauses, in milliseconds.
 const RUNS_BETWEEN_PAUSES_MS: [f64; 2] = [30.0, 600.0];
-/// Daemons started side by side.
-const STARTS: usize = 8;
+/// Number of daemons started concurrently.
+const CONCURRENT_STARTS: usize = 8;
 
-/// What a rehearsal is put on with.
+/// Inputs of a run.
 pub struct RunOptions {
-    /// The daemon's program.
+    /// The daemon's executable.
     pub program: PathBuf,
-    /// What is rehearsed.
+    /// The schedule to execute.
     pub schedule: Arc<Schedule>,
-    /// How far the load is.
+    /// Progress of the load, updated during the run.
     pub progress: Arc<Progress>,
-    /// Ends it early.
+    /// Interrupts the run when set.
     pub stop: watch::Receiver<bool>,
 }
 
-/// What was seen.
+/// Everything recorded during a run.
 pub struct RunRecord {
-    /// What was planned, by the ledgers' clock.
+    /// The schedule, shifted to the run's clock.
     pub schedule: Arc<Schedule>,
-    /// The ledgers.
+    /// The event log.
     pub event_log: EventLog,
-    /// Names of the proxies, by number.
+    /// Names of the proxies, by index.
     pub proxies: Vec<String>,
-    /// The tier that each sends to.
+    /// The tier that each proxy sends to.
     pub proxy_tiers: Vec<u8>,
-    /// Names of the hosts, by number.
+    /// Names of the backends, by index.
     pub backends: Vec<String>,
-    /// Cells of the hosts.
+    /// Cells of the backends.
     pub cells: Vec<u16>,
-    /// Makes of the hosts' machines.
+    /// Hardware of the backends' hosts.
     pub host_specs: Vec<HostSpec>,
-    /// Every process' last counts, with its proxy.
+    /// Final counts of each daemon process.
     pub proxy_counts: Vec<ProxyCounts>,
-    /// The limit, calls in flight and descriptors of the first tier's proxies, through time.
+    /// Samples of the first tier's proxies over time.
     pub samples: Vec<Sample>,
-    /// What became of changes of routes, with the proxy.
+    /// Results of route changes, with the proxy.
     pub route_changes: Vec<(ProxyIndex, String)>,
-    /// The fleet's audit at the end, asked of its first proxy, where there is a fleet.
+    /// The fleet's audit after the load, from the first proxy.
     pub fleet_audit: Option<Value>,
-    /// What the duty's holders did, where there is one.
+    /// Calls of lease holders to the fencing server.
     pub lease_calls: Option<Vec<fencing_server::LeaseCall>>,
-    /// Generations that were required, and from when on.
+    /// Required generations, and from when on.
     pub required_generations: Vec<(u64, Micros)>,
-    /// How late the driver began first tries.
+    /// Lateness of first attempts.
     pub generator_lateness: Histogram<u64>,
-    /// How late the stage itself was.
+    /// Lateness of the runner, and so of the emulators.
     pub runner_lateness: Histogram<u64>,
-    /// First tries that the driver could not begin.
+    /// Requests that the load generator dropped.
     pub dropped: u64,
-    /// Tries and connections that failed for want of descriptors at the driver and the stand-ins.
+    /// Failures because the load generator or an emulator had no free descriptor.
     pub descriptor_failures: u64,
-    /// It was ended early.
+    /// Whether the run was interrupted.
     pub interrupted: bool,
-    /// What went wrong with the rehearsal itself.
+    /// Errors of the run itself.
     pub errors: Vec<String>,
 }
 
-/// The last word of one daemon process.
+/// Final counts of one daemon process.
 #[derive(Debug, Clone)]
 pub struct ProxyCounts {
-    /// Whose.
+    /// The proxy.
     pub proxy: ProxyIndex,
-    /// Its counts; none if it was killed or has crashed.
+    /// The counts that it printed; none if it was killed or crashed.
     pub counts: Option<Value>,
-    /// What it used.
+    /// Resource usage.
     pub usage: Usage,
 }
 
-/// A look at a proxy.
+/// A sample of a proxy's state.
 #[derive(Debug, Clone)]
 pub struct Sample {
-    /// When.
+    /// When it was taken.
     pub at: Micros,
-    /// Which.
+    /// The proxy.
     pub proxy: ProxyIndex,
-    /// Its limit.
+    /// Its concurrency limit.
     pub limit: f64,
-    /// Its calls in flight.
+    /// Its attempts in flight.
     pub in_flight: f64,
 }
 
-/// A proxy's place on the stage.
+/// A proxy of the run, whose process may be replaced.
 struct Slot {
     name: String,
     tier: usize,
-    /// The backend that it belongs to; none in the first tier.
+    /// The backend that it is a sidecar of; none in the first tier.
     owner: Option<BackendIndex>,
     copy: usize,
     copies: usize,
     file: PathBuf,
     daemon: RefCell<Option<Daemon>>,
-    /// Its present registry address, and the task that answers there.
+    /// The registry address that it uses, and the task that serves it.
     registry: RefCell<Option<(std::net::SocketAddr, JoinHandle<()>)>>,
-    /// It is not meant to run.
-    away: Cell<bool>,
+    expected_down: Cell<bool>,
 }
 
 struct Runner {
@@ -160,7 +157,7 @@
     backends: RefCell<Vec<Rc<Backend>>>,
     slots: Vec<Slot>,
     registry: Rc<Registry>,
-    front: Arc<LoadBalancer>,
+    balancer: Arc<LoadBalancer>,
     counts: RefCell<Vec<ProxyCounts>>,
     samples: RefCell<Vec<Sample>>,
     changes: RefCell<Vec<(ProxyIndex, String)>>,
@@ -168,13 +165,12 @@
     fencing_server: Option<FencingServer>,
     audit: RefCell<Option<Value>>,
     bounds: RefCell<Vec<(u64, Micros)>>,
-    stage_late: RefCell<Histogram<u64>>,
-    troubles: RefCell<Vec<String>>,
+    lateness: RefCell<Histogram<u64>>,
+    errors: RefCell<Vec<String>>,
     ip: Cell<[u8; 3]>,
 }
 
-/// A loopback network of this process's own, so that a port that a stand-in has left is taken by
-/// nobody else.
+/// Returns a loopback network of this process, whose released ports no other process takes.
 pub fn unique_loopback_network() -> [u8; 3] {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let id =
@@ -182,7 +178,7 @@
     [127, 16 + (id % 224) as u8, (id / 224 % 250) as u8]
 }
 
-/// Puts a rehearsal on. What can't be put on is an error in one line.
+/// Executes a run. Errors are one line long.
 pub fn run(options: RunOptions) -> Result<RunRecord, String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -195,14 +191,13 @@
             Rng::new().u32(..)
         ));
         std::fs::create_dir(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let done = put_on(options, folder.clone()).await;
-        // Nothing stays behind; what can't be removed was not written.
+        let done = execute(options, folder.clone()).await;
         let _ = std::fs::remove_dir_all(&folder);
         done
     })
 }
 
-async fn put_on(options: RunOptions, folder: PathBuf) -> Result<RunRecord, String> {
+async fn execute(options: RunOptions, folder: PathBuf) -> Result<RunRecord, String> {
     let schedule = options.schedule.clone();
     let clock = Clock::starting_in(Duration::ZERO);
     let context = RunContext::new(clock, schedule.clone());
@@ -210,7 +205,7 @@
         Some(_) => Some(
             FencingServer::start(clock, FENCING_SERVER_OPTIONS)
                 .await
-                .map_err(|e| format!("gate: {e}"))?,
+                .map_err(|e| format!("fencing server: {e}"))?,
         ),
         None => None,
     };
@@ -218,8 +213,8 @@
     runner.start_backends().await?;
     runner.start_proxies().await?;
     let schedule = Arc::new(schedule.starting_at(clock.now() + WARM_UP.as_micros() as Micros));
-    let driven = runner.play(&schedule).await?;
-    runner.end(schedule, driven).await
+    let load = runner.run_schedule(&schedule).await?;
+    runner.finish(schedule, load).await
 }
 
 impl Runner {
@@ -233,7 +228,7 @@
         let mut slots = Vec::new();
         let mut slot = |name: String, tier, owner, copy: usize, copies| {
             let file = folder.join(format!("{name}.json"));
-            let (daemon, registry, away) =
+            let (daemon, registry, expected_down) =
                 (RefCell::default(), RefCell::default(), Cell::new(true));
             slots.push(Slot {
                 name,
@@ -244,35 +239,33 @@
                 file,
                 daemon,
                 registry,
-                away,
+                expected_down,
             });
         };
         let proxies = usize::from(scenario.run.proxies);
         (0..proxies).for_each(|i| slot(format!("proxy-{}", i + 1), 0, None, i, proxies));
-        let mut no = 0;
+        let mut index = 0;
         for (tier, t) in scenario.tier.iter().enumerate() {
             let calls = tier + 1 < scenario.tier.len() && t.calls > 0;
             for i in 0..usize::from(t.backends) {
                 if calls {
                     let name = format!("{}-{}-proxy", t.name, i + 1);
-                    slot(name, tier + 1, Some(no), i, usize::from(t.backends));
+                    slot(name, tier + 1, Some(index), i, usize::from(t.backends));
                 }
-                no += 1;
+                index += 1;
             }
         }
-        let between = match &scenario.fleet {
+        let network = match &scenario.fleet {
             None => None,
             Some(fleet) => {
-                let duty = fencing_server
-                    .as_ref()
-                    .zip(fleet.lease_ms)
-                    .map(|(fencing_server, lease)| fencing_server.lease_config(lease, ACTS));
-                let duties = duty.unwrap_or_default();
+                let lease = fencing_server.as_ref().zip(fleet.lease_ms);
+                let leases = lease.map(|(server, ms)| server.lease_config(ms, LEASE_CALL_INTERVAL));
+                let leases = leases.unwrap_or_default();
                 daemon::write_fleet_files(
                     &folder,
                     fleet.period_ms,
                     fleet.fence_unsure_after_ms,
-                    &duties,
+                    &leases,
                 )
                 .map_err(|e| format!("{}: {e}", folder.display()))?;
                 let network = Network::start(
@@ -285,23 +278,23 @@
             }
         };
         let registry = Registry::new(&context, scenario.tier.len());
-        let stage_late = Histogram::new_with_max(600_000_000, 3).map_err(|e| e.to_string())?;
+        let lateness = Histogram::new_with_max(600_000_000, 3).map_err(|e| e.to_string())?;
         let runner = Runner {
             options,
             context,
             backends: RefCell::default(),
             slots,
             registry,
-            front: Arc::default(),
+            balancer: Arc::default(),
             counts: RefCell::default(),
             samples: RefCell::default(),
             changes: RefCell::default(),
-            network: between,
+            network,
             fencing_server,
             audit: RefCell::default(),
             bounds: RefCell::default(),
-            stage_late: RefCell::new(stage_late),
-            troubles: RefCell::default(),
+            lateness: RefCell::new(lateness),
+            errors: RefCell::default(),
             ip: Cell::new(unique_loopback_network()),
         };
         runner.build_hosts()?;
@@ -324,12 +317,11 @@
                     dedup_caches[usize::from(i / 2)].clone(),
                     doors,
                 );
-                backend
-                    .kind
-                    .replace(schedule.scenario.kind(tier, i).to_string());
+                let kind = schedule.scenario.kind(tier, i).to_string();
+                backend.kind.replace(kind);
             }
         }
-        // Those that will come up at another's address, down until then.
+        // Replacement backends, which stay down until they take over an address.
         for (n, fault) in schedule
             .faults
             .iter()
@@ -360,13 +352,13 @@
     ) -> Rc<Backend> {
         let schedule = &self.context.schedule;
         let (t, rules) = (&schedule.scenario.tier[tier], &schedule.scenario.rules);
-        let no = self.backends.borrow().len() as BackendIndex;
-        // Machines of one kind are not alike.
-        let unlike = 0.9 + 0.2 * Rng::with_seed(schedule.seed ^ u64::from(no)).f64();
+        let index = self.backends.borrow().len() as BackendIndex;
+        // Hosts of a tier differ in speed by up to a fifth.
+        let speed_factor = 0.9 + 0.2 * Rng::with_seed(schedule.seed ^ u64::from(index)).f64();
         let micros = |ms: f64| (ms * 1000.0) as Micros;
         let spec = HostSpec {
             cores: t.cores,
-            speed: t.speed * unlike,
+            speed: t.speed * speed_factor,
             cold_capacity: t.cold_from,
             warm_up: micros(t.cold_s * 1000.0),
             warm_requests: t.warm_requests,
@@ -374,13 +366,8 @@
             overload_window: micros(rules.fall_ms),
         };
         let host = Host::new(spec, self.context.clock);
-        let backend = Backend::new(
-            &self.context,
-            (no, name, tier, cell),
-            host,
-            dedup_cache,
-            doors,
-        );
+        let identity = (index, name, tier, cell);
+        let backend = Backend::new(&self.context, identity, host, dedup_cache, doors);
         self.registry.add_backend(&backend);
         self.backends.borrow_mut().push(backend.clone());
         backend
@@ -392,7 +379,6 @@
         IpAddr::V4(Ipv4Addr::new(a, b, c, backend))
     }
 
-    /// The proxies that send to a tier.
     fn senders(&self, tier: usize) -> Vec<ProxyIndex> {
         (0..self.slots.len())
             .filter(|i| self.slots[*i].tier == tier)
@@ -428,15 +414,15 @@
     }
 
     async fn start_proxies(self: &Rc<Self>) -> Result<(), String> {
-        // The tier at the end first: who calls another must find it there.
+        // The last tier first, since each tier calls the next one.
         let mut order: Vec<usize> = (0..self.slots.len()).collect();
         order.sort_by_key(|i| std::cmp::Reverse(self.slots[*i].tier));
-        for some in order.chunks(STARTS) {
-            // Together: where each waits for more than half of its fellows, none is ready alone.
+        for some in order.chunks(CONCURRENT_STARTS) {
+            // Concurrently, since a daemon may wait for a majority before it is ready.
             let mut starting = JoinSet::new();
             for i in some {
-                let (runner, no) = (self.clone(), *i as ProxyIndex);
-                starting.spawn_local(async move { runner.start_proxy(no).await });
+                let (runner, index) = (self.clone(), *i as ProxyIndex);
+                starting.spawn_local(async move { runner.start_proxy(index).await });
             }
             while let Some(started) = starting.join_next().await {
                 started.map_err(|e| e.to_string())??;
@@ -445,14 +431,14 @@
         Ok(())
     }
 
-    async fn registry_address(&self, no: ProxyIndex) -> Result<std::net::SocketAddr, String> {
-        let slot = &self.slots[usize::from(no)];
+    async fn registry_address(&self, index: ProxyIndex) -> Result<std::net::SocketAddr, String> {
+        let slot = &self.slots[usize::from(index)];
         let [a, b, c] = self.ip.get();
         let ip = IpAddr::V4(Ipv4Addr::new(a, b, c, 254));
         let (listener, addr) = Registry::bind(ip)
             .await
             .map_err(|e| format!("registry: {e}"))?;
-        let task = self.registry.serve(slot.tier, no, listener);
+        let task = self.registry.serve(slot.tier, index, listener);
         if let Some((_, old)) = slot.registry.replace(Some((addr, task))) {
             spawn_local(async move {
                 sleep(registry::LEAVE).await;
@@ -462,16 +448,16 @@
         Ok(addr)
     }
 
-    async fn start_proxy(&self, no: ProxyIndex) -> Result<(), String> {
-        let slot = &self.slots[usize::from(no)];
-        // Where faults overlap, another one's end has started it.
+    async fn start_proxy(&self, index: ProxyIndex) -> Result<(), String> {
+        let slot = &self.slots[usize::from(index)];
+        // An overlapping fault may already have started it.
         if slot.daemon.borrow().is_some() {
             return Ok(());
         }
         let at = slot.registry.borrow().as_ref().map(|(addr, _)| *addr);
         let registry = match at {
             Some(addr) => addr,
-            None => self.registry_address(no).await?,
+            None => self.registry_address(index).await?,
         };
         let sockets = self.context.schedule.scenario.run.sockets;
         let mut config = self.config(slot, registry);
@@ -494,52 +480,49 @@
             if !state.exists() {
                 std::fs::create_dir(&state).map_err(|e| format!("{}: {e}", state.display()))?;
             }
-            let peers: Vec<String> = network.peers(no).iter().map(ToString::to_string).collect();
+            let peers = network.peers(index).iter();
+            let peers: Vec<String> = peers.map(ToString::to_string).collect();
             config["fleet"] = slot
                 .file
                 .with_file_name("fleet.toml")
                 .display()
                 .to_string()
                 .into();
-            config["peer_listen"] = network.listen_address(no).to_string().into();
+            config["peer_listen"] = network.listen_address(index).to_string().into();
             config["peers"] = peers.into();
             config["state"] = state.display().to_string().into();
         }
         let daemon = daemon::start(&self.options.program, &slot.file, &config, sockets).await?;
         if slot.daemon.borrow().is_some() {
-            // Started twice at once: this one has served nobody yet.
+            // Started concurrently by two faults; this process is not yet in use.
             return Ok(());
         }
         let (listens, remote) = (daemon.listen_address, daemon.jsonrpc_address);
         slot.daemon.replace(Some(daemon));
-        slot.away.set(false);
-        self.act(no, ProcessEventKind::Started);
+        slot.expected_down.set(false);
+        self.record_event(index, ProcessEventKind::Started);
         match slot.owner {
-            None => self.front.add(no, listens, remote),
+            None => self.balancer.add(index, listens, remote),
             Some(owner) => self.backends.borrow()[usize::from(owner)]
                 .sidecar
-                .set(Some((no, listens))),
+                .set(Some((index, listens))),
         }
         Ok(())
     }
 
-    fn act(&self, proxy: ProxyIndex, what: ProcessEventKind) {
-        self.acted(self.context.clock.now(), proxy, what);
+    fn record_event(&self, proxy: ProxyIndex, kind: ProcessEventKind) {
+        self.record_event_since(self.context.clock.now(), proxy, kind);
     }
 
-    /// An act that was begun at a time is done.
-    fn acted(&self, at: Micros, proxy: ProxyIndex, what: ProcessEventKind) {
+    fn record_event_since(&self, at: Micros, proxy: ProxyIndex, kind: ProcessEventKind) {
         let until = self.context.clock.now();
-        self.context
-            .event_log
-            .borrow_mut()
-            .process_events
-            .push(ProcessEvent {
-                at,
-                until,
-                proxy,
-                kind: what,
-            });
+        let mut event_log = self.context.event_log.borrow_mut();
+        event_log.process_events.push(ProcessEvent {
+            at,
+            until,
+            proxy,
+            kind,
+        });
     }
 
     fn config(&self, slot: &Slot, registry: std::net::SocketAddr) -> Value {
@@ -564,8 +547,7 @@
             _ => Vec::new(),
         };
         let tier = &s.tier[slot.tier];
-        // Clients come from outside; whoever calls a proxy behind the first tier is a server of the
-        // chain.
+        // Behind the first tier, only other backends are callers.
         let inner: &[&str] = if slot.tier == 0 { &[] } else { &["127.0.0.1"] };
         let budget = s.budget.as_ref().map(|b| {
             json!({"name": format!("to-{}", tier.name), "inner": inner, "lends": slot.tier + 1 < s.tier.len(),
@@ -593,57 +575,57 @@
         })
     }
 
-    /// Drives the load while faults strike.
-    async fn play(self: &Rc<Self>, schedule: &Arc<Schedule>) -> Result<LoadResult, String> {
-        let mut beside = JoinSet::new();
-        beside.spawn_local(self.clone().sample());
-        beside.spawn_local(self.clone().beat());
-        beside.spawn_local(self.clone().watch());
-        let (front, progress, stop) = (
-            self.front.clone(),
+    /// Generates the load and injects the faults.
+    async fn run_schedule(self: &Rc<Self>, schedule: &Arc<Schedule>) -> Result<LoadResult, String> {
+        let mut tasks = JoinSet::new();
+        tasks.spawn_local(self.clone().sample());
+        tasks.spawn_local(self.clone().measure_lateness());
+        tasks.spawn_local(self.clone().watch());
+        let (balancer, progress, stop) = (
+            self.balancer.clone(),
             self.options.progress.clone(),
             self.options.stop.clone(),
         );
-        let driver =
-            load_generator::start(schedule.clone(), self.context.clock, front, progress, stop);
+        let clock = self.context.clock;
+        let generator = load_generator::start(schedule.clone(), clock, balancer, progress, stop);
         let mut faults = JoinSet::new();
         for fault in &schedule.faults {
             let (runner, fault) = (self.clone(), fault.clone());
             faults.spawn_local(async move {
                 runner.context.clock.sleep_until(fault.at).await;
-                if let Err(e) = runner.strike(&fault).await {
-                    runner.troubles.borrow_mut().push(e);
+                if let Err(e) = runner.inject(&fault).await {
+                    runner.errors.borrow_mut().push(e);
                 }
             });
         }
         for (n, change) in schedule.scenario.change.iter().enumerate() {
-            let named = |no: &ProxyIndex| {
+            let named = |index: &ProxyIndex| {
                 change
                     .on
                     .as_ref()
-                    .is_none_or(|on| self.slots[usize::from(*no)].name == *on)
+                    .is_none_or(|on| self.slots[usize::from(*index)].name == *on)
             };
-            for no in self.senders(0).into_iter().filter(named) {
+            for index in self.senders(0).into_iter().filter(named) {
                 let (runner, at) = (
                     self.clone(),
                     schedule.start + (change.at_s * SECOND as f64) as Micros,
                 );
-                beside.spawn_local(async move {
+                tasks.spawn_local(async move {
                     runner.context.clock.sleep_until(at).await;
-                    let became = runner.change(n, no).await.unwrap_or_else(|e| e);
-                    runner.changes.borrow_mut().push((no, became));
+                    let result = runner.change(n, index).await.unwrap_or_else(|e| e);
+                    runner.changes.borrow_mut().push((index, result));
                 });
             }
         }
-        while !driver.is_finished() {
+        while !generator.is_finished() {
             sleep(Duration::from_millis(20)).await;
         }
-        let driven = driver
+        let load = generator
             .join()
-            .map_err(|_| "the driver panicked".to_string())?;
+            .map_err(|_| "the load generator panicked".to_string())?;
         let mut stop = self.options.stop.clone();
-        let last = Instant::now() + STOP;
-        // What has begun to strike is let end, so that no start is left half-way.
+        let last = Instant::now() + STOP_TIMEOUT;
+        // Let active faults end, so that no process is left half-started.
         while !*stop.borrow_and_update() {
             tokio::select! {
                 ended = faults.join_next() => if ended.is_none() { break },
@@ -652,20 +634,20 @@
             }
         }
         faults.shutdown().await;
-        beside.shutdown().await;
-        sleep(SETTLE).await;
-        driven
+        tasks.shutdown().await;
+        sleep(SETTLE_TIME).await;
+        load
     }
 
     async fn sample(self: Rc<Self>) {
         loop {
-            for no in self.senders(0) {
-                let slot = &self.slots[usize::from(no)];
+            for index in self.senders(0) {
+                let slot = &self.slots[usize::from(index)];
                 let admin = slot
                     .daemon
                     .borrow()
                     .as_ref()
-                    .filter(|_| !slot.away.get())
+                    .filter(|_| !slot.expected_down.get())
                     .map(|d| d.admin_address);
                 let Some(admin) = admin else { continue };
                 let Ok((200, body)) = daemon::get(admin, "/counts").await else {
@@ -675,25 +657,22 @@
                     continue;
                 };
                 let figure = |name: &str| counts[name].as_f64().unwrap_or(0.0);
-                let (at, limit, in_flight) = (
-                    self.context.clock.now(),
-                    figure("limit"),
-                    figure("in_flight"),
-                );
+                let at = self.context.clock.now();
+                let (limit, in_flight) = (figure("limit"), figure("in_flight"));
                 self.samples.borrow_mut().push(Sample {
                     at,
-                    proxy: no,
+                    proxy: index,
                     limit,
                     in_flight,
                 });
             }
-            sleep(SAMPLE).await;
+            sleep(SAMPLE_INTERVAL).await;
         }
     }
 
-    /// Proposes a change to a proxy, and waits for what becomes of it.
-    async fn change(&self, n: usize, no: ProxyIndex) -> Result<String, String> {
-        let admin = self.slots[usize::from(no)]
+    /// Applies a route change at a proxy and returns its result.
+    async fn change(&self, n: usize, index: ProxyIndex) -> Result<String, String> {
+        let admin = self.slots[usize::from(index)]
             .daemon
             .borrow()
             .as_ref()
@@ -705,14 +684,14 @@
             .required_ms
             .map(|ms| format!("/config/apply?required_ms={ms}"));
         let path = path.as_deref().unwrap_or("/config/apply");
-        let (status, said) = daemon::post(admin, path, &change.routes)
+        let (status, body) = daemon::post(admin, path, &change.routes)
             .await
             .map_err(|e| e.to_string())?;
         if status != 200 {
-            return Err(format!("turned down: {}", String::from_utf8_lossy(&said)));
+            return Err(format!("turned down: {}", String::from_utf8_lossy(&body)));
         }
         loop {
-            sleep(WATCH / 4).await;
+            sleep(WATCH_INTERVAL / 4).await;
             let Ok((200, body)) = daemon::get(admin, "/config/status").await else {
                 continue;
             };
@@ -737,12 +716,12 @@
         }
     }
 
-    /// Measures how late this thread is: what it stands in for would be as late.
-    async fn beat(self: Rc<Self>) {
+    /// Measures the lateness of this thread, which also runs the emulators.
+    async fn measure_lateness(self: Rc<Self>) {
         loop {
-            let due = Instant::now() + BEAT;
+            let due = Instant::now() + LATENESS_INTERVAL;
             sleep_until(due).await;
-            self.stage_late
+            self.lateness
                 .borrow_mut()
                 .saturating_record(due.elapsed().as_micros() as u64);
         }
@@ -750,96 +729,92 @@
 
     async fn watch(self: Rc<Self>) {
         loop {
-            sleep(WATCH).await;
-            for (no, slot) in self.slots.iter().enumerate() {
-                if slot.away.get() {
+            sleep(WATCH_INTERVAL).await;
+            for (index, slot) in self.slots.iter().enumerate() {
+                if slot.expected_down.get() {
                     continue;
                 }
                 let ended = slot.daemon.borrow_mut().as_mut().and_then(Daemon::ended);
                 if let Some(status) = ended {
-                    slot.away.set(true);
-                    self.act(no as ProxyIndex, ProcessEventKind::Crashed);
-                    self.front.remove(no as ProxyIndex);
-                    self.troubles
+                    slot.expected_down.set(true);
+                    self.record_event(index as ProxyIndex, ProcessEventKind::Crashed);
+                    self.balancer.remove(index as ProxyIndex);
+                    self.errors
                         .borrow_mut()
-                        .push(format!("{} ended by itself: {status}", slot.name));
+                        .push(format!("{} exited unexpectedly: {status}", slot.name));
                 }
             }
         }
     }
 
-    /// The proxy that belongs to a backend.
-    fn side(&self, backend: &Backend) -> Option<ProxyIndex> {
+    fn sidecar(&self, backend: &Backend) -> Option<ProxyIndex> {
         self.slots
             .iter()
             .position(|s| s.owner == Some(backend.index))
             .map(|i| i as ProxyIndex)
     }
 
-    fn kill_proxy(&self, no: ProxyIndex) {
-        let slot = &self.slots[usize::from(no)];
-        slot.away.set(true);
+    fn kill_proxy(&self, index: ProxyIndex) {
+        let slot = &self.slots[usize::from(index)];
+        slot.expected_down.set(true);
         let daemon = slot.daemon.take();
         if let Some(mut daemon) = daemon {
             let (usage, begun) = (daemon.usage(), self.context.clock.now());
             daemon.kill();
-            self.acted(begun, no, ProcessEventKind::Killed);
+            self.record_event_since(begun, index, ProcessEventKind::Killed);
             self.counts.borrow_mut().push(ProxyCounts {
-                proxy: no,
+                proxy: index,
                 counts: None,
                 usage,
             });
         }
     }
 
-    async fn stop_proxy(&self, no: ProxyIndex) {
-        let slot = &self.slots[usize::from(no)];
-        slot.away.set(true);
+    async fn stop_proxy(&self, index: ProxyIndex) {
+        let slot = &self.slots[usize::from(index)];
+        slot.expected_down.set(true);
         let daemon = slot.daemon.take();
         if let Some(daemon) = daemon {
-            self.act(no, ProcessEventKind::Stopped);
-            // One that a pause holds up could not take the signal.
+            self.record_event(index, ProcessEventKind::Stopped);
+            // A paused process would not handle the signal.
             if let Err(e) = daemon.resume().and_then(|()| daemon.terminate()) {
-                self.troubles
-                    .borrow_mut()
-                    .push(format!("{}: {e}", slot.name));
+                self.errors.borrow_mut().push(format!("{}: {e}", slot.name));
             }
             let usage = daemon.usage();
-            let (counts, well) = daemon.wait(STOP).await;
-            if !well {
-                self.act(no, ProcessEventKind::Crashed);
-                self.troubles
+            let (counts, graceful) = daemon.wait(STOP_TIMEOUT).await;
+            if !graceful {
+                self.record_event(index, ProcessEventKind::Crashed);
+                self.errors
                     .borrow_mut()
-                    .push(format!("{} did not stop as planned", slot.name));
+                    .push(format!("{} did not shut down gracefully", slot.name));
             }
             self.counts.borrow_mut().push(ProxyCounts {
-                proxy: no,
+                proxy: index,
                 counts,
                 usage,
             });
         }
     }
 
-    async fn strike(self: &Rc<Self>, fault: &ScheduledFault) -> Result<(), String> {
+    async fn inject(self: &Rc<Self>, fault: &ScheduledFault) -> Result<(), String> {
         let until = fault.until;
         let clock = self.context.clock;
         match fault.kind {
             FaultKind::StallProxy => {
                 let begun = clock.now();
-                self.still(&fault.targets, Daemon::suspend)?;
+                self.signal_all(&fault.targets, Daemon::suspend)?;
                 clock.sleep_until(until).await;
-                self.still(&fault.targets, Daemon::resume)?;
-                fault
-                    .targets
-                    .iter()
-                    .for_each(|no| self.acted(begun, *no, ProcessEventKind::Stalled));
+                self.signal_all(&fault.targets, Daemon::resume)?;
+                fault.targets.iter().for_each(|index| {
+                    self.record_event_since(begun, *index, ProcessEventKind::Stalled);
+                });
             }
             FaultKind::PauseProxy => {
                 let mut pausing = JoinSet::new();
-                for no in fault.targets.iter().copied() {
+                for index in fault.targets.iter().copied() {
                     let (runner, longest) = (self.clone(), fault.size);
                     pausing.spawn_local(async move {
-                        runner.pause_again_and_again(no, longest, until).await
+                        runner.pause_repeatedly(index, longest, until).await
                     });
                 }
                 while let Some(ended) = pausing.join_next().await {
@@ -852,7 +827,7 @@
                     let others = self
                         .senders(0)
                         .into_iter()
-                        .filter(|no| !fault.targets.contains(no));
+                        .filter(|index| !fault.targets.contains(index));
                     for (other, victim) in
                         others.flat_map(|o| fault.targets.iter().map(move |v| (o, *v)))
                     {
@@ -867,8 +842,8 @@
                 cut(false);
             }
             FaultKind::KillProxy | FaultKind::StopProxy | FaultKind::ReloadProxy => {
-                for no in &fault.targets {
-                    self.strike_proxy(fault.kind, *no, until).await?;
+                for index in &fault.targets {
+                    self.inject_proxy_fault(fault.kind, *index, until).await?;
                 }
             }
             FaultKind::RegistryLate => {
@@ -894,15 +869,15 @@
                 self.registry.clock_offset_ms.set(0.0);
             }
             _ => {
-                let mut struck = JoinSet::new();
+                let mut injections = JoinSet::new();
                 for v in &fault.targets {
                     let (runner, fault) = (self.clone(), fault.clone());
                     let backend = self.victim(fault.tier, *v);
-                    struck.spawn_local(async move {
-                        runner.strike_backend(&fault, &backend, until).await
+                    injections.spawn_local(async move {
+                        runner.inject_backend_fault(&fault, &backend, until).await
                     });
                 }
-                while let Some(ended) = struck.join_next().await {
+                while let Some(ended) = injections.join_next().await {
                     ended.map_err(|e| e.to_string())??;
                 }
             }
@@ -910,35 +885,34 @@
         Ok(())
     }
 
-    /// Holds a process up, lets it run for a while, and so on until a time.
-    async fn pause_again_and_again(
+    /// Suspends and resumes a process repeatedly until a time.
+    async fn pause_repeatedly(
         &self,
-        no: ProxyIndex,
+        index: ProxyIndex,
         longest_ms: f64,
         until: Micros,
     ) -> Result<(), String> {
         let clock = self.context.clock;
-        let mut rng = Rng::with_seed(self.context.schedule.seed ^ until ^ u64::from(no));
+        let mut rng = Rng::with_seed(self.context.schedule.seed ^ until ^ u64::from(index));
         let drawn = |rng: &mut Rng, [from, to]: [f64; 2]| {
             Duration::from_secs_f64((from + (to - from) * rng.f64()) / 1e3)
         };
         while clock.now() < until {
-            self.still(&[no], Daemon::suspend)?;
+            self.signal_all(&[index], Daemon::suspend)?;
             sleep(drawn(&mut rng, [longest_ms / 15.0, longest_ms])).await;
-            self.still(&[no], Daemon::resume)?;
+            self.signal_all(&[index], Daemon::resume)?;
             sleep(drawn(&mut rng, RUNS_BETWEEN_PAUSES_MS)).await;
         }
         Ok(())
     }
 
-    /// Holds processes still, or lets them go on.
-    fn still(
+    fn signal_all(
         &self,
         proxies: &[ProxyIndex],
         how: fn(&Daemon) -> std::io::Result<()>,
     ) -> Result<(), String> {
-        for no in proxies {
-            let slot = &self.slots[usize::from(*no)];
+        for index in proxies {
+            let slot = &self.slots[usize::from(*index)];
             let done = slot.daemon.borrow().as_ref().map(how);
             done.unwrap_or(Ok(()))
                 .map_err(|e| format!("{}: {e}", slot.name))?;
@@ -946,19 +920,17 @@
         Ok(())
     }
 
-    /// The fleet's audit once all are reached, or as it is in the end.
-    async fn audit(&self) {
-        let admin = self.slots[0]
-            .daemon
-            .borrow()
-            .as_ref()
-            .map(|d| d.admin_address);
+    /// Fetches the fleet's audit until it covers all members or the time limit ends.
+    async fn fetch_audit(&self) {
+        let address = |d: &Daemon| d.admin_address;
+        let admin = self.slots[0].daemon.borrow().as_ref().map(address);
         let Some(admin) = admin.filter(|_| self.network.is_some()) else {
             return;
         };
-        let last = Instant::now() + AUDIT;
+        let last = Instant::now() + AUDIT_TIMEOUT;
         while Instant::now() < last {
-            if let Ok((200, body)) = daemon::get_within(admin, "/fleet/audit", AUDIT).await {
+            if let Ok((200, body)) = daemon::get_within(admin, "/fleet/audit", AUDIT_TIMEOUT).await
+            {
                 let audit: Option<Value> = serde_json::from_slice(&body).ok();
                 let all = |a: &Value| {
                     a["members"]
@@ -971,58 +943,54 @@
                     return;
                 }
             }
-            sleep(WATCH).await;
+            sleep(WATCH_INTERVAL).await;
         }
     }
 
-    async fn strike_proxy(
+    async fn inject_proxy_fault(
         self: &Rc<Self>,
         what: FaultKind,
-        no: ProxyIndex,
+        index: ProxyIndex,
         until: Micros,
     ) -> Result<(), String> {
         match what {
             FaultKind::ReloadProxy => {
-                let addr = self.registry_address(no).await?;
-                let slot = &self.slots[usize::from(no)];
+                let addr = self.registry_address(index).await?;
+                let slot = &self.slots[usize::from(index)];
                 let config = self.config(slot, addr);
-                self.act(no, ProcessEventKind::Reloaded);
-                let told = slot.daemon.borrow().as_ref().map(|d| d.reload(&config));
-                return told
+                self.record_event(index, ProcessEventKind::Reloaded);
+                let result = slot.daemon.borrow().as_ref().map(|d| d.reload(&config));
+                return result
                     .unwrap_or(Ok(()))
                     .map_err(|e| format!("{}: {e}", slot.name));
             }
             FaultKind::KillProxy => {
-                self.kill_proxy(no);
-                let (front, notice) = (self.front.clone(), sleep(NOTICE));
+                self.kill_proxy(index);
+                let (balancer, notice) = (self.balancer.clone(), sleep(DETECTION_DELAY));
                 spawn_local(async move {
                     notice.await;
-                    front.remove(no);
+                    balancer.remove(index);
                 });
-                // It comes back once that is noticed; before, the old address would be taken out
-                // late.
-                self.context
-                    .clock
-                    .sleep_until(
-                        until.max(self.context.clock.now() + 2 * NOTICE.as_micros() as Micros),
-                    )
-                    .await;
+                // Restart after the detection, which would otherwise remove the new process.
+                let clock = self.context.clock;
+                let detected = clock.now() + 2 * DETECTION_DELAY.as_micros() as Micros;
+                clock.sleep_until(until.max(detected)).await;
             }
             _ => {
-                // New connections go on coming for a moment.
-                let front = self.front.clone();
+                // The load balancer reacts shortly after the shutdown begins.
+                let balancer = self.balancer.clone();
                 spawn_local(async move {
                     sleep(Duration::from_millis(300)).await;
-                    front.remove(no);
+                    balancer.remove(index);
                 });
-                self.stop_proxy(no).await;
+                self.stop_proxy(index).await;
                 self.context.clock.sleep_until(until).await;
             }
         }
-        self.start_proxy(no).await
+        self.start_proxy(index).await
     }
 
-    async fn strike_backend(
+    async fn inject_backend_fault(
         self: &Rc<Self>,
         fault: &ScheduledFault,
         backend: &Rc<Backend>,
@@ -1055,21 +1023,20 @@
                 odd(i, 0.0);
             }
             FaultKind::Loop => {
-                // Each to one of them; where that is away, its calls find nobody.
-                let no = backend.index % self.context.schedule.scenario.run.proxies;
-                let at = self.slots[usize::from(no)]
+                // If that proxy is down, the calls fail.
+                let index = backend.index % self.context.schedule.scenario.run.proxies;
+                let at = self.slots[usize::from(index)]
                     .daemon
                     .borrow()
                     .as_ref()
                     .map(|d| d.listen_address);
-                backend.misrouted_to.set(at.map(|at| (no, at)));
+                backend.misrouted_to.set(at.map(|at| (index, at)));
                 clock.sleep_until(until).await;
                 backend.misrouted_to.set(None);
             }
             FaultKind::Hang => {
                 backend.set_mode(Mode::Hang).await;
                 clock.sleep_until(until).await;
-                // What hung stays unanswered; the process is started anew.
                 self.restart(backend, 0).await?;
             }
             FaultKind::Silent => {
@@ -1082,58 +1049,59 @@
                 self.registry.publish(backend, Health::Draining);
                 clock.sleep_until(until).await;
                 self.registry.publish(backend, Health::Deleted);
-                self.leave(backend);
+                self.kill_backend(backend);
             }
             FaultKind::Delete => {
                 self.registry.publish(backend, Health::Deleted);
-                self.leave(backend);
+                self.kill_backend(backend);
             }
             _ => {
                 self.registry.publish(backend, Health::Deleted);
-                self.leave(backend);
+                self.kill_backend(backend);
                 clock.sleep_until(until).await;
                 let backends = self.backends.borrow().clone();
-                let heir = format!("{}-new", backend.name);
-                let heir = backends
+                let replacement = format!("{}-new", backend.name);
+                let replacement = backends
                     .iter()
-                    .find(|h| h.name.starts_with(&heir) && h.mode() == Mode::Down);
-                if let Some(heir) = heir {
-                    heir.start(false)
+                    .find(|h| h.name.starts_with(&replacement) && h.mode() == Mode::Down);
+                if let Some(replacement) = replacement {
+                    replacement
+                        .start(false)
                         .await
-                        .map_err(|e| format!("{}: {e}", heir.name))?;
-                    self.hand_over(backend, heir).await?;
-                    self.registry.publish(heir, Health::Serving);
+                        .map_err(|e| format!("{}: {e}", replacement.name))?;
+                    self.move_sidecar(backend, replacement).await?;
+                    self.registry.publish(replacement, Health::Serving);
                 }
             }
         }
         Ok(())
     }
 
-    /// The proxy at a backend's side serves the one that comes up in its place.
-    async fn hand_over(&self, backend: &Backend, heir: &Backend) -> Result<(), String> {
-        if let Some(side) = self.side(backend) {
+    /// Moves the sidecar of a backend to its replacement.
+    async fn move_sidecar(&self, backend: &Backend, replacement: &Backend) -> Result<(), String> {
+        if let Some(side) = self.sidecar(backend) {
             self.start_proxy(side).await?;
-            heir.sidecar.set(backend.sidecar.take());
+            replacement.sidecar.set(backend.sidecar.take());
         }
         Ok(())
     }
 
-    /// A backend's process ends, with the proxy at its side.
-    fn leave(&self, backend: &Backend) {
+    /// Kills a backend and its sidecar.
+    fn kill_backend(&self, backend: &Backend) {
         backend.kill();
-        if let Some(side) = self.side(backend) {
+        if let Some(side) = self.sidecar(backend) {
             self.kill_proxy(side);
         }
     }
 
-    /// A backend's process dies and comes up again, cold.
+    /// Kills a backend and starts it again, cold.
     async fn restart(&self, backend: &Rc<Backend>, until: Micros) -> Result<(), String> {
-        self.leave(backend);
+        self.kill_backend(backend);
         self.context.clock.sleep_until(until).await;
-        if let Some(side) = self.side(backend) {
+        if let Some(side) = self.sidecar(backend) {
             self.start_proxy(side).await?;
         }
-        // Where faults overlap, another one's end has brought it up again.
+        // An overlapping fault may already have started it.
         if backend.mode() != Mode::Down {
             return Ok(());
         }
@@ -1145,17 +1113,17 @@
         Ok(())
     }
 
-    /// Ends everything and puts together what was seen.
-    async fn end(
+    /// Stops everything and returns the record.
+    async fn finish(
         self: &Rc<Self>,
         schedule: Arc<Schedule>,
-        driven: LoadResult,
+        load: LoadResult,
     ) -> Result<RunRecord, String> {
-        self.audit().await;
+        self.fetch_audit().await;
         let mut stopping = JoinSet::new();
-        for no in 0..self.slots.len() as ProxyIndex {
+        for index in 0..self.slots.len() as ProxyIndex {
             let runner = self.clone();
-            stopping.spawn_local(async move { runner.stop_proxy(no).await });
+            stopping.spawn_local(async move { runner.stop_proxy(index).await });
         }
         while stopping.join_next().await.is_some() {}
         let backends = self.backends.borrow().clone();
@@ -1166,8 +1134,8 @@
             .attempts
             .iter_mut()
             .for_each(|t| t.unexpected_data = extras.contains(&t.id));
-        event_log.attempts.extend(driven.attempts);
-        event_log.malformed_clients = driven.malformed_clients;
+        event_log.attempts.extend(load.attempts);
+        event_log.malformed_clients = load.malformed_clients;
         Ok(RunRecord {
             schedule,
             event_log,
@@ -1182,13 +1150,12 @@
             fleet_audit: self.audit.take(),
             lease_calls: self.fencing_server.as_ref().map(FencingServer::calls),
             required_generations: self.bounds.take(),
-            generator_lateness: driven.lateness,
-            runner_lateness: self.stage_late.borrow().clone(),
-            dropped: driven.dropped,
-            descriptor_failures: driven.descriptor_failures
-                + self.context.descriptor_failures.get(),
+            generator_lateness: load.lateness,
+            runner_lateness: self.lateness.borrow().clone(),
+            dropped: load.dropped,
+            descriptor_failures: load.descriptor_failures + self.context.descriptor_failures.get(),
             interrupted: *self.options.stop.borrow(),
-            errors: self.troubles.take(),
+            errors: self.errors.take(),
         })
     }
 }
--- a/crates/heathroad-harness/src/scenario.rs
+++ b/crates/heathroad-harness/src/scenario.rs
@@ -1,11 +1,10 @@
-//! A scenario: what is rehearsed, as a TOML file that is checked whole before anything starts. What
-//! a file leaves out of classes, tenants, tiers, clients, rules or run is taken from
-//! `scenarios/common.toml`.
+//! Scenarios: TOML files that are validated completely before a run starts. Classes, tenants,
+//! tiers, clients, rules and run settings that a file omits come from `scenarios/common.toml`.
 
 use serde::Deserialize;
 use std::path::Path;
 
-/// The scenarios that come with the kit, by name.
+/// The built-in scenarios, by name.
 pub const BUILT_IN: &[(&str, &str)] = &[
     (
         "peak-load",
@@ -101,379 +100,373 @@
     ),
     ("smoke", include_str!("../../../scenarios/smoke.toml")),
 ];
-/// A proxy that is held up for longer at a time is not held to what it owes.
+/// Longest pause of a process during which the four rules still apply.
 pub const LONGEST_PAUSE_MS: f64 = 150.0;
 const COMMON: &str = include_str!("../../../scenarios/common.toml");
 
-/// What is rehearsed.
+/// A scenario.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// One line.
+    /// Title, one line.
     pub title: String,
-    /// What it does, and what it shows.
+    /// What the scenario does and demonstrates.
     pub about: String,
-    /// Its size.
+    /// Load and limits.
     pub run: Run,
-    /// Kinds of requests.
+    /// Request classes.
     pub class: Vec<Class>,
-    /// Who sends them.
+    /// Tenants that send requests.
     pub tenant: Vec<Tenant>,
-    /// The services, in the order of the calls.
+    /// Services, in calling order.
     pub tier: Vec<Tier>,
-    /// How clients behave.
+    /// Client behaviour.
     pub clients: Clients,
-    /// Figures of the four rules.
+    /// Parameters of the four rules.
     pub rules: Rules,
-    /// Budgets carried down the chain, where they are kept; stand-ins copy their headers.
+    /// Retry budgets along the chain, if any; emulated backends forward their headers.
     #[serde(default)]
     pub budget: Option<Budget>,
-    /// Routes and pools of the first tier's proxies, as the text of their file; else each has the
-    /// one pool.
+    /// Text of the routes file of the first tier's proxies; a single pool if none.
     #[serde(default)]
     pub routes: Option<String>,
-    /// The first tier's proxies are a fleet, with the kit's network between them; else they know
-    /// nothing of each other.
+    /// Makes the first tier's proxies a fleet on an emulated network; independent if none.
     #[serde(default)]
     pub fleet: Option<FleetRun>,
-    /// Changes of these, proposed to every proxy of the first tier, or to one.
+    /// Route changes, applied at every proxy of the first tier or at one.
     #[serde(default)]
     pub change: Vec<Change>,
-    /// What goes wrong.
+    /// Faults at given times.
     #[serde(default)]
     pub fault: Vec<Fault>,
-    /// Faults drawn by the seed, beside those written down.
+    /// Additional random faults.
     #[serde(default)]
     pub drawn: Option<RandomFaults>,
-    /// Keyed requests that are repeated whatever their answer was.
+    /// Keyed requests that are repeated whatever the response was.
     #[serde(default)]
     pub repeat: Vec<Repeat>,
-    /// What must come out.
+    /// Expected results.
     #[serde(default)]
     pub expect: Vec<Expect>,
 }
 
-/// A rehearsal's size.
+/// Load and limits of a run.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Run {
-    /// How long requests come, in seconds: 1 to 3600.
+    /// How long requests are sent, in seconds: 1 to 3600.
     pub seconds: f64,
-    /// First tries a second, in the mean: 1 to 20,000.
+    /// Mean rate of requests, without retries, per second: 1 to 20,000.
     pub rate: f64,
-    /// Proxies before the first tier: 1 to 64.
+    /// Proxies in front of the first tier: 1 to 64.
     pub proxies: u16,
-    /// What a request beyond its tenant's share is worth, of its class's worth.
+    /// Worth of a request beyond its tenant's quota, as a share of its class's worth.
     pub over_share_worth: f64,
-    /// Memory that a proxy is told it has.
+    /// Configured memory of a proxy.
     pub memory_mb: u32,
-    /// Descriptors that a proxy is told it has.
+    /// Descriptor limit of a proxy.
     pub sockets: u32,
-    /// Clients are told when to come back, and heed it up to so long; 0 is never.
+    /// Maximum `Retry-After`; 0 disables it.
     pub retry_after_ms: f64,
-    /// Backends close connections idle for so long, at the latest.
+    /// Idle timeout of backend connections.
     pub conn_idle_ms: f64,
-    /// A connection not made by then has failed.
+    /// Time limit for connecting to a backend.
     pub connect_timeout_ms: f64,
-    /// A change of routes is watched for so long.
+    /// Probation of a route change.
     pub probation_s: f64,
 }
 
-/// A kind of requests.
+/// A request class.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name: letters, digits, `-`.
+    /// Name: letters, digits, `-`.
     pub name: String,
-    /// Its part of the requests, beside the others'.
+    /// Relative share of the requests.
     pub share: f64,
-    /// Whether it may run again.
+    /// Whether it may be executed again.
     pub effect: Effect,
-    /// Which backends drop each other's repeats, for a keyed one.
+    /// Backends that share a deduplication cache, for a keyed class.
     #[serde(default)]
     pub group: Group,
-    /// For how long they do.
+    /// Deduplication window.
     #[serde(default)]
     pub window_ms: f64,
-    /// An answer within this time earns the whole worth.
+    /// Response time that earns the full worth.
     pub aim_ms: f64,
-    /// A client gives up after this time, over all its tries.
+    /// Deadline of a client, over all its attempts.
     pub deadline_ms: f64,
-    /// Worth of one.
+    /// Worth of a request.
     pub worth: f64,
-    /// Part of the worth that a later answer earns.
+    /// Share of the worth that a later response earns.
     pub late_worth: f64,
     /// Mean work over all tiers, in milliseconds of a standard core.
     pub work_ms: f64,
 }
 
-/// Whether a request may run again.
+/// Whether a request may be executed again.
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
     /// Safe to repeat.
     Safe,
-    /// Repeats are dropped by its key.
+    /// Duplicates are dropped by idempotency key.
     Keyed,
-    /// Must never run twice.
+    /// Must not be executed twice.
     Unsafe,
 }
 
-/// Which backends drop each other's repeats.
+/// Backends that share a deduplication cache.
 #[derive(Debug, Clone, Copy, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Group {
-    /// All of a tier.
+    /// All backends of a tier.
     #[default]
     All,
-    /// Those of one cell: a tier's backends by twos.
+    /// The two backends of a cell.
     Cell,
 }
 
-/// Who sends requests.
+/// A tenant.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Its share, beside the others'.
+    /// Relative share of the quota.
     pub share: f64,
-    /// It sends so many times its share.
+    /// Ratio of the load that it sends to its share.
     #[serde(default = "one")]
     pub usage: f64,
 }
 
-/// A service.
+/// A tier of identical backends.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
-    /// Its name; its backends are NAME-1, NAME-2 and so on.
+    /// Name; its backends are NAME-1, NAME-2 and so on.
     pub name: String,
-    /// How many backends: 1 to 200.
+    /// Number of backends: 1 to 200.
     pub backends: u16,
-    /// Its part of a request's work.
+    /// Share of a request's work.
     pub work: f64,
     /// Cores of a backend.
     pub cores: u16,
     /// Speed of a core, 1 being standard; backends differ by up to a fifth of it.
     #[serde(default = "one")]
     pub speed: f64,
-    /// Requests that a backend has in work at once, waits for the next tier included.
+    /// Requests that a backend processes concurrently, including those that wait for the next tier.
     pub slots: u16,
-    /// Requests that wait for a slot; further ones are declined.
+    /// Queue length; further requests are declined.
     pub queue: u16,
-    /// Connections that a backend takes.
+    /// Maximum connections of a backend.
     pub connections: u16,
-    /// Work that a new connection costs.
+    /// Work of accepting a connection.
     #[serde(default)]
     pub handshake_ms: f64,
-    /// Share of its capacity at which a backend starts.
+    /// Initial capacity of a cold backend, as a share of the full one.
     pub cold_from: f64,
-    /// Time after which it is warm.
+    /// Warm-up time.
     pub cold_s: f64,
-    /// It warms with the requests that it has run, so many, and not with time.
+    /// Number of requests that warm a backend up; if 0, it warms up with time.
     #[serde(default)]
     pub warm_requests: u32,
     /// Calls to the next tier for each request.
     #[serde(default)]
     pub calls: u16,
-    /// Its kinds; those past them, and all where there are none, are `std`.
+    /// Kinds of its backends, in order; the remaining backends are of kind `std`.
     #[serde(default)]
     pub kinds: Vec<Kind>,
 }
 
-/// Backends of one kind, a label that the registry tells.
+/// Backends with the same kind, a label in the registry.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
     /// Its name.
     pub name: String,
-    /// How many of the tier's backends, after those of the kinds before.
+    /// Number of backends of this kind.
     pub backends: u16,
 }
 
-/// What proxies keep to of budgets.
+/// Retry budget settings.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// Most attempts beyond the first that a request is granted.
+    /// Maximum retries of a request.
     pub attempts: u16,
-    /// Attempts granted for each first try, in the long run.
+    /// Retries per request in the long run.
     pub share: f64,
-    /// Attempts that a calm saves up.
+    /// Maximum balance of unused retries.
     pub depth: f64,
 }
 
-/// How proxies are a fleet.
+/// Fleet settings of the first tier's proxies.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetRun {
-    /// A period of their protocol: 100 to 60,000.
+    /// Period of the membership protocol: 100 to 60,000.
     pub period_ms: u64,
-    /// A proxy that can't know what is required fences itself after so long.
+    /// Time after which a proxy fences itself if it can't learn the required version.
     #[serde(default)]
     pub fence_unsure_after_ms: Option<u64>,
-    /// They have a duty, whose lease is so long: its holder acts on the kit's gate each 50 ms. The
-    /// first three vote.
+    /// Duration of a lease whose holder calls the fencing server; the first three proxies vote.
     #[serde(default)]
     pub lease_ms: Option<u64>,
 }
 
-/// A change of routes.
+/// A route change.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// The one proxy that it is proposed to, by name.
+    /// The only proxy that it is applied at.
     #[serde(default)]
     pub on: Option<String>,
-    /// It is required of the fleet so long after its commit.
+    /// Time after the commit from which the fleet must use it.
     #[serde(default)]
     pub required_ms: Option<u64>,
-    /// When it is proposed, in seconds.
+    /// When it is applied, in seconds.
     pub at_s: f64,
-    /// The text that is proposed.
+    /// Text of the routes file.
     pub routes: String,
 }
 
-/// How clients behave. Shares are of first tries.
+/// Client behaviour. Shares refer to first attempts.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// Most retries.
+    /// Maximum retries.
     pub retries: u8,
-    /// Pause before the first retry; doubles with each.
+    /// Delay before the first retry; doubles with each.
     pub backoff_ms: f64,
-    /// Share that heeds `Retry-After`.
+    /// Share that honours `Retry-After`.
     pub heed: f64,
-    /// A try is given up after a share of the deadline drawn from here.
+    /// Range of an attempt's time limit, as a share of the deadline.
     pub patience: [f64; 2],
-    /// Share that hangs up early.
+    /// Share that disconnects early.
     pub hang_up: f64,
-    /// Share that reads its answer slowly.
+    /// Share that reads the response slowly.
     pub slow: f64,
-    /// Clients a second that send what can't be used.
+    /// Malformed requests per second.
     pub rude_per_s: f64,
-    /// Share of first tries that come over JSON-RPC, to the listener `remote` of the routes. They
-    /// say neither how long they wait nor that they leave.
+    /// Share sent over JSON-RPC, to the listener `remote` of the routes, without a deadline.
     #[serde(default)]
     pub remote: f64,
-    /// These come in batches of so many; 1 is one by one.
+    /// Size of JSON-RPC batches; 1 disables batching.
     #[serde(default = "one_of")]
     pub batch: u16,
 }
 
-/// Figures of the four rules.
+/// Parameters of the four rules.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// Nothing new to a backend later than this after its drain was told.
+    /// Time after a drain notice within which a proxy may still send new requests.
     pub drain_grace_ms: f64,
-    /// A cold backend falls over when sent this multiple of what it can do ...
+    /// Multiple of its capacity at which a cold backend crashes ...
     pub fall_multiple: f64,
-    /// ... for so long.
+    /// ... when exceeded for this long.
     pub fall_ms: f64,
-    /// An answer may come so long after its client's time.
+    /// Time after the deadline within which a response may still be sent.
     pub answer_grace_ms: f64,
 }
 
-/// Something that goes wrong.
+/// A fault.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What.
+    /// Kind of fault.
     pub what: FaultKind,
-    /// When it begins, in seconds: a time, or two to draw one between.
+    /// When it begins, in seconds: a time or a range.
     pub at_s: TimeOrRange,
-    /// How long it lasts.
+    /// Duration.
     #[serde(default)]
     pub for_s: f64,
-    /// The tier struck.
+    /// Affected tier.
     #[serde(default)]
     pub tier: Option<String>,
-    /// The backends or proxies struck, by name; else `count` are drawn.
+    /// Affected backends or proxies, by name; if empty, `count` random ones.
     #[serde(default)]
     pub on: Vec<String>,
-    /// How many are drawn.
+    /// Number of random targets.
     #[serde(default = "one_of")]
     pub count: u16,
-    /// Its size: times slower (crawl), share taken (starve), odds (reset, spoil, decline), seconds
-    /// (registry-late, registry-clock).
+    /// Slowdown (crawl), share of the CPU (starve), probability (reset, spoil, decline), seconds
+    /// (registry-late, registry-clock) or milliseconds (pause-proxy).
     #[serde(default)]
     pub size: f64,
 }
 
-/// Faults that the seed draws: kind, time, length and victim.
+/// Faults with random kind, time, duration and target.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RandomFaults {
-    /// How many: 1 to 100.
+    /// Number of faults: 1 to 100.
     pub count: u16,
-    /// Of which kinds.
+    /// Kinds to select from.
     pub kinds: Vec<FaultKind>,
-    /// How long they last, between these.
+    /// Range of the duration.
     pub for_s: [f64; 2],
 }
 
-/// What can go wrong.
+/// Kinds of faults.
 #[derive(Debug, Clone, Copy, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// The machine vanishes: connections stay open, nothing comes, and it returns cold.
+    /// The host stops responding without closing connections, and returns cold.
     Silent,
-    /// Takes requests and answers none.
+    /// Accepts requests and never responds.
     Hang,
-    /// Works so many times slower.
+    /// Works more slowly.
     Crawl,
-    /// The process dies and comes back cold.
+    /// The process is killed and starts again, cold.
     Restart,
-    /// Another program takes a share of the processor, on and off.
+    /// Another program periodically uses a share of the CPU.
     Starve,
-    /// Drains, and is gone after that.
+    /// Drains and is then removed.
     Drain,
-    /// Leaves the list without a drain.
+    /// Is removed from the registry without a drain.
     Delete,
-    /// Dies, and another host comes up at its address, cold.
+    /// Is killed, and another cold backend starts at its address.
     Replace,
-    /// Breaks off answers in the middle.
+    /// Truncates responses.
     Reset,
-    /// Answers noise.
+    /// Sends malformed responses.
     Spoil,
-    /// Turns requests away.
+    /// Declines requests.
     Decline,
-    /// Calls a proxy of the first tier in place of the next tier, as a wrong configuration would
-    /// have it.
+    /// Calls a proxy of the first tier instead of the next tier, like a misconfigured backend.
     Loop,
     /// A proxy of the first tier is killed and started again.
     KillProxy,
-    /// A proxy of the first tier is stopped as planned and started again.
+    /// A proxy of the first tier is shut down gracefully and started again.
     StopProxy,
-    /// A proxy of the first tier reads a configuration that names another registry address.
+    /// A proxy of the first tier reloads a configuration with another registry address.
     ReloadProxy,
-    /// A proxy of the first tier does nothing for a time, and goes on.
+    /// A proxy of the first tier is suspended and resumed.
     StallProxy,
-    /// A proxy of the first tier is held up again and again, by up to so many milliseconds each
-    /// time; it owes what it owes.
+    /// A proxy of the first tier is paused repeatedly, briefly enough that the rules still apply.
     PauseProxy,
-    /// Proxies of the first tier are cut off from their fellows, together, both ways.
+    /// Proxies of the first tier are partitioned together from the others.
     CutProxy,
-    /// A proxy of the first tier hears none of its fellows, and is heard.
+    /// A proxy of the first tier receives nothing from the others, but they receive from it.
     DeafProxy,
-    /// The registry tells changes so many seconds later.
+    /// The registry publishes changes late.
     RegistryLate,
-    /// The registry fails all calls.
+    /// The registry fails all requests.
     RegistryDown,
-    /// The registry tells old states of its entries again, behind newer ones.
+    /// The registry repeats old states of its entries after newer ones.
     RegistryDisorder,
-    /// The registry's clock is off by so many seconds: starts are told wrongly.
+    /// The registry's clock is wrong, and so are the start times that it reports.
     RegistryClock,
 }
 
 impl FaultKind {
-    /// Whether it strikes backends; else proxies or the registry.
+    /// Returns whether it affects backends.
     pub fn affects_backends(self) -> bool {
         self <= FaultKind::Loop
     }
-    /// Whether it strikes proxies.
+    /// Returns whether it affects proxies.
     pub fn affects_proxies(self) -> bool {
         matches!(
             self,
@@ -486,7 +479,7 @@
                 | FaultKind::DeafProxy
         )
     }
-    /// Its name in scenarios.
+    /// Returns its name in scenario files.
     pub fn name(self) -> &'static str {
         match self {
             FaultKind::Silent => "silent",
@@ -514,7 +507,7 @@
             FaultKind::RegistryClock => "registry-clock",
         }
     }
-    /// The size that a drawn fault of this kind has.
+    /// Returns the size of a random fault of this kind.
     pub fn default_size(self) -> f64 {
         match self {
             FaultKind::Crawl => 5.0,
@@ -540,18 +533,18 @@
     }
 }
 
-/// A time, or two between which one is drawn.
+/// A time, or a range from which one is selected.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(untagged)]
 pub enum TimeOrRange {
-    /// At this second.
+    /// A time, in seconds.
     At(f64),
-    /// Between these.
+    /// A range, in seconds.
     Between([f64; 2]),
 }
 
 impl TimeOrRange {
-    /// Its ends.
+    /// Returns the bounds of the range.
     pub fn ends(self) -> [f64; 2] {
         match self {
             TimeOrRange::At(at) => [at, at],
@@ -560,30 +553,30 @@
     }
 }
 
-/// A keyed request whose client repeats it after a time, whatever it was answered.
+/// A keyed request that is repeated, whatever the response was.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Repeat {
     /// When it is first sent, in seconds.
     pub at_s: f64,
-    /// Its class, a keyed one.
+    /// A keyed class.
     pub class: String,
     /// Its tenant.
     pub tenant: String,
-    /// The repeat comes so much later, with the same key and a new id.
+    /// Delay of the repeat, which has the same key and a new id.
     pub after_s: f64,
 }
 
-/// What must come out of a rehearsal.
+/// An expected result of a run.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expect {
-    /// The figure's name, as reports give it.
+    /// Name of the figure, one of [`FIGURES`].
     pub figure: String,
-    /// Its least value.
+    /// Minimum value.
     #[serde(default)]
     pub at_least: Option<f64>,
-    /// Its greatest.
+    /// Maximum value.
     #[serde(default)]
     pub at_most: Option<f64>,
 }
@@ -596,7 +589,7 @@
     1
 }
 
-/// The figures that expectations may name.
+/// Figures that expectations may name.
 pub const FIGURES: &[&str] = &[
     "worth",
     "whole",
@@ -630,7 +623,7 @@
     "duty_pause_s",
 ];
 
-/// Reads a scenario by its shipped name or its file.
+/// Loads a built-in scenario by name, or a scenario file.
 pub fn load(name: &str) -> Result<Scenario, String> {
     if let Some((name, text)) = BUILT_IN.iter().find(|(n, _)| *n == name) {
         return parse(&format!("scenarios/{name}.toml"), text);
@@ -645,7 +638,7 @@
     parse(name, &text)
 }
 
-/// Reads a scenario's text; an error is one line with file, field and reason.
+/// Parses a scenario; an error is one line with file, field and reason.
 pub fn parse(file: &str, text: &str) -> Result<Scenario, String> {
     let wrong = |e: toml::de::Error| {
         let line = e.span().map_or(0, |s| {
@@ -658,7 +651,7 @@
         toml::from_str(COMMON).map_err(|e| format!("scenarios/common.toml: {e}"))?;
     for (key, value) in common {
         match (table.get_mut(&key), value) {
-            // A table is completed field by field; a list is taken whole or not at all.
+            // Tables are merged by field; lists are replaced as a whole.
             (Some(toml::Value::Table(own)), toml::Value::Table(common)) => {
                 for (field, value) in common {
                     own.entry(field).or_insert(value);
@@ -680,7 +673,7 @@
 }
 
 impl Scenario {
-    /// The kind of a tier's backend, by its place from 0.
+    /// Returns the kind of a tier's backend, by its index in the tier.
     pub fn kind(&self, tier: usize, place: u16) -> &str {
         let mut before = 0;
         for k in &self.tier[tier].kinds {
@@ -692,12 +685,12 @@
         "std"
     }
 
-    /// The tier of a name.
+    /// Returns the index of the tier with a name.
     pub fn tier_named(&self, name: &str) -> Option<usize> {
         self.tier.iter().position(|t| t.name == name)
     }
 
-    /// Whether a backend's or proxy's name can be on the stage of this scenario.
+    /// Returns whether a backend of this name exists, in `tier` if given.
     fn names_backend(&self, name: &str, tier: Option<usize>) -> bool {
         let number = |t: &Tier| {
             name.strip_prefix(&t.name)?
@@ -712,7 +705,7 @@
         self.tier.iter().enumerate().any(of)
     }
 
-    /// Checks what types alone can't say.
+    /// Validates ranges and references between fields.
     pub fn check(&self) -> Result<(), String> {
         let mut ranges: Vec<(String, f64, [f64; 2])> = vec![
             ("run.seconds".into(), self.run.seconds, [1.0, 3600.0]),
--- a/crates/heathroad-harness/tests/configuration_propagation.rs
+++ b/crates/heathroad-harness/tests/configuration_propagation.rs
@@ -279,13 +279,13 @@
                 .suspend()
                 .expect("stopped");
             cluster
-                .apply_required(0, &routes(2), within)
+                .apply_by(0, &routes(2), within)
                 .await
                 .expect("it is taken");
         } else {
             // It hears of the change before it stalls.
             cluster
-                .apply_required(0, &routes(2), within)
+                .apply_by(0, &routes(2), within)
                 .await
                 .expect("it is taken");
             let known = |t: &Value| t["required"][0]["number"] == 2;
@@ -365,7 +365,7 @@
     assert_eq!(ready.0, 503);
     assert_eq!(cluster.call(0).await, Ok(200), "two of three know");
     let short = cluster
-        .apply_required(0, &routes(2), 1000)
+        .apply_by(0, &routes(2), 1000)
         .await
         .expect_err("sooner than anybody could know");
     assert!(short.contains("expected 1500 at least"), "{short}");
--- a/crates/heathroad-harness/tests/random_cluster_faults.rs
+++ b/crates/heathroad-harness/tests/random_cluster_faults.rs
@@ -111,7 +111,7 @@
             return self.cluster.apply(0, &text).await;
         }
         // A proxy that does not see most of the fleet is not asked to require anything of it.
-        match self.cluster.apply_required(0, &text, WITHIN_MS).await {
+        match self.cluster.apply_by(0, &text, WITHIN_MS).await {
             Err(why) if why.contains("more than half") => return Ok(()),
             done => done?,
         }
