--- a/crates/heathroad-harness/examples/bad-proxy.rs
+++ b/crates/heathroad-harness/examples/bad-proxy.rs
@@ -1,6 +1,5 @@
-//! A small proxy for the judge's own tests: it keeps the four rules in the simplest way, but for
-//! the one vice that its file name asks for. No model for anybody: one thread for each caller, no
-//! limit, no retries.
+//! A minimal proxy for tests of the invariant checker: it keeps the four rules except for the one
+//! violation that its file name selects. It uses one thread per connection and never retries.
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -12,14 +11,14 @@
 use std::thread;
 use std::time::{Duration, SystemTime};
 
-/// Every so many requests the vice shows, where it is one of single requests.
-const EVERY: u64 = 10;
+/// Interval, in requests, of violations that affect single requests.
+const VIOLATION_INTERVAL: u64 = 10;
 
 #[derive(Default)]
 struct Shared {
-    vice: String,
-    /// By name: address, health, start.
-    hosts: Mutex<BTreeMap<String, (SocketAddr, String, f64)>>,
+    violation: String,
+    /// Address, health and start time of each backend, by name.
+    backends: Mutex<BTreeMap<String, (SocketAddr, String, f64)>>,
     counts: Mutex<BTreeMap<(String, String, String), u64>>,
     attempts: Mutex<BTreeMap<String, u64>>,
     requests: AtomicU64,
@@ -40,7 +39,7 @@
 
 fn run() -> Result<(), String> {
     let name = std::env::args().next().unwrap_or_default();
-    let vice = name
+    let violation = name
         .rsplit('/')
         .next()
         .unwrap_or_default()
@@ -50,11 +49,11 @@
     let text = std::fs::read_to_string(&path).map_err(|e| e.to_string())?;
     let config: Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
     let shared = Arc::new(Shared {
-        vice,
+        violation,
         ..Shared::default()
     });
     let listen = || TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string());
-    let (front, admin) = (listen()?, listen()?);
+    let (listener, admin) = (listen()?, listen()?);
     let registry: SocketAddr = config["discovery"]
         .as_str()
         .and_then(|a| a.parse().ok())
@@ -62,14 +61,14 @@
     let cold = config["settings"]["guarantees"]["cold"]
         .as_f64()
         .unwrap_or(0.0);
-    for (word, listener) in [("listening", &front), ("admin", &admin)] {
+    for (label, listener) in [("listening", &listener), ("admin", &admin)] {
         eprintln!(
-            "bad-proxy: {word} on {}",
+            "bad-proxy: {label} on {}",
             listener.local_addr().map_err(|e| e.to_string())?
         );
     }
     let s = shared.clone();
-    thread::spawn(move || follow(&s, registry));
+    thread::spawn(move || poll_registry(&s, registry));
     let s = shared.clone();
     thread::spawn(move || {
         for stream in admin.incoming().flatten() {
@@ -78,12 +77,12 @@
     });
     let s = shared.clone();
     thread::spawn(move || {
-        for stream in front.incoming().flatten() {
+        for stream in listener.incoming().flatten() {
             let s = s.clone();
             thread::spawn(move || serve(&s, stream, cold));
         }
     });
-    // Until told to stop, by the one signal that it takes notice of.
+    // Runs until SIGTERM.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -101,7 +100,7 @@
 }
 
 fn counts(s: &Shared) -> String {
-    let factor = if s.vice == "miscounts" { 2 } else { 1 };
+    let factor = if s.violation == "miscounts" { 2 } else { 1 };
     let row = |((class, tenant, answer), n): (&(String, String, String), &u64)| {
         json!({"class": class, "tenant": tenant,
         "answer": answer, "count": if answer == "served" { n * factor } else { *n }})
@@ -129,30 +128,30 @@
     )
 }
 
-/// Reads one message: its head and its body. None at the connection's end.
-fn message(stream: &mut TcpStream, kept: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
+/// Reads a message's head and body; none at the end of the connection.
+fn read_message(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
     loop {
-        if let Some(end) = kept
+        if let Some(end) = buffer
             .windows(4)
             .position(|w| w == b"\r\n\r\n")
             .map(|p| p + 4)
         {
-            let head = String::from_utf8_lossy(&kept[..end]).into_owned();
+            let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
             let length = header(&head, "content-length")
                 .and_then(|l| l.parse::<usize>().ok())
                 .unwrap_or(0);
             if length > 1 << 16 {
                 return None;
             }
-            if kept.len() >= end + length {
-                let rest = kept.split_off(end + length);
-                let body = std::mem::replace(kept, rest).split_off(end);
+            if buffer.len() >= end + length {
+                let rest = buffer.split_off(end + length);
+                let body = std::mem::replace(buffer, rest).split_off(end);
                 return Some((head, body));
             }
         }
         let mut part = [0; 4096];
         match stream.read(&mut part) {
-            Ok(n) if n > 0 && kept.len() < 1 << 16 => kept.extend_from_slice(&part[..n]),
+            Ok(n) if n > 0 && buffer.len() < 1 << 16 => buffer.extend_from_slice(&part[..n]),
             _ => return None,
         }
     }
@@ -167,8 +166,8 @@
     Some(line.split_once(':')?.1.trim())
 }
 
-/// Asks the registry again and again.
-fn follow(s: &Shared, registry: SocketAddr) {
+/// Polls the registry.
+fn poll_registry(s: &Shared, registry: SocketAddr) {
     while !s.stop.load(SeqCst) {
         let page = (|| {
             let mut stream = TcpStream::connect(registry).ok()?;
@@ -176,10 +175,10 @@
             stream
                 .write_all(b"GET /registry/instances HTTP/1.1\r\nHost: r\r\n\r\n")
                 .ok()?;
-            let (_, body) = message(&mut stream, &mut Vec::new())?;
+            let (_, body) = read_message(&mut stream, &mut Vec::new())?;
             serde_json::from_slice::<Value>(&body).ok()
         })();
-        if let (Some(page), Ok(mut hosts)) = (page, s.hosts.lock()) {
+        if let (Some(page), Ok(mut backends)) = (page, s.backends.lock()) {
             let mut now = BTreeMap::new();
             for h in page["hosts"].as_array().into_iter().flatten() {
                 let text = |name: &str| h[name].as_str().unwrap_or_default().to_string();
@@ -191,41 +190,41 @@
                     (addr, text("health"), h["born_ms"].as_f64().unwrap_or(0.0)),
                 );
             }
-            *hosts = now;
+            *backends = now;
         }
         thread::sleep(Duration::from_millis(50));
     }
 }
 
-fn pick(s: &Shared, turn: u64, cold: f64) -> Option<SocketAddr> {
+fn pick(s: &Shared, number: u64, cold: f64) -> Option<SocketAddr> {
     let now = SystemTime::UNIX_EPOCH.elapsed().ok()?.as_secs_f64() * 1000.0;
-    let hosts = s.hosts.lock().ok()?;
-    let young = |born: f64| born > 0.0 && now - born < cold;
-    let mut pool: Vec<SocketAddr> = match s.vice.as_str() {
-        "keeps-sending" => hosts.values().map(|h| h.0).collect(),
-        "pushes-cold" => hosts
+    let backends = s.backends.lock().ok()?;
+    let is_cold = |born: f64| born > 0.0 && now - born < cold;
+    let mut pool: Vec<SocketAddr> = match s.violation.as_str() {
+        "keeps-sending" => backends.values().map(|h| h.0).collect(),
+        "pushes-cold" => backends
             .values()
-            .filter(|h| h.1 == "SERVING" && young(h.2))
+            .filter(|h| h.1 == "SERVING" && is_cold(h.2))
             .map(|h| h.0)
             .collect(),
-        _ => hosts
+        _ => backends
             .values()
-            .filter(|h| h.1 == "SERVING" && !young(h.2))
+            .filter(|h| h.1 == "SERVING" && !is_cold(h.2))
             .map(|h| h.0)
             .collect(),
     };
     if pool.is_empty() {
-        pool = hosts
+        pool = backends
             .values()
             .filter(|h| h.1 == "SERVING")
             .map(|h| h.0)
             .collect();
     }
-    pool.get(turn.checked_rem(pool.len() as u64)? as usize)
+    pool.get(number.checked_rem(pool.len() as u64)? as usize)
         .copied()
 }
 
-/// One attempt: status and body, or that nothing was sent (false) or no answer came (true).
+/// Makes an attempt; `Err` is true if the request was sent but not answered.
 fn attempt(s: &Shared, to: SocketAddr, line: &str, head: &str) -> Result<(u16, Vec<u8>), bool> {
     let result = (|| {
         let mut stream =
@@ -249,7 +248,7 @@
         stream
             .write_all((request + "\r\n").as_bytes())
             .map_err(|_| false)?;
-        let (head, body) = message(&mut stream, &mut Vec::new()).ok_or(true)?;
+        let (head, body) = read_message(&mut stream, &mut Vec::new()).ok_or(true)?;
         let status = head
             .split_whitespace()
             .nth(1)
@@ -257,7 +256,7 @@
             .ok_or(true)?;
         Ok((status, body))
     })();
-    let word = match &result {
+    let label = match &result {
         Ok((200, _)) => "served",
         Ok((503, _)) => "declined",
         Ok(_) => "error",
@@ -265,17 +264,17 @@
         Err(false) => "connect_failed",
     };
     if let Ok(mut attempts) = s.attempts.lock() {
-        *attempts.entry(word.to_string()).or_default() += 1;
+        *attempts.entry(label.to_string()).or_default() += 1;
     }
     result
 }
 
 fn serve(s: &Shared, mut stream: TcpStream, cold: f64) {
     let _ = stream.set_nodelay(true);
-    let (mut kept, mut before) = (Vec::new(), Vec::new());
-    while let Some((head, _)) = message(&mut stream, &mut kept) {
+    let (mut buffer, mut previous_body) = (Vec::new(), Vec::new());
+    while let Some((head, _)) = read_message(&mut stream, &mut buffer) {
         if head.starts_with("GET /health/ready") {
-            let ready = s.hosts.lock().is_ok_and(|h| !h.is_empty());
+            let ready = s.backends.lock().is_ok_and(|h| !h.is_empty());
             let _ = stream.write_all(http(if ready { 200 } else { 503 }, "", "").as_bytes());
             continue;
         }
@@ -291,43 +290,46 @@
             let _ = stream.write_all(http(400, "Connection: close\r\n", "").as_bytes());
             return;
         }
-        let turn = s.requests.fetch_add(1, SeqCst);
-        let shows = turn.is_multiple_of(EVERY);
+        let number = s.requests.fetch_add(1, SeqCst);
+        let violates = number.is_multiple_of(VIOLATION_INTERVAL);
         s.open.fetch_add(1, SeqCst);
         let is_unsafe = line.starts_with("POST") && header(&head, "idempotency-key").is_none();
-        let once = |turn| pick(s, turn, cold).map_or(Err(false), |to| attempt(s, to, &line, &head));
-        let mut result = once(turn);
-        if s.vice == "doubles" && is_unsafe {
+        let once =
+            |number| pick(s, number, cold).map_or(Err(false), |to| attempt(s, to, &line, &head));
+        let mut result = once(number);
+        if s.violation == "doubles" && is_unsafe {
             s.resends.fetch_add(1, SeqCst);
-            result = once(turn + 1);
+            result = once(number + 1);
         }
         s.open.fetch_sub(1, SeqCst);
-        let (mut status, mut body, mut word) = match result {
+        let (mut status, mut body, mut label) = match result {
             Ok((200, body)) => (200, body, "served"),
             Ok((503, _)) | Err(false) => (503, Vec::new(), "refused"),
             _ => (502, Vec::new(), "failed"),
         };
-        if s.vice == "refuses-what-ran" && is_unsafe && status == 200 {
-            (status, body, word) = (503, Vec::new(), "refused");
+        if s.violation == "refuses-what-ran" && is_unsafe && status == 200 {
+            (status, body, label) = (503, Vec::new(), "refused");
         }
-        if s.vice == "loses" && shows {
+        if s.violation == "loses" && violates {
             return;
         }
-        if s.vice == "is-late" && shows {
+        if s.violation == "is-late" && violates {
             thread::sleep(Duration::from_millis(2500));
         }
-        if s.vice == "mixes-up" && shows && status == 200 && !before.is_empty() {
-            body.clone_from(&before);
+        if s.violation == "mixes-up" && violates && status == 200 && !previous_body.is_empty() {
+            body.clone_from(&previous_body);
         }
         if status == 200 {
-            before.clone_from(&body);
+            previous_body.clone_from(&body);
         }
         if let Ok(mut counts) = s.counts.lock() {
             let tenant = header(&head, "req-owner").unwrap_or_default().to_string();
-            *counts.entry((class, tenant, word.to_string())).or_default() += 1;
+            *counts
+                .entry((class, tenant, label.to_string()))
+                .or_default() += 1;
         }
         let mut answer = http(status, "", &String::from_utf8_lossy(&body)).into_bytes();
-        if s.vice == "answers-twice" && shows {
+        if s.violation == "answers-twice" && violates {
             answer.extend_from_within(..);
         }
         if stream.write_all(&answer).is_err() {
--- a/crates/heathroad-harness/tests/cluster.rs
+++ b/crates/heathroad-harness/tests/cluster.rs
@@ -1,5 +1,4 @@
-//! Several processes of the daemon with faults between them: what they know of each other, and what
-//! their audit says.
+//! Membership and audit of several daemon processes under network and process faults.
 
 mod common;
 
@@ -25,16 +24,19 @@
     let cluster = Cluster::start_all(&daemon(), proxies, seed, options)
         .await
         .expect("it starts");
-    cluster.wait_for_all_alive().await.expect("all know all");
+    cluster
+        .wait_for_all_alive()
+        .await
+        .expect("all members alive");
     cluster
 }
 
-fn member(told: &Value, place: u16) -> &Value {
-    &told["members"][usize::from(place)]
+fn member(response: &Value, place: u16) -> &Value {
+    &response["members"][usize::from(place)]
 }
 
-/// Attempts by version that a member's record tells of, in all its pages.
-fn sent(member: &Value) -> BTreeMap<String, u64> {
+/// Returns a member's audited attempts by version.
+fn audited_attempts(member: &Value) -> BTreeMap<String, u64> {
     let mut sent = BTreeMap::new();
     for page in member["pages"].as_array().expect("reached") {
         let digest = page["digest"].as_str().expect("a digest").to_string();
@@ -44,8 +46,8 @@
     sent
 }
 
-/// What the backend saw of a proxy, by version.
-fn seen(cluster: &Cluster, proxy: u16) -> BTreeMap<String, u64> {
+/// Returns the attempts of a proxy that the backend received, by version.
+fn received_attempts(cluster: &Cluster, proxy: u16) -> BTreeMap<String, u64> {
     let mut seen = BTreeMap::new();
     for noted in cluster
         .backend_requests()
@@ -53,36 +55,36 @@
         .filter(|n| n.proxy == proxy)
     {
         *seen
-            .entry(noted.version.expect("every attempt tells its version"))
+            .entry(noted.version.expect("every attempt carries its version"))
             .or_insert(0) += 1;
     }
     seen
 }
 
 #[tokio::test]
-async fn a_killed_proxy_is_gone_for_all_and_comes_back_in_a_new_life() {
+async fn a_killed_proxy_is_reported_gone_and_returns_with_a_new_incarnation() {
     let mut cluster = cluster(4, 1, false).await;
-    let life = |told: &Value| {
-        member(told, 2)["incarnation"]["life"]
+    let life = |response: &Value| {
+        member(response, 2)["incarnation"]["life"]
             .as_u64()
             .expect("a life")
     };
-    let before = life(&cluster.query(0, "/fleet/members").await.expect("told"));
+    let before = life(&cluster.query(0, "/fleet/members").await.expect("response"));
     cluster.kill(2);
     for at in [0, 1, 3] {
-        let told = cluster
+        let response = cluster
             .wait_for_standing(at, 2, "gone")
             .await
             .expect("its death is known");
         assert!(
             (0..4)
                 .filter(|p| *p != 2)
-                .all(|p| member(&told, p)["standing"] == "alive"),
-            "{told}"
+                .all(|p| member(&response, p)["standing"] == "alive"),
+            "{response}"
         );
     }
-    // Nobody is left to say what it did: that is told, and not guessed.
-    let audit = cluster.query(0, "/fleet/audit").await.expect("told");
+    // Its activity is unknown, and reported as unknown.
+    let audit = cluster.query(0, "/fleet/audit").await.expect("response");
     assert_eq!(
         (
             &member(&audit, 2)["reached"],
@@ -91,12 +93,15 @@
         (&false.into(), &Value::Null)
     );
     cluster.start(2).await.expect("it starts again");
-    cluster.wait_for_all_alive().await.expect("all know all");
-    let after = life(&cluster.query(0, "/fleet/members").await.expect("told"));
+    cluster
+        .wait_for_all_alive()
+        .await
+        .expect("all members alive");
+    let after = life(&cluster.query(0, "/fleet/members").await.expect("response"));
     assert!(after > before);
-    // Its record was on disk: its former life is known again, and where it is torn.
-    let told = cluster.query(0, "/fleet/audit").await.expect("told");
-    let pages = member(&told, 2)["pages"]
+    // Its record on disk covers the former incarnation, with its incomplete end.
+    let response = cluster.query(0, "/fleet/audit").await.expect("response");
+    let pages = member(&response, 2)["pages"]
         .as_array()
         .expect("reached")
         .clone();
@@ -106,13 +111,16 @@
             .any(|p| p["life"].as_u64() == Some(before) && p["torn"] == true),
         "{pages:?}"
     );
-    // With nothing kept, the loss shows as a record that begins anew.
+    // Without its state the record starts again.
     cluster.kill(2);
     cluster.delete_state(2).expect("its state is taken away");
     cluster.start(2).await.expect("it starts again");
-    cluster.wait_for_all_alive().await.expect("all know all");
-    let told = cluster.query(0, "/fleet/audit").await.expect("told");
-    let pages = member(&told, 2)["pages"]
+    cluster
+        .wait_for_all_alive()
+        .await
+        .expect("all members alive");
+    let response = cluster.query(0, "/fleet/audit").await.expect("response");
+    let pages = member(&response, 2)["pages"]
         .as_array()
         .expect("reached")
         .clone();
@@ -122,9 +130,9 @@
     );
 }
 
-/// A stalled proxy that wakes knows that it stalled, accuses nobody, and is among the others again.
+/// A resumed proxy must notice its pause, suspect no other member and rejoin.
 #[tokio::test]
-async fn a_stalled_proxy_wakes() {
+async fn a_suspended_proxy_rejoins() {
     let cluster = cluster(4, 2, false).await;
     cluster
         .daemon(1)
@@ -140,13 +148,16 @@
         .expect("it runs")
         .resume()
         .expect("goes on");
-    cluster.wait_for_all_alive().await.expect("all know all");
-    let told = cluster.query(1, "/fleet/members").await.expect("told");
-    let news = told["news"].as_array().expect("a list");
+    cluster
+        .wait_for_all_alive()
+        .await
+        .expect("all members alive");
+    let response = cluster.query(1, "/fleet/members").await.expect("response");
+    let news = response["news"].as_array().expect("a list");
     assert!(news.iter().any(|n| n["news"]["what"] == "woke"), "{news:?}");
     let accused = |n: &&Value| n["news"]["what"] == "suspected" && n["news"]["by"] == 1;
     assert_eq!(news.iter().filter(accused).count(), 0, "{news:?}");
-    let audit = cluster.query(3, "/fleet/audit").await.expect("told");
+    let audit = cluster.query(3, "/fleet/audit").await.expect("response");
     let spells = member(&audit, 1)["spells"]
         .as_array()
         .expect("reached")
@@ -157,10 +168,10 @@
     );
 }
 
-/// An audit that is asked during a cut says whom it did not reach; one that is asked after it fills
-/// the gap and contradicts nothing.
+/// An audit during a partition must name the unreached members; one afterwards must complete it
+/// consistently.
 #[tokio::test]
-async fn an_audit_during_a_cut_and_after_it() {
+async fn an_audit_during_and_after_a_partition() {
     let mut cluster = cluster(4, 3, true).await;
     for proxy in 0..4 {
         assert_eq!(cluster.call(proxy).await, Ok(200));
@@ -175,7 +186,7 @@
         .await
         .expect("a change on the other side");
     assert_eq!(cluster.call(2).await, Ok(200));
-    let during = cluster.query(0, "/fleet/audit").await.expect("told");
+    let during = cluster.query(0, "/fleet/audit").await.expect("response");
     assert_eq!(member(&during, 1)["reached"], true);
     let unknown = member(&during, 2);
     assert_eq!(
@@ -185,14 +196,17 @@
     );
     assert!(
         unknown["last_acts"][0].is_string(),
-        "what was heard last is told"
+        "the last known activity is reported"
     );
     cluster.network.heal();
-    cluster.wait_for_all_alive().await.expect("all know all");
-    let after = cluster.query(0, "/fleet/audit").await.expect("told");
+    cluster
+        .wait_for_all_alive()
+        .await
+        .expect("all members alive");
+    let after = cluster.query(0, "/fleet/audit").await.expect("response");
     for place in [0, 1] {
-        let pages = |told: &Value| {
-            let pages = member(told, place)["pages"]
+        let pages = |response: &Value| {
+            let pages = member(response, place)["pages"]
                 .as_array()
                 .expect("reached")
                 .clone();
@@ -202,7 +216,7 @@
                 .collect::<Vec<_>>()
         };
         let (was, is) = (pages(&during), pages(&after));
-        // Another's clock is known to some milliseconds.
+        // Clocks of other members are estimated.
         let near = |(a, b): (&(Value, Value), &(Value, Value))| {
             let at = |v: &Value| v.as_u64().expect("a time");
             a.1 == b.1 && at(&a.0).abs_diff(at(&b.0)) < 2000
@@ -210,20 +224,20 @@
         assert!(was.iter().zip(&is).all(near), "{was:?} {is:?}");
     }
     let known = member(&after, 2);
-    assert_eq!(sent(known), seen(&cluster, 2));
+    assert_eq!(audited_attempts(known), received_attempts(&cluster, 2));
     let last = member(&during, 2)["last_acts"][0]
         .as_str()
         .expect("a digest")
         .to_string();
     assert!(
-        sent(known).contains_key(&last),
-        "what was heard last is in the record: {known}"
+        audited_attempts(known).contains_key(&last),
+        "the last known activity is in the record: {known}"
     );
 }
 
-/// A proxy that hears and is not heard, or the other way round, accuses nobody who is there.
+/// A one-way partition must not make a proxy suspect available members.
 #[tokio::test]
-async fn a_cut_one_way() {
+async fn a_one_way_partition() {
     let cluster = cluster(3, 4, false).await;
     for other in [0, 1] {
         cluster
@@ -239,11 +253,14 @@
         ["alive", "alive"],
         "{cut}"
     );
-    let others = cluster.query(0, "/fleet/members").await.expect("told");
+    let others = cluster.query(0, "/fleet/members").await.expect("response");
     assert_eq!(member(&others, 1)["standing"], "alive");
     cluster.network.heal();
-    cluster.wait_for_all_alive().await.expect("all know all");
-    let audit = cluster.query(0, "/fleet/audit").await.expect("told");
+    cluster
+        .wait_for_all_alive()
+        .await
+        .expect("all members alive");
+    let audit = cluster.query(0, "/fleet/audit").await.expect("response");
     let spells = member(&audit, 2)["spells"]
         .as_array()
         .expect("reached")
@@ -256,11 +273,10 @@
     );
 }
 
-/// Changes come into force at one proxy after the other, under calls, over ways that lose, repeat
-/// and tear: every attempt that the backend saw is in the audit under the version that the backend
-/// was told, and no other.
+/// While changes spread over lossy links, the audit must attribute every attempt to the version that
+/// the backend received.
 #[tokio::test]
-async fn the_audit_equals_what_the_backend_saw() {
+async fn the_audit_equals_the_attempts_at_the_backend() {
     let mut cluster = cluster(3, 5, true).await;
     cluster.network.configure_all(|w| {
         (w.loss, w.duplication, w.truncation) = (0.2, 0.1, 0.05);
@@ -272,30 +288,41 @@
             .apply(round, &routes(next))
             .await
             .expect("it is taken");
-        // Each is brought up in its own time, under calls.
+        // Each proxy is updated under load.
         for proxy in 0..3 {
             let there = |s: &Value| s["generation"] == next && s["open"].is_null();
-            while !there(&cluster.query(proxy, "/config/status").await.expect("told")) {
+            while !there(
+                &cluster
+                    .query(proxy, "/config/status")
+                    .await
+                    .expect("response"),
+            ) {
                 assert_eq!(cluster.call(proxy).await, Ok(200));
                 sleep(Duration::from_millis(20)).await;
             }
             assert_eq!(cluster.call(proxy).await, Ok(200));
         }
     }
-    cluster.wait_for_all_alive().await.expect("all know all");
+    cluster
+        .wait_for_all_alive()
+        .await
+        .expect("all members alive");
     let all_reached = |t: &Value| (0..3).all(|p| member(t, p)["reached"] == true);
     let audit = cluster
         .wait_until(0, "/fleet/audit", all_reached)
         .await
-        .expect("told");
+        .expect("response");
     for proxy in 0..3 {
         assert_eq!(
-            sent(member(&audit, proxy)),
-            seen(&cluster, proxy),
+            audited_attempts(member(&audit, proxy)),
+            received_attempts(&cluster, proxy),
             "proxy {proxy}: {}",
             member(&audit, proxy)
         );
-        assert!(seen(&cluster, proxy).len() >= 3, "several versions");
+        assert!(
+            received_attempts(&cluster, proxy).len() >= 3,
+            "several versions"
+        );
     }
     let (record, _) = cluster.network.messages();
     for fate in [
@@ -317,21 +344,28 @@
     );
     let mut dropped = [0, 0];
     for proxy in 0..3 {
-        let told = cluster.query(proxy, "/fleet/members").await.expect("told");
-        let count = |why: &str| told["traffic"]["dropped"][why].as_u64().expect("a count");
+        let response = cluster
+            .query(proxy, "/fleet/members")
+            .await
+            .expect("response");
+        let count = |why: &str| {
+            response["traffic"]["dropped"][why]
+                .as_u64()
+                .expect("a count")
+        };
         dropped[0] += count("torn") + count("forged");
         dropped[1] += count("replayed");
     }
     assert!(
         dropped.iter().all(|n| *n > 0),
-        "half messages and repeats are told apart: {dropped:?}"
+        "truncated and repeated messages are counted: {dropped:?}"
     );
 }
 
-/// A request that is bound before a change and answered long after it stands under the version that
-/// it was bound to.
+/// A request that is routed before a change and answered after it must be audited under the old
+/// version.
 #[tokio::test]
-async fn an_act_long_after_the_change_is_under_what_it_was_bound_to() {
+async fn a_late_response_is_audited_under_the_version_of_its_request() {
     let mut cluster = cluster(2, 6, true).await;
     cluster.hold_responses(true);
     let call = tokio::spawn(cluster.start_call(0).expect("it runs"));
@@ -341,7 +375,7 @@
     cluster.apply(0, &routes(2)).await.expect("it is taken");
     cluster.hold_responses(false);
     assert_eq!(call.await.expect("no panic"), Ok(200));
-    let audit = cluster.query(1, "/fleet/audit").await.expect("told");
+    let audit = cluster.query(1, "/fleet/audit").await.expect("response");
     let pages = member(&audit, 0)["pages"]
         .as_array()
         .expect("reached")
@@ -366,7 +400,7 @@
     );
 }
 
-/// Without a file of the fleet nothing is sent or read on the peers' port, and nothing is kept.
+/// Without a fleet file nothing is sent or received on the peer port.
 #[tokio::test]
 async fn without_a_fleet_the_peers_port_stays_closed() {
     let port = UdpSocket::bind("127.0.0.1:0").expect("a port");
@@ -396,17 +430,17 @@
             "guarantees": {"coldFrom": 0.1, "cold": 1000.0, "fallMultiple": 3.0, "stopSendingWithin": 500.0}}
     });
     let file = folder.join("alone.json");
-    let alone = heathroad_harness::daemon::start(&daemon(), &file, &config, 256)
+    let daemon_process = heathroad_harness::daemon::start(&daemon(), &file, &config, 256)
         .await
         .expect("it starts");
     sleep(Duration::from_millis(1500)).await;
     let mut bytes = [0; 512];
-    let heard = port.recv_from(&mut bytes).map_err(|e| e.kind());
-    assert_eq!(heard.err(), Some(std::io::ErrorKind::WouldBlock));
-    let told = heathroad_harness::daemon::get(alone.admin_address, "/fleet/members")
+    let datagram = port.recv_from(&mut bytes).map_err(|e| e.kind());
+    assert_eq!(datagram.err(), Some(std::io::ErrorKind::WouldBlock));
+    let response = heathroad_harness::daemon::get(daemon_process.admin_address, "/fleet/members")
         .await
         .expect("it answers");
-    assert_eq!(told.0, 404);
-    drop(alone);
+    assert_eq!(response.0, 404);
+    drop(daemon_process);
     std::fs::remove_dir_all(&folder).expect("it is there");
 }
--- a/crates/heathroad-harness/tests/configuration_propagation.rs
+++ b/crates/heathroad-harness/tests/configuration_propagation.rs
@@ -1,4 +1,4 @@
-//! Proxies that are behind their fleet: brought up, or shut out.
+//! Propagation of configurations to proxies that lag behind, and fencing of those that can't update.
 
 mod common;
 
@@ -23,7 +23,10 @@
     let cluster = Cluster::start_all(&daemon(), proxies, seed, options)
         .await
         .expect("it starts");
-    cluster.wait_for_all_alive().await.expect("all know all");
+    cluster
+        .wait_for_all_alive()
+        .await
+        .expect("all members alive");
     cluster
 }
 
@@ -31,7 +34,7 @@
     status["generation"].as_u64().unwrap_or(0)
 }
 
-async fn until_at(cluster: &Cluster, proxy: u16, number: u64) {
+async fn wait_for_generation(cluster: &Cluster, proxy: u16, number: u64) {
     let there = |s: &Value| generation(s) == number && s["open"].is_null();
     cluster
         .wait_until(proxy, "/config/status", there)
@@ -40,18 +43,17 @@
 }
 
 #[tokio::test]
-async fn a_straggler_is_brought_up() {
+async fn a_lagging_proxy_is_updated() {
     let mut cluster = cluster(4, 11, None).await;
     let old = cluster.copy_state(3).expect("it is there");
-    // One is cut off while a change is made elsewhere: the others are brought up, it is once it is
-    // heard again.
+    // A partitioned proxy is updated once the partition ends.
     cluster.network.partition(&[&[2]]);
     cluster.apply(0, &routes(2)).await.expect("it is taken");
     for proxy in [1, 3] {
-        until_at(&cluster, proxy, 2).await;
+        wait_for_generation(&cluster, proxy, 2).await;
     }
     assert_eq!(
-        generation(&cluster.query(2, "/config/status").await.expect("told")),
+        generation(&cluster.query(2, "/config/status").await.expect("response")),
         1
     );
     assert_eq!(
@@ -60,56 +62,56 @@
         "it is not required: who is cut off serves on"
     );
     cluster.network.heal();
-    until_at(&cluster, 2, 2).await;
-    // One comes back with an old copy of its state.
+    wait_for_generation(&cluster, 2, 2).await;
+    // A proxy that returns with outdated state is updated.
     cluster.kill(3);
     cluster.restore_state(3, &old).expect("it is put back");
     cluster.start(3).await.expect("it starts");
-    until_at(&cluster, 3, 2).await;
-    // A change by hand at another gets a number above all that are known.
+    wait_for_generation(&cluster, 3, 2).await;
+    // A later change gets a number above all known ones.
     cluster.apply(1, &routes(3)).await.expect("it is taken");
     for proxy in 0..4 {
-        until_at(&cluster, proxy, 3).await;
+        wait_for_generation(&cluster, proxy, 3).await;
     }
 }
 
-/// The ones that a straggler would pull from die; another has the text.
+/// If the sources of an update are killed, a proxy must fetch it from another one.
 #[tokio::test]
-async fn sources_that_die() {
+async fn update_sources_are_killed() {
     let mut cluster = cluster(4, 12, None).await;
     cluster.network.partition(&[&[3]]);
     cluster.apply(0, &routes(2)).await.expect("it is taken");
     for proxy in [1, 2] {
-        until_at(&cluster, proxy, 2).await;
+        wait_for_generation(&cluster, proxy, 2).await;
     }
     cluster.network.configure_all(|w| w.loss = 0.2);
     cluster.network.configure_links_of(3, |w| w.blocked = false);
     cluster.kill(0);
     cluster.kill(1);
-    until_at(&cluster, 3, 2).await;
+    wait_for_generation(&cluster, 3, 2).await;
 }
 
-/// What a proxy can't take it turns down, once, and the audit says why.
+/// A proxy that can't apply a change must reject it once, and the audit must give the reason.
 #[tokio::test]
-async fn a_change_that_some_turn_down() {
+async fn a_change_that_some_proxies_reject() {
     let cluster = cluster(3, 13, None).await;
-    // On one machine only one can listen there.
+    // Only one proxy can listen on this port.
     let port = std::net::TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .expect("a port")
         .port();
     let pool = routes(2).replace("[[route]]", "[pool.rpc]\nframing = \"lines\"\n[[route]]");
-    let door = format!(
+    let listener_routes = format!(
         "{pool}[[listener]]\nname = \"remote\"\nprotocol = \"json-rpc\"\nlisten = \"127.0.0.1:{port}\"\nframing = \"lines\"\n\
          [[listener.method]]\nname = \"look\"\nclass = \"look\"\n"
     );
     cluster
-        .apply(0, &door)
+        .apply(0, &listener_routes)
         .await
         .expect("it is taken where it was proposed");
-    let down = |told: &Value| {
+    let down = |response: &Value| {
         (1..3).all(|p| {
-            told["members"][p]["turned_down"]
+            response["members"][p]["turned_down"]
                 .as_array()
                 .is_some_and(|t| !t.is_empty())
         })
@@ -133,21 +135,20 @@
         );
     }
     assert_eq!(
-        generation(&cluster.query(1, "/config/status").await.expect("told")),
+        generation(&cluster.query(1, "/config/status").await.expect("response")),
         1
     );
-    // Numbers are the fleet's: a change made where the second one was not taken is the third.
+    // Numbers are fleet-wide: the next change is number 3, even at a proxy that rejected number 2.
     cluster.apply(1, &routes(3)).await.expect("it is taken");
     for proxy in 0..3 {
-        until_at(&cluster, proxy, 3).await;
+        wait_for_generation(&cluster, proxy, 3).await;
     }
 }
 
-/// A change does harm wherever there are requests, and none where it was proposed: one keeps it,
-/// the others undo it on probation and stay on what they had; the audit says of each what it did
-/// and why.
+/// Proxies with traffic must roll back a harmful change during probation while one without traffic
+/// keeps it, and the audit must show both.
 #[tokio::test]
-async fn a_change_that_most_undo_and_one_keeps() {
+async fn a_harmful_change_is_rolled_back_where_it_has_traffic() {
     let (routes, probation_ms) = (Some(routes(1)), Some(3000));
     let options = Options {
         routes,
@@ -158,7 +159,10 @@
     let mut cluster = Cluster::start_all(&daemon(), 3, 15, options)
         .await
         .expect("it starts");
-    cluster.wait_for_all_alive().await.expect("all know all");
+    cluster
+        .wait_for_all_alive()
+        .await
+        .expect("all members alive");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let harmful = common::routes(2).replace(
         "BACKEND",
@@ -183,8 +187,8 @@
     let admin = cluster.daemon(0).expect("it runs").admin_address;
     for n in 0..100 {
         if n == 60 {
-            let told = heathroad_harness::daemon::post(admin, "/config/apply", &harmful).await;
-            assert_eq!(told.expect("an answer").0, 200);
+            let response = heathroad_harness::daemon::post(admin, "/config/apply", &harmful).await;
+            assert_eq!(response.expect("an answer").0, 200);
         }
         for proxy in 1..3 {
             assert_eq!(cluster.call(proxy).await, Ok(200));
@@ -195,7 +199,7 @@
         for proxy in [1, 2].repeat(30) {
             let _ = cluster.call(proxy).await;
         }
-        let audit = cluster.query(0, "/fleet/audit").await.expect("told");
+        let audit = cluster.query(0, "/fleet/audit").await.expect("response");
         let down = |p: usize| {
             audit["members"][p]["turned_down"]
                 .as_array()
@@ -233,16 +237,16 @@
     }
 }
 
-/// Two changes under one number on both sides of a cut: neither is spread once they meet, and the
-/// conflict has a name.
+/// Two changes with the same number from both sides of a partition must be reported as a conflict
+/// and not spread.
 #[tokio::test]
-async fn two_changes_under_one_number() {
+async fn two_changes_with_the_same_number() {
     let cluster = cluster(4, 14, None).await;
     cluster.network.partition(&[&[0, 1], &[2, 3]]);
     cluster.apply(0, &routes(2)).await.expect("it is taken");
     cluster.apply(3, &routes(3)).await.expect("it is taken");
     for proxy in [1, 2] {
-        until_at(&cluster, proxy, 2).await;
+        wait_for_generation(&cluster, proxy, 2).await;
     }
     cluster.network.heal();
     for proxy in 0..4 {
@@ -254,25 +258,24 @@
     }
     cluster.apply(2, &routes(4)).await.expect("it is taken");
     for proxy in 0..4 {
-        until_at(&cluster, proxy, 3).await;
+        wait_for_generation(&cluster, proxy, 3).await;
     }
 }
 
-/// A stalled proxy wakes with requests in its sockets, long after another version was required:
-/// none is decided on the old one.
+/// A proxy that resumes with queued requests must not use a version older than the required one.
 #[tokio::test]
-async fn no_act_on_an_old_version_past_its_bound() {
-    // Where a proxy fences itself when it can't know, and where it has heard before it stalled.
-    for (seed, unsure) in [(15, Some(5 * PERIOD_MS)), (16, None)] {
-        let mut cluster = cluster(3, seed, unsure).await;
+async fn no_request_uses_an_old_version_past_its_bound() {
+    // With self-fencing, and without it when the proxy knows the requirement before the pause.
+    for (seed, fence_after_ms) in [(15, Some(5 * PERIOD_MS)), (16, None)] {
+        let mut cluster = cluster(3, seed, fence_after_ms).await;
         assert_eq!(cluster.call(1).await, Ok(200));
         let old = cluster
             .backend_requests()
             .last()
             .and_then(|n| n.version.clone())
-            .expect("told");
+            .expect("response");
         let within = 3000;
-        if unsure.is_some() {
+        if fence_after_ms.is_some() {
             cluster
                 .daemon(1)
                 .expect("it runs")
@@ -283,7 +286,7 @@
                 .await
                 .expect("it is taken");
         } else {
-            // It hears of the change before it stalls.
+            // The proxy learns of the change before it is suspended.
             cluster
                 .apply_by(0, &routes(2), within)
                 .await
@@ -330,14 +333,14 @@
             20,
             "refused at once, or decided on what is required"
         );
-        until_at(&cluster, 1, 2).await;
+        wait_for_generation(&cluster, 1, 2).await;
         let served = |t: &Value| t["fenced"] == false;
         cluster
             .wait_until(1, "/fleet/members", served)
             .await
             .expect("it is no longer fenced");
         assert_eq!(cluster.call(1).await, Ok(200));
-        let audit = cluster.query(2, "/fleet/audit").await.expect("told");
+        let audit = cluster.query(2, "/fleet/audit").await.expect("response");
         let spells = audit["members"][1]["spells"]
             .as_array()
             .expect("reached")
@@ -347,10 +350,9 @@
     }
 }
 
-/// Cut off, it can't know: it fences itself where that is asked for, says that it is not ready, and
-/// is back when it is heard.
+/// A partitioned proxy must fence itself, report that it is not ready, and recover.
 #[tokio::test]
-async fn who_cannot_know_fences_itself() {
+async fn a_partitioned_proxy_fences_itself() {
     let mut cluster = cluster(3, 17, Some(5 * PERIOD_MS)).await;
     cluster.network.partition(&[&[2]]);
     cluster
@@ -377,10 +379,9 @@
     assert_eq!(cluster.call(2).await, Ok(200));
 }
 
-/// One that stalls costs the others nothing: most of the fleet is there, and asks each other often
-/// enough to be sure.
+/// A suspended proxy must not cause the others, which form a majority, to be fenced.
 #[tokio::test]
-async fn the_others_are_not_fenced() {
+async fn a_majority_is_not_fenced() {
     let cluster = cluster(3, 18, Some(5 * PERIOD_MS)).await;
     let fenced = |audit: &Value, p: usize| {
         let spells = audit["members"][p]["spells"]
@@ -389,7 +390,7 @@
             .clone();
         spells.iter().filter(|s| s["trouble"] == "fenced").count()
     };
-    let before = cluster.query(0, "/fleet/audit").await.expect("told");
+    let before = cluster.query(0, "/fleet/audit").await.expect("response");
     cluster
         .daemon(2)
         .expect("it runs")
@@ -400,7 +401,7 @@
         .wait_for_standing(0, 2, "gone")
         .await
         .expect("it says nothing");
-    let after = cluster.query(0, "/fleet/audit").await.expect("told");
+    let after = cluster.query(0, "/fleet/audit").await.expect("response");
     for proxy in [0, 1] {
         assert_eq!(
             fenced(&after, proxy),
--- a/crates/heathroad-harness/tests/leases.rs
+++ b/crates/heathroad-harness/tests/leases.rs
@@ -1,5 +1,4 @@
-//! Duties of real daemons: held by one at a time, handed on whatever becomes of its holder, and
-//! what the collector keeps.
+//! Leases of real daemons: one holder at a time, handover after failures, and audit collection.
 
 mod common;
 
@@ -15,11 +14,11 @@
 const PERIOD_MS: u64 = 200;
 const LEASE_MS: u64 = 1000;
 
-/// Fleets take turns: side by side they would make each other late, and a holder that is late has
-/// lost its duty.
-static TURN: Mutex<()> = Mutex::const_new(());
+/// Serializes the tests: concurrent clusters would delay each other, and a late holder loses its
+/// lease.
+static SERIAL: Mutex<()> = Mutex::const_new(());
 
-fn duties(fencing_server: &FencingServer, voters: &str) -> String {
+fn lease_section(fencing_server: &FencingServer, voters: &str) -> String {
     format!(
         "[duties]\nvoters = {voters}\nlease_ms = {LEASE_MS}\n[[duty]]\nname = \"tick\"\nwork = \"call\"\naddress = \"{}\"\n\
          every_ms = 20\n[[duty]]\nname = \"collector\"\nwork = \"collect\"\nevery_ms = 500\n",
@@ -42,73 +41,79 @@
 async fn cluster(proxies: u16, seed: u64, fencing_server: &FencingServer) -> Cluster {
     let options = Options {
         period_ms: PERIOD_MS,
-        leases: duties(fencing_server, "[0, 1, 2]"),
+        leases: lease_section(fencing_server, "[0, 1, 2]"),
         ..Options::default()
     };
     let cluster = Cluster::start_all(&daemon(), proxies, seed, options)
         .await
         .expect("it starts");
-    cluster.wait_for_all_alive().await.expect("all know all");
+    cluster
+        .wait_for_all_alive()
+        .await
+        .expect("all members alive");
     cluster
 }
 
-/// Waits until somebody has acted by a token above this one: its place and token.
-async fn acted(fencing_server: &FencingServer, above: u64) -> (u16, u64) {
-    let look = async {
+/// Waits for an accepted call with a token above `above`; returns its member and token.
+async fn wait_for_call(fencing_server: &FencingServer, above: u64) -> (u16, u64) {
+    let poll = async {
         loop {
-            if let Some(act) = fencing_server
+            if let Some(call) = fencing_server
                 .calls()
                 .iter()
                 .rev()
                 .find(|a| a.accepted && a.token > above)
             {
-                return (act.member(), act.token);
+                return (call.member(), call.token);
             }
             sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(60), look)
+    tokio::time::timeout(Duration::from_secs(60), poll)
         .await
-        .expect("somebody acts")
+        .expect("a call")
 }
 
-fn duty<'a>(told: &'a Value, name: &str) -> &'a Value {
-    told["duties"]
+fn lease<'a>(response: &'a Value, name: &str) -> &'a Value {
+    response["duties"]
         .as_array()
         .and_then(|d| d.iter().find(|d| d["name"] == name))
         .unwrap_or(&Value::Null)
 }
 
-fn spells(told: &Value) -> &[Value] {
-    duty(told, "tick")["spells"]
+fn spells(response: &Value) -> &[Value] {
+    lease(response, "tick")["spells"]
         .as_array()
         .map_or(&[], Vec::as_slice)
 }
 
-/// Killed, stalled, told to resign, stopped as planned: another one holds, by a higher token;
-/// everyone who is asked says who, and who did.
+/// After a kill, a suspension, a release and a shutdown another member must hold the lease with a
+/// higher token, and the history must show it.
 #[tokio::test]
-async fn a_duty_is_handed_on() {
-    let _turn = TURN.lock().await;
+async fn a_lease_is_handed_over() {
+    let _serial = SERIAL.lock().await;
     let fencing_server = fencing_server().await;
     let mut cluster = cluster(5, 41, &fencing_server).await;
-    let (first, one) = acted(&fencing_server, 0).await;
-    let held = |t: &Value| duty(t, "tick")["holder"] == first;
+    let (first, one) = wait_for_call(&fencing_server, 0).await;
+    let held = |t: &Value| lease(t, "tick")["holder"] == first;
     cluster
         .wait_until((first + 1) % 5, "/duty/list", held)
         .await
         .expect("voters say who holds it");
     cluster.kill(first);
-    let (second, two) = acted(&fencing_server, one).await;
+    let (second, two) = wait_for_call(&fencing_server, one).await;
     cluster.start(first).await.expect("it starts again");
-    cluster.wait_for_all_alive().await.expect("all are there");
+    cluster
+        .wait_for_all_alive()
+        .await
+        .expect("all members alive");
 
     cluster
         .daemon(second)
         .expect("it runs")
         .suspend()
         .expect("stopped");
-    let (third, three) = acted(&fencing_server, two).await;
+    let (third, three) = wait_for_call(&fencing_server, two).await;
     cluster
         .daemon(second)
         .expect("it runs")
@@ -128,36 +133,36 @@
         .release_lease(third, "tick")
         .await
         .expect("it lets go");
-    let (fourth, four) = acted(&fencing_server, three).await;
+    let (fourth, four) = wait_for_call(&fencing_server, three).await;
     assert_ne!(third, fourth);
     cluster.stop(fourth).await.expect("it stops as planned");
-    let (fifth, _) = acted(&fencing_server, four).await;
+    let (fifth, _) = wait_for_call(&fencing_server, four).await;
 
     let all =
         |t: &Value| t["unreached"].as_array().is_some_and(Vec::is_empty) && spells(t).len() >= 5;
-    let told = cluster
+    let response = cluster
         .wait_until(fifth, "/duty/history", all)
         .await
         .expect("all who are there are asked");
     let of = |token: u64| {
         let token = format!("{token:016x}");
-        spells(&told)
+        spells(&response)
             .iter()
             .find(|s| s["token"] == token.as_str())
-            .unwrap_or_else(|| panic!("{token}: {told}"))
+            .unwrap_or_else(|| panic!("{token}: {response}"))
     };
-    // The first one's own knowledge died with it: what voters granted bounds it.
+    // The first holder's own record is lost; the voters' grants bound its lease.
     assert!(
         of(one)["known"] == false && of(one)["to"].is_null(),
-        "{told}"
+        "{response}"
     );
-    assert!(of(one)["at_the_latest"].is_u64(), "{told}");
+    assert!(of(one)["at_the_latest"].is_u64(), "{response}");
     assert_eq!(
         (of(two)["place"].as_u64(), &of(three)["why"]),
         (Some(second.into()), &"told".into()),
-        "{told}"
+        "{response}"
     );
-    assert_eq!(of(four)["resigned"], true, "{told}");
+    assert_eq!(of(four)["resigned"], true, "{response}");
     assert_eq!(
         fencing_server::check(&fencing_server.calls()),
         Vec::<String>::new()
@@ -170,7 +175,7 @@
         .collect();
     assert!(
         numbers.windows(2).all(|w| w[1] == w[0] || w[1] == w[0] + 1),
-        "marks are what it goes on from"
+        "checkpoints continue the sequence"
     );
 
     let picture = std::env::temp_dir().join(format!("duties-{}.svg", std::process::id()));
@@ -179,7 +184,7 @@
         .expect("it runs")
         .admin_address
         .to_string();
-    let said = |args: &[&str]| {
+    let run_command = |args: &[&str]| {
         let mut command = std::process::Command::new(daemon());
         let done = command
             .arg("duty")
@@ -195,8 +200,8 @@
         String::from_utf8_lossy(&done.stdout).into_owned()
     };
     let (list, history) = (
-        said(&["list"]),
-        said(&["history", "--picture", &picture.display().to_string()]),
+        run_command(&["list"]),
+        run_command(&["history", "--picture", &picture.display().to_string()]),
     );
     assert!(
         list.contains(&format!("held by member {fifth}, token")),
@@ -214,16 +219,16 @@
     );
 }
 
-/// Work that can't be done is given back, and what it acts on says when it was overtaken.
+/// A holder whose calls fail must release the lease, and another member must take it.
 #[tokio::test]
-async fn a_holder_that_is_of_no_use_is_replaced() {
-    let _turn = TURN.lock().await;
+async fn a_holder_whose_calls_fail_is_replaced() {
+    let _serial = SERIAL.lock().await;
     let fencing_server = fencing_server().await;
     let cluster = cluster(4, 42, &fencing_server).await;
-    let (first, _) = acted(&fencing_server, 0).await;
+    let (first, _) = wait_for_call(&fencing_server, 0).await;
     fencing_server.set_status(Some(500));
     let given_back = |t: &Value| {
-        duty(t, "tick")["unfit"]
+        lease(t, "tick")["unfit"]
             .as_str()
             .is_some_and(|w| w.contains("3 calls in a row"))
     };
@@ -232,12 +237,12 @@
         .await
         .expect("it gives it back, and says why");
     fencing_server.set_status(None);
-    let look = async {
+    let poll = async {
         while !fencing_server.calls().iter().any(|a| a.member() != first) {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(60), look)
+    tokio::time::timeout(Duration::from_secs(60), poll)
         .await
         .expect("another one acts");
     assert_eq!(
@@ -246,18 +251,17 @@
     );
 }
 
-/// Without a majority of voters nothing is granted, and it says so; what is in hand is served all
-/// the while. With all voters killed at once, and started with what they had or with nothing,
-/// tokens grow.
+/// Without a majority of voters no lease is granted but requests are served. Tokens must grow even
+/// after all voters restart, with or without their state.
 #[tokio::test]
-async fn voters_are_cut_apart_and_killed_at_once() {
-    let _turn = TURN.lock().await;
+async fn voters_are_partitioned_and_killed_together() {
+    let _serial = SERIAL.lock().await;
     let fencing_server = fencing_server().await;
     let mut cluster = cluster(5, 43, &fencing_server).await;
-    let (_, mut last) = acted(&fencing_server, 0).await;
+    let (_, mut last) = wait_for_call(&fencing_server, 0).await;
     cluster.network.partition(&[&[0], &[1], &[2]]);
     let nobody = |t: &Value| {
-        duty(t, "tick")["majority_reached"] == false && duty(t, "tick")["held_here"].is_null()
+        lease(t, "tick")["majority_reached"] == false && lease(t, "tick")["held_here"].is_null()
     };
     for proxy in 0..5 {
         cluster
@@ -273,7 +277,7 @@
     assert_eq!(fencing_server.calls().len(), before, "nobody acts");
     cluster.network.heal();
     for forget in [false, true] {
-        (_, last) = acted(&fencing_server, last).await;
+        (_, last) = wait_for_call(&fencing_server, last).await;
         (0..3).for_each(|p| cluster.kill(p));
         for p in 0..3 {
             if forget {
@@ -282,32 +286,32 @@
             cluster.start(p).await.expect("it starts again");
         }
     }
-    acted(&fencing_server, last).await;
+    wait_for_call(&fencing_server, last).await;
     assert_eq!(
         fencing_server::check(&fencing_server.calls()),
         Vec::<String>::new()
     );
 }
 
-/// The audit answers for a member that is gone for good, by what the collector kept; and once that
-/// is gone too, by what its voters have of it.
+/// The audit must cover a permanently lost member from the collector's copy, and from the voters'
+/// mirrors once the collector is lost too.
 #[tokio::test]
-async fn the_audit_of_a_member_that_is_gone_for_good() {
-    let _turn = TURN.lock().await;
+async fn the_audit_covers_a_permanently_lost_member() {
+    let _serial = SERIAL.lock().await;
     let fencing_server = fencing_server().await;
     let mut cluster = cluster(5, 44, &fencing_server).await;
-    let holder = |t: &Value| duty(t, "collector")["holder"].as_u64();
-    let told = cluster
+    let holder = |t: &Value| lease(t, "collector")["holder"].as_u64();
+    let response = cluster
         .wait_until(0, "/duty/list", |t| holder(t).is_some())
         .await
         .expect("somebody collects");
-    let collector = holder(&told).expect("somebody") as u16;
+    let collector = holder(&response).expect("somebody") as u16;
     let lost = (3..5).find(|p| *p != collector).expect("two are no voters");
     for _ in 0..4 {
         assert_eq!(cluster.call(lost).await, Ok(200));
     }
     let asked = (0..3).find(|p| *p != collector).expect("another voter");
-    // It is mirrored by those who vote, a round or two later.
+    // Voters mirror the collection within two rounds.
     let mirrored = |t: &Value| t["members"][usize::from(lost)]["collected"]["pages"].is_array();
     sleep(Duration::from_millis(2500)).await;
     cluster.kill(lost);
@@ -319,7 +323,7 @@
     cluster
         .wait_until(asked, "/fleet/audit", mirrored)
         .await
-        .expect("what it did is told all the same");
+        .expect("its activity is still reported");
     cluster.kill(collector);
     cluster.delete_state(collector).expect("it is taken away");
     for proxy in (0..5).filter(|p| *p != collector && *p != lost) {
@@ -330,7 +334,7 @@
         let audit = cluster
             .wait_until(proxy, "/fleet/audit", mirrored)
             .await
-            .expect("it is told by a mirror");
+            .expect("a mirror reports it");
         let member = &audit["members"][usize::from(lost)];
         assert_eq!(
             (&member["reached"], &member["collected"]["reached"]),
@@ -344,7 +348,7 @@
             .sum();
         assert_eq!(sent, 4, "{member}");
     }
-    // Its successor begins with all of it, and goes on.
+    // The next collector continues from the mirrored collection.
     let next = |t: &Value| holder(t).is_some_and(|h| h != u64::from(collector));
     cluster
         .wait_until(asked, "/duty/list", next)
@@ -352,36 +356,39 @@
         .expect("another one collects");
 }
 
-/// Voters are exchanged, one proxy after another, with both sets asked in between.
+/// The voter set must be replaceable by a rolling restart, with a generation that asks both sets.
 #[tokio::test]
-async fn voters_are_exchanged() {
-    let _turn = TURN.lock().await;
+async fn the_voter_set_is_replaced() {
+    let _serial = SERIAL.lock().await;
     let fencing_server = fencing_server().await;
     let mut cluster = cluster(5, 45, &fencing_server).await;
-    let (_, mut last) = acted(&fencing_server, 0).await;
+    let (_, mut last) = wait_for_call(&fencing_server, 0).await;
     let sets = [
         "[2, 3, 4]\ngeneration = 1\nprevious = [0, 1, 2]",
         "[2, 3, 4]\ngeneration = 2",
     ];
     for set in sets {
         cluster
-            .set_leases(duties(&fencing_server, set))
+            .set_leases(lease_section(&fencing_server, set))
             .expect("written");
         for proxy in 0..5 {
             cluster.stop(proxy).await.expect("it stops as planned");
             cluster.start(proxy).await.expect("it starts again");
-            cluster.wait_for_all_alive().await.expect("all are there");
+            cluster
+                .wait_for_all_alive()
+                .await
+                .expect("all members alive");
         }
-        (_, last) = acted(&fencing_server, last).await;
+        (_, last) = wait_for_call(&fencing_server, last).await;
     }
     let voters = |t: &Value| {
-        t["voters"] == serde_json::json!([2, 3, 4]) && duty(t, "tick")["holder"].is_u64()
+        t["voters"] == serde_json::json!([2, 3, 4]) && lease(t, "tick")["holder"].is_u64()
     };
-    let told = cluster
+    let response = cluster
         .wait_until(0, "/duty/list", voters)
         .await
         .expect("the new ones vote");
-    assert_eq!(told["votes"], false);
+    assert_eq!(response["votes"], false);
     assert_eq!(
         fencing_server::check(&fencing_server.calls()),
         Vec::<String>::new()
--- a/crates/heathroad-harness/tests/random_cluster_faults.rs
+++ b/crates/heathroad-harness/tests/random_cluster_faults.rs
@@ -1,8 +1,7 @@
-//! Bad nights of a small fleet, drawn from a seed: whatever is lost, cut, stalled, killed or put
-//! back, the audit says of every attempt that the backend saw on which version it was sent, and
-//! past a bound nobody acts on an older one.
+//! Random faults in a small cluster: the audit must agree with the backend on the version of every
+//! attempt, and no proxy may use an older version than the required one.
 //!
-//! `FLEET_NIGHTS` asks for more of them, from `FLEET_SEED` on.
+//! `FLEET_NIGHTS` sets the number of runs, `FLEET_SEED` the first seed.
 
 mod common;
 
@@ -18,30 +17,30 @@
 
 const PERIOD_MS: u64 = 200;
 const WITHIN_MS: u64 = 4000;
-/// Beyond a bound: the way of a message, and of an attempt to the backend.
+/// Tolerance after a bound for messages and attempts in transit, in microseconds.
 const SLACK: Micros = 500_000;
 
-/// What a proxy has kept: files and their bytes.
+/// Stored state of a proxy: files and their contents.
 type State = Vec<(std::path::PathBuf, Vec<u8>)>;
 
-/// What a night does to proxies 1 and 2; proxy 0, where changes are made, is spared, so that it is
-/// known when they were made.
-struct Night {
+/// A run with faults on proxies 1 and 2. Changes are made at proxy 0, which stays available, so that
+/// their times are known.
+struct FaultRun {
     cluster: Cluster,
     rng: Rng,
     killed: [bool; 3],
-    /// Killed or put back at least once: what it did since it wrote last is on no record.
-    torn: [bool; 3],
+    /// Killed at least once, so that its last unwritten activity is lost.
+    lossy: [bool; 3],
     stalled: [bool; 3],
     copies: [Option<State>; 3],
     changes: u64,
-    /// From when on no older generation than this may be acted on.
+    /// Required generations, and from when on older ones may not be used.
     bounds: Vec<(u64, Micros)>,
 }
 
-impl Night {
-    async fn strike(&mut self, who: u16) -> Result<(), String> {
-        let at = usize::from(who);
+impl FaultRun {
+    async fn inject_fault(&mut self, proxy: u16) -> Result<(), String> {
+        let at = usize::from(proxy);
         match self.rng.u32(0..9) {
             0 => {
                 let (loss, twice, torn) = (
@@ -54,26 +53,26 @@
                     (w.loss, w.duplication, w.truncation, w.jitter) = (loss, twice, torn, jitter);
                 });
             }
-            1 => self.cluster.network.partition(&[&[who]]),
+            1 => self.cluster.network.partition(&[&[proxy]]),
             2 => self
                 .cluster
                 .network
-                .configure_link(0, who, |w| w.blocked = true),
+                .configure_link(0, proxy, |w| w.blocked = true),
             3 => {
                 let every = Duration::from_millis(self.rng.u64(100..800));
                 self.cluster
                     .network
-                    .configure_links_of(who, |w| w.flap_period = Some(every));
+                    .configure_links_of(proxy, |w| w.flap_period = Some(every));
             }
             4 => self
                 .cluster
                 .network
-                .configure_links_of(who, |w| w.rate = Some(2000.0)),
+                .configure_links_of(proxy, |w| w.rate = Some(2000.0)),
             5 => self.cluster.network.heal(),
             6 if !self.killed[at] => {
                 let stalled = self.stalled[at];
                 self.stalled[at] = !stalled;
-                let daemon = self.cluster.daemon(who)?;
+                let daemon = self.cluster.daemon(proxy)?;
                 let done = if stalled {
                     daemon.resume()
                 } else {
@@ -82,21 +81,26 @@
                 done.map_err(|e| e.to_string())?;
             }
             7 if !self.killed[at] => {
-                self.copies[at] = self.copies[at].take().or(self.cluster.copy_state(who).ok());
-                self.cluster.kill(who);
-                (self.killed[at], self.torn[at], self.stalled[at]) = (true, true, false);
+                self.copies[at] = self.copies[at]
+                    .take()
+                    .or(self.cluster.copy_state(proxy).ok());
+                self.cluster.kill(proxy);
+                (self.killed[at], self.lossy[at], self.stalled[at]) = (true, true, false);
             }
             8 if self.killed[at] => {
                 match (self.rng.u32(0..3), &self.copies[at]) {
                     (0, Some(copy)) => self
                         .cluster
-                        .restore_state(who, copy)
+                        .restore_state(proxy, copy)
+                        .map_err(|e| e.to_string())?,
+                    (1, _) => self
+                        .cluster
+                        .delete_state(proxy)
                         .map_err(|e| e.to_string())?,
-                    (1, _) => self.cluster.delete_state(who).map_err(|e| e.to_string())?,
                     _ => {}
                 }
                 self.cluster.network.heal();
-                self.cluster.start(who).await?;
+                self.cluster.start(proxy).await?;
                 self.killed[at] = false;
             }
             _ => {}
@@ -110,7 +114,7 @@
         if self.rng.bool() {
             return self.cluster.apply(0, &text).await;
         }
-        // A proxy that does not see most of the fleet is not asked to require anything of it.
+        // Rejected if the proxy sees no majority of the fleet.
         match self.cluster.apply_by(0, &text, WITHIN_MS).await {
             Err(why) if why.contains("more than half") => return Ok(()),
             done => done?,
@@ -122,44 +126,44 @@
         Ok(())
     }
 
-    fn calls(&mut self, calls: &mut JoinSet<Result<u16, String>>) -> Result<(), String> {
+    fn start_calls(&mut self, calls: &mut JoinSet<Result<u16, String>>) -> Result<(), String> {
         for _ in 0..self.rng.u32(3..12) {
-            let who = self.rng.u16(0..3);
-            if !self.killed[usize::from(who)] {
-                calls.spawn(self.cluster.start_call(who)?);
+            let proxy = self.rng.u16(0..3);
+            if !self.killed[usize::from(proxy)] {
+                calls.spawn(self.cluster.start_call(proxy)?);
             }
         }
         Ok(())
     }
 
-    /// All is well again, and is waited for.
-    async fn dawn(&mut self) -> Result<(), String> {
+    /// Removes all faults and waits for recovery.
+    async fn recover(&mut self) -> Result<(), String> {
         self.cluster.network.heal();
-        for who in 1..3 {
-            let at = usize::from(who);
+        for proxy in 1..3 {
+            let at = usize::from(proxy);
             if std::mem::take(&mut self.stalled[at]) {
                 self.cluster
-                    .daemon(who)?
+                    .daemon(proxy)?
                     .resume()
                     .map_err(|e| e.to_string())?;
             }
             if std::mem::take(&mut self.killed[at]) {
-                self.cluster.start(who).await?;
+                self.cluster.start(proxy).await?;
             }
         }
         self.cluster.wait_for_all_alive().await?;
         let last = self.cluster.query(0, "/config/status").await?["generation"].clone();
-        for who in 0..3 {
+        for proxy in 0..3 {
             let there = |s: &Value| s["generation"] == last && s["open"].is_null();
             self.cluster
-                .wait_until(who, "/config/status", there)
+                .wait_until(proxy, "/config/status", there)
                 .await?;
         }
         Ok(())
     }
 }
 
-async fn night(seed: u64) -> Result<(), String> {
+async fn run_faults(seed: u64) -> Result<(), String> {
     let options = Options {
         routes: Some(routes(1)),
         period_ms: PERIOD_MS,
@@ -170,49 +174,49 @@
     cluster.wait_for_all_alive().await?;
     let (rng, none) = (Rng::with_seed(seed), [false; 3]);
     let (copies, bounds) = ([const { None }; 3], Vec::new());
-    let mut night = Night {
+    let mut run = FaultRun {
         cluster,
         rng,
         killed: none,
-        torn: none,
+        lossy: none,
         stalled: none,
         copies,
         changes: 0,
         bounds,
     };
     let mut calls = JoinSet::new();
-    for _ in 0..night.rng.u32(6..12) {
-        let who = night.rng.u16(1..3);
-        night.strike(who).await?;
-        night.calls(&mut calls)?;
-        if night.rng.u32(0..3) == 0 {
-            night.change().await?;
+    for _ in 0..run.rng.u32(6..12) {
+        let proxy = run.rng.u16(1..3);
+        run.inject_fault(proxy).await?;
+        run.start_calls(&mut calls)?;
+        if run.rng.u32(0..3) == 0 {
+            run.change().await?;
         }
-        sleep(Duration::from_millis(night.rng.u64(100..1800))).await;
-        night.calls(&mut calls)?;
+        sleep(Duration::from_millis(run.rng.u64(100..1800))).await;
+        run.start_calls(&mut calls)?;
     }
-    night.dawn().await?;
-    night.calls(&mut calls)?;
+    run.recover().await?;
+    run.start_calls(&mut calls)?;
     while let Some(call) = calls.join_next().await {
-        // One that was killed answers nobody.
+        // Calls to a killed proxy fail.
         if let Ok(status) = call.map_err(|e| e.to_string())? {
             assert!(
-                status == 200 || status == 503 || status == 504 && night.torn != none,
+                status == 200 || status == 503 || status == 504 && run.lossy != none,
                 "{status}"
             );
         }
     }
     let reached = |t: &Value| (0..3).all(|p| t["members"][p]["reached"] == true);
-    let audit = night.cluster.wait_until(1, "/fleet/audit", reached).await?;
-    check(&night, &audit);
+    let audit = run.cluster.wait_until(1, "/fleet/audit", reached).await?;
+    check_audit(&run, &audit);
     Ok(())
 }
 
-fn check(night: &Night, audit: &Value) {
-    let noted = night.cluster.backend_requests();
+fn check_audit(run: &FaultRun, audit: &Value) {
+    let received = run.cluster.backend_requests();
     let mut generations: BTreeMap<String, u64> = BTreeMap::new();
     for proxy in 0..3_u16 {
-        let (mut told, mut torn) = (BTreeMap::<String, u64>::new(), false);
+        let (mut audited, mut torn) = (BTreeMap::<String, u64>::new(), false);
         for page in audit["members"][usize::from(proxy)]["pages"]
             .as_array()
             .expect("reached")
@@ -222,37 +226,42 @@
                 digest.clone(),
                 page["version"]["generation"].as_u64().expect("a number"),
             );
-            *told.entry(digest).or_default() += page["acts"]["sent"].as_u64().expect("a count");
+            *audited.entry(digest).or_default() += page["acts"]["sent"].as_u64().expect("a count");
             torn |= page["torn"] == true;
         }
-        told.retain(|_, n| *n > 0);
+        audited.retain(|_, n| *n > 0);
         let mut seen = BTreeMap::<String, u64>::new();
-        for n in noted.iter().filter(|n| n.proxy == proxy) {
+        for n in received.iter().filter(|n| n.proxy == proxy) {
             *seen
-                .entry(n.version.clone().expect("every attempt tells its version"))
+                .entry(
+                    n.version
+                        .clone()
+                        .expect("every attempt carries its version"),
+                )
                 .or_default() += 1;
         }
-        if night.torn[usize::from(proxy)] {
-            // What was not written down when it was killed is on nobody's record; nothing else is.
+        if run.lossy[usize::from(proxy)] {
+            // Only activity that was not yet written when it was killed may be missing.
             assert!(
-                told.iter()
+                audited
+                    .iter()
                     .all(|(v, n)| seen.get(v).is_some_and(|s| n <= s)),
-                "{proxy}: {told:?} {seen:?}"
+                "{proxy}: {audited:?} {seen:?}"
             );
             let forgotten = audit["members"][usize::from(proxy)]["since"].as_u64()
                 > audit["members"][0]["since"].as_u64();
             assert!(
-                told == seen || torn || forgotten,
-                "{proxy}: {told:?} {seen:?}"
+                audited == seen || torn || forgotten,
+                "{proxy}: {audited:?} {seen:?}"
             );
         } else {
-            assert_eq!(told, seen, "proxy {proxy}");
+            assert_eq!(audited, seen, "proxy {proxy}");
         }
     }
-    for n in &noted {
+    for n in &received {
         let generation = n.version.as_ref().and_then(|v| generations.get(v));
-        for (required, bound) in &night.bounds {
-            // A version that no page tells of is one that a killed proxy had acted on before.
+        for (required, bound) in &run.bounds {
+            // A version without a page was used by a proxy before it was killed.
             if n.at > bound + SLACK {
                 let past = generation.is_some_and(|g| g >= required);
                 assert!(
@@ -263,20 +272,20 @@
         }
     }
     println!(
-        "{} attempts, {} changes, {} bounds, torn {:?}",
-        noted.len(),
-        night.changes,
-        night.bounds.len(),
-        night.torn
+        "{} attempts, {} changes, {} bounds, lossy {:?}",
+        received.len(),
+        run.changes,
+        run.bounds.len(),
+        run.lossy
     );
 }
 
 #[tokio::test]
-async fn the_audit_is_true_after_any_night() {
+async fn the_audit_is_correct_after_random_faults() {
     let (from, count) = (number("FLEET_SEED", 1), number("FLEET_NIGHTS", 2));
     for seed in from..from + count {
-        println!("night of seed {seed}");
-        night(seed)
+        println!("seed {seed}");
+        run_faults(seed)
             .await
             .unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     }
--- a/crates/heathroad-harness/tests/random_lease_faults.rs
+++ b/crates/heathroad-harness/tests/random_lease_faults.rs
@@ -1,10 +1,9 @@
-//! Seeded fault plans against a duty whose acts come late, or not in order: whatever is lost, cut,
-//! stalled, killed or put back, what checks tokens takes no act out of their order and none by two
-//! holders of one token; what is asked of the proxies is answered; and once all is well again the
-//! duty is held within the bound.
+//! Random faults against a lease whose holder's calls are delayed or reordered: the fencing server
+//! must accept no call out of token order and no token of two holders, requests must be answered,
+//! and after recovery the lease must be held again within a bound.
 //!
-//! `DUTY_PLANS` asks for more of them, from `DUTY_SEED` on; with `DUTY_UNCHECKED` what is acted on
-//! takes all, and the plans are to show what that comes to.
+//! `DUTY_PLANS` sets the number of runs, `DUTY_SEED` the first seed. With `DUTY_UNCHECKED` the
+//! fencing server accepts all calls, and the runs must show calls out of order.
 
 mod common;
 
@@ -19,13 +18,13 @@
 
 const PERIOD_MS: u64 = 200;
 const LEASE_MS: u64 = 600;
-/// After the last fault: voters' silence, and members that were taken for gone, who must be heard
-/// again. (What is held back after deaths is not more than a lease here: plans kill few.)
-const BOUND: Duration = Duration::from_secs(15);
+/// Time after the last fault within which the lease must be held again: voters wait after a
+/// restart, and members must be seen alive again.
+const RECOVERY_LIMIT: Duration = Duration::from_secs(15);
 
 type State = Vec<(std::path::PathBuf, Vec<u8>)>;
 
-struct Plan {
+struct FaultRun {
     cluster: Cluster,
     fencing_server: FencingServer,
     rng: Rng,
@@ -33,12 +32,12 @@
     stalled: Vec<bool>,
     killed: Vec<bool>,
     copies: Vec<Option<State>>,
-    /// One was killed or stalled, and may have had requests.
-    hurt: bool,
+    /// Whether requests may have been lost, as a proxy was killed or suspended.
+    disrupted: bool,
 }
 
-impl Plan {
-    /// Whoever acted last: faults are of most use there.
+impl FaultRun {
+    /// Returns the member that made the last accepted call.
     fn holder(&self) -> Option<u16> {
         self.fencing_server
             .calls()
@@ -48,7 +47,7 @@
             .map(fencing_server::LeaseCall::member)
     }
 
-    fn hold_or_any(&mut self) -> u16 {
+    fn holder_or_random(&mut self) -> u16 {
         let any = self.rng.u16(0..self.proxies);
         if self.rng.u32(0..3) > 0 {
             self.holder().unwrap_or(any)
@@ -57,9 +56,9 @@
         }
     }
 
-    async fn strike(&mut self) -> Result<(), String> {
-        let who = self.hold_or_any();
-        let at = usize::from(who);
+    async fn inject_fault(&mut self) -> Result<(), String> {
+        let proxy = self.holder_or_random();
+        let at = usize::from(proxy);
         match self.rng.u32(0..10) {
             0 => {
                 let (loss, twice, torn) = (
@@ -72,42 +71,44 @@
                     (w.loss, w.duplication, w.truncation, w.jitter) = (loss, twice, torn, jitter);
                 });
             }
-            1 => self.cluster.network.partition(&[&[who]]),
+            1 => self.cluster.network.partition(&[&[proxy]]),
             2 => {
-                let other = (who + 1 + self.rng.u16(0..self.proxies - 1)) % self.proxies;
+                let other = (proxy + 1 + self.rng.u16(0..self.proxies - 1)) % self.proxies;
                 self.cluster
                     .network
-                    .configure_link(who, other, |w| w.blocked = true);
+                    .configure_link(proxy, other, |w| w.blocked = true);
             }
             3 => {
                 let every = Duration::from_millis(self.rng.u64(100..900));
                 self.cluster
                     .network
-                    .configure_links_of(who, |w| w.flap_period = Some(every));
+                    .configure_links_of(proxy, |w| w.flap_period = Some(every));
             }
             4 => self.cluster.network.heal(),
             5 | 6 if !self.killed[at] => {
-                let daemon = self.cluster.daemon(who)?;
+                let daemon = self.cluster.daemon(proxy)?;
                 let done = if self.stalled[at] {
                     daemon.resume()
                 } else {
                     daemon.suspend()
                 };
                 done.map_err(|e| e.to_string())?;
-                (self.stalled[at], self.hurt) = (!self.stalled[at], true);
+                (self.stalled[at], self.disrupted) = (!self.stalled[at], true);
             }
             7 if !self.killed[at] => {
-                self.copies[at] = self.copies[at].take().or(self.cluster.copy_state(who).ok());
-                self.cluster.kill(who);
-                (self.killed[at], self.stalled[at], self.hurt) = (true, false, true);
+                self.copies[at] = self.copies[at]
+                    .take()
+                    .or(self.cluster.copy_state(proxy).ok());
+                self.cluster.kill(proxy);
+                (self.killed[at], self.stalled[at], self.disrupted) = (true, false, true);
             }
             8 if !self.killed[at] && !self.stalled[at] => {
-                self.cluster.release_lease(who, "tick").await?;
+                self.cluster.release_lease(proxy, "tick").await?;
             }
             _ => {
-                for who in 0..self.proxies {
-                    if self.killed[usize::from(who)] {
-                        self.back(who).await?;
+                for proxy in 0..self.proxies {
+                    if self.killed[usize::from(proxy)] {
+                        self.restart(proxy).await?;
                     }
                 }
             }
@@ -115,47 +116,50 @@
         Ok(())
     }
 
-    /// One that was killed starts again: with what it had, with an old copy of it, or with nothing.
-    async fn back(&mut self, who: u16) -> Result<(), String> {
-        let at = usize::from(who);
+    /// Restarts a killed proxy with its state, an outdated copy or none.
+    async fn restart(&mut self, proxy: u16) -> Result<(), String> {
+        let at = usize::from(proxy);
         match (self.rng.u32(0..3), &self.copies[at]) {
             (0, Some(copy)) => self
                 .cluster
-                .restore_state(who, copy)
+                .restore_state(proxy, copy)
+                .map_err(|e| e.to_string())?,
+            (1, _) => self
+                .cluster
+                .delete_state(proxy)
                 .map_err(|e| e.to_string())?,
-            (1, _) => self.cluster.delete_state(who).map_err(|e| e.to_string())?,
             _ => {}
         }
-        self.cluster.start(who).await?;
+        self.cluster.start(proxy).await?;
         self.killed[at] = false;
         Ok(())
     }
 
-    fn calls(&mut self, calls: &mut JoinSet<Result<u16, String>>) -> Result<(), String> {
-        for who in 0..self.proxies {
-            if !self.killed[usize::from(who)] && self.rng.bool() {
-                calls.spawn(self.cluster.start_call(who)?);
+    fn start_calls(&mut self, calls: &mut JoinSet<Result<u16, String>>) -> Result<(), String> {
+        for proxy in 0..self.proxies {
+            if !self.killed[usize::from(proxy)] && self.rng.bool() {
+                calls.spawn(self.cluster.start_call(proxy)?);
             }
         }
         Ok(())
     }
 
-    async fn all_well(&mut self) -> Result<Duration, String> {
+    async fn recover(&mut self) -> Result<Duration, String> {
         self.cluster.network.heal();
-        for who in 0..self.proxies {
-            let at = usize::from(who);
+        for proxy in 0..self.proxies {
+            let at = usize::from(proxy);
             if std::mem::take(&mut self.stalled[at]) {
                 self.cluster
-                    .daemon(who)?
+                    .daemon(proxy)?
                     .resume()
                     .map_err(|e| e.to_string())?;
             }
             if self.killed[at] {
-                self.back(who).await?;
+                self.restart(proxy).await?;
             }
         }
         let (well, before) = (Instant::now(), self.fencing_server.calls().len());
-        // One that was under way may come yet: a few are waited for.
+        // Delayed calls may still arrive, so wait for several.
         while self
             .fencing_server
             .calls()
@@ -165,19 +169,19 @@
             .count()
             < 5
         {
-            if well.elapsed() > BOUND {
-                let mut told = Vec::new();
-                for who in 0..self.proxies {
-                    told.push(
+            if well.elapsed() > RECOVERY_LIMIT {
+                let mut reports = Vec::new();
+                for proxy in 0..self.proxies {
+                    reports.push(
                         self.cluster
-                            .query(who, "/duty/list")
+                            .query(proxy, "/duty/list")
                             .await
                             .map_or_else(|e| e, |t| t.to_string()),
                     );
                 }
                 return Err(format!(
-                    "nobody acts, {BOUND:?} after all is well: {}",
-                    told.join("\n")
+                    "no calls {RECOVERY_LIMIT:?} after the last fault: {}",
+                    reports.join("\n")
                 ));
             }
             sleep(Duration::from_millis(20)).await;
@@ -186,8 +190,8 @@
     }
 }
 
-/// One plan: how long nobody acted after it, and what was wrong with what was taken.
-async fn plan(seed: u64, checks: bool) -> Result<(Duration, Vec<String>, usize), String> {
+/// Runs one seed; returns the recovery time, the violations and the number of refused calls.
+async fn run_faults(seed: u64, checks: bool) -> Result<(Duration, Vec<String>, usize), String> {
     let mut rng = Rng::with_seed(seed);
     let proxies = rng.u16(4..6);
     let by = Duration::from_millis(LEASE_MS * 2);
@@ -209,7 +213,7 @@
     let cluster = Cluster::start_all(&daemon(), proxies, seed, options).await?;
     let n = usize::from(proxies);
     let (stalled, killed, copies) = (vec![false; n], vec![false; n], vec![None; n]);
-    let mut plan = Plan {
+    let mut run = FaultRun {
         cluster,
         fencing_server,
         rng,
@@ -217,37 +221,37 @@
         stalled,
         killed,
         copies,
-        hurt: false,
+        disrupted: false,
     };
     let mut calls = JoinSet::new();
-    // As things stand once it is held for the first time.
-    plan.all_well().await?;
-    for _ in 0..plan.rng.u32(4..9) {
-        plan.strike().await?;
-        plan.calls(&mut calls)?;
-        sleep(Duration::from_millis(plan.rng.u64(50..LEASE_MS * 2))).await;
+    // Wait until the lease is held for the first time.
+    run.recover().await?;
+    for _ in 0..run.rng.u32(4..9) {
+        run.inject_fault().await?;
+        run.start_calls(&mut calls)?;
+        sleep(Duration::from_millis(run.rng.u64(50..LEASE_MS * 2))).await;
     }
-    let waited = plan.all_well().await?;
+    let waited = run.recover().await?;
     while let Some(call) = calls.join_next().await {
         match call.map_err(|e| e.to_string())? {
             Ok(200) => {}
-            // One that was killed answers nobody; one that was stalled, late.
-            Ok(503 | 504) | Err(_) if plan.hurt => {}
+            // A killed proxy doesn't answer, a suspended one answers late.
+            Ok(503 | 504) | Err(_) if run.disrupted => {}
             other => return Err(format!("a request was answered {other:?}")),
         }
     }
-    let acts = plan.fencing_server.calls();
-    let late = acts.iter().filter(|a| !a.accepted).count();
-    Ok((waited, fencing_server::check(&acts), late))
+    let calls_made = run.fencing_server.calls();
+    let late = calls_made.iter().filter(|a| !a.accepted).count();
+    Ok((waited, fencing_server::check(&calls_made), late))
 }
 
 #[tokio::test]
-async fn no_act_is_out_of_order_after_any_plan() {
+async fn no_call_is_accepted_out_of_order_under_random_faults() {
     let (from, count) = (number("DUTY_SEED", 1), number("DUTY_PLANS", 2));
     let checks = std::env::var_os("DUTY_UNCHECKED").is_none();
     let (mut waits, mut refused, mut wrong, mut with) = (Vec::new(), 0, 0, 0);
     for seed in from..from + count {
-        let (waited, found, late) = plan(seed, checks)
+        let (waited, found, late) = run_faults(seed, checks)
             .await
             .unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         assert!(!checks || found.is_empty(), "seed {seed}: {found:?}");
@@ -265,12 +269,12 @@
     waits.sort_unstable();
     let at = |share: f64| waits[((waits.len() - 1) as f64 * share) as usize];
     println!(
-        "{count} plans: held again after {:?}, p99 {:?}; {refused} acts refused; {wrong} out of order in {with} plans",
+        "{count} runs: held again after {:?}, p99 {:?}; {refused} calls refused; {wrong} out of order in {with} runs",
         at(0.5),
         at(0.99)
     );
     assert!(
         checks || wrong > 0,
-        "the plans hold acts that only a token keeps out"
+        "without token checks some calls are out of order"
     );
 }
--- a/crates/heathroad-harness/tests/runner.rs
+++ b/crates/heathroad-harness/tests/runner.rs
@@ -1,5 +1,5 @@
-//! Faults that the stage works on processes and on the list, each seen in what the ledgers hold,
-//! with the real daemon between; and agreement under them.
+//! Faults of processes and of the registry, checked by their entries in the event log, with real
+//! daemons.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use heathroad_harness::scenario::FaultKind;
 use heathroad_harness::summary::Summary;
 
-/// Two tiers, so that backends have proxies at their side.
+/// Two tiers, so that backends have sidecar proxies.
 const PROCESSES: &str = r#"
 title = "processes"
 about = "proxies and backends that come and go"
@@ -69,7 +69,7 @@
 for_s = 0.2
 "#;
 
-fn acts(o: &Summary, proxy: u16) -> Vec<ProcessEventKind> {
+fn process_events(o: &Summary, proxy: u16) -> Vec<ProcessEventKind> {
     let of = o
         .record
         .event_log
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn processes_that_come_and_go_are_seen_and_break_nothing() {
+fn process_faults_are_recorded_and_violate_no_rule() {
     let o = sound(PROCESSES, 2);
     assert!(
         o.verdict.violations.is_empty() && o.agrees() && o.record.errors.is_empty(),
@@ -90,10 +90,13 @@
     let started = o.record.proxies.len() as u16;
     assert_eq!(started, 5, "two, and one at the side of each gate");
     use ProcessEventKind::{Killed, Reloaded, Started, Stopped};
-    assert_eq!(acts(&o, 0), [Started, Reloaded, Stopped, Started, Stopped]);
-    assert_eq!(acts(&o, 1), [Started, Killed, Started, Stopped]);
-    // The proxy at the side of the gate that dies dies with it, and serves its heir.
-    assert_eq!(acts(&o, 2), [Started, Killed, Started, Stopped]);
+    assert_eq!(
+        process_events(&o, 0),
+        [Started, Reloaded, Stopped, Started, Stopped]
+    );
+    assert_eq!(process_events(&o, 1), [Started, Killed, Started, Stopped]);
+    // The sidecar of the replaced backend is killed with it and serves its replacement.
+    assert_eq!(process_events(&o, 2), [Started, Killed, Started, Stopped]);
 
     let backend = |name: &str| {
         o.record
@@ -102,7 +105,7 @@
             .position(|h| h == name)
             .expect(name) as u16
     };
-    let told = |backend: u16, health| {
+    let update = |backend: u16, health| {
         o.record
             .event_log
             .registry_updates
@@ -120,51 +123,59 @@
             .max()
             .expect("it was used before")
     };
-    // One that drains is told so, and gets nothing from then on but for the grace.
-    let drained = told(backend("store-1"), Health::Draining).expect("told").at;
+    // A draining backend receives no requests after the grace period.
+    let drained = update(backend("store-1"), Health::Draining)
+        .expect("told")
+        .at;
     assert!(last_sent(backend("store-1")) < drained + 550_000);
-    assert!(told(backend("store-1"), Health::Deleted).expect("told").at > drained + 1_900_000);
-    // One that leaves the list without a drain.
-    assert!(told(backend("store-2"), Health::Draining).is_none());
-    let gone = told(backend("store-2"), Health::Deleted).expect("told").at;
+    assert!(
+        update(backend("store-1"), Health::Deleted)
+            .expect("told")
+            .at
+            > drained + 1_900_000
+    );
+    // A backend that is removed without a drain.
+    assert!(update(backend("store-2"), Health::Draining).is_none());
+    let gone = update(backend("store-2"), Health::Deleted)
+        .expect("told")
+        .at;
     assert!(last_sent(backend("store-2")) < gone + 550_000);
-    // Another host at the same address, under a new id, which starts cold and is used.
-    let heir = o
+    // A replacement at the same address starts cold and is used.
+    let replacement = o
         .record
         .backends
         .iter()
         .position(|h| h.starts_with("gate-1-new"))
-        .expect("an heir") as u16;
+        .expect("a replacement") as u16;
     assert!(
         o.record
             .event_log
             .incarnations
             .iter()
-            .any(|l| l.backend == heir && !l.warm)
+            .any(|l| l.backend == replacement && !l.warm)
     );
     assert!(
         o.record
             .event_log
             .arrivals
             .iter()
-            .any(|a| a.backend == heir && a.disposition == Disposition::Executed)
+            .any(|a| a.backend == replacement && a.disposition == Disposition::Executed)
     );
-    // The reloaded proxy was told of later changes, at its new address.
+    // The reloaded proxy receives later changes from the new registry address.
     assert!(
         o.record
             .event_log
             .registry_updates
             .iter()
-            .any(|t| t.proxy == 0 && t.backend == heir)
+            .any(|t| t.proxy == 0 && t.backend == replacement)
     );
-    // A killed process takes its counts along, and the lines that it may explain say so.
+    // Counts of killed processes are missing, and the comparison says so.
     assert!(o.lines.iter().any(|l| l.killed));
 }
 
-/// Faults that a seed draws: the same night again for the same seed, another for another, each on a
-/// victim.
+/// A seed must determine the random faults.
 #[test]
-fn a_seed_draws_the_same_faults_again() {
+fn a_seed_determines_the_random_faults() {
     let text = include_str!("../../../scenarios/random-faults.toml");
     let faults = |seed| schedule(text, seed).faults;
     assert_eq!(faults(1), faults(1));
@@ -184,11 +195,10 @@
     assert!(!kinds.contains(&FaultKind::RegistryDown));
 }
 
-/// Both tiers' first proxies serve by the example of routes, while a gate dies and comes back cold
-/// and another drains: three pools name the same nodes, and together they keep each node's cold
-/// budget and its drain.
+/// With the example routes three pools share backends, and together must respect the warm-up and
+/// the drain of each backend.
 #[test]
-fn the_example_of_routes_keeps_the_rules_as_it_stands() {
+fn the_example_routes_keep_the_rules() {
     let example = include_str!("../../../deploy/routes.example.toml");
     let text = PROCESSES[..PROCESSES.find("[[fault]]").expect("its faults")].to_string()
         + "[[fault]]\nwhat = \"restart\"\non = [\"gate-1\"]\nat_s = 1.0\nfor_s = 0.3\n"
@@ -226,11 +236,10 @@
     assert!(cold, "a gate came back cold");
 }
 
-/// A fleet on the stage, one proxy of which stalls past the bound of a change: the audit equals
-/// what backends saw, nobody acts on an older generation past its bound, and the rules hold.
-/// Without a fleet there are no such figures.
+/// While a proxy is suspended past the bound of a required change, the audit must equal what the
+/// backends received, and no proxy may use an older generation past the bound.
 #[test]
-fn a_fleet_is_audited_beside_what_backends_saw() {
+fn the_audit_equals_what_the_backends_received() {
     let o = sound(include_str!("../../../scenarios/proxy-stall.toml"), 3);
     assert!(
         o.verdict.violations.is_empty() && o.agrees() && o.record.errors.is_empty(),
@@ -262,7 +271,7 @@
         versions.len() >= 2,
         "backends are told of versions: {versions:?}"
     );
-    // An attempt that no page tells of is found, and one that no backend saw.
+    // An attempt that is missing in the audit is found, and one that no backend received.
     let mut seen = o.record;
     let extra = seen.event_log.arrivals[0].clone();
     seen.event_log
