--- a/crates/heathroad-harness/src/client.rs
+++ b/crates/heathroad-harness/src/client.rs
@@ -61,7 +61,7 @@
 
 struct IdleConnection {
     stream: TcpStream,
-    /// The last_request request answered on it, which unexpected data is attributed to.
+    /// The last request answered on it, which unexpected data is attributed to.
     last_request: u64,
 }
 
--- a/crates/heathroad-harness/src/runner.rs
+++ b/crates/heathroad-harness/src/runner.rs
@@ -308,14 +308,15 @@
             let senders: Vec<ProxyIndex> = self.senders(tier);
             for i in 0..t.backends {
                 let ip = self.ip();
-                let doors = allocate_addresses(ip, &senders).map_err(|e| format!("{ip}: {e}"))?;
+                let addresses =
+                    allocate_addresses(ip, &senders).map_err(|e| format!("{ip}: {e}"))?;
                 let name = format!("{}-{}", t.name, i + 1);
                 let backend = self.backend(
                     tier,
                     name,
                     i / 2,
                     dedup_caches[usize::from(i / 2)].clone(),
-                    doors,
+                    addresses,
                 );
                 let kind = schedule.scenario.kind(tier, i).to_string();
                 backend.kind.replace(kind);
@@ -329,7 +330,7 @@
             .filter(|(_, f)| f.kind == FaultKind::Replace)
         {
             for v in &fault.targets {
-                let old = self.victim(fault.tier, *v);
+                let old = self.target_backend(fault.tier, *v);
                 self.backend(
                     old.tier,
                     format!("{}-new{}", old.name, n + 1),
@@ -348,7 +349,7 @@
         name: String,
         cell: u16,
         dedup_cache: Rc<RefCell<DedupCache>>,
-        doors: Vec<(ProxyIndex, std::net::SocketAddr)>,
+        addresses: Vec<(ProxyIndex, std::net::SocketAddr)>,
     ) -> Rc<Backend> {
         let schedule = &self.context.schedule;
         let (t, rules) = (&schedule.scenario.tier[tier], &schedule.scenario.rules);
@@ -367,7 +368,7 @@
         };
         let host = Host::new(spec, self.context.clock);
         let identity = (index, name, tier, cell);
-        let backend = Backend::new(&self.context, identity, host, dedup_cache, doors);
+        let backend = Backend::new(&self.context, identity, host, dedup_cache, addresses);
         self.registry.add_backend(&backend);
         self.backends.borrow_mut().push(backend.clone());
         backend
@@ -386,13 +387,13 @@
             .collect()
     }
 
-    fn victim(&self, tier: usize, number: u16) -> Rc<Backend> {
+    fn target_backend(&self, tier: usize, number: u16) -> Rc<Backend> {
         let backends = self.backends.borrow();
-        let of_tier = backends
+        let tier_backends = backends
             .iter()
             .filter(|h| h.tier == tier)
             .nth(usize::from(number));
-        of_tier.unwrap_or(&backends[0]).clone()
+        tier_backends.unwrap_or(&backends[0]).clone()
     }
 
     async fn start_backends(&self) -> Result<(), String> {
@@ -417,10 +418,10 @@
         // The last tier first, since each tier calls the next one.
         let mut order: Vec<usize> = (0..self.slots.len()).collect();
         order.sort_by_key(|i| std::cmp::Reverse(self.slots[*i].tier));
-        for some in order.chunks(CONCURRENT_STARTS) {
+        for chunk in order.chunks(CONCURRENT_STARTS) {
             // Concurrently, since a daemon may wait for a majority before it is ready.
             let mut starting = JoinSet::new();
-            for i in some {
+            for i in chunk {
                 let (runner, index) = (self.clone(), *i as ProxyIndex);
                 starting.spawn_local(async move { runner.start_proxy(index).await });
             }
@@ -872,7 +873,7 @@
                 let mut injections = JoinSet::new();
                 for v in &fault.targets {
                     let (runner, fault) = (self.clone(), fault.clone());
-                    let backend = self.victim(fault.tier, *v);
+                    let backend = self.target_backend(fault.tier, *v);
                     injections.spawn_local(async move {
                         runner.inject_backend_fault(&fault, &backend, until).await
                     });
@@ -997,10 +998,10 @@
         until: Micros,
     ) -> Result<(), String> {
         let clock = self.context.clock;
-        let odd = |i: usize, size| {
-            let mut odds = backend.fault_probabilities.get();
-            odds[i] = size;
-            backend.fault_probabilities.set(odds);
+        let set_probability = |i: usize, size| {
+            let mut probabilities = backend.fault_probabilities.get();
+            probabilities[i] = size;
+            backend.fault_probabilities.set(probabilities);
         };
         match fault.kind {
             FaultKind::Crawl => {
@@ -1018,9 +1019,9 @@
                     .iter()
                     .position(|w| *w == fault.kind);
                 let i = i.unwrap_or(0);
-                odd(i, fault.size);
+                set_probability(i, fault.size);
                 clock.sleep_until(until).await;
-                odd(i, 0.0);
+                set_probability(i, 0.0);
             }
             FaultKind::Loop => {
                 // If that proxy is down, the calls fail.
--- a/crates/heathroad-harness/src/scenario.rs
+++ b/crates/heathroad-harness/src/scenario.rs
@@ -231,12 +231,12 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Name.
     pub name: String,
     /// Relative share of the quota.
     pub share: f64,
     /// Ratio of the load that it sends to its share.
-    #[serde(default = "one")]
+    #[serde(default = "default_ratio")]
     pub usage: f64,
 }
 
@@ -253,7 +253,7 @@
     /// Cores of a backend.
     pub cores: u16,
     /// Speed of a core, 1 being standard; backends differ by up to a fifth of it.
-    #[serde(default = "one")]
+    #[serde(default = "default_ratio")]
     pub speed: f64,
     /// Requests that a backend processes concurrently, including those that wait for the next tier.
     pub slots: u16,
@@ -283,7 +283,7 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// Its name.
+    /// Name.
     pub name: String,
     /// Number of backends of this kind.
     pub backends: u16,
@@ -353,7 +353,7 @@
     #[serde(default)]
     pub remote: f64,
     /// Size of JSON-RPC batches; 1 disables batching.
-    #[serde(default = "one_of")]
+    #[serde(default = "default_count")]
     pub batch: u16,
 }
 
@@ -389,7 +389,7 @@
     #[serde(default)]
     pub on: Vec<String>,
     /// Number of random targets.
-    #[serde(default = "one_of")]
+    #[serde(default = "default_count")]
     pub count: u16,
     /// Slowdown (crawl), share of the CPU (starve), probability (reset, spoil, decline), seconds
     /// (registry-late, registry-clock) or milliseconds (pause-proxy).
@@ -561,7 +561,7 @@
     pub at_s: f64,
     /// A keyed class.
     pub class: String,
-    /// Its tenant.
+    /// Tenant.
     pub tenant: String,
     /// Delay of the repeat, which has the same key and a new id.
     pub after_s: f64,
@@ -581,11 +581,11 @@
     pub at_most: Option<f64>,
 }
 
-fn one() -> f64 {
+fn default_ratio() -> f64 {
     1.0
 }
 
-fn one_of() -> u16 {
+fn default_count() -> u16 {
     1
 }
 
@@ -640,13 +640,13 @@
 
 /// Parses a scenario; an error is one line with file, field and reason.
 pub fn parse(file: &str, text: &str) -> Result<Scenario, String> {
-    let wrong = |e: toml::de::Error| {
+    let parse_error = |e: toml::de::Error| {
         let line = e.span().map_or(0, |s| {
             text[..s.start.min(text.len())].lines().count().max(1)
         });
         format!("{file}:{line}: {}", e.message().replace('\n', " "))
     };
-    let mut table: toml::Table = toml::from_str(text).map_err(wrong)?;
+    let mut table: toml::Table = toml::from_str(text).map_err(parse_error)?;
     let common: toml::Table =
         toml::from_str(COMMON).map_err(|e| format!("scenarios/common.toml: {e}"))?;
     for (key, value) in common {
@@ -896,8 +896,8 @@
         fn names<'a>(list: &str, names: impl Iterator<Item = &'a String>) -> Result<(), String> {
             let mut seen = std::collections::BTreeSet::new();
             for (i, name) in names.enumerate() {
-                let plain = |c: char| c.is_ascii_alphanumeric() || c == '-';
-                if name.is_empty() || !name.chars().all(plain) {
+                let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-';
+                if name.is_empty() || !name.chars().all(is_allowed) {
                     return Err(format!(
                         "{list}[{i}].name: {name:?} is not of letters, digits and -"
                     ));
@@ -972,11 +972,11 @@
         {
             return Err("clients.remote: `routes` have no listener \"remote\"".into());
         }
-        let ways = |f: &Fault| matches!(f.what, FaultKind::CutProxy | FaultKind::DeafProxy);
+        let is_partition = |f: &Fault| matches!(f.what, FaultKind::CutProxy | FaultKind::DeafProxy);
         if let Some(i) = self
             .fault
             .iter()
-            .position(ways)
+            .position(is_partition)
             .filter(|_| self.fleet.is_none())
         {
             return Err(format!("fault[{i}]: there is no `fleet` to be cut"));
@@ -1005,11 +1005,11 @@
         {
             return Err("fleet.period_ms: is not between 100 and 60000".into());
         }
-        let duty = self.fleet.as_ref().and_then(|f| f.lease_ms);
-        if duty.is_some_and(|ms| !(200..=60_000).contains(&ms)) {
+        let lease_ms = self.fleet.as_ref().and_then(|f| f.lease_ms);
+        if lease_ms.is_some_and(|ms| !(200..=60_000).contains(&ms)) {
             return Err("fleet.lease_ms: is not between 200 and 60000".into());
         }
-        if duty.is_some() && self.run.proxies < 3 {
+        if lease_ms.is_some() && self.run.proxies < 3 {
             return Err("fleet.lease_ms: needs three proxies, who vote".into());
         }
         if self.routes.is_none() && !self.change.is_empty() {
