--- a/crates/heathroad/src/daemon/capacity.rs
+++ b/crates/heathroad/src/daemon/capacity.rs
@@ -1,19 +1,20 @@
-//! The division of the file descriptors between clients, backends and the daemon's own needs.
+//! Divides the file descriptor limit between client connections, backend connections and the
+//! daemon itself.
 
 use crate::admin;
 use crate::configuration::Config;
 use crate::frontend::connections::SPARE_CONNECTIONS;
 
-/// Descriptors that are neither clients' nor backends' connections: standard streams, the listener,
-/// the reactor, signals, discovery, and connections that are accepted only to be rejected.
-const RESERVED: usize = 16 + SPARE_CONNECTIONS;
-/// The descriptor of the port for other members.
-const MEMBERSHIP: usize = 1;
-/// Descriptors of leases: their store, and calls of their work.
-const LEASES: usize = 4;
+/// Descriptors not used for client or backend connections: standard streams, the listener, the
+/// reactor, signals, discovery, and connections that are accepted only to be rejected.
+const RESERVED_DESCRIPTORS: usize = 16 + SPARE_CONNECTIONS;
+/// The socket for messages between cluster members.
+const MEMBERSHIP_DESCRIPTORS: usize = 1;
+/// Descriptors of the lease service: its store, and the HTTP calls of leased work.
+const LEASE_DESCRIPTORS: usize = 4;
 
-/// How many connections clients and backends may have. Each request in work holds one on either
-/// side; idle ones fill what is left.
+/// Connection limits. An active request uses one client and one backend connection; the rest of
+/// each limit is available to idle connections.
 #[derive(Clone, Copy)]
 pub(super) struct Capacity {
     pub client_connections: usize,
@@ -27,11 +28,13 @@
             None => 0,
         };
         let membership = match &config.membership {
-            Some(settings) if settings.leases.is_some() => MEMBERSHIP + LEASES,
-            Some(_) => MEMBERSHIP,
+            Some(settings) if settings.leases.is_some() => {
+                MEMBERSHIP_DESCRIPTORS + LEASE_DESCRIPTORS
+            }
+            Some(_) => MEMBERSHIP_DESCRIPTORS,
             None => 0,
         };
-        let usable = config.sockets - RESERVED - admin - membership;
+        let usable = config.sockets - RESERVED_DESCRIPTORS - admin - membership;
         let backend_connections = usable / 2;
         Capacity {
             client_connections: usable - backend_connections,
--- a/crates/heathroad/src/daemon/cluster.rs
+++ b/crates/heathroad/src/daemon/cluster.rs
@@ -1,5 +1,5 @@
-//! This proxy as a member of its cluster: its membership, its leases, and the record of what it
-//! acts on. All of it is off unless the configuration names a cluster.
+//! Starts the cluster services of this proxy: membership, leases and the activity log. They run
+//! only if the configuration defines a cluster.
 
 use super::error::DaemonError;
 use super::process_seed;
@@ -11,13 +11,14 @@
 use crate::runtime_accounting::spawn_local;
 use std::rc::Rc;
 
-/// The services of a member, where there is a cluster.
+/// The cluster services; each is `None` if it is not configured.
 pub(super) struct Cluster {
     pub membership: Option<Rc<MembershipService>>,
     pub leases: Option<Rc<LeaseService>>,
 }
 
-/// Creates the record of what this proxy acts on, with that of the process before it.
+/// Creates the activity log, which continues the record that the previous process stored. A record
+/// that cannot be read is logged and ignored.
 pub(super) fn create_activity_log(config: &Config) -> Option<Rc<ActivityLog>> {
     let settings = config.membership.as_ref()?;
     let stored = config.state.as_deref().map(membership::read_record);
@@ -34,7 +35,7 @@
 }
 
 impl Cluster {
-    /// Starts the services that the configuration asks for, and takes their settings out of it.
+    /// Starts the configured services and moves their settings out of `config`.
     pub async fn start(
         config: &mut Config,
         activity_log: Option<Rc<ActivityLog>>,
@@ -59,7 +60,7 @@
         })
     }
 
-    /// Has routes that are older than the cluster's desired version replaced.
+    /// Starts a task that replaces routes older than the cluster's desired version.
     pub fn keep_routes_up_to_date(&self, router: &Router, seed: u64) {
         if let (Some(membership), Router::Routed(pools)) = (&self.membership, router) {
             let (pools, membership) = (Rc::downgrade(pools), membership.clone());
--- a/crates/heathroad/src/daemon/endpoint_source.rs
+++ b/crates/heathroad/src/daemon/endpoint_source.rs
@@ -1,4 +1,5 @@
-//! Where pools get their endpoint lists from, and what a new configuration changes of that.
+//! Connects pools to the registries that supply their endpoint lists, and applies configuration
+//! reloads to them.
 
 use super::error::DaemonError;
 use crate::backend::Pool;
@@ -18,26 +19,26 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Where endpoint lists come from.
+/// The source of the endpoint lists.
 pub(super) enum EndpointSource {
-    /// The one pool of the settings follows one registry.
+    /// Without routes, a single pool follows a single registry.
     SinglePool(FollowedRegistry),
-    /// The pools of routes follow their own registries.
+    /// With routes, each pool follows the registry of its route, or the default registry.
     Routed(Rc<RoutedPools>),
 }
 
-/// The one registry of a pool.
+/// The registry that supplies the single pool, and the task that follows it.
 pub(super) struct FollowedRegistry {
     engine: Rc<Engine>,
     address: SocketAddr,
-    /// Whether the decision module wants the registry to be watched.
+    /// Whether the decision module has requested a watch of the registry.
     watch_requested: watch::Receiver<bool>,
     task: JoinHandle<()>,
     activity_log: Option<Rc<ActivityLog>>,
 }
 
 impl EndpointSource {
-    /// Starts the pools of the configuration.
+    /// Starts the configured pools.
     pub fn start(
         config: &mut Config,
         pool: &Rc<Pool>,
@@ -58,12 +59,12 @@
         }
     }
 
-    /// Follows the registry of a new configuration, and proposes its routes.
+    /// Switches to the registry of a reloaded configuration and proposes its routes.
     pub fn reload(&mut self, config: &Config) {
         let address = config.discovery;
         tracing::info!(discovery = %address, "configuration read again, discovery at {address}");
         match self {
-            EndpointSource::SinglePool(registry) => registry.move_to(address),
+            EndpointSource::SinglePool(registry) => registry.change_address(address),
             EndpointSource::Routed(pools) => {
                 pools.set_default_registry(address);
                 if let Some(file) = &config.routes {
@@ -103,9 +104,9 @@
         })
     }
 
-    /// Follows the registry at another address. The old watch ends at once, with its connection and
-    /// its version: the new address is asked for the whole list.
-    fn move_to(&mut self, address: SocketAddr) {
+    /// Follows the registry at another address. The old watch is aborted and its list version is
+    /// dropped, so the new address is asked for the complete list.
+    fn change_address(&mut self, address: SocketAddr) {
         self.task.abort();
         let activity_log = self.activity_log.clone();
         self.task = follow(&self.engine, address, &self.watch_requested, activity_log);
@@ -117,7 +118,7 @@
     }
 }
 
-/// Hands the endpoint lists of a registry to an engine.
+/// Spawns a task that passes the endpoint lists of a registry to an engine.
 fn follow(
     engine: &Rc<Engine>,
     address: SocketAddr,
--- a/crates/heathroad/src/daemon/error.rs
+++ b/crates/heathroad/src/daemon/error.rs
@@ -1,4 +1,4 @@
-//! Why the daemon could not start or go on.
+//! Errors that prevent the daemon from starting or end it early.
 
 use crate::configuration::ConfigError;
 use crate::lease::StoreError;
@@ -10,28 +10,28 @@
 use std::net::SocketAddr;
 use tokio::task::JoinError;
 
-/// Why the daemon ended other than by a planned stop.
+/// An error that ended the daemon other than by a graceful shutdown.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum DaemonError {
-    /// The environment's variables on logging are not valid.
+    /// The environment variables for logging are invalid.
     #[error(transparent)]
     Logging(#[from] LoggingError),
-    /// The configuration is not valid.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The runtime could not be created.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// A signal could not be handled.
+    /// A signal handler could not be installed.
     #[error("{name}: {source}")]
     Signal {
-        /// The signal.
+        /// The name of the signal.
         name: &'static str,
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The address for clients could not be bound.
+    /// The client listener could not be bound.
     #[error("listen: {address}: {source}")]
     Listen {
         /// The address.
@@ -39,10 +39,10 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The bound address for clients is not known.
+    /// The local address of the client listener could not be read.
     #[error("listen: {0}")]
     ListenAddress(#[source] io::Error),
-    /// The admin address could not be bound.
+    /// The admin listener could not be bound.
     #[error("admin: {address}: {source}")]
     Admin {
         /// The address.
@@ -50,22 +50,22 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The bound admin address is not known.
+    /// The local address of the admin listener could not be read.
     #[error("admin: {0}")]
     AdminAddress(#[source] io::Error),
-    /// The settings are not sound.
+    /// The decision module rejected the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The pools of routes could not be started.
+    /// The router could not be started.
     #[error(transparent)]
     Router(#[from] RouterError),
-    /// The membership could not be started.
+    /// The membership service could not be started.
     #[error(transparent)]
     Membership(#[from] StartError),
-    /// The store of leases could not be opened.
+    /// The lease store could not be opened.
     #[error(transparent)]
     LeaseStore(#[from] StoreError),
-    /// The frontend ended before the planned stop was over.
-    #[error("front: {0}")]
+    /// The HTTP frontend's task panicked or was aborted.
+    #[error("frontend: {0}")]
     Frontend(#[source] JoinError),
 }
--- a/crates/heathroad/src/daemon/frontends.rs
+++ b/crates/heathroad/src/daemon/frontends.rs
@@ -1,5 +1,5 @@
-//! The frontends: HTTP, and JSON-RPC where routes have listeners for it. They share the connections
-//! and the memory that clients may have.
+//! Starts the HTTP frontend and, with routes, the JSON-RPC frontend. They share the client limits
+//! on connections and body memory.
 
 use super::capacity::Capacity;
 use super::process_seed;
@@ -14,11 +14,11 @@
 use tokio::sync::watch;
 use tokio::task::{JoinError, JoinHandle};
 
-/// The part of the memory that the bodies of open requests may fill: one in so many bytes. The rest
-/// is for buffers, responses and the program.
+/// Bodies of open requests may use the memory limit divided by this; the rest is for buffers,
+/// responses and the process itself.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// The frontends as they run.
+/// The tasks of the running frontends.
 pub(super) struct Frontends {
     http: JoinHandle<()>,
     jsonrpc: Option<JoinHandle<()>>,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Has the frontends accept no new connections, and end once theirs have ended.
+    /// Stops accepting connections; the frontends end when their open connections have ended.
     pub fn stop_accepting(&self) {
         self.stop.send_replace(true);
     }
@@ -79,7 +79,7 @@
     /// Waits until all connections have ended.
     pub async fn join(self) -> Result<(), JoinError> {
         if let Some(jsonrpc) = self.jsonrpc {
-            // Only the end of this task matters: what it owed was answered on its connections.
+            // Only completion matters here: responses were sent on the connections.
             let _ = jsonrpc.await;
         }
         self.http.await
--- a/crates/heathroad/src/daemon/mod.rs
+++ b/crates/heathroad/src/daemon/mod.rs
@@ -1,9 +1,9 @@
-//! The daemon: starts its parts, wires them together, and runs until a planned stop.
+//! The daemon: starts and connects its components, and runs until a graceful shutdown.
 //!
-//! - [`capacity`] divides the file descriptors.
-//! - [`endpoint_source`] is where pools get their endpoint lists from.
-//! - [`cluster`] is the membership and the leases of this proxy.
-//! - [`frontends`] serves clients; [`shutdown`] is the planned stop.
+//! - [`capacity`] divides the file descriptor limit.
+//! - [`endpoint_source`] supplies pools with endpoint lists.
+//! - [`cluster`] starts membership and leases.
+//! - [`frontends`] serves clients; [`shutdown`] performs the graceful shutdown.
 
 mod capacity;
 mod cluster;
@@ -34,14 +34,14 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
 
-/// The interval at which old connections are closed, and backends that are gone are forgotten.
+/// The interval at which idle connections that are too old are closed and unused endpoints removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs the daemon until a planned stop.
+/// Runs the daemon until a graceful shutdown.
 ///
 /// # Errors
 ///
-/// Returns why it could not start, or why its frontend ended.
+/// Returns an error if the daemon cannot start or its HTTP frontend fails.
 pub fn run() -> Result<(), DaemonError> {
     logging::begin()?;
     let config = configuration::load()?;
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Reads the configuration again at each SIGHUP, until SIGTERM.
+    /// Reloads the configuration on each SIGHUP, and returns on SIGTERM.
     async fn reload_until_stopped(&mut self, source: &mut EndpointSource) {
         loop {
             tokio::select! {
@@ -120,7 +120,7 @@
     listener.map_err(|source| DaemonError::Listen { address, source })
 }
 
-/// Serves the admin address, where one is configured.
+/// Starts the admin server if an address is configured for it.
 async fn start_admin(
     config: &Config,
     router: &Rc<Router>,
@@ -143,7 +143,7 @@
     Ok(())
 }
 
-/// Closes old connections and forgets backends that are gone, for ever.
+/// Periodically closes idle connections that are too old and removes unused endpoints.
 async fn sweep(pool: Rc<Pool>, router: Rc<Router>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
@@ -154,8 +154,8 @@
     }
 }
 
-/// Returns a number that differs between processes: retry budgets and leases are numbered from it,
-/// and no two proxies should give the same numbers.
+/// Returns a random seed for the identifiers of retry budgets and leases, so that proxies do not
+/// generate the same ones.
 fn process_seed() -> u64 {
     RandomState::new().build_hasher().finish()
 }
--- a/crates/heathroad/src/daemon/shutdown.rs
+++ b/crates/heathroad/src/daemon/shutdown.rs
@@ -1,5 +1,5 @@
-//! The planned stop: everything that was accepted gets its response, leases are resigned, and the
-//! program ends before it is killed.
+//! Graceful shutdown: accepted requests get a response, leases are resigned, and the process exits
+//! before it is killed.
 
 use super::cluster::Cluster;
 use super::error::DaemonError;
@@ -13,14 +13,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The time after SIGTERM for which new connections are accepted.
+/// The time after SIGTERM during which new connections are accepted.
 const ACCEPT_TIME: Duration = Duration::from_millis(500);
-/// The time after SIGTERM by which every request has its response; a kill may follow soon after.
+/// The time after SIGTERM by which every request has a response. SIGKILL may follow soon after.
 const RESPONSE_TIME: Duration = Duration::from_millis(3300);
-/// The longest deadline of a request that counts for the time of a kill.
+/// The longest request deadline that the time of SIGKILL takes into account.
 const MAX_DEADLINE: Duration = Duration::from_millis(3000);
-/// No kill comes sooner after SIGTERM than the longest deadline and this time: a request that is
-/// accepted in this time is answered by its own deadline.
+/// SIGKILL comes no sooner than `MAX_DEADLINE` plus this margin after SIGTERM, so a request
+/// accepted within the margin is answered by its own deadline.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 const _: () =
     assert!(ACCEPT_TIME.as_millis() + FIRST_REQUEST_GRACE.as_millis() < KILL_MARGIN.as_millis());
@@ -38,14 +38,14 @@
     tokio::join!(sleep(ACCEPT_TIME), resign_leases(&cluster));
     tracing::debug!("stop: no new connections");
     frontends.stop_accepting();
-    // Every request has its response by then; a client that does not read it must not keep the
-    // program.
+    // All responses are sent by then; a client that does not read its response must not delay the
+    // exit.
     let ended = timeout(RESPONSE_TIME, frontends.join()).await;
     tracing::debug!(in_time = ended.is_ok(), "stop: connections ended");
     if let Some(membership) = cluster.membership {
         membership.leave();
     }
-    // The reader of standard output may be gone; that is no reason to fail.
+    // A closed standard output must not fail the shutdown.
     let _ = writeln!(
         std::io::stdout(),
         "{}",
@@ -57,7 +57,7 @@
     }
 }
 
-/// Ends the transaction under way, and has every open request end in time.
+/// Stops the route transaction in progress and limits open requests to the response time.
 fn end_requests(router: &Router) {
     let engines = router.engines();
     let open: usize = engines.iter().map(|engine| engine.pending_requests()).sum();
@@ -65,18 +65,18 @@
     if let Router::Routed(pools) = router {
         pools.handle(Event::Shutdown);
     }
-    // The signal may have come while the process was stalled.
+    // The signal may have arrived while the process was stalled.
     let requested_at = stall_detector::earliest_arrival(Instant::now());
     for engine in engines {
         engine.end_requests_at(requested_at + RESPONSE_TIME);
     }
 }
 
-/// Resigns the leases that are held here. What that writes takes nothing of the time in which
-/// clients get their responses.
+/// Resigns the leases held here. The time limit keeps slow writes from delaying responses to
+/// clients.
 async fn resign_leases(cluster: &Cluster) {
     if let Some(leases) = &cluster.leases {
-        // A write that is cut off does no harm: the voters have granted the leases.
+        // Cutting a write short is safe: the voters have granted the leases.
         let _ = timeout(ACCEPT_TIME, leases.shut_down()).await;
     }
 }
