--- a/crates/heathroad/src/admin/cluster.rs
+++ b/crates/heathroad/src/admin/cluster.rs
@@ -1,4 +1,4 @@
-//! Reports on the members of the cluster and on what they acted on: `/fleet/...`.
+//! Cluster reports under `/fleet/`: the members, and the audit of the versions they acted on.
 
 use super::reply::{self, Reply};
 use super::server::AdminState;
@@ -6,7 +6,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 
-/// What stands in front of the handler's paths.
+/// The prefix of the paths handled here.
 pub(super) const PATH_PREFIX: &str = "/fleet/";
 
 pub(super) async fn handle(state: &AdminState, request: &Request<Incoming>) -> Reply {
--- a/crates/heathroad/src/admin/configuration.rs
+++ b/crates/heathroad/src/admin/configuration.rs
@@ -1,4 +1,4 @@
-//! Metrics, and the configuration of routes: its status, its verification and its changes.
+//! Metrics, and the status, verification and changes of the route configuration.
 
 use super::reply::{self, Reply};
 use super::server::AdminState;
@@ -10,12 +10,12 @@
 use hyper::{Method, Request, StatusCode};
 use std::rc::Rc;
 
-/// The longest configuration that is accepted, in bytes.
+/// The maximum size of a proposed configuration, in bytes.
 const MAX_CONFIGURATION_BYTES: usize = 4 << 20;
-/// The query of a change that is required of the whole cluster within a time.
+/// Prefix of the query that sets the time within which the whole cluster must have the change.
 const REQUIRED_WITHIN_QUERY: &str = "required_ms=";
 
-/// A change with a malformed query or body.
+/// An invalid query or body of a proposed change.
 #[derive(Debug, thiserror::Error)]
 enum ProposalInputError {
     #[error("expected required_ms=MILLISECONDS, or nothing")]
@@ -116,7 +116,7 @@
     String::from_utf8(bytes.to_vec()).map_err(|_| ProposalInputError::Body)
 }
 
-/// Describes what became of a change: 409 where it was rejected.
+/// Reports the result of a change, with status 409 if it was rejected.
 fn describe(reports: &[TransactionReport]) -> Reply {
     let is_rejected = reports.iter().any(TransactionReport::is_rejection);
     let status = if is_rejected {
--- a/crates/heathroad/src/admin/leases.rs
+++ b/crates/heathroad/src/admin/leases.rs
@@ -1,4 +1,4 @@
-//! Reports on leases, and their resignation: `/duty/...`.
+//! Lease reports and resignation under `/duty/`.
 
 use super::reply::{self, Reply};
 use super::server::AdminState;
@@ -6,7 +6,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 
-/// What stands in front of the handler's paths.
+/// The prefix of the paths handled here.
 pub(super) const PATH_PREFIX: &str = "/duty/";
 
 pub(super) async fn handle(state: &AdminState, request: &Request<Incoming>) -> Reply {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Resigns the lease that a query names.
+/// Resigns the lease named in the query.
 fn resign(leases: &LeaseService, query: &str) -> Reply {
     let name = query.strip_prefix("name=").unwrap_or_default();
     let (status, text) = match leases.resign(name) {
--- a/crates/heathroad/src/admin/mod.rs
+++ b/crates/heathroad/src/admin/mod.rs
@@ -1,9 +1,9 @@
-//! The admin address, off unless it is configured: metrics, changes of routes, and reports on the
-//! cluster and its leases.
+//! The optional admin server: metrics, route configuration, and reports on the cluster and its
+//! leases.
 //!
-//! - [`server`] accepts connections and hands each request to its handler.
+//! - [`server`] accepts connections and dispatches requests to the handlers.
 //! - [`configuration`], [`cluster`] and [`leases`] are the handlers.
-//! - [`reply`] makes HTTP responses.
+//! - [`reply`] builds HTTP responses.
 
 mod cluster;
 mod configuration;
--- a/crates/heathroad/src/admin/reply.rs
+++ b/crates/heathroad/src/admin/reply.rs
@@ -1,4 +1,4 @@
-//! The HTTP responses of the admin address.
+//! HTTP responses of the admin server.
 
 use bytes::Bytes;
 use http_body_util::Full;
--- a/crates/heathroad/src/admin/server.rs
+++ b/crates/heathroad/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! The server of the admin address: bounded connections, one handler for each group of paths.
+//! The admin server: a bounded number of connections, and one handler for each path prefix.
 
 use super::reply::Reply;
 use super::{cluster, configuration, leases};
@@ -18,29 +18,29 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// The most connections at once; further ones wait in the system's queue.
+/// The maximum number of concurrent connections; further ones wait in the listen backlog.
 pub const MAX_CONNECTIONS: usize = 4;
-/// The time that a connection lasts at most, whatever is requested on it.
+/// The maximum lifetime of a connection, including its open requests.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
-/// The pause when nothing can be accepted.
+/// The delay after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// The longest head of a request, in bytes.
+/// The maximum size of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// What the handlers report on.
+/// The state shared by the handlers.
 #[derive(Clone)]
 pub struct AdminState {
     /// The pools and their routes.
     pub router: Rc<Router>,
-    /// This proxy's membership in a cluster, if it has one.
+    /// The membership service, if a cluster is configured.
     pub membership: Option<Rc<MembershipService>>,
-    /// This proxy's leases, if there are any.
+    /// The lease service, if leases are configured.
     pub leases: Option<Rc<LeaseService>>,
     /// The limit on file descriptors.
     pub max_descriptors: usize,
 }
 
-/// Serves the admin address for ever.
+/// Accepts and serves admin connections indefinitely.
 pub async fn serve(listener: TcpListener, state: AdminState) {
     let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -64,7 +64,7 @@
     let connection = http1::Builder::new()
         .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service);
-    // However the connection ends, no response is owed.
+    // Connection errors and timeouts need no handling.
     let _ = timeout(CONNECTION_TIMEOUT, connection).await;
 }
 
