--- a/crates/heathroad/src/metrics/export.rs
+++ b/crates/heathroad/src/metrics/export.rs
@@ -1,5 +1,5 @@
-//! The two forms of the metrics: Prometheus text, and one JSON object on one line. Both keep the
-//! keys that operators' tools read.
+//! Exports the metrics as Prometheus text and as a one-line JSON object. Operators' tools depend on
+//! the keys of both.
 
 use super::labels::{
     DrainReason, EventLabels, OUTCOME_LABELS, PoolLabels, ReasonLabels, RequestLabels, RuleLabels,
@@ -17,21 +17,21 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The file descriptors of the process.
+/// File descriptor usage of the process.
 #[derive(Clone, Copy)]
 pub struct Descriptors {
-    /// Those that are open.
+    /// The number of open descriptors.
     pub open: usize,
     /// The limit.
     pub max: usize,
 }
 
-/// Raises a counter to a total that is counted elsewhere.
+/// Raises a counter to a total that another module counts.
 fn raise_to(counter: &Counter, total: u64) {
     counter.inc_by(total.saturating_sub(counter.get()));
 }
 
-/// Returns the value of a gauge of a count.
+/// Converts a count to a gauge value.
 fn gauge_value(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
@@ -49,33 +49,41 @@
         self.descriptors.set(gauge_value(descriptors.open));
         self.descriptors_max.set(gauge_value(descriptors.max));
         let mut text = String::new();
-        // Writing to a string fails only where a metric's own encoding does, and these are the
-        // crate's.
+        // Writing to a string cannot fail, nor can the encoders of the metrics used here.
         let _ = text::encode(&mut text, &self.registry);
         text
     }
 
-    /// Sets the gauges of all runs of one pool.
+    /// Sets the gauges of a pool to the sums over all its instances.
     fn set_pool_gauges(&self, pool: &str, pools: &[PoolSnapshot<'_>]) {
         let labels = PoolLabels {
             pool: pool.to_string(),
         };
-        let runs = || pools.iter().filter(|run| run.metrics.pool() == pool);
-        let limit = runs().map(|run| run.load.limit).sum();
+        let instances = || {
+            pools
+                .iter()
+                .filter(|instance| instance.metrics.pool() == pool)
+        };
+        let limit = instances().map(|instance| instance.load.limit).sum();
         self.limit.get_or_create(&labels).set(limit);
-        let in_flight = runs().map(|run| run.load.in_flight as i64).sum();
+        let in_flight = instances()
+            .map(|instance| instance.load.in_flight as i64)
+            .sum();
         self.in_flight.get_or_create(&labels).set(in_flight);
-        let open_requests = gauge_value(runs().map(|run| run.open_requests).sum());
+        let open_requests = gauge_value(instances().map(|instance| instance.open_requests).sum());
         self.open_requests.get_or_create(&labels).set(open_requests);
-        let slices = runs().map(|run| run.load.slices.len()).max().unwrap_or(0);
+        let slices = instances()
+            .map(|instance| instance.load.slices.len())
+            .max()
+            .unwrap_or(0);
         for index in 0..slices {
             let labels = SliceLabels {
                 pool: pool.to_string(),
                 slice: index as u32,
             };
-            let sum = |figure: fn(&SliceLoad) -> f64| -> f64 {
-                let slices = runs().filter_map(|run| run.load.slices.get(index));
-                slices.map(figure).sum()
+            let sum = |value: fn(&SliceLoad) -> f64| -> f64 {
+                let slices = instances().filter_map(|instance| instance.load.slices.get(index));
+                slices.map(value).sum()
             };
             let gauges = &self.slices;
             gauges.limit.get_or_create(&labels).set(sum(|s| s.limit));
@@ -90,7 +98,7 @@
         }
     }
 
-    /// Raises the counters whose totals other modules count.
+    /// Updates the counters whose totals other modules count.
     fn raise_totals(&self) {
         for (event, total) in self.budget_totals() {
             raise_to(
@@ -129,7 +137,7 @@
         ])
     }
 
-    /// Returns all metrics as one JSON object. What has no pool in it is a sum over all pools.
+    /// Returns all metrics as one JSON object. Values without a pool label are sums over all pools.
     pub fn to_json(&self, pools: &[PoolSnapshot<'_>], descriptors: Descriptors) -> String {
         let by_pool = self.pools.borrow();
         let sum = |labels: &'static [&'static str], of: fn(&PoolCounters) -> &[Counter]| {
@@ -157,7 +165,7 @@
             stalls: stalls.count,
             longest_stall_ms: as_millis(stalls.longest),
         };
-        // Nothing in it can fail to be written as JSON: keys are text, figures finite.
+        // Serialization cannot fail: all keys are strings.
         serde_json::to_string(&document).unwrap_or_default()
     }
 
@@ -213,7 +221,7 @@
     count: u64,
 }
 
-/// The JSON object, under the keys that operators' tools read.
+/// The exported JSON object; its keys are fixed.
 #[derive(Serialize)]
 struct MetricsDocument<'a> {
     requests: Vec<RequestRow>,
--- a/crates/heathroad/src/metrics/labels.rs
+++ b/crates/heathroad/src/metrics/labels.rs
@@ -1,21 +1,21 @@
-//! The labels of metrics, and the values that a label can have.
+//! Metric labels and their values.
 
 use heathroad_balancer::api::Outcome;
 use prometheus_client::encoding::EncodeLabelSet;
 use serde::Serialize;
 
-/// The final response to a request, or that its client left before it.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// The response of a backend.
+    /// A backend's response was returned.
     Served,
-    /// Rejected: a retry is harmless.
+    /// Rejected without being executed; a retry is safe.
     Rejected,
     /// Failed: the request may have been executed.
     Failed,
     /// Failed at its deadline.
     TimedOut,
-    /// The client left before its response.
+    /// The client disconnected before the response.
     ClientLeft,
 }
 
@@ -32,17 +32,17 @@
     }
 }
 
-/// An end of an attempt that says nothing of its backend, and that the decision module is notified
-/// of as another outcome.
+/// The end of an attempt that says nothing about the backend's health. The metrics count it
+/// separately; the decision module is notified of an ordinary outcome.
 #[derive(Clone, Copy)]
 pub enum UnjudgedEnd {
     /// A backend rejected the request as unusable.
     Unusable,
-    /// A notification was written; it gets no response.
+    /// A JSON-RPC notification was sent; it has no response.
     NotificationSent,
 }
 
-/// The values of the label `outcome`: the decision module's outcomes, then the unjudged ends.
+/// The values of the label `outcome`: first [`Outcome`], then [`UnjudgedEnd`].
 pub const OUTCOME_LABELS: [&str; 10] = [
     "served",
     "error",
@@ -78,14 +78,14 @@
     }
 }
 
-/// Why a backend's process gets no new requests.
+/// Why a backend process receives no new requests.
 #[derive(Clone, Copy, Debug)]
 pub enum DrainReason {
     /// It is draining.
     Draining,
-    /// The endpoint list no longer has it.
+    /// It is no longer in the endpoint list.
     Removed,
-    /// Another process has taken its name.
+    /// Another process replaced it under the same name.
     Replaced,
 }
 
@@ -98,7 +98,7 @@
     }
 }
 
-/// The labels of a request with its final response.
+/// The labels of a completed request.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, PartialOrd, Ord, EncodeLabelSet, Serialize)]
 pub struct RequestLabels {
     #[serde(skip_serializing_if = "String::is_empty")]
@@ -117,7 +117,7 @@
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub struct RetryLabels {
     pub pool: String,
-    /// How the attempt before ended.
+    /// The outcome of the previous attempt.
     pub after: &'static str,
 }
 
--- a/crates/heathroad/src/metrics/mod.rs
+++ b/crates/heathroad/src/metrics/mod.rs
@@ -1,10 +1,10 @@
 //! The daemon's metrics, as Prometheus text and as one JSON object.
 //!
-//! - [`registry`] registers each metric under its name, and holds those of the whole daemon.
-//! - [`pool`] counts the requests and attempts of one pool; counting is a few additions a request.
-//! - [`labels`] holds the labels of metrics and their values.
-//! - [`export`] writes the metrics, and reads those that other modules count: retry budgets,
-//!   runtime accounting, safety, stalls.
+//! - [`registry`] registers the metrics and holds those of the whole daemon.
+//! - [`pool`] counts the requests and attempts of one pool.
+//! - [`labels`] defines the labels and their values.
+//! - [`export`] writes the metrics, including those counted by other modules: retry budgets,
+//!   runtime accounting, safety and stalls.
 
 mod export;
 mod labels;
--- a/crates/heathroad/src/metrics/pool.rs
+++ b/crates/heathroad/src/metrics/pool.rs
@@ -1,4 +1,4 @@
-//! The metrics of one run of a pool. Names are looked up once for each pair of class and tenant.
+//! The metrics of one instance of a pool. Each counter of requests is looked up once and then kept.
 
 use super::labels::{
     DrainReason, OUTCOME_LABELS, RequestLabels, ResponseKind, UnjudgedEnd, outcome_index,
@@ -12,7 +12,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// The counters of a pool whose labels are fixed.
+/// The counters of a pool whose label values are known in advance.
 #[derive(Clone)]
 pub struct PoolCounters {
     pub attempts: [Counter; OUTCOME_LABELS.len()],
@@ -22,22 +22,22 @@
     pub slow_start_sends: Counter,
 }
 
-/// What one run of a pool counts in. Counters begin at 0 and never go back.
+/// The metrics of one instance of a pool. Instances with the same name share their counters.
 pub struct PoolMetrics {
     registry: Rc<MetricsRegistry>,
     pool: String,
     classes: Vec<String>,
     tenants: Vec<String>,
-    /// The counters of requests by class, tenant and response, once they were needed.
+    /// The request counters by class, tenant and response, created on first use.
     requests: RefCell<Vec<Option<Counter>>>,
     counters: PoolCounters,
-    /// The final responses of this run by kind.
+    /// The final responses of this instance, by kind.
     responses: [Cell<u64>; ResponseKind::LABELS.len()],
-    /// Responses of this run that were served after their latency objective.
+    /// Responses of this instance served after their latency objective.
     served_late: Cell<u64>,
 }
 
-/// The final responses of a run of a pool, by kind.
+/// The number of final responses of a pool instance, by kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResponseTotals {
     /// Responses of backends.
@@ -48,12 +48,12 @@
     pub failed: u64,
     /// Failures at the deadline.
     pub timed_out: u64,
-    /// Served responses that came after their latency objective.
+    /// Responses served after their latency objective.
     pub served_late: u64,
 }
 
 impl ResponseTotals {
-    /// Returns the responses since earlier totals.
+    /// Returns the difference from earlier totals.
     pub fn since(self, earlier: ResponseTotals) -> ResponseTotals {
         ResponseTotals {
             served: self.served.saturating_sub(earlier.served),
@@ -65,18 +65,18 @@
     }
 }
 
-/// The state of a pool at the moment of an export.
+/// The state of a pool instance at the time of an export.
 pub struct PoolSnapshot<'a> {
     /// Its metrics.
     pub metrics: &'a PoolMetrics,
     /// Its concurrency limit and slices.
     pub load: Load,
-    /// Requests that are owed a response.
+    /// The number of requests without a response.
     pub open_requests: usize,
 }
 
 impl PoolMetrics {
-    /// Creates the metrics of a pool for the names of its site.
+    /// Creates the metrics of a pool with the classes and tenants of its site.
     pub fn new(registry: &Rc<MetricsRegistry>, pool: &str, site: &SiteSettings) -> Self {
         let (pool, counters) = registry.pool(pool);
         let pairs = site.classes.len() * site.tenants.len().max(1);
@@ -92,18 +92,17 @@
         }
     }
 
-    /// Returns the metrics over all pools.
+    /// Returns the registry of all pools' metrics.
     pub fn registry(&self) -> &Rc<MetricsRegistry> {
         &self.registry
     }
 
-    /// Returns the name under which the pool is counted.
+    /// Returns the value of the label `pool`.
     pub(super) fn pool(&self) -> &str {
         &self.pool
     }
 
-    /// Counts the final response to a request of a class and tenant, given by their indices in the
-    /// settings.
+    /// Counts the final response to a request. `class` and `tenant` are indices in the settings.
     pub fn record_response(&self, class: u16, tenant: u16, response: ResponseKind) {
         let (class, tenant) = (usize::from(class), usize::from(tenant));
         let pair = class * self.tenants.len().max(1) + tenant;
@@ -136,7 +135,7 @@
         self.served_late.set(self.served_late.get() + 1);
     }
 
-    /// Returns how many responses this run has had until now.
+    /// Returns the totals of this instance's responses so far.
     pub fn response_totals(&self) -> ResponseTotals {
         let total = |kind: ResponseKind| self.responses[kind.index()].get();
         ResponseTotals {
@@ -154,25 +153,24 @@
         self.counters.attempts[index].inc();
     }
 
-    /// Counts the end of an abandoned attempt's work, or that it can be seen no more.
+    /// Counts the late completion of an abandoned attempt, or that it can no longer be observed.
     pub fn record_late_completion(&self, outcome: Outcome) {
         self.counters.late_completions[outcome_index(outcome)].inc();
     }
 
-    /// Counts a retry after an attempt that ended; a hedged request, whose first attempt has not
-    /// ended, is none.
+    /// Counts a retry by the outcome of the previous attempt. A hedge has none and is not counted.
     pub fn record_retry(&self, after: Option<Outcome>) {
         if let Some(after) = after {
             self.counters.retries[outcome_index(after)].inc();
         }
     }
 
-    /// Counts a backend's process that gets no new requests from now on.
+    /// Counts a backend process that stops receiving new requests.
     pub fn record_drain(&self, reason: DrainReason) {
         self.counters.drains[reason.index()].inc();
     }
 
-    /// Counts an attempt that was sent to a backend in slow start.
+    /// Counts an attempt sent to a backend in slow start.
     pub fn record_slow_start_send(&self) {
         self.counters.slow_start_sends.inc();
     }
--- a/crates/heathroad/src/metrics/registry.rs
+++ b/crates/heathroad/src/metrics/registry.rs
@@ -1,4 +1,4 @@
-//! The registry: each metric with its name, its help text and its labels.
+//! Registers each metric with its name, help text and labels.
 
 use super::labels::{
     DrainLabels, DrainReason, EventLabels, OUTCOME_LABELS, OutcomeLabels, PoolLabels, ReasonLabels,
@@ -15,26 +15,26 @@
 use std::rc::Rc;
 use std::sync::atomic::AtomicU64;
 
-/// What stands in front of every metric's name.
+/// The prefix of every metric name.
 const PREFIX: &str = "heathroad";
-/// The most pools that are counted by name; further ones are counted together. Names of pools come
-/// and go with configurations, and counters never go.
+/// The maximum number of pools with their own label value; further ones share one. Counters are
+/// never removed, so pool names that change with each configuration would accumulate.
 const MAX_NAMED_POOLS: usize = 1_000;
-/// The name under which further pools are counted.
+/// The label value shared by pools beyond the maximum.
 const OTHER_POOLS: &str = "(others)";
 
-/// A gauge of a number with a fraction.
+/// A floating-point gauge.
 pub type FloatGauge = Gauge<f64, AtomicU64>;
 
-/// The metrics of a daemon, over all pools that it ever had: several runs of one name count
-/// together. The one pool of a daemon without routes has no name.
+/// The metrics of all pools that the daemon has had. Instances with the same name share counters.
+/// The single pool of a daemon without routes has an empty name.
 pub struct MetricsRegistry {
     pub(super) registry: Registry,
-    /// Every pool that was counted; a family can't be listed.
+    /// The counters of every pool; a `Family` cannot be iterated.
     pub(super) pools: RefCell<BTreeMap<String, PoolCounters>>,
-    /// Every row of requests that was counted.
+    /// The request counters by their labels.
     pub(super) request_rows: RefCell<BTreeMap<RequestLabels, Counter>>,
-    /// Every status that was counted.
+    /// The counters of malformed requests by response status.
     pub(super) unusable_by_status: RefCell<BTreeMap<u16, Counter>>,
     pub(super) requests: Family<RequestLabels, Counter>,
     attempts: Family<OutcomeLabels, Counter>,
@@ -86,8 +86,8 @@
 }
 
 impl MetricsRegistry {
-    /// Creates metrics in which nothing was counted.
-    #[rustfmt::skip] // One metric a line.
+    /// Creates and registers all metrics.
+    #[rustfmt::skip] // One metric per line.
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix(PREFIX);
         let r = &mut registry;
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Has the counters of retry budgets exported.
+    /// Adds the counters of retry budgets to the export.
     pub fn export_retry_budgets(&self, budgets: &Rc<RetryBudgets>) {
         self.retry_budgets.replace(Some(budgets.clone()));
     }
@@ -134,7 +134,7 @@
         counter.inc();
     }
 
-    /// Returns the name under which a pool is counted, and its counters.
+    /// Returns the label value of a pool, and its counters.
     pub(super) fn pool(&self, name: &str) -> (String, PoolCounters) {
         let mut pools = self.pools.borrow_mut();
         let is_named = pools.len() < MAX_NAMED_POOLS || pools.contains_key(name);
