--- a/crates/heathroad/src/configuration/error.rs
+++ b/crates/heathroad/src/configuration/error.rs
@@ -1,4 +1,4 @@
-//! Why the daemon's configuration can't be used.
+//! Errors of the daemon's configuration.
 
 use super::membership::MembershipConfigError;
 use crate::retry_budget;
@@ -8,50 +8,50 @@
 use std::num::ParseIntError;
 use std::path::PathBuf;
 
-/// Why the daemon's configuration can't be used.
+/// An error in the daemon's configuration.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ConfigError {
-    /// The environment names no configuration file.
+    /// `RELAY_CONFIG`, the path of the configuration file, is not set.
     #[error("RELAY_CONFIG is not set: it names the configuration file (see heathroad --help)")]
     NotNamed,
-    /// The file that the environment names can't be read.
+    /// The file at `RELAY_CONFIG` cannot be read.
     #[error("RELAY_CONFIG: {path}: {source}")]
     ReadNamed {
-        /// The file.
+        /// The path of the file.
         path: String,
         /// The error of the operating system.
         source: io::Error,
     },
-    /// A file can't be read.
+    /// A file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
         /// The error of the operating system.
         source: io::Error,
     },
-    /// A file that was named on the command line is not valid.
+    /// A file given on the command line is invalid.
     #[error("{}: {source}", path.display())]
     InFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The cause.
         source: Box<ConfigError>,
     },
-    /// A key is missing, unknown to its type or has a wrong one.
+    /// A key is missing or unknown, or its value has the wrong type.
     #[error("config: {0}")]
     InvalidValue(#[source] serde_path_to_error::Error<serde_json::Error>),
-    /// The settings are not valid.
+    /// The settings are invalid.
     #[error("config: {0}")]
     Settings(#[from] SettingsReadError),
-    /// A value is out of range, or of no use with the others.
+    /// A value is out of range, or has no effect with the other values.
     #[error("config: {0}")]
     Unusable(&'static str),
-    /// The settings of retry budgets are not valid.
+    /// The settings of retry budgets are invalid.
     #[error("config: {0}")]
     RetryBudget(#[from] retry_budget::SettingsError),
-    /// The settings of the cluster are not valid.
+    /// The settings of the cluster are invalid.
     #[error(transparent)]
     Membership(#[from] MembershipConfigError),
     /// An address is missing.
@@ -60,17 +60,17 @@
         /// The key of the address.
         name: &'static str,
     },
-    /// An address is not valid.
+    /// An address is invalid.
     #[error("config: {name}: {text}: {source}")]
     InvalidAddress {
         /// The key of the address.
         name: &'static str,
-        /// The address as it was given.
+        /// The configured text.
         text: String,
-        /// What is wrong with it.
+        /// The cause.
         source: AddrParseError,
     },
-    /// The seed is no hexadecimal number.
+    /// The seed is not a hexadecimal number.
     #[error("config: seed: {0}")]
     InvalidSeed(#[source] ParseIntError),
 }
--- a/crates/heathroad/src/configuration/lease.rs
+++ b/crates/heathroad/src/configuration/lease.rs
@@ -1,4 +1,4 @@
-//! The leases of a fleet, as the fleet's file configures them.
+//! The lease configuration in the cluster's file.
 
 use heathroad_lease::timing::LEASE_DURATION_MS;
 use heathroad_lease::voter_set::{VoterSet, VoterSetError};
@@ -10,65 +10,65 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Most leases.
+/// Maximum number of leases.
 const MAX_LEASES: usize = 16;
-/// Longest name of a lease.
+/// Maximum length of a lease's name.
 const MAX_NAME_BYTES: usize = 32;
-/// Shortest and longest interval between two acts of a lease's work, in milliseconds.
+/// Permitted intervals between two runs of a lease's work, in milliseconds.
 const INTERVAL_MS: RangeInclusive<u64> = 10..=3_600_000;
-/// Lease duration where the file gives none, in milliseconds.
+/// Default lease duration, in milliseconds.
 const DEFAULT_LEASE_DURATION_MS: u64 = 5000;
-/// Interval of calls where the file gives none, in milliseconds.
+/// Default interval of HTTP calls, in milliseconds.
 const DEFAULT_CALL_INTERVAL_MS: u64 = 1000;
-/// Duration of the collector's rounds where the file gives none, in milliseconds.
+/// Default duration of an audit collection round, in milliseconds.
 const DEFAULT_ROUND_DURATION_MS: u64 = 30_000;
-/// Path of calls where the file gives none.
+/// Default path of HTTP calls.
 const DEFAULT_PATH: &str = "/";
 
-/// Which server the holder of a lease calls, and how often.
+/// The HTTP calls that the holder of a lease makes.
 #[derive(Debug, Clone)]
 pub struct HttpCallSettings {
-    /// The server.
+    /// The address of the server.
     pub address: SocketAddr,
     /// The path of the request.
     pub path: String,
-    /// The interval of the calls.
+    /// The interval between calls.
     pub interval: Duration,
 }
 
-/// What the holder of a lease does.
+/// The work that the holder of a lease does.
 #[derive(Debug, Clone)]
 pub enum WorkSettings {
-    /// It calls a server at an interval.
+    /// Periodic HTTP calls to a server.
     HttpCall(HttpCallSettings),
-    /// It collects the audit.
+    /// Collection of the cluster's audit.
     CollectAudit {
-        /// How long one round through the fleet takes.
+        /// The duration of one round through all members.
         round_duration: Duration,
     },
 }
 
-/// A lease.
+/// The checked configuration of one lease.
 #[derive(Debug, Clone)]
 pub struct LeaseSettings {
     /// Its name.
     pub name: String,
-    /// What its holder does.
+    /// The work of its holder.
     pub work: WorkSettings,
 }
 
 /// The checked configuration of all leases.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The voters.
+    /// The members that grant the leases.
     pub voters: VoterSet,
-    /// The durations of the protocol.
+    /// The timing of the lease protocol.
     pub timing: LeaseTiming,
     /// The leases.
     pub leases: Vec<LeaseSettings>,
 }
 
-/// The section `[duties]` of the fleet's file.
+/// The section `[duties]` of the cluster's file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeasesSection {
@@ -85,7 +85,7 @@
     DEFAULT_LEASE_DURATION_MS
 }
 
-/// An entry `[[duty]]` of the fleet's file.
+/// An entry `[[duty]]` of the cluster's file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaseEntry {
@@ -103,61 +103,61 @@
     Collect,
 }
 
-/// What is wrong with the configuration of leases.
+/// An error in the lease configuration.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum LeaseConfigError {
-    /// There are leases and no voters.
+    /// Leases are configured without voters.
     #[error("duty: needs `[duties]` with its voters")]
     MissingVoters,
-    /// The set of voters is rejected.
+    /// The voter set is invalid.
     #[error("duties: voters: {0}")]
     Voters(#[source] VoterSetError),
-    /// The lease duration is out of bounds.
+    /// The lease duration is out of range.
     #[error("duties: lease_ms: {0}; expected {least} to {most}",
         least = LEASE_DURATION_MS.start(), most = LEASE_DURATION_MS.end())]
     LeaseDuration(u64),
     /// There are too many leases.
     #[error("duty: {0}; expected {MAX_LEASES} at most")]
     TooManyLeases(usize),
-    /// A lease is rejected.
+    /// A lease is invalid.
     #[error("duty {name:?}: {source}")]
     Lease {
         /// Its name.
         name: String,
-        /// What is wrong with it.
+        /// The cause.
         #[source]
         source: LeaseEntryError,
     },
 }
 
-/// What is wrong with one lease.
+/// An error in the configuration of one lease.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum LeaseEntryError {
-    /// The name has a forbidden character or length.
+    /// The name has an invalid character or length.
     #[error("name: expected 1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` or `.`")]
     InvalidName,
-    /// Another lease has the same identifier.
+    /// Another lease has the same identifier, which is derived from the name.
     #[error("name: is taken by another, or told apart from one by nothing")]
     DuplicateName,
-    /// The interval is out of bounds.
+    /// The interval is out of range.
     #[error("every_ms: {0}; expected {least} to {most}",
         least = INTERVAL_MS.start(), most = INTERVAL_MS.end())]
     Interval(u64),
-    /// The work is to call a server, and none is given.
+    /// The work is an HTTP call and the address is missing.
     #[error("address: is missing; its work calls one")]
     MissingAddress,
-    /// The path is no path of a URL.
+    /// The path is not a valid URL path.
     #[error("path: {0:?}: expected one that begins with `/`")]
     InvalidPath(String),
-    /// The work calls no server, and one is given.
+    /// An address or path is given for work that makes no HTTP calls.
     #[error("address, path: are of use where its work is to call")]
     UnusedTarget,
 }
 
-/// Checks the configuration of leases for a fleet of `member_count`. Returns `None` where the file
-/// configures none.
+/// Validates the lease configuration for a cluster of `member_count` members. Returns `None` if no
+/// leases are configured.
 pub fn check(
     section: Option<LeasesSection>,
     entries: Vec<LeaseEntry>,
--- a/crates/heathroad/src/configuration/membership.rs
+++ b/crates/heathroad/src/configuration/membership.rs
@@ -1,5 +1,5 @@
-//! The file of the fleet: its name, its key, and what this proxy does in it. The addresses are the
-//! platform's: `peer_listen` and `peers` of the daemon's own file.
+//! The cluster's file: its name, key, timing and leases. The addresses come from `peer_listen` and
+//! `peers` in the daemon's own file.
 
 use heathroad_membership::MemberId;
 use heathroad_membership::authentication::{Authenticator, CredentialsError, MAX_KEY_BYTES};
@@ -11,38 +11,39 @@
 use std::{io, ops::RangeInclusive};
 use thiserror::Error;
 
-/// The most members of a fleet.
+/// Maximum number of members of a cluster.
 const MAX_MEMBERS: usize = 10_000;
 /// The permitted probe periods, in milliseconds.
 const PROBE_PERIOD_MS: RangeInclusive<u64> = 100..=60_000;
-/// A proxy that fences itself when it is unsure waits for so many probe periods at the least, since
-/// a few probes may be lost.
+/// Minimum of `fence_unsure_after_ms` in probe periods, so that a few lost probes do not fence a
+/// proxy.
 const MIN_UNSURE_PERIODS: u64 = 5;
 
-/// What the daemon needs of the file.
+/// The validated settings of the cluster.
 pub struct Settings {
-    /// The name of the fleet.
+    /// The name of the cluster.
     pub fleet_name: String,
-    /// The name and the key of the fleet.
+    /// Authenticates messages with the name and key of the cluster.
     pub authenticator: Authenticator,
-    /// Where other members are heard.
+    /// The address that receives messages of other members.
     pub listen: SocketAddr,
-    /// The addresses of all members, by their ids.
+    /// The addresses of all members, indexed by member id.
     pub addresses: Vec<SocketAddr>,
-    /// This proxy.
+    /// The member id of this proxy.
     pub id: MemberId,
     /// Intervals, timeouts and limits of the protocol.
     pub protocol: Config,
-    /// After how long without contact, or without a majority of the fleet, this proxy fences
-    /// itself, if it does.
+    /// The time without contact, or without a majority of the cluster, after which this proxy
+    /// fences itself; `None` if it never does.
     pub fence_unsure_after: Option<Duration>,
-    /// Whether backends are told under which version each attempt was decided; for the harness.
+    /// Whether attempts carry a header with the version they were decided under; used by the
+    /// harness.
     pub sends_version_header: bool,
-    /// The leases, where there are voters.
+    /// The leases, if voters are configured.
     pub leases: Option<super::lease::Settings>,
 }
 
-/// The form of the file.
+/// The file as it is written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
@@ -62,7 +63,7 @@
     Config::default().probe_period
 }
 
-/// The platform's addresses, as the daemon's file has them.
+/// The addresses of the members in the daemon's file.
 pub struct Addresses<'a> {
     /// `peer_listen`.
     pub listen: Option<&'a str>,
@@ -72,32 +73,32 @@
     pub own: u32,
 }
 
-/// Why the configuration of the fleet is rejected.
+/// An error in the configuration of the cluster.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum MembershipConfigError {
-    /// The file of the fleet is rejected.
+    /// The cluster's file is invalid.
     #[error("{path}: {error}", path = .path.display())]
     File {
         /// The path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The cause.
         #[source]
         error: FileError,
     },
-    /// The platform's addresses are rejected.
+    /// The addresses of the members are invalid.
     #[error("config: {0}")]
     Addresses(#[from] AddressesError),
 }
 
-/// What is wrong with the file of the fleet.
+/// An error in the cluster's file.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum FileError {
     /// The file cannot be read.
     #[error("{0}")]
     Unreadable(#[source] io::Error),
-    /// The file does not have the expected form.
+    /// The file is not valid TOML, or a key is unknown, missing or of the wrong type.
     #[error("{}", one_line(.0))]
     Malformed(#[from] toml::de::Error),
     /// The key cannot be read.
@@ -114,7 +115,7 @@
         /// The path of the key.
         path: PathBuf,
     },
-    /// The probe period is out of bounds.
+    /// The probe period is out of range.
     #[error(
         "period_ms: {period_ms}; expected {} to {}",
         PROBE_PERIOD_MS.start(),
@@ -131,22 +132,22 @@
     FenceTooSoon {
         /// The time.
         time_ms: u64,
-        /// The shortest time that is permitted.
+        /// The minimum time.
         min_ms: u64,
     },
-    /// The name or the key is rejected.
+    /// The name or the key is invalid.
     #[error(transparent)]
     Credentials(#[from] CredentialsError),
-    /// The leases are rejected.
+    /// The lease configuration is invalid.
     #[error("{0}")]
     Leases(#[source] super::lease::LeaseConfigError),
 }
 
-/// What is wrong with the platform's addresses.
+/// An error in the addresses of the members.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum AddressesError {
-    /// The address to listen at is missing.
+    /// The listen address is missing.
     #[error("peer_listen: is missing; a fleet needs it")]
     MissingListen,
     /// An address cannot be parsed.
@@ -154,7 +155,7 @@
     Malformed {
         /// The key of the address.
         name: &'static str,
-        /// The text.
+        /// The configured text.
         text: String,
         /// The cause.
         source: AddrParseError,
@@ -162,7 +163,7 @@
     /// There are too many members.
     #[error("peers: {count}; expected {MAX_MEMBERS} at most")]
     TooManyMembers {
-        /// Their number.
+        /// The number of members.
         count: usize,
     },
     /// The list has no address for this proxy.
@@ -170,12 +171,12 @@
     MissingOwn,
 }
 
-/// The error of the TOML parser spans several lines; a log line is one.
+/// Joins the lines of a TOML parser error for the log.
 fn one_line(error: &toml::de::Error) -> String {
     error.to_string().trim_end().replace('\n', " ")
 }
 
-/// Reads and checks the file of a fleet.
+/// Reads and validates the cluster's file.
 pub fn read(path: &Path, addresses: &Addresses<'_>) -> Result<Settings, MembershipConfigError> {
     let in_file = |error: FileError| MembershipConfigError::File {
         path: path.to_path_buf(),
@@ -206,7 +207,7 @@
     Ok(toml::from_str(&text)?)
 }
 
-/// Checks the file's times, and reads the key.
+/// Validates the file's times and reads the key.
 fn check(path: &Path, file: &File) -> Result<Authenticator, FileError> {
     let key = read_key(path, file)?;
     let period_ms = file.probe_period_ms;
@@ -220,8 +221,7 @@
     Ok(Authenticator::new(&file.name, &key)?)
 }
 
-/// Reads the key, whose path is relative to the file that names it. One line feed at its end is not
-/// part of it.
+/// Reads the key, whose path is relative to the cluster's file. One trailing line feed is removed.
 fn read_key(file_path: &Path, file: &File) -> Result<Vec<u8>, FileError> {
     let folder = file_path.parent().unwrap_or(Path::new(""));
     let path = folder.join(&file.key_file);
@@ -238,7 +238,7 @@
     Ok(key)
 }
 
-/// Returns the text of the address to listen at, and the addresses of all members.
+/// Returns the unparsed listen address and the addresses of all members.
 fn parse_addresses<'a>(
     addresses: &Addresses<'a>,
 ) -> Result<(&'a str, Vec<SocketAddr>), AddressesError> {
--- a/crates/heathroad/src/configuration/mod.rs
+++ b/crates/heathroad/src/configuration/mod.rs
@@ -1,7 +1,6 @@
 //! The configuration of the daemon: the environment and the configuration file, read and validated.
 //!
-//! The parts that have files of their own are in the modules below; [`error`] says what can be
-//! wrong.
+//! Configuration kept in separate files is read by the modules below; [`error`] defines the errors.
 
 pub mod error;
 pub mod lease;
@@ -24,19 +23,19 @@
 
 /// The validated configuration.
 pub struct Config {
-    /// The address for clients.
+    /// The address that accepts client connections.
     pub listen: SocketAddr,
-    /// The address of discovery, or of its agent.
+    /// The address of the default registry, or of its agent.
     pub discovery: SocketAddr,
-    /// The admin address, if there is one.
+    /// The admin address, if configured.
     pub admin: Option<SocketAddr>,
-    /// The file of routes and pools, if there is one; else the one pool of the settings serves.
+    /// The file of routes and pools. Without it, all requests go to the settings' single pool.
     pub routes: Option<PathBuf>,
-    /// The settings of retry budgets down a chain, if they are on.
+    /// The settings of retry budgets along a chain of proxies, if enabled.
     pub budget: Option<retry_budget::Settings>,
-    /// The file of expectations: a change of routes that violates one is rejected.
+    /// The file of expectations; a change of routes that violates one is rejected.
     pub expectations: Option<PathBuf>,
-    /// The state folder, if there is one.
+    /// The state folder, if configured.
     pub state: Option<PathBuf>,
     /// The time for which a change of routes is observed before it is committed.
     pub probation: Duration,
@@ -46,17 +45,17 @@
     pub sockets: usize,
     /// The limit on memory, in bytes.
     pub memory: usize,
-    /// The membership of this proxy in a cluster, if it has one.
+    /// The membership settings, if a cluster is configured.
     pub membership: Option<membership::Settings>,
-    /// The digest of the settings that all replicas have in common.
+    /// The digest of the settings that all replicas share.
     pub digest: Digest,
-    /// The last known endpoint list.
+    /// The last known endpoint list, used until discovery answers.
     pub known: Option<EndpointList>,
-    /// The settings.
+    /// The settings of the decision module and of the site.
     pub settings: InstanceSettings,
 }
 
-/// The configuration file, under its keys.
+/// The configuration file as it is written.
 #[derive(Deserialize)]
 struct ConfigFile {
     listen: Option<String>,
@@ -89,16 +88,16 @@
     30_000
 }
 
-/// The longest observation of a change, in ms: an hour.
+/// The maximum probation of a change, in milliseconds.
 const MAX_PROBATION_MS: u64 = 3_600_000;
-/// The fewest file descriptors that leave capacity for requests.
+/// The minimum limit on file descriptors that leaves capacity for requests.
 const MIN_SOCKETS: usize = 64;
-/// The least memory that holds requests, in MB.
+/// The minimum memory limit, in MB.
 const MIN_MEMORY_MB: usize = 8;
-/// The bytes of a megabyte of the limits.
+/// Bytes per MB of the memory limit.
 const MEGABYTE: usize = 1 << 20;
 
-/// The addresses that the environment names; they take precedence over the file's.
+/// The addresses set in the environment, which take precedence over those in the file.
 #[derive(Default)]
 struct EnvironmentAddresses {
     listen: Option<String>,
@@ -116,14 +115,14 @@
     }
 }
 
-/// Reads the environment and the file that it names.
+/// Loads the configuration from the environment and the file at `RELAY_CONFIG`.
 pub fn load() -> Result<Config, ConfigError> {
     parse(&read_named_file()?, EnvironmentAddresses::read())
 }
 
-/// Reads the file again for what may change while the program runs: the address of discovery, and
-/// the routes. Here the file takes precedence over the environment, which still names the old
-/// address. It is validated as a whole: a file that no start would accept is no reason to move.
+/// Reloads the file for the values that may change at runtime: the discovery address and the
+/// routes. The file's discovery address takes precedence here, since the environment cannot change
+/// at runtime. The whole file is validated, so an invalid file changes nothing.
 pub fn reload() -> Result<Config, ConfigError> {
     let environment = EnvironmentAddresses {
         discovery: None,
@@ -132,7 +131,7 @@
     parse(&read_named_file()?, environment)
 }
 
-/// Reads any file as a start would.
+/// Reads and validates a file as the daemon does at startup.
 pub fn check(path: &Path) -> Result<Config, ConfigError> {
     let text = std::fs::read(path).map_err(|source| ConfigError::Read {
         path: path.to_path_buf(),
@@ -191,7 +190,7 @@
     })
 }
 
-/// Rejects values that are out of range, and keys that are of no use without others.
+/// Rejects values that are out of range, and keys that have no effect without others.
 fn validate(file: &ConfigFile, site: &SiteSettings) -> Result<(), ConfigError> {
     let checks = [
         (
@@ -260,8 +259,8 @@
     }
 }
 
-/// Returns the digest of what the settings of all replicas have in common: their index and zone are
-/// left out. (The order of names is not kept by JSON.)
+/// Returns the digest of the settings without the replica's index and zone, so that it is the same
+/// on all replicas. The order of keys in the file does not matter.
 fn common_digest(settings: &serde_json::Value) -> Digest {
     let mut common = settings.clone();
     if let Some(settings) = common.as_object_mut() {
--- a/crates/heathroad/src/configuration/routes.rs
+++ b/crates/heathroad/src/configuration/routes.rs
@@ -1,4 +1,4 @@
-//! The file of routes and pools, read and checked.
+//! Reads and validates the file of routes and pools.
 
 use heathroad_routing::config::error::ConfigErrors;
 use heathroad_routing::generation::Generation;
@@ -7,10 +7,10 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Why a file of routes can't be used.
+/// An error in the file of routes.
 #[derive(Debug, thiserror::Error)]
 pub enum RoutesError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{file}: {source}")]
     Read {
         /// The name of the file.
@@ -23,7 +23,7 @@
     Config(#[from] ConfigErrors),
 }
 
-/// A pool whose backend is the daemon itself, so that requests would loop.
+/// A pool has the daemon itself as a backend, so requests would loop.
 #[derive(Debug, thiserror::Error)]
 #[error(
     "routes: pool {pool:?}: one of its backends is this daemon itself, at {listen_address}; expected servers"
@@ -35,11 +35,11 @@
     pub listen_address: SocketAddr,
 }
 
-/// Reads and checks a file, as a generation with a number.
+/// Reads and validates a file as the generation `number`.
 ///
 /// # Errors
 ///
-/// Fails if the file can't be read, or with all errors of its text.
+/// Returns an error if the file cannot be read, or all errors found in its text.
 pub fn read(path: &Path, number: u64) -> Result<Rc<Generation>, RoutesError> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 ///
-/// Fails with the first pool that does.
+/// Returns the first pool that does.
 pub fn check_self_loop(
     generation: &Generation,
     listen_address: SocketAddr,
--- a/crates/heathroad/src/configuration/state_folder.rs
+++ b/crates/heathroad/src/configuration/state_folder.rs
@@ -7,16 +7,16 @@
 
 /// The name of the journal's file.
 const JOURNAL_FILE: &str = "routing.log";
-/// The name of the file that a new journal is written to before it replaces the old one.
+/// The temporary file that holds a new journal until it is renamed over the old one.
 const REPLACEMENT_FILE: &str = "routing.log.new";
 
-/// A folder that holds the journal.
+/// The folder with the journal, as its storage.
 pub struct StateFolder {
     path: PathBuf,
 }
 
 impl StateFolder {
-    /// Uses a folder, which must exist.
+    /// Creates the storage in an existing folder.
     pub fn new(path: &Path) -> StateFolder {
         StateFolder {
             path: path.to_path_buf(),
@@ -27,7 +27,7 @@
         self.path.join(JOURNAL_FILE)
     }
 
-    /// Makes the names in the folder durable.
+    /// Flushes the folder's entries to disk, so that a rename survives a crash.
     fn sync_folder(&self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
--- a/crates/heathroad/src/configuration/verification_gate.rs
+++ b/crates/heathroad/src/configuration/verification_gate.rs
@@ -1,6 +1,6 @@
-//! The gate that a configuration change must pass: the expectations of a file beside the routes.
+//! The verification gate: checks configuration changes against a file of expectations.
 //!
-//! Verification runs on a thread of its own, so that no request waits for a verdict.
+//! Verification runs on a blocking thread, so it does not delay requests.
 
 use heathroad_balancer::settings::InstanceSettings;
 use heathroad_routing::config::error::ConfigErrors;
@@ -12,10 +12,10 @@
 use std::sync::Arc;
 use tokio::task::{JoinError, spawn_blocking};
 
-/// Why expectations can't be read or verified.
+/// An error while expectations are read or verified.
 #[derive(Debug, thiserror::Error)]
 pub enum GateError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{file}: {source}")]
     Read {
         /// The name of the file.
@@ -26,28 +26,28 @@
     /// The text of the expectations, or of the routes, has errors.
     #[error(transparent)]
     Config(#[from] ConfigErrors),
-    /// The expectations can't be verified.
+    /// The expectations cannot be verified.
     #[error(transparent)]
     Verify(#[from] VerifyError),
-    /// The thread that verifies has failed.
+    /// The verification thread failed.
     #[error("expectations: {0}")]
     Thread(#[from] JoinError),
 }
 
-/// The file of expectations, which is read whenever a change is proposed.
+/// The file of expectations, which is read again for every proposed change.
 pub struct VerificationGate {
     file: PathBuf,
 }
 
-/// The expectations as they were when a change was proposed.
+/// The expectations loaded for one proposed change.
 #[derive(Clone)]
 pub struct LoadedExpectations(Arc<Expectations>);
 
-/// Reads and checks a file of expectations.
+/// Reads and validates a file of expectations.
 ///
 /// # Errors
 ///
-/// Fails if the file can't be read, or with all errors of its text.
+/// Returns an error if the file cannot be read, or all errors found in its text.
 pub fn read(path: &Path) -> Result<Expectations, GateError> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns what verification has to know of a daemon with some settings.
+/// Returns the properties of the daemon that verification depends on.
 pub fn environment(
     settings: &InstanceSettings,
     registry: SocketAddr,
@@ -73,7 +73,7 @@
 }
 
 impl VerificationGate {
-    /// Creates a gate with a file of expectations.
+    /// Creates a gate for a file of expectations.
     pub fn new(file: &Path) -> VerificationGate {
         VerificationGate {
             file: file.to_path_buf(),
@@ -85,22 +85,22 @@
         &self.file
     }
 
-    /// Reads the file as it is now.
+    /// Reads the current contents of the file.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read, or with all errors of its text.
+    /// Returns an error if the file cannot be read, or all errors found in its text.
     pub fn load(&self) -> Result<LoadedExpectations, GateError> {
         Ok(LoadedExpectations(Arc::new(read(&self.file)?)))
     }
 }
 
 impl LoadedExpectations {
-    /// Verifies a configuration text on a thread of its own.
+    /// Verifies a configuration text on a blocking thread.
     ///
     /// # Errors
     ///
-    /// Fails if the text can't be verified at all.
+    /// Returns an error if the text is invalid or verification cannot run.
     pub async fn verify(
         &self,
         text: String,
