--- a/crates/heathroad/src/cli/admin_client.rs
+++ b/crates/heathroad/src/cli/admin_client.rs
@@ -1,4 +1,4 @@
-//! Asking a running daemon at its admin address, for the command line.
+//! HTTP client of the command line for a running daemon's admin address.
 
 use crate::runtime_accounting::timeout;
 use bytes::Bytes;
@@ -10,12 +10,13 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// An answer that takes longer is not coming.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Longest answer.
-const MAX_ANSWER: usize = 4 << 20;
+/// Maximum time for a call, including the connection.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// One call; the answer's text, as an error where the daemon turns it down.
+/// Sends one request and returns the text of the response, as an error unless its status is 200.
+/// Without an address, `RELAY_ADMIN` is used.
 pub fn call(
     admin: Option<SocketAddr>,
     method: Method,
@@ -25,11 +26,11 @@
     let admin = match admin {
         Some(address) => address,
         None => {
-            let named = std::env::var("RELAY_ADMIN")
+            let address = std::env::var("RELAY_ADMIN")
                 .map_err(|_| "no daemon is named: --admin or RELAY_ADMIN")?;
-            named
+            address
                 .parse()
-                .map_err(|e| format!("RELAY_ADMIN: {named}: {e}"))?
+                .map_err(|e| format!("RELAY_ADMIN: {address}: {e}"))?
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -49,23 +50,25 @@
             .body(Full::new(Bytes::from(body)))
             .map_err(|e| e.to_string())?;
         let exchange = async {
-            let answer = sender
+            let response = sender
                 .send_request(request)
                 .await
                 .map_err(|e| e.to_string())?;
-            let status = answer.status();
-            let body = Limited::new(answer.into_body(), MAX_ANSWER).collect().await;
+            let status = response.status();
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
+                .collect()
+                .await;
             let body = body.map_err(|e| e.to_string())?.to_bytes();
             Ok((status, String::from_utf8_lossy(&body).into_owned()))
         };
         tokio::select! {
             biased;
-            done = exchange => done,
+            result = exchange => result,
             _ = connection => Err("the connection was closed".to_string()),
         }
     };
-    let answer = runtime.block_on(async { timeout(PATIENCE, call).await });
-    let (status, text) = answer
+    let result = runtime.block_on(async { timeout(CALL_TIMEOUT, call).await });
+    let (status, text) = result
         .map_err(|_| format!("{admin}: no answer in time"))?
         .map_err(|e| format!("{admin}: {e}"))?;
     if status == StatusCode::OK {
--- a/crates/heathroad/src/cli/commands.rs
+++ b/crates/heathroad/src/cli/commands.rs
@@ -1,4 +1,4 @@
-//! What the program does beside running: looks at files, and calls to a running daemon.
+//! Runs the command line: the daemon, commands on files, and requests to a running daemon.
 
 use super::arguments::{Cli, Command};
 use super::verify::{CommandError, read_routes};
@@ -12,40 +12,40 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// The exit code for a file that `check`, `diff`, `expect` or `drains` turns down; a failed start
-/// ends with 1.
-const BAD_INPUT: u8 = 2;
+/// The exit code of `check`, `diff`, `expect` and `drains` when they fail; other failures, such as
+/// a failed start, exit with 1.
+const EXIT_INVALID_INPUT: u8 = 2;
 
-/// The program, by its command line: the daemon where that says nothing, else a look at files or a
-/// call to a daemon.
+/// Parses the command line and runs its command, or the daemon if there is none.
 pub fn main(run_daemon: impl FnOnce() -> Result<(), DaemonError>) -> ExitCode {
-    let (done, code) = match Cli::parse().command {
+    let (result, code) = match Cli::parse().command {
         None => (
             run_daemon().map_err(|error| error.to_string()),
             ExitCode::FAILURE,
         ),
-        Some(Command::Check { file }) => (check(&file), ExitCode::from(BAD_INPUT)),
-        Some(Command::Expect { with }) => {
-            (told(verify::run_expect(&with)), ExitCode::from(BAD_INPUT))
-        }
+        Some(Command::Check { file }) => (check(&file), ExitCode::from(EXIT_INVALID_INPUT)),
+        Some(Command::Expect { with }) => (
+            print_report(verify::run_expect(&with)),
+            ExitCode::from(EXIT_INVALID_INPUT),
+        ),
         Some(Command::Drains {
             with,
             node,
             site,
             at_once,
         }) => (
-            told(verify::run_drains(&with, &node, &site, at_once)),
-            ExitCode::from(BAD_INPUT),
+            print_report(verify::run_drains(&with, &node, &site, at_once)),
+            ExitCode::from(EXIT_INVALID_INPUT),
         ),
-        Some(Command::Fleet(ask)) => (
-            membership::ask(&ask).and_then(|text| say(&text)),
+        Some(Command::Fleet(command)) => (
+            membership::ask(&command).and_then(|text| print(&text)),
             ExitCode::FAILURE,
         ),
         Some(Command::Lease(command)) => (
-            lease::run(&command).and_then(|text| say(&text)),
+            lease::run(&command).and_then(|text| print(&text)),
             ExitCode::FAILURE,
         ),
-        Some(Command::Diff { from, to }) => (diff(&from, &to), ExitCode::from(BAD_INPUT)),
+        Some(Command::Diff { from, to }) => (diff(&from, &to), ExitCode::from(EXIT_INVALID_INPUT)),
         Some(Command::Apply {
             file,
             required_within,
@@ -55,15 +55,15 @@
             ExitCode::FAILURE,
         ),
         Some(Command::Status { at }) => (
-            ask(at.admin, Method::GET, "/config/status"),
+            call_daemon(at.admin, Method::GET, "/config/status"),
             ExitCode::FAILURE,
         ),
         Some(Command::Undo { at }) => (
-            ask(at.admin, Method::POST, "/config/undo"),
+            call_daemon(at.admin, Method::POST, "/config/undo"),
             ExitCode::FAILURE,
         ),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("heathroad: {e}");
@@ -76,7 +76,7 @@
     if file.extension().is_some_and(|e| e == "toml") {
         let routes = read_routes(file)?;
         let (pools, count) = (routes.config.pools.len(), routes.config.routes.len());
-        return say(&format!(
+        return print(&format!(
             "{}: good: {pools} pools, {count} routes, digest {}",
             file.display(),
             routes.digest
@@ -87,7 +87,7 @@
         routes::check_self_loop(&*read_routes(file)?, config.listen).map_err(|e| e.to_string())?;
     }
     let site = &config.settings.site;
-    say(&format!(
+    print(&format!(
         "{}: good: {} classes, {} tenants, listens on {}, discovery at {}",
         file.display(),
         site.classes.len(),
@@ -99,22 +99,24 @@
 
 fn diff(from: &Path, to: &Path) -> Result<(), String> {
     let (from, to) = (read_routes(from)?, read_routes(to)?);
-    let words = heathroad_routing::diff::describe_changes(&from, &to);
-    say(if words.is_empty() {
-        "no request moves, no pool changes".to_string()
-    } else {
-        words.join("\n")
-    }
-    .as_str())
+    let changes = heathroad_routing::diff::describe_changes(&from, &to);
+    print(
+        if changes.is_empty() {
+            "no request moves, no pool changes".to_string()
+        } else {
+            changes.join("\n")
+        }
+        .as_str(),
+    )
 }
 
-/// What is found broken is an answer like any other, with an exit code of its own.
-fn told(found: Result<String, CommandError>) -> Result<(), String> {
-    match found {
-        Ok(text) => say(&text),
+/// Prints the report of a verification. A negative report is printed too, and fails the command.
+fn print_report(report: Result<String, CommandError>) -> Result<(), String> {
+    match report {
+        Ok(text) => print(&text),
         Err(CommandError::Other(e)) => Err(e),
         Err(CommandError::Negative(text)) => {
-            say(&text)?;
+            print(&text)?;
             Err("what is expected does not hold".to_string())
         }
     }
@@ -128,13 +130,13 @@
         format!("/config/apply?required_ms={ms}")
     });
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    say(&admin_client::call(admin, Method::POST, &path, text)?)
+    print(&admin_client::call(admin, Method::POST, &path, text)?)
 }
 
-fn ask(admin: Option<SocketAddr>, method: Method, path: &str) -> Result<(), String> {
-    say(&admin_client::call(admin, method, path, String::new())?)
+fn call_daemon(admin: Option<SocketAddr>, method: Method, path: &str) -> Result<(), String> {
+    print(&admin_client::call(admin, method, path, String::new())?)
 }
 
-fn say(text: &str) -> Result<(), String> {
+fn print(text: &str) -> Result<(), String> {
     writeln!(std::io::stdout(), "{text}").map_err(|e| format!("standard output: {e}"))
 }
