--- a/crates/heathroad/src/cli/lease.rs
+++ b/crates/heathroad/src/cli/lease.rs
@@ -1,4 +1,4 @@
-//! The `duty` command: asks a running daemon about leases, and words its answers as text.
+//! The `duty` command: requests lease reports from a running daemon and formats them as text.
 
 use super::arguments::LeaseCommand;
 use super::{admin_client, lease_chart, query};
@@ -81,7 +81,7 @@
         lease.work,
         format_holder(lease)
     );
-    // Writing to text does not fail.
+    // Writing to a `String` cannot fail.
     if let Some(hold) = &lease.held_here {
         let remaining = format_duration(hold.remaining_ms);
         let _ = write!(out, "; held here for {remaining} more");
