--- a/crates/heathroad-harness/src/emulator/backend.rs
+++ b/crates/heathroad-harness/src/emulator/backend.rs
@@ -1,6 +1,5 @@
-//! A stand-in backend: a process on a machine, behind one address for each proxy that may send to
-//! it, so that every request's sender is known. It works, waits for the next tier, answers, and
-//! fails where it is told to.
+//! An emulated backend process with a separate address for each proxy, which identifies the sender
+//! of a request. It works, calls the next tier, responds, and fails as the schedule says.
 
 use crate::client::{Client, ClientRequest, response_body};
 use crate::clock::{Clock, Micros};
@@ -126,7 +125,6 @@
     client: Rc<Client>,
 }
 
-/// A count that goes back when dropped.
 struct CountGuard<'a>(&'a Cell<usize>);
 
 impl<'a> CountGuard<'a> {
@@ -173,6 +171,7 @@
         doors: Vec<(ProxyIndex, SocketAddr)>,
     ) -> Rc<Self> {
         let slots = usize::from(context.schedule.scenario.tier[tier].slots);
+        let seed = context.schedule.seed ^ (u64::from(no) << 32);
         Rc::new(Backend {
             index: no,
             name,
@@ -194,9 +193,7 @@
             in_work: Cell::default(),
             connections: Cell::default(),
             report: Cell::default(),
-            rng: RefCell::new(Rng::with_seed(
-                context.schedule.seed ^ (u64::from(no) << 32),
-            )),
+            rng: RefCell::new(Rng::with_seed(seed)),
             draining: Cell::new(false),
             fault_probabilities: Cell::new([0.0; 3]),
             misrouted_to: Cell::new(None),
@@ -240,17 +237,18 @@
             self.host.restart();
         }
         let started = self.host.started.get();
+        let incarnation = Incarnation {
+            backend: self.index,
+            number: life,
+            started_at: started,
+            warm,
+            overloaded_at: None,
+        };
         self.context
             .event_log
             .borrow_mut()
             .incarnations
-            .push(Incarnation {
-                backend: self.index,
-                number: life,
-                started_at: started,
-                warm,
-                overloaded_at: None,
-            });
+            .push(incarnation);
         self.draining.set(false);
         self.state.send_replace(State {
             life,
@@ -312,9 +310,8 @@
             match accepted {
                 Ok((stream, _)) => drop(spawn_local(self.clone().connection(proxy, stream, life))),
                 Err(_) => {
-                    self.context
-                        .descriptor_failures
-                        .set(self.context.descriptor_failures.get() + 1);
+                    let failures = &self.context.descriptor_failures;
+                    failures.set(failures.get() + 1);
                     sleep(REBIND).await;
                 }
             }
@@ -416,7 +413,6 @@
                 return true;
             }
             if kind == ResponseKind::Malformed {
-                // It stays open and is of no further use.
                 while stream.read(&mut [0; 1024]).await.is_ok_and(|n| n > 0) {}
                 return false;
             }
@@ -466,7 +462,6 @@
     ) -> Arrival {
         let (schedule, clock) = (&self.context.schedule, &self.context.clock);
         let mean = schedule.class(class).work_ms * 1000.0 * schedule.scenario.tier[self.tier].work;
-        // Work has a tail, and none of it is endless.
         let drawn = -(1.0 - Rng::with_seed(id ^ schedule.seed).f64()).ln();
         let work = (mean * (0.5 + 0.5 * drawn.min(6.0))) as u64 + handshake;
         Arrival {
@@ -498,10 +493,8 @@
     fn fall_over(&self, life: u16) {
         let now = self.context.clock.now();
         let lives = &mut self.context.event_log.borrow_mut().incarnations;
-        if let Some(life) = lives
-            .iter_mut()
-            .find(|l| (l.backend, l.number) == (self.index, life))
-        {
+        let own = (self.index, life);
+        if let Some(life) = lives.iter_mut().find(|l| (l.backend, l.number) == own) {
             life.overloaded_at.get_or_insert(now);
         }
         self.kill();
@@ -517,7 +510,6 @@
         format!("TEXT inflight={inflight}, queue={queue}")
     }
 
-    /// Does what a request asks for, and makes its answer.
     async fn process(
         &self,
         at: usize,
@@ -554,13 +546,11 @@
             }
         }
         if self.mode() == Mode::Hang {
-            // It has taken the request, and its repeats are dropped: nobody knows what became of
-            // it.
+            // The request counts as received, and its repeats are dropped.
             std::future::pending::<()>().await;
         }
         let _slot = {
             let _waits = CountGuard::one(&self.waiting);
-            // It is never closed.
             self.slots.acquire().await
         };
         let _works = CountGuard::one(&self.in_work);
@@ -584,24 +574,16 @@
         }
         let head = || with(head(), &spent);
         self.host.work(work as f64 / 2.0).await;
+        let noise = || b"\x07\x00 noise 200 \r\n\r\n".to_vec();
+        let served = || encode_reply(request, 200, &head(), &response_body(id, mark));
         match drawn {
-            d if d < decline + cut => (
-                encode_reply(request, 200, &head(), &response_body(id, mark)),
-                ResponseKind::Truncated,
-            ),
-            d if d < decline + cut + spoil => (
-                b"\x07\x00 noise 200 \r\n\r\n".to_vec(),
-                ResponseKind::Malformed,
-            ),
-            _ => (
-                encode_reply(request, 200, &head(), &response_body(id, mark)),
-                ResponseKind::Served,
-            ),
+            d if d < decline + cut => (served(), ResponseKind::Truncated),
+            d if d < decline + cut + spoil => (noise(), ResponseKind::Malformed),
+            _ => (served(), ResponseKind::Served),
         }
     }
 
-    /// Calls the next tier for a request, or the first, where it has gone astray; whether it was
-    /// served, and what it was told of budgets.
+    /// Calls the next tier, or the first when misrouted; returns success and the budget report.
     async fn call(
         &self,
         parent: u64,
@@ -670,7 +652,6 @@
     }
 }
 
-/// A head with what was spent, as it was told.
 fn with(head: String, spent: &Option<String>) -> String {
     spent
         .as_ref()
