--- a/crates/heathroad-routing/tests/listeners.rs
+++ b/crates/heathroad-routing/tests/listeners.rs
@@ -127,7 +127,7 @@
         (
             "tenant_in = \"/client\"",
             "tenant_in = \"client\"",
-            "listener[0].tenant_in: is \"client\"; expected a pointer",
+            "listener[0].tenant_in: is \"client\"; expected a JSON pointer",
         ),
         (
             "tenant_in = \"/client\"",
